--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -1,4 +1,4 @@
-//! A roll-out: which requests try the new release, and what it is found to be.
+//! Progressive roll-out of a release: which requests it gets, and whether it is good or bad.
 
 mod drift;
 mod evidence;
@@ -26,63 +26,57 @@
 pub use side::Side;
 pub use sighting::Sighting;
 
-/// The part of the allowed exposure that a release gets while it is unproven.
-/// The rest is for requests that hosts count differently at the edges.
+/// Fraction of the allowed exposure that the release gets during its trial. The rest is a reserve
+/// for requests that hosts count differently at the edges.
 const TRIAL_PART: f64 = 0.5;
-/// When the trial ends and one endpoint of the new release is filled, as a part
-/// of the time that the order gives. A release may be bad only while most of an
-/// endpoint's places are taken, which a trial in a calm service never shows.
+/// When the trial ends and one endpoint of the new release is filled to capacity, as a fraction of
+/// the roll-out's duration. A release may fail only when most of an endpoint's slots are in use,
+/// which a trial under light load doesn't show.
 const FILL_AT: f64 = 0.5;
-/// The part of the allowed exposure that the release gets meanwhile, of the
-/// requests of that time: with the largest model's answers it fills an endpoint
-/// of 48 places in a second and a half, and with the trial it stays at three
-/// quarters of what is allowed of all.
+/// Share of requests that the new release gets while one endpoint is filled, as a multiple of the
+/// allowed exposure. That phase is short, so the whole roll-out stays within the allowed exposure.
 const FILL_PART: f64 = 4.0;
-/// When traffic moves.
+/// When traffic starts to shift to the new release, as a fraction of the roll-out's duration.
 const MOVE_AT: f64 = 0.62;
-/// When all traffic has moved.
+/// When all traffic has shifted.
 const MOVED_AT: f64 = 0.74;
-/// When the roll-out is complete. Endpoints of the old release stop at once
-/// then, so what was sent to them before the move must have ended.
+/// When the roll-out is complete. Endpoints of the old release stop immediately at that point, so
+/// requests sent to them before the shift must have ended.
 const COMPLETE_AT: f64 = 0.86;
-/// Answers of either release without which the new one is not judged. A host
-/// that has just started has none of the old one to compare with, and whatever
-/// befell the fleet would be put down to the new one.
+/// Minimum number of the old release's responses for a bad verdict, and of the new release's for a
+/// good one. A host that has just started has no baseline, and would blame the new release for any
+/// other fault.
 const MIN_ANSWERS: u32 = 20;
-/// Bad answers of the new release below which it is never judged bad. The
-/// bound on answers after a release has shown itself bad starts at the 50th.
+/// Minimum number of failed responses for a bad verdict because of failures.
 const MIN_BAD: u32 = 5;
-/// How much greater than the old release's share of bad answers the new one's
-/// may be, at the least that it can be.
+/// How far the lower confidence bound of the new release's failure rate may exceed the old
+/// release's rate.
 const MARGIN: f64 = 0.05;
-/// How many times as long as the old release's the new one's answers take, on
-/// the geometric mean, for it to be bad: from one event to the next, until a
-/// stream begins, and until a whole answer does. Streams vary most in that,
-/// since the new one's caches are empty.
+/// Latency ratios between the new and the old release (geometric mean) above which the new one is
+/// judged bad: between events of a stream, until a stream starts, and until a complete response
+/// starts. The start of a stream varies most because the new release's caches are empty.
 const SLOW_STEP: f64 = 1.6;
 const SLOW_FIRST: f64 = 2.2;
 const SLOW_WHOLE: f64 = 1.4;
 
-/// How long hosts tell each other which sessions are under way before the new
-/// release gets any. News comes twice in that time.
+/// How long hosts exchange which sessions are active before the new release gets any requests.
+/// Updates are sent twice in that time.
 const GATHERING: Duration = Duration::from_millis(1_200);
-/// How long before a release leaves its trial all hosts are told so, and as long again
-/// for each time that it has to be told on: three times what a change takes to reach
-/// all, so that lost messages are made up for.
+/// How long before the end of the trial it is announced, once plus once for each extra hop of
+/// gossip. Several times the propagation delay, to tolerate lost messages.
 const NOTICE: Duration = Duration::from_millis(300);
-/// What is added for each time that news has to be told on to reach all hosts,
-/// and how many more hosts it reaches then.
+/// Time added for each extra hop that an update needs to reach all hosts, and the factor by which
+/// the number of reached hosts grows per hop.
 const FURTHER: Duration = Duration::from_millis(600);
 const REACHED: u32 = 8;
 
-/// A roll-out.
+/// The state of a roll-out on this host.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// What was asked for.
+    /// The operator's order.
     pub order: Order,
-    /// What it has come to.
+    /// The current verdict.
     pub verdict: Verdict,
-    /// The order's revision when the roll-out began.
     began_as: Revision,
     started: Duration,
     gathering: Duration,
@@ -90,17 +84,17 @@
     notice: Duration,
     moves_on: Option<Duration>,
     pool: Pool,
-    /// The old release's usual times, as logarithms.
+    /// Moving means of the old release's latencies, as logarithms, by class of request.
     usual: HashMap<(u64, Pace), Mean>,
-    /// Sessions that began on the old release and stay there while it is on trial.
+    /// Sessions that began on the old release and stay on it during the trial.
     held: HashSet<u64>,
-    /// Those of them that were told to the neighbours.
+    /// Those of these sessions that were already sent to the neighbours.
     told: HashSet<u64>,
 }
 
 impl Rollout {
-    /// A roll-out over so many hosts that began at `started`, which may expose an
-    /// unproven release to this share of requests.
+    /// Creates a roll-out that began at `started` on a fleet of `hosts` hosts. An unproven release
+    /// may get at most the share `exposure` of all requests.
     #[must_use]
     pub fn new(order: Order, started: Duration, exposure: f64, hosts: u32) -> Self {
         let further = hosts.max(REACHED).ilog(REACHED) - 1;
@@ -120,17 +114,17 @@
         }
     }
 
-    /// The order's revision when the roll-out began: what tells it from others, also
-    /// after the order was written again.
+    /// Returns the order's revision when the roll-out began. It identifies the roll-out even after
+    /// the order was rewritten.
     #[must_use]
     pub fn began_as(&self) -> Revision {
         self.began_as
     }
 
-    /// Takes an order that is the same one, written again after the store came back
-    /// without it, and says whether it is.
+    /// Adopts `order` if it is the current order, written again after the store lost it. Returns
+    /// whether it is.
     ///
-    /// Taken for a new one, a release that was found bad would be tried again, and
+    /// If it were treated as a new order, a release that was found bad would be tried again, and
     /// sessions that have moved would move back.
     pub(crate) fn renew(&mut self, order: &Order) -> bool {
         let known = &mut self.order;
@@ -142,7 +136,7 @@
         is_again
     }
 
-    /// The share of requests that goes to the new release.
+    /// Returns the share of requests that goes to the new release.
     #[must_use]
     pub fn share(&self, now: Duration) -> f64 {
         match self.verdict {
@@ -150,12 +144,12 @@
             Verdict::Reverted => 0.0,
             Verdict::Running if self.is_gathering(now) => 0.0,
             Verdict::Running => {
-                // This host's own verdict comes with its next look at the roll-out.
+                // Bad evidence limits exposure at once; the verdict follows at the next poll.
                 if !self.has_moved_on(now) || self.is_bad() {
                     return self.trial_share();
                 }
                 let progress = self.progress(now);
-                // Never less than before: sessions that have moved stay.
+                // The share never decreases, so sessions that have moved stay.
                 let filled = (self.exposure * FILL_PART).min(1.0);
                 let moved = (progress - MOVE_AT) / (MOVED_AT - MOVE_AT);
                 filled + moved.clamp(0.0, 1.0) * (1.0 - filled)
@@ -163,7 +157,7 @@
         }
     }
 
-    /// The release for a request of a session that this host doesn't know.
+    /// Chooses the release for a request whose session this host doesn't know.
     #[must_use]
     pub(crate) fn side(&self, now: Duration, session: u64) -> Side {
         if self.is_trial(now) && self.held.contains(&session) {
@@ -176,10 +170,10 @@
         }
     }
 
-    /// The release for a request of a session that is on `release` already.
+    /// Chooses the release for a request whose session is already on `release`.
     ///
-    /// It stays there. Only in the later half, when the new release has proved
-    /// good, do sessions move to it with all other traffic.
+    /// The session stays there during the first half of the roll-out. In the second half, when the
+    /// new release has proved good, sessions move to it with all other traffic.
     #[must_use]
     pub(crate) fn keep(&self, now: Duration, release: &Release, session: u64) -> Side {
         match self.verdict {
@@ -191,8 +185,8 @@
         }
     }
 
-    /// Whether a session would be on the new release if it weren't on the old
-    /// one already: the other hosts have to be told of it.
+    /// Returns whether the session would be on the new release if it hadn't started on the old
+    /// one. The other hosts must be informed of such sessions.
     pub(crate) fn is_contested(&self, session: u64) -> bool {
         lot(session) < self.trial_share()
     }
@@ -205,26 +199,25 @@
         now.saturating_sub(self.started) < self.gathering
     }
 
-    /// Whether sessions stay on the old release that began there.
+    /// Returns whether sessions that started on the old release stay there.
     fn is_trial(&self, now: Duration) -> bool {
         const FIRST_HALF: f64 = 0.5;
         self.progress(now) < FIRST_HALF
     }
 
-    /// Whether one endpoint of the new release is being filled.
+    /// Returns whether one endpoint of the new release is being filled to capacity.
     #[must_use]
     pub(crate) fn is_filling(&self, now: Duration) -> bool {
         let is_running = self.verdict == Verdict::Running;
         is_running && self.has_moved_on(now) && self.progress(now) < MOVE_AT
     }
 
-    /// Has the release leave its trial, if it is time and it has proved good; says
-    /// whether the others are to hear of that.
+    /// Schedules the end of the trial if it is due and the release has proved good. Returns
+    /// whether other hosts must be informed.
     ///
-    /// Failure: each host decided for itself, by what it had heard of the others'
-    /// answers. Among hundreds some knew enough a second before the others; a session
-    /// that went from one to the other was answered by the new release and by the old
-    /// one in turns. So one host proposes a moment that all hear of before it comes.
+    /// If each host decided by the evidence it has received, some would end the trial earlier than
+    /// others, and a session that changes hosts would alternate between the releases. Instead, one
+    /// host proposes a time that all learn before it comes.
     pub fn advance(&mut self, now: Duration) -> bool {
         let elapsed = self.elapsed(now);
         let fills = self.order.over.mul_f64(FILL_AT);
@@ -244,13 +237,13 @@
         now.saturating_sub(self.started)
     }
 
-    /// Whether an endpoint of this release may take a request of this side.
+    /// Returns whether an endpoint that runs `release` may take a request of this side.
     #[must_use]
     pub fn fits(&self, side: Side, release: &Release) -> bool {
         (side == Side::New) == (*release == self.order.release)
     }
 
-    /// What this host finds, if it is time to say so.
+    /// Returns the verdict that this host reaches from the evidence, if one is due.
     #[must_use]
     pub fn finding(&self, now: Duration) -> Option<Verdict> {
         if self.verdict != Verdict::Running {
@@ -262,7 +255,7 @@
         (self.progress(now) >= COMPLETE_AT && self.is_good()).then_some(Verdict::Complete)
     }
 
-    /// Takes an answer, or a failure, of either release.
+    /// Records a response, or a failure, of either release.
     pub fn answer(&mut self, side: Side, sighting: &Sighting) {
         let tally = match side {
             Side::Old => &mut self.pool.own.old,
@@ -279,7 +272,8 @@
         }
     }
 
-    /// Sets a time of the new release against the old one's of the same class.
+    /// Adds a latency to the baseline (old release), or compares it with the baseline of its class
+    /// (new release).
     fn compare(&mut self, side: Side, key: (u64, Pace), value: Option<f64>) {
         let Some(value) = value.filter(|it| *it > 0.0).map(f64::ln) else {
             return;
@@ -299,14 +293,14 @@
         }
     }
 
-    /// What this host has seen.
+    /// Returns what this host itself has observed.
     #[must_use]
     pub fn evidence(&self) -> Evidence {
         self.pool.own
     }
 
-    /// What this host tells the others, with the sessions that stay on the old
-    /// release: its own, and those that it heard of.
+    /// Builds the update for other hosts. It includes the sessions that stay on the old release:
+    /// those of this host, and those that other hosts reported.
     pub fn news(&mut self, now: Duration, held: impl Iterator<Item = u64>, scope: Scope) -> News {
         let mut held: HashSet<u64> = held.collect();
         if self.is_trial(now) {
@@ -327,26 +321,27 @@
         }
     }
 
-    /// What this host has seen and those who tell it, for one who gathers it.
+    /// Returns the evidence of this host and of the hosts that report to it, for the aggregating
+    /// host `root`.
     #[must_use]
     pub fn sum(&self, now: Duration, root: usize, distance: u8) -> Sum {
         self.pool.sum(now, root, distance)
     }
 
-    /// Has this host, which gathers what all have seen, say what that is while it can
-    /// decide something. It tells so as `gatherer`.
+    /// Publishes the fleet's total evidence while the roll-out is running. Called on an
+    /// aggregating host, identified by `gatherer`.
     pub fn gather(&mut self, now: Duration, root: usize, gatherer: u64) {
         if self.verdict == Verdict::Running {
             self.pool.gather(now, root, gatherer);
         }
     }
 
-    /// Takes what another host tells of the same roll-out; its evidence replaces what
-    /// it told before. Says whether neighbours are to hear of it at once.
+    /// Applies another host's update on the same roll-out; its evidence replaces that of the
+    /// host's previous update. Returns whether neighbours must be informed at once.
     pub fn hear(&mut self, now: Duration, host: &HostName, news: &News) -> bool {
         let known = self.held.len();
         self.held.extend(&news.held);
-        // A host that has started since saw the order later than the others.
+        // A host that started later saw the order later than the others.
         self.started = self.started.min(now.saturating_sub(news.elapsed));
         let verdict = self.verdict;
         if self.verdict == Verdict::Running {
@@ -360,7 +355,7 @@
         is_held || is_agreed || is_pooled || self.verdict != verdict
     }
 
-    /// How much of the time that the order gives has passed.
+    /// Returns the elapsed fraction of the roll-out's duration.
     #[must_use]
     pub fn progress(&self, now: Duration) -> f64 {
         self.elapsed(now)
@@ -383,15 +378,16 @@
         !self.is_bad() && self.pooled().new.answers >= MIN_ANSWERS
     }
 
-    /// What all hosts have seen, as far as this one knows.
+    /// Returns the evidence of all hosts, as far as this host knows it.
     #[must_use]
     pub fn pooled(&self) -> Evidence {
         self.pool.pooled()
     }
 }
 
-/// The number by which a session falls to a release. Other bits of the hash
-/// choose the service: with the same ones, one service would get all the trials.
+/// Maps a session to a number in `0..1` that decides which release it gets. The service is chosen
+/// by other bits of the same hash: with the same bits, one service would get all requests on
+/// trial.
 fn lot(session: u64) -> f64 {
     hash::unit(session.rotate_left(32))
 }
--- a/crates/route/src/rollout/drift.rs
+++ b/crates/route/src/rollout/drift.rs
@@ -1,24 +1,22 @@
-//! How far the times of two releases are apart.
+//! Comparison of the latencies of two releases.
 
 use serde::{Deserialize, Serialize};
 
-/// Which time of an answer.
+/// Which latency of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Pace {
-    /// Until a stream begins.
+    /// Until a stream starts.
     First,
-    /// Until a whole answer does.
+    /// Until a complete response starts.
     Whole,
-    /// From one event to the next.
+    /// Between two events of a stream.
     Step,
 }
 
-/// How far the times of the new release are from the old one's, as logarithms
-/// of their ratios.
+/// Statistics of the logarithms of the latency ratios between the new and the old release.
 ///
-/// Times are heavy-tailed: one answer in ten of a sound release takes three
-/// times the usual. Single slow answers therefore tell little, the mean of the
-/// logarithms tells after a dozen.
+/// Latencies are heavy-tailed: even a good release has single slow responses. The mean of the
+/// logarithms is robust against them after a dozen samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Drift {
     count: u32,
@@ -27,9 +25,9 @@
 }
 
 impl Drift {
-    /// Answers without which a drift isn't believed.
+    /// Minimum number of samples for a conclusion.
     const MIN: u32 = 10;
-    /// Standard errors by which it must be sure.
+    /// Standard errors by which the mean must exceed the threshold.
     const SURE: f64 = 2.5;
 
     pub(super) fn add(&mut self, log: f64) {
@@ -44,7 +42,7 @@
         self.squares += other.squares;
     }
 
-    /// Whether the new release takes surely more than `times` as long.
+    /// Returns whether the mean ratio exceeds `times` with confidence.
     pub(super) fn exceeds(&self, times: f64) -> bool {
         if self.count < Self::MIN {
             return false;
@@ -63,9 +61,9 @@
 }
 
 impl Mean {
-    /// Answers of the old release without which nothing is set against them.
+    /// Minimum number of samples of the old release for a comparison.
     const MIN: f64 = 8.0;
-    /// How many answers the mean remembers.
+    /// Number of samples after which old ones decay exponentially.
     const MAX: f64 = 50.0;
 
     pub(super) fn add(&mut self, value: f64) {
--- a/crates/route/src/rollout/evidence.rs
+++ b/crates/route/src/rollout/evidence.rs
@@ -1,28 +1,28 @@
-//! How releases answered.
+//! Evidence on the quality of two releases.
 
 use serde::{Deserialize, Serialize};
 
 use super::Drift;
 
-/// How the two releases answered one host.
+/// Responses of both releases, as observed by one or more hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The new release.
     pub new: Tally,
-    /// The old one.
+    /// The old release.
     pub old: Tally,
-    /// The new one, of endpoints with most of their places taken.
+    /// The new release, on endpoints with most of their slots in use.
     pub crowded: Tally,
-    /// How much longer the new one's streams take to begin.
+    /// Ratios of the time until a stream starts.
     pub first: Drift,
-    /// How much longer its whole answers take to begin.
+    /// Ratios of the time until a complete response starts.
     pub whole: Drift,
-    /// How much longer they take from one event to the next.
+    /// Ratios of the time between events.
     pub step: Drift,
 }
 
 impl Evidence {
-    /// Adds what others have seen.
+    /// Adds the evidence of other hosts.
     pub(super) fn add(&mut self, other: &Self) {
         self.new.add(other.new);
         self.old.add(other.old);
@@ -32,18 +32,18 @@
         self.step.join(other.step);
     }
 
-    /// How many answers it is about.
+    /// Returns the number of responses counted.
     pub(super) fn answers(&self) -> u32 {
         self.new.answers.saturating_add(self.old.answers)
     }
 }
 
-/// How a release answered.
+/// Counts of responses of one release.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// All answers.
+    /// All responses.
     pub answers: u32,
-    /// Those that failed.
+    /// Failed responses.
     pub bad: u32,
 }
 
@@ -52,9 +52,9 @@
         f64::from(self.bad) / f64::from(self.answers.max(1))
     }
 
-    /// The share of bad answers that it has at least, by two and a half standard errors:
-    /// services fail some of their requests anyway, up to one in seven was
-    /// seen, and a few more in the first dozen prove nothing.
+    /// Returns a lower confidence bound of the failure rate, two and a half standard errors below
+    /// the observed rate. Services fail some requests anyway, so a few more failures among the
+    /// first responses prove nothing.
     pub(super) fn least_bad_share(self) -> f64 {
         const SURE: f64 = 2.5;
         let share = self.bad_share();
--- a/crates/route/src/rollout/news.rs
+++ b/crates/route/src/rollout/news.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of a roll-out.
+//! Gossip updates on roll-outs.
 
 use std::time::Duration;
 
@@ -6,32 +6,32 @@
 
 use super::{Evidence, Order, Sum, Total, Verdict};
 
-/// What one host tells the others of a roll-out.
+/// One host's update on a roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
-    /// What was asked for.
+    /// The operator's order.
     pub order: Order,
-    /// How long ago it was seen.
+    /// How long ago the order was first seen.
     pub elapsed: Duration,
-    /// What it has come to.
+    /// The verdict that the host knows.
     pub verdict: Verdict,
-    /// How long after the order the release leaves its trial, once hosts agree on it.
+    /// When the release leaves its trial, counted from the order, once hosts agree on it.
     pub moves_on: Option<Duration>,
-    /// What the host has seen of the releases.
+    /// What the host itself has observed.
     pub evidence: Evidence,
-    /// What the host and others have seen, on its way to those who gather it.
+    /// Partial sums of evidence on their way to the aggregating hosts.
     pub sums: Vec<Sum>,
-    /// What all have seen.
+    /// Totals of all hosts.
     pub totals: Vec<Total>,
-    /// Sessions that are on the old release and would be on the new one.
+    /// Hashes of sessions that are on the old release and would otherwise be on the new one.
     pub held: Vec<u64>,
 }
 
-/// How much is told of what may be told.
+/// How much of its state a host sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Only what wasn't told before: neighbours tell it on, and hear it from others.
+    /// Only what wasn't sent before; neighbours forward it.
     Fresh,
-    /// All, for a host that has just started.
+    /// The full state, for a host that has just started.
     All,
 }
--- a/crates/route/src/rollout/order.rs
+++ b/crates/route/src/rollout/order.rs
@@ -1,4 +1,4 @@
-//! What operators ask for, and what it comes to.
+//! Operators' roll-out orders and their verdicts.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 
 use crate::Revision;
 
-/// What operators ask for.
+/// An operator's order to roll out a release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
     /// The service.
     pub service: ServiceName,
     /// The new release.
     pub release: Release,
-    /// How long it may take.
+    /// The duration of the roll-out.
     pub over: Duration,
-    /// When it was written; a newer one is higher.
+    /// When the order was written; a newer order has a higher revision.
     pub revision: Revision,
 }
 
-/// What a roll-out has come to.
+/// The state of a roll-out.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The new release is on trial, or traffic moves to it.
+    /// The new release is on trial, or traffic is shifting to it.
     #[display("running")]
     Running,
     /// All traffic goes to the new release.
--- a/crates/route/src/rollout/pooled.rs
+++ b/crates/route/src/rollout/pooled.rs
@@ -1,4 +1,4 @@
-//! What all hosts have seen of a roll-out's releases.
+//! Aggregation of the evidence of all hosts.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,47 +8,48 @@
 
 use super::{Evidence, News, Scope};
 
-/// How long what a neighbour told of its part counts. It tells twice a second; one
-/// that has died or tells another one now would be counted twice.
+/// How long a neighbour's partial sum counts. Neighbours send theirs twice a second; the sum of
+/// one that died or changed its parent must expire, or it would be counted twice.
 const KEPT: Duration = Duration::from_secs(2);
 
-/// How often a total is told.
+/// Minimum time between two totals of the same host.
 const PERIOD: Duration = Duration::from_millis(500);
 
-/// What a host and those behind it have seen, on its way to one who gathers it.
+/// Evidence of a host and of the hosts below it in the aggregation tree, on its way to an
+/// aggregating host.
 ///
-/// Each host to every other would be 87,000 reports a second among 295, and told on at
-/// random an answer took twenty seconds to be known to most. Added up on the way, a
-/// report each half second a host is enough, and one answer takes a second or two.
+/// Exchanging evidence between all pairs of hosts, or spreading it by random gossip, is too
+/// expensive or too slow in a large fleet. With sums built on the way, each host sends one report
+/// per interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sum {
-    /// Which of those who gather it is for.
+    /// Index of the aggregating host that it is for.
     pub root: usize,
-    /// How many hops the teller is away from there. Who is no nearer doesn't take it:
-    /// while hosts differ about who lives, a sum could come back to where it was.
+    /// The sender's distance from that host, in hops. A receiver that is no nearer ignores the
+    /// sum: while hosts disagree on the membership, a sum could otherwise return to its origin.
     pub distance: u8,
-    /// What was seen.
+    /// The sum.
     pub evidence: Evidence,
 }
 
-/// What all hosts have seen, as one who gathers it says.
+/// Evidence of all hosts, published by an aggregating host.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Total {
-    /// Who gathered it.
+    /// Identifies the aggregating host.
     pub gatherer: u64,
-    /// Rises with each that it tells.
+    /// Increases with each total that the host publishes.
     pub number: u64,
-    /// What was seen.
+    /// The total.
     pub evidence: Evidence,
 }
 
-/// What all hosts have seen, as far as this one knows.
+/// Evidence of all hosts, as far as this host knows it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pool {
     pub(super) own: Evidence,
-    /// What each host that tells this one has seen itself.
+    /// The evidence that each other host reported as observed by itself.
     others: HashMap<HostName, Evidence>,
-    /// What neighbours told of themselves and those behind them, by whom it is for.
+    /// Partial sums of neighbours, by aggregating host and neighbour.
     parts: HashMap<(usize, HostName), Part>,
     totals: HashMap<u64, Known>,
 }
@@ -66,7 +67,7 @@
 }
 
 impl Pool {
-    /// Takes what another host tells, and says whether it is to be told on.
+    /// Applies another host's update. Returns whether it contains a new total to forward.
     pub(super) fn hear(&mut self, now: Duration, host: &HostName, news: &News) -> bool {
         self.others.insert(host.clone(), news.evidence);
         for it in &news.sums {
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Takes what all have told this host as the next total, at most as often as they
-    /// tell it: each total goes round all hosts.
+    /// Publishes the sum of all reports as the next total. Limited to one per reporting interval,
+    /// because every total is forwarded to all hosts.
     pub(super) fn gather(&mut self, now: Duration, root: usize, gatherer: u64) {
         let number = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
         let evidence = self.sum(now, root, 0).evidence;
@@ -125,8 +126,8 @@
         totals
     }
 
-    /// The most complete of what is known: a host that has just come to gather
-    /// hears of all within a second or two, and its total is small until then.
+    /// Returns the most complete evidence known. The total of a new aggregating host is incomplete
+    /// until all hosts have reported to it.
     pub(super) fn pooled(&self) -> Evidence {
         let mut direct = self.own;
         self.others.values().for_each(|it| direct.add(it));
--- a/crates/route/src/rollout/side.rs
+++ b/crates/route/src/rollout/side.rs
@@ -1,20 +1,20 @@
-//! Which release a request runs on.
+//! The two sides of a roll-out.
 
 use derive_more::Display;
 
-/// Which release a request runs on.
+/// Which release handles a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Side {
-    /// The one that was there before.
+    /// The release that was in use before.
     #[display("old")]
     Old,
-    /// The one that is rolled out.
+    /// The release that is rolled out.
     #[display("new")]
     New,
 }
 
 impl Side {
-    /// The other one.
+    /// Returns the other side.
     #[must_use]
     pub fn other(self) -> Self {
         match self {
--- a/crates/route/src/rollout/sighting.rs
+++ b/crates/route/src/rollout/sighting.rs
@@ -1,21 +1,21 @@
-//! How answers came.
+//! Observations of single responses.
 
 use super::Tally;
 
-/// How an answer came.
+/// The outcome and latencies of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sighting {
-    /// Tells kinds of requests apart whose answers take different times.
+    /// Groups requests whose latencies are comparable.
     pub class: u64,
-    /// Whether it is a failure, or none at all.
+    /// Whether the request failed or got no response.
     pub failed: bool,
-    /// Whether most of the endpoint's places were taken when it was asked.
+    /// Whether most of the endpoint's slots were in use when the request was sent.
     pub is_crowded: bool,
-    /// How long a stream took to begin, in times of what its prompt should take.
+    /// Time until the stream started, relative to the time expected for its prompt.
     pub first: Option<f64>,
-    /// The seconds that a whole answer took to begin.
+    /// Seconds until a complete response started.
     pub whole: Option<f64>,
-    /// The seconds from one event to the next.
+    /// Mean seconds between two events.
     pub step: Option<f64>,
 }
 
