--- a/crates/route/src/directory.rs
+++ b/crates/route/src/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints, what they are doing and how well.
+//! The known endpoints, with their state, load and health.
 
 mod endpoint;
 mod evacuate;
@@ -19,55 +19,54 @@
 pub use endpoint::Endpoint;
 pub(crate) use endpoint::Listed;
 
-/// The largest part of a service's endpoints that rest at once. If most of them
-/// answer badly the cause is elsewhere, and the rest would only be overrun.
+/// Largest fraction of a service's endpoints that may be ejected at once. If most of them fail,
+/// the cause is elsewhere, and the remaining ones would only be overloaded.
 const MOST_RESTING: f64 = 0.5;
 
-/// The endpoints, what they are doing and how well.
+/// The known endpoints, with their state, load and health.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     endpoints: SlotMap<Key, Endpoint>,
     by_id: HashMap<EndpointId, Key>,
     by_service: HashMap<ServiceName, Vec<Key>>,
-    /// The part of their places that endpoints of a service usually have taken, by
-    /// their own word.
+    /// Moving average of the utilization that endpoints report, by service.
     usual: HashMap<ServiceName, f64>,
-    /// Endpoints that were gone when the store came back from an older copy, and until
-    /// when it may still list them.
+    /// Endpoints that were gone when the store was restored from an older copy, each with the time
+    /// until which the store may still list it.
     gone: HashMap<Process, Duration>,
     evacuations: Evacuations,
     warm_ups: HashMap<ServiceName, WarmUp>,
-    /// The hosts that share what cold endpoints take, once this host knows them.
+    /// The hosts that share the request rate of cold endpoints, once this host knows them.
     peers: Option<Peers>,
 }
 
-/// Whether an absent entry means that its endpoint is gone.
+/// What a listing says of endpoints that it doesn't contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Absence {
-    /// It does.
+    /// They are gone.
     Gone,
-    /// It may be one that lapsed while the store was away: its endpoint is kept
-    /// in use until a listing that is `Gone` comes.
+    /// Their entries may have expired during an outage of the store. They stay in use until a
+    /// `Gone` listing arrives.
     Lapsed,
 }
 
-/// How a listing changed what is believed.
+/// Effect of a listing on the directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// Endpoints that are new.
+    /// New endpoints.
     pub added: Vec<EndpointId>,
-    /// Endpoints that take no new work from now on.
+    /// Endpoints that take no new requests from now on.
     pub leaving: Vec<EndpointId>,
 }
 
 impl Directory {
-    /// Takes it that the store came back from an older copy.
+    /// Prepares for listings from a store that was restored from an older copy.
     ///
-    /// Failure: the copy lists endpoints that are gone since, until their entries lapse
-    /// there, and has those as ready that leave. What is sent there is lost. So what was
-    /// gone stays gone for that time, and who was leaving leaves.
+    /// The copy lists endpoints that have gone since, until their entries expire, and shows
+    /// leaving endpoints as ready. Requests sent to these would be lost. So endpoints that were
+    /// gone are ignored until then, and leaving ones stay marked as leaving.
     pub fn restored(&mut self, now: Duration) {
-        /// Entries lapse after three heartbeats of silence; those are 1.2 s apart.
+        /// Entries expire after three missed heartbeats, which are 1.2 s apart.
         const LAPSE: Duration = Duration::from_secs(5);
         let gone = self
             .endpoints
@@ -80,8 +79,8 @@
         }
     }
 
-    /// Puts right what the store says of endpoints of which this host knows better: it may
-    /// show an older copy. The others hear of the listing as it is then.
+    /// Corrects entries of endpoints on which this host has newer information than the store,
+    /// which may show an older copy. The other hosts get the corrected listing.
     pub fn correct(&self, now: Duration, entries: &mut Vec<Entry>) {
         let is_gone = |it: &Entry| {
             let until = self.gone.get(&it.process());
@@ -100,7 +99,7 @@
         }
     }
 
-    /// Takes a whole listing.
+    /// Applies a complete listing.
     pub fn list(&mut self, now: Duration, entries: Vec<Entry>, absence: Absence) -> Change {
         let mut change = Change::default();
         let mut seen = HashSet::with_capacity(entries.len());
@@ -122,7 +121,7 @@
         let known = &mut self.endpoints[key];
         let is_moved = known.entry.service != entry.service;
         match entry.incarnation.cmp(&known.entry.incarnation) {
-            // A former life's late word says only that the identity is in use.
+            // A late entry of an earlier process only shows that the identity is in use.
             Ordering::Less => known.listed = Listed::Yes,
             Ordering::Equal if !is_moved => {
                 if known.takes_work() && entry.state == State::Draining {
@@ -144,12 +143,11 @@
         key
     }
 
-    /// Gives an endpoint that has started again a key of its own.
+    /// Gives a restarted endpoint a new key.
     ///
-    /// All that was believed of the life before stays with the old key: load,
-    /// health, requests and connections. Kept for the new one, a rest would leave
-    /// a sound endpoint unused, and requests that ended with their process would
-    /// count as under way for good.
+    /// Load, health, requests and connections of the previous process stay with the old key.
+    /// Carried over, an ejection would leave a healthy endpoint unused, and requests that were
+    /// lost with their process would count as in flight forever.
     fn replace(&mut self, now: Duration, former: Key, entry: Entry) -> Key {
         if let Some(it) = self.endpoints.get_mut(former) {
             it.listed = Listed::Missing(now);
@@ -178,9 +176,9 @@
         self.forget(now);
     }
 
-    /// Drops endpoints that are gone and have nothing of this host's under way.
+    /// Removes endpoints that are gone and have no request of this host in flight.
     fn forget(&mut self, now: Duration) {
-        /// Long enough for late news of the endpoint to find it still known.
+        /// Long enough for late messages on the endpoint to find it still known.
         const KEPT: Duration = Duration::from_secs(30);
         let (by_id, by_service) = (&mut self.by_id, &mut self.by_service);
         self.endpoints.retain(|key, it| {
@@ -200,7 +198,7 @@
         });
     }
 
-    /// How many endpoints take work, and how many of these rest.
+    /// Returns the number of endpoints that take requests, and how many of them are ejected.
     #[must_use]
     pub fn count(&self, now: Duration) -> (usize, usize) {
         let takes: Vec<_> = self
@@ -212,7 +210,7 @@
         (takes.len(), resting.count())
     }
 
-    /// An endpoint by its key.
+    /// Returns the endpoint with this key.
     #[must_use]
     pub fn get(&self, key: Key) -> Option<&Endpoint> {
         self.endpoints.get(key)
@@ -222,14 +220,14 @@
         self.endpoints.get_mut(key)
     }
 
-    /// The endpoints of a service, also those that take no new work.
+    /// Returns the endpoints of a service, including those that take no new requests.
     pub fn of(&self, service: &ServiceName) -> impl Iterator<Item = (Key, &Endpoint)> {
         let keys = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         keys.iter()
             .filter_map(|&key| Some((key, self.endpoints.get(key)?)))
     }
 
-    /// The part of a service's places that is believed to be taken.
+    /// Returns the mean utilization of a service's endpoints, as estimated by this host.
     #[must_use]
     pub fn used(&self, now: Duration, service: &ServiceName) -> f64 {
         let (mut used, mut count) = (0.0, 0.0);
@@ -240,20 +238,20 @@
         if count > 0.0 { used / count } else { 1.0 }
     }
 
-    /// The part of an endpoint's places that is believed to be taken.
+    /// Returns the estimated utilization of an endpoint.
     ///
-    /// One that hasn't told lately is as busy as the others usually are. Taken for
-    /// empty, it would be chosen before those that tell, and among many hosts
-    /// hardly any endpoint has told this one lately.
+    /// An endpoint without a recent load report is assumed to be as busy as the service's average.
+    /// If it were assumed idle, it would be preferred to those that report, and in a large fleet
+    /// hardly any endpoint has reported to this host recently.
     #[must_use]
     pub fn used_of(&self, now: Duration, it: &Endpoint) -> f64 {
         let usual = self.usual.get(&it.entry.service).copied();
         it.used(now, usual.unwrap_or_default())
     }
 
-    /// Takes an endpoint's word on its load.
+    /// Records an endpoint's load report.
     pub(crate) fn load(&mut self, now: Duration, key: Key, load: Load) {
-        /// How much one word moves what is usual.
+        /// Weight of a new report in the moving average.
         const PART: f64 = 0.05;
         if let Some(it) = self.endpoints.get_mut(key) {
             it.load = Some((now, load));
@@ -263,7 +261,8 @@
         }
     }
 
-    /// Takes an endpoint's word that it leaves, and says whether it took work until now.
+    /// Records an endpoint's notice that it is leaving. Returns whether it took requests until
+    /// now.
     pub(crate) fn leave(&mut self, key: Key) -> bool {
         let Some(it) = self.endpoints.get_mut(key) else {
             return false;
@@ -273,22 +272,23 @@
         took_work
     }
 
-    /// Takes an endpoint's word that it wants nothing for so long.
+    /// Records that an endpoint asked this host to send nothing for the given time.
     pub(crate) fn refuse(&mut self, now: Duration, key: Key, pause: Duration) {
-        /// An endpoint may name any time at all.
+        /// Upper bound, because the endpoint may ask for any time.
         const LONGEST: Duration = Duration::from_hours(1);
         if let Some(it) = self.endpoints.get_mut(key) {
             it.unwilling_until = it.unwilling_until.max(now + pause.min(LONGEST));
         }
     }
 
-    /// Whether any endpoint is known.
+    /// Returns whether no endpoint is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// Takes an endpoint's bad answer, and says whether it rests from now on.
+    /// Records a failed response of an endpoint. Returns whether the endpoint is ejected because
+    /// of it.
     pub(crate) fn bad(&mut self, now: Duration, key: Key) -> bool {
         let Some(it) = self.endpoints.get(key) else {
             return false;
@@ -305,8 +305,8 @@
         rests
     }
 
-    /// The mean share of bad answers of a service's other endpoints, and the
-    /// part of its endpoints that rest.
+    /// Returns the mean failure rate of a service's other endpoints, and the fraction of its
+    /// endpoints that would be ejected with this one.
     fn usual(&self, now: Duration, service: &ServiceName, but: Key) -> (f64, f64) {
         let (mut share, mut resting, mut count) = (0.0, 0.0, 0.0);
         for (key, it) in self.of(service) {
@@ -321,7 +321,7 @@
             }
         }
         if count == 0.0 {
-            // The only endpoint of a service is never put to rest.
+            // The only endpoint of a service is never ejected.
             return (0.0, 1.0);
         }
         (share / count, (resting + 1.0) / (count + 1.0))
--- a/crates/route/src/directory/endpoint.rs
+++ b/crates/route/src/directory/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint, as this host knows it.
+//! State of an endpoint on this host.
 
 use std::time::Duration;
 
@@ -7,35 +7,35 @@
 use crate::evacuation::Access;
 use crate::health::Health;
 
-/// An endpoint, as this host knows it.
+/// An endpoint and what this host knows about it.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// What the directory says of it.
+    /// The endpoint's entry in the listing.
     pub entry: Entry,
-    /// Whether it said that it leaves, in an answer or before the store came back from an
-    /// older copy. No listing undoes that: one that was read before, or shows the copy,
-    /// has it as ready. Its next life is another endpoint.
+    /// Whether the endpoint announced that it is leaving, in a response or before the store was
+    /// restored from an older copy. No listing resets this, because an outdated one may still show
+    /// the endpoint as ready. After a restart it is a new `Endpoint`.
     pub(crate) has_left: bool,
-    /// Whether operators have emptied its data centre.
+    /// Whether its data centre may be used.
     pub(crate) access: Access,
-    /// Whether it is cold.
+    /// Its cold-start state.
     pub(crate) warmth: Warmth,
-    /// Until when it wants nothing of this host, by its own word. However few others there
-    /// are, it would only refuse.
+    /// Until when it refuses requests of this host, as it said itself. It is skipped even if no
+    /// other endpoint is left, because it would only refuse.
     pub(crate) unwilling_until: Duration,
-    /// Whether the directory still lists it.
+    /// Whether the listing still contains it.
     pub(crate) listed: Listed,
-    /// Requests of this host that are under way there.
+    /// Number of requests of this host in flight there.
     pub(crate) flights: u32,
-    /// The time that reading the prompts of those takes that haven't begun to answer.
+    /// Estimated prefill time of those requests that have no response yet.
     pub(crate) unread: Duration,
-    /// The load that it told last, and the requests sent since.
+    /// The latest load report with the time of its arrival, and the number of requests sent since.
     pub(crate) load: Option<(Duration, Load)>,
     pub(crate) sent_since_load: u32,
     pub(crate) health: Health,
 }
 
-/// Whether the directory lists an endpoint.
+/// Whether the listing contains an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Listed {
     Yes,
@@ -60,25 +60,25 @@
         }
     }
 
-    /// Whether new work may be sent to it.
+    /// Returns whether new requests may be sent to it.
     #[must_use]
     pub fn takes_work(&self) -> bool {
         self.would_take_work() && self.access == Access::Open
     }
 
-    /// Whether it takes new work, were its data centre in use.
+    /// Returns whether it would take new requests if its data centre were in use.
     pub(super) fn would_take_work(&self) -> bool {
         self.listed == Listed::Yes && self.entry.state == State::Ready && !self.has_left
     }
 
-    /// For how long this host may send it nothing yet: it wants nothing, or is cold.
+    /// Returns how long this host must send it nothing, because it refuses requests or is cold.
     pub(crate) fn wait(&self, now: Duration) -> Duration {
         let unwilling = self.unwilling_until.saturating_sub(now);
         unwilling.max(self.warmth.wait(now))
     }
 
     pub(super) fn used(&self, now: Duration, usual: f64) -> f64 {
-        /// How long a load report is believed. Requests last about as long.
+        /// How long a load report is valid; about the duration of a request.
         const BELIEVED: Duration = Duration::from_millis(1_500);
         let slots = f64::from(self.entry.slots.max(1));
         let own = f64::from(self.flights);
--- a/crates/route/src/directory/evacuate.rs
+++ b/crates/route/src/directory/evacuate.rs
@@ -1,4 +1,4 @@
-//! What the directory makes of data centres that operators empty.
+//! Effect of evacuated data centres on the directory.
 
 use std::time::Duration;
 
@@ -9,21 +9,22 @@
 use crate::evacuation::{Access, Evacuation, Evacuations};
 
 impl Directory {
-    /// Which data centres are emptied.
+    /// Returns the state of the data centres.
     #[must_use]
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Takes a word on a data centre, and says whether it changes what is used.
+    /// Applies an operator's change to a data centre. Returns whether it changes which endpoints
+    /// are used.
     pub(crate) fn evacuate(&mut self, now: Duration, said: Evacuation) -> bool {
         let is_change = self.evacuations.hear(said);
         self.renew_access(now);
         is_change
     }
 
-    /// Takes all that the store has of data centres that are emptied, and says whether it
-    /// changes what is used.
+    /// Applies the store's complete list of evacuated data centres. Returns whether it changes
+    /// which endpoints are used.
     pub(crate) fn read_evacuations(
         &mut self,
         now: Duration,
@@ -50,10 +51,10 @@
         access(&self.evacuations, data_centre)
     }
 
-    /// When a request for a service may come back that no endpoint takes now.
+    /// Returns when to retry a request for a service that has no usable endpoint now.
     pub(crate) fn willing_in(&self, now: Duration, service: &ServiceName) -> Duration {
-        /// A data centre stays emptied for as long as operators work there: who asks
-        /// more often only hears the same.
+        /// Operators keep a data centre evacuated for a long time, so frequent retries would be
+        /// useless.
         const EMPTIED: Duration = Duration::from_secs(1);
         let wait = |it: &Endpoint| match it.access {
             Access::Open => it.wait(now),
--- a/crates/route/src/directory/warmth.rs
+++ b/crates/route/src/directory/warmth.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are cold, and what this host may send them.
+//! Cold-start state of endpoints, and the request rate that this host may use there.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use super::{Directory, Endpoint};
 use crate::warm_up::{Peers, Share, WarmUp};
 
-/// Until when an endpoint is cold, and what it gets from this host.
+/// Cold-start state of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Warmth {
-    /// Until when, by its entry.
+    /// Cold until this time, by its entry.
     until: Duration,
-    /// Until when, since its data centre was taken back.
+    /// Cold until this time because its data centre is back in use.
     returned_until: Duration,
     share: Share,
-    /// From when on this host may send it the next request.
+    /// Earliest time for this host's next request to it.
     next: Duration,
 }
 
@@ -36,7 +36,7 @@
         now < self.warm_from()
     }
 
-    /// How long until this host may send it a request.
+    /// Returns how long this host must wait before it sends a request.
     pub(crate) fn wait(&self, now: Duration) -> Duration {
         let from = match self.share {
             Share::Free => Duration::ZERO,
@@ -46,7 +46,7 @@
         from.saturating_sub(now)
     }
 
-    /// Takes that a request goes out to it.
+    /// Records that a request is sent.
     pub(crate) fn send(&mut self, now: Duration) {
         if let Share::Every(pause) = self.share {
             self.next = now + pause;
@@ -59,20 +59,20 @@
 }
 
 impl Directory {
-    /// Takes what services' endpoints bear after a start.
+    /// Sets the warm-up limits of services.
     pub(crate) fn set_warm_ups(&mut self, warm_ups: HashMap<ServiceName, WarmUp>) {
         self.warm_ups = warm_ups;
         self.renew_shares();
     }
 
-    /// Takes the hosts that share what cold endpoints take; none while this host may not
-    /// know all of them.
+    /// Sets the hosts that share the rate of cold endpoints; `None` while this host may not know
+    /// all of them.
     pub(crate) fn set_peers(&mut self, peers: Option<Peers>) {
         self.peers = peers;
         self.renew_shares();
     }
 
-    /// Takes what the entries of a listing that was read then say.
+    /// Updates the cold-start times from the entries of a listing read at `at`.
     pub(super) fn renew_warmth(&mut self, at: Duration) {
         for it in self.endpoints.values_mut() {
             it.warmth.until = if it.entry.cold.is_zero() {
@@ -87,11 +87,11 @@
         self.renew_shares();
     }
 
-    /// Takes it that an endpoint's data centre is used again.
+    /// Marks an endpoint as cold because its data centre is back in use.
     ///
-    /// Failure: its endpoints have started while nothing went there, and draw requests from
-    /// all hosts at once before their entries say that they are cold, up to a heartbeat
-    /// later. They count as cold for as long as a start takes.
+    /// Its endpoints may have restarted while they got no requests. They would get requests of all
+    /// hosts at once before their entries show that they are cold, which takes up to a heartbeat.
+    /// So they count as cold for a full warm-up.
     pub(super) fn return_to_use(
         now: Duration,
         warm_ups: &HashMap<ServiceName, WarmUp>,
