--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end the endpoints that run them, and are sent to no more of them.
+//! Quarantine of requests that make endpoint processes exit.
 
 mod end;
 mod finished;
@@ -20,72 +20,72 @@
 pub(crate) use finished::{Finished, Outcome};
 pub use news::{EndNews, HeldNews, News};
 
-/// Under how many ends of endpoints a request is found before it is held. Endpoints end
-/// for other reasons too, and whatever runs there is under way then.
+/// Number of process exits after which a suspected request is quarantined. Processes exit for
+/// other reasons as well, and every request in flight there is a suspect.
 const LIMIT: usize = 3;
-/// Under how many it is held although another request was under way at all of them, too.
+/// Number of exits after which it is quarantined even if another request was in flight at all of
+/// them.
 const CERTAIN: usize = 5;
-/// How long a request is held. Its caller is told to come back after that; a release
-/// that can run it may be in use by then.
+/// How long a request is quarantined. Its caller is told to retry after that; a release that can
+/// handle it may be in use by then.
 const HELD: Duration = Duration::from_hours(1);
-/// How long after a request's end at an endpoint the endpoint may end because of it. A
-/// caller that leaves, or an answer that is dropped for a larger model's, ends the
-/// attempt while the harm is already done.
+/// How long after the end of an attempt a process exit may still be caused by it. If the caller
+/// leaves, or the response is discarded in favour of a larger model's, the attempt ends although
+/// the request may already have done its damage.
 const AFTERMATH: Duration = Duration::from_secs(1);
-/// The most ends that are remembered. Only a request under which an endpoint ended takes a
-/// place, so whoever sends a million different ones fills no memory.
+/// Maximum number of remembered exits. Only requests in flight during an exit are stored, so a
+/// flood of distinct requests doesn't fill the memory.
 const MOST_ENDS: usize = 256;
-/// The most requests that are remembered of one end.
+/// Maximum number of suspects per exit.
 const MOST_SUSPECTS: usize = 128;
-/// The most attempts of the last moments whose endpoints may yet end.
+/// Maximum number of recently finished attempts whose endpoints may still exit.
 const MOST_FINISHED: usize = 4_096;
-/// The most requests that are held at a time; of more, the latest.
+/// Maximum number of quarantined requests; the latest are kept.
 const MOST_HELD: usize = 64;
 
-/// Which requests end the endpoints that run them.
+/// Detects requests that make endpoint processes exit, and blocks them.
 ///
-/// Failure: a request ends each endpoint that begins to run it, and comes again, under
-/// other names and at other hosts. Endpoints end within moments of their start, and with
-/// them all else that they run. It shows as stretches in which the requests of a whole
-/// service fail.
+/// Such a request ends each process that begins to run it, along with all other requests there,
+/// and is retried with new ids and through other hosts. The processes exit shortly after each
+/// start, and most requests to the service fail.
 ///
-/// Every host remembers of each endpoint that ended which requests were under way there,
-/// and tells the others. A request found under three ends is held: it goes nowhere.
-/// Others that were there as well are not: an end counts against nobody else once a
-/// held request accounts for it, a request whose endpoint outlives its answer is
-/// cleared of all, and of two that were at the same ends neither is held before a
-/// further end tells them apart. See `docs/design/quarantine.md`.
+/// For each process exit, every host records which requests were in flight there and shares this
+/// with the others. A request that is a suspect of several exits is quarantined: it isn't sent to
+/// any endpoint. Innocent suspects are excluded in three ways: an exit no longer counts against
+/// others once a quarantined request explains it; a request is cleared if an endpoint survives its
+/// response; and of two requests that are suspects of the same exits, neither is quarantined until
+/// a further exit distinguishes them. See `docs/design/quarantine.md`.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     ends: BTreeMap<Process, End>,
-    /// The ends under which a request was found.
+    /// The exits of which a request is a suspect.
     found_under: HashMap<Print, BTreeSet<Process>>,
-    /// The requests that are held.
+    /// The quarantined requests.
     held: HashMap<Print, Held>,
-    /// Requests that are no longer held, of which the driver hasn't been told.
+    /// Requests released from quarantine since the driver last asked.
     released: Vec<Print>,
-    /// Attempts that are over, whose endpoints may yet end because of them.
+    /// Recently finished attempts whose endpoints may still exit because of them.
     finished: VecDeque<Finished>,
-    /// Requests that endpoints have lately outlived.
+    /// Requests that an endpoint recently survived.
     proven: Proven,
-    /// Requests that were held since the driver last asked.
+    /// Requests quarantined since the driver last asked.
     caught: Vec<Print>,
-    /// When all that are held were last told.
+    /// When all quarantined requests were last sent to other hosts.
     retold: Duration,
-    /// Whether anything was learned since the driver last asked.
+    /// Whether anything changed since the driver last asked.
     has_news: bool,
 }
 
 impl Quarantine {
-    /// How much longer a request is held; nothing if it isn't.
+    /// Returns the time that a request stays quarantined, or `None` if it isn't.
     #[must_use]
     pub fn holds(&self, now: Duration, print: Print) -> Option<Duration> {
         let left = self.held.get(&print)?.left(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// Whether a request that is under way may go to no further endpoint: it is held, or
-    /// would be if the endpoints at which it broke off have ended.
+    /// Returns whether a request must not be retried: it is quarantined, or it would be if the
+    /// endpoints whose connections broke during its attempts have exited.
     pub(crate) fn stops(&self, now: Duration, print: Print) -> bool {
         if self.holds(now, print).is_some() {
             return true;
@@ -96,32 +96,32 @@
         ends.len() >= LIMIT
     }
 
-    /// How many requests are held.
+    /// Returns the number of quarantined requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no request is quarantined.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Requests that were held since the last call, and how many endpoints had ended
-    /// under each, as far as this host knows.
+    /// Takes the requests quarantined since the last call, each with the number of exits of which
+    /// it is a suspect, as far as this host knows.
     pub fn take_caught(&mut self) -> Vec<(Print, usize)> {
         let caught = std::mem::take(&mut self.caught);
         let ends = |it: &Print| self.found_under.get(it).map_or(0, BTreeSet::len);
         caught.into_iter().map(|it| (it, ends(&it))).collect()
     }
 
-    /// Whether anything was learned since the last call that others are to hear of.
+    /// Returns whether anything changed since the last call that must be sent to other hosts.
     pub fn take_news(&mut self) -> bool {
         std::mem::take(&mut self.has_news)
     }
 
-    /// Takes the end of an attempt.
+    /// Records a finished attempt.
     pub(crate) fn finish(&mut self, now: Duration, finished: Finished) {
         self.age(now);
         if let Some(end) = self.ends.get(&finished.process) {
@@ -137,7 +137,7 @@
         self.finished.push_back(finished);
     }
 
-    /// Takes that an endpoint's process has ended.
+    /// Records that an endpoint's process has exited.
     pub(crate) fn end(&mut self, now: Duration, process: Process) {
         self.age(now);
         if self.ends.contains_key(&process) {
@@ -147,7 +147,7 @@
         self.judge(now, process);
     }
 
-    /// Takes that an endpoint's process goes on although connections to it broke.
+    /// Records that an endpoint's process is alive although connections to it broke.
     pub(crate) fn stands(&mut self, process: Process) {
         let broken = |it: &&mut Finished| it.process == process && it.outcome == Outcome::Broken;
         for it in self.finished.iter_mut().filter(broken) {
@@ -155,12 +155,12 @@
         }
     }
 
-    /// Whether it is known that an endpoint's process has ended.
+    /// Returns whether the process is known to have exited.
     pub(crate) fn knows(&self, process: Process) -> bool {
         self.ends.contains_key(&process)
     }
 
-    /// Forgets what is over, and clears requests whose endpoints have outlived them.
+    /// Expires old state, and clears requests whose endpoints survived them.
     pub fn age(&mut self, now: Duration) {
         while let Some(it) = self.finished.front()
             && now.saturating_sub(it.at) > AFTERMATH
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Takes that a request ends no endpoint: one outlived its answer.
+    /// Clears a request because an endpoint survived its response.
     fn clear(&mut self, now: Duration, print: Print) {
         let Some(processes) = self.found_under.get(&print) else {
             return;
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Remembers an end, with the requests that this host had there until just now.
+    /// Adds an exit, with the requests that this host had there until shortly before.
     fn remember(&mut self, now: Duration, process: Process, at: Duration) {
         self.forget_old(now);
         self.ends.insert(process, End::new(at, now));
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Makes room for one more end.
+    /// Removes expired exits, and the oldest ones if there is no room for one more.
     fn forget_old(&mut self, now: Duration) {
         while let Some((&process, oldest)) = self.ends.iter().min_by_key(|it| it.1.at)
             && (self.ends.len() >= MOST_ENDS || now.saturating_sub(oldest.at) > HELD)
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Finds a request under an end, and says whether that is new.
+    /// Adds a request to an exit's suspects. Returns whether it is new there.
     fn suspect(&mut self, now: Duration, process: Process, print: Print) -> bool {
         let is_new = self
             .ends
@@ -254,7 +254,7 @@
         is_new
     }
 
-    /// Holds those of an end's requests that were found under too many.
+    /// Quarantines those suspects of an exit that were found at too many exits.
     fn judge(&mut self, now: Duration, process: Process) {
         while let Some(end) = self.ends.get(&process) {
             let worst = end
@@ -291,7 +291,8 @@
         }
     }
 
-    /// The ends that count against a request: no other one that is held accounts for them.
+    /// Returns the exits that count against a request: those that no other quarantined request
+    /// explains.
     fn counted(&self, print: Print) -> BTreeSet<Process> {
         let found = self.found_under.get(&print);
         let counts = |it: &&Process| {
@@ -311,7 +312,7 @@
             .collect()
     }
 
-    /// Whether another request was at all the ends that count against this one.
+    /// Returns whether another request is a suspect of all exits that count against this one.
     fn has_rival(&self, print: Print) -> bool {
         let counted = self.counted(print);
         let mut ends = counted.iter().filter_map(|it| self.ends.get(it));
--- a/crates/route/src/quarantine/end.rs
+++ b/crates/route/src/quarantine/end.rs
@@ -1,4 +1,4 @@
-//! Ends of endpoints' processes.
+//! Exits of endpoint processes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use super::MOST_SUSPECTS;
 use crate::Print;
 
-/// The end of an endpoint's process.
+/// The exit of an endpoint's process.
 #[derive(Clone, Debug)]
 pub(super) struct End {
-    /// When it was found.
+    /// When it was detected.
     pub(super) at: Duration,
-    /// When this host last learned something of it.
+    /// When this host's information on it last changed.
     changed: Duration,
-    /// The requests that were under way there.
+    /// The requests in flight there.
     suspects: BTreeSet<Print>,
-    /// Those of them that an endpoint outlived.
+    /// Requests that an endpoint survived.
     cleared: BTreeSet<Print>,
 }
 
@@ -29,17 +29,17 @@
         }
     }
 
-    /// When this host last learned something of it.
+    /// Returns when this host's information on it last changed.
     pub(super) fn changed(&self) -> Duration {
         self.changed
     }
 
-    /// Has it told once more.
+    /// Marks it as changed, so that it is sent again.
     pub(super) fn touch(&mut self, now: Duration) {
         self.changed = now;
     }
 
-    /// Finds a request there, and says whether that is new.
+    /// Adds a suspect. Returns whether it is new.
     pub(super) fn suspect(&mut self, now: Duration, print: Print) -> bool {
         let is_new = self.suspects.len() < MOST_SUSPECTS && self.suspects.insert(print);
         if is_new {
@@ -48,8 +48,8 @@
         is_new
     }
 
-    /// Takes that a request ends no endpoint, and says whether that is new. It can be
-    /// known of one that hasn't been found here yet.
+    /// Clears a request. Returns whether that is new. A request may be cleared before it becomes a
+    /// suspect here.
     pub(super) fn clear(&mut self, now: Duration, print: Print) -> bool {
         let is_new = self.cleared.len() < MOST_SUSPECTS && self.cleared.insert(print);
         if is_new {
@@ -58,22 +58,22 @@
         is_new
     }
 
-    /// Whether a request was there and hasn't been cleared.
+    /// Returns whether a request is a suspect and not cleared.
     pub(super) fn accuses(&self, print: Print) -> bool {
         self.suspects.contains(&print) && !self.cleared.contains(&print)
     }
 
-    /// The requests that were there and haven't been cleared.
+    /// Returns the suspects that are not cleared.
     pub(super) fn accused(&self) -> impl Iterator<Item = Print> {
         self.suspects.difference(&self.cleared).copied()
     }
 
-    /// The requests that were there.
+    /// Returns all suspects.
     pub(super) fn suspects(&self) -> impl Iterator<Item = Print> {
         self.suspects.iter().copied()
     }
 
-    /// Those that were cleared.
+    /// Returns the cleared requests.
     pub(super) fn cleared(&self) -> impl Iterator<Item = Print> {
         self.cleared.iter().copied()
     }
--- a/crates/route/src/quarantine/finished.rs
+++ b/crates/route/src/quarantine/finished.rs
@@ -1,36 +1,37 @@
-//! Attempts that are over.
+//! Finished attempts.
 
 use std::time::Duration;
 
 use crate::endpoint::Process;
 use crate::{Ending, Print};
 
-/// An attempt that is over.
+/// A finished attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Finished {
     /// When it ended.
     pub(crate) at: Duration,
-    /// Where it was.
+    /// The endpoint's process.
     pub(crate) process: Process,
     /// The request.
     pub(crate) print: Print,
-    /// What its end says of its endpoint.
+    /// What its ending implies for the process.
     pub(crate) outcome: Outcome,
 }
 
-/// What an attempt's end says of its endpoint.
+/// What the ending of an attempt implies for the endpoint's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// It ran the request to its end.
+    /// The process ran the request to its end.
     Answered,
-    /// It may have ended.
+    /// The process may have exited.
     Broken,
-    /// Nothing: it may still have been at work.
+    /// Nothing: the request may still have been running.
     Unknown,
 }
 
 impl Outcome {
-    /// What an ending says; nothing if the endpoint hasn't begun to run the request.
+    /// Returns the outcome of an ending, or `None` if the endpoint hasn't started to run the
+    /// request.
     pub(crate) fn of(ending: Ending) -> Option<Self> {
         match ending {
             Ending::Answered => Some(Self::Answered),
@@ -44,7 +45,7 @@
 }
 
 impl Finished {
-    /// Whether it is an attempt of this request that broke off.
+    /// Returns whether the connection broke during this attempt of `print`.
     pub(super) fn is_broken(&self, print: Print) -> bool {
         self.print == print && self.outcome == Outcome::Broken
     }
--- a/crates/route/src/quarantine/held.rs
+++ b/crates/route/src/quarantine/held.rs
@@ -1,22 +1,22 @@
-//! Requests that are held.
+//! Quarantined requests.
 
 use std::time::Duration;
 
 use super::HELD;
 
-/// A request that is held.
+/// The state of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Held {
-    /// Since when.
+    /// When it was quarantined.
     pub(super) since: Duration,
-    /// When this host last learned something of it.
+    /// When this host's information on it last changed.
     pub(super) changed: Duration,
-    /// Whether the store has it, for hosts that all start again.
+    /// Whether the store contains it, so that it survives a restart of all hosts.
     pub(super) is_kept: bool,
 }
 
 impl Held {
-    /// How much longer it is held.
+    /// Returns how much longer it is quarantined.
     pub(super) fn left(&self, now: Duration) -> Duration {
         (self.since + HELD).saturating_sub(now)
     }
--- a/crates/route/src/quarantine/kept.rs
+++ b/crates/route/src/quarantine/kept.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of requests that are held.
+//! Persistence of quarantined requests in the store.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use crate::Print;
 
 impl Quarantine {
-    /// Requests that the store doesn't have yet.
+    /// Returns the quarantined requests that the store doesn't contain yet.
     #[must_use]
     pub fn unkept(&self) -> Vec<Print> {
         let unkept = self.held.iter().filter(|it| !it.1.is_kept);
         unkept.map(|it| *it.0).collect()
     }
 
-    /// Takes that the store has these.
+    /// Records that the store contains these requests.
     pub fn keep(&mut self, now: Duration, prints: &[Print]) {
         for print in prints {
             if let Some(it) = self.held.get_mut(print) {
@@ -24,14 +24,14 @@
         }
     }
 
-    /// Takes that the store came back from an older copy, which may lack what it had.
+    /// Records that the store was restored from an older copy, which may lack some requests.
     pub(crate) fn restored(&mut self) {
         for it in self.held.values_mut() {
             it.is_kept = false;
         }
     }
 
-    /// Holds what the store has from before this host started.
+    /// Quarantines requests that the store contains from before this host's start.
     pub fn recall(&mut self, now: Duration, prints: &[Print]) {
         for print in prints {
             if !self.held.contains_key(print) {
@@ -41,7 +41,7 @@
         self.keep(now, prints);
     }
 
-    /// Requests that were let go since the last call.
+    /// Takes the requests released from quarantine since the last call.
     pub fn take_released(&mut self) -> Vec<Print> {
         std::mem::take(&mut self.released)
     }
--- a/crates/route/src/quarantine/news.rs
+++ b/crates/route/src/quarantine/news.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of ends of endpoints.
+//! Gossip updates on process exits and quarantined requests.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -10,50 +10,49 @@
 use crate::endpoint::Process;
 use crate::rollout::Scope;
 
-/// How often all requests that are held are told again: a host that was apart from the
-/// others has missed them.
+/// How often all quarantined requests are sent again, for hosts that missed them during a network
+/// partition.
 const RETELL: Duration = Duration::from_secs(5);
-/// How long something is told after it was learned: in several tellings, since each may
-/// be lost.
+/// How long a change is sent: in several updates, because each may be lost.
 const FRESH: Duration = Duration::from_millis(1_200);
-/// The most ends in one telling. Beyond that the newest count.
+/// Maximum number of exits in one update; the latest are sent.
 const MOST_ENDS: usize = 16;
 
-/// What hosts tell each other of ends of endpoints.
+/// One host's update on process exits and quarantined requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// Ends.
+    /// Process exits.
     pub ends: Vec<EndNews>,
-    /// Requests that are held.
+    /// Quarantined requests.
     pub held: Vec<HeldNews>,
 }
 
-/// The end of an endpoint's process.
+/// The exit of an endpoint's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndNews {
-    /// Whose.
+    /// The process.
     pub process: Process,
-    /// How long ago it was found.
+    /// How long ago it was detected.
     pub age: Duration,
-    /// The requests that were under way there.
+    /// The requests in flight there.
     pub suspects: Vec<Print>,
-    /// Requests that an endpoint outlived.
+    /// Requests that an endpoint survived.
     pub cleared: Vec<Print>,
 }
 
-/// A request that is held.
+/// A quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldNews {
     /// The request.
     pub print: Print,
-    /// For how long it has been held.
+    /// How long it has been quarantined.
     pub age: Duration,
-    /// Whether the store has it.
+    /// Whether the store contains it.
     pub is_kept: bool,
 }
 
 impl News {
-    /// Whether it tells nothing.
+    /// Returns whether the update contains nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty() && self.held.is_empty()
@@ -61,8 +60,8 @@
 }
 
 impl Quarantine {
-    /// What this host tells the others: what it has learned lately, or all that it holds
-    /// and the newest ends.
+    /// Builds an update for other hosts: recent changes, or all quarantined requests and the
+    /// latest exits.
     pub fn news(&mut self, now: Duration, scope: Scope) -> News {
         self.age(now);
         let is_told = |at: Duration| scope == Scope::All || now.saturating_sub(at) <= FRESH;
@@ -100,7 +99,7 @@
         }
     }
 
-    /// Takes what another host tells.
+    /// Applies another host's update.
     pub fn hear(&mut self, now: Duration, news: &News) {
         self.age(now);
         for it in &news.ends {
@@ -147,7 +146,7 @@
         }
     }
 
-    /// Whether this host knows better than one that holds a request.
+    /// Returns whether this host knows that a request quarantined elsewhere was cleared.
     fn is_cleared(&self, print: Print) -> bool {
         let found = self.found_under.get(&print).into_iter().flatten();
         let mut ends = found.filter_map(|it| self.ends.get(it));
--- a/crates/route/src/quarantine/proven.rs
+++ b/crates/route/src/quarantine/proven.rs
@@ -1,17 +1,17 @@
-//! Requests that endpoints have lately outlived.
+//! Requests that an endpoint recently survived.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::Print;
 
-/// How long an answer speaks for a request. Longer than the moment in which many endpoints
-/// end at once, and than the time between two reads that many callers send alike.
+/// How long a request counts as safe. Longer than a period in which many endpoints exit at once,
+/// and than the interval between identical requests of many callers.
 const SPEAKS: Duration = Duration::from_secs(30);
-/// The most requests that are remembered; of more, the latest.
+/// Maximum number of requests remembered; the latest are kept.
 const MOST: usize = 4_096;
 
-/// Requests that endpoints have lately outlived.
+/// Requests that an endpoint recently survived.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Proven {
     latest: HashMap<Print, Duration>,
@@ -19,7 +19,7 @@
 }
 
 impl Proven {
-    /// Takes that an endpoint has outlived a request.
+    /// Records that an endpoint survived a request.
     pub(super) fn prove(&mut self, now: Duration, print: Print) {
         if self.order.len() == MOST
             && let Some((at, oldest)) = self.order.pop_front()
@@ -31,7 +31,7 @@
         self.order.push_back((now, print));
     }
 
-    /// Whether one has, lately.
+    /// Returns whether an endpoint recently survived the request.
     pub(super) fn contains(&self, now: Duration, print: Print) -> bool {
         let at = self.latest.get(&print);
         at.is_some_and(|it| now.saturating_sub(*it) <= SPEAKS)
