--- a/crates/route/src/evacuation.rs
+++ b/crates/route/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Which data centres operators have emptied, as hosts hear of it.
+//! Evacuation of data centres by operators, as shared between hosts.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 
 use crate::Revision;
 
-/// The most data centres that are remembered as taken back: names that somebody makes up
-/// must not fill the memory.
+/// Maximum number of data centres remembered as back in use, so that arbitrary names can't fill
+/// the memory.
 const MOST_OPEN: usize = 256;
 
-/// What operators last said of a data centre.
+/// An operator's latest change to a data centre's access.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
     /// The data centre.
     pub data_centre: DataCentre,
-    /// When they said it.
+    /// When it was written.
     pub revision: Revision,
     /// Whether its endpoints may be used.
     pub access: Access,
@@ -26,32 +26,31 @@
 /// Whether a data centre's endpoints may be used.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Access {
-    /// They may: it was taken back.
+    /// They may be used.
     #[display("open")]
     Open,
-    /// Nothing more is to be sent to them.
+    /// The data centre is evacuated; nothing more is sent to its endpoints.
     #[display("emptied")]
     Emptied,
 }
 
-/// Which data centres operators have emptied.
+/// The latest known access of each data centre.
 ///
-/// Of two words on a data centre the later one holds, by its revision. Words come from the
+/// Of two changes to a data centre, the one with the higher revision wins. Changes come from the
 /// store and from other hosts, in any order.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     words: BTreeMap<DataCentre, Evacuation>,
-    /// When the store was last read whole.
+    /// The revision of the latest full read of the store.
     read: Option<Revision>,
 }
 
 impl Evacuations {
-    /// Takes a word, and says whether it changes what may be used.
+    /// Applies a change. Returns whether it changes which data centres may be used.
     ///
-    /// Failure: a host that has read the store hears from one that is behind that a data
-    /// centre is emptied, which operators have taken back since; nothing would ever undo
-    /// that, since the store tells of the taking back no more. What the whole reading
-    /// would have shown, and didn't, is no longer so.
+    /// A host that lags behind may still report an evacuation that operators have ended. The store
+    /// no longer lists that data centre, so nothing would correct the report. A change to an
+    /// unknown data centre is therefore ignored if the latest full read would have contained it.
     pub fn hear(&mut self, said: Evacuation) -> bool {
         let Some(known) = self.words.get(&said.data_centre) else {
             let is_outdated = self.read.is_some_and(|read| is_covered(&said, read));
@@ -65,11 +64,12 @@
         is_change
     }
 
-    /// Takes all that the store has at a moment, and says whether it changes anything.
+    /// Applies the complete list of evacuated data centres, as read from the store. Returns
+    /// whether it changes which data centres may be used.
     ///
-    /// What it doesn't have was taken back, unless it was said in an earlier era: a store
-    /// that came back from an older copy has lost what was said since, and nobody has
-    /// taken it back.
+    /// A data centre that it lacks is back in use, unless it was evacuated in an earlier era: a
+    /// store restored from an older copy has lost later changes, which doesn't mean that operators
+    /// undid them.
     pub fn read(&mut self, at: Revision, emptied: Vec<Evacuation>) -> bool {
         let absent = self.words.values().filter(|known| {
             let is_listed = emptied.iter().any(|it| it.data_centre == known.data_centre);
@@ -90,20 +90,20 @@
         is_change
     }
 
-    /// Whether nothing more is to be sent to a data centre's endpoints.
+    /// Returns whether a data centre is evacuated.
     #[must_use]
     pub fn is_emptied(&self, data_centre: &DataCentre) -> bool {
         let word = self.words.get(data_centre);
         word.is_some_and(|it| it.access == Access::Emptied)
     }
 
-    /// What is known, for other hosts.
+    /// Returns all known changes, for other hosts.
     #[must_use]
     pub fn news(&self) -> Vec<Evacuation> {
         self.words.values().cloned().collect()
     }
 
-    /// The data centres that are emptied.
+    /// Returns the evacuated data centres.
     pub fn emptied(&self) -> impl Iterator<Item = &DataCentre> {
         let emptied = |it: &&Evacuation| it.access == Access::Emptied;
         self.words
@@ -123,7 +123,7 @@
     }
 }
 
-/// Whether a whole reading at this moment shows what was said then, if it still holds.
+/// Returns whether a full read at `read` would contain the change if it were still valid.
 fn is_covered(said: &Evacuation, read: Revision) -> bool {
     said.revision.era == read.era && said.revision <= read
 }
--- a/crates/route/src/warm_up.rs
+++ b/crates/route/src/warm_up.rs
@@ -1,11 +1,11 @@
-//! How endpoints that have just started are spared.
+//! Rate limiting of endpoints that have just started.
 //!
-//! A cold endpoint looks idle to every host at once, and ends under what they send together.
-//! No host can ask the others before each request, so a few of them bear each cold endpoint:
-//! those that come first for it by a hash of both. Each of these spaces its requests so that
-//! all of them stay within what the endpoint takes in any second, whatever their clocks.
-//! Hosts that know each other only in part take too many for bearers, in the proportion in
-//! which they don't: see `docs/design/shifted.md`.
+//! A cold endpoint looks idle to every host, and exits under the load that all of them send
+//! together. Hosts can't coordinate each request, so rendezvous hashing selects a few hosts for
+//! each cold endpoint. Each of these spaces its requests so that their sum stays within the
+//! endpoint's rate in any second, without synchronized clocks. If hosts know only part of the
+//! fleet, too many select themselves, in proportion to the unknown part: see
+//! `docs/design/shifted.md`.
 
 use std::time::Duration;
 
@@ -13,39 +13,39 @@
 
 use crate::endpoint::Process;
 
-/// What a service's endpoints bear after a start.
+/// The warm-up limits of a service's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    /// How long they stay cold.
+    /// How long an endpoint stays cold after its start.
     pub span: Duration,
-    /// Requests a second that one takes meanwhile, from all hosts together.
+    /// Requests per second that a cold endpoint takes from all hosts together.
     pub rate: f64,
 }
 
-/// The hosts that share what cold endpoints take.
+/// The hosts that share the request rate of cold endpoints.
 ///
-/// All that are known, whether they are heard or not: a host that is cut off from others
-/// would else take their shares over while they still use them. What silent hosts leave
-/// unused is lost for the seconds that an endpoint is cold.
+/// Includes all known hosts, even unreachable ones: in a network partition, each side would
+/// otherwise take over the other side's shares while those are still in use. The shares of silent
+/// hosts are unused while an endpoint is cold.
 #[derive(Clone, Debug)]
 pub struct Peers {
     own: u64,
     others: Vec<u64>,
 }
 
-/// What one host may send to a cold endpoint.
+/// The request rate that one host may use at a cold endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Share {
-    /// It takes any number.
+    /// Unlimited.
     Free,
-    /// Nothing: others bear it, or this host doesn't know the others yet.
+    /// Zero: other hosts are selected, or this host doesn't know the others yet.
     Nothing,
-    /// One request each time this has passed.
+    /// One request per interval.
     Every(Duration),
 }
 
 impl Peers {
-    /// This host and all others that it knows.
+    /// Creates the set from this host and all others that it knows.
     pub fn new<'a>(own: &HostName, others: impl Iterator<Item = &'a HostName>) -> Self {
         let place = |it: &HostName| hash::of(it.as_str());
         Self {
@@ -54,9 +54,9 @@
         }
     }
 
-    /// This host's share of what a cold endpoint takes.
+    /// Returns this host's share of a cold endpoint's rate.
     pub(crate) fn share(&self, warm_up: WarmUp, endpoint: Process) -> Share {
-        /// Requests that leave a second apart may arrive a little closer.
+        /// Tolerance for requests that arrive closer together than they were sent.
         const MARGIN: f64 = 1.05;
         let hosts = 1.0 + number(self.others.len());
         let bearers = warm_up.rate.floor().clamp(1.0, hosts);
