--- a/crates/route/tests/pooled.rs
+++ b/crates/route/tests/pooled.rs
@@ -1,4 +1,4 @@
-//! How all hosts come to know what each has seen of a new release.
+//! Tests of the aggregation of roll-out evidence over all hosts.
 
 use std::time::Duration;
 
@@ -36,12 +36,11 @@
     rollout.news(now, std::iter::empty(), Scope::Fresh)
 }
 
-/// With hundreds of hosts each hears a few others only, and a release that failed a few
-/// requests at each was found bad when most of the time was over. What a host has seen is
-/// added to what it hears on the way to one host, which tells all the sum.
+/// In a large fleet each host hears only a few others directly, so a bad release would be detected
+/// late. Partial sums are aggregated at one host, which publishes the total.
 #[test]
 fn what_far_hosts_have_seen_is_known_to_all() {
-    // Host 3 tells 2, 2 tells 1, 1 tells 0, which gathers and tells 3.
+    // Host 3 reports to 2, 2 to 1, and 1 to 0, which publishes the total to 3.
     let mut hosts: Vec<Rollout> = (0..4).map(|_| rollout()).collect();
     for it in &mut hosts {
         see(it, 10, 4);
@@ -55,17 +54,20 @@
     hosts[0].gather(NOW, 0, 77);
     let news = told(&mut hosts[0], NOW);
     assert_eq!(news.totals.len(), 1);
-    assert!(hosts[3].hear(NOW, &name(0), &news), "it is news");
+    assert!(
+        hosts[3].hear(NOW, &name(0), &news),
+        "the total is new to host 3"
+    );
     let pooled = hosts[3].pooled();
     assert_eq!((pooled.new.answers, pooled.new.bad), (40, 16));
-    // It goes round once: who knows it doesn't tell it again.
+    // A total is forwarded only once.
     assert!(!hosts[3].hear(NOW, &name(0), &news));
     assert_eq!(told(&mut hosts[3], NOW).totals.len(), 1);
     assert_eq!(told(&mut hosts[3], NOW).totals.len(), 0);
 }
 
-/// A neighbour dies, or tells another one since hosts came and went. What it told is
-/// counted for two seconds more, and not twice for good.
+/// A neighbour dies or reports to another parent. Its partial sum expires after two seconds, so it
+/// isn't counted twice.
 #[test]
 fn what_a_lost_neighbour_told_is_forgotten() {
     let (mut root, mut leaf) = (rollout(), rollout());
@@ -81,8 +83,8 @@
     assert_eq!((answers(0), answers(1_900), answers(2_100)), (10, 10, 0));
 }
 
-/// The sessions that stay on the old release are told once. Each piece of news had them
-/// all, twice a second, to every neighbour, for as long as the trial lasted.
+/// Sending all sessions that stay on the old release in each update would waste bandwidth during
+/// the whole trial.
 #[test]
 fn held_sessions_are_told_once() {
     let (mut near, mut far) = (rollout(), rollout());
--- a/crates/route/tests/warm_up.rs
+++ b/crates/route/tests/warm_up.rs
@@ -1,4 +1,4 @@
-//! What all hosts together send to cold endpoints, counted where it arrives.
+//! Tests of the request rate that all hosts together send to cold endpoints.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,19 +16,19 @@
 const COLD: Duration = Duration::from_secs(6);
 const ENDPOINTS: usize = 4;
 
-/// A fleet whose hosts all have more requests than the endpoints bear, and what it may do.
+/// A fleet in which every host has more requests than the endpoints may take.
 struct Fleet {
     hosts: usize,
     rate: f64,
-    /// The part of the others that a host doesn't know.
+    /// Fraction of the other hosts that a host doesn't know.
     unknown: f64,
-    /// How long requests are under way, at most.
+    /// Maximum network delay of a request.
     way: Duration,
     seed: u64,
 }
 
 impl Fleet {
-    /// When requests arrive at each endpoint.
+    /// Returns the arrival times of requests at each endpoint.
     fn play(&self) -> Vec<Vec<Duration>> {
         let mut rng = Pcg32::seed_from_u64(self.seed);
         let names: Vec<HostName> = (0..self.hosts)
@@ -40,7 +40,7 @@
                 let known = names.iter().filter(|_| rng.random::<f64>() >= self.unknown);
                 let peers = Peers::new(own, known);
                 let mut host = router(self.rate, rng.random());
-                // Their clocks differ, and so does what they were told last.
+                // The hosts' clocks differ, and so do the ages of their listings.
                 let clock = Duration::from_secs_f64(100.0 * rng.random::<f64>());
                 let age = SECOND.mul_f64(rng.random());
                 host.list(clock, entries(age), Absence::Gone);
@@ -137,7 +137,7 @@
     (0..ENDPOINTS).map(entry).collect()
 }
 
-/// Sends a request if the host lets it out, and says where to.
+/// Sends a request if the host permits it, and returns the endpoint's index.
 fn send(host: &mut Router, now: Duration) -> Option<usize> {
     let arrival = Arrival {
         id: "q",
@@ -162,7 +162,7 @@
     is_out.then(|| placement.id.as_str()[1..].parse().unwrap())
 }
 
-/// All hosts send what they have to an endpoint that has just started.
+/// Guards against all hosts together overloading an endpoint that has just started.
 #[test]
 fn hosts_that_know_each_other_stay_within_the_rate() {
     for (nr, hosts) in [1, 2, 5, 6, 7, 8, 30, 84, 300].into_iter().enumerate() {
@@ -178,14 +178,15 @@
             let bound = rate.ceil();
             assert!(
                 f64::from(u32::try_from(most).unwrap()) <= bound,
-                "{hosts} hosts, {rate} a second: {most}"
+                "{hosts} hosts, limit {rate}/s: {most} requests in one second"
             );
-            assert!(most > 0, "{hosts} hosts, {rate} a second");
+            assert!(most > 0, "{hosts} hosts, limit {rate}/s: no request");
         }
     }
 }
 
-/// Hosts that don't know many others yet take themselves for those that bear an endpoint.
+/// Hosts that don't know many others yet select themselves as senders too often. The rate may
+/// exceed the limit only in proportion.
 #[test]
 fn hosts_that_dont_know_all_send_more_in_that_proportion() {
     const RATE: f64 = 7.6;
@@ -201,6 +202,6 @@
         };
         most = most.max(fleet.most_in_a_second());
     }
-    println!("{most} in a second");
-    assert!(most <= 16, "{most}");
+    println!("{most} requests in one second");
+    assert!(most <= 16, "{most} requests in one second");
 }
