--- a/crates/route/src/rollout/evidence.rs
+++ b/crates/route/src/rollout/evidence.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Drift;
+use super::LatencyRatios;
 
 /// Responses of both releases, as observed by one or more hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -14,11 +14,14 @@
     /// The new release, on endpoints with most of their slots in use.
     pub crowded: Tally,
     /// Ratios of the time until a stream starts.
-    pub first: Drift,
+    #[serde(rename = "first")]
+    pub stream_start: LatencyRatios,
     /// Ratios of the time until a complete response starts.
-    pub whole: Drift,
+    #[serde(rename = "whole")]
+    pub response_start: LatencyRatios,
     /// Ratios of the time between events.
-    pub step: Drift,
+    #[serde(rename = "step")]
+    pub event_interval: LatencyRatios,
 }
 
 impl Evidence {
@@ -27,13 +30,13 @@
         self.new.add(other.new);
         self.old.add(other.old);
         self.crowded.add(other.crowded);
-        self.first.join(other.first);
-        self.whole.join(other.whole);
-        self.step.join(other.step);
+        self.stream_start.merge(other.stream_start);
+        self.response_start.merge(other.response_start);
+        self.event_interval.merge(other.event_interval);
     }
 
     /// Returns the number of responses counted.
-    pub(super) fn answers(&self) -> u32 {
+    pub(super) fn responses(&self) -> u32 {
         self.new.answers.saturating_add(self.old.answers)
     }
 }
@@ -48,18 +51,18 @@
 }
 
 impl Tally {
-    pub(super) fn bad_share(self) -> f64 {
+    pub(super) fn failure_rate(self) -> f64 {
         f64::from(self.bad) / f64::from(self.answers.max(1))
     }
 
     /// Returns a lower confidence bound of the failure rate, two and a half standard errors below
     /// the observed rate. Services fail some requests anyway, so a few more failures among the
     /// first responses prove nothing.
-    pub(super) fn least_bad_share(self) -> f64 {
-        const SURE: f64 = 2.5;
-        let share = self.bad_share();
-        let error = (share * (1.0 - share) / f64::from(self.answers.max(1))).sqrt();
-        share - SURE * error
+    pub(super) fn min_failure_rate(self) -> f64 {
+        const STD_ERRORS: f64 = 2.5;
+        let rate = self.failure_rate();
+        let error = (rate * (1.0 - rate) / f64::from(self.answers.max(1))).sqrt();
+        rate - STD_ERRORS * error
     }
 
     pub(super) fn add(&mut self, other: Self) {
--- a/crates/route/src/rollout/drift.rs
+++ b/crates/route/src/rollout/latency.rs
@@ -4,13 +4,13 @@
 
 /// Which latency of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Pace {
+pub(super) enum LatencyKind {
     /// Until a stream starts.
-    First,
+    StreamStart,
     /// Until a complete response starts.
-    Whole,
+    ResponseStart,
     /// Between two events of a stream.
-    Step,
+    EventInterval,
 }
 
 /// Statistics of the logarithms of the latency ratios between the new and the old release.
@@ -18,17 +18,17 @@
 /// Latencies are heavy-tailed: even a good release has single slow responses. The mean of the
 /// logarithms is robust against them after a dozen samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Drift {
+pub struct LatencyRatios {
     count: u32,
     sum: f64,
     squares: f64,
 }
 
-impl Drift {
+impl LatencyRatios {
     /// Minimum number of samples for a conclusion.
-    const MIN: u32 = 10;
+    const MIN_SAMPLES: u32 = 10;
     /// Standard errors by which the mean must exceed the threshold.
-    const SURE: f64 = 2.5;
+    const STD_ERRORS: f64 = 2.5;
 
     pub(super) fn add(&mut self, log: f64) {
         self.count += 1;
@@ -36,42 +36,42 @@
         self.squares += log * log;
     }
 
-    pub(super) fn join(&mut self, other: Self) {
+    pub(super) fn merge(&mut self, other: Self) {
         self.count = self.count.saturating_add(other.count);
         self.sum += other.sum;
         self.squares += other.squares;
     }
 
     /// Returns whether the mean ratio exceeds `times` with confidence.
-    pub(super) fn exceeds(&self, times: f64) -> bool {
-        if self.count < Self::MIN {
+    pub(super) fn exceeds(&self, factor: f64) -> bool {
+        if self.count < Self::MIN_SAMPLES {
             return false;
         }
         let count = f64::from(self.count);
         let mean = self.sum / count;
         let variance = (self.squares / count - mean * mean).max(0.0);
-        mean - Self::SURE * (variance / count).sqrt() > times.ln()
+        mean - Self::STD_ERRORS * (variance / count).sqrt() > factor.ln()
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Mean {
+pub(super) struct MovingMean {
     count: f64,
     pub(super) value: f64,
 }
 
-impl Mean {
+impl MovingMean {
     /// Minimum number of samples of the old release for a comparison.
-    const MIN: f64 = 8.0;
+    const MIN_SAMPLES: f64 = 8.0;
     /// Number of samples after which old ones decay exponentially.
-    const MAX: f64 = 50.0;
+    const MAX_COUNT: f64 = 50.0;
 
     pub(super) fn add(&mut self, value: f64) {
-        self.count = (self.count + 1.0).min(Self::MAX);
+        self.count = (self.count + 1.0).min(Self::MAX_COUNT);
         self.value += (value - self.value) / self.count;
     }
 
     pub(super) fn is_known(&self) -> bool {
-        self.count >= Self::MIN
+        self.count >= Self::MIN_SAMPLES
     }
 }
--- a/crates/route/src/rollout/pooled.rs
+++ b/crates/route/src/rollout/pooled.rs
@@ -10,10 +10,10 @@
 
 /// How long a neighbour's partial sum counts. Neighbours send theirs twice a second; the sum of
 /// one that died or changed its parent must expire, or it would be counted twice.
-const KEPT: Duration = Duration::from_secs(2);
+const PARTIAL_SUM_TTL: Duration = Duration::from_secs(2);
 
 /// Minimum time between two totals of the same host.
-const PERIOD: Duration = Duration::from_millis(500);
+const TOTAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Evidence of a host and of the hosts below it in the aggregation tree, on its way to an
 /// aggregating host.
@@ -36,9 +36,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Total {
     /// Identifies the aggregating host.
-    pub gatherer: u64,
+    #[serde(rename = "gatherer")]
+    pub aggregator: u64,
     /// Increases with each total that the host publishes.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// The total.
     pub evidence: Evidence,
 }
@@ -48,46 +50,46 @@
 pub(super) struct Pool {
     pub(super) own: Evidence,
     /// The evidence that each other host reported as observed by itself.
-    others: HashMap<HostName, Evidence>,
+    by_host: HashMap<HostName, Evidence>,
     /// Partial sums of neighbours, by aggregating host and neighbour.
-    parts: HashMap<(usize, HostName), Part>,
-    totals: HashMap<u64, Known>,
+    partial_sums: HashMap<(usize, HostName), ReceivedSum>,
+    totals: HashMap<u64, KnownTotal>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct ReceivedSum {
     at: Duration,
     evidence: Evidence,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownTotal {
     total: Total,
-    is_told: bool,
+    is_sent: bool,
 }
 
 impl Pool {
     /// Applies another host's update. Returns whether it contains a new total to forward.
     pub(super) fn hear(&mut self, now: Duration, host: &HostName, news: &News) -> bool {
-        self.others.insert(host.clone(), news.evidence);
+        self.by_host.insert(host.clone(), news.evidence);
         for it in &news.sums {
-            let part = Part {
+            let received = ReceivedSum {
                 at: now,
                 evidence: it.evidence,
             };
-            self.parts.insert((it.root, host.clone()), part);
+            self.partial_sums.insert((it.root, host.clone()), received);
         }
-        let mut is_later = false;
+        let mut has_new = false;
         for total in &news.totals {
-            is_later |= self.take(*total);
+            has_new |= self.insert_total(*total);
         }
-        is_later
+        has_new
     }
 
     pub(super) fn sum(&self, now: Duration, root: usize, distance: u8) -> Sum {
         let mut evidence = self.own;
-        for ((of, _), it) in &self.parts {
-            if *of == root && now.saturating_sub(it.at) <= KEPT {
+        for ((of, _), it) in &self.partial_sums {
+            if *of == root && now.saturating_sub(it.at) <= PARTIAL_SUM_TTL {
                 evidence.add(&it.evidence);
             }
         }
@@ -100,28 +102,28 @@
 
     /// Publishes the sum of all reports as the next total. Limited to one per reporting interval,
     /// because every total is forwarded to all hosts.
-    pub(super) fn gather(&mut self, now: Duration, root: usize, gatherer: u64) {
-        let number = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
+    pub(super) fn gather(&mut self, now: Duration, root: usize, aggregator: u64) {
+        let sequence = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
         let evidence = self.sum(now, root, 0).evidence;
-        let is_due = self.totals.get(&gatherer).is_none_or(|it| {
-            let since = Duration::from_millis(number.saturating_sub(it.total.number));
-            since >= PERIOD && it.total.evidence != evidence
+        let is_due = self.totals.get(&aggregator).is_none_or(|it| {
+            let since = Duration::from_millis(sequence.saturating_sub(it.total.sequence));
+            since >= TOTAL_INTERVAL && it.total.evidence != evidence
         });
         if is_due {
-            self.take(Total {
-                gatherer,
-                number,
+            self.insert_total(Total {
+                aggregator,
+                sequence,
                 evidence,
             });
         }
     }
 
     pub(super) fn totals(&mut self, scope: Scope) -> Vec<Total> {
-        let is_due = |it: &&Known| scope == Scope::All || !it.is_told;
+        let is_due = |it: &&KnownTotal| scope == Scope::All || !it.is_sent;
         let due = self.totals.values().filter(is_due);
         let totals = due.map(|it| it.total).collect();
         if scope == Scope::Fresh {
-            self.totals.values_mut().for_each(|it| it.is_told = true);
+            self.totals.values_mut().for_each(|it| it.is_sent = true);
         }
         totals
     }
@@ -130,10 +132,10 @@
     /// until all hosts have reported to it.
     pub(super) fn pooled(&self) -> Evidence {
         let mut direct = self.own;
-        self.others.values().for_each(|it| direct.add(it));
+        self.by_host.values().for_each(|it| direct.add(it));
         let totals = self.totals.values().map(|it| it.total.evidence);
         totals.fold(direct, |most, it| {
-            if it.answers() > most.answers() {
+            if it.responses() > most.responses() {
                 it
             } else {
                 most
@@ -141,13 +143,14 @@
         })
     }
 
-    fn take(&mut self, total: Total) -> bool {
-        let known = self.totals.get(&total.gatherer);
-        if known.is_some_and(|it| it.total.number >= total.number) {
+    fn insert_total(&mut self, total: Total) -> bool {
+        let known = self.totals.get(&total.aggregator);
+        if known.is_some_and(|it| it.total.sequence >= total.sequence) {
             return false;
         }
-        let is_told = false;
-        self.totals.insert(total.gatherer, Known { total, is_told });
+        let is_sent = false;
+        self.totals
+            .insert(total.aggregator, KnownTotal { total, is_sent });
         true
     }
 }
--- a/crates/route/src/rollout/news.rs
+++ b/crates/route/src/rollout/update.rs
@@ -16,7 +16,8 @@
     /// The verdict that the host knows.
     pub verdict: Verdict,
     /// When the release leaves its trial, counted from the order, once hosts agree on it.
-    pub moves_on: Option<Duration>,
+    #[serde(rename = "moves_on")]
+    pub trial_end: Option<Duration>,
     /// What the host itself has observed.
     pub evidence: Evidence,
     /// Partial sums of evidence on their way to the aggregating hosts.
@@ -24,7 +25,8 @@
     /// Totals of all hosts.
     pub totals: Vec<Total>,
     /// Hashes of sessions that are on the old release and would otherwise be on the new one.
-    pub held: Vec<u64>,
+    #[serde(rename = "held")]
+    pub pinned_sessions: Vec<u64>,
 }
 
 /// How much of its state a host sends.
--- a/crates/route/tests/pooled.rs
+++ b/crates/route/tests/pooled.rs
@@ -18,7 +18,7 @@
     Rollout::new(order, NOW, 0.1, 295)
 }
 
-fn see(rollout: &mut Rollout, answers: u32, bad: u32) {
+fn record_responses(rollout: &mut Rollout, answers: u32, bad: u32) {
     for nr in 0..answers {
         let sighting = Sighting {
             failed: nr < bad,
@@ -32,27 +32,27 @@
     HostName::from(format!("host-{nr}"))
 }
 
-fn told(rollout: &mut Rollout, now: Duration) -> News {
+fn next_update(rollout: &mut Rollout, now: Duration) -> News {
     rollout.news(now, std::iter::empty(), Scope::Fresh)
 }
 
 /// In a large fleet each host hears only a few others directly, so a bad release would be detected
 /// late. Partial sums are aggregated at one host, which publishes the total.
 #[test]
-fn what_far_hosts_have_seen_is_known_to_all() {
+fn evidence_reaches_all_hosts() {
     // Host 3 reports to 2, 2 to 1, and 1 to 0, which publishes the total to 3.
     let mut hosts: Vec<Rollout> = (0..4).map(|_| rollout()).collect();
     for it in &mut hosts {
-        see(it, 10, 4);
+        record_responses(it, 10, 4);
     }
     for from in [3, 2, 1] {
         let sum = hosts[from].sum(NOW, 0, u8::try_from(from).unwrap());
-        let mut news = told(&mut hosts[from], NOW);
+        let mut news = next_update(&mut hosts[from], NOW);
         news.sums.push(sum);
         hosts[from - 1].hear(NOW, &name(from), &news);
     }
     hosts[0].gather(NOW, 0, 77);
-    let news = told(&mut hosts[0], NOW);
+    let news = next_update(&mut hosts[0], NOW);
     assert_eq!(news.totals.len(), 1);
     assert!(
         hosts[3].hear(NOW, &name(0), &news),
@@ -62,18 +62,18 @@
     assert_eq!((pooled.new.answers, pooled.new.bad), (40, 16));
     // A total is forwarded only once.
     assert!(!hosts[3].hear(NOW, &name(0), &news));
-    assert_eq!(told(&mut hosts[3], NOW).totals.len(), 1);
-    assert_eq!(told(&mut hosts[3], NOW).totals.len(), 0);
+    assert_eq!(next_update(&mut hosts[3], NOW).totals.len(), 1);
+    assert_eq!(next_update(&mut hosts[3], NOW).totals.len(), 0);
 }
 
 /// A neighbour dies or reports to another parent. Its partial sum expires after two seconds, so it
 /// isn't counted twice.
 #[test]
-fn what_a_lost_neighbour_told_is_forgotten() {
+fn partial_sums_of_lost_neighbours_expire() {
     let (mut root, mut leaf) = (rollout(), rollout());
-    see(&mut leaf, 10, 4);
+    record_responses(&mut leaf, 10, 4);
     let sum = leaf.sum(NOW, 0, 1);
-    let mut news = told(&mut leaf, NOW);
+    let mut news = next_update(&mut leaf, NOW);
     news.sums.push(sum);
     root.hear(NOW, &name(1), &news);
     let answers = |after: u64| {
@@ -86,15 +86,20 @@
 /// Sending all sessions that stay on the old release in each update would waste bandwidth during
 /// the whole trial.
 #[test]
-fn held_sessions_are_told_once() {
-    let (mut near, mut far) = (rollout(), rollout());
-    let held = [1, 2, 3];
-    let mut tell = |scope| near.news(NOW, held.into_iter(), scope).held.len();
-    assert_eq!(tell(Scope::Fresh), 3);
-    assert_eq!(tell(Scope::Fresh), 0);
-    assert_eq!(tell(Scope::All), 3);
-    let news = near.news(NOW, held.into_iter(), Scope::All);
-    assert!(far.hear(NOW, &name(1), &news));
-    assert_eq!(told(&mut far, NOW).held.len(), 3);
-    assert_eq!(told(&mut far, NOW).held.len(), 0);
+fn pinned_sessions_are_sent_once() {
+    let (mut sender, mut receiver) = (rollout(), rollout());
+    let pinned = [1, 2, 3];
+    let mut sent = |scope| {
+        sender
+            .news(NOW, pinned.into_iter(), scope)
+            .pinned_sessions
+            .len()
+    };
+    assert_eq!(sent(Scope::Fresh), 3);
+    assert_eq!(sent(Scope::Fresh), 0);
+    assert_eq!(sent(Scope::All), 3);
+    let news = sender.news(NOW, pinned.into_iter(), Scope::All);
+    assert!(receiver.hear(NOW, &name(1), &news));
+    assert_eq!(next_update(&mut receiver, NOW).pinned_sessions.len(), 3);
+    assert_eq!(next_update(&mut receiver, NOW).pinned_sessions.len(), 0);
 }
