--- a/crates/route/src/directory.rs
+++ b/crates/route/src/directory.rs
@@ -1,8 +1,8 @@
 //! The known endpoints, with their state, load and health.
 
+mod cold_start;
 mod endpoint;
 mod evacuate;
-mod warmth;
 
 use std::cmp::Ordering;
 use std::collections::{HashMap, HashSet};
@@ -21,7 +21,7 @@
 
 /// Largest fraction of a service's endpoints that may be ejected at once. If most of them fail,
 /// the cause is elsewhere, and the remaining ones would only be overloaded.
-const MOST_RESTING: f64 = 0.5;
+const MAX_EJECTED_FRACTION: f64 = 0.5;
 
 /// The known endpoints, with their state, load and health.
 #[derive(Clone, Debug, Default)]
@@ -30,10 +30,10 @@
     by_id: HashMap<EndpointId, Key>,
     by_service: HashMap<ServiceName, Vec<Key>>,
     /// Moving average of the utilization that endpoints report, by service.
-    usual: HashMap<ServiceName, f64>,
+    typical_utilization: HashMap<ServiceName, f64>,
     /// Endpoints that were gone when the store was restored from an older copy, each with the time
     /// until which the store may still list it.
-    gone: HashMap<Process, Duration>,
+    gone_until: HashMap<Process, Duration>,
     evacuations: Evacuations,
     warm_ups: HashMap<ServiceName, WarmUp>,
     /// The hosts that share the request rate of cold endpoints, once this host knows them.
@@ -67,13 +67,13 @@
     /// gone are ignored until then, and leaving ones stay marked as leaving.
     pub fn restored(&mut self, now: Duration) {
         /// Entries expire after three missed heartbeats, which are 1.2 s apart.
-        const LAPSE: Duration = Duration::from_secs(5);
+        const ENTRY_LIFETIME: Duration = Duration::from_secs(5);
         let gone = self
             .endpoints
             .values()
             .filter(|it| it.listed != Listed::Yes);
-        let gone = gone.map(|it| (it.entry.process(), now + LAPSE));
-        self.gone = gone.collect();
+        let gone = gone.map(|it| (it.entry.process(), now + ENTRY_LIFETIME));
+        self.gone_until = gone.collect();
         for it in self.endpoints.values_mut() {
             it.has_left |= it.entry.state == State::Draining;
         }
@@ -83,7 +83,7 @@
     /// which may show an older copy. The other hosts get the corrected listing.
     pub fn correct(&self, now: Duration, entries: &mut Vec<Entry>) {
         let is_gone = |it: &Entry| {
-            let until = self.gone.get(&it.process());
+            let until = self.gone_until.get(&it.process());
             until.is_some_and(|it| now < *it)
         };
         entries.retain(|it| !is_gone(it));
@@ -104,40 +104,40 @@
         let mut change = Change::default();
         let mut seen = HashSet::with_capacity(entries.len());
         for entry in entries {
-            seen.insert(self.take(now, entry, &mut change));
+            seen.insert(self.apply_entry(now, entry, &mut change));
         }
         if absence == Absence::Gone {
-            self.miss(now, &seen, &mut change);
+            self.mark_missing(now, &seen, &mut change);
         }
-        self.renew_warmth(now);
+        self.refresh_cold_starts(now);
         change
     }
 
-    fn take(&mut self, now: Duration, entry: Entry, change: &mut Change) -> Key {
+    fn apply_entry(&mut self, now: Duration, entry: Entry, change: &mut Change) -> Key {
         let Some(&key) = self.by_id.get(&entry.id) else {
             change.added.push(entry.id.clone());
             return self.insert(entry);
         };
         let known = &mut self.endpoints[key];
-        let is_moved = known.entry.service != entry.service;
+        let is_other_service = known.entry.service != entry.service;
         match entry.incarnation.cmp(&known.entry.incarnation) {
             // A late entry of an earlier process only shows that the identity is in use.
             Ordering::Less => known.listed = Listed::Yes,
-            Ordering::Equal if !is_moved => {
+            Ordering::Equal if !is_other_service => {
                 if known.takes_work() && entry.state == State::Draining {
                     change.leaving.push(entry.id.clone());
                 }
                 known.listed = Listed::Yes;
-                let is_elsewhere = known.entry.data_centre != entry.data_centre;
+                let is_other_data_centre = known.entry.data_centre != entry.data_centre;
                 known.entry = entry;
-                if is_elsewhere {
+                if is_other_data_centre {
                     let data_centre = known.entry.data_centre.clone();
                     self.endpoints[key].access = self.access(&data_centre);
                 }
             }
             Ordering::Equal | Ordering::Greater => {
                 change.added.push(entry.id.clone());
-                return self.replace(now, key, entry);
+                return self.add_restarted(now, key, entry);
             }
         }
         key
@@ -148,8 +148,8 @@
     /// Load, health, requests and connections of the previous process stay with the old key.
     /// Carried over, an ejection would leave a healthy endpoint unused, and requests that were
     /// lost with their process would count as in flight forever.
-    fn replace(&mut self, now: Duration, former: Key, entry: Entry) -> Key {
-        if let Some(it) = self.endpoints.get_mut(former) {
+    fn add_restarted(&mut self, now: Duration, old_key: Key, entry: Entry) -> Key {
+        if let Some(it) = self.endpoints.get_mut(old_key) {
             it.listed = Listed::Missing(now);
         }
         self.insert(entry)
@@ -164,7 +164,7 @@
         key
     }
 
-    fn miss(&mut self, now: Duration, seen: &HashSet<Key>, change: &mut Change) {
+    fn mark_missing(&mut self, now: Duration, seen: &HashSet<Key>, change: &mut Change) {
         for (key, it) in &mut self.endpoints {
             if !seen.contains(&key) && it.listed == Listed::Yes {
                 if it.takes_work() {
@@ -173,19 +173,19 @@
                 it.listed = Listed::Missing(now);
             }
         }
-        self.forget(now);
+        self.remove_gone(now);
     }
 
     /// Removes endpoints that are gone and have no request of this host in flight.
-    fn forget(&mut self, now: Duration) {
+    fn remove_gone(&mut self, now: Duration) {
         /// Long enough for late messages on the endpoint to find it still known.
-        const KEPT: Duration = Duration::from_secs(30);
+        const RETENTION: Duration = Duration::from_secs(30);
         let (by_id, by_service) = (&mut self.by_id, &mut self.by_service);
         self.endpoints.retain(|key, it| {
             let Listed::Missing(since) = it.listed else {
                 return true;
             };
-            if it.flights > 0 || now.saturating_sub(since) < KEPT {
+            if it.flights > 0 || now.saturating_sub(since) < RETENTION {
                 return true;
             }
             if by_id.get(&it.entry.id) == Some(&key) {
@@ -206,8 +206,8 @@
             .values()
             .filter(|it| it.takes_work())
             .collect();
-        let resting = takes.iter().filter(|it| it.health.is_resting(now));
-        (takes.len(), resting.count())
+        let ejected = takes.iter().filter(|it| it.health.is_resting(now));
+        (takes.len(), ejected.count())
     }
 
     /// Returns the endpoint with this key.
@@ -245,19 +245,22 @@
     /// hardly any endpoint has reported to this host recently.
     #[must_use]
     pub fn used_of(&self, now: Duration, it: &Endpoint) -> f64 {
-        let usual = self.usual.get(&it.entry.service).copied();
-        it.used(now, usual.unwrap_or_default())
+        let typical_utilization = self.typical_utilization.get(&it.entry.service).copied();
+        it.used(now, typical_utilization.unwrap_or_default())
     }
 
     /// Records an endpoint's load report.
     pub(crate) fn load(&mut self, now: Duration, key: Key, load: Load) {
         /// Weight of a new report in the moving average.
-        const PART: f64 = 0.05;
+        const WEIGHT: f64 = 0.05;
         if let Some(it) = self.endpoints.get_mut(key) {
             it.load = Some((now, load));
             it.sent_since_load = 0;
-            let usual = self.usual.entry(it.entry.service.clone()).or_default();
-            *usual += PART * (load.used() - *usual);
+            let typical_utilization = self
+                .typical_utilization
+                .entry(it.entry.service.clone())
+                .or_default();
+            *typical_utilization += WEIGHT * (load.used() - *typical_utilization);
         }
     }
 
@@ -275,9 +278,9 @@
     /// Records that an endpoint asked this host to send nothing for the given time.
     pub(crate) fn refuse(&mut self, now: Duration, key: Key, pause: Duration) {
         /// Upper bound, because the endpoint may ask for any time.
-        const LONGEST: Duration = Duration::from_hours(1);
+        const MAX_PAUSE: Duration = Duration::from_hours(1);
         if let Some(it) = self.endpoints.get_mut(key) {
-            it.unwilling_until = it.unwilling_until.max(now + pause.min(LONGEST));
+            it.unwilling_until = it.unwilling_until.max(now + pause.min(MAX_PAUSE));
         }
     }
 
@@ -294,36 +297,42 @@
             return false;
         };
         let service = it.entry.service.clone();
-        let (usual, resting) = self.usual(now, &service, key);
+        let (typical_failure_rate, ejected_fraction) = self.failure_statistics(now, &service, key);
         let Some(it) = self.endpoints.get_mut(key) else {
             return false;
         };
-        let rests = it.health.bad(now, usual) && resting < MOST_RESTING;
-        if rests {
+        let is_ejected =
+            it.health.bad(now, typical_failure_rate) && ejected_fraction < MAX_EJECTED_FRACTION;
+        if is_ejected {
             it.health.rest(now);
         }
-        rests
+        is_ejected
     }
 
     /// Returns the mean failure rate of a service's other endpoints, and the fraction of its
     /// endpoints that would be ejected with this one.
-    fn usual(&self, now: Duration, service: &ServiceName, but: Key) -> (f64, f64) {
-        let (mut share, mut resting, mut count) = (0.0, 0.0, 0.0);
+    fn failure_statistics(
+        &self,
+        now: Duration,
+        service: &ServiceName,
+        excluded: Key,
+    ) -> (f64, f64) {
+        let (mut failure_rate, mut ejected, mut count) = (0.0, 0.0, 0.0);
         for (key, it) in self.of(service) {
-            if key == but || !it.takes_work() {
+            if key == excluded || !it.takes_work() {
                 continue;
             }
             count += 1.0;
             if it.health.is_resting(now) {
-                resting += 1.0;
+                ejected += 1.0;
             } else {
-                share += it.health.bad_share();
+                failure_rate += it.health.bad_share();
             }
         }
         if count == 0.0 {
             // The only endpoint of a service is never ejected.
             return (0.0, 1.0);
         }
-        (share / count, (resting + 1.0) / (count + 1.0))
+        (failure_rate / count, (ejected + 1.0) / (count + 1.0))
     }
 }
--- a/crates/route/src/directory/cold_start.rs
+++ b/crates/route/src/directory/cold_start.rs
@@ -10,51 +10,51 @@
 
 /// Cold-start state of an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Warmth {
+pub(crate) struct ColdStart {
     /// Cold until this time, by its entry.
-    until: Duration,
+    listed_until: Duration,
     /// Cold until this time because its data centre is back in use.
     returned_until: Duration,
     share: Share,
     /// Earliest time for this host's next request to it.
-    next: Duration,
+    next_request: Duration,
 }
 
-impl Default for Warmth {
+impl Default for ColdStart {
     fn default() -> Self {
         Self {
-            until: Duration::ZERO,
+            listed_until: Duration::ZERO,
             returned_until: Duration::ZERO,
-            share: Share::Free,
-            next: Duration::ZERO,
+            share: Share::Unlimited,
+            next_request: Duration::ZERO,
         }
     }
 }
 
-impl Warmth {
+impl ColdStart {
     pub(crate) fn is_cold(&self, now: Duration) -> bool {
-        now < self.warm_from()
+        now < self.cold_until()
     }
 
     /// Returns how long this host must wait before it sends a request.
     pub(crate) fn wait(&self, now: Duration) -> Duration {
         let from = match self.share {
-            Share::Free => Duration::ZERO,
-            Share::Nothing => self.warm_from(),
-            Share::Every(_) => self.next.min(self.warm_from()),
+            Share::Unlimited => Duration::ZERO,
+            Share::Zero => self.cold_until(),
+            Share::OnePer(_) => self.next_request.min(self.cold_until()),
         };
         from.saturating_sub(now)
     }
 
     /// Records that a request is sent.
     pub(crate) fn send(&mut self, now: Duration) {
-        if let Share::Every(pause) = self.share {
-            self.next = now + pause;
+        if let Share::OnePer(pause) = self.share {
+            self.next_request = now + pause;
         }
     }
 
-    fn warm_from(&self) -> Duration {
-        self.until.max(self.returned_until)
+    fn cold_until(&self) -> Duration {
+        self.listed_until.max(self.returned_until)
     }
 }
 
@@ -62,20 +62,20 @@
     /// Sets the warm-up limits of services.
     pub(crate) fn set_warm_ups(&mut self, warm_ups: HashMap<ServiceName, WarmUp>) {
         self.warm_ups = warm_ups;
-        self.renew_shares();
+        self.refresh_shares();
     }
 
     /// Sets the hosts that share the rate of cold endpoints; `None` while this host may not know
     /// all of them.
     pub(crate) fn set_peers(&mut self, peers: Option<Peers>) {
         self.peers = peers;
-        self.renew_shares();
+        self.refresh_shares();
     }
 
     /// Updates the cold-start times from the entries of a listing read at `at`.
-    pub(super) fn renew_warmth(&mut self, at: Duration) {
+    pub(super) fn refresh_cold_starts(&mut self, at: Duration) {
         for it in self.endpoints.values_mut() {
-            it.warmth.until = if it.entry.cold.is_zero() {
+            it.warmth.listed_until = if it.entry.cold.is_zero() {
                 Duration::ZERO
             } else {
                 at.saturating_add(it.entry.cold)
@@ -84,7 +84,7 @@
                 it.warmth.returned_until = Duration::ZERO;
             }
         }
-        self.renew_shares();
+        self.refresh_shares();
     }
 
     /// Marks an endpoint as cold because its data centre is back in use.
@@ -92,7 +92,7 @@
     /// Its endpoints may have restarted while they got no requests. They would get requests of all
     /// hosts at once before their entries show that they are cold, which takes up to a heartbeat.
     /// So they count as cold for a full warm-up.
-    pub(super) fn return_to_use(
+    pub(super) fn mark_returned(
         now: Duration,
         warm_ups: &HashMap<ServiceName, WarmUp>,
         it: &mut Endpoint,
@@ -102,15 +102,15 @@
         }
     }
 
-    pub(super) fn renew_shares(&mut self) {
+    pub(super) fn refresh_shares(&mut self) {
         for it in self.endpoints.values_mut() {
-            if it.warmth.warm_from().is_zero() {
+            if it.warmth.cold_until().is_zero() {
                 continue;
             }
             let warm_up = self.warm_ups.get(&it.entry.service);
             it.warmth.share = match (warm_up, &self.peers) {
-                (None, _) => Share::Free,
-                (Some(_), None) => Share::Nothing,
+                (None, _) => Share::Unlimited,
+                (Some(_), None) => Share::Zero,
                 (Some(warm_up), Some(peers)) => peers.share(*warm_up, it.entry.process()),
             };
         }
--- a/crates/route/src/directory/endpoint.rs
+++ b/crates/route/src/directory/endpoint.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::warmth::Warmth;
+use super::cold_start::ColdStart;
 use crate::endpoint::{Entry, Load, State};
 use crate::evacuation::Access;
 use crate::health::Health;
@@ -19,7 +19,7 @@
     /// Whether its data centre may be used.
     pub(crate) access: Access,
     /// Its cold-start state.
-    pub(crate) warmth: Warmth,
+    pub(crate) warmth: ColdStart,
     /// Until when it refuses requests of this host, as it said itself. It is skipped even if no
     /// other endpoint is left, because it would only refuse.
     pub(crate) unwilling_until: Duration,
@@ -49,7 +49,7 @@
             entry,
             has_left: false,
             access,
-            warmth: Warmth::default(),
+            warmth: ColdStart::default(),
             unwilling_until: Duration::ZERO,
             listed: Listed::Yes,
             flights: 0,
@@ -63,11 +63,11 @@
     /// Returns whether new requests may be sent to it.
     #[must_use]
     pub fn takes_work(&self) -> bool {
-        self.would_take_work() && self.access == Access::Open
+        self.is_ready() && self.access == Access::Open
     }
 
     /// Returns whether it would take new requests if its data centre were in use.
-    pub(super) fn would_take_work(&self) -> bool {
+    pub(super) fn is_ready(&self) -> bool {
         self.listed == Listed::Yes && self.entry.state == State::Ready && !self.has_left
     }
 
@@ -77,17 +77,17 @@
         unwilling.max(self.warmth.wait(now))
     }
 
-    pub(super) fn used(&self, now: Duration, usual: f64) -> f64 {
+    pub(super) fn used(&self, now: Duration, typical_utilization: f64) -> f64 {
         /// How long a load report is valid; about the duration of a request.
-        const BELIEVED: Duration = Duration::from_millis(1_500);
+        const LOAD_REPORT_TTL: Duration = Duration::from_millis(1_500);
         let slots = f64::from(self.entry.slots.max(1));
         let own = f64::from(self.flights);
-        let told = match self.load {
-            Some((at, load)) if now.saturating_sub(at) < BELIEVED => {
+        let reported = match self.load {
+            Some((at, load)) if now.saturating_sub(at) < LOAD_REPORT_TTL => {
                 load.requests() + f64::from(self.sent_since_load)
             }
-            _ => usual * slots,
+            _ => typical_utilization * slots,
         };
-        own.max(told) / slots
+        own.max(reported) / slots
     }
 }
--- a/crates/route/src/directory/evacuate.rs
+++ b/crates/route/src/directory/evacuate.rs
@@ -17,9 +17,9 @@
 
     /// Applies an operator's change to a data centre. Returns whether it changes which endpoints
     /// are used.
-    pub(crate) fn evacuate(&mut self, now: Duration, said: Evacuation) -> bool {
-        let is_change = self.evacuations.hear(said);
-        self.renew_access(now);
+    pub(crate) fn evacuate(&mut self, now: Duration, change: Evacuation) -> bool {
+        let is_change = self.evacuations.hear(change);
+        self.refresh_access(now);
         is_change
     }
 
@@ -29,22 +29,22 @@
         &mut self,
         now: Duration,
         at: Revision,
-        emptied: Vec<Evacuation>,
+        evacuated: Vec<Evacuation>,
     ) -> bool {
-        let is_change = self.evacuations.read(at, emptied);
-        self.renew_access(now);
+        let is_change = self.evacuations.read(at, evacuated);
+        self.refresh_access(now);
         is_change
     }
 
-    fn renew_access(&mut self, now: Duration) {
+    fn refresh_access(&mut self, now: Duration) {
         for it in self.endpoints.values_mut() {
             let access = access(&self.evacuations, &it.entry.data_centre);
             let before = std::mem::replace(&mut it.access, access);
             if (before, access) == (Access::Emptied, Access::Open) {
-                Self::return_to_use(now, &self.warm_ups, it);
+                Self::mark_returned(now, &self.warm_ups, it);
             }
         }
-        self.renew_shares();
+        self.refresh_shares();
     }
 
     pub(super) fn access(&self, data_centre: &DataCentre) -> Access {
@@ -55,12 +55,12 @@
     pub(crate) fn willing_in(&self, now: Duration, service: &ServiceName) -> Duration {
         /// Operators keep a data centre evacuated for a long time, so frequent retries would be
         /// useless.
-        const EMPTIED: Duration = Duration::from_secs(1);
+        const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
         let wait = |it: &Endpoint| match it.access {
             Access::Open => it.wait(now),
-            Access::Emptied => EMPTIED.max(it.wait(now)),
+            Access::Emptied => MIN_RETRY_AFTER.max(it.wait(now)),
         };
-        let ready = self.of(service).filter(|(_, it)| it.would_take_work());
+        let ready = self.of(service).filter(|(_, it)| it.is_ready());
         ready.map(|(_, it)| wait(it)).min().unwrap_or_default()
     }
 }
--- a/crates/route/src/evacuation.rs
+++ b/crates/route/src/evacuation.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of data centres remembered as back in use, so that arbitrary names can't fill
 /// the memory.
-const MOST_OPEN: usize = 256;
+const MAX_OPEN: usize = 256;
 
 /// An operator's latest change to a data centre's access.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,9 +40,9 @@
 /// store and from other hosts, in any order.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
-    words: BTreeMap<DataCentre, Evacuation>,
+    latest: BTreeMap<DataCentre, Evacuation>,
     /// The revision of the latest full read of the store.
-    read: Option<Revision>,
+    last_read: Option<Revision>,
 }
 
 impl Evacuations {
@@ -51,16 +51,18 @@
     /// A host that lags behind may still report an evacuation that operators have ended. The store
     /// no longer lists that data centre, so nothing would correct the report. A change to an
     /// unknown data centre is therefore ignored if the latest full read would have contained it.
-    pub fn hear(&mut self, said: Evacuation) -> bool {
-        let Some(known) = self.words.get(&said.data_centre) else {
-            let is_outdated = self.read.is_some_and(|read| is_covered(&said, read));
-            return !is_outdated && self.put(said);
+    pub fn hear(&mut self, change: Evacuation) -> bool {
+        let Some(known) = self.latest.get(&change.data_centre) else {
+            let is_outdated = self
+                .last_read
+                .is_some_and(|last_read| is_covered_by(&change, last_read));
+            return !is_outdated && self.insert_change(change);
         };
-        if known.revision >= said.revision {
+        if known.revision >= change.revision {
             return false;
         }
-        let is_change = known.access != said.access;
-        self.put(said);
+        let is_change = known.access != change.access;
+        self.insert_change(change);
         is_change
     }
 
@@ -71,9 +73,9 @@
     /// store restored from an older copy has lost later changes, which doesn't mean that operators
     /// undid them.
     pub fn read(&mut self, at: Revision, emptied: Vec<Evacuation>) -> bool {
-        let absent = self.words.values().filter(|known| {
+        let absent = self.latest.values().filter(|known| {
             let is_listed = emptied.iter().any(|it| it.data_centre == known.data_centre);
-            known.access == Access::Emptied && !is_listed && is_covered(known, at)
+            known.access == Access::Emptied && !is_listed && is_covered_by(known, at)
         });
         let taken_back: Vec<_> = absent
             .map(|it| Evacuation {
@@ -86,44 +88,44 @@
         for it in taken_back.into_iter().chain(emptied) {
             is_change |= self.hear(it);
         }
-        self.read = self.read.max(Some(at));
+        self.last_read = self.last_read.max(Some(at));
         is_change
     }
 
     /// Returns whether a data centre is evacuated.
     #[must_use]
     pub fn is_emptied(&self, data_centre: &DataCentre) -> bool {
-        let word = self.words.get(data_centre);
-        word.is_some_and(|it| it.access == Access::Emptied)
+        let known = self.latest.get(data_centre);
+        known.is_some_and(|it| it.access == Access::Emptied)
     }
 
     /// Returns all known changes, for other hosts.
     #[must_use]
     pub fn news(&self) -> Vec<Evacuation> {
-        self.words.values().cloned().collect()
+        self.latest.values().cloned().collect()
     }
 
     /// Returns the evacuated data centres.
     pub fn emptied(&self) -> impl Iterator<Item = &DataCentre> {
         let emptied = |it: &&Evacuation| it.access == Access::Emptied;
-        self.words
+        self.latest
             .values()
             .filter(emptied)
             .map(|it| &it.data_centre)
     }
 
-    fn put(&mut self, said: Evacuation) -> bool {
-        let is_emptied = said.access == Access::Emptied;
-        if !is_emptied && self.words.len() >= MOST_OPEN {
-            self.words.remove(&said.data_centre);
+    fn insert_change(&mut self, change: Evacuation) -> bool {
+        let is_emptied = change.access == Access::Emptied;
+        if !is_emptied && self.latest.len() >= MAX_OPEN {
+            self.latest.remove(&change.data_centre);
             return true;
         }
-        self.words.insert(said.data_centre.clone(), said);
+        self.latest.insert(change.data_centre.clone(), change);
         is_emptied
     }
 }
 
 /// Returns whether a full read at `read` would contain the change if it were still valid.
-fn is_covered(said: &Evacuation, read: Revision) -> bool {
-    said.revision.era == read.era && said.revision <= read
+fn is_covered_by(change: &Evacuation, read: Revision) -> bool {
+    change.revision.era == read.era && change.revision <= read
 }
--- a/crates/route/src/warm_up.rs
+++ b/crates/route/src/warm_up.rs
@@ -37,41 +37,45 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Share {
     /// Unlimited.
-    Free,
+    Unlimited,
     /// Zero: other hosts are selected, or this host doesn't know the others yet.
-    Nothing,
+    Zero,
     /// One request per interval.
-    Every(Duration),
+    OnePer(Duration),
 }
 
 impl Peers {
     /// Creates the set from this host and all others that it knows.
     pub fn new<'a>(own: &HostName, others: impl Iterator<Item = &'a HostName>) -> Self {
-        let place = |it: &HostName| hash::of(it.as_str());
+        let hash_of = |it: &HostName| hash::of(it.as_str());
         Self {
-            own: place(own),
-            others: others.filter(|it| *it != own).map(place).collect(),
+            own: hash_of(own),
+            others: others.filter(|it| *it != own).map(hash_of).collect(),
         }
     }
 
     /// Returns this host's share of a cold endpoint's rate.
     pub(crate) fn share(&self, warm_up: WarmUp, endpoint: Process) -> Share {
         /// Tolerance for requests that arrive closer together than they were sent.
-        const MARGIN: f64 = 1.05;
-        let hosts = 1.0 + number(self.others.len());
-        let bearers = warm_up.rate.floor().clamp(1.0, hosts);
+        const INTERVAL_MARGIN: f64 = 1.05;
+        let hosts = 1.0 + to_f64(self.others.len());
+        let sender_count = warm_up.rate.floor().clamp(1.0, hosts);
         let own = endpoint.rank(self.own);
-        let before = self.others.iter().filter(|it| endpoint.rank(**it) > own);
-        if number(before.count()) >= bearers {
-            return Share::Nothing;
+        let ranked_before = self.others.iter().filter(|it| endpoint.rank(**it) > own);
+        if to_f64(ranked_before.count()) >= sender_count {
+            return Share::Zero;
         }
-        let each = (warm_up.rate / bearers).floor();
-        let rate = if each < 1.0 { warm_up.rate } else { each };
-        let pause = Duration::try_from_secs_f64(MARGIN / rate);
-        pause.map_or(Share::Nothing, Share::Every)
+        let rate_per_sender = (warm_up.rate / sender_count).floor();
+        let rate = if rate_per_sender < 1.0 {
+            warm_up.rate
+        } else {
+            rate_per_sender
+        };
+        let interval = Duration::try_from_secs_f64(INTERVAL_MARGIN / rate);
+        interval.map_or(Share::Zero, Share::OnePer)
     }
 }
 
-fn number(count: usize) -> f64 {
+fn to_f64(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
--- a/crates/route/tests/warm_up.rs
+++ b/crates/route/tests/warm_up.rs
@@ -21,15 +21,15 @@
     hosts: usize,
     rate: f64,
     /// Fraction of the other hosts that a host doesn't know.
-    unknown: f64,
+    unknown_fraction: f64,
     /// Maximum network delay of a request.
-    way: Duration,
+    max_delay: Duration,
     seed: u64,
 }
 
 impl Fleet {
     /// Returns the arrival times of requests at each endpoint.
-    fn play(&self) -> Vec<Vec<Duration>> {
+    fn simulate(&self) -> Vec<Vec<Duration>> {
         let mut rng = Pcg32::seed_from_u64(self.seed);
         let names: Vec<HostName> = (0..self.hosts)
             .map(|nr| HostName::from(format!("host-{nr}")))
@@ -37,7 +37,9 @@
         let mut hosts: Vec<_> = names
             .iter()
             .map(|own| {
-                let known = names.iter().filter(|_| rng.random::<f64>() >= self.unknown);
+                let known = names
+                    .iter()
+                    .filter(|_| rng.random::<f64>() >= self.unknown_fraction);
                 let peers = Peers::new(own, known);
                 let mut host = router(self.rate, rng.random());
                 // The hosts' clocks differ, and so do the ages of their listings.
@@ -53,7 +55,7 @@
         while now + SECOND < COLD {
             for (clock, host) in &mut hosts {
                 if let Some(to) = send(host, *clock + now) {
-                    arrivals[to].push(now + self.way.mul_f64(rng.random()));
+                    arrivals[to].push(now + self.max_delay.mul_f64(rng.random()));
                 }
             }
             now += STEP;
@@ -61,7 +63,7 @@
         arrivals
     }
 
-    fn most_in_a_second(&self) -> usize {
+    fn max_per_second(&self) -> usize {
         let most = |mut times: Vec<Duration>| {
             times.sort_unstable();
             let from = |at: &Duration| {
@@ -70,7 +72,11 @@
             };
             times.iter().map(from).max().unwrap_or_default()
         };
-        self.play().into_iter().map(most).max().unwrap_or_default()
+        self.simulate()
+            .into_iter()
+            .map(most)
+            .max()
+            .unwrap_or_default()
     }
 }
 
@@ -164,17 +170,17 @@
 
 /// Guards against all hosts together overloading an endpoint that has just started.
 #[test]
-fn hosts_that_know_each_other_stay_within_the_rate() {
+fn hosts_stay_within_the_rate() {
     for (nr, hosts) in [1, 2, 5, 6, 7, 8, 30, 84, 300].into_iter().enumerate() {
         for rate in [0.5, 1.0, 7.6, 40.0] {
             let fleet = Fleet {
                 hosts,
                 rate,
-                unknown: 0.0,
-                way: Duration::from_millis(40),
+                unknown_fraction: 0.0,
+                max_delay: Duration::from_millis(40),
                 seed: nr as u64,
             };
-            let most = fleet.most_in_a_second();
+            let most = fleet.max_per_second();
             let bound = rate.ceil();
             assert!(
                 f64::from(u32::try_from(most).unwrap()) <= bound,
@@ -188,19 +194,19 @@
 /// Hosts that don't know many others yet select themselves as senders too often. The rate may
 /// exceed the limit only in proportion.
 #[test]
-fn hosts_that_dont_know_all_send_more_in_that_proportion() {
+fn unknown_hosts_raise_the_rate_in_proportion() {
     const RATE: f64 = 7.6;
-    let unknown = 0.3;
+    let unknown_fraction = 0.3;
     let mut most = 0;
     for seed in 0..20 {
         let fleet = Fleet {
             hosts: 84,
             rate: RATE,
-            unknown,
-            way: Duration::from_millis(40),
+            unknown_fraction,
+            max_delay: Duration::from_millis(40),
             seed,
         };
-        most = most.max(fleet.most_in_a_second());
+        most = most.max(fleet.max_per_second());
     }
     println!("{most} requests in one second");
     assert!(most <= 16, "{most} requests in one second");
