--- a/crates/route/src/quarantine/exit.rs
+++ b/crates/route/src/quarantine/exit.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::MOST_SUSPECTS;
+use super::MAX_SUSPECTS;
 use crate::Print;
 
 /// The exit of an endpoint's process.
 #[derive(Clone, Debug)]
-pub(super) struct End {
+pub(super) struct Exit {
     /// When it was detected.
     pub(super) at: Duration,
     /// When this host's information on it last changed.
@@ -19,7 +19,7 @@
     cleared: BTreeSet<Print>,
 }
 
-impl End {
+impl Exit {
     pub(super) fn new(at: Duration, now: Duration) -> Self {
         Self {
             at,
@@ -40,8 +40,8 @@
     }
 
     /// Adds a suspect. Returns whether it is new.
-    pub(super) fn suspect(&mut self, now: Duration, print: Print) -> bool {
-        let is_new = self.suspects.len() < MOST_SUSPECTS && self.suspects.insert(print);
+    pub(super) fn add_suspect(&mut self, now: Duration, print: Print) -> bool {
+        let is_new = self.suspects.len() < MAX_SUSPECTS && self.suspects.insert(print);
         if is_new {
             self.changed = now;
         }
@@ -51,7 +51,7 @@
     /// Clears a request. Returns whether that is new. A request may be cleared before it becomes a
     /// suspect here.
     pub(super) fn clear(&mut self, now: Duration, print: Print) -> bool {
-        let is_new = self.cleared.len() < MOST_SUSPECTS && self.cleared.insert(print);
+        let is_new = self.cleared.len() < MAX_SUSPECTS && self.cleared.insert(print);
         if is_new {
             self.changed = now;
         }
@@ -59,12 +59,12 @@
     }
 
     /// Returns whether a request is a suspect and not cleared.
-    pub(super) fn accuses(&self, print: Print) -> bool {
+    pub(super) fn is_suspect(&self, print: Print) -> bool {
         self.suspects.contains(&print) && !self.cleared.contains(&print)
     }
 
     /// Returns the suspects that are not cleared.
-    pub(super) fn accused(&self) -> impl Iterator<Item = Print> {
+    pub(super) fn uncleared_suspects(&self) -> impl Iterator<Item = Print> {
         self.suspects.difference(&self.cleared).copied()
     }
 
--- a/crates/route/src/quarantine/finished.rs
+++ b/crates/route/src/quarantine/finished.rs
@@ -46,7 +46,7 @@
 
 impl Finished {
     /// Returns whether the connection broke during this attempt of `print`.
-    pub(super) fn is_broken(&self, print: Print) -> bool {
+    pub(super) fn broke_connection(&self, print: Print) -> bool {
         self.print == print && self.outcome == Outcome::Broken
     }
 }
--- a/crates/route/src/quarantine/persistence.rs
+++ b/crates/route/src/quarantine/persistence.rs
@@ -9,33 +9,33 @@
     /// Returns the quarantined requests that the store doesn't contain yet.
     #[must_use]
     pub fn unkept(&self) -> Vec<Print> {
-        let unkept = self.held.iter().filter(|it| !it.1.is_kept);
+        let unkept = self.quarantined.iter().filter(|it| !it.1.is_persisted);
         unkept.map(|it| *it.0).collect()
     }
 
     /// Records that the store contains these requests.
     pub fn keep(&mut self, now: Duration, prints: &[Print]) {
         for print in prints {
-            if let Some(it) = self.held.get_mut(print) {
-                it.is_kept = true;
+            if let Some(it) = self.quarantined.get_mut(print) {
+                it.is_persisted = true;
                 it.changed = now;
-                self.has_news = true;
+                self.has_changes = true;
             }
         }
     }
 
     /// Records that the store was restored from an older copy, which may lack some requests.
     pub(crate) fn restored(&mut self) {
-        for it in self.held.values_mut() {
-            it.is_kept = false;
+        for it in self.quarantined.values_mut() {
+            it.is_persisted = false;
         }
     }
 
     /// Quarantines requests that the store contains from before this host's start.
     pub fn recall(&mut self, now: Duration, prints: &[Print]) {
         for print in prints {
-            if !self.held.contains_key(print) {
-                self.hold(now, *print, now);
+            if !self.quarantined.contains_key(print) {
+                self.add_quarantined(now, *print, now);
             }
         }
         self.keep(now, prints);
--- a/crates/route/src/quarantine/quarantined.rs
+++ b/crates/route/src/quarantine/quarantined.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use super::HELD;
+use super::QUARANTINE_TIME;
 
 /// The state of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Held {
+pub(super) struct QuarantinedRequest {
     /// When it was quarantined.
     pub(super) since: Duration,
     /// When this host's information on it last changed.
     pub(super) changed: Duration,
     /// Whether the store contains it, so that it survives a restart of all hosts.
-    pub(super) is_kept: bool,
+    pub(super) is_persisted: bool,
 }
 
-impl Held {
+impl QuarantinedRequest {
     /// Returns how much longer it is quarantined.
-    pub(super) fn left(&self, now: Duration) -> Duration {
-        (self.since + HELD).saturating_sub(now)
+    pub(super) fn time_left(&self, now: Duration) -> Duration {
+        (self.since + QUARANTINE_TIME).saturating_sub(now)
     }
 }
--- a/crates/route/src/quarantine/survived.rs
+++ b/crates/route/src/quarantine/survived.rs
@@ -7,21 +7,21 @@
 
 /// How long a request counts as safe. Longer than a period in which many endpoints exit at once,
 /// and than the interval between identical requests of many callers.
-const SPEAKS: Duration = Duration::from_secs(30);
+const VALIDITY: Duration = Duration::from_secs(30);
 /// Maximum number of requests remembered; the latest are kept.
-const MOST: usize = 4_096;
+const MAX_REQUESTS: usize = 4_096;
 
 /// Requests that an endpoint recently survived.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Proven {
+pub(super) struct SurvivedRequests {
     latest: HashMap<Print, Duration>,
     order: VecDeque<(Duration, Print)>,
 }
 
-impl Proven {
+impl SurvivedRequests {
     /// Records that an endpoint survived a request.
-    pub(super) fn prove(&mut self, now: Duration, print: Print) {
-        if self.order.len() == MOST
+    pub(super) fn record(&mut self, now: Duration, print: Print) {
+        if self.order.len() == MAX_REQUESTS
             && let Some((at, oldest)) = self.order.pop_front()
             && self.latest.get(&oldest) == Some(&at)
         {
@@ -34,6 +34,6 @@
     /// Returns whether an endpoint recently survived the request.
     pub(super) fn contains(&self, now: Duration, print: Print) -> bool {
         let at = self.latest.get(&print);
-        at.is_some_and(|it| now.saturating_sub(*it) <= SPEAKS)
+        at.is_some_and(|it| now.saturating_sub(*it) <= VALIDITY)
     }
 }
--- a/crates/route/src/quarantine/update.rs
+++ b/crates/route/src/quarantine/update.rs
@@ -5,31 +5,33 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{HELD, Quarantine};
+use super::{QUARANTINE_TIME, Quarantine};
 use crate::Print;
 use crate::endpoint::Process;
 use crate::rollout::Scope;
 
 /// How often all quarantined requests are sent again, for hosts that missed them during a network
 /// partition.
-const RETELL: Duration = Duration::from_secs(5);
+const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(5);
 /// How long a change is sent: in several updates, because each may be lost.
-const FRESH: Duration = Duration::from_millis(1_200);
+const CHANGE_RESEND_TIME: Duration = Duration::from_millis(1_200);
 /// Maximum number of exits in one update; the latest are sent.
-const MOST_ENDS: usize = 16;
+const MAX_EXITS_PER_UPDATE: usize = 16;
 
 /// One host's update on process exits and quarantined requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
     /// Process exits.
-    pub ends: Vec<EndNews>,
+    #[serde(rename = "ends")]
+    pub exits: Vec<ExitReport>,
     /// Quarantined requests.
-    pub held: Vec<HeldNews>,
+    #[serde(rename = "held")]
+    pub quarantined: Vec<QuarantineReport>,
 }
 
 /// The exit of an endpoint's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndNews {
+pub struct ExitReport {
     /// The process.
     pub process: Process,
     /// How long ago it was detected.
@@ -42,20 +44,21 @@
 
 /// A quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldNews {
+pub struct QuarantineReport {
     /// The request.
     pub print: Print,
     /// How long it has been quarantined.
     pub age: Duration,
     /// Whether the store contains it.
-    pub is_kept: bool,
+    #[serde(rename = "is_kept")]
+    pub is_persisted: bool,
 }
 
 impl News {
     /// Returns whether the update contains nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty() && self.held.is_empty()
+        self.exits.is_empty() && self.quarantined.is_empty()
     }
 }
 
@@ -64,92 +67,96 @@
     /// latest exits.
     pub fn news(&mut self, now: Duration, scope: Scope) -> News {
         self.age(now);
-        let is_told = |at: Duration| scope == Scope::All || now.saturating_sub(at) <= FRESH;
-        let mut ends: Vec<_> = self
-            .ends
+        let is_included =
+            |at: Duration| scope == Scope::All || now.saturating_sub(at) <= CHANGE_RESEND_TIME;
+        let mut exits: Vec<_> = self
+            .exits
             .iter()
-            .filter(|(_, it)| is_told(it.changed()))
+            .filter(|(_, it)| is_included(it.changed()))
             .collect();
-        ends.sort_by_key(|(_, it)| Reverse(it.changed()));
-        let ends = ends
+        exits.sort_by_key(|(_, it)| Reverse(it.changed()));
+        let exits = exits
             .into_iter()
-            .take(MOST_ENDS)
-            .map(|(process, it)| EndNews {
+            .take(MAX_EXITS_PER_UPDATE)
+            .map(|(process, it)| ExitReport {
                 process: *process,
                 age: now.saturating_sub(it.at),
                 suspects: it.suspects().collect(),
                 cleared: it.cleared().collect(),
             });
-        let retells = now.saturating_sub(self.retold) >= RETELL;
-        if retells {
-            self.retold = now;
+        let is_full_due = now.saturating_sub(self.last_full_update) >= FULL_UPDATE_INTERVAL;
+        if is_full_due {
+            self.last_full_update = now;
         }
-        let tells_all = retells || scope == Scope::All;
-        let is_fresh = |at: Duration| now.saturating_sub(at) <= FRESH;
-        let held = self.held.iter();
-        let held = held.filter(|(_, it)| tells_all || is_fresh(it.changed));
-        let held = held.map(|(print, it)| HeldNews {
+        let includes_all = is_full_due || scope == Scope::All;
+        let is_fresh = |at: Duration| now.saturating_sub(at) <= CHANGE_RESEND_TIME;
+        let quarantined = self.quarantined.iter();
+        let quarantined = quarantined.filter(|(_, it)| includes_all || is_fresh(it.changed));
+        let quarantined = quarantined.map(|(print, it)| QuarantineReport {
             print: *print,
             age: now.saturating_sub(it.since),
-            is_kept: it.is_kept,
+            is_persisted: it.is_persisted,
         });
         News {
-            ends: ends.collect(),
-            held: held.collect(),
+            exits: exits.collect(),
+            quarantined: quarantined.collect(),
         }
     }
 
     /// Applies another host's update.
     pub fn hear(&mut self, now: Duration, news: &News) {
         self.age(now);
-        for it in &news.ends {
-            self.hear_end(now, it);
+        for it in &news.exits {
+            self.apply_exit(now, it);
         }
-        for it in &news.held {
-            self.hear_held(now, it);
+        for it in &news.quarantined {
+            self.apply_quarantined(now, it);
         }
     }
 
-    fn hear_end(&mut self, now: Duration, news: &EndNews) {
-        if news.age > HELD {
+    fn apply_exit(&mut self, now: Duration, news: &ExitReport) {
+        if news.age > QUARANTINE_TIME {
             return;
         }
-        let mut is_news = !self.ends.contains_key(&news.process);
-        if is_news {
-            self.remember(now, news.process, now.saturating_sub(news.age));
+        let mut is_new = !self.exits.contains_key(&news.process);
+        if is_new {
+            self.add_exit(now, news.process, now.saturating_sub(news.age));
         }
         for print in &news.cleared {
-            if let Some(end) = self.ends.get_mut(&news.process)
-                && end.clear(now, *print)
+            if let Some(exit) = self.exits.get_mut(&news.process)
+                && exit.clear(now, *print)
             {
-                is_news = true;
-                self.has_news = true;
+                is_new = true;
+                self.has_changes = true;
                 self.release(*print);
             }
         }
         for print in &news.suspects {
-            is_news |= self.suspect(now, news.process, *print);
+            is_new |= self.add_suspect(now, news.process, *print);
         }
-        if is_news {
-            self.judge(now, news.process);
+        if is_new {
+            self.quarantine_suspects(now, news.process);
         }
     }
 
-    fn hear_held(&mut self, now: Duration, news: &HeldNews) {
-        let is_known = self.held.contains_key(&news.print);
-        if news.age < HELD && !is_known && !self.is_cleared(news.print) {
-            self.hold(now, news.print, now.saturating_sub(news.age));
+    fn apply_quarantined(&mut self, now: Duration, news: &QuarantineReport) {
+        let is_known = self.quarantined.contains_key(&news.print);
+        if news.age < QUARANTINE_TIME && !is_known && !self.is_cleared(news.print) {
+            self.add_quarantined(now, news.print, now.saturating_sub(news.age));
         }
-        let is_kept = self.held.get(&news.print).is_some_and(|it| it.is_kept);
-        if news.is_kept && !is_kept {
+        let is_persisted = self
+            .quarantined
+            .get(&news.print)
+            .is_some_and(|it| it.is_persisted);
+        if news.is_persisted && !is_persisted {
             self.keep(now, &[news.print]);
         }
     }
 
     /// Returns whether this host knows that a request quarantined elsewhere was cleared.
     fn is_cleared(&self, print: Print) -> bool {
-        let found = self.found_under.get(&print).into_iter().flatten();
-        let mut ends = found.filter_map(|it| self.ends.get(it));
-        ends.any(|it| !it.accuses(print))
+        let found = self.exits_by_request.get(&print).into_iter().flatten();
+        let mut exits = found.filter_map(|it| self.exits.get(it));
+        exits.any(|it| !it.is_suspect(print))
     }
 }
