--- a/crates/route/src/quarantine/finished.rs
+++ b/crates/route/src/quarantine/finished.rs
@@ -45,7 +45,7 @@
 }
 
 impl Finished {
-    /// Returns whether the connection broke during this attempt of `print`.
+    /// Returns whether this is an attempt of the given request whose connection broke.
     pub(super) fn broke_connection(&self, print: Print) -> bool {
         self.print == print && self.outcome == Outcome::Broken
     }
