--- a/crates/route/src/quarantine/update.rs
+++ b/crates/route/src/quarantine/update.rs
@@ -114,16 +114,16 @@
         }
     }
 
-    fn apply_exit(&mut self, now: Duration, news: &ExitReport) {
-        if news.age > QUARANTINE_TIME {
+    fn apply_exit(&mut self, now: Duration, report: &ExitReport) {
+        if report.age > QUARANTINE_TIME {
             return;
         }
-        let mut is_new = !self.exits.contains_key(&news.process);
+        let mut is_new = !self.exits.contains_key(&report.process);
         if is_new {
-            self.add_exit(now, news.process, now.saturating_sub(news.age));
+            self.add_exit(now, report.process, now.saturating_sub(report.age));
         }
-        for print in &news.cleared {
-            if let Some(exit) = self.exits.get_mut(&news.process)
+        for print in &report.cleared {
+            if let Some(exit) = self.exits.get_mut(&report.process)
                 && exit.clear(now, *print)
             {
                 is_new = true;
@@ -131,25 +131,25 @@
                 self.release(*print);
             }
         }
-        for print in &news.suspects {
-            is_new |= self.add_suspect(now, news.process, *print);
+        for print in &report.suspects {
+            is_new |= self.add_suspect(now, report.process, *print);
         }
         if is_new {
-            self.quarantine_suspects(now, news.process);
+            self.quarantine_suspects(now, report.process);
         }
     }
 
-    fn apply_quarantined(&mut self, now: Duration, news: &QuarantineReport) {
-        let is_known = self.quarantined.contains_key(&news.print);
-        if news.age < QUARANTINE_TIME && !is_known && !self.is_cleared(news.print) {
-            self.add_quarantined(now, news.print, now.saturating_sub(news.age));
+    fn apply_quarantined(&mut self, now: Duration, report: &QuarantineReport) {
+        let is_known = self.quarantined.contains_key(&report.print);
+        if report.age < QUARANTINE_TIME && !is_known && !self.is_cleared(report.print) {
+            self.add_quarantined(now, report.print, now.saturating_sub(report.age));
         }
         let is_persisted = self
             .quarantined
-            .get(&news.print)
+            .get(&report.print)
             .is_some_and(|it| it.is_persisted);
-        if news.is_persisted && !is_persisted {
-            self.keep(now, &[news.print]);
+        if report.is_persisted && !is_persisted {
+            self.keep(now, &[report.print]);
         }
     }
 
--- a/crates/route/src/rollout/pooled.rs
+++ b/crates/route/src/rollout/pooled.rs
@@ -52,7 +52,7 @@
     /// The evidence that each other host reported as observed by itself.
     by_host: HashMap<HostName, Evidence>,
     /// Partial sums of neighbours, by aggregating host and neighbour.
-    partial_sums: HashMap<(usize, HostName), ReceivedSum>,
+    received_sums: HashMap<(usize, HostName), ReceivedSum>,
     totals: HashMap<u64, KnownTotal>,
 }
 
@@ -77,7 +77,7 @@
                 at: now,
                 evidence: it.evidence,
             };
-            self.partial_sums.insert((it.root, host.clone()), received);
+            self.received_sums.insert((it.root, host.clone()), received);
         }
         let mut has_new = false;
         for total in &news.totals {
@@ -88,7 +88,7 @@
 
     pub(super) fn sum(&self, now: Duration, root: usize, distance: u8) -> Sum {
         let mut evidence = self.own;
-        for ((of, _), it) in &self.partial_sums {
+        for ((of, _), it) in &self.received_sums {
             if *of == root && now.saturating_sub(it.at) <= PARTIAL_SUM_TTL {
                 evidence.add(&it.evidence);
             }
