--- /dev/null
+++ b/crates/route/src/directory/cold_start.rs
@@ -0,0 +1,118 @@
+//! Cold-start state of endpoints, and the request rate that this host may use there.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use kernel::ServiceName;
+
+use super::{Directory, Endpoint};
+use crate::warm_up::{Peers, Share, WarmUp};
+
+/// Cold-start state of an endpoint.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ColdStart {
+    /// Cold until this time, by its entry.
+    listed_until: Duration,
+    /// Cold until this time because its data centre is back in use.
+    returned_until: Duration,
+    share: Share,
+    /// Earliest time for this host's next request to it.
+    next_request: Duration,
+}
+
+impl Default for ColdStart {
+    fn default() -> Self {
+        Self {
+            listed_until: Duration::ZERO,
+            returned_until: Duration::ZERO,
+            share: Share::Unlimited,
+            next_request: Duration::ZERO,
+        }
+    }
+}
+
+impl ColdStart {
+    pub(crate) fn is_cold(&self, now: Duration) -> bool {
+        now < self.cold_until()
+    }
+
+    /// Returns how long this host must wait before it sends a request.
+    pub(crate) fn wait(&self, now: Duration) -> Duration {
+        let from = match self.share {
+            Share::Unlimited => Duration::ZERO,
+            Share::Zero => self.cold_until(),
+            Share::OnePer(_) => self.next_request.min(self.cold_until()),
+        };
+        from.saturating_sub(now)
+    }
+
+    /// Records that a request is sent.
+    pub(crate) fn send(&mut self, now: Duration) {
+        if let Share::OnePer(pause) = self.share {
+            self.next_request = now + pause;
+        }
+    }
+
+    fn cold_until(&self) -> Duration {
+        self.listed_until.max(self.returned_until)
+    }
+}
+
+impl Directory {
+    /// Sets the warm-up limits of services.
+    pub(crate) fn set_warm_ups(&mut self, warm_ups: HashMap<ServiceName, WarmUp>) {
+        self.warm_ups = warm_ups;
+        self.refresh_shares();
+    }
+
+    /// Sets the hosts that share the rate of cold endpoints; `None` while this host may not know
+    /// all of them.
+    pub(crate) fn set_peers(&mut self, peers: Option<Peers>) {
+        self.peers = peers;
+        self.refresh_shares();
+    }
+
+    /// Updates the cold-start times from the entries of a listing read at `at`.
+    pub(super) fn refresh_cold_starts(&mut self, at: Duration) {
+        for it in self.endpoints.values_mut() {
+            it.warmth.listed_until = if it.entry.cold.is_zero() {
+                Duration::ZERO
+            } else {
+                at.saturating_add(it.entry.cold)
+            };
+            if it.warmth.returned_until <= at {
+                it.warmth.returned_until = Duration::ZERO;
+            }
+        }
+        self.refresh_shares();
+    }
+
+    /// Marks an endpoint as cold because its data centre is back in use.
+    ///
+    /// Its endpoints may have restarted while they got no requests. They would get requests of all
+    /// hosts at once before their entries show that they are cold, which takes up to a heartbeat.
+    /// So they count as cold for a full warm-up.
+    pub(super) fn mark_returned(
+        now: Duration,
+        warm_ups: &HashMap<ServiceName, WarmUp>,
+        it: &mut Endpoint,
+    ) {
+        if let Some(warm_up) = warm_ups.get(&it.entry.service) {
+            it.warmth.returned_until = now + warm_up.span;
+        }
+    }
+
+    pub(super) fn refresh_shares(&mut self) {
+        for it in self.endpoints.values_mut() {
+            if it.warmth.cold_until().is_zero() {
+                continue;
+            }
+            let warm_up = self.warm_ups.get(&it.entry.service);
+            it.warmth.share = match (warm_up, &self.peers) {
+                (None, _) => Share::Unlimited,
+                (Some(_), None) => Share::Zero,
+                (Some(warm_up), Some(peers)) => peers.share(*warm_up, it.entry.process()),
+            };
+        }
+    }
+}
--- a/crates/route/src/directory/evacuate.rs
+++ b/crates/route/src/directory/evacuate.rs
@@ -1,4 +1,4 @@
-//! What the directory makes of data centres that operators empty.
+//! Effect of evacuated data centres on the directory.
 
 use std::time::Duration;
 
@@ -9,57 +9,58 @@
 use crate::evacuation::{Access, Evacuation, Evacuations};
 
 impl Directory {
-    /// Which data centres are emptied.
+    /// Returns the state of the data centres.
     #[must_use]
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Takes a word on a data centre, and says whether it changes what is used.
-    pub(crate) fn evacuate(&mut self, now: Duration, said: Evacuation) -> bool {
-        let is_change = self.evacuations.hear(said);
-        self.renew_access(now);
+    /// Applies an operator's change to a data centre. Returns whether it changes which endpoints
+    /// are used.
+    pub(crate) fn evacuate(&mut self, now: Duration, change: Evacuation) -> bool {
+        let is_change = self.evacuations.hear(change);
+        self.refresh_access(now);
         is_change
     }
 
-    /// Takes all that the store has of data centres that are emptied, and says whether it
-    /// changes what is used.
+    /// Applies the store's complete list of evacuated data centres. Returns whether it changes
+    /// which endpoints are used.
     pub(crate) fn read_evacuations(
         &mut self,
         now: Duration,
         at: Revision,
-        emptied: Vec<Evacuation>,
+        evacuated: Vec<Evacuation>,
     ) -> bool {
-        let is_change = self.evacuations.read(at, emptied);
-        self.renew_access(now);
+        let is_change = self.evacuations.read(at, evacuated);
+        self.refresh_access(now);
         is_change
     }
 
-    fn renew_access(&mut self, now: Duration) {
+    fn refresh_access(&mut self, now: Duration) {
         for it in self.endpoints.values_mut() {
             let access = access(&self.evacuations, &it.entry.data_centre);
             let before = std::mem::replace(&mut it.access, access);
             if (before, access) == (Access::Emptied, Access::Open) {
-                Self::return_to_use(now, &self.warm_ups, it);
+                Self::mark_returned(now, &self.warm_ups, it);
             }
         }
-        self.renew_shares();
+        self.refresh_shares();
     }
 
     pub(super) fn access(&self, data_centre: &DataCentre) -> Access {
         access(&self.evacuations, data_centre)
     }
 
-    /// When a request for a service may come back that no endpoint takes now.
+    /// Returns when to retry a request for a service that has no usable endpoint now.
     pub(crate) fn willing_in(&self, now: Duration, service: &ServiceName) -> Duration {
-        /// A data centre stays emptied for as long as operators work there: who asks
-        /// more often only hears the same.
-        const EMPTIED: Duration = Duration::from_secs(1);
+        /// Operators keep a data centre evacuated for a long time, so frequent retries would be
+        /// useless.
+        const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
         let wait = |it: &Endpoint| match it.access {
             Access::Open => it.wait(now),
-            Access::Emptied => EMPTIED.max(it.wait(now)),
+            Access::Emptied => MIN_RETRY_AFTER.max(it.wait(now)),
         };
-        let ready = self.of(service).filter(|(_, it)| it.would_take_work());
+        let ready = self.of(service).filter(|(_, it)| it.is_ready());
         ready.map(|(_, it)| wait(it)).min().unwrap_or_default()
     }
 }
--- /dev/null
+++ b/crates/route/src/quarantine/persistence.rs
@@ -0,0 +1,48 @@
+//! Persistence of quarantined requests in the store.
+
+use std::time::Duration;
+
+use super::Quarantine;
+use crate::Print;
+
+impl Quarantine {
+    /// Returns the quarantined requests that the store doesn't contain yet.
+    #[must_use]
+    pub fn unkept(&self) -> Vec<Print> {
+        let unkept = self.quarantined.iter().filter(|it| !it.1.is_persisted);
+        unkept.map(|it| *it.0).collect()
+    }
+
+    /// Records that the store contains these requests.
+    pub fn keep(&mut self, now: Duration, prints: &[Print]) {
+        for print in prints {
+            if let Some(it) = self.quarantined.get_mut(print) {
+                it.is_persisted = true;
+                it.changed = now;
+                self.has_changes = true;
+            }
+        }
+    }
+
+    /// Records that the store was restored from an older copy, which may lack some requests.
+    pub(crate) fn restored(&mut self) {
+        for it in self.quarantined.values_mut() {
+            it.is_persisted = false;
+        }
+    }
+
+    /// Quarantines requests that the store contains from before this host's start.
+    pub fn recall(&mut self, now: Duration, prints: &[Print]) {
+        for print in prints {
+            if !self.quarantined.contains_key(print) {
+                self.add_quarantined(now, *print, now);
+            }
+        }
+        self.keep(now, prints);
+    }
+
+    /// Takes the requests released from quarantine since the last call.
+    pub fn take_released(&mut self) -> Vec<Print> {
+        std::mem::take(&mut self.released)
+    }
+}
--- /dev/null
+++ b/crates/route/src/quarantine/update.rs
@@ -0,0 +1,162 @@
+//! Gossip updates on process exits and quarantined requests.
+
+use std::cmp::Reverse;
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+
+use super::{QUARANTINE_TIME, Quarantine};
+use crate::Print;
+use crate::endpoint::Process;
+use crate::rollout::Scope;
+
+/// How often all quarantined requests are sent again, for hosts that missed them during a network
+/// partition.
+const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(5);
+/// How long a change is sent: in several updates, because each may be lost.
+const CHANGE_RESEND_TIME: Duration = Duration::from_millis(1_200);
+/// Maximum number of exits in one update; the latest are sent.
+const MAX_EXITS_PER_UPDATE: usize = 16;
+
+/// One host's update on process exits and quarantined requests.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct News {
+    /// Process exits.
+    #[serde(rename = "ends")]
+    pub exits: Vec<ExitReport>,
+    /// Quarantined requests.
+    #[serde(rename = "held")]
+    pub quarantined: Vec<QuarantineReport>,
+}
+
+/// The exit of an endpoint's process.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ExitReport {
+    /// The process.
+    pub process: Process,
+    /// How long ago it was detected.
+    pub age: Duration,
+    /// The requests in flight there.
+    pub suspects: Vec<Print>,
+    /// Requests that an endpoint survived.
+    pub cleared: Vec<Print>,
+}
+
+/// A quarantined request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct QuarantineReport {
+    /// The request.
+    pub print: Print,
+    /// How long it has been quarantined.
+    pub age: Duration,
+    /// Whether the store contains it.
+    #[serde(rename = "is_kept")]
+    pub is_persisted: bool,
+}
+
+impl News {
+    /// Returns whether the update contains nothing.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.exits.is_empty() && self.quarantined.is_empty()
+    }
+}
+
+impl Quarantine {
+    /// Builds an update for other hosts: recent changes, or all quarantined requests and the
+    /// latest exits.
+    pub fn news(&mut self, now: Duration, scope: Scope) -> News {
+        self.age(now);
+        let is_included =
+            |at: Duration| scope == Scope::All || now.saturating_sub(at) <= CHANGE_RESEND_TIME;
+        let mut exits: Vec<_> = self
+            .exits
+            .iter()
+            .filter(|(_, it)| is_included(it.changed()))
+            .collect();
+        exits.sort_by_key(|(_, it)| Reverse(it.changed()));
+        let exits = exits
+            .into_iter()
+            .take(MAX_EXITS_PER_UPDATE)
+            .map(|(process, it)| ExitReport {
+                process: *process,
+                age: now.saturating_sub(it.at),
+                suspects: it.suspects().collect(),
+                cleared: it.cleared().collect(),
+            });
+        let is_full_due = now.saturating_sub(self.last_full_update) >= FULL_UPDATE_INTERVAL;
+        if is_full_due {
+            self.last_full_update = now;
+        }
+        let includes_all = is_full_due || scope == Scope::All;
+        let is_fresh = |at: Duration| now.saturating_sub(at) <= CHANGE_RESEND_TIME;
+        let quarantined = self.quarantined.iter();
+        let quarantined = quarantined.filter(|(_, it)| includes_all || is_fresh(it.changed));
+        let quarantined = quarantined.map(|(print, it)| QuarantineReport {
+            print: *print,
+            age: now.saturating_sub(it.since),
+            is_persisted: it.is_persisted,
+        });
+        News {
+            exits: exits.collect(),
+            quarantined: quarantined.collect(),
+        }
+    }
+
+    /// Applies another host's update.
+    pub fn hear(&mut self, now: Duration, news: &News) {
+        self.age(now);
+        for it in &news.exits {
+            self.apply_exit(now, it);
+        }
+        for it in &news.quarantined {
+            self.apply_quarantined(now, it);
+        }
+    }
+
+    fn apply_exit(&mut self, now: Duration, report: &ExitReport) {
+        if report.age > QUARANTINE_TIME {
+            return;
+        }
+        let mut is_new = !self.exits.contains_key(&report.process);
+        if is_new {
+            self.add_exit(now, report.process, now.saturating_sub(report.age));
+        }
+        for print in &report.cleared {
+            if let Some(exit) = self.exits.get_mut(&report.process)
+                && exit.clear(now, *print)
+            {
+                is_new = true;
+                self.has_changes = true;
+                self.release(*print);
+            }
+        }
+        for print in &report.suspects {
+            is_new |= self.add_suspect(now, report.process, *print);
+        }
+        if is_new {
+            self.quarantine_suspects(now, report.process);
+        }
+    }
+
+    fn apply_quarantined(&mut self, now: Duration, report: &QuarantineReport) {
+        let is_known = self.quarantined.contains_key(&report.print);
+        if report.age < QUARANTINE_TIME && !is_known && !self.is_cleared(report.print) {
+            self.add_quarantined(now, report.print, now.saturating_sub(report.age));
+        }
+        let is_persisted = self
+            .quarantined
+            .get(&report.print)
+            .is_some_and(|it| it.is_persisted);
+        if report.is_persisted && !is_persisted {
+            self.keep(now, &[report.print]);
+        }
+    }
+
+    /// Returns whether this host knows that a request quarantined elsewhere was cleared.
+    fn is_cleared(&self, print: Print) -> bool {
+        let found = self.exits_by_request.get(&print).into_iter().flatten();
+        let mut exits = found.filter_map(|it| self.exits.get(it));
+        exits.any(|it| !it.is_suspect(print))
+    }
+}
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -1,12 +1,12 @@
-//! A roll-out: which requests try the new release, and what it is found to be.
+//! Progressive roll-out of a release: which requests it gets, and whether it is good or bad.
 
-mod drift;
 mod evidence;
-mod news;
+mod latency;
+mod observation;
 mod order;
 mod pooled;
 mod side;
-mod sighting;
+mod update;
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -15,242 +15,237 @@
 
 use crate::Revision;
 
-use drift::{Mean, Pace};
+use latency::{LatencyKind, MovingMean};
 use pooled::Pool;
 
-pub use drift::Drift;
 pub use evidence::{Evidence, Tally};
-pub use news::{News, Scope};
+pub use latency::LatencyRatios;
+pub use observation::Sighting;
 pub use order::{Order, Verdict};
 pub use pooled::{Sum, Total};
 pub use side::Side;
-pub use sighting::Sighting;
-
-/// The part of the allowed exposure that a release gets while it is unproven.
-/// The rest is for requests that hosts count differently at the edges.
-const TRIAL_PART: f64 = 0.5;
-/// When the trial ends and one endpoint of the new release is filled, as a part
-/// of the time that the order gives. A release may be bad only while most of an
-/// endpoint's places are taken, which a trial in a calm service never shows.
-const FILL_AT: f64 = 0.5;
-/// The part of the allowed exposure that the release gets meanwhile, of the
-/// requests of that time: with the largest model's answers it fills an endpoint
-/// of 48 places in a second and a half, and with the trial it stays at three
-/// quarters of what is allowed of all.
-const FILL_PART: f64 = 4.0;
-/// When traffic moves.
-const MOVE_AT: f64 = 0.62;
-/// When all traffic has moved.
-const MOVED_AT: f64 = 0.74;
-/// When the roll-out is complete. Endpoints of the old release stop at once
-/// then, so what was sent to them before the move must have ended.
-const COMPLETE_AT: f64 = 0.86;
-/// Answers of either release without which the new one is not judged. A host
-/// that has just started has none of the old one to compare with, and whatever
-/// befell the fleet would be put down to the new one.
-const MIN_ANSWERS: u32 = 20;
-/// Bad answers of the new release below which it is never judged bad. The
-/// bound on answers after a release has shown itself bad starts at the 50th.
-const MIN_BAD: u32 = 5;
-/// How much greater than the old release's share of bad answers the new one's
-/// may be, at the least that it can be.
-const MARGIN: f64 = 0.05;
-/// How many times as long as the old release's the new one's answers take, on
-/// the geometric mean, for it to be bad: from one event to the next, until a
-/// stream begins, and until a whole answer does. Streams vary most in that,
-/// since the new one's caches are empty.
-const SLOW_STEP: f64 = 1.6;
-const SLOW_FIRST: f64 = 2.2;
-const SLOW_WHOLE: f64 = 1.4;
-
-/// How long hosts tell each other which sessions are under way before the new
-/// release gets any. News comes twice in that time.
-const GATHERING: Duration = Duration::from_millis(1_200);
-/// How long before a release leaves its trial all hosts are told so, and as long again
-/// for each time that it has to be told on: three times what a change takes to reach
-/// all, so that lost messages are made up for.
-const NOTICE: Duration = Duration::from_millis(300);
-/// What is added for each time that news has to be told on to reach all hosts,
-/// and how many more hosts it reaches then.
-const FURTHER: Duration = Duration::from_millis(600);
-const REACHED: u32 = 8;
-
-/// A roll-out.
+pub use update::{News, Scope};
+
+/// Fraction of the allowed exposure that the release gets during its trial. The rest is a reserve
+/// for requests that hosts count differently at the edges.
+const TRIAL_EXPOSURE_FRACTION: f64 = 0.5;
+/// When the trial ends and one endpoint of the new release is filled to capacity, as a fraction of
+/// the roll-out's duration. A release may fail only when most of an endpoint's slots are in use,
+/// which a trial under light load doesn't show.
+const TRIAL_END_FRACTION: f64 = 0.5;
+/// Share of requests that the new release gets while one endpoint is filled, as a multiple of the
+/// allowed exposure. That phase is short, so the whole roll-out stays within the allowed exposure.
+const FILL_EXPOSURE_FACTOR: f64 = 4.0;
+/// When traffic starts to shift to the new release, as a fraction of the roll-out's duration.
+const SHIFT_START_FRACTION: f64 = 0.62;
+/// When all traffic has shifted.
+const SHIFT_END_FRACTION: f64 = 0.74;
+/// When the roll-out is complete. Endpoints of the old release stop immediately at that point, so
+/// requests sent to them before the shift must have ended.
+const COMPLETE_FRACTION: f64 = 0.86;
+/// Minimum number of the old release's responses for a bad verdict, and of the new release's for a
+/// good one. A host that has just started has no baseline, and would blame the new release for any
+/// other fault.
+const MIN_RESPONSES: u32 = 20;
+/// Minimum number of failed responses for a bad verdict because of failures.
+const MIN_FAILURES: u32 = 5;
+/// How far the lower confidence bound of the new release's failure rate may exceed the old
+/// release's rate.
+const FAILURE_RATE_MARGIN: f64 = 0.05;
+/// Latency ratios between the new and the old release (geometric mean) above which the new one is
+/// judged bad: between events of a stream, until a stream starts, and until a complete response
+/// starts. The start of a stream varies most because the new release's caches are empty.
+const MAX_EVENT_INTERVAL_RATIO: f64 = 1.6;
+const MAX_STREAM_START_RATIO: f64 = 2.2;
+const MAX_RESPONSE_START_RATIO: f64 = 1.4;
+
+/// How long hosts exchange which sessions are active before the new release gets any requests.
+/// Updates are sent twice in that time.
+const SESSION_EXCHANGE: Duration = Duration::from_millis(1_200);
+/// How long before the end of the trial it is announced, once plus once for each extra hop of
+/// gossip. Several times the propagation delay, to tolerate lost messages.
+const TRIAL_END_NOTICE: Duration = Duration::from_millis(300);
+/// Time added for each extra hop that an update needs to reach all hosts, and the factor by which
+/// the number of reached hosts grows per hop.
+const EXTRA_HOP_DELAY: Duration = Duration::from_millis(600);
+const HOSTS_PER_HOP: u32 = 8;
+
+/// The state of a roll-out on this host.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// What was asked for.
+    /// The operator's order.
     pub order: Order,
-    /// What it has come to.
+    /// The current verdict.
     pub verdict: Verdict,
-    /// The order's revision when the roll-out began.
     began_as: Revision,
     started: Duration,
-    gathering: Duration,
+    session_exchange: Duration,
     exposure: f64,
-    notice: Duration,
-    moves_on: Option<Duration>,
+    trial_end_notice: Duration,
+    trial_end: Option<Duration>,
     pool: Pool,
-    /// The old release's usual times, as logarithms.
-    usual: HashMap<(u64, Pace), Mean>,
-    /// Sessions that began on the old release and stay there while it is on trial.
-    held: HashSet<u64>,
-    /// Those of them that were told to the neighbours.
-    told: HashSet<u64>,
+    /// Moving means of the old release's latencies, as logarithms, by class of request.
+    baselines: HashMap<(u64, LatencyKind), MovingMean>,
+    /// Sessions that began on the old release and stay on it during the trial.
+    pinned_sessions: HashSet<u64>,
+    /// Those of these sessions that were already sent to the neighbours.
+    announced_sessions: HashSet<u64>,
 }
 
 impl Rollout {
-    /// A roll-out over so many hosts that began at `started`, which may expose an
-    /// unproven release to this share of requests.
+    /// Creates a roll-out that began at `started` on a fleet of `hosts` hosts. An unproven release
+    /// may get at most the share `exposure` of all requests.
     #[must_use]
     pub fn new(order: Order, started: Duration, exposure: f64, hosts: u32) -> Self {
-        let further = hosts.max(REACHED).ilog(REACHED) - 1;
+        let extra_hops = hosts.max(HOSTS_PER_HOP).ilog(HOSTS_PER_HOP) - 1;
         Self {
-            gathering: GATHERING + FURTHER * further,
+            session_exchange: SESSION_EXCHANGE + EXTRA_HOP_DELAY * extra_hops,
             began_as: order.revision,
             order,
             verdict: Verdict::Running,
             started,
             exposure,
-            notice: NOTICE * if hosts > 1 { 1 + further } else { 0 },
-            moves_on: None,
+            trial_end_notice: TRIAL_END_NOTICE * if hosts > 1 { 1 + extra_hops } else { 0 },
+            trial_end: None,
             pool: Pool::default(),
-            usual: HashMap::new(),
-            held: HashSet::new(),
-            told: HashSet::new(),
+            baselines: HashMap::new(),
+            pinned_sessions: HashSet::new(),
+            announced_sessions: HashSet::new(),
         }
     }
 
-    /// The order's revision when the roll-out began: what tells it from others, also
-    /// after the order was written again.
+    /// Returns the order's revision when the roll-out began. It identifies the roll-out even after
+    /// the order was rewritten.
     #[must_use]
     pub fn began_as(&self) -> Revision {
         self.began_as
     }
 
-    /// Takes an order that is the same one, written again after the store came back
-    /// without it, and says whether it is.
+    /// Adopts `order` if it is the current order, written again after the store lost it. Returns
+    /// whether it is.
     ///
-    /// Taken for a new one, a release that was found bad would be tried again, and
+    /// If it were treated as a new order, a release that was found bad would be tried again, and
     /// sessions that have moved would move back.
     pub(crate) fn renew(&mut self, order: &Order) -> bool {
         let known = &mut self.order;
         let is_same = (&known.release, known.over) == (&order.release, order.over);
-        let is_again = is_same && order.revision.era > known.revision.era;
-        if is_again {
+        let is_rewritten = is_same && order.revision.era > known.revision.era;
+        if is_rewritten {
             known.revision = order.revision;
         }
-        is_again
+        is_rewritten
     }
 
-    /// The share of requests that goes to the new release.
+    /// Returns the share of requests that goes to the new release.
     #[must_use]
     pub fn share(&self, now: Duration) -> f64 {
         match self.verdict {
             Verdict::Complete => 1.0,
             Verdict::Reverted => 0.0,
-            Verdict::Running if self.is_gathering(now) => 0.0,
+            Verdict::Running if self.is_exchanging_sessions(now) => 0.0,
             Verdict::Running => {
-                // This host's own verdict comes with its next look at the roll-out.
-                if !self.has_moved_on(now) || self.is_bad() {
+                // Bad evidence limits exposure at once; the verdict follows at the next poll.
+                if !self.has_left_trial(now) || self.is_bad() {
                     return self.trial_share();
                 }
                 let progress = self.progress(now);
-                // Never less than before: sessions that have moved stay.
-                let filled = (self.exposure * FILL_PART).min(1.0);
-                let moved = (progress - MOVE_AT) / (MOVED_AT - MOVE_AT);
-                filled + moved.clamp(0.0, 1.0) * (1.0 - filled)
+                // The share never decreases, so sessions that have moved stay.
+                let fill_share = (self.exposure * FILL_EXPOSURE_FACTOR).min(1.0);
+                let shifted =
+                    (progress - SHIFT_START_FRACTION) / (SHIFT_END_FRACTION - SHIFT_START_FRACTION);
+                fill_share + shifted.clamp(0.0, 1.0) * (1.0 - fill_share)
             }
         }
     }
 
-    /// The release for a request of a session that this host doesn't know.
+    /// Chooses the release for a request whose session this host doesn't know.
     #[must_use]
     pub(crate) fn side(&self, now: Duration, session: u64) -> Side {
-        if self.is_trial(now) && self.held.contains(&session) {
+        if self.is_pinning_sessions(now) && self.pinned_sessions.contains(&session) {
             return Side::Old;
         }
-        if lot(session) < self.share(now) {
+        if session_position(session) < self.share(now) {
             Side::New
         } else {
             Side::Old
         }
     }
 
-    /// The release for a request of a session that is on `release` already.
+    /// Chooses the release for a request whose session is already on `release`.
     ///
-    /// It stays there. Only in the later half, when the new release has proved
-    /// good, do sessions move to it with all other traffic.
+    /// The session stays there during the first half of the roll-out. In the second half, when the
+    /// new release has proved good, sessions move to it with all other traffic.
     #[must_use]
     pub(crate) fn keep(&self, now: Duration, release: &Release, session: u64) -> Side {
         match self.verdict {
             Verdict::Complete => Side::New,
             Verdict::Reverted => Side::Old,
             Verdict::Running if *release == self.order.release => Side::New,
-            Verdict::Running if self.is_trial(now) => Side::Old,
+            Verdict::Running if self.is_pinning_sessions(now) => Side::Old,
             Verdict::Running => self.side(now, session),
         }
     }
 
-    /// Whether a session would be on the new release if it weren't on the old
-    /// one already: the other hosts have to be told of it.
+    /// Returns whether the session would be on the new release if it hadn't started on the old
+    /// one. The other hosts must be informed of such sessions.
     pub(crate) fn is_contested(&self, session: u64) -> bool {
-        lot(session) < self.trial_share()
+        session_position(session) < self.trial_share()
     }
 
     fn trial_share(&self) -> f64 {
-        self.exposure * TRIAL_PART
+        self.exposure * TRIAL_EXPOSURE_FRACTION
     }
 
-    fn is_gathering(&self, now: Duration) -> bool {
-        now.saturating_sub(self.started) < self.gathering
+    fn is_exchanging_sessions(&self, now: Duration) -> bool {
+        now.saturating_sub(self.started) < self.session_exchange
     }
 
-    /// Whether sessions stay on the old release that began there.
-    fn is_trial(&self, now: Duration) -> bool {
+    /// Returns whether sessions that started on the old release stay there.
+    fn is_pinning_sessions(&self, now: Duration) -> bool {
         const FIRST_HALF: f64 = 0.5;
         self.progress(now) < FIRST_HALF
     }
 
-    /// Whether one endpoint of the new release is being filled.
+    /// Returns whether one endpoint of the new release is being filled to capacity.
     #[must_use]
     pub(crate) fn is_filling(&self, now: Duration) -> bool {
         let is_running = self.verdict == Verdict::Running;
-        is_running && self.has_moved_on(now) && self.progress(now) < MOVE_AT
+        is_running && self.has_left_trial(now) && self.progress(now) < SHIFT_START_FRACTION
     }
 
-    /// Has the release leave its trial, if it is time and it has proved good; says
-    /// whether the others are to hear of that.
+    /// Schedules the end of the trial if it is due and the release has proved good. Returns
+    /// whether other hosts must be informed.
     ///
-    /// Failure: each host decided for itself, by what it had heard of the others'
-    /// answers. Among hundreds some knew enough a second before the others; a session
-    /// that went from one to the other was answered by the new release and by the old
-    /// one in turns. So one host proposes a moment that all hear of before it comes.
+    /// If each host decided by the evidence it has received, some would end the trial earlier than
+    /// others, and a session that changes hosts would alternate between the releases. Instead, one
+    /// host proposes a time that all learn before it comes.
     pub fn advance(&mut self, now: Duration) -> bool {
         let elapsed = self.elapsed(now);
-        let fills = self.order.over.mul_f64(FILL_AT);
-        let is_due = self.verdict == Verdict::Running && elapsed + self.notice >= fills;
-        if self.moves_on.is_some() || !is_due || !self.is_good() {
+        let planned_end = self.order.over.mul_f64(TRIAL_END_FRACTION);
+        let is_due =
+            self.verdict == Verdict::Running && elapsed + self.trial_end_notice >= planned_end;
+        if self.trial_end.is_some() || !is_due || !self.is_good() {
             return false;
         }
-        self.moves_on = Some(fills.max(elapsed + self.notice));
+        self.trial_end = Some(planned_end.max(elapsed + self.trial_end_notice));
         true
     }
 
-    fn has_moved_on(&self, now: Duration) -> bool {
-        self.moves_on.is_some_and(|it| self.elapsed(now) >= it)
+    fn has_left_trial(&self, now: Duration) -> bool {
+        self.trial_end.is_some_and(|it| self.elapsed(now) >= it)
     }
 
     fn elapsed(&self, now: Duration) -> Duration {
         now.saturating_sub(self.started)
     }
 
-    /// Whether an endpoint of this release may take a request of this side.
+    /// Returns whether an endpoint that runs `release` may take a request of this side.
     #[must_use]
     pub fn fits(&self, side: Side, release: &Release) -> bool {
         (side == Side::New) == (*release == self.order.release)
     }
 
-    /// What this host finds, if it is time to say so.
+    /// Returns the verdict that this host reaches from the evidence, if one is due.
     #[must_use]
     pub fn finding(&self, now: Duration) -> Option<Verdict> {
         if self.verdict != Verdict::Running {
@@ -259,108 +254,127 @@
         if self.is_bad() {
             return Some(Verdict::Reverted);
         }
-        (self.progress(now) >= COMPLETE_AT && self.is_good()).then_some(Verdict::Complete)
+        (self.progress(now) >= COMPLETE_FRACTION && self.is_good()).then_some(Verdict::Complete)
     }
 
-    /// Takes an answer, or a failure, of either release.
-    pub fn answer(&mut self, side: Side, sighting: &Sighting) {
+    /// Records a response, or a failure, of either release.
+    pub fn answer(&mut self, side: Side, observation: &Sighting) {
         let tally = match side {
             Side::Old => &mut self.pool.own.old,
             Side::New => &mut self.pool.own.new,
         };
-        tally.add(sighting.tally());
-        if side == Side::New && sighting.is_crowded {
-            self.pool.own.crowded.add(sighting.tally());
+        tally.add(observation.tally());
+        if side == Side::New && observation.is_crowded {
+            self.pool.own.crowded.add(observation.tally());
         }
-        if !sighting.failed {
-            self.compare(side, (sighting.class, Pace::First), sighting.first);
-            self.compare(side, (sighting.class, Pace::Whole), sighting.whole);
-            self.compare(side, (sighting.class, Pace::Step), sighting.step);
+        if !observation.failed {
+            self.record_latency(
+                side,
+                (observation.class, LatencyKind::StreamStart),
+                observation.first,
+            );
+            self.record_latency(
+                side,
+                (observation.class, LatencyKind::ResponseStart),
+                observation.whole,
+            );
+            self.record_latency(
+                side,
+                (observation.class, LatencyKind::EventInterval),
+                observation.step,
+            );
         }
     }
 
-    /// Sets a time of the new release against the old one's of the same class.
-    fn compare(&mut self, side: Side, key: (u64, Pace), value: Option<f64>) {
+    /// Adds a latency to the baseline (old release), or compares it with the baseline of its class
+    /// (new release).
+    fn record_latency(&mut self, side: Side, key: (u64, LatencyKind), value: Option<f64>) {
         let Some(value) = value.filter(|it| *it > 0.0).map(f64::ln) else {
             return;
         };
-        let usual = self.usual.entry(key).or_default();
+        let baseline = self.baselines.entry(key).or_default();
         match side {
-            Side::Old => usual.add(value),
-            Side::New if usual.is_known() => {
-                let drift = match key.1 {
-                    Pace::First => &mut self.pool.own.first,
-                    Pace::Whole => &mut self.pool.own.whole,
-                    Pace::Step => &mut self.pool.own.step,
+            Side::Old => baseline.add(value),
+            Side::New if baseline.is_known() => {
+                let ratios = match key.1 {
+                    LatencyKind::StreamStart => &mut self.pool.own.stream_start,
+                    LatencyKind::ResponseStart => &mut self.pool.own.response_start,
+                    LatencyKind::EventInterval => &mut self.pool.own.event_interval,
                 };
-                drift.add(value - usual.value);
+                ratios.add(value - baseline.value);
             }
             Side::New => {}
         }
     }
 
-    /// What this host has seen.
+    /// Returns what this host itself has observed.
     #[must_use]
     pub fn evidence(&self) -> Evidence {
         self.pool.own
     }
 
-    /// What this host tells the others, with the sessions that stay on the old
-    /// release: its own, and those that it heard of.
-    pub fn news(&mut self, now: Duration, held: impl Iterator<Item = u64>, scope: Scope) -> News {
-        let mut held: HashSet<u64> = held.collect();
-        if self.is_trial(now) {
-            held.extend(&self.held);
+    /// Builds the update for other hosts. It includes the sessions that stay on the old release:
+    /// those of this host, and those that other hosts reported.
+    pub fn news(
+        &mut self,
+        now: Duration,
+        pinned_sessions: impl Iterator<Item = u64>,
+        scope: Scope,
+    ) -> News {
+        let mut pinned_sessions: HashSet<u64> = pinned_sessions.collect();
+        if self.is_pinning_sessions(now) {
+            pinned_sessions.extend(&self.pinned_sessions);
         }
         if scope == Scope::Fresh {
-            held.retain(|it| self.told.insert(*it));
+            pinned_sessions.retain(|it| self.announced_sessions.insert(*it));
         }
         News {
             order: self.order.clone(),
             elapsed: self.elapsed(now),
             verdict: self.verdict,
-            moves_on: self.moves_on,
+            trial_end: self.trial_end,
             evidence: self.pool.own,
             sums: Vec::new(),
             totals: self.pool.totals(scope),
-            held: held.into_iter().collect(),
+            pinned_sessions: pinned_sessions.into_iter().collect(),
         }
     }
 
-    /// What this host has seen and those who tell it, for one who gathers it.
+    /// Returns the evidence of this host and of the hosts that report to it, for the aggregating
+    /// host `root`.
     #[must_use]
     pub fn sum(&self, now: Duration, root: usize, distance: u8) -> Sum {
         self.pool.sum(now, root, distance)
     }
 
-    /// Has this host, which gathers what all have seen, say what that is while it can
-    /// decide something. It tells so as `gatherer`.
-    pub fn gather(&mut self, now: Duration, root: usize, gatherer: u64) {
+    /// Publishes the fleet's total evidence while the roll-out is running. Called on an
+    /// aggregating host, identified by `aggregator`.
+    pub fn gather(&mut self, now: Duration, root: usize, aggregator: u64) {
         if self.verdict == Verdict::Running {
-            self.pool.gather(now, root, gatherer);
+            self.pool.gather(now, root, aggregator);
         }
     }
 
-    /// Takes what another host tells of the same roll-out; its evidence replaces what
-    /// it told before. Says whether neighbours are to hear of it at once.
+    /// Applies another host's update on the same roll-out; its evidence replaces that of the
+    /// host's previous update. Returns whether neighbours must be informed at once.
     pub fn hear(&mut self, now: Duration, host: &HostName, news: &News) -> bool {
-        let known = self.held.len();
-        self.held.extend(&news.held);
-        // A host that has started since saw the order later than the others.
+        let known = self.pinned_sessions.len();
+        self.pinned_sessions.extend(&news.pinned_sessions);
+        // A host that started later saw the order later than the others.
         self.started = self.started.min(now.saturating_sub(news.elapsed));
         let verdict = self.verdict;
         if self.verdict == Verdict::Running {
             self.verdict = news.verdict;
         }
-        let earlier = [self.moves_on, news.moves_on].into_iter().flatten().min();
-        let is_agreed = earlier != self.moves_on;
-        self.moves_on = earlier;
-        let is_pooled = self.pool.hear(now, host, news);
-        let is_held = self.is_trial(now) && self.held.len() > known;
-        is_held || is_agreed || is_pooled || self.verdict != verdict
+        let earlier = [self.trial_end, news.trial_end].into_iter().flatten().min();
+        let has_new_end = earlier != self.trial_end;
+        self.trial_end = earlier;
+        let has_new_total = self.pool.hear(now, host, news);
+        let has_new_sessions = self.is_pinning_sessions(now) && self.pinned_sessions.len() > known;
+        has_new_sessions || has_new_end || has_new_total || self.verdict != verdict
     }
 
-    /// How much of the time that the order gives has passed.
+    /// Returns the elapsed fraction of the roll-out's duration.
     #[must_use]
     pub fn progress(&self, now: Duration) -> f64 {
         self.elapsed(now)
@@ -369,29 +383,30 @@
 
     fn is_bad(&self) -> bool {
         let all = self.pooled();
-        let usual = all.old.bad_share() + MARGIN;
+        let max_failure_rate = all.old.failure_rate() + FAILURE_RATE_MARGIN;
         let fails = [all.new, all.crowded]
             .iter()
-            .any(|it| it.bad >= MIN_BAD && it.least_bad_share() > usual);
-        let is_slow = all.step.exceeds(SLOW_STEP)
-            || all.first.exceeds(SLOW_FIRST)
-            || all.whole.exceeds(SLOW_WHOLE);
-        all.old.answers >= MIN_ANSWERS && (fails || is_slow)
+            .any(|it| it.bad >= MIN_FAILURES && it.min_failure_rate() > max_failure_rate);
+        let is_slow = all.event_interval.exceeds(MAX_EVENT_INTERVAL_RATIO)
+            || all.stream_start.exceeds(MAX_STREAM_START_RATIO)
+            || all.response_start.exceeds(MAX_RESPONSE_START_RATIO);
+        all.old.answers >= MIN_RESPONSES && (fails || is_slow)
     }
 
     fn is_good(&self) -> bool {
-        !self.is_bad() && self.pooled().new.answers >= MIN_ANSWERS
+        !self.is_bad() && self.pooled().new.answers >= MIN_RESPONSES
     }
 
-    /// What all hosts have seen, as far as this one knows.
+    /// Returns the evidence of all hosts, as far as this host knows it.
     #[must_use]
     pub fn pooled(&self) -> Evidence {
         self.pool.pooled()
     }
 }
 
-/// The number by which a session falls to a release. Other bits of the hash
-/// choose the service: with the same ones, one service would get all the trials.
-fn lot(session: u64) -> f64 {
+/// Maps a session to a number in `0..1` that decides which release it gets. The service is chosen
+/// by other bits of the same hash: with the same bits, one service would get all requests on
+/// trial.
+fn session_position(session: u64) -> f64 {
     hash::unit(session.rotate_left(32))
 }
--- a/crates/route/src/rollout/evidence.rs
+++ b/crates/route/src/rollout/evidence.rs
@@ -1,65 +1,68 @@
-//! How releases answered.
+//! Evidence on the quality of two releases.
 
 use serde::{Deserialize, Serialize};
 
-use super::Drift;
+use super::LatencyRatios;
 
-/// How the two releases answered one host.
+/// Responses of both releases, as observed by one or more hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The new release.
     pub new: Tally,
-    /// The old one.
+    /// The old release.
     pub old: Tally,
-    /// The new one, of endpoints with most of their places taken.
+    /// The new release, on endpoints with most of their slots in use.
     pub crowded: Tally,
-    /// How much longer the new one's streams take to begin.
-    pub first: Drift,
-    /// How much longer its whole answers take to begin.
-    pub whole: Drift,
-    /// How much longer they take from one event to the next.
-    pub step: Drift,
+    /// Ratios of the time until a stream starts.
+    #[serde(rename = "first")]
+    pub stream_start: LatencyRatios,
+    /// Ratios of the time until a complete response starts.
+    #[serde(rename = "whole")]
+    pub response_start: LatencyRatios,
+    /// Ratios of the time between events.
+    #[serde(rename = "step")]
+    pub event_interval: LatencyRatios,
 }
 
 impl Evidence {
-    /// Adds what others have seen.
+    /// Adds the evidence of other hosts.
     pub(super) fn add(&mut self, other: &Self) {
         self.new.add(other.new);
         self.old.add(other.old);
         self.crowded.add(other.crowded);
-        self.first.join(other.first);
-        self.whole.join(other.whole);
-        self.step.join(other.step);
+        self.stream_start.merge(other.stream_start);
+        self.response_start.merge(other.response_start);
+        self.event_interval.merge(other.event_interval);
     }
 
-    /// How many answers it is about.
-    pub(super) fn answers(&self) -> u32 {
+    /// Returns the number of responses counted.
+    pub(super) fn responses(&self) -> u32 {
         self.new.answers.saturating_add(self.old.answers)
     }
 }
 
-/// How a release answered.
+/// Counts of responses of one release.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// All answers.
+    /// All responses.
     pub answers: u32,
-    /// Those that failed.
+    /// Failed responses.
     pub bad: u32,
 }
 
 impl Tally {
-    pub(super) fn bad_share(self) -> f64 {
+    pub(super) fn failure_rate(self) -> f64 {
         f64::from(self.bad) / f64::from(self.answers.max(1))
     }
 
-    /// The share of bad answers that it has at least, by two and a half standard errors:
-    /// services fail some of their requests anyway, up to one in seven was
-    /// seen, and a few more in the first dozen prove nothing.
-    pub(super) fn least_bad_share(self) -> f64 {
-        const SURE: f64 = 2.5;
-        let share = self.bad_share();
-        let error = (share * (1.0 - share) / f64::from(self.answers.max(1))).sqrt();
-        share - SURE * error
+    /// Returns a lower confidence bound of the failure rate, two and a half standard errors below
+    /// the observed rate. Services fail some requests anyway, so a few more failures among the
+    /// first responses prove nothing.
+    pub(super) fn min_failure_rate(self) -> f64 {
+        const STD_ERRORS: f64 = 2.5;
+        let rate = self.failure_rate();
+        let error = (rate * (1.0 - rate) / f64::from(self.answers.max(1))).sqrt();
+        rate - STD_ERRORS * error
     }
 
     pub(super) fn add(&mut self, other: Self) {
--- a/crates/route/src/rollout/pooled.rs
+++ b/crates/route/src/rollout/pooled.rs
@@ -1,4 +1,4 @@
-//! What all hosts have seen of a roll-out's releases.
+//! Aggregation of the evidence of all hosts.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,85 +8,88 @@
 
 use super::{Evidence, News, Scope};
 
-/// How long what a neighbour told of its part counts. It tells twice a second; one
-/// that has died or tells another one now would be counted twice.
-const KEPT: Duration = Duration::from_secs(2);
+/// How long a neighbour's partial sum counts. Neighbours send theirs twice a second; the sum of
+/// one that died or changed its parent must expire, or it would be counted twice.
+const PARTIAL_SUM_TTL: Duration = Duration::from_secs(2);
 
-/// How often a total is told.
-const PERIOD: Duration = Duration::from_millis(500);
+/// Minimum time between two totals of the same host.
+const TOTAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a host and those behind it have seen, on its way to one who gathers it.
+/// Evidence of a host and of the hosts below it in the aggregation tree, on its way to an
+/// aggregating host.
 ///
-/// Each host to every other would be 87,000 reports a second among 295, and told on at
-/// random an answer took twenty seconds to be known to most. Added up on the way, a
-/// report each half second a host is enough, and one answer takes a second or two.
+/// Exchanging evidence between all pairs of hosts, or spreading it by random gossip, is too
+/// expensive or too slow in a large fleet. With sums built on the way, each host sends one report
+/// per interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sum {
-    /// Which of those who gather it is for.
+    /// Index of the aggregating host that it is for.
     pub root: usize,
-    /// How many hops the teller is away from there. Who is no nearer doesn't take it:
-    /// while hosts differ about who lives, a sum could come back to where it was.
+    /// The sender's distance from that host, in hops. A receiver that is no nearer ignores the
+    /// sum: while hosts disagree on the membership, a sum could otherwise return to its origin.
     pub distance: u8,
-    /// What was seen.
+    /// The sum.
     pub evidence: Evidence,
 }
 
-/// What all hosts have seen, as one who gathers it says.
+/// Evidence of all hosts, published by an aggregating host.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Total {
-    /// Who gathered it.
-    pub gatherer: u64,
-    /// Rises with each that it tells.
-    pub number: u64,
-    /// What was seen.
+    /// Identifies the aggregating host.
+    #[serde(rename = "gatherer")]
+    pub aggregator: u64,
+    /// Increases with each total that the host publishes.
+    #[serde(rename = "number")]
+    pub sequence: u64,
+    /// The total.
     pub evidence: Evidence,
 }
 
-/// What all hosts have seen, as far as this one knows.
+/// Evidence of all hosts, as far as this host knows it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pool {
     pub(super) own: Evidence,
-    /// What each host that tells this one has seen itself.
-    others: HashMap<HostName, Evidence>,
-    /// What neighbours told of themselves and those behind them, by whom it is for.
-    parts: HashMap<(usize, HostName), Part>,
-    totals: HashMap<u64, Known>,
+    /// The evidence that each other host reported as observed by itself.
+    by_host: HashMap<HostName, Evidence>,
+    /// Partial sums of neighbours, by aggregating host and neighbour.
+    received_sums: HashMap<(usize, HostName), ReceivedSum>,
+    totals: HashMap<u64, KnownTotal>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct ReceivedSum {
     at: Duration,
     evidence: Evidence,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownTotal {
     total: Total,
-    is_told: bool,
+    is_sent: bool,
 }
 
 impl Pool {
-    /// Takes what another host tells, and says whether it is to be told on.
+    /// Applies another host's update. Returns whether it contains a new total to forward.
     pub(super) fn hear(&mut self, now: Duration, host: &HostName, news: &News) -> bool {
-        self.others.insert(host.clone(), news.evidence);
+        self.by_host.insert(host.clone(), news.evidence);
         for it in &news.sums {
-            let part = Part {
+            let received = ReceivedSum {
                 at: now,
                 evidence: it.evidence,
             };
-            self.parts.insert((it.root, host.clone()), part);
+            self.received_sums.insert((it.root, host.clone()), received);
         }
-        let mut is_later = false;
+        let mut has_new = false;
         for total in &news.totals {
-            is_later |= self.take(*total);
+            has_new |= self.insert_total(*total);
         }
-        is_later
+        has_new
     }
 
     pub(super) fn sum(&self, now: Duration, root: usize, distance: u8) -> Sum {
         let mut evidence = self.own;
-        for ((of, _), it) in &self.parts {
-            if *of == root && now.saturating_sub(it.at) <= KEPT {
+        for ((of, _), it) in &self.received_sums {
+            if *of == root && now.saturating_sub(it.at) <= PARTIAL_SUM_TTL {
                 evidence.add(&it.evidence);
             }
         }
@@ -97,42 +100,42 @@
         }
     }
 
-    /// Takes what all have told this host as the next total, at most as often as they
-    /// tell it: each total goes round all hosts.
-    pub(super) fn gather(&mut self, now: Duration, root: usize, gatherer: u64) {
-        let number = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
+    /// Publishes the sum of all reports as the next total. Limited to one per reporting interval,
+    /// because every total is forwarded to all hosts.
+    pub(super) fn gather(&mut self, now: Duration, root: usize, aggregator: u64) {
+        let sequence = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
         let evidence = self.sum(now, root, 0).evidence;
-        let is_due = self.totals.get(&gatherer).is_none_or(|it| {
-            let since = Duration::from_millis(number.saturating_sub(it.total.number));
-            since >= PERIOD && it.total.evidence != evidence
+        let is_due = self.totals.get(&aggregator).is_none_or(|it| {
+            let since = Duration::from_millis(sequence.saturating_sub(it.total.sequence));
+            since >= TOTAL_INTERVAL && it.total.evidence != evidence
         });
         if is_due {
-            self.take(Total {
-                gatherer,
-                number,
+            self.insert_total(Total {
+                aggregator,
+                sequence,
                 evidence,
             });
         }
     }
 
     pub(super) fn totals(&mut self, scope: Scope) -> Vec<Total> {
-        let is_due = |it: &&Known| scope == Scope::All || !it.is_told;
+        let is_due = |it: &&KnownTotal| scope == Scope::All || !it.is_sent;
         let due = self.totals.values().filter(is_due);
         let totals = due.map(|it| it.total).collect();
         if scope == Scope::Fresh {
-            self.totals.values_mut().for_each(|it| it.is_told = true);
+            self.totals.values_mut().for_each(|it| it.is_sent = true);
         }
         totals
     }
 
-    /// The most complete of what is known: a host that has just come to gather
-    /// hears of all within a second or two, and its total is small until then.
+    /// Returns the most complete evidence known. The total of a new aggregating host is incomplete
+    /// until all hosts have reported to it.
     pub(super) fn pooled(&self) -> Evidence {
         let mut direct = self.own;
-        self.others.values().for_each(|it| direct.add(it));
+        self.by_host.values().for_each(|it| direct.add(it));
         let totals = self.totals.values().map(|it| it.total.evidence);
         totals.fold(direct, |most, it| {
-            if it.answers() > most.answers() {
+            if it.responses() > most.responses() {
                 it
             } else {
                 most
@@ -140,13 +143,14 @@
         })
     }
 
-    fn take(&mut self, total: Total) -> bool {
-        let known = self.totals.get(&total.gatherer);
-        if known.is_some_and(|it| it.total.number >= total.number) {
+    fn insert_total(&mut self, total: Total) -> bool {
+        let known = self.totals.get(&total.aggregator);
+        if known.is_some_and(|it| it.total.sequence >= total.sequence) {
             return false;
         }
-        let is_told = false;
-        self.totals.insert(total.gatherer, Known { total, is_told });
+        let is_sent = false;
+        self.totals
+            .insert(total.aggregator, KnownTotal { total, is_sent });
         true
     }
 }
--- /dev/null
+++ b/crates/route/src/rollout/update.rs
@@ -0,0 +1,39 @@
+//! Gossip updates on roll-outs.
+
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+
+use super::{Evidence, Order, Sum, Total, Verdict};
+
+/// One host's update on a roll-out.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct News {
+    /// The operator's order.
+    pub order: Order,
+    /// How long ago the order was first seen.
+    pub elapsed: Duration,
+    /// The verdict that the host knows.
+    pub verdict: Verdict,
+    /// When the release leaves its trial, counted from the order, once hosts agree on it.
+    #[serde(rename = "moves_on")]
+    pub trial_end: Option<Duration>,
+    /// What the host itself has observed.
+    pub evidence: Evidence,
+    /// Partial sums of evidence on their way to the aggregating hosts.
+    pub sums: Vec<Sum>,
+    /// Totals of all hosts.
+    pub totals: Vec<Total>,
+    /// Hashes of sessions that are on the old release and would otherwise be on the new one.
+    #[serde(rename = "held")]
+    pub pinned_sessions: Vec<u64>,
+}
+
+/// How much of its state a host sends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Scope {
+    /// Only what wasn't sent before; neighbours forward it.
+    Fresh,
+    /// The full state, for a host that has just started.
+    All,
+}
--- a/crates/route/src/warm_up.rs
+++ b/crates/route/src/warm_up.rs
@@ -1,11 +1,11 @@
-//! How endpoints that have just started are spared.
+//! Rate limiting of endpoints that have just started.
 //!
-//! A cold endpoint looks idle to every host at once, and ends under what they send together.
-//! No host can ask the others before each request, so a few of them bear each cold endpoint:
-//! those that come first for it by a hash of both. Each of these spaces its requests so that
-//! all of them stay within what the endpoint takes in any second, whatever their clocks.
-//! Hosts that know each other only in part take too many for bearers, in the proportion in
-//! which they don't: see `docs/design/shifted.md`.
+//! A cold endpoint looks idle to every host, and exits under the load that all of them send
+//! together. Hosts can't coordinate each request, so rendezvous hashing selects a few hosts for
+//! each cold endpoint. Each of these spaces its requests so that their sum stays within the
+//! endpoint's rate in any second, without synchronized clocks. If hosts know only part of the
+//! fleet, too many select themselves, in proportion to the unknown part: see
+//! `docs/design/shifted.md`.
 
 use std::time::Duration;
 
@@ -13,65 +13,69 @@
 
 use crate::endpoint::Process;
 
-/// What a service's endpoints bear after a start.
+/// The warm-up limits of a service's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    /// How long they stay cold.
+    /// How long an endpoint stays cold after its start.
     pub span: Duration,
-    /// Requests a second that one takes meanwhile, from all hosts together.
+    /// Requests per second that a cold endpoint takes from all hosts together.
     pub rate: f64,
 }
 
-/// The hosts that share what cold endpoints take.
+/// The hosts that share the request rate of cold endpoints.
 ///
-/// All that are known, whether they are heard or not: a host that is cut off from others
-/// would else take their shares over while they still use them. What silent hosts leave
-/// unused is lost for the seconds that an endpoint is cold.
+/// Includes all known hosts, even unreachable ones: in a network partition, each side would
+/// otherwise take over the other side's shares while those are still in use. The shares of silent
+/// hosts are unused while an endpoint is cold.
 #[derive(Clone, Debug)]
 pub struct Peers {
     own: u64,
     others: Vec<u64>,
 }
 
-/// What one host may send to a cold endpoint.
+/// The request rate that one host may use at a cold endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Share {
-    /// It takes any number.
-    Free,
-    /// Nothing: others bear it, or this host doesn't know the others yet.
-    Nothing,
-    /// One request each time this has passed.
-    Every(Duration),
+    /// Unlimited.
+    Unlimited,
+    /// Zero: other hosts are selected, or this host doesn't know the others yet.
+    Zero,
+    /// One request per interval.
+    OnePer(Duration),
 }
 
 impl Peers {
-    /// This host and all others that it knows.
+    /// Creates the set from this host and all others that it knows.
     pub fn new<'a>(own: &HostName, others: impl Iterator<Item = &'a HostName>) -> Self {
-        let place = |it: &HostName| hash::of(it.as_str());
+        let hash_of = |it: &HostName| hash::of(it.as_str());
         Self {
-            own: place(own),
-            others: others.filter(|it| *it != own).map(place).collect(),
+            own: hash_of(own),
+            others: others.filter(|it| *it != own).map(hash_of).collect(),
         }
     }
 
-    /// This host's share of what a cold endpoint takes.
+    /// Returns this host's share of a cold endpoint's rate.
     pub(crate) fn share(&self, warm_up: WarmUp, endpoint: Process) -> Share {
-        /// Requests that leave a second apart may arrive a little closer.
-        const MARGIN: f64 = 1.05;
-        let hosts = 1.0 + number(self.others.len());
-        let bearers = warm_up.rate.floor().clamp(1.0, hosts);
+        /// Tolerance for requests that arrive closer together than they were sent.
+        const INTERVAL_MARGIN: f64 = 1.05;
+        let hosts = 1.0 + to_f64(self.others.len());
+        let sender_count = warm_up.rate.floor().clamp(1.0, hosts);
         let own = endpoint.rank(self.own);
-        let before = self.others.iter().filter(|it| endpoint.rank(**it) > own);
-        if number(before.count()) >= bearers {
-            return Share::Nothing;
+        let ranked_before = self.others.iter().filter(|it| endpoint.rank(**it) > own);
+        if to_f64(ranked_before.count()) >= sender_count {
+            return Share::Zero;
         }
-        let each = (warm_up.rate / bearers).floor();
-        let rate = if each < 1.0 { warm_up.rate } else { each };
-        let pause = Duration::try_from_secs_f64(MARGIN / rate);
-        pause.map_or(Share::Nothing, Share::Every)
+        let rate_per_sender = (warm_up.rate / sender_count).floor();
+        let rate = if rate_per_sender < 1.0 {
+            warm_up.rate
+        } else {
+            rate_per_sender
+        };
+        let interval = Duration::try_from_secs_f64(INTERVAL_MARGIN / rate);
+        interval.map_or(Share::Zero, Share::OnePer)
     }
 }
 
-fn number(count: usize) -> f64 {
+fn to_f64(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
