--- a/crates/host/src/gossip.rs
+++ b/crates/host/src/gossip.rs
@@ -1,7 +1,8 @@
-//! Who the other hosts are, whether they live, and how news of it travels.
+//! Host membership and failure detection by gossip.
 //!
-//! A pure core: it knows no network and no clock, so that hundreds of hosts run in
-//! one test. [`crate::talk`] carries what it says. See `docs/design/gossip.md`.
+//! Does no input or output and takes the time from its caller, so that a test can simulate
+//! hundreds of hosts. [`crate::talk`] sends and receives the messages. See
+//! `docs/design/gossip.md`.
 
 mod compare;
 mod graph;
@@ -23,58 +24,58 @@
 pub use roster::Roster;
 use watch::{Finding, Watch};
 
-/// How often a host tells its neighbours what it knows, if nothing happens.
+/// The interval between routine updates to the neighbours.
 pub const PERIOD: Duration = Duration::from_millis(500);
-/// How long a host that has news waits for more before it tells them: many hosts that
-/// start or fall silent at once are told in a few messages in place of one each. Five
-/// hops of it are a tenth of a second.
+/// The delay before a change is sent to the neighbours, in which further changes are added
+/// to the same update. When many hosts start or fail together, their changes travel in a
+/// few messages.
 pub const GATHER: Duration = Duration::from_millis(20);
-/// The least time between two pieces of a host's news: sessions and counts that change
-/// all the time go on with what changes in between. Five hops of it are half a second.
+/// The least time between two updates from a host. Limits the traffic of state that changes
+/// continuously.
 pub const SPACING: Duration = Duration::from_millis(100);
-/// How often a host looks whether one that is silent is back.
+/// The interval between attempts to reconnect to a silent host.
 pub const RETRY: Duration = Duration::from_secs(1);
-/// How long another host's view may differ from this one's before they are compared:
-/// news under way makes views differ for some hundred milliseconds.
+/// How long another host's fingerprint may differ before the two views are compared.
+/// Fingerprints differ briefly while an update is propagating.
 const PATIENCE: Duration = Duration::from_millis(1_200);
-/// The least time between two comparisons that this host begins.
+/// The least time between two comparisons that this host starts.
 const COMPARE_PAUSE: Duration = Duration::from_secs(1);
 
-/// What a host tells its neighbours of the hosts.
+/// The membership changes that a host sends to its neighbours.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pulse {
-    /// What it has learned since the last pulse.
+    /// The records that changed since the previous update.
     pub records: Vec<Record>,
-    /// Tells whether two hosts know the same.
+    /// Fingerprint of the sender's roster; equal rosters have equal fingerprints.
     pub fingerprint: u64,
 }
 
-/// What a pulse calls for.
+/// What the receiver of an update does next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Heard {
-    /// It changed what is known, and the neighbours are to hear it.
+    /// The update changed the roster; send the change to the neighbours.
     pub is_news: bool,
-    /// The sender's view has differed for too long and is to be compared.
+    /// The sender's view has differed for too long; compare the two.
     pub differs: bool,
 }
 
-/// Who the other hosts are, whether they live, and whom this host tells what.
+/// The membership state of this host and the neighbours it exchanges updates with.
 #[derive(Debug)]
 pub struct Gossip {
     roster: Roster,
     graph: Graph,
     watch: Watch,
-    /// Whom this host told until lately, and until when it goes on.
+    /// Previous successors, and until when they still receive updates.
     former: Vec<(HostName, Duration)>,
-    /// Hosts of which something is known that the neighbours haven't been told.
+    /// Hosts whose records changed since the previous update.
     untold: Vec<HostName>,
-    /// Since when other hosts' views differ from this one's.
+    /// Since when the fingerprints of other hosts differ from this one's.
     differing: HashMap<HostName, Duration>,
     compared: Option<Duration>,
 }
 
 impl Gossip {
-    /// Knows only this host, which starts at `now`.
+    /// Creates the state of a host that starts at `now` and knows no other host.
     #[must_use]
     pub fn new(own: Member, incarnation: Incarnation, now: Duration) -> Self {
         let roster = Roster::new(own, incarnation, now);
@@ -91,19 +92,19 @@
         gossip
     }
 
-    /// The hosts.
+    /// Returns the known hosts.
     #[must_use]
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// Who tells whom.
+    /// Returns the graph along which updates travel.
     #[must_use]
     pub fn graph(&self) -> &Graph {
         &self.graph
     }
 
-    /// Takes the store's listing of hosts.
+    /// Adds the hosts that the store lists.
     pub fn list(&mut self, now: Duration, members: Vec<Member>) {
         for it in members {
             self.roster.list(now, it);
@@ -111,7 +112,7 @@
         self.refresh(now);
     }
 
-    /// Takes this host's own state, and says whether it changed.
+    /// Sets this host's own state. Returns whether it changed.
     pub fn set_state(&mut self, now: Duration, state: State) -> bool {
         let changed = self.roster.set_own(now, state);
         if changed {
@@ -120,8 +121,8 @@
         changed
     }
 
-    /// What is to be told now. What was told once isn't told again: with so many
-    /// neighbours a lost message is made up for by the others', and by comparison.
+    /// Returns the update to send now. A change is sent once: a neighbour that misses it
+    /// receives it from other hosts or through a comparison.
     pub fn pulse(&mut self, now: Duration) -> Pulse {
         self.refresh(now);
         self.former.retain(|it| now < it.1);
@@ -136,7 +137,7 @@
         }
     }
 
-    /// All that is known, for a host that has just started.
+    /// Returns an update with all live hosts, for a host that has just started.
     #[must_use]
     pub fn whole(&self) -> Pulse {
         Pulse {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Whom this host tells.
+    /// Returns the hosts that this host sends updates to.
     #[must_use]
     pub fn audience(&self) -> Vec<Member> {
         let former = self.former.iter().map(|it| &it.0);
@@ -157,7 +158,7 @@
             .collect()
     }
 
-    /// Takes another host's pulse.
+    /// Applies an update from another host.
     pub fn hear(&mut self, now: Duration, from: &HostName, pulse: &Pulse) -> Heard {
         self.watch.hear(now, from);
         let is_news = self.merge(now, &pulse.records);
@@ -165,28 +166,27 @@
         Heard { is_news, differs }
     }
 
-    /// What this host knows, short enough to be compared.
+    /// Returns a compact digest of the roster for a comparison.
     #[must_use]
     pub fn digest(&self) -> Digest {
         Digest::of(&self.roster)
     }
 
-    /// Answers another host that compares its view with this one's.
+    /// Compares another host's digest with this host's roster.
     #[must_use]
     pub fn compare(&self, digest: &Digest) -> Comparison {
         digest.compare(&self.roster)
     }
 
-    /// Takes the answer to a comparison: what the other host knows and this one
-    /// doesn't. What the other one wants is told with the next pulse to all, and
-    /// returned for it. Says whether anything is new.
+    /// Applies the response to a comparison. Returns the records that the other host asked
+    /// for, and whether anything changed here.
     pub fn settle(&mut self, now: Duration, comparison: &Comparison) -> (Vec<Record>, bool) {
         let is_news = self.merge(now, &comparison.records);
         let wanted = self.roster.by_tags(&comparison.wanted);
         (wanted, is_news)
     }
 
-    /// Takes records, and says whether any is news.
+    /// Merges records into the roster. Returns whether any of them changed it.
     pub fn merge(&mut self, now: Duration, records: &[Record]) -> bool {
         let mut is_news = false;
         for it in records {
@@ -198,7 +198,7 @@
         is_news
     }
 
-    /// The hosts that have fallen silent and are to be asked whether they live.
+    /// Returns the hosts that have been silent for too long and should be probed.
     pub fn suspects(&mut self, now: Duration) -> Vec<Member> {
         self.refresh(now);
         let suspects = self.watch.suspects(now);
@@ -206,18 +206,16 @@
         suspects.iter().filter_map(find).collect()
     }
 
-    /// Takes that a host answered, or has proved to live otherwise.
+    /// Records that a host answered a probe or is known to be alive for another reason.
     pub fn answered(&mut self, now: Duration, host: &HostName) {
         self.watch.answered(now, host);
     }
 
-    /// Takes that a host that was asked whether it lives didn't answer, and says
-    /// whether it counts as silent from now on.
+    /// Records that a host did not answer a probe. Returns whether it is now marked silent.
     ///
-    /// Failure: a host that is cut off hears nobody, and would have everybody taken
-    /// for silent once it is back. It shows as a host that none of those who should
-    /// tell it something reach; such a one believes nothing, unless it reaches the
-    /// store: then it may be the only one left.
+    /// A host that is cut off hears nobody, and without this guard would spread the claim that
+    /// all others are silent when it reconnects. If none of its predecessors reaches a host, it
+    /// marks nobody silent unless it reaches the store: then it may be the only one left.
     pub fn unanswered(&mut self, now: Duration, host: &HostName, contact: Contact) -> bool {
         match (self.watch.unanswered(now, host), contact) {
             (Finding::Silent, _) | (Finding::Deaf, Contact::Store) => {}
@@ -231,8 +229,9 @@
         true
     }
 
-    /// A silent host that is worth trying again, by a random number from 0 to 1. All
-    /// hosts together try some four a second, whatever their number.
+    /// Returns a silent host to reconnect to, chosen by a random number from 0 to 1. The
+    /// probability falls with the number of hosts, so that the total rate of attempts stays
+    /// constant.
     #[must_use]
     pub fn lost(&self, chance: f64) -> Option<Member> {
         self.roster.lost(chance)
@@ -250,7 +249,7 @@
         }
         let before: Vec<HostName> = self.graph.successors().cloned().collect();
         self.graph = Graph::new(&self.roster);
-        // New neighbours hear first who tells them: nobody else may know this host.
+        // New successors need this host's own record first: nobody else may know it yet.
         if self.graph.successors().any(|it| !before.contains(it)) {
             self.mark(self.roster.own().member.name.clone());
         }
@@ -258,10 +257,10 @@
         self.watch.expect(now, self.graph.predecessors());
     }
 
-    /// Goes on to tell former neighbours for a while.
+    /// Keeps sending updates to former successors for a while.
     ///
-    /// Failure: a host that was found silent wrongly leaves the graph of all, hears of
-    /// it from nobody, and can't contradict.
+    /// A host that was wrongly marked silent is removed from everyone's graph. Without these
+    /// updates it would never learn of the claim and couldn't refute it.
     fn linger(&mut self, now: Duration, before: Vec<HostName>) {
         const LINGER: Duration = Duration::from_secs(1);
         let known = std::mem::take(&mut self.former);
@@ -291,11 +290,11 @@
     }
 }
 
-/// Whether a host that hears no other reaches anything at all.
+/// Whether this host has recently reached the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// It reaches the store.
+    /// The store answered recently.
     Store,
-    /// It reached nothing lately.
+    /// The store has not answered recently.
     Lost,
 }
--- a/crates/host/src/gossip/compare.rs
+++ b/crates/host/src/gossip/compare.rs
@@ -1,22 +1,21 @@
-//! Two hosts compare what they know of all.
+//! Comparison of two hosts' rosters, which repairs lost updates.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Record, Roster};
 
-/// What a host knows, by tags and stamps: some 10 bytes a host where a record has
-/// some 60.
+/// Compact form of a roster: pairs of a name hash and a record hash.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     stamps: Vec<(u32, u32)>,
 }
 
-/// What two hosts know differently.
+/// The differences between two rosters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// What the answering host knows otherwise, or the asking one doesn't know.
+    /// Records that differ, or that the requesting host lacks.
     pub records: Vec<Record>,
-    /// Hosts of which the answering host would like to know what the asking one does.
+    /// Name hashes of the hosts whose records the responding host asks for.
     pub wanted: Vec<u32>,
 }
 
@@ -54,6 +53,5 @@
 }
 
 fn short(stamp: u64) -> u32 {
-    // The lower half is as good as all of it.
     u32::try_from(stamp & u64::from(u32::MAX)).unwrap_or_default()
 }
--- a/crates/host/src/gossip/graph.rs
+++ b/crates/host/src/gossip/graph.rs
@@ -1,4 +1,4 @@
-//! Who tells whom, as every host reckons alike.
+//! The graph along which updates travel; each host computes the same one.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,30 +7,30 @@
 use super::Roster;
 use super::roster::tag;
 
-/// How many hosts each one tells, where there are more than that: news reaches 295 in
-/// four to five hops, and a host's work doesn't grow with their number. Two of six
-/// lost datagrams, or a third of the hosts dead, leave nobody out.
+/// The number of successors of each host, if there are more hosts than that. Keeps a host's
+/// work independent of the number of hosts, while updates still reach all when messages are
+/// lost or many hosts are down.
 pub const DEGREE: usize = 6;
-/// How many of these lie in the same data centre, on two orders of its hosts: bytes
-/// between data centres are paid for. The others hold the data centres together.
+/// The number of successors in the same data centre, on two rings of its hosts. Traffic between
+/// data centres is charged for; the remaining successors connect the data centres.
 const NEAR: usize = 4;
 const NEAR_RINGS: usize = 2;
-/// How many hosts gather for all what each has seen. The second takes the place of
-/// the first at once when that dies.
+/// The number of roots that aggregate the evidence of all hosts. The second one makes the
+/// aggregate available at once when the first one fails.
 pub const ROOTS: usize = 2;
 
-/// Who tells whom.
+/// The graph along which updates travel.
 ///
-/// The hosts stand in several orders by hashes of their names: two within each data
-/// centre, the others over all. Each host tells the next ones in each. Every host that
-/// knows the same hosts reckons the same neighbours, without a word.
+/// The hosts form several rings ordered by hashes of their names: two within each data centre,
+/// the others over all hosts. Each host sends to the next ones on each ring. Hosts with the
+/// same view compute the same graph without coordination.
 #[derive(Debug, Default)]
 pub struct Graph {
     epoch: Option<u64>,
     names: Vec<HostName>,
     successors: Vec<Vec<usize>>,
     own: usize,
-    /// For each root, how many hops each host is away from it.
+    /// For each root, the number of hops from each host to it.
     distances: Vec<Vec<u8>>,
 }
 
@@ -65,32 +65,32 @@
         }
     }
 
-    /// Whether these are still the hosts that are known.
+    /// Returns whether the graph was computed from the current set of hosts.
     pub(super) fn is_of(&self, roster: &Roster) -> bool {
         self.epoch == Some(roster.epoch())
     }
 
-    /// Whom this host tells.
+    /// Iterates over the hosts that this host sends updates to.
     pub fn successors(&self) -> impl Iterator<Item = &HostName> {
         let own = self.successors.get(self.own);
         own.into_iter().flatten().map(|&it| &self.names[it])
     }
 
-    /// Who tells this host.
+    /// Iterates over the hosts that send updates to this host.
     pub fn predecessors(&self) -> impl Iterator<Item = &HostName> {
         let tells = |it: &&(usize, &Vec<usize>)| it.1.contains(&self.own);
         let all = self.successors.iter().enumerate();
         all.filter(move |it| tells(&it)).map(|it| &self.names[it.0])
     }
 
-    /// How many hops this host is away from a root; nothing if there is no way.
+    /// Returns the number of hops from this host to a root, or `None` if there is no path.
     #[must_use]
     pub fn distance(&self, root: usize) -> Option<u8> {
         let distance = *self.distances.get(root)?.get(self.own)?;
         (distance < u8::MAX).then_some(distance)
     }
 
-    /// The neighbour through which what this host has seen goes to a root.
+    /// Returns the successor through which this host's evidence is sent towards a root.
     #[must_use]
     pub fn parent(&self, root: usize) -> Option<&HostName> {
         let distances = self.distances.get(root)?;
@@ -100,14 +100,13 @@
         (distances[*nearest] < own).then(|| &self.names[*nearest])
     }
 
-    /// How many hops news takes to reach all, as far as it can be told from the
-    /// number of hosts.
+    /// Estimates from the number of hosts how many hops an update takes to reach all of them.
     #[must_use]
     pub fn hops(hosts: usize) -> u32 {
         if hosts <= DEGREE + 2 {
             return 1;
         }
-        // The farthest are two hops behind the mean.
+        // The farthest hosts are two hops beyond the mean.
         hosts.ilog(DEGREE) + 2
     }
 }
@@ -137,7 +136,7 @@
     }
     let all: Vec<usize> = (0..nodes.len()).collect();
     let mut ring = NEAR_RINGS;
-    // Small data centres have fewer than so many near hosts.
+    // Hosts in small data centres have fewer local successors and need more from these rings.
     while chosen.iter().any(|it| it.len() < DEGREE) {
         follow(&order(nodes, &all, ring), &mut chosen, 1);
         ring += 1;
@@ -145,14 +144,14 @@
     chosen
 }
 
-/// The hosts in the order of a ring.
+/// Returns the hosts in their order on a ring.
 fn order(nodes: &[Node<'_>], hosts: &[usize], ring: usize) -> Vec<usize> {
     let mut order = hosts.to_vec();
     order.sort_unstable_by_key(|&it| hash::of(&(ring, nodes[it].tag)));
     order
 }
 
-/// Adds the next hosts on the ring that aren't chosen yet.
+/// Adds the next hosts on the ring as successors, except those already chosen.
 fn follow(ring: &[usize], chosen: &mut [Vec<usize>], count: usize) {
     for (at, &host) in ring.iter().enumerate() {
         let (before, after) = ring.split_at(at);
@@ -170,7 +169,7 @@
     }
 }
 
-/// How many hops each host is away from the root, along those whom it tells.
+/// Computes the number of hops from each host to the root along the successor edges.
 fn distances(successors: &[Vec<usize>], root: usize) -> Vec<u8> {
     let mut predecessors = vec![Vec::new(); successors.len()];
     for (at, ahead) in successors.iter().enumerate() {
--- a/crates/host/src/gossip/record.rs
+++ b/crates/host/src/gossip/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one host.
+//! The membership record of a host.
 
 use kernel::Incarnation;
 use serde::{Deserialize, Serialize};
@@ -8,44 +8,44 @@
 /// What is known of one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Who and where it is.
+    /// Name, addresses and location of the host.
     pub member: Member,
-    /// The life of its process; a later life has a higher one.
+    /// The run of the host's process; later runs have higher values.
     pub incarnation: Incarnation,
-    /// Rises with each thing that the host says of itself in this life.
+    /// Incremented with each change that the host reports of itself in this run.
     pub number: u32,
-    /// How it is.
+    /// Current state of the host.
     pub state: State,
 }
 
-/// How a host is.
+/// State of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// The store lists it; nobody has heard it yet.
+    /// The store lists the host; no host has heard from it yet.
     Listed,
-    /// It lives and can't serve callers yet.
+    /// The host is running and can't serve callers yet.
     Starting,
-    /// It serves callers.
+    /// The host serves callers.
     Ready,
-    /// It was asked to stop.
+    /// The host was asked to stop.
     Leaving,
-    /// Those who should hear it don't, and it didn't answer when asked. It contradicts
-    /// if it lives.
+    /// The host was silent and didn't answer a probe. A live host refutes this claim with a
+    /// higher number.
     Silent,
-    /// It said that it ends.
+    /// The host reported that it ends.
     Gone,
 }
 
 impl Record {
-    /// Whether this was said later than `other`.
+    /// Returns whether this record replaces `other`.
     ///
-    /// That a host is silent goes before what it said of itself last, and after what
-    /// it says next, in whichever order both arrive.
+    /// A claim that a host is silent supersedes the last record that the host sent itself, and
+    /// is superseded by its next one, in whichever order they arrive.
     pub(crate) fn is_later(&self, other: &Self) -> bool {
         self.order() > other.order()
     }
 
-    /// Whether callers or news may be sent there.
+    /// Returns whether callers and updates may be sent to the host.
     #[must_use]
     pub fn is_live(&self) -> bool {
         !matches!(self.state, State::Silent | State::Gone)
--- a/crates/host/src/gossip/roster.rs
+++ b/crates/host/src/gossip/roster.rs
@@ -1,4 +1,4 @@
-//! The hosts, as far as they are known.
+//! The table of known hosts.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -10,32 +10,32 @@
 use crate::Member;
 use crate::addresses::Address;
 
-/// How long a silent host is remembered, so that older news of it changes nothing.
-/// One that comes back after that is found by the store's listing.
+/// How long a silent host is kept, so that outdated records don't revive it. After that, the
+/// store's listing is the way back.
 const REMEMBERED: Duration = Duration::from_mins(10);
-/// How long a host has been silent when its entry is taken off: longer than hosts
-/// are restarted or cut off for, as a rule.
+/// How long a host has been silent or gone before its entry is withdrawn from the store;
+/// longer than most restarts and network partitions.
 const GONE: Duration = Duration::from_mins(1);
-/// How long callers are sent to a host for its entry in the store alone: it is heard
-/// within a second if it lives, or asked and found silent within three.
+/// How long callers are sent to a host that is only listed in the store. A live host is
+/// heard within this time, and a dead one is detected.
 const TRUSTED: Duration = Duration::from_secs(6);
-/// How long callers are still sent to a host after somebody found it silent, for each
-/// hop that news takes to all: the host hears of it, and contradicts if it lives.
+/// How long callers are still sent to a host after it was marked silent, per hop that an
+/// update takes to reach all hosts. A live host refutes the claim in this time.
 ///
-/// Failure: a data centre that was apart comes back, and each side has found most of
-/// the other silent. Believed at once, these findings would leave a tenth of the hosts for
-/// callers until the contradictions came, half a second later.
+/// When a partitioned data centre reconnects, each side has marked most of the other silent.
+/// Without this delay, callers would see only a fraction of the hosts until the refutations
+/// arrive.
 const DOUBTED: Duration = Duration::from_millis(150);
-/// The most hosts that are known at a time, three times the most that are planned
-/// for: names that somebody makes up must not fill the memory.
+/// The most hosts that are known at a time. Bounds the memory that records with invented
+/// names can take.
 const MOST: usize = 1_024;
 
-/// The hosts, as far as they are known.
+/// The hosts that this host knows, with their latest records.
 #[derive(Debug)]
 pub struct Roster {
     own: HostName,
     known: BTreeMap<HostName, Known>,
-    /// Rises when hosts come, go silent or are moved.
+    /// Incremented when a host appears, becomes silent or live, or changes its addresses.
     epoch: u64,
     fingerprint: u64,
 }
@@ -45,9 +45,9 @@
     record: Record,
     tag: u32,
     stamp: u64,
-    /// When this was learned.
+    /// When this record was stored.
     since: Duration,
-    /// How it was before it fell silent.
+    /// The host's last state in which it was live.
     before: State,
 }
 
@@ -73,19 +73,19 @@
         roster
     }
 
-    /// What this host says of itself.
+    /// Returns this host's own record.
     #[must_use]
     pub fn own(&self) -> &Record {
         &self.known[&self.own].record
     }
 
-    /// What is known of a host.
+    /// Returns the record of a host.
     #[must_use]
     pub fn get(&self, host: &HostName) -> Option<&Record> {
         self.known.get(host).map(|it| &it.record)
     }
 
-    /// All hosts that aren't silent, this one included, by their names.
+    /// Iterates over the live hosts in order of their names, this host included.
     pub fn live(&self) -> impl Iterator<Item = &Record> {
         self.known
             .values()
@@ -93,13 +93,13 @@
             .filter(|it| it.is_live())
     }
 
-    /// How many hosts live, this one included.
+    /// Returns the number of live hosts, this host included.
     #[must_use]
     pub fn count(&self) -> usize {
         self.live().count()
     }
 
-    /// Where callers may be sent to.
+    /// Returns the addresses of the hosts that callers may be sent to.
     #[must_use]
     pub fn addresses(&self, now: Duration) -> Vec<Address> {
         let doubted = DOUBTED * Graph::hops(self.known.len());
@@ -113,7 +113,7 @@
         known.map(|it| it.record.member.address()).collect()
     }
 
-    /// Hosts that live and aren't among these entries of the store, or have moved.
+    /// Returns the live hosts that are missing from these store entries or have moved.
     #[must_use]
     pub fn missing(&self, listed: &[Member]) -> Vec<Member> {
         let listed: HashSet<&Member> = listed.iter().collect();
@@ -122,7 +122,7 @@
         live.filter(|it| !listed.contains(it)).cloned().collect()
     }
 
-    /// Those of these entries of the store whose hosts have been silent for long.
+    /// Returns the entries whose hosts have been silent or gone for long.
     #[must_use]
     pub fn gone(&self, now: Duration, listed: &[Member]) -> Vec<Member> {
         let is_gone = |it: &&Member| {
@@ -133,9 +133,9 @@
         listed.iter().filter(is_gone).cloned().collect()
     }
 
-    /// This host's place in an order that every host knows, of those that can do
-    /// something for all: such as serve, or all if none does yet. By hashes, since
-    /// hosts with like names stand side by side.
+    /// Returns this host's position among the ready hosts or, if none is ready, among those
+    /// that are listed or starting. All hosts with the same view agree on the order. It is by
+    /// hash because hosts with similar names would otherwise be adjacent.
     #[must_use]
     pub fn rank(&self) -> usize {
         let own = tag(&self.own);
@@ -153,13 +153,13 @@
         }
     }
 
-    /// Tells whether two hosts know the same.
+    /// Returns a fingerprint of the live hosts; equal views have equal fingerprints.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint
     }
 
-    /// The hosts that share what cold endpoints take: all that are known.
+    /// Returns all known hosts as the peers that share the capacity of cold endpoints.
     #[must_use]
     pub fn peers(&self) -> Peers {
         Peers::new(&self.own, self.known.keys())
@@ -169,7 +169,7 @@
         self.epoch
     }
 
-    /// The hosts' tags and stamps: whether two hosts know the same of one.
+    /// Iterates over name hash, record hash and record of each host, except listed ones.
     pub(super) fn stamps(&self) -> impl Iterator<Item = (u32, u64, &Record)> {
         self.known
             .values()
@@ -184,8 +184,8 @@
             .collect()
     }
 
-    /// Takes a host's entry in the store, which says less than anything that was
-    /// heard of it since it moved there.
+    /// Adds a host's entry in the store, unless something more recent than the entry is known of
+    /// the host.
     pub(super) fn list(&mut self, now: Duration, member: Member) {
         let known = self.get(&member.name);
         let is_new = known.is_none_or(|it| {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Takes this host's own state, and says whether it changed.
+    /// Sets this host's own state. Returns whether it changed.
     pub(super) fn set_own(&mut self, now: Duration, state: State) -> bool {
         let mut record = self.own().clone();
         if record.state == state {
@@ -215,14 +215,14 @@
         true
     }
 
-    /// Takes what somebody says of a host. Returns its name if it is to be told on.
+    /// Merges a record from another host. Returns the host's name if its record changed.
     pub(super) fn merge(&mut self, now: Duration, record: &Record) -> Option<HostName> {
         let name = &record.member.name;
         if *name == self.own {
             return self.contradict(now, record);
         }
         match self.get(name) {
-            // Nothing is lost by not knowing a host that is gone.
+            // An unknown host that isn't live needs no record.
             None if !record.is_live() => return None,
             Some(known) if !record.is_later(known) => return None,
             _ => {}
@@ -234,10 +234,11 @@
         Some(name.clone())
     }
 
-    /// Contradicts what others say of this host, unless it said so itself.
+    /// Refutes a record about this host that another host created.
     ///
-    /// A clock that was set back between two lives would have the former one's word
-    /// stand for ever; this life takes a number above it.
+    /// If the clock was set back between two runs of the process, the former run's record has
+    /// the higher incarnation and would supersede this one's for ever; this run takes a higher
+    /// incarnation.
     fn contradict(&mut self, now: Duration, said: &Record) -> Option<HostName> {
         let own = self.own();
         if !said.is_later(own) {
@@ -253,7 +254,7 @@
         Some(self.own.clone())
     }
 
-    /// Takes that a host is silent, and returns its name if that is new.
+    /// Marks a host silent. Returns its name if it was live.
     pub(super) fn silence(&mut self, now: Duration, host: &HostName) -> Option<HostName> {
         let mut record = self.get(host)?.clone();
         if !record.is_live() {
@@ -265,7 +266,7 @@
     }
 
     pub(super) fn lost(&self, chance: f64) -> Option<Member> {
-        /// How many tries all hosts together make each time that each may.
+        /// Expected number of attempts by all hosts together per reconnect interval.
         const TRIES: f64 = 4.0;
         let is_lost = |it: &&Known| it.record.state == State::Silent;
         let lost: Vec<_> = self.known.values().filter(is_lost).collect();
@@ -315,8 +316,8 @@
     }
 }
 
-/// A host's part of the fingerprint. Silent hosts have none, since each host forgets
-/// them when its own time comes, and neither have entries of the store.
+/// Returns a host's part of the fingerprint. Silent and gone hosts have none because each host
+/// forgets them at a different time, and listed hosts have none because no host reported them.
 fn share(it: &Known) -> u64 {
     match it.record.state {
         State::Listed | State::Silent | State::Gone => 0,
@@ -328,8 +329,7 @@
     hash::of(&(&it.member.name, it.incarnation, it.number, it.state))
 }
 
-/// Stands for a host's name, which is longer than all the rest.
+/// Returns a short hash that identifies a host in place of its longer name.
 pub(super) fn tag(host: &HostName) -> u32 {
-    // The lower half is as good as all of it.
     u32::try_from(hash::of(host.as_str()) & u64::from(u32::MAX)).unwrap_or_default()
 }
--- a/crates/host/src/gossip/watch.rs
+++ b/crates/host/src/gossip/watch.rs
@@ -1,18 +1,18 @@
-//! Which of those who should be heard have fallen silent.
+//! Detects neighbours that have stopped sending updates.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use kernel::HostName;
 
-/// How long a host may say nothing before it is asked whether it lives: two pieces
-/// of its news, so that one lost datagram changes nothing.
+/// How long a host may be silent before it is probed. Longer than two update intervals, so
+/// that one lost datagram doesn't trigger a probe.
 const SILENCE: Duration = Duration::from_millis(1_200);
-/// How long a host that contradicted isn't taken for silent again by this one: the
-/// path between the two is broken, and others hear it.
+/// How long a host is not suspected again after this host marked it silent. If it refuted
+/// the claim, only the path between the two is broken, and other hosts monitor it.
 const CONTRADICTED: Duration = Duration::from_secs(10);
 
-/// Which of those who should be heard have fallen silent.
+/// Tracks when each predecessor in the graph was last heard from.
 #[derive(Debug, Default)]
 pub(super) struct Watch {
     expected: HashMap<HostName, Expected>,
@@ -20,21 +20,21 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Expected {
-    /// When it was heard last, or began to be expected.
+    /// When the host was last heard from, or monitoring began.
     heard: Duration,
-    /// When it was asked whether it lives, while no answer has come.
+    /// When the host was probed, if the result is outstanding.
     asked: Option<Duration>,
-    /// Until when nothing is concluded from its silence.
+    /// No new suspicion starts before this time.
     spared: Duration,
 }
 
 impl Watch {
-    /// Takes who tells this host from now on.
+    /// Replaces the set of monitored hosts.
     pub(super) fn expect<'a>(&mut self, now: Duration, hosts: impl Iterator<Item = &'a HostName>) {
         let mut expected = HashMap::new();
         for it in hosts {
             let known = self.expected.get(it).copied();
-            // It is told of the change as well, and speaks within one of its periods.
+            // The host also learns of the change, and sends an update within one interval.
             let fresh = Expected {
                 heard: now.saturating_sub(SILENCE / 2),
                 asked: None,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The hosts to ask; each is asked once until the answer is told.
+    /// Returns the hosts to probe. A host is probed once until its result is recorded.
     pub(super) fn suspects(&mut self, now: Duration) -> Vec<HostName> {
         let mut suspects = Vec::new();
         for (name, it) in &mut self.expected {
@@ -71,10 +71,10 @@
         }
     }
 
-    /// Takes that a host didn't answer, and says what follows from it.
+    /// Records that a host did not answer a probe, and returns the conclusion.
     pub(super) fn unanswered(&mut self, now: Duration, host: &HostName) -> Finding {
-        /// Neighbours speak twice a second: one that lives did in this time before the
-        /// question, or while an answer was waited for.
+        /// Neighbours send an update twice a second, so a reachable one was heard within
+        /// this time before the probe, or while the probe was outstanding.
         const BEFORE: Duration = Duration::from_millis(200);
         let Some(it) = self.expected.get_mut(host) else {
             return Finding::Heard;
@@ -92,7 +92,7 @@
         Finding::Silent
     }
 
-    /// Has nothing concluded from a host's silence for a while, after it was found.
+    /// Suspends suspicion of a host that was just marked silent.
     pub(super) fn spare(&mut self, now: Duration, host: &HostName) {
         if let Some(it) = self.expected.get_mut(host) {
             it.spared = now + CONTRADICTED;
@@ -100,13 +100,13 @@
     }
 }
 
-/// What follows from a host's not answering.
+/// The conclusion from an unanswered probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Finding {
-    /// It was heard meanwhile, or isn't expected any more.
+    /// The host was heard from meanwhile, or is no longer monitored.
     Heard,
-    /// It is silent, and others aren't.
+    /// The host is silent while others are heard.
     Silent,
-    /// All are.
+    /// No monitored host is heard; this host may be cut off itself.
     Deaf,
 }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,9 +1,9 @@
-//! The life of a host that relays: what it follows, what it tells, when it stops.
+//! The lifecycle of a host: following the store, exchanging updates with other hosts, and
+//! shutting down.
 //!
-//! The host follows the operators' documents, the listing of endpoints and the
-//! other hosts through a [`Store`], and puts what it learns before the relay's
-//! decisions. How the store spells things is the business of whoever implements
-//! the port. See `docs/design/relay.md`.
+//! The host follows the operators' documents, the listing of endpoints and the other hosts
+//! through a [`Store`], and applies what it learns to the router. Implementations of `Store`
+//! define the stored format. See `docs/design/relay.md`.
 
 pub mod addresses;
 mod backoff;
--- a/crates/host/src/member.rs
+++ b/crates/host/src/member.rs
@@ -1,4 +1,4 @@
-//! A host, as the others see it.
+//! Identity and addresses of a host.
 
 use std::net::SocketAddr;
 
@@ -7,23 +7,23 @@
 
 use crate::addresses::Address;
 
-/// A host, as the others see it.
+/// A host as other hosts know it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Unique name.
     pub name: HostName,
-    /// Where callers reach it.
+    /// Address for callers.
     pub front: SocketAddr,
-    /// Where other hosts reach it.
+    /// Address for other hosts.
     pub link: SocketAddr,
-    /// Its data centre.
+    /// Data centre in which the host runs.
     pub data_centre: DataCentre,
-    /// Its region.
+    /// Region in which the host runs.
     pub region: Region,
 }
 
 impl Member {
-    /// Where callers reach it.
+    /// Returns the host's address for callers with its location.
     pub(crate) fn address(&self) -> Address {
         Address {
             front: self.front,
--- a/crates/host/src/message.rs
+++ b/crates/host/src/message.rs
@@ -1,4 +1,4 @@
-//! What hosts say to each other.
+//! Messages between hosts.
 
 use std::time::Duration;
 
@@ -11,122 +11,122 @@
 use crate::gossip::{Comparison, Digest, Pulse, Record};
 use crate::listing::{Change, Patch, Sketch};
 
-/// What hosts say to each other.
+/// A message between hosts.
 ///
-/// The order of the variants is part of the binary form: new ones go to the end.
+/// The order of the variants is part of the binary encoding: add new ones at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// What a host knows, told several times a second.
+    /// A host's state, sent several times a second.
     News(Box<News>),
-    /// Asks for something.
+    /// A request for a response.
     Ask(Question),
-    /// The configuration, as operators wrote it.
+    /// The configuration in the operators' original text.
     Config(Vec<u8>),
     /// The listing of endpoints.
     Listing(Listing),
-    /// All that a host that has just started needs.
+    /// The full state for a host that has just started.
     Known(Box<Known>),
-    /// What the other host knows of all hosts and the asking one doesn't.
+    /// The result of a roster comparison.
     Comparison(Comparison),
-    /// What was wanted of a comparison.
+    /// The records that a comparison asked for.
     Records(Vec<Record>),
-    /// The host lives, and has nothing else to answer with.
+    /// Confirms that the host is alive, without further content.
     Nothing,
-    /// What a host knows of endpoints that ended, and of requests that ended them.
+    /// Process exits of endpoints, and the quarantined requests that caused them.
     Ends(quarantine::News),
-    /// What operators said of data centres.
+    /// Evacuation orders for data centres.
     Evacuations(Vec<Evacuation>),
-    /// What has changed in the listing of endpoints.
+    /// Changes of the listing of endpoints since an earlier one.
     ListingChange(ListingChange),
-    /// The listing that was named isn't remembered.
+    /// The changes since the requested listing are no longer available.
     ListingForgotten,
-    /// Where the listing of endpoints differs from the other host's.
+    /// A patch from the requesting host's listing of endpoints to the sender's.
     ListingPatch(ListingPatch),
 }
 
-/// What a host asks another for.
+/// A request to another host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Question {
     Config,
     Listing,
-    /// Everything, for a host that has just started.
+    /// The full state, for a host that has just started.
     Everything,
-    /// What both know differently of the hosts.
+    /// A comparison of the rosters.
     Comparison(Digest),
-    /// Whether it lives.
+    /// A probe whether the host is alive.
     Life,
-    /// What it knows of endpoints that ended.
+    /// Process exits of endpoints and quarantined requests.
     Ends,
-    /// What has changed since the listing with this fingerprint.
+    /// The changes since the listing with this fingerprint.
     ListingSince(u64),
-    /// Where the listing differs from one with this sketch.
+    /// A patch for the listing that this sketch describes.
     ListingPatch(Sketch),
 }
 
-/// What a host knows.
+/// A host's state, as sent to its neighbours.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct News {
-    /// Of the hosts.
+    /// Membership changes.
     pub(crate) pulse: Pulse,
-    /// The version of the configuration in force there.
+    /// The version of the sender's configuration.
     pub(crate) version: Option<u64>,
-    /// How long ago the store last confirmed that version, as far as it knows.
+    /// Time since the store was last known to confirm that version.
     pub(crate) confirmed: Option<Duration>,
-    /// Its listing of endpoints.
+    /// The sender's listing of endpoints.
     pub(crate) listing: Option<ListingNews>,
-    /// What it knows of roll-outs.
+    /// Updates on roll-outs.
     pub(crate) rollouts: Vec<rollout::News>,
-    /// What the store says of roll-outs.
+    /// Verdicts on roll-outs that the store holds.
     pub(crate) judgements: Vec<Judgement>,
 }
 
-/// Which of several readings a host goes by.
+/// Age and identity of a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Stamp {
-    /// How long ago it was read.
+    /// Time since it was read from the store.
     pub(crate) age: Duration,
-    /// Tells it apart from others.
+    /// Fingerprint of its entries.
     pub(crate) fingerprint: u64,
 }
 
-/// Which listing of endpoints a host goes by.
+/// Summary of the listing of endpoints that a host uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ListingNews {
     pub(crate) stamp: Stamp,
-    /// What an absent entry means in it.
+    /// What the absence of an entry means.
     pub(crate) absence: Absence,
 }
 
-/// The listing of endpoints, as the store had it.
+/// The listing of endpoints, as read from the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Listing {
     pub(crate) entries: Vec<Entry>,
     pub(crate) absence: Absence,
-    /// How long ago it was read.
+    /// Time since it was read from the store.
     pub(crate) age: Duration,
 }
 
-/// What has changed in the listing of endpoints since one that the other host has.
+/// The changes from the requesting host's listing of endpoints to a later one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ListingChange {
     pub(crate) change: Change,
     pub(crate) absence: Absence,
-    /// How long ago the listing was read that it leads to.
+    /// Time since the resulting listing was read from the store.
     pub(crate) age: Duration,
 }
 
-/// Where the listing of endpoints differs from the other host's.
+/// A patch from the requesting host's listing of endpoints to the sender's.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ListingPatch {
     pub(crate) patch: Patch,
     pub(crate) absence: Absence,
-    /// How long ago the listing was read that it leads to.
+    /// Time since the resulting listing was read from the store.
     pub(crate) age: Duration,
 }
 
-/// All that a host knows. A host that took the configuration alone would serve by it
-/// before it knows which release is on trial, which sessions stay off it, and which data
-/// centres are emptied.
+/// The full state of a host. It is sent as a whole because a host that had only the
+/// configuration would serve requests without knowing which release is on trial, which
+/// sessions are kept off it, and which data centres are emptied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Known {
     pub(crate) news: News,
--- a/crates/host/src/say.rs
+++ b/crates/host/src/say.rs
@@ -1,4 +1,4 @@
-//! Says what a host believes: log lines at changes, gauges all the time.
+//! Reports a host's state through log events and gauges.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,11 +13,11 @@
 use crate::life::Life;
 use crate::{Store, Trouble};
 
-/// How often gauges are set and dropped lines are told.
+/// The interval at which gauges are set and dropped log lines are reported.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Takes the result of a call to the store: counts it, and says when calls of
-/// its kind begin to fail and when they succeed again.
+/// Counts a call to the store, and logs when calls of its kind begin to fail or succeed
+/// again.
 pub(crate) fn store<S: Store, D: Dialect, T>(
     life: &Life<S, D>,
     call: &'static str,
@@ -37,7 +37,7 @@
     }
     let mut lost = life.lost.borrow_mut();
     match result {
-        // These are answers: the store is there.
+        // The store responded, so it is reachable.
         Err(Trouble::Conflict | Trouble::HistoryGone) => {}
         Err(trouble) if lost.insert(call) => life.recorder().say(
             Event::StoreLost,
@@ -58,8 +58,8 @@
     }
 }
 
-/// Takes that the store has come back from an older copy, if it has: questions that are
-/// open there were asked with versions that mean something else now.
+/// Detects that the store was restored from an older copy. Open long polls are restarted then,
+/// because they refer to revisions that may have been assigned anew.
 fn note_era<S: Store, D: Dialect>(life: &Life<S, D>) {
     let era = life.store.era();
     if life
@@ -75,8 +75,8 @@
     }
 }
 
-/// Says how many entries of a listing can't be used, when their number changes:
-/// whoever writes them may do so at each reading.
+/// Logs the number of unusable entries in a listing when it changes. Logging it at each
+/// reading would repeat the same line.
 pub(crate) fn unusable<S: Store, D: Dialect>(
     life: &Life<S, D>,
     listing: &'static str,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Says what a listing of endpoints changed.
+/// Logs what a listing of endpoints changed.
 pub(crate) fn endpoints<S: Store, D: Dialect>(life: &Life<S, D>, change: &Change, age: Duration) {
     let say = |event, id: &kernel::EndpointId| {
         life.recorder().say(
@@ -113,7 +113,7 @@
     }
 }
 
-/// Sets the gauges, and says when readiness or the hosts changed.
+/// Sets the gauges, and logs changes of readiness and of the set of serving hosts.
 pub(crate) async fn gauges<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     let mut was_ready = false;
     let mut hosts: HashSet<SocketAddr> = HashSet::new();
@@ -140,8 +140,8 @@
     }
 }
 
-/// Says which hosts callers are sent to that they weren't before, and the other way
-/// round. Of hundreds that change at once the first few tell which data centre it is.
+/// Logs which hosts callers are now sent to and no longer sent to. When many hosts change at
+/// once, the first few suffice to identify the data centre.
 fn hosts_changed<S: Store, D: Dialect>(
     life: &Life<S, D>,
     before: &HashSet<SocketAddr>,
--- a/crates/host/src/talk.rs
+++ b/crates/host/src/talk.rs
@@ -1,6 +1,6 @@
-//! Talk between hosts: who tells and asks whom, over the links.
+//! Messages between hosts over their links.
 //!
-//! What is told of the hosts themselves, and to whom, [`crate::gossip`] decides.
+//! [`crate::gossip`] decides the membership content and the recipients.
 
 mod answer;
 mod ask;
@@ -26,7 +26,7 @@
 use crate::message::{ListingNews, Message, News, Stamp};
 use crate::{Backoff, Member, Store, follow};
 
-/// Joins the others: their certificates come from the store.
+/// Connects to the other hosts, with certificates from the store, and receives their messages.
 pub(crate) async fn join<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     life.wait_to_join().await;
     let mut backoff = Backoff::default();
@@ -50,7 +50,7 @@
     hear(life, link, inbox).await;
 }
 
-/// Tells the neighbours what this host knows, for as long as it lives.
+/// Sends updates to the neighbours periodically, and early when something changes.
 async fn tell<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
     loop {
         say(&life, &link);
@@ -66,7 +66,7 @@
     }
 }
 
-/// Tells the neighbours once what this host knows.
+/// Sends this host's current state to the neighbours once.
 pub(crate) fn say<S: Store, D: Dialect>(life: &Life<S, D>, link: &Link) {
     let news = news(life, Scope::Fresh);
     let ends = ends(life, Scope::Fresh);
@@ -92,19 +92,19 @@
     }
 }
 
-/// What operators said of data centres, also of those that were taken back: whoever was cut
-/// off meanwhile still has them as emptied.
+/// Returns the operators' evacuation orders for data centres. Revoked ones are included because
+/// a host that was cut off may still have them in force.
 fn evacuations<S: Store, D: Dialect>(life: &Life<S, D>) -> Vec<Evacuation> {
     life.node.router().directory().evacuations().news()
 }
 
-/// What this host knows of endpoints that ended.
+/// Returns what this host knows of process exits and quarantined requests.
 fn ends<S: Store, D: Dialect>(life: &Life<S, D>, scope: Scope) -> quarantine::News {
     let now = life.node.now();
     life.node.router().quarantine().news(now, scope)
 }
 
-/// What this host knows. Of that which travels once, all or what is fresh.
+/// Returns this host's state, where `scope` tells whether it includes what was sent before.
 pub(crate) fn news<S: Store, D: Dialect>(life: &Life<S, D>, scope: Scope) -> News {
     let now = life.node.now();
     life.renew_state();
@@ -132,8 +132,7 @@
     }
 }
 
-/// Has this host say what all have seen of roll-outs, where it is one of those who
-/// gather it.
+/// Publishes the total evidence on roll-outs at each root that this host is.
 fn gather<S: Store, D: Dialect>(life: &Life<S, D>) {
     let now = life.node.now();
     let gossip = life.gossip.borrow();
@@ -146,8 +145,8 @@
     }
 }
 
-/// The news for a neighbour through which what was seen of roll-outs goes to those
-/// who gather it; nothing if none does.
+/// Returns the update for a neighbour on the path to a root, with the partial sums of the
+/// roll-outs; `None` if the neighbour is on no such path.
 fn with_sums<S: Store, D: Dialect>(life: &Life<S, D>, news: &News, to: &HostName) -> Option<News> {
     let gossip = life.gossip.borrow();
     let graph = gossip.graph();
@@ -170,13 +169,13 @@
     Some(news)
 }
 
-/// Hears the others.
+/// Receives messages from other hosts.
 async fn hear<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link, inbox: Receiver<Incoming>) {
     while let Ok(incoming) = inbox.recv().await {
         let Frame::Decide(payload) = incoming.frame else {
             continue;
         };
-        // A host that speaks a newer form is understood by those that know it.
+        // Skips messages of a newer format.
         let Ok(message) = postcard::from_bytes::<Message>(&payload.bytes) else {
             continue;
         };
@@ -192,7 +191,7 @@
                     reply.send(&frame).await;
                 }
             }
-            // Answers come to those who asked.
+            // Responses arrive through the request that they belong to.
             _ => {}
         }
     }
--- a/crates/host/src/talk/answer.rs
+++ b/crates/host/src/talk/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to what other hosts ask.
+//! Responses to requests from other hosts.
 
 use forward::Dialect;
 use route::rollout::Scope;
@@ -31,7 +31,7 @@
     life.config_text.borrow().as_ref().map(|it| it.to_vec())
 }
 
-/// What has changed since a listing.
+/// Returns the changes since the listing with fingerprint `from`.
 fn listing_since<S: Store, D: Dialect>(life: &Life<S, D>, from: u64) -> Message {
     let change = life.listing.borrow().since(from);
     if let (Some(change), Some(listed)) = (change, life.listed.get()) {
--- a/crates/host/src/talk/ask.rs
+++ b/crates/host/src/talk/ask.rs
@@ -1,4 +1,4 @@
-//! Questions to other hosts.
+//! Requests to other hosts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use crate::life::Life;
 use crate::message::{Message, Question};
 
-/// How long an answer of another host may take.
+/// The timeout of a response.
 const ANSWER: Duration = Duration::from_millis(400);
-/// The same for an answer with a whole listing: hundreds of kilobytes, over links of ten
-/// megabits that callers use too. Given up sooner, it is asked for again and again, and
-/// never comes whole.
+/// The timeout of a response with a whole listing, which can be hundreds of kilobytes on a
+/// slow link that callers use too. With a shorter timeout the transfer would be restarted
+/// again and again and never complete.
 const LONG_ANSWER: Duration = Duration::from_secs(2);
 
-/// Asks another host for what it has newer, one question of a kind at a time.
+/// Sends a request in the background, unless one of the same kind is in flight.
 pub(super) fn ask_once<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
@@ -40,7 +40,7 @@
     });
 }
 
-/// Asks another host; nothing if it doesn't answer.
+/// Sends a request; returns `None` if there is no usable response.
 pub(super) async fn ask<S: Store, D: Dialect>(
     life: &Life<S, D>,
     link: &Link,
--- a/crates/host/src/talk/greet.rs
+++ b/crates/host/src/talk/greet.rs
@@ -1,4 +1,4 @@
-//! What a host does first when it has found the others.
+//! Loads the initial state from neighbours when a host starts.
 
 use std::rc::Rc;
 
@@ -10,13 +10,12 @@
 use crate::life::Life;
 use crate::message::{Message, Question};
 
-/// How many others are asked for everything, one after the other.
+/// The most neighbours that are asked for their state, one after another.
 const TRIES: usize = 3;
 
-/// Asks the neighbours for all that they know, until one knows a configuration. It is
-/// there within some milliseconds, and spares the store four calls a host. Where the
-/// first neighbour that answers knows none, all have just started, and those that read
-/// for all begin at once.
+/// Requests the full state from neighbours until a configuration is known, which is faster
+/// than reading the store and saves calls to it. If the first neighbour that responds has no
+/// configuration, all hosts have just started, and those that read the store begin at once.
 pub(super) async fn greet<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
     let audience = life.gossip.borrow().audience();
     for it in audience.iter().take(TRIES).map(peer) {
--- a/crates/host/src/talk/learn.rs
+++ b/crates/host/src/talk/learn.rs
@@ -1,4 +1,4 @@
-//! What this host takes from the others.
+//! Applies what other hosts send.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,8 +17,8 @@
     Known, Listing, ListingChange, ListingNews, ListingPatch, Message, News, Question,
 };
 
-/// Takes a host's news, and has told on at once what is much later than was known:
-/// what one host reads goes round them all within some milliseconds a hop.
+/// Applies a host's update, and schedules an update of this host at once if something
+/// changed or is much more recent than what was known.
 pub(super) fn news<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
@@ -61,13 +61,13 @@
     }
 }
 
-/// Takes what a host says of roll-outs, and says whether the neighbours are to hear
-/// of it at once.
+/// Applies what a host reports of roll-outs. Returns whether it is new to the neighbours as
+/// well.
 fn take<S: Store, D: Dialect>(life: &Life<S, D>, from: &HostName, news: &News) -> bool {
     let mut rollouts = news.rollouts.clone();
     let gossip = life.gossip.borrow();
     for it in &mut rollouts {
-        // Who is no nearer would only hear its own sum again.
+        // Drops sums of hosts that are no farther from the root: they may include this host's own.
         it.sums.retain(|sum| {
             let own = gossip.graph().distance(sum.root);
             own.is_some_and(|own| own < sum.distance)
@@ -85,7 +85,7 @@
     heard.is_news
 }
 
-/// Takes all that another host knows.
+/// Applies the full state of another host.
 pub(super) fn known<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
@@ -94,7 +94,7 @@
 ) {
     let now = life.node.now();
     life.gossip.borrow_mut().answered(now, &from.host);
-    // Before the configuration, by which requests are served at once.
+    // Before the configuration: requests are served as soon as it is in force.
     take(life, &from.host, &known.news);
     evacuations::hear(life, known.evacuations);
     if let Some(it) = known.listing {
@@ -106,7 +106,7 @@
     news(life, link, from, &known.news);
 }
 
-/// Takes another host's answer.
+/// Applies a response from another host.
 pub(super) fn answer<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
@@ -134,18 +134,18 @@
         }
         Message::Ends(it) => ends(life, &it),
         Message::Evacuations(it) => evacuations::hear(life, it),
-        // Answers only.
+        // Not responses.
         Message::News(_) | Message::Ask(_) | Message::Records(_) | Message::Nothing => {}
     }
 }
 
-/// Takes what another host knows of endpoints that ended.
+/// Applies an update on process exits and quarantined requests.
 pub(super) fn ends<S: Store, D: Dialect>(life: &Life<S, D>, news: &quarantine::News) {
     let now = life.node.now();
     life.node.router().quarantine().hear(now, news);
 }
 
-/// Takes what another host knows of hosts.
+/// Merges membership records from another host.
 pub(super) fn records<S: Store, D: Dialect>(life: &Life<S, D>, records: &[Record]) {
     let now = life.node.now();
     if life.gossip.borrow_mut().merge(now, records) {
@@ -164,8 +164,8 @@
     endpoints::list(life, at, it.entries, it.absence);
 }
 
-/// Takes what has changed in the listing; where this host's own has changed meanwhile, it is
-/// asked where the two differ.
+/// Applies changes of the listing. Requests a patch if this host's listing has changed since
+/// the request.
 fn listing_change<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
@@ -188,8 +188,8 @@
     ask::ask_once(life, link, from, Question::ListingPatch(sketch));
 }
 
-/// Takes where the listing differs. One that doesn't fit any more is of no use, and the next
-/// news begins anew.
+/// Applies a patch of the listing. A patch that no longer fits is dropped; the next update
+/// triggers a new request.
 fn listing_patch<S: Store, D: Dialect>(life: &Life<S, D>, it: &ListingPatch) {
     let patched = life.listing.borrow().patched(&it.patch);
     if let Some(entries) = patched {
@@ -198,16 +198,16 @@
     }
 }
 
-/// When something was read whose age another host told.
+/// Returns the local time at which something was read, given its age as sent by another host.
 fn read_at(now: Duration, age: Duration) -> Duration {
-    /// What news takes to arrive, at least. Without it, an age would grow too
-    /// slowly while it goes round between hosts.
+    /// Lower bound of the transfer time. Without it, the age would grow too slowly while it
+    /// travels between hosts.
     const WAY: Duration = Duration::from_millis(20);
     now.saturating_sub(age.saturating_add(WAY))
 }
 
-/// Takes over the age of another host's listing that says the same as this one's,
-/// and asks for one that is younger and different. Says whether it is much younger.
+/// Takes over the read time of another host's listing if it equals this host's, and requests
+/// a newer listing that differs. Returns whether the read time is much later than before.
 fn listing_news<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
--- a/crates/host/src/talk/watch.rs
+++ b/crates/host/src/talk/watch.rs
@@ -1,4 +1,4 @@
-//! Asks hosts that have fallen silent whether they live.
+//! Probes hosts that are suspected to be down, and reconnects to silent ones.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::life::Life;
 use crate::message::{Message, Question};
 
-/// How long a host that is asked whether it lives may take, the connection included.
-/// One that is merely slow contradicts before callers notice.
+/// The timeout of a probe, connection setup included. A host that is merely slow refutes the
+/// claim before callers are affected.
 const ANSWER: Duration = Duration::from_millis(500);
-/// How often it is looked who has fallen silent.
+/// The interval between checks for suspected hosts.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// Watches those who should tell this host something.
+/// Probes neighbours that have stopped sending updates.
 pub(super) async fn watch<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
     loop {
         sleep(LOOK).await;
@@ -47,8 +47,8 @@
     }
 }
 
-/// Tries hosts that are silent: a data centre that was apart has taken all others for
-/// silent, and they have taken its hosts for silent, so nobody would speak first.
+/// Tries to reconnect to silent hosts. After a partition heals, both sides have marked each
+/// other silent, and neither would send the first message without this.
 pub(super) async fn reconnect<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
     loop {
         sleep(RETRY).await;
