--- a/crates/host/src/gossip/roster.rs
+++ b/crates/host/src/gossip/roster.rs
@@ -184,8 +184,8 @@
             .collect()
     }
 
-    /// Adds a host's entry in the store, unless something more recent than the entry is known of
-    /// the host.
+    /// Adds a host's entry from the store. A known host is replaced only if the entry has other
+    /// addresses and the host is listed or silent: what a host reports itself is more reliable.
     pub(super) fn list(&mut self, now: Duration, member: Member) {
         let known = self.get(&member.name);
         let is_new = known.is_none_or(|it| {
--- a/crates/host/src/talk.rs
+++ b/crates/host/src/talk.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// Publishes the total evidence on roll-outs at each root that this host is.
+/// Publishes the total evidence on each roll-out if this host is a root.
 fn gather<S: Store, D: Dialect>(life: &Life<S, D>) {
     let now = life.node.now();
     let gossip = life.gossip.borrow();
@@ -146,7 +146,8 @@
 }
 
 /// Returns the update for a neighbour on the path to a root, with the partial sums of the
-/// roll-outs; `None` if the neighbour is on no such path.
+/// roll-outs; `None` if the neighbour is on no such path or there
+/// are no roll-outs.
 fn with_sums<S: Store, D: Dialect>(life: &Life<S, D>, news: &News, to: &HostName) -> Option<News> {
     let gossip = life.gossip.borrow();
     let graph = gossip.graph();
--- a/crates/host/tests/gossip.rs
+++ b/crates/host/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! How news of the hosts travels among hundreds of them, in simulated time.
+//! Simulations of membership gossip among hundreds of hosts.
 
 #[path = "gossip/network.rs"]
 mod network;
@@ -11,7 +11,7 @@
 const HOSTS: usize = 295;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Whether a host names just these as ready.
+/// Returns whether `host` sends callers to exactly `expected` hosts.
 fn names(host: &Host, now: Duration, expected: usize) -> bool {
     host.gossip.roster().addresses(now).len() == expected
 }
@@ -35,26 +35,26 @@
     addresses.iter().any(|it| Some(it.front) == front)
 }
 
-/// All hosts start at once, as after a loss of power. Each told seven others drawn
-/// anew twice a second, and met nearly all of 294 within a minute: 43,000 handshakes,
-/// and as many connections kept. They have a few neighbours, and know all soon.
+/// All hosts start at once, for example after a power failure. They must know each other soon
+/// with few connections each, instead of connecting to nearly all others.
 #[test]
 fn hosts_that_start_at_once_know_all() {
     for (hosts, seed) in [(2, 1), (3, 1), (8, 1), (9, 2), (24, 3), (76, 4), (295, 5)] {
         let mut network = Network::new(hosts, seed);
         network.start_all();
         let now = network.now + 6 * SECOND;
-        let took = network.until("all know all", 5 * SECOND, |it| names(it, now, hosts));
-        println!("{hosts} hosts know all after {took:?}");
+        let took = network.until("all hosts know each other", 5 * SECOND, |it| {
+            names(it, now, hosts)
+        });
+        println!("{hosts} hosts know each other after {took:?}");
         network.run(30 * SECOND);
         let most = network.up().map(|it| it.met.len()).max().unwrap();
-        println!("{hosts} hosts: at most {most} are told by one in half a minute");
-        assert!(most < 30, "{most} hosts are told by one");
+        println!("{hosts} hosts: one sends to at most {most} hosts in 30 s");
+        assert!(most < 30, "a host sends to {most} hosts");
     }
 }
 
-/// A host's own work doesn't grow with the number of hosts: no more than 30
-/// connections, and 7 kB a second sent and received.
+/// Connections and traffic of a host must not grow with the number of hosts.
 #[test]
 fn a_hosts_work_is_bounded() {
     for hosts in [9, 76, 295, 600] {
@@ -77,14 +77,16 @@
             all.len()
         };
         let most = network.up().map(connections).max().unwrap();
-        println!("{hosts} hosts: {mean} B/s a host, busiest {busiest}, {most} connections");
+        println!(
+            "{hosts} hosts: {mean} B/s per host, at most {busiest} B/s and {most} connections"
+        );
         assert!(busiest < 7_000, "{busiest} B/s at {hosts} hosts");
         assert!(most < 30, "{most} connections at {hosts} hosts");
     }
 }
 
-/// One host reads something new. All know it within two seconds, also while a third
-/// of them dies at that moment and one datagram in twenty is lost.
+/// A change that one host reads reaches all others within two seconds, even if many hosts
+/// fail at that moment and datagrams are lost.
 #[test]
 fn a_change_is_known_to_all_soon() {
     for (seed, dead) in [(11, 0), (12, HOSTS / 3), (13, HOSTS / 3), (14, HOSTS / 2)] {
@@ -93,14 +95,15 @@
             network.kill((nr * 2 + 1) % HOSTS);
         }
         network.learn(0, 9);
-        let took = network.until("all know the change", 2 * SECOND, |it| it.version == 9);
-        println!("{dead} of {HOSTS} dead: known to all after {took:?}");
+        let took = network.until("all hosts know the change", 2 * SECOND, |it| {
+            it.version == 9
+        });
+        println!("{dead} of {HOSTS} hosts dead: change known to all after {took:?}");
     }
 }
 
-/// Hosts lose power. Callers aren't sent there any more within three seconds, five if
-/// those who would have heard a dead one are dead too, and nobody who lives is taken
-/// for silent.
+/// After a power failure, callers are no longer sent to the dead hosts within three seconds, or
+/// five if the hosts that monitor them died too. No live host is marked silent.
 #[test]
 fn dead_hosts_are_unnamed_and_live_ones_stay() {
     for (seed, dead) in [(21, 1), (22, HOSTS / 3), (23, HOSTS / 2)] {
@@ -109,23 +112,25 @@
         for &it in &killed {
             network.kill(it);
         }
-        // Whom nobody who lives should hear is found when the others are known dead.
+        // A host whose predecessors are all dead is detected once the graph is recomputed.
         let most = match dead {
             1 => 3 * SECOND,
             _ => 5 * SECOND,
         };
         let now = network.now + most;
         let left = HOSTS - dead;
-        let took = network.until("the dead are unnamed", most, |it| names(it, now, left));
-        println!("{dead} of {HOSTS} dead: unnamed everywhere after {took:?}");
+        let took = network.until("callers are not sent to dead hosts", most, |it| {
+            names(it, now, left)
+        });
+        println!("{dead} of {HOSTS} hosts dead: removed everywhere after {took:?}");
         network.run(5 * SECOND);
         let now = network.now;
         assert!(network.up().all(|it| names(it, now, left)));
     }
 }
 
-/// Power comes back for all at once, and each finds everybody's entry of before in
-/// the store. The word of the former lives must not stand against the new ones.
+/// All hosts restart at once and find the store entries of the previous run. Records of the
+/// previous run must not supersede those of the new one.
 #[test]
 fn hosts_that_start_again_at_once_know_all() {
     let mut network = calm(HOSTS, 31);
@@ -135,15 +140,17 @@
     (0..HOSTS).for_each(|it| network.start(it, &all));
     network.run(Duration::from_millis(100));
     let now = network.now + 10 * SECOND;
-    let took = network.until("all know all", 5 * SECOND, |it| names(it, now, HOSTS));
-    println!("{HOSTS} started again: all known after {took:?}");
+    let took = network.until("all hosts know each other", 5 * SECOND, |it| {
+        names(it, now, HOSTS)
+    });
+    println!("{HOSTS} hosts restarted: know each other after {took:?}");
     network.run(5 * SECOND);
     let now = network.now;
     assert!(network.up().all(|it| names(it, now, HOSTS)));
 }
 
-/// A data centre is cut off from the others and comes back. Its hosts go on among
-/// themselves, and nobody stays apart afterwards.
+/// A data centre is cut off and reconnects. Its hosts keep serving among themselves, and all
+/// hosts know each other again afterwards.
 #[test]
 fn a_data_centre_that_was_apart_comes_back() {
     let mut network = calm(HOSTS, 41);
@@ -161,7 +168,7 @@
     while !is_whole(&network) {
         assert!(
             network.now.saturating_sub(began) < 5 * SECOND,
-            "somebody stays apart"
+            "a host is still disconnected"
         );
         network.run(Duration::from_millis(10));
         let least = |at: usize| {
@@ -171,17 +178,20 @@
                 .min()
                 .unwrap()
         };
-        assert!(least(0) >= HOSTS - apart, "callers are left too few");
-        assert!(least(1) >= apart, "callers are left too few");
+        assert!(
+            least(0) >= HOSTS - apart,
+            "too few hosts are left for callers"
+        );
+        assert!(least(1) >= apart, "too few hosts are left for callers");
     }
     println!(
-        "a data centre of {apart} is back after {:?}",
+        "a data centre of {apart} hosts has reconnected after {:?}",
         network.now.saturating_sub(began)
     );
 }
 
-/// One host is cut off for seconds and hears nobody. It went on to take all whom it
-/// should hear for silent, and told so when it was back.
+/// A host that is cut off hears nobody. It must not mark the others silent and spread that
+/// claim after it reconnects.
 #[test]
 fn a_host_that_was_cut_off_accuses_nobody() {
     let mut network = calm(HOSTS, 51);
@@ -205,10 +215,9 @@
     assert!(network.up().all(|it| names(it, now, HOSTS)));
 }
 
-/// A third of the hosts stand still for seconds, each by itself, and go on. They pass for
-/// silent, and callers aren't sent there until they have contradicted; left to the next
-/// comparison of views, that would be more than a second after they are back. Those that
-/// are tried again hear of it, and tell each other.
+/// A third of the hosts stall, each on its own, and are marked silent. After they resume, they
+/// must refute this at once: through reconnection attempts of other hosts instead of the next
+/// comparison, which takes more than a second.
 #[test]
 fn hosts_that_stood_still_are_soon_back() {
     let mut network = calm(HOSTS, 71);
@@ -219,15 +228,17 @@
     network.run(6 * SECOND);
     network.hosts.iter_mut().for_each(|it| it.part = 0);
     let now = network.now + SECOND;
-    let took = network.until("all are back", SECOND, |it| names(it, now, HOSTS));
+    let took = network.until("all hosts are live again", SECOND, |it| {
+        names(it, now, HOSTS)
+    });
     println!(
-        "{} hosts that stood still are back after {took:?}",
+        "{} stalled hosts are live again after {took:?}",
         still.len()
     );
 }
 
-/// Each host reckons by itself who tells whom, and all come to the same: a way leads
-/// from everybody to those who gather what all have seen.
+/// All hosts compute the same graph, in which each has a path to the roots that aggregate
+/// evidence.
 #[test]
 fn everybody_reaches_the_roots() {
     for hosts in [2, 8, 24, 76, 295] {
--- a/crates/host/tests/gossip/network.rs
+++ b/crates/host/tests/gossip/network.rs
@@ -1,5 +1,5 @@
-//! Hundreds of hosts that tell each other what they know, in simulated time: the
-//! real core, and a network that delays, loses and cuts.
+//! Simulated network of hosts that run the real gossip state machine, with delays, losses and
+//! partitions.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -14,12 +14,11 @@
 use rand_pcg::Pcg32;
 
 const DATA_CENTRES: usize = 6;
-/// From one host to another: 0.5 ms on the way, and the time until a host with a
-/// tenth of a core gets to it.
+/// Range of the delay in milliseconds from send to processing on another host.
 const DELAY: [u64; 2] = [1, 12];
-/// How long a host that is asked and doesn't answer is waited for.
+/// Time until an unanswered probe is reported as failed.
 const UNANSWERED: Duration = Duration::from_millis(500);
-/// What QUIC, UDP and IP add to a message, and what its acknowledgement takes.
+/// Bytes that QUIC, UDP and IP add to a message, including its acknowledgement.
 const OVERHEAD: usize = 68 + 64;
 
 pub(crate) struct Network {
@@ -35,9 +34,9 @@
 pub(crate) struct Host {
     pub(crate) gossip: Gossip,
     pub(crate) is_up: bool,
-    /// Hosts of other parts aren't reached.
+    /// Hosts can only reach hosts with the same value.
     pub(crate) part: usize,
-    /// Something that each host is to know the newest of.
+    /// A value that gossip spreads; hosts keep the highest one.
     pub(crate) version: u64,
     pub(crate) bytes: usize,
     pub(crate) met: HashSet<HostName>,
@@ -67,7 +66,7 @@
 }
 
 impl Network {
-    /// So many hosts that are started by [`Self::start`].
+    /// Creates a number of hosts; [`Self::start`] starts them.
     pub(crate) fn new(hosts: usize, seed: u64) -> Self {
         let mut network = Self {
             now: Duration::from_secs(1),
@@ -96,7 +95,7 @@
         network
     }
 
-    /// Starts a host that finds these in the store's listing.
+    /// Starts a host that finds the hosts `listed` in the store.
     pub(crate) fn start(&mut self, nr: usize, listed: &[usize]) {
         let now = self.now;
         let listing = listed.iter().map(|&it| member(it)).collect();
@@ -116,17 +115,17 @@
         self.schedule(Duration::from_millis(lot), Event::Retry(nr, life));
     }
 
-    /// Starts all within 0.3 s; each finds those in the listing that came before it.
+    /// Starts all hosts within 0.3 s; each finds the entries of those before it in the listing.
     pub(crate) fn start_all(&mut self) {
         let count = self.hosts.len();
         let pause = Duration::from_millis(300).div_f64(f64::from(u32::try_from(count).unwrap()));
         for nr in 0..count {
-            // An entry takes some 8 ms to get there.
+            // A new entry takes about 8 ms to become visible.
             let listed: Vec<usize> = (0..nr.saturating_sub(8)).collect();
             self.start(nr, &listed);
             self.run(pause);
         }
-        // Who found nobody looks again, as the first two readers do.
+        // The first hosts found no others and read the listing again.
         let all: Vec<Member> = (0..count).map(member).collect();
         let now = self.now;
         for host in self.hosts.iter_mut().take(8) {
@@ -139,13 +138,13 @@
         self.hosts[nr].life += 1;
     }
 
-    /// One host learns something newer.
+    /// Gives a host a newer version to spread.
     pub(crate) fn learn(&mut self, nr: usize, version: u64) {
         self.hosts[nr].version = version;
         self.hurry(nr);
     }
 
-    /// Runs for this long.
+    /// Advances the simulation.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(Reverse((at, _, _))) = self.queue.peek()
@@ -158,7 +157,7 @@
         self.now = end;
     }
 
-    /// Runs until all that are up fulfil this, and returns how long it took.
+    /// Runs until `check` is true of all running hosts, and returns the time taken.
     pub(crate) fn until(
         &mut self,
         what: &str,
@@ -170,7 +169,7 @@
             let missing = self.up().filter(|it| !check(it)).count();
             assert!(
                 self.now.saturating_sub(began) < most,
-                "not in {most:?}: {what}, {missing} hosts"
+                "not within {most:?}: {what} (false for {missing} hosts)"
             );
             self.run(Duration::from_millis(10));
         }
@@ -254,7 +253,7 @@
         if self.hosts[from].part != self.hosts[to].part || !self.hosts[to].is_up {
             return;
         }
-        // Only datagrams are lost for good.
+        // Only datagrams are lost for good; streams retransmit.
         let is_datagram = matches!(message, Message::Pulse(..)) && size < 1_200;
         if is_datagram && self.rng.random_range(0..100) < self.lost_in_hundred {
             return;
@@ -315,7 +314,7 @@
 impl Message {
     fn size(&self) -> usize {
         let payload = match self {
-            // Beside the hosts: version and ages of what is followed.
+            // Adds the configuration version and the ages that a real update carries.
             Self::Pulse(_, pulse, _) => postcard::to_stdvec(pulse).unwrap().len() + 60,
             Self::Compare(_, digest) => postcard::to_stdvec(digest).unwrap().len(),
             Self::Compared(_, it) => postcard::to_stdvec(it).unwrap().len(),
