--- a/crates/host/src/gossip.rs
+++ b/crates/host/src/gossip.rs
@@ -5,10 +5,10 @@
 //! `docs/design/gossip.md`.
 
 mod compare;
+mod failure_detector;
 mod graph;
 mod record;
 mod roster;
-mod watch;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,31 +19,31 @@
 use crate::Member;
 
 pub use compare::{Comparison, Digest};
-pub use graph::{DEGREE, Graph, ROOTS};
+use failure_detector::{FailureDetector, ProbeResult};
+pub use graph::{DEGREE, Graph, ROOT_COUNT};
 pub use record::{Record, State};
 pub use roster::Roster;
-use watch::{Finding, Watch};
 
 /// The interval between routine updates to the neighbours.
-pub const PERIOD: Duration = Duration::from_millis(500);
+pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
 /// The delay before a change is sent to the neighbours, in which further changes are added
 /// to the same update. When many hosts start or fail together, their changes travel in a
 /// few messages.
-pub const GATHER: Duration = Duration::from_millis(20);
+pub const BATCH_DELAY: Duration = Duration::from_millis(20);
 /// The least time between two updates from a host. Limits the traffic of state that changes
 /// continuously.
-pub const SPACING: Duration = Duration::from_millis(100);
+pub const MIN_GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 /// The interval between attempts to reconnect to a silent host.
-pub const RETRY: Duration = Duration::from_secs(1);
+pub const RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
 /// How long another host's fingerprint may differ before the two views are compared.
 /// Fingerprints differ briefly while an update is propagating.
-const PATIENCE: Duration = Duration::from_millis(1_200);
+const MISMATCH_TOLERANCE: Duration = Duration::from_millis(1_200);
 /// The least time between two comparisons that this host starts.
-const COMPARE_PAUSE: Duration = Duration::from_secs(1);
+const MIN_COMPARISON_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The membership changes that a host sends to its neighbours.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pulse {
+pub struct MembershipUpdate {
     /// The records that changed since the previous update.
     pub records: Vec<Record>,
     /// Fingerprint of the sender's roster; equal rosters have equal fingerprints.
@@ -52,11 +52,11 @@
 
 /// What the receiver of an update does next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct UpdateOutcome {
     /// The update changed the roster; send the change to the neighbours.
-    pub is_news: bool,
+    pub has_changes: bool,
     /// The sender's view has differed for too long; compare the two.
-    pub differs: bool,
+    pub needs_comparison: bool,
 }
 
 /// The membership state of this host and the neighbours it exchanges updates with.
@@ -64,14 +64,14 @@
 pub struct Gossip {
     roster: Roster,
     graph: Graph,
-    watch: Watch,
+    failure_detector: FailureDetector,
     /// Previous successors, and until when they still receive updates.
-    former: Vec<(HostName, Duration)>,
+    former_successors: Vec<(HostName, Duration)>,
     /// Hosts whose records changed since the previous update.
-    untold: Vec<HostName>,
+    unsent: Vec<HostName>,
     /// Since when the fingerprints of other hosts differ from this one's.
-    differing: HashMap<HostName, Duration>,
-    compared: Option<Duration>,
+    mismatched_since: HashMap<HostName, Duration>,
+    last_comparison: Option<Duration>,
 }
 
 impl Gossip {
@@ -80,15 +80,15 @@
     pub fn new(own: Member, incarnation: Incarnation, now: Duration) -> Self {
         let roster = Roster::new(own, incarnation, now);
         let mut gossip = Self {
-            untold: vec![roster.own().member.name.clone()],
+            unsent: vec![roster.own().member.name.clone()],
             graph: Graph::default(),
-            former: Vec::new(),
-            watch: Watch::default(),
-            differing: HashMap::new(),
-            compared: None,
+            former_successors: Vec::new(),
+            failure_detector: FailureDetector::default(),
+            mismatched_since: HashMap::new(),
+            last_comparison: None,
             roster,
         };
-        gossip.refresh(now);
+        gossip.update_graph(now);
         gossip
     }
 
@@ -109,26 +109,26 @@
         for it in members {
             self.roster.list(now, it);
         }
-        self.refresh(now);
+        self.update_graph(now);
     }
 
     /// Sets this host's own state. Returns whether it changed.
     pub fn set_state(&mut self, now: Duration, state: State) -> bool {
-        let changed = self.roster.set_own(now, state);
+        let changed = self.roster.set_own_state(now, state);
         if changed {
-            self.mark(self.roster.own().member.name.clone());
+            self.queue_record(self.roster.own().member.name.clone());
         }
         changed
     }
 
     /// Returns the update to send now. A change is sent once: a neighbour that misses it
     /// receives it from other hosts or through a comparison.
-    pub fn pulse(&mut self, now: Duration) -> Pulse {
-        self.refresh(now);
-        self.former.retain(|it| now < it.1);
-        let untold = std::mem::take(&mut self.untold);
-        Pulse {
-            records: untold
+    pub fn next_update(&mut self, now: Duration) -> MembershipUpdate {
+        self.update_graph(now);
+        self.former_successors.retain(|it| now < it.1);
+        let unsent = std::mem::take(&mut self.unsent);
+        MembershipUpdate {
+            records: unsent
                 .iter()
                 .filter_map(|it| self.roster.get(it))
                 .cloned()
@@ -139,8 +139,8 @@
 
     /// Returns an update with all live hosts, for a host that has just started.
     #[must_use]
-    pub fn whole(&self) -> Pulse {
-        Pulse {
+    pub fn full_update(&self) -> MembershipUpdate {
+        MembershipUpdate {
             records: self.roster.live().cloned().collect(),
             fingerprint: self.roster.fingerprint(),
         }
@@ -148,22 +148,30 @@
 
     /// Returns the hosts that this host sends updates to.
     #[must_use]
-    pub fn audience(&self) -> Vec<Member> {
-        let former = self.former.iter().map(|it| &it.0);
+    pub fn recipients(&self) -> Vec<Member> {
+        let former_successors = self.former_successors.iter().map(|it| &it.0);
         self.graph
             .successors()
-            .chain(former)
+            .chain(former_successors)
             .filter_map(|it| self.roster.get(it))
             .map(|it| it.member.clone())
             .collect()
     }
 
     /// Applies an update from another host.
-    pub fn hear(&mut self, now: Duration, from: &HostName, pulse: &Pulse) -> Heard {
-        self.watch.hear(now, from);
-        let is_news = self.merge(now, &pulse.records);
-        let differs = self.differs(now, from, pulse.fingerprint);
-        Heard { is_news, differs }
+    pub fn receive(
+        &mut self,
+        now: Duration,
+        from: &HostName,
+        update: &MembershipUpdate,
+    ) -> UpdateOutcome {
+        self.failure_detector.record_message(now, from);
+        let has_changes = self.merge(now, &update.records);
+        let needs_comparison = self.needs_comparison(now, from, update.fingerprint);
+        UpdateOutcome {
+            has_changes,
+            needs_comparison,
+        }
     }
 
     /// Returns a compact digest of the roster for a comparison.
@@ -180,35 +188,39 @@
 
     /// Applies the response to a comparison. Returns the records that the other host asked
     /// for, and whether anything changed here.
-    pub fn settle(&mut self, now: Duration, comparison: &Comparison) -> (Vec<Record>, bool) {
-        let is_news = self.merge(now, &comparison.records);
-        let wanted = self.roster.by_tags(&comparison.wanted);
-        (wanted, is_news)
+    pub fn apply_comparison(
+        &mut self,
+        now: Duration,
+        comparison: &Comparison,
+    ) -> (Vec<Record>, bool) {
+        let has_changes = self.merge(now, &comparison.records);
+        let wanted = self.roster.records_by_name_hash(&comparison.wanted);
+        (wanted, has_changes)
     }
 
     /// Merges records into the roster. Returns whether any of them changed it.
     pub fn merge(&mut self, now: Duration, records: &[Record]) -> bool {
-        let mut is_news = false;
+        let mut has_changes = false;
         for it in records {
             if let Some(name) = self.roster.merge(now, it) {
-                self.mark(name);
-                is_news = true;
+                self.queue_record(name);
+                has_changes = true;
             }
         }
-        is_news
+        has_changes
     }
 
     /// Returns the hosts that have been silent for too long and should be probed.
     pub fn suspects(&mut self, now: Duration) -> Vec<Member> {
-        self.refresh(now);
-        let suspects = self.watch.suspects(now);
+        self.update_graph(now);
+        let suspects = self.failure_detector.suspects(now);
         let find = |it: &HostName| self.roster.get(it).map(|it| it.member.clone());
         suspects.iter().filter_map(find).collect()
     }
 
     /// Records that a host answered a probe or is known to be alive for another reason.
-    pub fn answered(&mut self, now: Duration, host: &HostName) {
-        self.watch.answered(now, host);
+    pub fn mark_alive(&mut self, now: Duration, host: &HostName) {
+        self.failure_detector.mark_alive(now, host);
     }
 
     /// Records that a host did not answer a probe. Returns whether it is now marked silent.
@@ -216,16 +228,16 @@
     /// A host that is cut off hears nobody, and without this guard would spread the claim that
     /// all others are silent when it reconnects. If none of its predecessors reaches a host, it
     /// marks nobody silent unless it reaches the store: then it may be the only one left.
-    pub fn unanswered(&mut self, now: Duration, host: &HostName, contact: Contact) -> bool {
-        match (self.watch.unanswered(now, host), contact) {
-            (Finding::Silent, _) | (Finding::Deaf, Contact::Store) => {}
-            (Finding::Heard, _) | (Finding::Deaf, Contact::Lost) => return false,
+    pub fn probe_failed(&mut self, now: Duration, host: &HostName, contact: Contact) -> bool {
+        match (self.failure_detector.probe_failed(now, host), contact) {
+            (ProbeResult::Silent, _) | (ProbeResult::AllSilent, Contact::Store) => {}
+            (ProbeResult::Alive, _) | (ProbeResult::AllSilent, Contact::Lost) => return false,
         }
-        self.watch.spare(now, host);
-        let Some(name) = self.roster.silence(now, host) else {
+        self.failure_detector.suspend(now, host);
+        let Some(name) = self.roster.mark_silent(now, host) else {
             return false;
         };
-        self.mark(name);
+        self.queue_record(name);
         true
     }
 
@@ -233,60 +245,63 @@
     /// probability falls with the number of hosts, so that the total rate of attempts stays
     /// constant.
     #[must_use]
-    pub fn lost(&self, chance: f64) -> Option<Member> {
-        self.roster.lost(chance)
+    pub fn reconnect_candidate(&self, random: f64) -> Option<Member> {
+        self.roster.reconnect_candidate(random)
     }
 
-    fn mark(&mut self, name: HostName) {
-        if !self.untold.contains(&name) {
-            self.untold.push(name);
+    fn queue_record(&mut self, name: HostName) {
+        if !self.unsent.contains(&name) {
+            self.unsent.push(name);
         }
     }
 
-    fn refresh(&mut self, now: Duration) {
-        if self.graph.is_of(&self.roster) {
+    fn update_graph(&mut self, now: Duration) {
+        if self.graph.is_current(&self.roster) {
             return;
         }
         let before: Vec<HostName> = self.graph.successors().cloned().collect();
         self.graph = Graph::new(&self.roster);
         // New successors need this host's own record first: nobody else may know it yet.
         if self.graph.successors().any(|it| !before.contains(it)) {
-            self.mark(self.roster.own().member.name.clone());
+            self.queue_record(self.roster.own().member.name.clone());
         }
-        self.linger(now, before);
-        self.watch.expect(now, self.graph.predecessors());
+        self.keep_former_successors(now, before);
+        self.failure_detector
+            .monitor(now, self.graph.predecessors());
     }
 
     /// Keeps sending updates to former successors for a while.
     ///
     /// A host that was wrongly marked silent is removed from everyone's graph. Without these
     /// updates it would never learn of the claim and couldn't refute it.
-    fn linger(&mut self, now: Duration, before: Vec<HostName>) {
-        const LINGER: Duration = Duration::from_secs(1);
-        let known = std::mem::take(&mut self.former);
-        let fresh = before.into_iter().map(|it| (it, now + LINGER));
+    fn keep_former_successors(&mut self, now: Duration, before: Vec<HostName>) {
+        const GRACE_PERIOD: Duration = Duration::from_secs(1);
+        let known = std::mem::take(&mut self.former_successors);
+        let fresh = before.into_iter().map(|it| (it, now + GRACE_PERIOD));
         for (host, until) in fresh.chain(known) {
-            let is_known = self.former.iter().any(|it| it.0 == host);
-            let is_told = self.graph.successors().any(|it| *it == host);
-            if now < until && !is_known && !is_told && self.former.len() < DEGREE {
-                self.former.push((host, until));
+            let is_kept = self.former_successors.iter().any(|it| it.0 == host);
+            let is_successor = self.graph.successors().any(|it| *it == host);
+            if now < until && !is_kept && !is_successor && self.former_successors.len() < DEGREE {
+                self.former_successors.push((host, until));
             }
         }
     }
 
-    fn differs(&mut self, now: Duration, from: &HostName, fingerprint: u64) -> bool {
+    fn needs_comparison(&mut self, now: Duration, from: &HostName, fingerprint: u64) -> bool {
         if fingerprint == self.roster.fingerprint() {
-            self.differing.remove(from);
+            self.mismatched_since.remove(from);
             return false;
         }
-        let since = *self.differing.entry(from.clone()).or_insert(now);
-        let is_due = self.compared.is_none_or(|at| now >= at + COMPARE_PAUSE);
-        let differs = is_due && now >= since + PATIENCE;
-        if differs {
-            self.compared = Some(now);
-            self.differing.clear();
+        let since = *self.mismatched_since.entry(from.clone()).or_insert(now);
+        let is_due = self
+            .last_comparison
+            .is_none_or(|at| now >= at + MIN_COMPARISON_INTERVAL);
+        let is_needed = is_due && now >= since + MISMATCH_TOLERANCE;
+        if is_needed {
+            self.last_comparison = Some(now);
+            self.mismatched_since.clear();
         }
-        differs
+        is_needed
     }
 }
 
--- a/crates/host/src/gossip/compare.rs
+++ b/crates/host/src/gossip/compare.rs
@@ -7,7 +7,7 @@
 /// Compact form of a roster: pairs of a name hash and a record hash.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    stamps: Vec<(u32, u32)>,
+    hashes: Vec<(u32, u32)>,
 }
 
 /// The differences between two rosters.
@@ -21,29 +21,29 @@
 
 impl Digest {
     pub(super) fn of(roster: &Roster) -> Self {
-        let mut stamps: Vec<_> = roster.stamps().map(|it| (it.0, short(it.1))).collect();
-        stamps.sort_unstable();
-        Self { stamps }
+        let mut hashes: Vec<_> = roster.hashes().map(|it| (it.0, low_bits(it.1))).collect();
+        hashes.sort_unstable();
+        Self { hashes }
     }
 
     pub(super) fn compare(&self, roster: &Roster) -> Comparison {
-        let find = |tag: u32| self.stamps.binary_search_by_key(&tag, |it| it.0);
+        let find = |name_hash: u32| self.hashes.binary_search_by_key(&name_hash, |it| it.0);
         let mut comparison = Comparison::default();
         let mut same = 0;
-        for (tag, stamp, record) in roster.stamps() {
-            match find(tag).map(|at| self.stamps[at].1) {
-                Ok(theirs) if theirs == short(stamp) => same += 1,
+        for (name_hash, record_hash, record) in roster.hashes() {
+            match find(name_hash).map(|at| self.hashes[at].1) {
+                Ok(theirs) if theirs == low_bits(record_hash) => same += 1,
                 Ok(_) => {
                     comparison.records.push(record.clone());
-                    comparison.wanted.push(tag);
+                    comparison.wanted.push(name_hash);
                 }
                 Err(_) => comparison.records.push(record.clone()),
             }
         }
         let known = same + comparison.wanted.len();
-        if known < self.stamps.len() {
-            let ours: std::collections::HashSet<_> = roster.stamps().map(|it| it.0).collect();
-            let theirs = self.stamps.iter().map(|it| it.0);
+        if known < self.hashes.len() {
+            let ours: std::collections::HashSet<_> = roster.hashes().map(|it| it.0).collect();
+            let theirs = self.hashes.iter().map(|it| it.0);
             comparison
                 .wanted
                 .extend(theirs.filter(|it| !ours.contains(it)));
@@ -52,6 +52,6 @@
     }
 }
 
-fn short(stamp: u64) -> u32 {
-    u32::try_from(stamp & u64::from(u32::MAX)).unwrap_or_default()
+fn low_bits(record_hash: u64) -> u32 {
+    u32::try_from(record_hash & u64::from(u32::MAX)).unwrap_or_default()
 }
--- a/crates/host/src/gossip/graph.rs
+++ b/crates/host/src/gossip/graph.rs
@@ -5,7 +5,7 @@
 use kernel::{DataCentre, HostName, hash};
 
 use super::Roster;
-use super::roster::tag;
+use super::roster::name_hash;
 
 /// The number of successors of each host, if there are more hosts than that. Keeps a host's
 /// work independent of the number of hosts, while updates still reach all when messages are
@@ -13,11 +13,11 @@
 pub const DEGREE: usize = 6;
 /// The number of successors in the same data centre, on two rings of its hosts. Traffic between
 /// data centres is charged for; the remaining successors connect the data centres.
-const NEAR: usize = 4;
-const NEAR_RINGS: usize = 2;
+const LOCAL_DEGREE: usize = 4;
+const LOCAL_RINGS: usize = 2;
 /// The number of roots that aggregate the evidence of all hosts. The second one makes the
 /// aggregate available at once when the first one fails.
-pub const ROOTS: usize = 2;
+pub const ROOT_COUNT: usize = 2;
 
 /// The graph along which updates travel.
 ///
@@ -39,7 +39,7 @@
         let nodes: Vec<Node> = roster
             .live()
             .map(|it| Node {
-                tag: tag(&it.member.name),
+                name_hash: name_hash(&it.member.name),
                 name: &it.member.name,
                 data_centre: &it.member.data_centre,
             })
@@ -48,12 +48,12 @@
             .iter()
             .position(|it| *it.name == roster.own().member.name)
             .unwrap_or(0);
-        let successors = connect(&nodes);
-        let mut by_tag: Vec<usize> = (0..nodes.len()).collect();
-        by_tag.sort_unstable_by_key(|&it| nodes[it].tag);
-        let distances = by_tag
+        let successors = choose_successors(&nodes);
+        let mut by_hash: Vec<usize> = (0..nodes.len()).collect();
+        by_hash.sort_unstable_by_key(|&it| nodes[it].name_hash);
+        let distances = by_hash
             .iter()
-            .take(ROOTS)
+            .take(ROOT_COUNT)
             .map(|&root| distances(&successors, root))
             .collect();
         Self {
@@ -66,7 +66,7 @@
     }
 
     /// Returns whether the graph was computed from the current set of hosts.
-    pub(super) fn is_of(&self, roster: &Roster) -> bool {
+    pub(super) fn is_current(&self, roster: &Roster) -> bool {
         self.epoch == Some(roster.epoch())
     }
 
@@ -78,9 +78,9 @@
 
     /// Iterates over the hosts that send updates to this host.
     pub fn predecessors(&self) -> impl Iterator<Item = &HostName> {
-        let tells = |it: &&(usize, &Vec<usize>)| it.1.contains(&self.own);
+        let sends = |it: &&(usize, &Vec<usize>)| it.1.contains(&self.own);
         let all = self.successors.iter().enumerate();
-        all.filter(move |it| tells(&it)).map(|it| &self.names[it.0])
+        all.filter(move |it| sends(&it)).map(|it| &self.names[it.0])
     }
 
     /// Returns the number of hops from this host to a root, or `None` if there is no path.
@@ -102,7 +102,7 @@
 
     /// Estimates from the number of hosts how many hops an update takes to reach all of them.
     #[must_use]
-    pub fn hops(hosts: usize) -> u32 {
+    pub fn estimated_hops(hosts: usize) -> u32 {
         if hosts <= DEGREE + 2 {
             return 1;
         }
@@ -113,11 +113,11 @@
 
 struct Node<'a> {
     name: &'a HostName,
-    tag: u32,
+    name_hash: u32,
     data_centre: &'a DataCentre,
 }
 
-fn connect(nodes: &[Node<'_>]) -> Vec<Vec<usize>> {
+fn choose_successors(nodes: &[Node<'_>]) -> Vec<Vec<usize>> {
     let mut chosen = vec![Vec::with_capacity(DEGREE + 1); nodes.len()];
     if nodes.len() <= DEGREE + 2 {
         for (at, chosen) in chosen.iter_mut().enumerate() {
@@ -125,34 +125,38 @@
         }
         return chosen;
     }
-    let mut near: HashMap<&DataCentre, Vec<usize>> = HashMap::new();
+    let mut by_data_centre: HashMap<&DataCentre, Vec<usize>> = HashMap::new();
     for (at, it) in nodes.iter().enumerate() {
-        near.entry(it.data_centre).or_default().push(at);
+        by_data_centre.entry(it.data_centre).or_default().push(at);
     }
-    for ring in 0..NEAR_RINGS {
-        for hosts in near.values() {
-            follow(&order(nodes, hosts, ring), &mut chosen, NEAR / NEAR_RINGS);
+    for ring in 0..LOCAL_RINGS {
+        for hosts in by_data_centre.values() {
+            add_from_ring(
+                &ring_order(nodes, hosts, ring),
+                &mut chosen,
+                LOCAL_DEGREE / LOCAL_RINGS,
+            );
         }
     }
     let all: Vec<usize> = (0..nodes.len()).collect();
-    let mut ring = NEAR_RINGS;
+    let mut ring = LOCAL_RINGS;
     // Hosts in small data centres have fewer local successors and need more from these rings.
     while chosen.iter().any(|it| it.len() < DEGREE) {
-        follow(&order(nodes, &all, ring), &mut chosen, 1);
+        add_from_ring(&ring_order(nodes, &all, ring), &mut chosen, 1);
         ring += 1;
     }
     chosen
 }
 
 /// Returns the hosts in their order on a ring.
-fn order(nodes: &[Node<'_>], hosts: &[usize], ring: usize) -> Vec<usize> {
+fn ring_order(nodes: &[Node<'_>], hosts: &[usize], ring: usize) -> Vec<usize> {
     let mut order = hosts.to_vec();
-    order.sort_unstable_by_key(|&it| hash::of(&(ring, nodes[it].tag)));
+    order.sort_unstable_by_key(|&it| hash::of(&(ring, nodes[it].name_hash)));
     order
 }
 
 /// Adds the next hosts on the ring as successors, except those already chosen.
-fn follow(ring: &[usize], chosen: &mut [Vec<usize>], count: usize) {
+fn add_from_ring(ring: &[usize], chosen: &mut [Vec<usize>], count: usize) {
     for (at, &host) in ring.iter().enumerate() {
         let (before, after) = ring.split_at(at);
         let ahead = after.iter().skip(1).chain(before);
--- a/crates/host/src/gossip/record.rs
+++ b/crates/host/src/gossip/record.rs
@@ -13,7 +13,7 @@
     /// The run of the host's process; later runs have higher values.
     pub incarnation: Incarnation,
     /// Incremented with each change that the host reports of itself in this run.
-    pub number: u32,
+    pub sequence: u32,
     /// Current state of the host.
     pub state: State,
 }
@@ -30,7 +30,7 @@
     /// The host was asked to stop.
     Leaving,
     /// The host was silent and didn't answer a probe. A live host refutes this claim with a
-    /// higher number.
+    /// higher sequence number.
     Silent,
     /// The host reported that it ends.
     Gone,
@@ -41,8 +41,8 @@
     ///
     /// A claim that a host is silent supersedes the last record that the host sent itself, and
     /// is superseded by its next one, in whichever order they arrive.
-    pub(crate) fn is_later(&self, other: &Self) -> bool {
-        self.order() > other.order()
+    pub(crate) fn supersedes(&self, other: &Self) -> bool {
+        self.precedence() > other.precedence()
     }
 
     /// Returns whether callers and updates may be sent to the host.
@@ -51,8 +51,8 @@
         !matches!(self.state, State::Silent | State::Gone)
     }
 
-    fn order(&self) -> (u64, u32, bool) {
+    fn precedence(&self) -> (u64, u32, bool) {
         let is_silent = self.state == State::Silent;
-        (self.incarnation.0, self.number, is_silent)
+        (self.incarnation.0, self.sequence, is_silent)
     }
 }
--- a/crates/host/src/gossip/roster.rs
+++ b/crates/host/src/gossip/roster.rs
@@ -12,61 +12,61 @@
 
 /// How long a silent host is kept, so that outdated records don't revive it. After that, the
 /// store's listing is the way back.
-const REMEMBERED: Duration = Duration::from_mins(10);
+const SILENT_RETENTION: Duration = Duration::from_mins(10);
 /// How long a host has been silent or gone before its entry is withdrawn from the store;
 /// longer than most restarts and network partitions.
-const GONE: Duration = Duration::from_mins(1);
+const WITHDRAW_AFTER: Duration = Duration::from_mins(1);
 /// How long callers are sent to a host that is only listed in the store. A live host is
 /// heard within this time, and a dead one is detected.
-const TRUSTED: Duration = Duration::from_secs(6);
+const LISTED_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long callers are still sent to a host after it was marked silent, per hop that an
 /// update takes to reach all hosts. A live host refutes the claim in this time.
 ///
 /// When a partitioned data centre reconnects, each side has marked most of the other silent.
 /// Without this delay, callers would see only a fraction of the hosts until the refutations
 /// arrive.
-const DOUBTED: Duration = Duration::from_millis(150);
+const SILENT_GRACE_PER_HOP: Duration = Duration::from_millis(150);
 /// The most hosts that are known at a time. Bounds the memory that records with invented
 /// names can take.
-const MOST: usize = 1_024;
+const MAX_HOSTS: usize = 1_024;
 
 /// The hosts that this host knows, with their latest records.
 #[derive(Debug)]
 pub struct Roster {
     own: HostName,
-    known: BTreeMap<HostName, Known>,
+    hosts: BTreeMap<HostName, KnownHost>,
     /// Incremented when a host appears, becomes silent or live, or changes its addresses.
     epoch: u64,
     fingerprint: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownHost {
     record: Record,
-    tag: u32,
-    stamp: u64,
+    name_hash: u32,
+    record_hash: u64,
     /// When this record was stored.
-    since: Duration,
+    stored_at: Duration,
     /// The host's last state in which it was live.
-    before: State,
+    last_live_state: State,
 }
 
 impl Roster {
     pub(super) fn new(own: Member, incarnation: Incarnation, now: Duration) -> Self {
         let mut roster = Self {
             own: own.name.clone(),
-            known: BTreeMap::new(),
+            hosts: BTreeMap::new(),
             epoch: 0,
             fingerprint: 0,
         };
         let state = State::Starting;
-        let number = 0;
-        roster.put(
+        let sequence = 0;
+        roster.insert(
             now,
             Record {
                 member: own,
                 incarnation,
-                number,
+                sequence,
                 state,
             },
         );
@@ -76,18 +76,18 @@
     /// Returns this host's own record.
     #[must_use]
     pub fn own(&self) -> &Record {
-        &self.known[&self.own].record
+        &self.hosts[&self.own].record
     }
 
     /// Returns the record of a host.
     #[must_use]
     pub fn get(&self, host: &HostName) -> Option<&Record> {
-        self.known.get(host).map(|it| &it.record)
+        self.hosts.get(host).map(|it| &it.record)
     }
 
     /// Iterates over the live hosts in order of their names, this host included.
     pub fn live(&self) -> impl Iterator<Item = &Record> {
-        self.known
+        self.hosts
             .values()
             .map(|it| &it.record)
             .filter(|it| it.is_live())
@@ -102,14 +102,17 @@
     /// Returns the addresses of the hosts that callers may be sent to.
     #[must_use]
     pub fn addresses(&self, now: Duration) -> Vec<Address> {
-        let doubted = DOUBTED * Graph::hops(self.known.len());
-        let serves = |it: &&Known| match it.record.state {
+        let silent_grace = SILENT_GRACE_PER_HOP * Graph::estimated_hops(self.hosts.len());
+        let serves = |it: &&KnownHost| match it.record.state {
             State::Ready => true,
-            State::Listed => now.saturating_sub(it.since) < TRUSTED,
-            State::Silent => it.before == State::Ready && now.saturating_sub(it.since) < doubted,
+            State::Listed => now.saturating_sub(it.stored_at) < LISTED_TIMEOUT,
+            State::Silent => {
+                it.last_live_state == State::Ready
+                    && now.saturating_sub(it.stored_at) < silent_grace
+            }
             State::Starting | State::Leaving | State::Gone => false,
         };
-        let known = self.known.values().filter(serves);
+        let known = self.hosts.values().filter(serves);
         known.map(|it| it.record.member.address()).collect()
     }
 
@@ -117,8 +120,8 @@
     #[must_use]
     pub fn missing(&self, listed: &[Member]) -> Vec<Member> {
         let listed: HashSet<&Member> = listed.iter().collect();
-        let is_told = |it: &&Record| it.state != State::Listed;
-        let live = self.live().filter(is_told).map(|it| &it.member);
+        let is_reported = |it: &&Record| it.state != State::Listed;
+        let live = self.live().filter(is_reported).map(|it| &it.member);
         live.filter(|it| !listed.contains(it)).cloned().collect()
     }
 
@@ -126,9 +129,9 @@
     #[must_use]
     pub fn gone(&self, now: Duration, listed: &[Member]) -> Vec<Member> {
         let is_gone = |it: &&Member| {
-            self.known
-                .get(&it.name)
-                .is_some_and(|known| !known.record.is_live() && now >= known.since + GONE)
+            self.hosts.get(&it.name).is_some_and(|known| {
+                !known.record.is_live() && now >= known.stored_at + WITHDRAW_AFTER
+            })
         };
         listed.iter().filter(is_gone).cloned().collect()
     }
@@ -138,11 +141,11 @@
     /// hash because hosts with similar names would otherwise be adjacent.
     #[must_use]
     pub fn rank(&self) -> usize {
-        let own = tag(&self.own);
+        let own = name_hash(&self.own);
         let before = |state: fn(State) -> bool| {
-            self.known
+            self.hosts
                 .values()
-                .filter(|it| it.tag < own && state(it.record.state))
+                .filter(|it| it.name_hash < own && state(it.record.state))
                 .count()
         };
         let is_any_ready = self.live().any(|it| it.state == State::Ready);
@@ -162,7 +165,7 @@
     /// Returns all known hosts as the peers that share the capacity of cold endpoints.
     #[must_use]
     pub fn peers(&self) -> Peers {
-        Peers::new(&self.own, self.known.keys())
+        Peers::new(&self.own, self.hosts.keys())
     }
 
     pub(crate) fn epoch(&self) -> u64 {
@@ -170,16 +173,16 @@
     }
 
     /// Iterates over name hash, record hash and record of each host, except listed ones.
-    pub(super) fn stamps(&self) -> impl Iterator<Item = (u32, u64, &Record)> {
-        self.known
+    pub(super) fn hashes(&self) -> impl Iterator<Item = (u32, u64, &Record)> {
+        self.hosts
             .values()
-            .map(|it| (it.tag, it.stamp, &it.record))
+            .map(|it| (it.name_hash, it.record_hash, &it.record))
             .filter(|it| it.2.state != State::Listed)
     }
 
-    pub(super) fn by_tags(&self, tags: &[u32]) -> Vec<Record> {
-        self.stamps()
-            .filter(|it| tags.contains(&it.0))
+    pub(super) fn records_by_name_hash(&self, name_hashes: &[u32]) -> Vec<Record> {
+        self.hashes()
+            .filter(|it| name_hashes.contains(&it.0))
             .map(|it| it.2.clone())
             .collect()
     }
@@ -196,22 +199,22 @@
             let record = Record {
                 member,
                 incarnation: Incarnation(0),
-                number: 0,
+                sequence: 0,
                 state: State::Listed,
             };
-            self.put(now, record);
+            self.insert(now, record);
         }
     }
 
     /// Sets this host's own state. Returns whether it changed.
-    pub(super) fn set_own(&mut self, now: Duration, state: State) -> bool {
+    pub(super) fn set_own_state(&mut self, now: Duration, state: State) -> bool {
         let mut record = self.own().clone();
         if record.state == state {
             return false;
         }
         record.state = state;
-        record.number += 1;
-        self.put(now, record);
+        record.sequence += 1;
+        self.insert(now, record);
         true
     }
 
@@ -219,18 +222,18 @@
     pub(super) fn merge(&mut self, now: Duration, record: &Record) -> Option<HostName> {
         let name = &record.member.name;
         if *name == self.own {
-            return self.contradict(now, record);
+            return self.refute(now, record);
         }
         match self.get(name) {
             // An unknown host that isn't live needs no record.
             None if !record.is_live() => return None,
-            Some(known) if !record.is_later(known) => return None,
+            Some(known) if !record.supersedes(known) => return None,
             _ => {}
         }
-        if record.state == State::Listed || self.known.len() >= MOST {
+        if record.state == State::Listed || self.hosts.len() >= MAX_HOSTS {
             return None;
         }
-        self.put(now, record.clone());
+        self.insert(now, record.clone());
         Some(name.clone())
     }
 
@@ -239,97 +242,98 @@
     /// If the clock was set back between two runs of the process, the former run's record has
     /// the higher incarnation and would supersede this one's for ever; this run takes a higher
     /// incarnation.
-    fn contradict(&mut self, now: Duration, said: &Record) -> Option<HostName> {
+    fn refute(&mut self, now: Duration, claim: &Record) -> Option<HostName> {
         let own = self.own();
-        if !said.is_later(own) {
+        if !claim.supersedes(own) {
             return None;
         }
         let mut record = own.clone();
-        record.incarnation = record.incarnation.max(said.incarnation);
-        record.number = said.number + 1;
-        if said.incarnation > own.incarnation {
-            record.incarnation = Incarnation(said.incarnation.0 + 1);
+        record.incarnation = record.incarnation.max(claim.incarnation);
+        record.sequence = claim.sequence + 1;
+        if claim.incarnation > own.incarnation {
+            record.incarnation = Incarnation(claim.incarnation.0 + 1);
         }
-        self.put(now, record);
+        self.insert(now, record);
         Some(self.own.clone())
     }
 
     /// Marks a host silent. Returns its name if it was live.
-    pub(super) fn silence(&mut self, now: Duration, host: &HostName) -> Option<HostName> {
+    pub(super) fn mark_silent(&mut self, now: Duration, host: &HostName) -> Option<HostName> {
         let mut record = self.get(host)?.clone();
         if !record.is_live() {
             return None;
         }
         record.state = State::Silent;
-        self.put(now, record);
+        self.insert(now, record);
         Some(host.clone())
     }
 
-    pub(super) fn lost(&self, chance: f64) -> Option<Member> {
+    pub(super) fn reconnect_candidate(&self, random: f64) -> Option<Member> {
         /// Expected number of attempts by all hosts together per reconnect interval.
-        const TRIES: f64 = 4.0;
-        let is_lost = |it: &&Known| it.record.state == State::Silent;
-        let lost: Vec<_> = self.known.values().filter(is_lost).collect();
-        let live = u32::try_from(self.known.len() - lost.len()).unwrap_or(u32::MAX);
-        if lost.is_empty() || chance * f64::from(live) >= TRIES {
+        const ATTEMPTS_PER_INTERVAL: f64 = 4.0;
+        let is_silent = |it: &&KnownHost| it.record.state == State::Silent;
+        let silent: Vec<_> = self.hosts.values().filter(is_silent).collect();
+        let live = u32::try_from(self.hosts.len() - silent.len()).unwrap_or(u32::MAX);
+        if silent.is_empty() || random * f64::from(live) >= ATTEMPTS_PER_INTERVAL {
             return None;
         }
-        let place = hash::of(&chance.to_bits()) % lost.len() as u64;
-        let chosen = lost.get(usize::try_from(place).unwrap_or(0))?;
+        let index = hash::of(&random.to_bits()) % silent.len() as u64;
+        let chosen = silent.get(usize::try_from(index).unwrap_or(0))?;
         Some(chosen.record.member.clone())
     }
 
-    fn put(&mut self, now: Duration, record: Record) {
+    fn insert(&mut self, now: Duration, record: Record) {
         let name = record.member.name.clone();
-        let before = self.known.get(&name);
-        let is_moved = before.is_none_or(|it| {
+        let before = self.hosts.get(&name);
+        let changes_graph = before.is_none_or(|it| {
             let (old, new) = (&it.record, &record);
             old.is_live() != new.is_live() || old.member != new.member
         });
         if let Some(it) = before {
-            self.fingerprint ^= share(it);
+            self.fingerprint ^= fingerprint_part(it);
         }
-        let known = Known {
-            before: before.map_or(record.state, |it| {
+        let known = KnownHost {
+            last_live_state: before.map_or(record.state, |it| {
                 if it.record.is_live() {
                     it.record.state
                 } else {
-                    it.before
+                    it.last_live_state
                 }
             }),
-            tag: tag(&name),
-            stamp: stamp(&record),
+            name_hash: name_hash(&name),
+            record_hash: record_hash(&record),
             record,
-            since: now,
+            stored_at: now,
         };
-        self.fingerprint ^= share(&known);
-        self.known.insert(name, known);
-        if is_moved {
+        self.fingerprint ^= fingerprint_part(&known);
+        self.hosts.insert(name, known);
+        if changes_graph {
             self.epoch += 1;
-            self.forget(now);
+            self.remove_expired(now);
         }
     }
 
-    fn forget(&mut self, now: Duration) {
-        let is_old = |it: &Known| !it.record.is_live() && now >= it.since + REMEMBERED;
-        self.known.retain(|_, it| !is_old(it));
+    fn remove_expired(&mut self, now: Duration) {
+        let is_expired =
+            |it: &KnownHost| !it.record.is_live() && now >= it.stored_at + SILENT_RETENTION;
+        self.hosts.retain(|_, it| !is_expired(it));
     }
 }
 
 /// Returns a host's part of the fingerprint. Silent and gone hosts have none because each host
 /// forgets them at a different time, and listed hosts have none because no host reported them.
-fn share(it: &Known) -> u64 {
+fn fingerprint_part(it: &KnownHost) -> u64 {
     match it.record.state {
         State::Listed | State::Silent | State::Gone => 0,
-        State::Starting | State::Ready | State::Leaving => it.stamp,
+        State::Starting | State::Ready | State::Leaving => it.record_hash,
     }
 }
 
-fn stamp(it: &Record) -> u64 {
-    hash::of(&(&it.member.name, it.incarnation, it.number, it.state))
+fn record_hash(it: &Record) -> u64 {
+    hash::of(&(&it.member.name, it.incarnation, it.sequence, it.state))
 }
 
 /// Returns a short hash that identifies a host in place of its longer name.
-pub(super) fn tag(host: &HostName) -> u32 {
+pub(super) fn name_hash(host: &HostName) -> u32 {
     u32::try_from(hash::of(host.as_str()) & u64::from(u32::MAX)).unwrap_or_default()
 }
--- a/crates/host/src/message.rs
+++ b/crates/host/src/message.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Judgement;
-use crate::gossip::{Comparison, Digest, Pulse, Record};
+use crate::gossip::{Comparison, Digest, MembershipUpdate, Record};
 use crate::listing::{Change, Patch, Sketch};
 
 /// A message between hosts.
@@ -17,29 +17,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
     /// A host's state, sent several times a second.
-    News(Box<News>),
+    StateUpdate(Box<StateUpdate>),
     /// A request for a response.
-    Ask(Question),
+    Request(Question),
     /// The configuration in the operators' original text.
     Config(Vec<u8>),
     /// The listing of endpoints.
     Listing(Listing),
     /// The full state for a host that has just started.
-    Known(Box<Known>),
+    FullState(Box<FullState>),
     /// The result of a roster comparison.
     Comparison(Comparison),
     /// The records that a comparison asked for.
     Records(Vec<Record>),
     /// Confirms that the host is alive, without further content.
-    Nothing,
+    Empty,
     /// Process exits of endpoints, and the quarantined requests that caused them.
-    Ends(quarantine::News),
+    Quarantine(quarantine::News),
     /// Evacuation orders for data centres.
     Evacuations(Vec<Evacuation>),
     /// Changes of the listing of endpoints since an earlier one.
     ListingChange(ListingChange),
     /// The changes since the requested listing are no longer available.
-    ListingForgotten,
+    ListingChangesUnavailable,
     /// A patch from the requesting host's listing of endpoints to the sender's.
     ListingPatch(ListingPatch),
 }
@@ -50,13 +50,13 @@
     Config,
     Listing,
     /// The full state, for a host that has just started.
-    Everything,
+    FullState,
     /// A comparison of the rosters.
-    Comparison(Digest),
+    Compare(Digest),
     /// A probe whether the host is alive.
-    Life,
+    Ping,
     /// Process exits of endpoints and quarantined requests.
-    Ends,
+    Quarantine,
     /// The changes since the listing with this fingerprint.
     ListingSince(u64),
     /// A patch for the listing that this sketch describes.
@@ -65,15 +65,15 @@
 
 /// A host's state, as sent to its neighbours.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct News {
+pub(crate) struct StateUpdate {
     /// Membership changes.
-    pub(crate) pulse: Pulse,
+    pub(crate) membership: MembershipUpdate,
     /// The version of the sender's configuration.
     pub(crate) version: Option<u64>,
     /// Time since the store was last known to confirm that version.
     pub(crate) confirmed: Option<Duration>,
     /// The sender's listing of endpoints.
-    pub(crate) listing: Option<ListingNews>,
+    pub(crate) listing: Option<ListingStatus>,
     /// Updates on roll-outs.
     pub(crate) rollouts: Vec<rollout::News>,
     /// Verdicts on roll-outs that the store holds.
@@ -82,7 +82,7 @@
 
 /// Age and identity of a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Stamp {
+pub(crate) struct ListingVersion {
     /// Time since it was read from the store.
     pub(crate) age: Duration,
     /// Fingerprint of its entries.
@@ -91,8 +91,8 @@
 
 /// Summary of the listing of endpoints that a host uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ListingNews {
-    pub(crate) stamp: Stamp,
+pub(crate) struct ListingStatus {
+    pub(crate) version: ListingVersion,
     /// What the absence of an entry means.
     pub(crate) absence: Absence,
 }
@@ -128,8 +128,8 @@
 /// configuration would serve requests without knowing which release is on trial, which
 /// sessions are kept off it, and which data centres are emptied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Known {
-    pub(crate) news: News,
+pub(crate) struct FullState {
+    pub(crate) update: StateUpdate,
     pub(crate) config: Option<Vec<u8>>,
     pub(crate) listing: Option<Listing>,
     pub(crate) evacuations: Vec<Evacuation>,
--- a/crates/host/src/say.rs
+++ b/crates/host/src/say.rs
@@ -14,7 +14,7 @@
 use crate::{Store, Trouble};
 
 /// The interval at which gauges are set and dropped log lines are reported.
-const PERIOD: Duration = Duration::from_secs(1);
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Counts a call to the store, and logs when calls of its kind begin to fail or succeed
 /// again.
@@ -31,7 +31,7 @@
     };
     let timed = (!call.starts_with("news")).then_some(took);
     life.recorder().metrics().store_call(call, name, timed);
-    note_era(life);
+    detect_restore(life);
     if result.is_ok() {
         life.reached.set(Some(life.node.now()));
     }
@@ -60,7 +60,7 @@
 
 /// Detects that the store was restored from an older copy. Open long polls are restarted then,
 /// because they refer to revisions that may have been assigned anew.
-fn note_era<S: Store, D: Dialect>(life: &Life<S, D>) {
+fn detect_restore<S: Store, D: Dialect>(life: &Life<S, D>) {
     let era = life.store.era();
     if life
         .era
@@ -118,7 +118,7 @@
     let mut was_ready = false;
     let mut hosts: HashSet<SocketAddr> = HashSet::new();
     loop {
-        sleep(PERIOD).await;
+        sleep(GAUGE_INTERVAL).await;
         life.recorder().say_dropped();
         let is_ready = life.is_ready();
         if is_ready != was_ready {
@@ -135,8 +135,8 @@
             hosts_changed(&life, &hosts, &now);
             hosts = now;
         }
-        let level = level(&life, hosts.len());
-        life.recorder().metrics().set(&level);
+        let gauges = collect_gauges(&life, hosts.len());
+        life.recorder().metrics().set(&gauges);
     }
 }
 
@@ -147,24 +147,24 @@
     before: &HashSet<SocketAddr>,
     now: &HashSet<SocketAddr>,
 ) {
-    const MOST: usize = 16;
-    let some = |of: &HashSet<SocketAddr>, but: &HashSet<SocketAddr>| {
-        let mut some: Vec<_> = of.difference(but).collect();
+    const MAX_LISTED: usize = 16;
+    let only_in = |of: &HashSet<SocketAddr>, without: &HashSet<SocketAddr>| {
+        let mut some: Vec<_> = of.difference(without).collect();
         some.sort_unstable();
-        let names = some.iter().take(MOST).map(ToString::to_string);
+        let names = some.iter().take(MAX_LISTED).map(ToString::to_string);
         names.collect::<Vec<_>>().join(" ")
     };
     life.recorder().say(
         Event::HostsChanged,
         &[
             ("hosts", Value::Count(now.len() as u64)),
-            ("added", Value::Text(&some(now, before))),
-            ("removed", Value::Text(&some(before, now))),
+            ("added", Value::Text(&only_in(now, before))),
+            ("removed", Value::Text(&only_in(before, now))),
         ],
     );
 }
 
-fn links<S: Store, D: Dialect>(life: &Life<S, D>) -> Links {
+fn link_gauges<S: Store, D: Dialect>(life: &Life<S, D>) -> Links {
     let Some(link) = life.link.borrow().clone() else {
         return Links::default();
     };
@@ -177,7 +177,7 @@
     }
 }
 
-fn level<S: Store, D: Dialect>(life: &Life<S, D>, hosts: usize) -> Gauges {
+fn collect_gauges<S: Store, D: Dialect>(life: &Life<S, D>, hosts: usize) -> Gauges {
     let now = life.node.now();
     let mut router = life.node.router();
     let since =
@@ -193,7 +193,7 @@
         data_centres_emptied: router.directory().evacuations().emptied().count() as u64,
         hosts: hosts as u64,
         reads_for_all: u64::from(life.reads_for_all()),
-        links: links(life),
+        links: link_gauges(life),
         callers: life.node.open() as u64,
         requests: life.node.busy() as u64,
         held: router.quarantine().len() as u64,
--- a/crates/host/src/talk.rs
+++ b/crates/host/src/talk.rs
@@ -2,11 +2,11 @@
 //!
 //! [`crate::gossip`] decides the membership content and the recipients.
 
-mod answer;
-mod ask;
-mod greet;
-mod learn;
-mod watch;
+mod apply;
+mod bootstrap;
+mod probe;
+mod request;
+mod respond;
 
 use std::rc::Rc;
 
@@ -21,9 +21,9 @@
 use route::{Evacuation, quarantine};
 use wire::Frame;
 
-use crate::gossip::{GATHER, PERIOD, ROOTS, SPACING};
+use crate::gossip::{BATCH_DELAY, GOSSIP_INTERVAL, MIN_GOSSIP_INTERVAL, ROOT_COUNT};
 use crate::life::Life;
-use crate::message::{ListingNews, Message, News, Stamp};
+use crate::message::{ListingStatus, ListingVersion, Message, StateUpdate};
 use crate::{Backoff, Member, Store, follow};
 
 /// Connects to the other hosts, with certificates from the store, and receives their messages.
@@ -40,27 +40,28 @@
         life.back_off(&mut backoff).await;
     };
     life.link.replace(Some(link.clone()));
-    life.node.spawn(tell(Rc::clone(&life), link.clone()));
     life.node
-        .spawn(greet::greet(Rc::clone(&life), link.clone()));
+        .spawn(send_updates(Rc::clone(&life), link.clone()));
     life.node
-        .spawn(watch::watch(Rc::clone(&life), link.clone()));
+        .spawn(bootstrap::bootstrap(Rc::clone(&life), link.clone()));
     life.node
-        .spawn(watch::reconnect(Rc::clone(&life), link.clone()));
-    hear(life, link, inbox).await;
+        .spawn(probe::probe_suspects(Rc::clone(&life), link.clone()));
+    life.node
+        .spawn(probe::reconnect(Rc::clone(&life), link.clone()));
+    receive_messages(life, link, inbox).await;
 }
 
 /// Sends updates to the neighbours periodically, and early when something changes.
-async fn tell<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
+async fn send_updates<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
     loop {
         say(&life, &link);
-        sleep(SPACING.saturating_sub(GATHER)).await;
-        let pause = sleep(PERIOD.saturating_sub(SPACING));
+        sleep(MIN_GOSSIP_INTERVAL.saturating_sub(BATCH_DELAY)).await;
+        let pause = sleep(GOSSIP_INTERVAL.saturating_sub(MIN_GOSSIP_INTERVAL));
         let change = life.changes.recv();
         pin_mut!(pause, change);
         match select(pause, change).await {
             Either::Left(_) => {}
-            Either::Right((Ok(()), _)) => sleep(GATHER).await,
+            Either::Right((Ok(()), _)) => sleep(BATCH_DELAY).await,
             Either::Right((Err(_), pause)) => pause.await,
         }
     }
@@ -68,25 +69,30 @@
 
 /// Sends this host's current state to the neighbours once.
 pub(crate) fn say<S: Store, D: Dialect>(life: &Life<S, D>, link: &Link) {
-    let news = news(life, Scope::Fresh);
-    let ends = ends(life, Scope::Fresh);
-    let ended = (!ends.is_empty()).then(|| life.frame(&Message::Ends(ends)));
-    let said = evacuations(life);
-    let said = (!said.is_empty()).then(|| life.frame(&Message::Evacuations(said)));
-    let beside: Vec<_> = [said, ended].into_iter().flatten().flatten().collect();
-    let mut usual = None;
-    for peer in life.gossip.borrow().audience().iter().map(peer) {
-        let own = with_sums(life, &news, &peer.host);
-        let frame = match own {
-            Some(own) => life.frame(&Message::News(Box::new(own))),
-            None => usual
-                .get_or_insert_with(|| life.frame(&Message::News(Box::new(news.clone()))))
+    let update = state_update(life, Scope::Fresh);
+    let quarantine = quarantine_update(life, Scope::Fresh);
+    let quarantine = (!quarantine.is_empty()).then(|| life.frame(&Message::Quarantine(quarantine)));
+    let evacuations = evacuations(life);
+    let evacuations =
+        (!evacuations.is_empty()).then(|| life.frame(&Message::Evacuations(evacuations)));
+    let extra_frames: Vec<_> = [evacuations, quarantine]
+        .into_iter()
+        .flatten()
+        .flatten()
+        .collect();
+    let mut shared_frame = None;
+    for peer in life.gossip.borrow().recipients().iter().map(peer) {
+        let update_with_sums = with_partial_sums(life, &update, &peer.host);
+        let frame = match update_with_sums {
+            Some(update) => life.frame(&Message::StateUpdate(Box::new(update))),
+            None => shared_frame
+                .get_or_insert_with(|| life.frame(&Message::StateUpdate(Box::new(update.clone()))))
                 .clone(),
         };
         if let Some(frame) = frame {
             link.send(&peer, &frame);
         }
-        for frame in &beside {
+        for frame in &extra_frames {
             link.send(&peer, frame);
         }
     }
@@ -99,29 +105,29 @@
 }
 
 /// Returns what this host knows of process exits and quarantined requests.
-fn ends<S: Store, D: Dialect>(life: &Life<S, D>, scope: Scope) -> quarantine::News {
+fn quarantine_update<S: Store, D: Dialect>(life: &Life<S, D>, scope: Scope) -> quarantine::News {
     let now = life.node.now();
     life.node.router().quarantine().news(now, scope)
 }
 
 /// Returns this host's state, where `scope` tells whether it includes what was sent before.
-pub(crate) fn news<S: Store, D: Dialect>(life: &Life<S, D>, scope: Scope) -> News {
+pub(crate) fn state_update<S: Store, D: Dialect>(life: &Life<S, D>, scope: Scope) -> StateUpdate {
     let now = life.node.now();
     life.renew_state();
-    gather(life);
+    publish_totals(life);
     let mut router = life.node.router();
     let age = |at: std::time::Duration| now.saturating_sub(at);
     let mut gossip = life.gossip.borrow_mut();
-    let pulse = match scope {
-        Scope::Fresh => gossip.pulse(now),
-        Scope::All => gossip.whole(),
+    let membership = match scope {
+        Scope::Fresh => gossip.next_update(now),
+        Scope::All => gossip.full_update(),
     };
-    News {
-        pulse,
+    StateUpdate {
+        membership,
         version: router.version(),
         confirmed: life.confirmed.get().map(age),
-        listing: life.listed.get().map(|it| ListingNews {
-            stamp: Stamp {
+        listing: life.listed.get().map(|it| ListingStatus {
+            version: ListingVersion {
                 age: age(it.at),
                 fingerprint: it.fingerprint,
             },
@@ -133,45 +139,52 @@
 }
 
 /// Publishes the total evidence on each roll-out if this host is a root.
-fn gather<S: Store, D: Dialect>(life: &Life<S, D>) {
+fn publish_totals<S: Store, D: Dialect>(life: &Life<S, D>) {
     let now = life.node.now();
     let gossip = life.gossip.borrow();
     let own = gossip.roster().own();
-    let gatherer = hash::of(&(&own.member.name, own.incarnation));
-    for root in (0..ROOTS).filter(|&it| gossip.graph().distance(it) == Some(0)) {
+    let aggregator = hash::of(&(&own.member.name, own.incarnation));
+    for root in (0..ROOT_COUNT).filter(|&it| gossip.graph().distance(it) == Some(0)) {
         for rollout in life.node.router().rollouts() {
-            rollout.gather(now, root, hash::of(&(gatherer, root)));
+            rollout.gather(now, root, hash::of(&(aggregator, root)));
         }
     }
 }
 
 /// Returns the update for a neighbour on the path to a root, with the partial sums of the
-/// roll-outs; `None` if the neighbour is on no such path or there
-/// are no roll-outs.
-fn with_sums<S: Store, D: Dialect>(life: &Life<S, D>, news: &News, to: &HostName) -> Option<News> {
+/// roll-outs; `None` if the neighbour is on no such path or there are no roll-outs.
+fn with_partial_sums<S: Store, D: Dialect>(
+    life: &Life<S, D>,
+    update: &StateUpdate,
+    to: &HostName,
+) -> Option<StateUpdate> {
     let gossip = life.gossip.borrow();
     let graph = gossip.graph();
-    let ways: Vec<_> = (0..ROOTS)
+    let roots: Vec<_> = (0..ROOT_COUNT)
         .filter(|&it| graph.parent(it) == Some(to))
         .filter_map(|it| Some((it, graph.distance(it)?)))
         .collect();
-    if ways.is_empty() || news.rollouts.is_empty() {
+    if roots.is_empty() || update.rollouts.is_empty() {
         return None;
     }
     let (now, mut router) = (life.node.now(), life.node.router());
-    let mut news = news.clone();
-    for it in &mut news.rollouts {
+    let mut update = update.clone();
+    for it in &mut update.rollouts {
         let Some(rollout) = router.rollout(&it.order.service) else {
             continue;
         };
         let sum = |&(root, distance): &(usize, u8)| rollout.sum(now, root, distance);
-        it.sums = ways.iter().map(sum).collect::<Vec<rollout::Sum>>();
+        it.sums = roots.iter().map(sum).collect::<Vec<rollout::Sum>>();
     }
-    Some(news)
+    Some(update)
 }
 
 /// Receives messages from other hosts.
-async fn hear<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link, inbox: Receiver<Incoming>) {
+async fn receive_messages<S: Store, D: Dialect>(
+    life: Rc<Life<S, D>>,
+    link: Link,
+    inbox: Receiver<Incoming>,
+) {
     while let Ok(incoming) = inbox.recv().await {
         let Frame::Decide(payload) = incoming.frame else {
             continue;
@@ -181,14 +194,15 @@
             continue;
         };
         match message {
-            Message::News(news) => learn::news(&life, &link, &incoming.from, &news),
-            Message::Records(records) => learn::records(&life, &records),
-            Message::Ends(news) => learn::ends(&life, &news),
-            Message::Evacuations(said) => follow::evacuations::hear(&life, said),
-            Message::Ask(question) => {
-                if let (Some(reply), Some(frame)) =
-                    (incoming.reply, life.frame(&answer::answer(&life, question)))
-                {
+            Message::StateUpdate(it) => apply::state_update(&life, &link, &incoming.from, &it),
+            Message::Records(records) => apply::records(&life, &records),
+            Message::Quarantine(it) => apply::quarantine_update(&life, &it),
+            Message::Evacuations(it) => follow::evacuations::hear(&life, it),
+            Message::Request(request) => {
+                if let (Some(reply), Some(frame)) = (
+                    incoming.reply,
+                    life.frame(&respond::respond(&life, request)),
+                ) {
                     reply.send(&frame).await;
                 }
             }
--- a/crates/host/src/talk/learn.rs
+++ b/crates/host/src/talk/apply.rs
@@ -8,52 +8,52 @@
 use link::{Link, Peer};
 use route::quarantine;
 
-use super::{ask, peer};
+use super::{peer, request};
 use crate::Store;
 use crate::follow::{documents, endpoints, evacuations, verdicts};
 use crate::gossip::Record;
 use crate::life::{Life, Listed, is_much_later};
 use crate::message::{
-    Known, Listing, ListingChange, ListingNews, ListingPatch, Message, News, Question,
+    FullState, Listing, ListingChange, ListingPatch, ListingStatus, Message, Question, StateUpdate,
 };
 
 /// Applies a host's update, and schedules an update of this host at once if something
 /// changed or is much more recent than what was known.
-pub(super) fn news<S: Store, D: Dialect>(
+pub(super) fn state_update<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
     from: &Peer,
-    news: &News,
+    update: &StateUpdate,
 ) {
-    let is_news = take(life, &from.host, news);
-    let heard = life
+    let has_changes = rollouts(life, &from.host, update);
+    let outcome = life
         .gossip
         .borrow_mut()
-        .hear(life.node.now(), &from.host, &news.pulse);
+        .receive(life.node.now(), &from.host, &update.membership);
     let known = life.gossip.borrow().roster().get(&from.host).cloned();
-    if is_news || heard.is_news {
+    if has_changes || outcome.has_changes {
         life.hurry();
     }
     let is_known = known.is_some();
     let peer = known.map_or_else(|| from.clone(), |it| peer(&it.member));
-    if heard.differs || !is_known {
+    if outcome.needs_comparison || !is_known {
         let digest = life.gossip.borrow().digest();
-        ask::ask_once(life, link, &peer, Question::Comparison(digest));
+        request::send_once(life, link, &peer, Question::Compare(digest));
     }
     let own = life.node.router().version();
-    if news.version > own {
-        let question = match own {
+    if update.version > own {
+        let request = match own {
             Some(_) => Question::Config,
-            None => Question::Everything,
+            None => Question::FullState,
         };
-        ask::ask_once(life, link, &peer, question);
+        request::send_once(life, link, &peer, request);
     }
-    let is_confirmed = match news.confirmed {
-        Some(age) if news.version == own => life.confirm(read_at(life.node.now(), age)),
+    let is_confirmed = match update.confirmed {
+        Some(age) if update.version == own => life.confirm(read_at(life.node.now(), age)),
         _ => false,
     };
-    let is_listed = match news.listing {
-        Some(it) if own.is_some() => listing_news(life, link, &peer, it),
+    let is_listed = match update.listing {
+        Some(it) if own.is_some() => listing_status(life, link, &peer, it),
         _ => false,
     };
     if is_confirmed || is_listed {
@@ -63,8 +63,12 @@
 
 /// Applies what a host reports of roll-outs. Returns whether it is new to the neighbours as
 /// well.
-fn take<S: Store, D: Dialect>(life: &Life<S, D>, from: &HostName, news: &News) -> bool {
-    let mut rollouts = news.rollouts.clone();
+fn rollouts<S: Store, D: Dialect>(
+    life: &Life<S, D>,
+    from: &HostName,
+    update: &StateUpdate,
+) -> bool {
+    let mut rollouts = update.rollouts.clone();
     let gossip = life.gossip.borrow();
     for it in &mut rollouts {
         // Drops sums of hosts that are no farther from the root: they may include this host's own.
@@ -81,68 +85,71 @@
     for rollout in &heard.judged {
         verdicts::say_verdict(life, rollout, from.as_str());
     }
-    verdicts::take(life, news.judgements.clone());
+    verdicts::take(life, update.judgements.clone());
     heard.is_news
 }
 
 /// Applies the full state of another host.
-pub(super) fn known<S: Store, D: Dialect>(
+pub(super) fn full_state<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
     from: &Peer,
-    known: Known,
+    state: FullState,
 ) {
     let now = life.node.now();
-    life.gossip.borrow_mut().answered(now, &from.host);
+    life.gossip.borrow_mut().mark_alive(now, &from.host);
     // Before the configuration: requests are served as soon as it is in force.
-    take(life, &from.host, &known.news);
-    evacuations::hear(life, known.evacuations);
-    if let Some(it) = known.listing {
+    rollouts(life, &from.host, &state.update);
+    evacuations::hear(life, state.evacuations);
+    if let Some(it) = state.listing {
         listing(life, it);
     }
-    if let Some(text) = known.config {
+    if let Some(text) = state.config {
         config(life, text);
     }
-    news(life, link, from, &known.news);
+    state_update(life, link, from, &state.update);
 }
 
 /// Applies a response from another host.
-pub(super) fn answer<S: Store, D: Dialect>(
+pub(super) fn response<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
     from: &Peer,
-    answer: Message,
+    response: Message,
 ) {
-    match answer {
+    match response {
         Message::Config(text) => config(life, text),
         Message::Listing(it) => listing(life, it),
         Message::ListingChange(it) => listing_change(life, link, from, &it),
-        Message::ListingForgotten => ask_for_patch(life, link, from),
+        Message::ListingChangesUnavailable => request_patch(life, link, from),
         Message::ListingPatch(it) => listing_patch(life, &it),
-        Message::Known(it) => known(life, link, from, *it),
+        Message::FullState(it) => full_state(life, link, from, *it),
         Message::Comparison(it) => {
             let now = life.node.now();
-            let (wanted, is_news) = life.gossip.borrow_mut().settle(now, &it);
+            let (wanted, has_changes) = life.gossip.borrow_mut().apply_comparison(now, &it);
             if !wanted.is_empty()
                 && let Some(frame) = life.frame(&Message::Records(wanted))
             {
                 link.send(from, &frame);
             }
-            if is_news {
+            if has_changes {
                 life.hurry();
             }
         }
-        Message::Ends(it) => ends(life, &it),
+        Message::Quarantine(it) => quarantine_update(life, &it),
         Message::Evacuations(it) => evacuations::hear(life, it),
         // Not responses.
-        Message::News(_) | Message::Ask(_) | Message::Records(_) | Message::Nothing => {}
+        Message::StateUpdate(_) | Message::Request(_) | Message::Records(_) | Message::Empty => {}
     }
 }
 
 /// Applies an update on process exits and quarantined requests.
-pub(super) fn ends<S: Store, D: Dialect>(life: &Life<S, D>, news: &quarantine::News) {
+pub(super) fn quarantine_update<S: Store, D: Dialect>(
+    life: &Life<S, D>,
+    update: &quarantine::News,
+) {
     let now = life.node.now();
-    life.node.router().quarantine().hear(now, news);
+    life.node.router().quarantine().hear(now, update);
 }
 
 /// Merges membership records from another host.
@@ -179,13 +186,13 @@
             endpoints::list(life, at, entries, it.absence);
         }
         None if life.listing.borrow().fingerprint() == Some(it.change.to) => {}
-        None => ask_for_patch(life, link, from),
+        None => request_patch(life, link, from),
     }
 }
 
-fn ask_for_patch<S: Store, D: Dialect>(life: &Rc<Life<S, D>>, link: &Link, from: &Peer) {
+fn request_patch<S: Store, D: Dialect>(life: &Rc<Life<S, D>>, link: &Link, from: &Peer) {
     let sketch = life.listing.borrow().sketch();
-    ask::ask_once(life, link, from, Question::ListingPatch(sketch));
+    request::send_once(life, link, from, Question::ListingPatch(sketch));
 }
 
 /// Applies a patch of the listing. A patch that no longer fits is dropped; the next update
@@ -202,35 +209,35 @@
 fn read_at(now: Duration, age: Duration) -> Duration {
     /// Lower bound of the transfer time. Without it, the age would grow too slowly while it
     /// travels between hosts.
-    const WAY: Duration = Duration::from_millis(20);
-    now.saturating_sub(age.saturating_add(WAY))
+    const MIN_TRANSFER_TIME: Duration = Duration::from_millis(20);
+    now.saturating_sub(age.saturating_add(MIN_TRANSFER_TIME))
 }
 
 /// Takes over the read time of another host's listing if it equals this host's, and requests
 /// a newer listing that differs. Returns whether the read time is much later than before.
-fn listing_news<S: Store, D: Dialect>(
+fn listing_status<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
     from: &Peer,
-    news: ListingNews,
+    status: ListingStatus,
 ) -> bool {
-    let at = read_at(life.node.now(), news.stamp.age);
+    let at = read_at(life.node.now(), status.version.age);
     match life.listed.get() {
         Some(own) if own.at >= at => false,
-        Some(own) if own.covers(news.stamp.fingerprint, news.absence) => {
+        Some(own) if own.covers(status.version.fingerprint, status.absence) => {
             life.listed.set(Some(Listed {
                 at,
-                absence: news.absence,
+                absence: status.absence,
                 ..own
             }));
             life.node.router().confirm_listing(at);
             is_much_later(at, Some(own.at))
         }
         known => {
-            let question = known.map_or(Question::Listing, |it| {
+            let request = known.map_or(Question::Listing, |it| {
                 Question::ListingSince(it.fingerprint)
             });
-            ask::ask_once(life, link, from, question);
+            request::send_once(life, link, from, request);
             false
         }
     }
--- a/crates/host/src/talk/watch.rs
+++ b/crates/host/src/talk/probe.rs
@@ -9,37 +9,44 @@
 use link::{Link, Peer};
 use telemetry::{Event, Value};
 
-use super::{ask, learn, peer};
+use super::{apply, peer, request};
 use crate::Store;
-use crate::gossip::RETRY;
+use crate::gossip::RECONNECT_INTERVAL;
 use crate::life::Life;
 use crate::message::{Message, Question};
 
 /// The timeout of a probe, connection setup included. A host that is merely slow refutes the
 /// claim before callers are affected.
-const ANSWER: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The interval between checks for suspected hosts.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Probes neighbours that have stopped sending updates.
-pub(super) async fn watch<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
+pub(super) async fn probe_suspects<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         let suspects = life.gossip.borrow_mut().suspects(life.node.now());
         for it in suspects.iter().map(peer) {
-            life.node.spawn(check(Rc::clone(&life), link.clone(), it));
+            life.node.spawn(probe(Rc::clone(&life), link.clone(), it));
         }
     }
 }
 
-async fn check<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link, it: Peer) {
-    let answer = timeout(ANSWER, ask::ask(&life, &link, &it, Question::Life)).await;
+async fn probe<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link, it: Peer) {
+    let response = timeout(
+        PROBE_TIMEOUT,
+        request::send(&life, &link, &it, Question::Ping),
+    )
+    .await;
     let now = life.node.now();
-    if let Ok(Some(_)) = answer {
-        return life.gossip.borrow_mut().answered(now, &it.host);
+    if let Ok(Some(_)) = response {
+        return life.gossip.borrow_mut().mark_alive(now, &it.host);
     }
     let contact = life.contact();
-    let is_silent = life.gossip.borrow_mut().unanswered(now, &it.host, contact);
+    let is_silent = life
+        .gossip
+        .borrow_mut()
+        .probe_failed(now, &it.host, contact);
     if is_silent {
         life.recorder()
             .say(Event::HostSilent, &[("other", Value::Text(&it.host))]);
@@ -51,15 +58,21 @@
 /// other silent, and neither would send the first message without this.
 pub(super) async fn reconnect<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
     loop {
-        sleep(RETRY).await;
-        let chance = life.lot();
-        let Some(silent) = life.gossip.borrow().lost(chance).as_ref().map(peer) else {
+        sleep(RECONNECT_INTERVAL).await;
+        let random = life.lot();
+        let Some(silent) = life
+            .gossip
+            .borrow()
+            .reconnect_candidate(random)
+            .as_ref()
+            .map(peer)
+        else {
             continue;
         };
         let digest = life.gossip.borrow().digest();
-        let answer = ask::ask(&life, &link, &silent, Question::Comparison(digest)).await;
-        if let Some(it @ Message::Comparison(_)) = answer {
-            learn::answer(&life, &link, &silent, it);
+        let response = request::send(&life, &link, &silent, Question::Compare(digest)).await;
+        if let Some(it @ Message::Comparison(_)) = response {
+            apply::response(&life, &link, &silent, it);
         }
     }
 }
--- a/crates/host/src/talk/ask.rs
+++ b/crates/host/src/talk/request.rs
@@ -7,52 +7,52 @@
 use link::{Link, Peer};
 use wire::Frame;
 
-use super::learn;
+use super::apply;
 use crate::Store;
 use crate::life::Life;
 use crate::message::{Message, Question};
 
 /// The timeout of a response.
-const ANSWER: Duration = Duration::from_millis(400);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 /// The timeout of a response with a whole listing, which can be hundreds of kilobytes on a
 /// slow link that callers use too. With a shorter timeout the transfer would be restarted
 /// again and again and never complete.
-const LONG_ANSWER: Duration = Duration::from_secs(2);
+const LISTING_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sends a request in the background, unless one of the same kind is in flight.
-pub(super) fn ask_once<S: Store, D: Dialect>(
+pub(super) fn send_once<S: Store, D: Dialect>(
     life: &Rc<Life<S, D>>,
     link: &Link,
     peer: &Peer,
-    question: Question,
+    request: Question,
 ) {
-    let kind = std::mem::discriminant(&question);
+    let kind = std::mem::discriminant(&request);
     if !life.asking.borrow_mut().insert(kind) {
         return;
     }
     let (node, life, link) = (Rc::clone(&life.node), Rc::clone(life), link.clone());
     let peer = peer.clone();
     node.spawn(async move {
-        if let Some(answer) = ask(&life, &link, &peer, question).await {
-            learn::answer(&life, &link, &peer, answer);
+        if let Some(response) = send(&life, &link, &peer, request).await {
+            apply::response(&life, &link, &peer, response);
         }
         life.asking.borrow_mut().remove(&kind);
     });
 }
 
 /// Sends a request; returns `None` if there is no usable response.
-pub(super) async fn ask<S: Store, D: Dialect>(
+pub(super) async fn send<S: Store, D: Dialect>(
     life: &Life<S, D>,
     link: &Link,
     peer: &Peer,
-    question: Question,
+    request: Question,
 ) -> Option<Message> {
-    let limit = match question {
-        Question::Listing | Question::ListingPatch(_) => LONG_ANSWER,
-        _ => ANSWER,
+    let timeout = match request {
+        Question::Listing | Question::ListingPatch(_) => LISTING_RESPONSE_TIMEOUT,
+        _ => RESPONSE_TIMEOUT,
     };
-    let frame = life.frame(&Message::Ask(question))?;
-    let Ok(Frame::Decide(payload)) = link.ask(peer, &frame, limit).await else {
+    let frame = life.frame(&Message::Request(request))?;
+    let Ok(Frame::Decide(payload)) = link.ask(peer, &frame, timeout).await else {
         return None;
     };
     postcard::from_bytes(&payload.bytes).ok()
--- a/crates/host/src/talk/answer.rs
+++ b/crates/host/src/talk/respond.rs
@@ -3,27 +3,27 @@
 use forward::Dialect;
 use route::rollout::Scope;
 
-use super::{ends, evacuations, news};
+use super::{evacuations, quarantine_update, state_update};
 use crate::Store;
 use crate::life::Life;
 use crate::listing::Sketch;
-use crate::message::{Known, Listing, ListingChange, ListingPatch, Message, Question};
+use crate::message::{FullState, Listing, ListingChange, ListingPatch, Message, Question};
 
-pub(super) fn answer<S: Store, D: Dialect>(life: &Life<S, D>, question: Question) -> Message {
-    match question {
-        Question::Config => config(life).map_or(Message::Nothing, Message::Config),
-        Question::Listing => listing(life).map_or(Message::Nothing, Message::Listing),
-        Question::Everything => Message::Known(Box::new(Known {
-            news: news(life, Scope::All),
+pub(super) fn respond<S: Store, D: Dialect>(life: &Life<S, D>, request: Question) -> Message {
+    match request {
+        Question::Config => config(life).map_or(Message::Empty, Message::Config),
+        Question::Listing => listing(life).map_or(Message::Empty, Message::Listing),
+        Question::FullState => Message::FullState(Box::new(FullState {
+            update: state_update(life, Scope::All),
             config: config(life),
             listing: listing(life),
             evacuations: evacuations(life),
         })),
-        Question::Comparison(digest) => Message::Comparison(life.gossip.borrow().compare(&digest)),
-        Question::Life => Message::Nothing,
-        Question::ListingSince(from) => listing_since(life, from),
+        Question::Compare(digest) => Message::Comparison(life.gossip.borrow().compare(&digest)),
+        Question::Ping => Message::Empty,
+        Question::ListingSince(from) => listing_changes(life, from),
         Question::ListingPatch(sketch) => listing_patch(life, &sketch),
-        Question::Ends => Message::Ends(ends(life, Scope::All)),
+        Question::Quarantine => Message::Quarantine(quarantine_update(life, Scope::All)),
     }
 }
 
@@ -32,7 +32,7 @@
 }
 
 /// Returns the changes since the listing with fingerprint `from`.
-fn listing_since<S: Store, D: Dialect>(life: &Life<S, D>, from: u64) -> Message {
+fn listing_changes<S: Store, D: Dialect>(life: &Life<S, D>, from: u64) -> Message {
     let change = life.listing.borrow().since(from);
     if let (Some(change), Some(listed)) = (change, life.listed.get()) {
         return Message::ListingChange(ListingChange {
@@ -41,13 +41,13 @@
             age: life.node.now().saturating_sub(listed.at),
         });
     }
-    Message::ListingForgotten
+    Message::ListingChangesUnavailable
 }
 
 fn listing_patch<S: Store, D: Dialect>(life: &Life<S, D>, sketch: &Sketch) -> Message {
     let patch = life.listing.borrow().patch(sketch);
     let (Some(patch), Some(listed)) = (patch, life.listed.get()) else {
-        return Message::Nothing;
+        return Message::Empty;
     };
     Message::ListingPatch(ListingPatch {
         patch,
--- a/crates/host/tests/gossip.rs
+++ b/crates/host/tests/gossip.rs
@@ -12,20 +12,20 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Returns whether `host` sends callers to exactly `expected` hosts.
-fn names(host: &Host, now: Duration, expected: usize) -> bool {
+fn has_ready_hosts(host: &Host, now: Duration, expected: usize) -> bool {
     host.gossip.roster().addresses(now).len() == expected
 }
 
-fn calm(hosts: usize, seed: u64) -> Network {
+fn settled_network(hosts: usize, seed: u64) -> Network {
     let mut network = Network::new(hosts, seed);
     network.start_all();
     network.run(8 * SECOND);
     let now = network.now;
-    assert!(network.up().all(|it| names(it, now, hosts)));
+    assert!(network.running().all(|it| has_ready_hosts(it, now, hosts)));
     network
 }
 
-fn is_named(host: &Host, now: Duration, nr: usize) -> bool {
+fn is_served(host: &Host, now: Duration, nr: usize) -> bool {
     let front = host
         .gossip
         .roster()
@@ -38,17 +38,21 @@
 /// All hosts start at once, for example after a power failure. They must know each other soon
 /// with few connections each, instead of connecting to nearly all others.
 #[test]
-fn hosts_that_start_at_once_know_all() {
+fn hosts_that_start_together_discover_each_other() {
     for (hosts, seed) in [(2, 1), (3, 1), (8, 1), (9, 2), (24, 3), (76, 4), (295, 5)] {
         let mut network = Network::new(hosts, seed);
         network.start_all();
         let now = network.now + 6 * SECOND;
-        let took = network.until("all hosts know each other", 5 * SECOND, |it| {
-            names(it, now, hosts)
+        let took = network.run_until("all hosts know each other", 5 * SECOND, |it| {
+            has_ready_hosts(it, now, hosts)
         });
         println!("{hosts} hosts know each other after {took:?}");
         network.run(30 * SECOND);
-        let most = network.up().map(|it| it.met.len()).max().unwrap();
+        let most = network
+            .running()
+            .map(|it| it.contacted.len())
+            .max()
+            .unwrap();
         println!("{hosts} hosts: one sends to at most {most} hosts in 30 s");
         assert!(most < 30, "a host sends to {most} hosts");
     }
@@ -56,9 +60,9 @@
 
 /// Connections and traffic of a host must not grow with the number of hosts.
 #[test]
-fn a_hosts_work_is_bounded() {
+fn load_per_host_is_bounded() {
     for hosts in [9, 76, 295, 600] {
-        let mut network = calm(hosts, 7);
+        let mut network = settled_network(hosts, 7);
         let before: usize = network.hosts.iter().map(|it| it.bytes).sum();
         let most_before: Vec<usize> = network.hosts.iter().map(|it| it.bytes).collect();
         network.run(10 * SECOND);
@@ -76,7 +80,7 @@
             all.dedup();
             all.len()
         };
-        let most = network.up().map(connections).max().unwrap();
+        let most = network.running().map(connections).max().unwrap();
         println!(
             "{hosts} hosts: {mean} B/s per host, at most {busiest} B/s and {most} connections"
         );
@@ -88,14 +92,14 @@
 /// A change that one host reads reaches all others within two seconds, even if many hosts
 /// fail at that moment and datagrams are lost.
 #[test]
-fn a_change_is_known_to_all_soon() {
+fn a_change_reaches_all_hosts_quickly() {
     for (seed, dead) in [(11, 0), (12, HOSTS / 3), (13, HOSTS / 3), (14, HOSTS / 2)] {
-        let mut network = calm(HOSTS, seed);
+        let mut network = settled_network(HOSTS, seed);
         for nr in 0..dead {
             network.kill((nr * 2 + 1) % HOSTS);
         }
-        network.learn(0, 9);
-        let took = network.until("all hosts know the change", 2 * SECOND, |it| {
+        network.set_version(0, 9);
+        let took = network.run_until("all hosts know the change", 2 * SECOND, |it| {
             it.version == 9
         });
         println!("{dead} of {HOSTS} hosts dead: change known to all after {took:?}");
@@ -105,9 +109,9 @@
 /// After a power failure, callers are no longer sent to the dead hosts within three seconds, or
 /// five if the hosts that monitor them died too. No live host is marked silent.
 #[test]
-fn dead_hosts_are_unnamed_and_live_ones_stay() {
+fn only_dead_hosts_are_removed() {
     for (seed, dead) in [(21, 1), (22, HOSTS / 3), (23, HOSTS / 2)] {
-        let mut network = calm(HOSTS, seed);
+        let mut network = settled_network(HOSTS, seed);
         let killed: Vec<usize> = (0..dead).map(|nr| (nr * 2 + 1) % HOSTS).collect();
         for &it in &killed {
             network.kill(it);
@@ -119,53 +123,59 @@
         };
         let now = network.now + most;
         let left = HOSTS - dead;
-        let took = network.until("callers are not sent to dead hosts", most, |it| {
-            names(it, now, left)
+        let took = network.run_until("callers are not sent to dead hosts", most, |it| {
+            has_ready_hosts(it, now, left)
         });
         println!("{dead} of {HOSTS} hosts dead: removed everywhere after {took:?}");
         network.run(5 * SECOND);
         let now = network.now;
-        assert!(network.up().all(|it| names(it, now, left)));
+        assert!(network.running().all(|it| has_ready_hosts(it, now, left)));
     }
 }
 
 /// All hosts restart at once and find the store entries of the previous run. Records of the
 /// previous run must not supersede those of the new one.
 #[test]
-fn hosts_that_start_again_at_once_know_all() {
-    let mut network = calm(HOSTS, 31);
+fn hosts_that_restart_together_discover_each_other() {
+    let mut network = settled_network(HOSTS, 31);
     (0..HOSTS).for_each(|it| network.kill(it));
     network.run(SECOND);
     let all: Vec<usize> = (0..HOSTS).collect();
     (0..HOSTS).for_each(|it| network.start(it, &all));
     network.run(Duration::from_millis(100));
     let now = network.now + 10 * SECOND;
-    let took = network.until("all hosts know each other", 5 * SECOND, |it| {
-        names(it, now, HOSTS)
+    let took = network.run_until("all hosts know each other", 5 * SECOND, |it| {
+        has_ready_hosts(it, now, HOSTS)
     });
     println!("{HOSTS} hosts restarted: know each other after {took:?}");
     network.run(5 * SECOND);
     let now = network.now;
-    assert!(network.up().all(|it| names(it, now, HOSTS)));
+    assert!(network.running().all(|it| has_ready_hosts(it, now, HOSTS)));
 }
 
 /// A data centre is cut off and reconnects. Its hosts keep serving among themselves, and all
 /// hosts know each other again afterwards.
 #[test]
-fn a_data_centre_that_was_apart_comes_back() {
-    let mut network = calm(HOSTS, 41);
-    let apart = (0..HOSTS).filter(|&it| data_centre(it) == 2).count();
+fn a_partitioned_data_centre_reconnects() {
+    let mut network = settled_network(HOSTS, 41);
+    let separated = (0..HOSTS).filter(|&it| data_centre(it) == 2).count();
     for nr in (0..HOSTS).filter(|&it| data_centre(it) == 2) {
-        network.hosts[nr].part = 1;
+        network.hosts[nr].partition = 1;
     }
     network.run(6 * SECOND);
     let now = network.now;
-    let main = network.hosts.iter().filter(|it| it.part == 0);
-    assert!(main.clone().all(|it| names(it, now, HOSTS - apart)));
-    network.hosts.iter_mut().for_each(|it| it.part = 0);
+    let main = network.hosts.iter().filter(|it| it.partition == 0);
+    assert!(
+        main.clone()
+            .all(|it| has_ready_hosts(it, now, HOSTS - separated))
+    );
+    network.hosts.iter_mut().for_each(|it| it.partition = 0);
     let began = network.now;
-    let is_whole = |it: &Network| it.up().all(|host| names(host, it.now, HOSTS));
-    while !is_whole(&network) {
+    let is_reconnected = |it: &Network| {
+        it.running()
+            .all(|host| has_ready_hosts(host, it.now, HOSTS))
+    };
+    while !is_reconnected(&network) {
         assert!(
             network.now.saturating_sub(began) < 5 * SECOND,
             "a host is still disconnected"
@@ -179,13 +189,13 @@
                 .unwrap()
         };
         assert!(
-            least(0) >= HOSTS - apart,
+            least(0) >= HOSTS - separated,
             "too few hosts are left for callers"
         );
-        assert!(least(1) >= apart, "too few hosts are left for callers");
+        assert!(least(1) >= separated, "too few hosts are left for callers");
     }
     println!(
-        "a data centre of {apart} hosts has reconnected after {:?}",
+        "a data centre of {separated} hosts has reconnected after {:?}",
         network.now.saturating_sub(began)
     );
 }
@@ -193,60 +203,60 @@
 /// A host that is cut off hears nobody. It must not mark the others silent and spread that
 /// claim after it reconnects.
 #[test]
-fn a_host_that_was_cut_off_accuses_nobody() {
-    let mut network = calm(HOSTS, 51);
-    network.hosts[17].part = 1;
+fn an_isolated_host_marks_nobody_silent() {
+    let mut network = settled_network(HOSTS, 51);
+    network.hosts[17].partition = 1;
     network.run(6 * SECOND);
     let now = network.now;
-    assert!(names(&network.hosts[17], now, HOSTS));
-    assert!(!is_named(&network.hosts[0], now, 17));
-    network.hosts[17].part = 0;
+    assert!(has_ready_hosts(&network.hosts[17], now, HOSTS));
+    assert!(!is_served(&network.hosts[0], now, 17));
+    network.hosts[17].partition = 0;
     for _ in 0..300 {
         network.run(Duration::from_millis(10));
         let now = network.now;
         assert!(
             network
-                .up()
+                .running()
                 .all(|it| it.gossip.roster().addresses(now).len() >= HOSTS - 1)
         );
     }
     network.run(2 * SECOND);
     let now = network.now;
-    assert!(network.up().all(|it| names(it, now, HOSTS)));
+    assert!(network.running().all(|it| has_ready_hosts(it, now, HOSTS)));
 }
 
 /// A third of the hosts stall, each on its own, and are marked silent. After they resume, they
 /// must refute this at once: through reconnection attempts of other hosts instead of the next
 /// comparison, which takes more than a second.
 #[test]
-fn hosts_that_stood_still_are_soon_back() {
-    let mut network = calm(HOSTS, 71);
-    let still: Vec<usize> = (0..HOSTS / 3).map(|nr| (nr * 2 + 1) % HOSTS).collect();
-    for &it in &still {
-        network.hosts[it].part = it + 1;
+fn stalled_hosts_recover_quickly() {
+    let mut network = settled_network(HOSTS, 71);
+    let stalled: Vec<usize> = (0..HOSTS / 3).map(|nr| (nr * 2 + 1) % HOSTS).collect();
+    for &it in &stalled {
+        network.hosts[it].partition = it + 1;
     }
     network.run(6 * SECOND);
-    network.hosts.iter_mut().for_each(|it| it.part = 0);
+    network.hosts.iter_mut().for_each(|it| it.partition = 0);
     let now = network.now + SECOND;
-    let took = network.until("all hosts are live again", SECOND, |it| {
-        names(it, now, HOSTS)
+    let took = network.run_until("all hosts are live again", SECOND, |it| {
+        has_ready_hosts(it, now, HOSTS)
     });
     println!(
         "{} stalled hosts are live again after {took:?}",
-        still.len()
+        stalled.len()
     );
 }
 
 /// All hosts compute the same graph, in which each has a path to the roots that aggregate
 /// evidence.
 #[test]
-fn everybody_reaches_the_roots() {
+fn every_host_reaches_the_roots() {
     for hosts in [2, 8, 24, 76, 295] {
-        let network = calm(hosts, 61);
+        let network = settled_network(hosts, 61);
         for root in 0..2 {
             let mut farthest = 0;
             let mut roots = 0;
-            for host in network.up() {
+            for host in network.running() {
                 let graph: &Graph = host.gossip.graph();
                 let distance = graph.distance(root).unwrap();
                 roots += usize::from(distance == 0);
@@ -255,7 +265,7 @@
             }
             assert_eq!(roots, 1);
             println!("{hosts} hosts: root {root} is at most {farthest} hops away");
-            assert!(u32::from(farthest) <= Graph::hops(hosts) + 1);
+            assert!(u32::from(farthest) <= Graph::estimated_hops(hosts) + 1);
         }
     }
 }
--- a/crates/host/tests/gossip/network.rs
+++ b/crates/host/tests/gossip/network.rs
@@ -7,7 +7,8 @@
 
 use host::Member;
 use host::gossip::{
-    Comparison, Contact, Digest, GATHER, Gossip, PERIOD, Pulse, RETRY, Record, SPACING, State,
+    BATCH_DELAY, Comparison, Contact, Digest, GOSSIP_INTERVAL, Gossip, MIN_GOSSIP_INTERVAL,
+    MembershipUpdate, RECONNECT_INTERVAL, Record, State,
 };
 use kernel::{HostName, Incarnation};
 use rand::{RngExt, SeedableRng};
@@ -15,53 +16,53 @@
 
 const DATA_CENTRES: usize = 6;
 /// Range of the delay in milliseconds from send to processing on another host.
-const DELAY: [u64; 2] = [1, 12];
+const DELAY_MS: [u64; 2] = [1, 12];
 /// Time until an unanswered probe is reported as failed.
-const UNANSWERED: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes that QUIC, UDP and IP add to a message, including its acknowledgement.
-const OVERHEAD: usize = 68 + 64;
+const OVERHEAD_BYTES: usize = 68 + 64;
 
 pub(crate) struct Network {
     pub(crate) now: Duration,
     pub(crate) hosts: Vec<Host>,
-    pub(crate) lost_in_hundred: u32,
+    pub(crate) loss_percent: u32,
     queue: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     messages: HashMap<u64, Message>,
-    number: u64,
+    sequence: u64,
     rng: Pcg32,
 }
 
 pub(crate) struct Host {
     pub(crate) gossip: Gossip,
-    pub(crate) is_up: bool,
+    pub(crate) is_running: bool,
     /// Hosts can only reach hosts with the same value.
-    pub(crate) part: usize,
+    pub(crate) partition: usize,
     /// A value that gossip spreads; hosts keep the highest one.
     pub(crate) version: u64,
     pub(crate) bytes: usize,
-    pub(crate) met: HashSet<HostName>,
-    life: u64,
-    is_hurried: bool,
-    told: Duration,
+    pub(crate) contacted: HashSet<HostName>,
+    run: u64,
+    is_update_scheduled: bool,
+    last_update: Duration,
     member: Member,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Pulse(usize, u64),
-    Hurry(usize, u64),
-    Watch(usize, u64),
-    Retry(usize, u64),
-    Arrive(usize),
-    Unanswered(usize, usize),
+    Update(usize, u64),
+    EarlyUpdate(usize, u64),
+    CheckSuspects(usize, u64),
+    Reconnect(usize, u64),
+    Deliver(usize),
+    ProbeTimeout(usize, usize),
 }
 
 enum Message {
-    Pulse(usize, Pulse, u64),
-    Ask(usize),
-    Answer(usize),
+    Update(usize, MembershipUpdate, u64),
+    Ping(usize),
+    Pong(usize),
     Compare(usize, Digest),
-    Compared(usize, Comparison),
+    ComparisonResult(usize, Comparison),
     Records(Vec<Record>),
 }
 
@@ -71,24 +72,24 @@
         let mut network = Self {
             now: Duration::from_secs(1),
             hosts: Vec::new(),
-            lost_in_hundred: 5,
+            loss_percent: 5,
             queue: BinaryHeap::new(),
             messages: HashMap::new(),
-            number: 0,
+            sequence: 0,
             rng: Pcg32::seed_from_u64(seed),
         };
         for nr in 0..hosts {
             let member = member(nr);
             network.hosts.push(Host {
                 gossip: Gossip::new(member.clone(), Incarnation(1), network.now),
-                is_up: false,
-                part: 0,
+                is_running: false,
+                partition: 0,
                 version: 0,
                 bytes: 0,
-                met: HashSet::new(),
-                life: 0,
-                is_hurried: false,
-                told: Duration::ZERO,
+                contacted: HashSet::new(),
+                run: 0,
+                is_update_scheduled: false,
+                last_update: Duration::ZERO,
                 member,
             });
         }
@@ -100,19 +101,19 @@
         let now = self.now;
         let listing = listed.iter().map(|&it| member(it)).collect();
         let host = &mut self.hosts[nr];
-        host.life += 1;
-        host.is_up = true;
-        host.is_hurried = false;
+        host.run += 1;
+        host.is_running = true;
+        host.is_update_scheduled = false;
         host.version = 0;
         let incarnation = Incarnation(u64::try_from(now.as_nanos()).unwrap());
         host.gossip = Gossip::new(host.member.clone(), incarnation, now);
         host.gossip.list(now, listing);
         host.gossip.set_state(now, State::Ready);
-        let life = host.life;
-        let lot = self.rng.random_range(0..500);
-        self.schedule(Duration::ZERO, Event::Pulse(nr, life));
-        self.schedule(Duration::from_millis(100), Event::Watch(nr, life));
-        self.schedule(Duration::from_millis(lot), Event::Retry(nr, life));
+        let run = host.run;
+        let random = self.rng.random_range(0..500);
+        self.schedule(Duration::ZERO, Event::Update(nr, run));
+        self.schedule(Duration::from_millis(100), Event::CheckSuspects(nr, run));
+        self.schedule(Duration::from_millis(random), Event::Reconnect(nr, run));
     }
 
     /// Starts all hosts within 0.3 s; each finds the entries of those before it in the listing.
@@ -134,14 +135,14 @@
     }
 
     pub(crate) fn kill(&mut self, nr: usize) {
-        self.hosts[nr].is_up = false;
-        self.hosts[nr].life += 1;
+        self.hosts[nr].is_running = false;
+        self.hosts[nr].run += 1;
     }
 
     /// Gives a host a newer version to spread.
-    pub(crate) fn learn(&mut self, nr: usize, version: u64) {
+    pub(crate) fn set_version(&mut self, nr: usize, version: u64) {
         self.hosts[nr].version = version;
-        self.hurry(nr);
+        self.schedule_update(nr);
     }
 
     /// Advances the simulation.
@@ -150,163 +151,166 @@
         while let Some(Reverse((at, _, _))) = self.queue.peek()
             && *at <= end
         {
-            let Reverse((at, number, event)) = self.queue.pop().unwrap();
+            let Reverse((at, sequence, event)) = self.queue.pop().unwrap();
             self.now = at;
-            self.handle(number, event);
+            self.handle(sequence, event);
         }
         self.now = end;
     }
 
     /// Runs until `check` is true of all running hosts, and returns the time taken.
-    pub(crate) fn until(
+    pub(crate) fn run_until(
         &mut self,
-        what: &str,
-        most: Duration,
+        condition: &str,
+        limit: Duration,
         check: impl Fn(&Host) -> bool,
     ) -> Duration {
         let began = self.now;
-        while !self.up().all(&check) {
-            let missing = self.up().filter(|it| !check(it)).count();
+        while !self.running().all(&check) {
+            let missing = self.running().filter(|it| !check(it)).count();
             assert!(
-                self.now.saturating_sub(began) < most,
-                "not within {most:?}: {what} (false for {missing} hosts)"
+                self.now.saturating_sub(began) < limit,
+                "not within {limit:?}: {condition} (false for {missing} hosts)"
             );
             self.run(Duration::from_millis(10));
         }
         self.now.saturating_sub(began)
     }
 
-    pub(crate) fn up(&self) -> impl Iterator<Item = &Host> {
-        self.hosts.iter().filter(|it| it.is_up)
+    pub(crate) fn running(&self) -> impl Iterator<Item = &Host> {
+        self.hosts.iter().filter(|it| it.is_running)
     }
 
     fn schedule(&mut self, after: Duration, event: Event) {
-        self.number += 1;
+        self.sequence += 1;
         let at = self.now + after;
-        self.queue.push(Reverse((at, self.number, event)));
+        self.queue.push(Reverse((at, self.sequence, event)));
     }
 
-    fn handle(&mut self, number: u64, event: Event) {
-        let is_current = |nr: usize, life: u64| self.hosts[nr].life == life;
+    fn handle(&mut self, sequence: u64, event: Event) {
+        let is_current = |nr: usize, run: u64| self.hosts[nr].run == run;
         match event {
-            Event::Pulse(nr, life) if is_current(nr, life) => {
-                self.pulse(nr);
-                self.schedule(PERIOD, event);
+            Event::Update(nr, run) if is_current(nr, run) => {
+                self.send_update(nr);
+                self.schedule(GOSSIP_INTERVAL, event);
             }
-            Event::Hurry(nr, life) if is_current(nr, life) => {
-                self.hosts[nr].is_hurried = false;
-                self.pulse(nr);
+            Event::EarlyUpdate(nr, run) if is_current(nr, run) => {
+                self.hosts[nr].is_update_scheduled = false;
+                self.send_update(nr);
             }
-            Event::Watch(nr, life) if is_current(nr, life) => {
-                self.watch(nr);
+            Event::CheckSuspects(nr, run) if is_current(nr, run) => {
+                self.check_suspects(nr);
                 self.schedule(Duration::from_millis(100), event);
             }
-            Event::Retry(nr, life) if is_current(nr, life) => {
-                let lot = self.rng.random();
-                if let Some(it) = self.hosts[nr].gossip.lost(lot) {
+            Event::Reconnect(nr, run) if is_current(nr, run) => {
+                let random = self.rng.random();
+                if let Some(it) = self.hosts[nr].gossip.reconnect_candidate(random) {
                     let digest = self.hosts[nr].gossip.digest();
                     self.send(nr, number_of(&it.name), Message::Compare(nr, digest));
                 }
-                self.schedule(RETRY, event);
+                self.schedule(RECONNECT_INTERVAL, event);
             }
-            Event::Arrive(nr) => {
-                if let Some(message) = self.messages.remove(&number)
-                    && self.hosts[nr].is_up
+            Event::Deliver(nr) => {
+                if let Some(message) = self.messages.remove(&sequence)
+                    && self.hosts[nr].is_running
                 {
-                    self.take(nr, message);
+                    self.receive(nr, message);
                 }
             }
-            Event::Unanswered(nr, other) => {
+            Event::ProbeTimeout(nr, other) => {
                 let now = self.now;
                 let host = &mut self.hosts[nr];
-                if host.gossip.unanswered(now, &name(other), Contact::Lost) {
-                    self.hurry(nr);
+                if host.gossip.probe_failed(now, &name(other), Contact::Lost) {
+                    self.schedule_update(nr);
                 }
             }
             _ => {}
         }
     }
 
-    fn pulse(&mut self, nr: usize) {
-        self.hosts[nr].told = self.now;
-        let pulse = self.hosts[nr].gossip.pulse(self.now);
+    fn send_update(&mut self, nr: usize) {
+        self.hosts[nr].last_update = self.now;
+        let update = self.hosts[nr].gossip.next_update(self.now);
         let version = self.hosts[nr].version;
-        let audience = self.hosts[nr].gossip.audience();
-        for it in audience {
-            self.hosts[nr].met.insert(it.name.clone());
-            let message = Message::Pulse(nr, pulse.clone(), version);
+        let recipients = self.hosts[nr].gossip.recipients();
+        for it in recipients {
+            self.hosts[nr].contacted.insert(it.name.clone());
+            let message = Message::Update(nr, update.clone(), version);
             self.send(nr, number_of(&it.name), message);
         }
     }
 
-    fn watch(&mut self, nr: usize) {
+    fn check_suspects(&mut self, nr: usize) {
         for it in self.hosts[nr].gossip.suspects(self.now) {
             let other = number_of(&it.name);
-            self.send(nr, other, Message::Ask(nr));
-            self.schedule(UNANSWERED, Event::Unanswered(nr, other));
+            self.send(nr, other, Message::Ping(nr));
+            self.schedule(PROBE_TIMEOUT, Event::ProbeTimeout(nr, other));
         }
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let size = message.size();
         self.hosts[from].bytes += size;
-        if self.hosts[from].part != self.hosts[to].part || !self.hosts[to].is_up {
+        if self.hosts[from].partition != self.hosts[to].partition || !self.hosts[to].is_running {
             return;
         }
         // Only datagrams are lost for good; streams retransmit.
-        let is_datagram = matches!(message, Message::Pulse(..)) && size < 1_200;
-        if is_datagram && self.rng.random_range(0..100) < self.lost_in_hundred {
+        let is_datagram = matches!(message, Message::Update(..)) && size < 1_200;
+        if is_datagram && self.rng.random_range(0..100) < self.loss_percent {
             return;
         }
         self.hosts[to].bytes += size;
-        let delay = self.rng.random_range(DELAY[0]..DELAY[1]);
-        self.schedule(Duration::from_millis(delay), Event::Arrive(to));
-        self.messages.insert(self.number, message);
+        let delay = self.rng.random_range(DELAY_MS[0]..DELAY_MS[1]);
+        self.schedule(Duration::from_millis(delay), Event::Deliver(to));
+        self.messages.insert(self.sequence, message);
     }
 
-    fn take(&mut self, nr: usize, message: Message) {
+    fn receive(&mut self, nr: usize, message: Message) {
         let now = self.now;
         let gossip = &mut self.hosts[nr].gossip;
         match message {
-            Message::Pulse(from, pulse, version) => {
-                let heard = gossip.hear(now, &name(from), &pulse);
+            Message::Update(from, update, version) => {
+                let outcome = gossip.receive(now, &name(from), &update);
                 let is_later = version > self.hosts[nr].version;
                 self.hosts[nr].version = self.hosts[nr].version.max(version);
-                if heard.is_news || is_later {
-                    self.hurry(nr);
+                if outcome.has_changes || is_later {
+                    self.schedule_update(nr);
                 }
-                if heard.differs {
+                if outcome.needs_comparison {
                     let digest = self.hosts[nr].gossip.digest();
                     self.send(nr, from, Message::Compare(nr, digest));
                 }
             }
-            Message::Ask(from) => self.send(nr, from, Message::Answer(nr)),
-            Message::Answer(from) => gossip.answered(now, &name(from)),
+            Message::Ping(from) => self.send(nr, from, Message::Pong(nr)),
+            Message::Pong(from) => gossip.mark_alive(now, &name(from)),
             Message::Compare(from, digest) => {
                 let comparison = gossip.compare(&digest);
-                self.send(nr, from, Message::Compared(nr, comparison));
+                self.send(nr, from, Message::ComparisonResult(nr, comparison));
             }
-            Message::Compared(from, comparison) => {
-                let (wanted, is_news) = gossip.settle(now, &comparison);
+            Message::ComparisonResult(from, comparison) => {
+                let (wanted, has_changes) = gossip.apply_comparison(now, &comparison);
                 self.send(nr, from, Message::Records(wanted));
-                if is_news {
-                    self.hurry(nr);
+                if has_changes {
+                    self.schedule_update(nr);
                 }
             }
             Message::Records(records) => {
                 if gossip.merge(now, &records) {
-                    self.hurry(nr);
+                    self.schedule_update(nr);
                 }
             }
         }
     }
 
-    fn hurry(&mut self, nr: usize) {
+    fn schedule_update(&mut self, nr: usize) {
         let host = &mut self.hosts[nr];
-        if !std::mem::replace(&mut host.is_hurried, true) {
-            let life = host.life;
-            let earliest = (host.told + SPACING).max(self.now + GATHER);
-            self.schedule(earliest.saturating_sub(self.now), Event::Hurry(nr, life));
+        if !std::mem::replace(&mut host.is_update_scheduled, true) {
+            let run = host.run;
+            let earliest = (host.last_update + MIN_GOSSIP_INTERVAL).max(self.now + BATCH_DELAY);
+            self.schedule(
+                earliest.saturating_sub(self.now),
+                Event::EarlyUpdate(nr, run),
+            );
         }
     }
 }
@@ -315,13 +319,13 @@
     fn size(&self) -> usize {
         let payload = match self {
             // Adds the configuration version and the ages that a real update carries.
-            Self::Pulse(_, pulse, _) => postcard::to_stdvec(pulse).unwrap().len() + 60,
+            Self::Update(_, update, _) => postcard::to_stdvec(update).unwrap().len() + 60,
             Self::Compare(_, digest) => postcard::to_stdvec(digest).unwrap().len(),
-            Self::Compared(_, it) => postcard::to_stdvec(it).unwrap().len(),
+            Self::ComparisonResult(_, it) => postcard::to_stdvec(it).unwrap().len(),
             Self::Records(it) => postcard::to_stdvec(it).unwrap().len(),
-            Self::Ask(_) | Self::Answer(_) => 8,
+            Self::Ping(_) | Self::Pong(_) => 8,
         };
-        payload + OVERHEAD
+        payload + OVERHEAD_BYTES
     }
 }
 
