--- a/crates/host/src/gossip.rs
+++ b/crates/host/src/gossip.rs
@@ -46,7 +46,7 @@
 pub struct MembershipUpdate {
     /// The records that changed since the previous update.
     pub records: Vec<Record>,
-    /// Fingerprint of the sender's roster; equal rosters have equal fingerprints.
+    /// [`Roster::fingerprint`] of the sender, by which the receiver detects differing views.
     pub fingerprint: u64,
 }
 
@@ -225,9 +225,9 @@
 
     /// Records that a host did not answer a probe. Returns whether it is now marked silent.
     ///
-    /// A host that is cut off hears nobody, and without this guard would spread the claim that
-    /// all others are silent when it reconnects. If none of its predecessors reaches a host, it
-    /// marks nobody silent unless it reaches the store: then it may be the only one left.
+    /// A host that is cut off receives nothing, and without this guard would claim that all
+    /// others are silent once it reconnects. A host that receives nothing from any predecessor
+    /// marks none of them silent unless it reaches the store: then it may be the only one left.
     pub fn probe_failed(&mut self, now: Duration, host: &HostName, contact: Contact) -> bool {
         match (self.failure_detector.probe_failed(now, host), contact) {
             (ProbeResult::Silent, _) | (ProbeResult::AllSilent, Contact::Store) => {}
@@ -261,7 +261,7 @@
         }
         let before: Vec<HostName> = self.graph.successors().cloned().collect();
         self.graph = Graph::new(&self.roster);
-        // New successors need this host's own record first: nobody else may know it yet.
+        // New successors need this host's own record first: no other host may have it yet.
         if self.graph.successors().any(|it| !before.contains(it)) {
             self.queue_record(self.roster.own().member.name.clone());
         }
@@ -272,7 +272,7 @@
 
     /// Keeps sending updates to former successors for a while.
     ///
-    /// A host that was wrongly marked silent is removed from everyone's graph. Without these
+    /// A host that was wrongly marked silent is removed from the graph of all hosts. Without these
     /// updates it would never learn of the claim and couldn't refute it.
     fn keep_former_successors(&mut self, now: Duration, before: Vec<HostName>) {
         const GRACE_PERIOD: Duration = Duration::from_secs(1);
--- a/crates/host/src/gossip/failure_detector.rs
+++ b/crates/host/src/gossip/failure_detector.rs
@@ -5,8 +5,8 @@
 
 use kernel::HostName;
 
-/// How long a host may be silent before it is probed. Longer than two update intervals, so
-/// that one lost datagram doesn't trigger a probe.
+/// How long a host may be silent before it is probed. Longer than two update intervals, so that
+/// one lost datagram doesn't trigger a probe.
 const SUSPECT_AFTER: Duration = Duration::from_millis(1_200);
 /// How long a host is not suspected again after this host marked it silent. If it refuted
 /// the claim, only the path between the two is broken, and other hosts monitor it.
--- a/crates/host/src/gossip/roster.rs
+++ b/crates/host/src/gossip/roster.rs
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Returns a fingerprint of the live hosts; equal views have equal fingerprints.
+    /// Returns a fingerprint of the live hosts' records, except those only listed in the store.
+    /// Equal views have equal fingerprints.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint
@@ -237,7 +238,7 @@
         Some(name.clone())
     }
 
-    /// Refutes a record about this host that another host created.
+    /// Refutes a record about this host that supersedes its own.
     ///
     /// If the clock was set back between two runs of the process, the former run's record has
     /// the higher incarnation and would supersede this one's for ever; this run takes a higher
--- a/crates/host/src/say.rs
+++ b/crates/host/src/say.rs
@@ -96,7 +96,7 @@
 
 /// Logs what a listing of endpoints changed.
 pub(crate) fn endpoints<S: Store, D: Dialect>(life: &Life<S, D>, change: &Change, age: Duration) {
-    let say = |event, id: &kernel::EndpointId| {
+    let log = |event, id: &kernel::EndpointId| {
         life.recorder().say(
             event,
             &[
@@ -106,10 +106,10 @@
         );
     };
     for id in &change.added {
-        say(Event::EndpointAdded, id);
+        log(Event::EndpointAdded, id);
     }
     for id in &change.leaving {
-        say(Event::EndpointLeaving, id);
+        log(Event::EndpointLeaving, id);
     }
 }
 
--- a/crates/host/tests/gossip.rs
+++ b/crates/host/tests/gossip.rs
@@ -200,7 +200,7 @@
     );
 }
 
-/// A host that is cut off hears nobody. It must not mark the others silent and spread that
+/// A host that is cut off receives nothing. It must not mark the others silent and spread that
 /// claim after it reconnects.
 #[test]
 fn an_isolated_host_marks_nobody_silent() {
