--- a/crates/host/src/gossip.rs
+++ b/crates/host/src/gossip.rs
@@ -1,13 +1,14 @@
-//! Who the other hosts are, whether they live, and how news of it travels.
+//! Host membership and failure detection by gossip.
 //!
-//! A pure core: it knows no network and no clock, so that hundreds of hosts run in
-//! one test. [`crate::talk`] carries what it says. See `docs/design/gossip.md`.
+//! Does no input or output and takes the time from its caller, so that a test can simulate
+//! hundreds of hosts. [`crate::talk`] sends and receives the messages. See
+//! `docs/design/gossip.md`.
 
 mod compare;
+mod failure_detector;
 mod graph;
 mod record;
 mod roster;
-mod watch;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,116 +19,116 @@
 use crate::Member;
 
 pub use compare::{Comparison, Digest};
-pub use graph::{DEGREE, Graph, ROOTS};
+use failure_detector::{FailureDetector, ProbeResult};
+pub use graph::{DEGREE, Graph, ROOT_COUNT};
 pub use record::{Record, State};
 pub use roster::Roster;
-use watch::{Finding, Watch};
 
-/// How often a host tells its neighbours what it knows, if nothing happens.
-pub const PERIOD: Duration = Duration::from_millis(500);
-/// How long a host that has news waits for more before it tells them: many hosts that
-/// start or fall silent at once are told in a few messages in place of one each. Five
-/// hops of it are a tenth of a second.
-pub const GATHER: Duration = Duration::from_millis(20);
-/// The least time between two pieces of a host's news: sessions and counts that change
-/// all the time go on with what changes in between. Five hops of it are half a second.
-pub const SPACING: Duration = Duration::from_millis(100);
-/// How often a host looks whether one that is silent is back.
-pub const RETRY: Duration = Duration::from_secs(1);
-/// How long another host's view may differ from this one's before they are compared:
-/// news under way makes views differ for some hundred milliseconds.
-const PATIENCE: Duration = Duration::from_millis(1_200);
-/// The least time between two comparisons that this host begins.
-const COMPARE_PAUSE: Duration = Duration::from_secs(1);
+/// The interval between routine updates to the neighbours.
+pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
+/// The delay before a change is sent to the neighbours, in which further changes are added
+/// to the same update. When many hosts start or fail together, their changes travel in a
+/// few messages.
+pub const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// The least time between two updates from a host. Limits the traffic of state that changes
+/// continuously.
+pub const MIN_GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval between attempts to reconnect to a silent host.
+pub const RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
+/// How long another host's fingerprint may differ before the two views are compared.
+/// Fingerprints differ briefly while an update is propagating.
+const MISMATCH_TOLERANCE: Duration = Duration::from_millis(1_200);
+/// The least time between two comparisons that this host starts.
+const MIN_COMPARISON_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a host tells its neighbours of the hosts.
+/// The membership changes that a host sends to its neighbours.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pulse {
-    /// What it has learned since the last pulse.
+pub struct MembershipUpdate {
+    /// The records that changed since the previous update.
     pub records: Vec<Record>,
-    /// Tells whether two hosts know the same.
+    /// [`Roster::fingerprint`] of the sender, by which the receiver detects differing views.
     pub fingerprint: u64,
 }
 
-/// What a pulse calls for.
+/// What the receiver of an update does next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
-    /// It changed what is known, and the neighbours are to hear it.
-    pub is_news: bool,
-    /// The sender's view has differed for too long and is to be compared.
-    pub differs: bool,
+pub struct UpdateOutcome {
+    /// The update changed the roster; send the change to the neighbours.
+    pub has_changes: bool,
+    /// The sender's view has differed for too long; compare the two.
+    pub needs_comparison: bool,
 }
 
-/// Who the other hosts are, whether they live, and whom this host tells what.
+/// The membership state of this host and the neighbours it exchanges updates with.
 #[derive(Debug)]
 pub struct Gossip {
     roster: Roster,
     graph: Graph,
-    watch: Watch,
-    /// Whom this host told until lately, and until when it goes on.
-    former: Vec<(HostName, Duration)>,
-    /// Hosts of which something is known that the neighbours haven't been told.
-    untold: Vec<HostName>,
-    /// Since when other hosts' views differ from this one's.
-    differing: HashMap<HostName, Duration>,
-    compared: Option<Duration>,
+    failure_detector: FailureDetector,
+    /// Previous successors, and until when they still receive updates.
+    former_successors: Vec<(HostName, Duration)>,
+    /// Hosts whose records changed since the previous update.
+    unsent: Vec<HostName>,
+    /// Since when the fingerprints of other hosts differ from this one's.
+    mismatched_since: HashMap<HostName, Duration>,
+    last_comparison: Option<Duration>,
 }
 
 impl Gossip {
-    /// Knows only this host, which starts at `now`.
+    /// Creates the state of a host that starts at `now` and knows no other host.
     #[must_use]
     pub fn new(own: Member, incarnation: Incarnation, now: Duration) -> Self {
         let roster = Roster::new(own, incarnation, now);
         let mut gossip = Self {
-            untold: vec![roster.own().member.name.clone()],
+            unsent: vec![roster.own().member.name.clone()],
             graph: Graph::default(),
-            former: Vec::new(),
-            watch: Watch::default(),
-            differing: HashMap::new(),
-            compared: None,
+            former_successors: Vec::new(),
+            failure_detector: FailureDetector::default(),
+            mismatched_since: HashMap::new(),
+            last_comparison: None,
             roster,
         };
-        gossip.refresh(now);
+        gossip.update_graph(now);
         gossip
     }
 
-    /// The hosts.
+    /// Returns the known hosts.
     #[must_use]
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// Who tells whom.
+    /// Returns the graph along which updates travel.
     #[must_use]
     pub fn graph(&self) -> &Graph {
         &self.graph
     }
 
-    /// Takes the store's listing of hosts.
+    /// Adds the hosts that the store lists.
     pub fn list(&mut self, now: Duration, members: Vec<Member>) {
         for it in members {
             self.roster.list(now, it);
         }
-        self.refresh(now);
+        self.update_graph(now);
     }
 
-    /// Takes this host's own state, and says whether it changed.
+    /// Sets this host's own state. Returns whether it changed.
     pub fn set_state(&mut self, now: Duration, state: State) -> bool {
-        let changed = self.roster.set_own(now, state);
+        let changed = self.roster.set_own_state(now, state);
         if changed {
-            self.mark(self.roster.own().member.name.clone());
+            self.queue_record(self.roster.own().member.name.clone());
         }
         changed
     }
 
-    /// What is to be told now. What was told once isn't told again: with so many
-    /// neighbours a lost message is made up for by the others', and by comparison.
-    pub fn pulse(&mut self, now: Duration) -> Pulse {
-        self.refresh(now);
-        self.former.retain(|it| now < it.1);
-        let untold = std::mem::take(&mut self.untold);
-        Pulse {
-            records: untold
+    /// Returns the update to send now. A change is sent once: a neighbour that misses it
+    /// receives it from other hosts or through a comparison.
+    pub fn next_update(&mut self, now: Duration) -> MembershipUpdate {
+        self.update_graph(now);
+        self.former_successors.retain(|it| now < it.1);
+        let unsent = std::mem::take(&mut self.unsent);
+        MembershipUpdate {
+            records: unsent
                 .iter()
                 .filter_map(|it| self.roster.get(it))
                 .cloned()
@@ -136,166 +137,179 @@
         }
     }
 
-    /// All that is known, for a host that has just started.
+    /// Returns an update with all live hosts, for a host that has just started.
     #[must_use]
-    pub fn whole(&self) -> Pulse {
-        Pulse {
+    pub fn full_update(&self) -> MembershipUpdate {
+        MembershipUpdate {
             records: self.roster.live().cloned().collect(),
             fingerprint: self.roster.fingerprint(),
         }
     }
 
-    /// Whom this host tells.
+    /// Returns the hosts that this host sends updates to.
     #[must_use]
-    pub fn audience(&self) -> Vec<Member> {
-        let former = self.former.iter().map(|it| &it.0);
+    pub fn recipients(&self) -> Vec<Member> {
+        let former_successors = self.former_successors.iter().map(|it| &it.0);
         self.graph
             .successors()
-            .chain(former)
+            .chain(former_successors)
             .filter_map(|it| self.roster.get(it))
             .map(|it| it.member.clone())
             .collect()
     }
 
-    /// Takes another host's pulse.
-    pub fn hear(&mut self, now: Duration, from: &HostName, pulse: &Pulse) -> Heard {
-        self.watch.hear(now, from);
-        let is_news = self.merge(now, &pulse.records);
-        let differs = self.differs(now, from, pulse.fingerprint);
-        Heard { is_news, differs }
+    /// Applies an update from another host.
+    pub fn receive(
+        &mut self,
+        now: Duration,
+        from: &HostName,
+        update: &MembershipUpdate,
+    ) -> UpdateOutcome {
+        self.failure_detector.record_message(now, from);
+        let has_changes = self.merge(now, &update.records);
+        let needs_comparison = self.needs_comparison(now, from, update.fingerprint);
+        UpdateOutcome {
+            has_changes,
+            needs_comparison,
+        }
     }
 
-    /// What this host knows, short enough to be compared.
+    /// Returns a compact digest of the roster for a comparison.
     #[must_use]
     pub fn digest(&self) -> Digest {
         Digest::of(&self.roster)
     }
 
-    /// Answers another host that compares its view with this one's.
+    /// Compares another host's digest with this host's roster.
     #[must_use]
     pub fn compare(&self, digest: &Digest) -> Comparison {
         digest.compare(&self.roster)
     }
 
-    /// Takes the answer to a comparison: what the other host knows and this one
-    /// doesn't. What the other one wants is told with the next pulse to all, and
-    /// returned for it. Says whether anything is new.
-    pub fn settle(&mut self, now: Duration, comparison: &Comparison) -> (Vec<Record>, bool) {
-        let is_news = self.merge(now, &comparison.records);
-        let wanted = self.roster.by_tags(&comparison.wanted);
-        (wanted, is_news)
+    /// Applies the response to a comparison. Returns the records that the other host asked
+    /// for, and whether anything changed here.
+    pub fn apply_comparison(
+        &mut self,
+        now: Duration,
+        comparison: &Comparison,
+    ) -> (Vec<Record>, bool) {
+        let has_changes = self.merge(now, &comparison.records);
+        let wanted = self.roster.records_by_name_hash(&comparison.wanted);
+        (wanted, has_changes)
     }
 
-    /// Takes records, and says whether any is news.
+    /// Merges records into the roster. Returns whether any of them changed it.
     pub fn merge(&mut self, now: Duration, records: &[Record]) -> bool {
-        let mut is_news = false;
+        let mut has_changes = false;
         for it in records {
             if let Some(name) = self.roster.merge(now, it) {
-                self.mark(name);
-                is_news = true;
+                self.queue_record(name);
+                has_changes = true;
             }
         }
-        is_news
+        has_changes
     }
 
-    /// The hosts that have fallen silent and are to be asked whether they live.
+    /// Returns the hosts that have been silent for too long and should be probed.
     pub fn suspects(&mut self, now: Duration) -> Vec<Member> {
-        self.refresh(now);
-        let suspects = self.watch.suspects(now);
+        self.update_graph(now);
+        let suspects = self.failure_detector.suspects(now);
         let find = |it: &HostName| self.roster.get(it).map(|it| it.member.clone());
         suspects.iter().filter_map(find).collect()
     }
 
-    /// Takes that a host answered, or has proved to live otherwise.
-    pub fn answered(&mut self, now: Duration, host: &HostName) {
-        self.watch.answered(now, host);
+    /// Records that a host answered a probe or is known to be alive for another reason.
+    pub fn mark_alive(&mut self, now: Duration, host: &HostName) {
+        self.failure_detector.mark_alive(now, host);
     }
 
-    /// Takes that a host that was asked whether it lives didn't answer, and says
-    /// whether it counts as silent from now on.
+    /// Records that a host did not answer a probe. Returns whether it is now marked silent.
     ///
-    /// Failure: a host that is cut off hears nobody, and would have everybody taken
-    /// for silent once it is back. It shows as a host that none of those who should
-    /// tell it something reach; such a one believes nothing, unless it reaches the
-    /// store: then it may be the only one left.
-    pub fn unanswered(&mut self, now: Duration, host: &HostName, contact: Contact) -> bool {
-        match (self.watch.unanswered(now, host), contact) {
-            (Finding::Silent, _) | (Finding::Deaf, Contact::Store) => {}
-            (Finding::Heard, _) | (Finding::Deaf, Contact::Lost) => return false,
+    /// A host that is cut off receives nothing, and without this guard would claim that all
+    /// others are silent once it reconnects. A host that receives nothing from any predecessor
+    /// marks none of them silent unless it reaches the store: then it may be the only one left.
+    pub fn probe_failed(&mut self, now: Duration, host: &HostName, contact: Contact) -> bool {
+        match (self.failure_detector.probe_failed(now, host), contact) {
+            (ProbeResult::Silent, _) | (ProbeResult::AllSilent, Contact::Store) => {}
+            (ProbeResult::Alive, _) | (ProbeResult::AllSilent, Contact::Lost) => return false,
         }
-        self.watch.spare(now, host);
-        let Some(name) = self.roster.silence(now, host) else {
+        self.failure_detector.suspend(now, host);
+        let Some(name) = self.roster.mark_silent(now, host) else {
             return false;
         };
-        self.mark(name);
+        self.queue_record(name);
         true
     }
 
-    /// A silent host that is worth trying again, by a random number from 0 to 1. All
-    /// hosts together try some four a second, whatever their number.
+    /// Returns a silent host to reconnect to, chosen by a random number from 0 to 1. The
+    /// probability falls with the number of hosts, so that the total rate of attempts stays
+    /// constant.
     #[must_use]
-    pub fn lost(&self, chance: f64) -> Option<Member> {
-        self.roster.lost(chance)
+    pub fn reconnect_candidate(&self, random: f64) -> Option<Member> {
+        self.roster.reconnect_candidate(random)
     }
 
-    fn mark(&mut self, name: HostName) {
-        if !self.untold.contains(&name) {
-            self.untold.push(name);
+    fn queue_record(&mut self, name: HostName) {
+        if !self.unsent.contains(&name) {
+            self.unsent.push(name);
         }
     }
 
-    fn refresh(&mut self, now: Duration) {
-        if self.graph.is_of(&self.roster) {
+    fn update_graph(&mut self, now: Duration) {
+        if self.graph.is_current(&self.roster) {
             return;
         }
         let before: Vec<HostName> = self.graph.successors().cloned().collect();
         self.graph = Graph::new(&self.roster);
-        // New neighbours hear first who tells them: nobody else may know this host.
+        // New successors need this host's own record first: no other host may have it yet.
         if self.graph.successors().any(|it| !before.contains(it)) {
-            self.mark(self.roster.own().member.name.clone());
+            self.queue_record(self.roster.own().member.name.clone());
         }
-        self.linger(now, before);
-        self.watch.expect(now, self.graph.predecessors());
+        self.keep_former_successors(now, before);
+        self.failure_detector
+            .monitor(now, self.graph.predecessors());
     }
 
-    /// Goes on to tell former neighbours for a while.
+    /// Keeps sending updates to former successors for a while.
     ///
-    /// Failure: a host that was found silent wrongly leaves the graph of all, hears of
-    /// it from nobody, and can't contradict.
-    fn linger(&mut self, now: Duration, before: Vec<HostName>) {
-        const LINGER: Duration = Duration::from_secs(1);
-        let known = std::mem::take(&mut self.former);
-        let fresh = before.into_iter().map(|it| (it, now + LINGER));
+    /// A host that was wrongly marked silent is removed from the graph of all hosts. Without these
+    /// updates it would never learn of the claim and couldn't refute it.
+    fn keep_former_successors(&mut self, now: Duration, before: Vec<HostName>) {
+        const GRACE_PERIOD: Duration = Duration::from_secs(1);
+        let known = std::mem::take(&mut self.former_successors);
+        let fresh = before.into_iter().map(|it| (it, now + GRACE_PERIOD));
         for (host, until) in fresh.chain(known) {
-            let is_known = self.former.iter().any(|it| it.0 == host);
-            let is_told = self.graph.successors().any(|it| *it == host);
-            if now < until && !is_known && !is_told && self.former.len() < DEGREE {
-                self.former.push((host, until));
+            let is_kept = self.former_successors.iter().any(|it| it.0 == host);
+            let is_successor = self.graph.successors().any(|it| *it == host);
+            if now < until && !is_kept && !is_successor && self.former_successors.len() < DEGREE {
+                self.former_successors.push((host, until));
             }
         }
     }
 
-    fn differs(&mut self, now: Duration, from: &HostName, fingerprint: u64) -> bool {
+    fn needs_comparison(&mut self, now: Duration, from: &HostName, fingerprint: u64) -> bool {
         if fingerprint == self.roster.fingerprint() {
-            self.differing.remove(from);
+            self.mismatched_since.remove(from);
             return false;
         }
-        let since = *self.differing.entry(from.clone()).or_insert(now);
-        let is_due = self.compared.is_none_or(|at| now >= at + COMPARE_PAUSE);
-        let differs = is_due && now >= since + PATIENCE;
-        if differs {
-            self.compared = Some(now);
-            self.differing.clear();
+        let since = *self.mismatched_since.entry(from.clone()).or_insert(now);
+        let is_due = self
+            .last_comparison
+            .is_none_or(|at| now >= at + MIN_COMPARISON_INTERVAL);
+        let is_needed = is_due && now >= since + MISMATCH_TOLERANCE;
+        if is_needed {
+            self.last_comparison = Some(now);
+            self.mismatched_since.clear();
         }
-        differs
+        is_needed
     }
 }
 
-/// Whether a host that hears no other reaches anything at all.
+/// Whether this host has recently reached the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// It reaches the store.
+    /// The store answered recently.
     Store,
-    /// It reached nothing lately.
+    /// The store has not answered recently.
     Lost,
 }
--- a/crates/host/src/say.rs
+++ b/crates/host/src/say.rs
@@ -1,4 +1,4 @@
-//! Says what a host believes: log lines at changes, gauges all the time.
+//! Reports a host's state through log events and gauges.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,11 +13,11 @@
 use crate::life::Life;
 use crate::{Store, Trouble};
 
-/// How often gauges are set and dropped lines are told.
-const PERIOD: Duration = Duration::from_secs(1);
+/// The interval at which gauges are set and dropped log lines are reported.
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Takes the result of a call to the store: counts it, and says when calls of
-/// its kind begin to fail and when they succeed again.
+/// Counts a call to the store, and logs when calls of its kind begin to fail or succeed
+/// again.
 pub(crate) fn store<S: Store, D: Dialect, T>(
     life: &Life<S, D>,
     call: &'static str,
@@ -31,13 +31,13 @@
     };
     let timed = (!call.starts_with("news")).then_some(took);
     life.recorder().metrics().store_call(call, name, timed);
-    note_era(life);
+    detect_restore(life);
     if result.is_ok() {
         life.reached.set(Some(life.node.now()));
     }
     let mut lost = life.lost.borrow_mut();
     match result {
-        // These are answers: the store is there.
+        // The store responded, so it is reachable.
         Err(Trouble::Conflict | Trouble::HistoryGone) => {}
         Err(trouble) if lost.insert(call) => life.recorder().say(
             Event::StoreLost,
@@ -58,9 +58,9 @@
     }
 }
 
-/// Takes that the store has come back from an older copy, if it has: questions that are
-/// open there were asked with versions that mean something else now.
-fn note_era<S: Store, D: Dialect>(life: &Life<S, D>) {
+/// Detects that the store was restored from an older copy. Open long polls are restarted then,
+/// because they refer to revisions that may have been assigned anew.
+fn detect_restore<S: Store, D: Dialect>(life: &Life<S, D>) {
     let era = life.store.era();
     if life
         .era
@@ -75,8 +75,8 @@
     }
 }
 
-/// Says how many entries of a listing can't be used, when their number changes:
-/// whoever writes them may do so at each reading.
+/// Logs the number of unusable entries in a listing when it changes. Logging it at each
+/// reading would repeat the same line.
 pub(crate) fn unusable<S: Store, D: Dialect>(
     life: &Life<S, D>,
     listing: &'static str,
@@ -94,9 +94,9 @@
     }
 }
 
-/// Says what a listing of endpoints changed.
+/// Logs what a listing of endpoints changed.
 pub(crate) fn endpoints<S: Store, D: Dialect>(life: &Life<S, D>, change: &Change, age: Duration) {
-    let say = |event, id: &kernel::EndpointId| {
+    let log = |event, id: &kernel::EndpointId| {
         life.recorder().say(
             event,
             &[
@@ -106,19 +106,19 @@
         );
     };
     for id in &change.added {
-        say(Event::EndpointAdded, id);
+        log(Event::EndpointAdded, id);
     }
     for id in &change.leaving {
-        say(Event::EndpointLeaving, id);
+        log(Event::EndpointLeaving, id);
     }
 }
 
-/// Sets the gauges, and says when readiness or the hosts changed.
+/// Sets the gauges, and logs changes of readiness and of the set of serving hosts.
 pub(crate) async fn gauges<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     let mut was_ready = false;
     let mut hosts: HashSet<SocketAddr> = HashSet::new();
     loop {
-        sleep(PERIOD).await;
+        sleep(GAUGE_INTERVAL).await;
         life.recorder().say_dropped();
         let is_ready = life.is_ready();
         if is_ready != was_ready {
@@ -135,36 +135,36 @@
             hosts_changed(&life, &hosts, &now);
             hosts = now;
         }
-        let level = level(&life, hosts.len());
-        life.recorder().metrics().set(&level);
+        let gauges = collect_gauges(&life, hosts.len());
+        life.recorder().metrics().set(&gauges);
     }
 }
 
-/// Says which hosts callers are sent to that they weren't before, and the other way
-/// round. Of hundreds that change at once the first few tell which data centre it is.
+/// Logs which hosts callers are now sent to and no longer sent to. When many hosts change at
+/// once, the first few suffice to identify the data centre.
 fn hosts_changed<S: Store, D: Dialect>(
     life: &Life<S, D>,
     before: &HashSet<SocketAddr>,
     now: &HashSet<SocketAddr>,
 ) {
-    const MOST: usize = 16;
-    let some = |of: &HashSet<SocketAddr>, but: &HashSet<SocketAddr>| {
-        let mut some: Vec<_> = of.difference(but).collect();
+    const MAX_LISTED: usize = 16;
+    let only_in = |of: &HashSet<SocketAddr>, without: &HashSet<SocketAddr>| {
+        let mut some: Vec<_> = of.difference(without).collect();
         some.sort_unstable();
-        let names = some.iter().take(MOST).map(ToString::to_string);
+        let names = some.iter().take(MAX_LISTED).map(ToString::to_string);
         names.collect::<Vec<_>>().join(" ")
     };
     life.recorder().say(
         Event::HostsChanged,
         &[
             ("hosts", Value::Count(now.len() as u64)),
-            ("added", Value::Text(&some(now, before))),
-            ("removed", Value::Text(&some(before, now))),
+            ("added", Value::Text(&only_in(now, before))),
+            ("removed", Value::Text(&only_in(before, now))),
         ],
     );
 }
 
-fn links<S: Store, D: Dialect>(life: &Life<S, D>) -> Links {
+fn link_gauges<S: Store, D: Dialect>(life: &Life<S, D>) -> Links {
     let Some(link) = life.link.borrow().clone() else {
         return Links::default();
     };
@@ -177,7 +177,7 @@
     }
 }
 
-fn level<S: Store, D: Dialect>(life: &Life<S, D>, hosts: usize) -> Gauges {
+fn collect_gauges<S: Store, D: Dialect>(life: &Life<S, D>, hosts: usize) -> Gauges {
     let now = life.node.now();
     let mut router = life.node.router();
     let since =
@@ -193,7 +193,7 @@
         data_centres_emptied: router.directory().evacuations().emptied().count() as u64,
         hosts: hosts as u64,
         reads_for_all: u64::from(life.reads_for_all()),
-        links: links(life),
+        links: link_gauges(life),
         callers: life.node.open() as u64,
         requests: life.node.busy() as u64,
         held: router.quarantine().len() as u64,
--- /dev/null
+++ b/crates/host/src/talk/probe.rs
@@ -0,0 +1,78 @@
+//! Probes hosts that are suspected to be down, and reconnects to silent ones.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_std::future::timeout;
+use async_std::task::sleep;
+use forward::Dialect;
+use link::{Link, Peer};
+use telemetry::{Event, Value};
+
+use super::{apply, peer, request};
+use crate::Store;
+use crate::gossip::RECONNECT_INTERVAL;
+use crate::life::Life;
+use crate::message::{Message, Question};
+
+/// The timeout of a probe, connection setup included. A host that is merely slow refutes the
+/// claim before callers are affected.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The interval between checks for suspected hosts.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Probes neighbours that have stopped sending updates.
+pub(super) async fn probe_suspects<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
+    loop {
+        sleep(CHECK_INTERVAL).await;
+        let suspects = life.gossip.borrow_mut().suspects(life.node.now());
+        for it in suspects.iter().map(peer) {
+            life.node.spawn(probe(Rc::clone(&life), link.clone(), it));
+        }
+    }
+}
+
+async fn probe<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link, it: Peer) {
+    let response = timeout(
+        PROBE_TIMEOUT,
+        request::send(&life, &link, &it, Question::Ping),
+    )
+    .await;
+    let now = life.node.now();
+    if let Ok(Some(_)) = response {
+        return life.gossip.borrow_mut().mark_alive(now, &it.host);
+    }
+    let contact = life.contact();
+    let is_silent = life
+        .gossip
+        .borrow_mut()
+        .probe_failed(now, &it.host, contact);
+    if is_silent {
+        life.recorder()
+            .say(Event::HostSilent, &[("other", Value::Text(&it.host))]);
+        life.hurry();
+    }
+}
+
+/// Tries to reconnect to silent hosts. After a partition heals, both sides have marked each
+/// other silent, and neither would send the first message without this.
+pub(super) async fn reconnect<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
+    loop {
+        sleep(RECONNECT_INTERVAL).await;
+        let random = life.lot();
+        let Some(silent) = life
+            .gossip
+            .borrow()
+            .reconnect_candidate(random)
+            .as_ref()
+            .map(peer)
+        else {
+            continue;
+        };
+        let digest = life.gossip.borrow().digest();
+        let response = request::send(&life, &link, &silent, Question::Compare(digest)).await;
+        if let Some(it @ Message::Comparison(_)) = response {
+            apply::response(&life, &link, &silent, it);
+        }
+    }
+}
--- /dev/null
+++ b/crates/host/src/talk/request.rs
@@ -0,0 +1,59 @@
+//! Requests to other hosts.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use forward::Dialect;
+use link::{Link, Peer};
+use wire::Frame;
+
+use super::apply;
+use crate::Store;
+use crate::life::Life;
+use crate::message::{Message, Question};
+
+/// The timeout of a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// The timeout of a response with a whole listing, which can be hundreds of kilobytes on a
+/// slow link that callers use too. With a shorter timeout the transfer would be restarted
+/// again and again and never complete.
+const LISTING_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Sends a request in the background, unless one of the same kind is in flight.
+pub(super) fn send_once<S: Store, D: Dialect>(
+    life: &Rc<Life<S, D>>,
+    link: &Link,
+    peer: &Peer,
+    request: Question,
+) {
+    let kind = std::mem::discriminant(&request);
+    if !life.asking.borrow_mut().insert(kind) {
+        return;
+    }
+    let (node, life, link) = (Rc::clone(&life.node), Rc::clone(life), link.clone());
+    let peer = peer.clone();
+    node.spawn(async move {
+        if let Some(response) = send(&life, &link, &peer, request).await {
+            apply::response(&life, &link, &peer, response);
+        }
+        life.asking.borrow_mut().remove(&kind);
+    });
+}
+
+/// Sends a request; returns `None` if there is no usable response.
+pub(super) async fn send<S: Store, D: Dialect>(
+    life: &Life<S, D>,
+    link: &Link,
+    peer: &Peer,
+    request: Question,
+) -> Option<Message> {
+    let timeout = match request {
+        Question::Listing | Question::ListingPatch(_) => LISTING_RESPONSE_TIMEOUT,
+        _ => RESPONSE_TIMEOUT,
+    };
+    let frame = life.frame(&Message::Request(request))?;
+    let Ok(Frame::Decide(payload)) = link.ask(peer, &frame, timeout).await else {
+        return None;
+    };
+    postcard::from_bytes(&payload.bytes).ok()
+}
