--- a/crates/forward/src/answer.rs
+++ b/crates/forward/src/answer.rs
@@ -1,4 +1,4 @@
-//! Writes answers to a caller.
+//! Writes responses to a caller.
 
 use std::fmt::Write;
 use std::io;
@@ -12,25 +12,25 @@
 use crate::Dialect;
 use crate::caller::Keep;
 
-/// Writes one answer to a caller.
+/// Writes one response to a caller.
 #[derive(Debug)]
 pub(crate) struct Answer {
     writer: TcpStream,
     is_head: bool,
     keep: Keep,
     out: Vec<u8>,
-    /// The status that was sent.
+    /// The status that was sent, or 0 before that.
     pub(crate) status: u16,
-    /// The field and value that echo the request's id.
+    /// The header field, name and value, that returns the request id to the caller.
     pub(crate) echo: Option<(&'static str, String)>,
 }
 
-/// An answer of the host's own.
+/// A response without a body that this host generates itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Notice {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// When to come back.
+    /// The time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
@@ -45,8 +45,7 @@
 
 impl From<Denial> for Notice {
     fn from(denial: Denial) -> Self {
-        /// A host without a configuration has one within moments, and other hosts
-        /// have one now.
+        /// Short, since a host that starts has a configuration soon and other hosts have one now.
         const SOON: Duration = Duration::from_millis(200);
         match denial {
             Denial::NotReady | Denial::Stopping => Self {
@@ -88,12 +87,12 @@
         }
     }
 
-    /// Whether a part of it waits to be sent.
+    /// Returns whether there are bytes to flush.
     pub(crate) fn has_pending(&self) -> bool {
         !self.out.is_empty()
     }
 
-    /// Sends an answer of the host's own. A caller that is gone misses nothing.
+    /// Sends a response that this host generates. Write errors are ignored.
     pub(crate) async fn notice(&mut self, notice: Notice) {
         self.start(notice.status);
         if let Some((name, value)) = self.echo.take() {
@@ -107,7 +106,7 @@
         let _ = self.flush().await;
     }
 
-    /// Sends an endpoint's whole answer.
+    /// Sends a complete response of an endpoint.
     pub(crate) async fn whole<D: Dialect>(
         &mut self,
         dialect: &D,
@@ -117,7 +116,7 @@
         self.copy(dialect, head);
         let length = match head.status {
             204 | 304 => None,
-            // What a GET would have got.
+            // The length of the response to a GET.
             _ if self.is_head => head.fields.number("content-length"),
             _ => Some(body.len() as u64),
         };
@@ -128,7 +127,7 @@
         self.flush().await
     }
 
-    /// Begins an endpoint's stream; nothing is sent before its first event.
+    /// Starts a stream. Its head is sent with the first event.
     pub(crate) fn begin<D: Dialect>(&mut self, dialect: &D, head: &response::Head) {
         self.copy(dialect, head);
         self.out
@@ -136,17 +135,17 @@
         self.end_head(None);
     }
 
-    /// Adds an event to what goes out with the next flush.
+    /// Appends an event to the output buffer, as one chunk.
     pub(crate) fn event(&mut self, bytes: &[u8]) {
         let mut size = String::new();
-        // Writing to a string doesn't fail.
+        // Writing to a `String` can't fail.
         let _ = write!(size, "{:x}\r\n", bytes.len());
         self.out.extend_from_slice(size.as_bytes());
         self.out.extend_from_slice(bytes);
         self.out.extend_from_slice(b"\r\n");
     }
 
-    /// Ends a stream that its endpoint has ended.
+    /// Writes the last chunk of a stream.
     pub(crate) async fn finish(&mut self) -> io::Result<()> {
         self.out.extend_from_slice(b"0\r\n\r\n");
         self.flush().await
@@ -172,8 +171,8 @@
         }
     }
 
-    /// Begins the head. An answer has one: what a second status line begins would
-    /// reach the caller as a part of the first answer.
+    /// Starts the head. A second status line would reach the caller as part of the body of
+    /// the first response.
     fn start(&mut self, status: u16) {
         debug_assert_eq!(self.status, 0, "an answer has one status line");
         self.status = status;
--- a/crates/forward/src/attempt.rs
+++ b/crates/forward/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request at one endpoint.
+//! One attempt: forwards a request to one endpoint and relays the response.
 
 mod guard;
 mod stream;
@@ -21,28 +21,28 @@
 use crate::{Addressing, Dialect, Node, Told};
 use guard::{Guard, Seen};
 
-/// The longest whole answer that is taken, in bytes. Whole answers are kept
-/// until their end, so that one that breaks off can be asked for again.
+/// The longest response body that is buffered. Responses that aren't streams are
+/// buffered, so that the request can be retried if the connection breaks.
 const MAX_WHOLE: usize = 8 * 1024 * 1024;
 
-/// One attempt: a request at one endpoint.
+/// One attempt to forward a request to an endpoint.
 pub(crate) struct Attempt<'a, D: Dialect> {
     pub(crate) node: &'a Node<D>,
     pub(crate) request: &'a Request,
     pub(crate) id: &'a RequestId,
     pub(crate) placement: &'a Placement,
     pub(crate) progress: &'a Progress,
-    /// The last event that the caller has.
+    /// The id of the last event that was written to the caller.
     pub(crate) last_event: &'a mut Option<u64>,
 }
 
-/// How an attempt went.
+/// The outcome of an attempt.
 pub(crate) enum Result {
-    /// The caller has the whole answer.
+    /// The complete response was written to the caller.
     Delivered,
-    /// The caller takes no answer any more.
+    /// The response couldn't be written to the caller.
     CallerGone,
-    /// There is no answer yet.
+    /// The attempt ended without a complete response.
     Ended {
         flight: Box<Flight>,
         ending: Ending,
@@ -50,13 +50,13 @@
     },
 }
 
-/// An endpoint's whole answer.
+/// A complete response of an endpoint.
 pub(crate) struct Whole {
     pub(crate) head: response::Head,
     pub(crate) body: Vec<u8>,
 }
 
-/// How the exchange with the endpoint went.
+/// The outcome of the exchange with the endpoint.
 enum Exchange {
     Delivered,
     CallerGone,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Asks whether the request may go out now that there is a connection.
+    /// Asks the router whether the request may still be sent, now that the connection is open.
     fn permit(&self, guard: &mut Guard<'_, D>) -> std::result::Result<Permit, Ending> {
         let flight = guard.flight.as_ref().ok_or(Ending::Withheld)?;
         let permit = self.node.router().permit(self.node.now(), flight);
@@ -213,7 +213,7 @@
         })
     }
 
-    /// The request as it goes to the endpoint.
+    /// Returns the request as it is sent to the endpoint.
     fn bytes(&self, call: &Call) -> Vec<u8> {
         let to = Addressing {
             placement: self.placement,
@@ -228,9 +228,9 @@
         bytes
     }
 
-    /// How long the endpoint may take to begin its answer. Where another one
-    /// may be asked instead, it is given up in time for that; otherwise its
-    /// silence is no reason to end the request sooner.
+    /// Returns how long to wait for the start of the response. If the request may be retried
+    /// at another endpoint, the wait ends in time for that; otherwise it lasts until the
+    /// request's deadline.
     fn first_wait(&self, call: &Call) -> Duration {
         let left = call.left(self.node.now());
         if may_move(call) && !call.is_held() {
@@ -241,8 +241,8 @@
         }
     }
 
-    /// Whether a silent endpoint is given up: its time is over, or the request
-    /// may go elsewhere. Where it may not, the endpoint is waited for.
+    /// Returns whether to abandon an endpoint that has sent nothing in time: the deadline has
+    /// passed, or a retry was reserved. Otherwise the endpoint is waited for until the deadline.
     fn gives_up(&self, call: &mut Call) -> bool {
         let now = self.node.now();
         if call.left(now).is_zero() || self.node.router().reserve(now, call, Ending::Silent) {
@@ -252,10 +252,10 @@
         false
     }
 
-    /// Waits for the head of the answer to this request.
+    /// Waits for the head of the response to this request.
     ///
-    /// An endpoint may send an answer twice, the second one late: it comes
-    /// where the next request's answer is expected, and only the id tells.
+    /// An endpoint may send a response twice. The late duplicate arrives in place of the
+    /// response to the next request on the connection, and only its request id differs.
     async fn head(
         &self,
         upstream: &mut Upstream,
@@ -270,15 +270,16 @@
                 return Ok((head, told));
             }
             if self.is_head() {
-                // The stray may have a body or none, by the method that it answers. Taken
-                // for an answer to a HEAD, its body would be read as the next answer.
+                // Whether the stray response has a body depends on the method of its request,
+                // which is unknown here. Parsed as the response to a HEAD, its body would be
+                // read as the next response.
                 return Err(Trouble::Broken);
             }
             upstream.pass_over(&head)?;
         }
     }
 
-    /// Has the endpoint get no new work, as its answer asks.
+    /// Marks the endpoint as leaving, as its response says, so that it gets no new requests.
     fn leave(&self, guard: &Guard<'_, D>) {
         let Some(flight) = &guard.flight else {
             return;
@@ -292,9 +293,10 @@
         }
     }
 
-    /// Ends an exchange that the endpoint refused.
+    /// Reads the rest of a refusal and returns how the attempt ends.
     async fn refused(&self, mut upstream: Upstream, head: &response::Head, told: &Told) -> Ending {
-        /// A refusal has hardly a body; waiting for a lost one helps nobody.
+        /// The time to read the body of a refusal. Without it the connection isn't reused, and
+        /// the request is retried all the same.
         const LIMIT: Duration = Duration::from_millis(50);
         if let Ok(Ok(())) = timeout(LIMIT, upstream.body(head, &mut Vec::new(), MAX_WHOLE)).await {
             self.keep(upstream, head, told);
@@ -324,8 +326,8 @@
             None => return Ending::Silent.into(),
         }
         self.keep(upstream, &head, told);
-        // Where the rest of a stream was asked for, any whole answer means that this
-        // endpoint can't go on with it.
+        // If the caller already has part of a stream, a response that isn't a stream means
+        // that this endpoint can't resume it.
         let passes = !is_promise(head.status) && !call.has_begun();
         if head.status >= 500 || !passes {
             return Exchange::Ended(Ending::Failed, passes.then_some(Whole { head, body }));
@@ -341,14 +343,15 @@
         self.request.head.method == "HEAD"
     }
 
-    /// Whether an answer on a stream's route is one: a HEAD has none, nor has a 204.
+    /// Returns whether a response on a streaming route has a stream: failures, a 204 and the
+    /// response to a HEAD have none.
     fn has_stream(&self, head: &response::Head) -> bool {
         head.is_success() && head.status != 204 && !self.is_head()
     }
 
-    /// Keeps the connection for the next request if nothing speaks against it. A second
-    /// answer to a HEAD would be taken for one with a body, and the next request's answer
-    /// for that body.
+    /// Returns the connection to the pool if it can be reused. It isn't after a HEAD: a
+    /// duplicate of that response would be parsed as one with a body, and the next
+    /// response would be read as that body.
     fn keep(&self, upstream: Upstream, head: &response::Head, told: &Told) {
         let may_keep = head.keep && !self.is_head();
         if let (true, Some(conn)) = (may_keep, upstream.into_clean()) {
@@ -359,13 +362,13 @@
     }
 }
 
-/// Whether another endpoint may be asked instead of a silent one.
+/// Returns whether the request may be retried after an endpoint has sent nothing in time.
 fn may_move(call: &Call) -> bool {
     call.route.repeat == Repeat::Idempotent && call.attempts() < call.route.attempts
 }
 
-/// Whether a status tells callers that the request has not run. An endpoint
-/// that sends one without saying so itself may have run it.
+/// Returns whether callers take the status to mean that the request has not run. It isn't
+/// forwarded from an endpoint that doesn't state this itself and may have run the request.
 fn is_promise(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
--- a/crates/forward/src/attempt/guard.rs
+++ b/crates/forward/src/attempt/guard.rs
@@ -1,4 +1,4 @@
-//! An attempt's end, whatever ends it.
+//! Reports the end of an attempt, also when it is cancelled.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::serve::Progress;
 use crate::{Dialect, Node};
 
-/// Ends the flight when the caller leaves and the attempt is dropped.
+/// Reports and cancels the attempt if it is dropped because the caller disconnected.
 pub(super) struct Guard<'a, D: Dialect> {
     pub(super) node: &'a Node<D>,
     pub(super) id: &'a RequestId,
@@ -24,7 +24,7 @@
     pub(super) flight: Option<Flight>,
 }
 
-/// What came of an attempt's answer.
+/// Details of the connection and the response, for the attempt's report.
 #[derive(Debug, Default)]
 pub(super) struct Seen {
     pub(super) status: Option<u16>,
@@ -37,7 +37,8 @@
 }
 
 impl<D: Dialect> Guard<'_, D> {
-    /// Reports the attempt's end and gives the flight back.
+    /// Reports the end of the attempt and returns the router's handle to it, or `None` if
+    /// it was reported before.
     pub(super) fn land(&mut self, ending: Ending) -> Option<Flight> {
         let flight = self.flight.take()?;
         let took = self.node.now().saturating_sub(self.began);
--- a/crates/forward/src/attempt/stream.rs
+++ b/crates/forward/src/attempt/stream.rs
@@ -1,4 +1,4 @@
-//! Streams: passed on event by event, and resumed at the last whole one.
+//! Relays streams event by event, and resumes them after the last complete event.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 use crate::upstream::Upstream;
 use crate::{Dialect, Told};
 
-/// What was passed on of the events that were there.
+/// The result of forwarding the buffered events.
 #[derive(Clone, Copy, Debug, Default)]
 struct Passed {
     count: u32,
-    /// Whether an event is missing after them.
+    /// Whether the id of the next event shows that events are missing.
     has_gap: bool,
 }
 
 impl<D: Dialect> Attempt<'_, D> {
-    /// Passes on a stream until it ends or can't go on at this endpoint.
+    /// Relays a stream until it ends or this endpoint can't continue it.
     pub(super) async fn stream(
         &mut self,
         mut upstream: Upstream,
@@ -47,7 +47,7 @@
                 self.note_pause(&mut passed);
             }
             let is_done = decoder.is_done() && !has_gap && !events.has_rest();
-            // Nothing comes after the last event where a caller has it already.
+            // A resumed stream may have no further events: the caller has the last one.
             if is_done && (call.has_begun() || self.last_event.is_some()) {
                 if !call.has_begun() {
                     call.begin();
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Passes on the whole events that are there, each once and in order, up to
-    /// the first one that is missing.
+    /// Forwards the complete events in the buffer, each once and in order, and stops
+    /// before a gap in the event ids.
     fn pass_on(
         &mut self,
         events: &mut Events,
@@ -109,7 +109,7 @@
         passed
     }
 
-    /// Notes when a part of the answer goes out.
+    /// Records the time at which a part of the response is written.
     fn note_pause(&self, passed: &mut Option<Duration>) {
         let now = self.node.now();
         let progress = self.progress;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// How long the next event may take, see [`Self::first_wait`].
+    /// Returns how long to wait for the next event; see [`Self::first_wait`].
     fn pause(&self, call: &Call) -> Duration {
         let left = call.left(self.node.now());
         match call.route.answer {
--- a/crates/forward/src/caller.rs
+++ b/crates/forward/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: one request after the other.
+//! Serves a caller's connection, one request after the other.
 
 use std::iter;
 use std::rc::Rc;
@@ -16,31 +16,31 @@
 use crate::serve::serve;
 use crate::{Dialect, Node, Phase};
 
-/// What a caller may send ahead while its request is worked on, in bytes. It
-/// stays in the caller's socket beyond that.
+/// The number of pipelined bytes that are buffered while a request is served. Further
+/// bytes stay in the socket.
 const MAX_AHEAD: usize = 64 * 1024;
-/// How long the rest of a body may stay away.
+/// The longest time between two reads of a request body.
 const BODY_PAUSE: Duration = Duration::from_secs(3);
 
-/// A request, whole.
+/// A complete request.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) head: request::Head,
     pub(crate) body: Vec<u8>,
-    /// When its head was there.
+    /// When the head was complete.
     pub(crate) arrived: Duration,
 }
 
-/// What comes on a connection.
+/// The result of reading from a caller's connection.
 enum Incoming {
     Request(Box<Request>),
-    /// What breaks a limit or the protocol, and the status to say so.
+    /// A request that violates a limit or the protocol, and the status of the response.
     Rejected(u16),
-    /// The caller closed, or stayed idle for too long.
+    /// The caller closed the connection, or it was idle for too long.
     End,
 }
 
-/// Whether a connection takes another request.
+/// Whether a connection stays open for another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Keep {
     Open,
@@ -72,7 +72,7 @@
         .map_or_else(Limits::default, |it| it.limits.clone())
 }
 
-/// Serves a request unless its caller leaves meanwhile.
+/// Serves a request, and cancels it if the caller disconnects.
 async fn attend<D: Dialect>(node: &Rc<Node<D>>, conn: &mut Conn, request: Request) -> Keep {
     let _busy = node.count_busy();
     let keep = if request.head.keep && node.phase() == Phase::Serving {
@@ -82,18 +82,18 @@
     };
     let answer = Answer::new(conn.writer(), Some(&request.head), keep);
     let work = serve(node, &request, answer);
-    // Polled by its own wake-ups only: a read that finds nothing costs two
-    // system calls, and the work wakes up for each event of a stream.
+    // `FuturesUnordered` polls the read only after its own wake-ups. A read without data
+    // costs two system calls, and `work` is woken for each event of a stream.
     let mut left: FuturesUnordered<_> = iter::once(left(conn)).collect();
     pin_mut!(work);
     match select(work, left.next()).await {
         Either::Left((Ok(()), _)) => keep,
-        // A caller that left needs no answer, and what was cut must not look whole.
+        // The caller has disconnected, or has a truncated response that must not look complete.
         Either::Left((Err(_), _)) | Either::Right(_) => Keep::Close,
     }
 }
 
-/// Completes when the caller closed its side or the connection broke.
+/// Completes when the caller has closed the connection or it failed.
 async fn left(conn: &mut Conn) {
     while conn.unread().len() < MAX_AHEAD {
         if !matches!(conn.fill().await, Ok(1..)) {
@@ -133,7 +133,7 @@
 
 async fn read_head(conn: &mut Conn, max: usize) -> Result<request::Head, Incoming> {
     loop {
-        // An empty line before a request is left over from the one before.
+        // Some clients send an extra CRLF after a request body (RFC 9112, section 2.2).
         while conn.unread().starts_with(b"\r\n") {
             conn.consume(2);
         }
@@ -182,8 +182,8 @@
     }
 }
 
-/// Closes without losing the answer: closing with unread bytes resets the
-/// connection, and the caller may then never read what was sent.
+/// Closes the connection after reading what the caller still sends. Closing with unread
+/// bytes resets the connection, and the caller may lose the response.
 async fn linger(mut conn: Conn, limit: Duration) {
     conn.end();
     let drain = async {
@@ -192,6 +192,6 @@
             conn.consume(len);
         }
     };
-    // The caller has had its time either way.
+    // The connection is closed in either case.
     let _ = timeout(limit, drain).await;
 }
--- a/crates/forward/src/conn.rs
+++ b/crates/forward/src/conn.rs
@@ -1,4 +1,4 @@
-//! A connection and the bytes that were read from it ahead of their use.
+//! A TCP connection with a read buffer.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr};
@@ -8,10 +8,10 @@
 use async_std::net::TcpStream;
 use futures::FutureExt;
 
-/// How much is read at once. Most requests and answers fit.
+/// The size of one read in bytes. Most requests and responses fit.
 const READ: usize = 8 * 1024;
 
-/// A connection and the bytes that were read from it ahead of their use.
+/// A TCP connection with a read buffer.
 #[derive(Debug)]
 pub(crate) struct Conn {
     stream: TcpStream,
@@ -21,8 +21,8 @@
 
 impl Conn {
     pub(crate) fn new(stream: TcpStream) -> Self {
-        // Without it the kernel holds a short answer back for the
-        // acknowledgement of the one before. A failure costs time only.
+        // Without `TCP_NODELAY` the kernel delays a short write until the previous one is
+        // acknowledged. A failure to set it only costs latency.
         let _ = stream.set_nodelay(true);
         Self {
             stream,
@@ -38,7 +38,7 @@
         Ok(Self::new(stream))
     }
 
-    /// What has been read and not been consumed.
+    /// Returns the bytes that were read and not yet consumed.
     pub(crate) fn unread(&self) -> &[u8] {
         &self.buf[self.start..]
     }
@@ -49,14 +49,14 @@
         if self.start >= self.buf.len() {
             self.buf.clear();
             self.start = 0;
-            // An idle connection keeps no large buffer: there are thousands.
+            // Frees large buffers, since there may be thousands of idle connections.
             if self.buf.capacity() > 4 * READ {
                 self.buf = Vec::new();
             }
         }
     }
 
-    /// Reads once; 0 is the end.
+    /// Reads once into the buffer and returns the number of bytes, 0 at the end of the stream.
     pub(crate) async fn fill(&mut self) -> io::Result<usize> {
         if self.start > 0 {
             self.buf.drain(..self.start);
@@ -79,13 +79,13 @@
         (&self.stream).write_all(bytes).await
     }
 
-    /// The sending side, for use beside a read.
+    /// Returns a handle for writing while a read is pending.
     pub(crate) fn writer(&self) -> TcpStream {
         self.stream.clone()
     }
 
-    /// Whether nothing came, and no close either, since the last answer. What
-    /// comes unasked belongs to no request, and a closed connection takes none.
+    /// Returns whether the peer has sent neither data nor a close since the last response.
+    /// Unexpected data belongs to no request, and a closed connection can't be reused.
     pub(crate) fn is_quiet(&mut self) -> bool {
         if !self.unread().is_empty() {
             return false;
@@ -94,14 +94,14 @@
         self.stream.peek(&mut byte).now_or_never().is_none()
     }
 
-    /// Ends the sending side; the peer reads what was sent and then the end.
+    /// Shuts down the write half; the peer reads the rest of the data and then the end.
     pub(crate) fn end(&self) {
-        // It fails only where the connection is gone already.
+        // It fails only if the connection is already closed.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
 
-/// Cuts a buffer back to what was read, also when a read is given up.
+/// Truncates a buffer to the bytes that were read, also when the read is cancelled.
 struct Truncate<'a> {
     buf: &'a mut Vec<u8>,
     len: usize,
--- a/crates/forward/src/dialect.rs
+++ b/crates/forward/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The port through which requests and answers are spelled.
+//! The interface for the header fields of a deployment.
 
 use std::time::Duration;
 
@@ -7,75 +7,75 @@
 use route::endpoint::Load;
 use route::{Placement, Shape};
 
-/// How callers' requests and endpoints' answers are spelled on the wire.
+/// Encodes and decodes the header fields of callers' requests and endpoints' responses.
 ///
-/// An implementation translates and decides nothing.
+/// Implementations only translate; they make no decisions.
 pub trait Dialect: 'static {
-    /// What a request says.
+    /// Parses the fields of a caller's request.
     fn asked(&self, head: &request::Head) -> Asked;
 
-    /// The head under which a request goes to an endpoint, its blank line included.
+    /// Returns the head of a request to an endpoint, including the final blank line.
     fn address(&self, head: &request::Head, to: &Addressing<'_>) -> Vec<u8>;
 
-    /// What an answer says.
+    /// Parses the fields of an endpoint's response.
     fn told(&self, head: &response::Head) -> Told;
 
-    /// Whether a field of an endpoint's answer is passed on to the caller.
+    /// Returns whether a field of an endpoint's response is forwarded to the caller.
     fn passes(&self, field: &str) -> bool;
 
-    /// The name of the field that echoes a request's id.
+    /// Returns the name of the field that carries the request id.
     fn id_field(&self) -> &'static str;
 }
 
-/// What a request says, apart from its route.
+/// The fields of a caller's request that `forward` and `route` use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Asked {
-    /// The caller's name for it.
+    /// The request id that the caller chose.
     pub id: Option<RequestId>,
-    /// The customer's key.
+    /// The customer's API key.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub patience: Option<Duration>,
-    /// The event after which a stream goes on.
+    /// The id of the event after which to resume a stream.
     pub last_event: Option<u64>,
-    /// What it asks for.
+    /// The properties that placement depends on.
     pub shape: Shape,
 }
 
-/// What the head of a request to an endpoint says beside what the caller sent.
+/// The values that are added to the caller's head when a request is sent to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Addressing<'a> {
-    /// Where it goes.
+    /// The endpoint that it is sent to.
     pub placement: &'a Placement,
-    /// Whose it is.
+    /// The customer, if the route requires a key.
     pub customer: Option<&'a Customer>,
-    /// How long the answer is of use.
+    /// The time left until the request's deadline.
     pub left: Duration,
-    /// The event after which a stream goes on.
+    /// The id of the event after which to resume a stream.
     pub last_event: Option<u64>,
-    /// The bytes of the body.
+    /// The length of the body in bytes.
     pub body_len: usize,
-    /// Its rank, the most urgent 0.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// What an answer says, apart from its status.
+/// The fields of an endpoint's response that `forward` and `route` use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Told {
-    /// The request that it answers.
+    /// The id of the request that it responds to.
     pub id: Option<RequestId>,
-    /// Whether the endpoint says that it ran nothing.
+    /// Whether the endpoint states that the request has not run.
     pub not_run: bool,
-    /// Whether the endpoint says that it is leaving.
+    /// Whether the endpoint states that it is leaving.
     pub is_leaving: bool,
-    /// Whether it bears the endpoint's signature.
+    /// Whether the endpoint's signature is present.
     pub is_signed: bool,
-    /// The endpoint's load.
+    /// The load that the endpoint reports.
     pub load: Option<Load>,
-    /// How sure the model is, from 0 to 100.
+    /// The model's confidence in its response, from 0 to 100.
     pub confidence: Option<u8>,
-    /// For how long the endpoint, which refuses, wants nothing of this host.
+    /// How long this host must send the refusing endpoint no further requests.
     pub retry_after: Option<Duration>,
-    /// How long the endpoint keeps the connection.
+    /// How long the endpoint keeps the idle connection open.
     pub keeps: Option<Duration>,
 }
--- a/crates/forward/src/doubt.rs
+++ b/crates/forward/src/doubt.rs
@@ -1,4 +1,4 @@
-//! Asks endpoints to which connections broke whether they have ended.
+//! Probes endpoints whose connections broke, to find out whether their process has ended.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 use crate::conn::Conn;
 use crate::{Dialect, Node};
 
-/// How long a connection may take that only tells whether anybody listens. Longer, and a
-/// request that ends endpoints is known for it too late.
+/// The timeout for opening a probe's connection. Longer, and a request that crashes
+/// endpoints is quarantined too late.
 const CONNECT: Duration = Duration::from_millis(250);
-/// How long a connection has to stay open to show that its endpoint stands: one that is
-/// about to end may still be given connections.
+/// How long a connection must stay open to show that the endpoint is alive: connections
+/// to a process that is about to end may still be accepted.
 const STAYS: Duration = Duration::from_millis(100);
-/// How often an endpoint is asked that takes a connection and closes it, or doesn't answer:
+/// The number of probes when the endpoint closes the connection or doesn't respond, since
 /// the first packet may be lost.
 const TRIES: u32 = 3;
 
-/// Asks the endpoints that may have ended since this was last called.
+/// Starts a probe of each endpoint that may have ended since the last call.
 pub(crate) fn ask<D: Dialect>(node: &Rc<Node<D>>) {
     let doubted = node.router().take_doubted();
     for (key, id, address) in doubted {
@@ -36,8 +36,8 @@
     }
 }
 
-/// Finds out whether an endpoint has ended. A refused connection says so: nobody listens
-/// there. One that can't be opened in time says nothing, since the way may be cut.
+/// Finds out whether an endpoint's process has ended. A refused connection proves it, since
+/// nothing listens there; a timeout doesn't, since the network may be partitioned.
 async fn settle<D: Dialect>(node: &Node<D>, key: Key, id: &EndpointId, address: SocketAddr) {
     for _ in 0..TRIES {
         let began = node.now();
--- a/crates/forward/src/front.rs
+++ b/crates/forward/src/front.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections.
+//! Accepts callers' connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,11 +11,11 @@
 use crate::conn::Conn;
 use crate::{Dialect, Node, caller};
 
-/// How long a failing accept is left alone. It fails when the process has no
-/// descriptor left, and would otherwise keep the core busy until it has.
+/// The delay after a failed accept, so that the loop doesn't spin while the process has no
+/// free file descriptor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Takes callers' connections and serves each in a task of its own.
+/// Accepts callers' connections and serves each in its own task.
 #[derive(Debug)]
 pub struct Front {
     listener: TcpListener,
@@ -23,24 +23,24 @@
 }
 
 impl Front {
-    /// Listens. Beyond `max_open` connections further ones wait to be accepted.
+    /// Binds to `address`. While `max_open` connections are open, no further ones are accepted.
     ///
     /// # Errors
-    /// What the operating system says about the address.
+    /// Returns the error of the operating system if the address can't be bound.
     pub async fn bind(address: SocketAddr, max_open: usize) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         Ok(Self { listener, max_open })
     }
 
-    /// Where it listens.
+    /// Returns the address that the socket is bound to.
     ///
     /// # Errors
-    /// What the operating system says about the socket.
+    /// Returns the error of the operating system.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Serves for as long as the host runs.
+    /// Accepts connections until the task is dropped.
     pub async fn run<D: Dialect>(self, node: Rc<Node<D>>) {
         loop {
             if node.open() >= self.max_open {
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,10 +1,9 @@
-//! Relays requests between callers and endpoints as `route` decides.
+//! Forwards requests from callers to endpoints as `route` decides.
 //!
-//! Sockets and time-outs are here, decisions are in `route`, and how requests
-//! and answers are spelled on the wire is the business of a [`Dialect`]. All of
-//! it runs on one thread: a host has a part of one core, and handing a
-//! request from thread to thread costs more than the work on it. See
-//! `docs/design/relay.md`.
+//! This crate has the sockets and timeouts; `route` makes the decisions, and a
+//! [`Dialect`] encodes and decodes the headers. Everything runs on one thread: a host
+//! has a part of one core, and passing a request between threads costs more than
+//! processing it. See `docs/design/relay.md`.
 
 mod answer;
 mod attempt;
--- a/crates/forward/src/lull.rs
+++ b/crates/forward/src/lull.rs
@@ -1,4 +1,4 @@
-//! A time-out that is moved forward often and passes rarely.
+//! A timeout whose deadline is often extended and rarely reached.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 use futures::pin_mut;
 use kernel::Clock;
 
-/// A time-out that is moved forward often and passes rarely.
+/// A timeout whose deadline is often extended and rarely reached.
 ///
-/// A stream has dozens of events, each within its own time. Arming a timer for
-/// each wakes the reactor with a system call and lets it run once more; here
-/// the timer of an earlier event runs on and is armed anew when it rings.
+/// Each event of a stream has its own timeout. Arming a timer for each one wakes the
+/// reactor with a system call; instead, the timer of an earlier event keeps running
+/// and is armed again only when it fires.
 pub(crate) struct Lull<'a> {
     clock: &'a dyn Clock,
     timer: Option<Timer>,
@@ -28,7 +28,7 @@
         Self { clock, timer: None }
     }
 
-    /// What `work` gives, or nothing if it takes longer than `limit`.
+    /// Returns the output of `work`, or `None` if it takes longer than `limit`.
     pub(crate) async fn within<T>(
         &mut self,
         limit: Duration,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A timer that rings at `ends` or before.
+    /// Returns a timer that fires at `ends` or earlier.
     fn timer_before(&mut self, ends: Duration) -> &mut Timer {
         if self.timer.as_ref().is_some_and(|it| it.rings > ends) {
             self.timer = None;
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a host share.
+//! The state that the tasks of a host share.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::collections::HashSet;
@@ -16,14 +16,14 @@
 use crate::pool::Pool;
 use crate::{Dialect, Timing};
 
-/// What the tasks of a host share. They run on one thread, and none holds a
-/// borrow across a wait.
+/// The state that the tasks of a host share. They run on one thread, and none holds a
+/// borrow across an `await`.
 pub struct Node<D> {
     pub(crate) dialect: D,
     pub(crate) recorder: Rc<Recorder>,
     pub(crate) timing: Timing,
     pub(crate) pool: Pool,
-    /// The endpoints that are being asked whether they have ended.
+    /// The endpoints that are being probed.
     pub(crate) asked: RefCell<HashSet<Key>>,
     tasks: LocalExecutor<'static>,
     clock: Arc<dyn Clock>,
@@ -34,24 +34,24 @@
     busy: Cell<usize>,
 }
 
-/// Where a host is in its life.
+/// The phase of a host between start and shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It serves.
+    /// Accepts all requests.
     Serving,
-    /// It was asked to stop and still serves, since callers that keep an older
-    /// list of addresses still come.
+    /// Stopping, and still accepting all requests: callers with an older list of addresses
+    /// still connect.
     Leaving,
-    /// It takes only requests that end before it does, and finishes those that
-    /// it has.
+    /// Accepts only requests whose deadline is not after the end of the process, and finishes
+    /// those in progress.
     Finishing {
-        /// When the process ends at the latest.
+        /// The latest time at which the process ends.
         end: Duration,
     },
 }
 
 impl<D: Dialect> Node<D> {
-    /// A host that knows nothing yet.
+    /// Creates the state of a host that has no configuration or endpoints yet.
     #[must_use]
     pub fn new(
         router: Router,
@@ -76,21 +76,21 @@
         })
     }
 
-    /// Starts a task on the host's thread. It ends with the process at the latest.
+    /// Spawns a task on the host's thread.
     ///
-    /// The tasks are the node's own: those of `async_std::task::spawn_local` lie
-    /// in a thread's local storage and are dropped when parts of that storage
-    /// are gone already, so that a process with open connections ends by a panic.
+    /// It isn't spawned with `async_std::task::spawn_local`, whose tasks are in thread-local
+    /// storage: they are dropped after other parts of that storage, and a process with open
+    /// connections then panics at its end.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.tasks.spawn(task).detach();
     }
 
-    /// Runs the host's tasks until `main` ends.
+    /// Runs the host's tasks until `main` completes.
     pub async fn run<T>(&self, main: impl Future<Output = T>) -> T {
         self.tasks.run(main).await
     }
 
-    /// Monotonic time.
+    /// Returns the monotonic time.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.clock.now()
@@ -100,35 +100,35 @@
         &*self.clock
     }
 
-    /// The decisions. Not to be held across a wait.
+    /// Borrows the router. The borrow must not be held across an `await`.
     pub fn router(&self) -> RefMut<'_, Router> {
         self.router.borrow_mut()
     }
 
-    /// What logs and counts.
+    /// Returns the recorder of log events and metrics.
     #[must_use]
     pub fn recorder(&self) -> &Recorder {
         &self.recorder
     }
 
-    /// Where the host is in its life.
+    /// Returns the phase of the host.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Begins to leave: answers tell callers to connect elsewhere.
+    /// Starts leaving: connections are closed after the next response.
     pub fn leave(&self) {
         self.phase.set(Phase::Leaving);
     }
 
-    /// Takes only requests from now on that end before the process does.
+    /// Accepts only requests whose deadline is not after `end` from now on.
     pub fn finish(&self, end: Duration) {
         self.phase.set(Phase::Finishing { end });
     }
 
-    /// Waits, while the host has only just started, until it knows a configuration and
-    /// endpoints.
+    /// Waits until there are a configuration and endpoints, for a short time after the start
+    /// of the host.
     pub(crate) async fn settle(&self) {
         const LOOK: Duration = Duration::from_millis(10);
         let end = self.started + self.timing.start;
@@ -142,19 +142,19 @@
         router.config().is_some() && !router.directory().is_empty()
     }
 
-    /// Requests that are between their head and the end of their answer.
+    /// Returns the number of requests in progress.
     #[must_use]
     pub fn busy(&self) -> usize {
         self.busy.get()
     }
 
-    /// Callers' connections.
+    /// Returns the number of open connections from callers.
     #[must_use]
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Forgets idle connections that are too old to be used.
+    /// Closes idle connections to endpoints that are too old to be reused.
     pub fn sweep(&self) {
         self.pool.sweep(self.now(), self.timing.idle);
     }
@@ -168,7 +168,7 @@
     }
 }
 
-/// One of a number of things, until it is dropped.
+/// Increments a counter until it is dropped.
 pub(crate) struct Count<'a>(&'a Cell<usize>);
 
 impl<'a> Count<'a> {
--- a/crates/forward/src/pool.rs
+++ b/crates/forward/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to endpoints.
+//! The pool of idle connections to endpoints.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,15 +8,15 @@
 
 use crate::conn::Conn;
 
-/// The most idle connections that are kept to one endpoint. Hosts share what an
-/// endpoint accepts, and an idle connection of one is missing to another.
+/// The maximum number of idle connections to one endpoint. The hosts share the connections
+/// that an endpoint accepts, and idle ones of this host are unavailable to the others.
 const MOST_IDLE: usize = 8;
-/// Taken off the time for which an endpoint says that it keeps a connection:
-/// whole seconds are told, and the request still has to get there.
+/// Subtracted from an endpoint's keep-alive time, which is in whole seconds and doesn't
+/// account for the time that a request takes to arrive.
 const MARGIN: Duration = Duration::from_millis(500);
 
-/// Idle connections to endpoints. An endpoint's new life has a key of its own,
-/// so a connection never leads to another process than it was opened to.
+/// Idle connections to endpoints. A restarted endpoint has a new key, so a connection is
+/// never used for another process than the one that it was opened to.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: RefCell<HashMap<Key, Vec<Idle>>>,
@@ -30,7 +30,8 @@
 }
 
 impl Pool {
-    /// Takes the connection that was used last, if it was within `max_idle`.
+    /// Takes the most recently used connection, unless it has been idle for longer than
+    /// `max_idle`.
     pub(crate) fn take(&self, now: Duration, endpoint: Key, max_idle: Duration) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         let conns = idle.get_mut(&endpoint)?;
@@ -47,9 +48,9 @@
         None
     }
 
-    /// Keeps a connection for the next request.
+    /// Adds an idle connection, and closes the oldest one if there are too many.
     pub(crate) fn put(&self, now: Duration, endpoint: Key, conn: Conn, keeps: Option<Duration>) {
-        // An endpoint may name any time at all.
+        // The time is the endpoint's and may be too large to add to `now`.
         let until = keeps.map_or(Duration::MAX, |it| {
             now.saturating_add(it.saturating_sub(MARGIN))
         });
@@ -62,7 +63,7 @@
         conns.push(Idle { conn, since, until });
     }
 
-    /// Closes connections that are too old to be used.
+    /// Closes connections that are too old to be reused.
     pub(crate) fn sweep(&self, now: Duration, max_idle: Duration) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, conns| {
--- a/crates/forward/src/serve.rs
+++ b/crates/forward/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request, from its arrival to its end.
+//! Serves one request: admission, attempts and the final report.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::fmt::Write;
@@ -16,7 +16,7 @@
 use crate::caller::Request;
 use crate::{Asked, Dialect, Node, Phase, doubt};
 
-/// The caller has no whole answer on this connection, and can't get one.
+/// The response is incomplete and can't be completed; the connection must be closed.
 #[derive(Debug)]
 pub(crate) struct Cut;
 
@@ -46,14 +46,14 @@
         }
     };
     if call.route.is_stream() && !request.head.reads_chunks {
-        // Without chunks a stream ends with its connection, and one that is cut off looks
-        // like a whole one.
+        // Without chunked encoding the end of the connection marks the end of a stream, and
+        // the caller can't tell a truncated stream from a complete one.
         answer.notice(Notice::of(505)).await;
         record.end(Outcome::Rejected, answer.status);
         return Ok(());
     }
     record.progress.print.set(Some(call.print));
-    // Set once: the request has one route.
+    // This is the only place that sets the route.
     let _ = record
         .progress
         .route
@@ -154,7 +154,7 @@
     }
 }
 
-/// Says which endpoints are left alone from now on.
+/// Logs and counts the endpoints that were ejected since the last call.
 fn tell_rested<D: Dialect>(node: &Node<D>) {
     let rested = node.router().take_rested();
     for (id, reason) in rested {
@@ -170,15 +170,15 @@
 }
 
 async fn fail(call: &Call, answer: &mut Answer, failure: Failure) -> Outcome {
-    // Where a part of a stream has gone out the connection's end has to tell.
+    // Once a stream has started, only closing the connection can signal the failure.
     if !call.has_begun() {
         answer.notice(failure.into()).await;
     }
     Outcome::Failed(failure)
 }
 
-/// Reports a request's end, also when its caller leaves in the middle and its
-/// work is dropped.
+/// Reports the end of a request, also when the future that serves it is dropped because
+/// the caller disconnected.
 struct Record<'a, D: Dialect> {
     node: &'a Rc<Node<D>>,
     id: &'a RequestId,
@@ -187,30 +187,30 @@
     ended: Cell<bool>,
 }
 
-/// How far a request has come.
+/// The progress of a request, for its final report.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
     route: OnceCell<(Arc<Route>, Option<Arc<Customer>>)>,
     print: Cell<Option<Print>>,
     pub(crate) attempts: Cell<u32>,
-    /// When the first part of an endpoint's answer went out.
+    /// When the first part of an endpoint's response was written to the caller.
     pub(crate) first: Cell<Option<Duration>>,
-    /// The longest pause between two parts.
+    /// The longest time between two parts of the response.
     pub(crate) pause: Cell<Option<Duration>>,
-    /// How many events of a stream were written to the caller.
+    /// Events of a stream written to the caller.
     pub(crate) events: Cell<u64>,
     trail: RefCell<String>,
     smooth: Cell<Smooth>,
 }
 
 impl Progress {
-    /// Takes the end of an attempt.
+    /// Appends an attempt to the trail.
     pub(crate) fn note(&self, placement: &Placement, ending: Ending, took: Duration) {
         let mut trail = self.trail.borrow_mut();
         if !trail.is_empty() {
             trail.push_str(", ");
         }
-        // Writing to a string doesn't fail.
+        // Writing to a `String` can't fail.
         let _ = write!(trail, "{} {ending} {}", placement.id, took.as_millis());
         if Smooth::from(ending) == Smooth::No {
             self.smooth.set(Smooth::No);
--- a/crates/forward/src/timing.rs
+++ b/crates/forward/src/timing.rs
@@ -1,34 +1,32 @@
-//! Time-outs towards endpoints and callers.
+//! Timeouts for endpoints and callers.
 
 use std::time::Duration;
 
-/// Time-outs towards endpoints and callers. Each is a guard against a peer that
-/// has gone silent without closing its connection.
+/// Timeouts for endpoints and callers, against peers that stop responding without closing
+/// their connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// How long a connection to an endpoint may take to open. Within a region
-    /// it takes 3 ms; a lost opening packet is sent again only after a second.
+    /// The timeout for opening a connection to an endpoint. TCP repeats a lost SYN only after
+    /// a second.
     pub connect: Duration,
-    /// How long a connection may have been idle before a request that may run
-    /// only once is sent on it. Endpoints close idle connections after seconds,
-    /// and a close that crosses the request leaves open whether it ran.
+    /// The longest idle time of a connection on which a request that must run at most once is
+    /// sent. Endpoints close idle connections, and if a close crosses the request, it is
+    /// unknown whether the request ran.
     pub warm: Duration,
-    /// The same for requests that may run again.
+    /// The same for idempotent requests.
     pub idle: Duration,
-    /// The part of a route's aim after which an endpoint that hasn't begun to
-    /// answer is given up for another, where the request may run again.
+    /// The fraction of a route's target latency after which an idempotent request is retried
+    /// at another endpoint, if the response hasn't started.
     pub first_part: f64,
-    /// The part of a stream's longest pause after which it is resumed elsewhere.
+    /// The fraction of a stream's maximum pause after which it is resumed at another endpoint.
     pub pause_part: f64,
-    /// How long after a host's start requests wait for its first configuration and
-    /// endpoints. They are there within 50 ms where others run, and within a quarter
-    /// of a second where hundreds start at once; a refusal would have each caller come
-    /// back later instead. What a host hasn't heard by then it won't hear soon.
+    /// How long after the start of the host requests wait for the first configuration and
+    /// endpoints. Otherwise each caller would be refused and have to retry.
     pub start: Duration,
-    /// How long a caller may take no byte of its answer.
+    /// The timeout for writing a part of a stream to a caller.
     pub write: Duration,
-    /// How long a closed connection is read on, so that unread bytes don't
-    /// reset it before the caller has read the answer.
+    /// How long a closed connection is still read, so that unread bytes don't reset it before
+    /// the caller has read the response.
     pub linger: Duration,
 }
 
--- a/crates/forward/src/upstream.rs
+++ b/crates/forward/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint, with a request that is on its way.
+//! A connection to an endpoint with a request in progress.
 
 use std::io;
 
@@ -10,39 +10,39 @@
 
 use crate::conn::Conn;
 
-/// The longest head of an answer, in bytes.
+/// The longest head of a response.
 const MAX_HEAD: usize = 64 * 1024;
 
-/// A connection to an endpoint, with a request that is on its way.
+/// A connection to an endpoint with a request in progress.
 ///
-/// The rest of the request is written while the answer is read, since an
-/// endpoint may answer before it has the whole request.
+/// The request is written while the response is read, since an endpoint may respond before
+/// it has received the complete request.
 pub(crate) struct Upstream {
     conn: Conn,
     request: Vec<u8>,
     sent: usize,
-    /// How many answers came that were not waited for.
+    /// The number of stray responses: responses to other requests.
     strays: u32,
-    /// The one of them that is being read past.
+    /// The stray response that is being skipped.
     stray: Option<Stray>,
 }
 
-/// The body of an answer that nobody waits for, while it comes.
+/// The state of reading the body of a stray response.
 ///
-/// It is kept with the connection, not by whoever waits: a wait may run out in the
-/// middle of it and be begun anew, and would look for a head in the rest of the body.
-/// A sound answer behind it was lost that way.
+/// It belongs to the connection, not to the future that waits for a head: that future may
+/// time out in the middle of the body, and the next one would look for a head in the rest of
+/// the body and lose the valid response that follows.
 struct Stray {
     decoder: Decoder,
     body: Vec<u8>,
 }
 
-/// What went wrong.
+/// An error in the exchange with an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Trouble {
-    /// The operating system took no byte of the request.
+    /// The connection failed before any byte of the request was written.
     NotSent,
-    /// The connection broke after that, or what came is no answer.
+    /// The connection failed later, or the response is invalid.
     Broken,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Upstream {
-    /// Sends a request, which needs a permit: there is no other way to an endpoint.
+    /// Creates an exchange for the request. The permit ensures that the router has allowed it.
     pub(crate) fn new(conn: Conn, request: Vec<u8>, _: Permit) -> Self {
         Self {
             conn,
@@ -67,12 +67,13 @@
         }
     }
 
-    /// How many answers came that were not waited for.
+    /// Returns the number of stray responses.
     pub(crate) fn strays(&self) -> u32 {
         self.strays
     }
 
-    /// Reads once, writing meanwhile; 0 is the connection's end.
+    /// Reads once while writing the rest of the request, and returns the number of bytes, 0 at
+    /// the end of the connection.
     pub(crate) async fn advance(&mut self) -> io::Result<usize> {
         while self.sent < self.request.len() {
             let writer = self.conn.writer();
@@ -88,7 +89,7 @@
         self.conn.fill().await
     }
 
-    /// Waits for the next head. A wait that is given up may be begun anew.
+    /// Reads the head of the next response. It can be called again after cancellation.
     pub(crate) async fn head(&mut self, method: &str) -> Result<response::Head, Trouble> {
         self.read_stray().await?;
         loop {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Reads a body to its end.
+    /// Reads a complete body.
     pub(crate) async fn body(
         &mut self,
         head: &response::Head,
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Passes over an answer that nobody waits for. What may follow it on this
-    /// connection later is anyone's guess, so no other request is sent on it.
+    /// Skips a stray response. The connection isn't reused afterwards, since more of them may
+    /// follow.
     pub(crate) fn pass_over(&mut self, head: &response::Head) -> Result<(), Trouble> {
         if head.length == Length::UntilClose {
             return Err(Trouble::Broken);
@@ -147,9 +148,9 @@
         Ok(())
     }
 
-    /// Reads the answer that is passed over to its end.
+    /// Reads the rest of the stray response.
     async fn read_stray(&mut self) -> Result<(), Trouble> {
-        /// More than any refusal or second answer had.
+        /// The longest body that is skipped, in bytes.
         const MAX: usize = 1024 * 1024;
         while let Some(Stray { decoder, body }) = &mut self.stray {
             let taken = decoder
@@ -167,7 +168,7 @@
         Ok(())
     }
 
-    /// Decodes what has been read.
+    /// Decodes the bytes that have been read.
     pub(crate) fn decode(
         &mut self,
         decoder: &mut Decoder,
@@ -180,8 +181,8 @@
         Ok(())
     }
 
-    /// The connection, if another request may be sent on it: the request went
-    /// out whole, and nothing came beside its answer.
+    /// Returns the connection if it can be reused: the request was written completely, and
+    /// nothing but its response was received.
     pub(crate) fn into_clean(self) -> Option<Conn> {
         let is_clean =
             self.strays == 0 && self.sent == self.request.len() && self.conn.unread().is_empty();
