--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -1,17 +1,17 @@
-//! Time as an interface, so that every decision can run on a virtual clock.
+//! The interface to time, so that decisions can run on a virtual clock.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The source of time that is passed to everything that needs it.
+/// A source of time.
 ///
-/// Decisions only use [`Clock::now`]; wall time is for what people read and
-/// for bounds that outlive a process.
+/// Decisions only use [`Clock::now`]. Wall time is for output that people read and for
+/// times that must remain valid after the process has ended.
 pub trait Clock: Send + Sync + 'static {
-    /// Monotonic time since an arbitrary start of this process.
+    /// Returns the monotonic time since an arbitrary point in this process.
     fn now(&self) -> Duration;
 
-    /// Wall time since the Unix epoch.
+    /// Returns the wall time since the Unix epoch.
     fn wall(&self) -> Duration;
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl SystemClock {
-    /// Starts counting now.
+    /// Creates a clock whose monotonic time starts at zero now.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -49,14 +49,14 @@
     }
 }
 
-/// A clock that only moves when a test says so.
+/// A clock for tests that only advances when told to.
 #[derive(Debug, Default)]
 pub struct ManualClock {
     nanos: AtomicU64,
 }
 
 impl ManualClock {
-    /// Moves time forward.
+    /// Advances the time.
     pub fn advance(&self, by: Duration) {
         let nanos = u64::try_from(by.as_nanos()).unwrap_or(u64::MAX);
         self.nanos.fetch_add(nanos, Ordering::SeqCst);
--- a/crates/kernel/src/id.rs
+++ b/crates/kernel/src/id.rs
@@ -1,5 +1,4 @@
-//! Identifiers. Each is its own type, so that a customer can never be passed
-//! where a profile is meant.
+//! Identifiers, each with its own type, so that one kind can't be passed for another.
 
 use std::sync::Arc;
 
@@ -16,7 +15,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -62,8 +61,7 @@
 }
 
 text_id! {
-    /// A customer of the organisation: the service or team on whose account a
-    /// request runs.
+    /// A customer: the service or team to which a request is billed.
     Customer;
     /// A data centre, as named in the settings.
     DataCentre;
@@ -71,55 +69,53 @@
     Region;
     /// An entry host or an endpoint host, as named in the settings or the host list.
     HostName;
-    /// A profile that operators edit and services name.
+    /// A profile, which operators edit and services refer to.
     ProfileName;
-    /// A plain service beside the model engines.
+    /// A service other than the model engines.
     ServiceName;
     /// A model and its version, written `model@version`.
     VersionId;
-    /// One life of an endpoint's process, as the directory names it: a restarted
-    /// process, or another one at the same address, has another.
+    /// A process of an endpoint, as the directory names it. A restarted process, or another
+    /// one at the same address, has a different id.
     EndpointId;
-    /// The release of an endpoint's software and weights, as roll-outs name it.
+    /// The release of an endpoint's software and weights, as roll-outs refer to it.
     Release;
-    /// A model, as engines name it.
+    /// The name of a model in the engines.
     ModelName;
-    /// Requests that belong together and stay on one release.
+    /// A session: requests that belong together and stay on one release.
     SessionId;
-    /// An operator's change, named by the operator's tool, so that a repeat
-    /// after a lost answer is recognised.
+    /// An operator's change. The operator's tool chooses the id, so that a retry after a lost
+    /// response is recognised.
     ChangeId;
-    /// One request as the entry host that took it names it.
+    /// A request, as named by the entry host that accepted it.
     RequestId;
 }
 
 number_id! {
-    /// One life of a process: a restarted process has another, under the same name.
+    /// A run of a process. A restarted process has the same name and another incarnation.
     Incarnation;
-    /// The number of a committed configuration; it only rises.
+    /// The number of a committed configuration; it only increases.
     Revision;
-    /// One dispatch of a request to an endpoint.
+    /// An attempt to send a request to an endpoint.
     AttemptId;
 }
 
-/// What makes two arrivals the same request: the incarnation that is its home
-/// and the key that the caller gave, or the request id when it gave none.
+/// The key by which retries of a request are recognised as the same request.
 ///
-/// Billing and at-most-once execution are decided per key; see
-/// `docs/design/ledger.md`.
+/// Billing and at-most-once execution apply per key; see `docs/design/ledger.md`.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{customer}/{home}/{key}")]
 pub struct RequestKey {
-    /// The customer, so that two customers may use the same key.
+    /// The customer: different customers may use the same key.
     pub customer: Customer,
-    /// The incarnation whose ticket the caller presented, or zero without one.
+    /// The incarnation of the host that issued the caller's ticket, or zero without a ticket.
     pub home: Incarnation,
-    /// The caller's idempotency key, or the request id.
+    /// The caller's idempotency key, or the request id without one.
     pub key: Arc<str>,
 }
 
 impl VersionId {
-    /// The model's name, before the `@`.
+    /// Returns the model's name, the part before the `@`.
     #[must_use]
     pub fn model(&self) -> &str {
         self.0
@@ -129,7 +125,7 @@
 }
 
 impl Revision {
-    /// The number after this one.
+    /// Returns the next revision.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,9 +1,8 @@
-//! The micro-kernel: the clock, the identifiers and hashes that every layer speaks, and
-//! the registry through which services find each other by name.
+//! The base types of all crates: the clock, identifiers, hashes, and the registry through
+//! which services find each other by name.
 //!
-//! This crate knows nothing of requests, endpoints, networks or files. It is
-//! the only crate that every other one may depend on; see
-//! `docs/ARCHITECTURE.md`.
+//! This crate has no code for requests, endpoints, networks or files, and every other
+//! crate may depend on it; see `docs/ARCHITECTURE.md`.
 
 mod clock;
 pub mod hash;
--- a/crates/kernel/src/money.rs
+++ b/crates/kernel/src/money.rs
@@ -3,7 +3,7 @@
 use derive_more::{Add, AddAssign, Display, From, Into, Sum};
 use serde::{Deserialize, Serialize};
 
-/// An amount in millionths of a cent, so that the price of one token is a whole number.
+/// An amount in millionths of a cent, so that the price of one token is an integer.
 #[derive(
     Clone,
     Copy,
@@ -30,8 +30,8 @@
     /// No money.
     pub const ZERO: Self = Self(0);
 
-    /// The price of `tokens` at `self` per million tokens, rounded up so that
-    /// no used token is free.
+    /// Returns the price of `tokens` at `self` per million tokens, rounded up so that no token
+    /// is free.
     #[must_use]
     pub fn per_million(self, tokens: u64) -> Self {
         Self(self.0.saturating_mul(tokens).div_ceil(1_000_000))
--- a/crates/kernel/src/registry.rs
+++ b/crates/kernel/src/registry.rs
@@ -7,32 +7,31 @@
 use async_std::channel::{Receiver, Sender, TrySendError, bounded};
 use futures::channel::oneshot;
 
-/// A service: the name it is found by and the messages it takes.
+/// A service: its registered name and the type of its messages.
 ///
-/// The type names the pair, so that a mailbox of the wrong message type can't
-/// be asked for by accident.
+/// Lookups are by this type, so that a mailbox always has the right message type.
 pub trait Service: 'static {
-    /// What the service takes from others.
+    /// The type of the messages that the service receives.
     type Message: Send + 'static;
 
-    /// The name under which it is registered, unique in a process.
+    /// The name in the registry, unique in a process.
     const NAME: &'static str;
 
-    /// How many messages may wait before a sender is told that it is full.
+    /// The capacity of the service's message queue.
     const CAPACITY: usize = 1024;
 }
 
-/// Names and mailboxes of the services in this process.
+/// The mailboxes of the services in this process, by name.
 #[derive(Clone, Default)]
 pub struct Registry {
     mailboxes: Arc<RwLock<HashMap<&'static str, Box<dyn Any + Send + Sync>>>>,
 }
 
 impl Registry {
-    /// Registers `S` and returns the end from which it takes its messages.
+    /// Registers `S` and returns the receiving end of its queue.
     ///
-    /// A second registration replaces the first: the mailboxes found before it are closed
-    /// once the first receiver is dropped.
+    /// A second registration replaces the first one. Mailboxes found before it are closed when
+    /// the first receiver is dropped.
     #[must_use]
     pub fn register<S: Service>(&self) -> Receiver<S::Message> {
         let (sender, receiver) = bounded::<S::Message>(S::CAPACITY);
@@ -40,7 +39,7 @@
         receiver
     }
 
-    /// Finds the mailbox of `S`, or nothing when it is not registered.
+    /// Returns the mailbox of `S`, or `None` if it isn't registered.
     #[must_use]
     pub fn find<S: Service>(&self) -> Option<Mailbox<S::Message>> {
         let mailboxes = self
@@ -76,26 +75,26 @@
 }
 
 impl<M: Send + 'static> Mailbox<M> {
-    /// Sends without waiting; gives the message back when the queue is full or closed.
+    /// Sends a message without waiting.
     ///
     /// # Errors
-    /// The message itself, so that the sender can refuse the work it stands for.
+    /// Returns the message if the queue is full or closed.
     pub fn offer(&self, message: M) -> Result<(), M> {
         self.sender.try_send(message).map_err(|err| match err {
             TrySendError::Full(message) | TrySendError::Closed(message) => message,
         })
     }
 
-    /// Sends, waiting for room; gives the message back when the service has ended.
+    /// Sends a message, and waits while the queue is full.
     ///
     /// # Errors
-    /// The message itself when nobody takes it any more.
+    /// Returns the message if the service has ended.
     pub async fn send(&self, message: M) -> Result<(), M> {
         self.sender.send(message).await.map_err(|err| err.0)
     }
 
-    /// Sends a message that carries a way to answer, and waits for the answer.
-    /// Nothing comes back when the service has ended or dropped the question.
+    /// Sends a message with a reply channel and waits for the reply. Returns `None` if the
+    /// service has ended or dropped the message.
     pub async fn ask<R>(&self, message: impl FnOnce(oneshot::Sender<R>) -> M) -> Option<R> {
         let (reply, answer) = oneshot::channel();
         self.send(message(reply)).await.ok()?;
