--- a/crates/forward/src/attempt.rs
+++ b/crates/forward/src/attempt.rs
@@ -12,18 +12,18 @@
 use route::{Call, Ending, Flight, Permit, Placement};
 use telemetry::{Connection, Event, Value};
 
-use crate::answer::Answer;
 use crate::caller::Request;
 use crate::conn::Conn;
-use crate::lull::Lull;
+use crate::lazy_timeout::LazyTimeout;
+use crate::response_writer::ResponseWriter;
 use crate::serve::Progress;
-use crate::upstream::{Trouble, Upstream};
+use crate::upstream::{Upstream, UpstreamError};
 use crate::{Addressing, Dialect, Node, Told};
-use guard::{Guard, Seen};
+use guard::{AttemptDetails, AttemptGuard};
 
 /// The longest response body that is buffered. Responses that aren't streams are
 /// buffered, so that the request can be retried if the connection breaks.
-const MAX_WHOLE: usize = 8 * 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 8 * 1024 * 1024;
 
 /// One attempt to forward a request to an endpoint.
 pub(crate) struct Attempt<'a, D: Dialect> {
@@ -37,7 +37,7 @@
 }
 
 /// The outcome of an attempt.
-pub(crate) enum Result {
+pub(crate) enum AttemptOutcome {
     /// The complete response was written to the caller.
     Delivered,
     /// The response couldn't be written to the caller.
@@ -46,36 +46,40 @@
     Ended {
         flight: Box<Flight>,
         ending: Ending,
-        parked: Option<Whole>,
+        error_response: Option<BufferedResponse>,
     },
 }
 
 /// A complete response of an endpoint.
-pub(crate) struct Whole {
+pub(crate) struct BufferedResponse {
     pub(crate) head: response::Head,
     pub(crate) body: Vec<u8>,
 }
 
 /// The outcome of the exchange with the endpoint.
-enum Exchange {
+enum ExchangeOutcome {
     Delivered,
     CallerGone,
-    Ended(Ending, Option<Whole>),
+    Ended(Ending, Option<BufferedResponse>),
 }
 
-impl From<Ending> for Exchange {
+impl From<Ending> for ExchangeOutcome {
     fn from(ending: Ending) -> Self {
         Self::Ended(ending, None)
     }
 }
 
 impl<D: Dialect> Attempt<'_, D> {
-    pub(crate) async fn run(mut self, call: &mut Call, answer: &mut Answer) -> Result {
+    pub(crate) async fn run(
+        mut self,
+        call: &mut Call,
+        writer: &mut ResponseWriter,
+    ) -> AttemptOutcome {
         let node = self.node;
         let now = node.now();
         let flight = node.router().begin(now, call, self.placement);
         self.progress.attempts.set(call.attempts());
-        let mut guard = Guard {
+        let mut guard = AttemptGuard {
             node,
             id: self.id,
             print: call.print,
@@ -85,32 +89,32 @@
             began: now,
             left: call.left(now),
             config: node.router().version(),
-            seen: Seen::default(),
+            details: AttemptDetails::default(),
             flight: Some(flight),
         };
-        let exchange = self.exchange(call, answer, &mut guard).await;
-        guard.seen.last_event = *self.last_event;
+        let exchange = self.exchange(call, writer, &mut guard).await;
+        guard.details.last_event = *self.last_event;
         let ending = match &exchange {
-            Exchange::Delivered => Ending::Answered,
-            Exchange::CallerGone => Ending::Cancelled,
-            Exchange::Ended(ending, _) => *ending,
+            ExchangeOutcome::Delivered => Ending::Answered,
+            ExchangeOutcome::CallerGone => Ending::Cancelled,
+            ExchangeOutcome::Ended(ending, _) => *ending,
         };
-        let Some(flight) = guard.land(ending) else {
-            return Result::CallerGone;
+        let Some(flight) = guard.finish(ending) else {
+            return AttemptOutcome::CallerGone;
         };
         match exchange {
-            Exchange::Delivered => {
+            ExchangeOutcome::Delivered => {
                 node.router().end(node.now(), call, flight, ending);
-                Result::Delivered
+                AttemptOutcome::Delivered
             }
-            Exchange::CallerGone => {
+            ExchangeOutcome::CallerGone => {
                 node.router().cancel(node.now(), flight);
-                Result::CallerGone
+                AttemptOutcome::CallerGone
             }
-            Exchange::Ended(ending, parked) => Result::Ended {
+            ExchangeOutcome::Ended(ending, error_response) => AttemptOutcome::Ended {
                 flight: Box::new(flight),
                 ending,
-                parked,
+                error_response,
             },
         }
     }
@@ -118,9 +122,9 @@
     async fn exchange(
         &mut self,
         call: &mut Call,
-        answer: &mut Answer,
-        guard: &mut Guard<'_, D>,
-    ) -> Exchange {
+        writer: &mut ResponseWriter,
+        guard: &mut AttemptGuard<'_, D>,
+    ) -> ExchangeOutcome {
         let (conn, connection) = match self.connect(call).await {
             Ok(it) => it,
             Err(ending) => return ending.into(),
@@ -129,35 +133,35 @@
             Ok(it) => it,
             Err(ending) => return ending.into(),
         };
-        guard.seen.connection = Some(connection);
-        let mut upstream = Upstream::new(conn, self.bytes(call), permit);
-        let mut lull = Lull::new(self.node.clock());
+        guard.details.connection = Some(connection);
+        let mut upstream = Upstream::new(conn, self.encode_request(call), permit);
+        let mut lazy_timeout = LazyTimeout::new(self.node.clock());
         let (head, told) = loop {
-            let wait = self.first_wait(call);
-            let head = lull.within(wait, self.head(&mut upstream)).await;
-            guard.seen.strays = upstream.strays();
+            let wait = self.response_start_timeout(call);
+            let head = lazy_timeout.within(wait, self.head(&mut upstream)).await;
+            guard.details.strays = upstream.strays();
             match head {
                 Some(Ok(it)) => break it,
-                Some(Err(trouble)) => return trouble.ending().into(),
-                None if self.gives_up(call) => return Ending::Silent.into(),
+                Some(Err(err)) => return err.ending().into(),
+                None if self.try_abandon(call) => return Ending::Silent.into(),
                 None => {}
             }
         };
         let now = self.node.now();
-        guard.seen.status = Some(head.status);
-        guard.seen.confidence = told.confidence;
-        guard.seen.is_leaving = Some(told.is_leaving);
+        guard.details.status = Some(head.status);
+        guard.details.confidence = told.confidence;
+        guard.details.is_leaving = Some(told.is_leaving);
         if let (Some(load), Some(flight)) = (told.load, &mut guard.flight) {
             self.node.router().load(now, flight, load);
         }
         if told.is_leaving {
-            self.leave(guard);
+            self.report_leaving(guard);
         }
         if let (Some(pause), Some(flight)) = (told.retry_after, &guard.flight) {
             self.node.router().refuse(now, flight, pause);
         }
         if told.not_run || head.status == 421 {
-            return self.refused(upstream, &head, &told).await.into();
+            return self.handle_refusal(upstream, &head, &told).await.into();
         }
         if !told.is_signed && head.is_success() {
             return Ending::Broken.into();
@@ -170,14 +174,21 @@
         }
         if call.route.is_stream() && self.has_stream(&head) {
             return self
-                .stream(upstream, (&head, &told), call, answer, guard, &mut lull)
+                .relay_stream(
+                    upstream,
+                    (&head, &told),
+                    call,
+                    writer,
+                    guard,
+                    &mut lazy_timeout,
+                )
                 .await;
         }
-        self.whole(upstream, head, &told, call, answer, &mut lull)
+        self.relay_buffered(upstream, head, &told, call, writer, &mut lazy_timeout)
             .await
     }
 
-    async fn connect(&self, call: &Call) -> std::result::Result<(Conn, Connection), Ending> {
+    async fn connect(&self, call: &Call) -> Result<(Conn, Connection), Ending> {
         let (node, placement) = (self.node, self.placement);
         let max_idle = match call.route.repeat {
             Repeat::Idempotent => node.timing.idle,
@@ -203,18 +214,18 @@
     }
 
     /// Asks the router whether the request may still be sent, now that the connection is open.
-    fn permit(&self, guard: &mut Guard<'_, D>) -> std::result::Result<Permit, Ending> {
+    fn permit(&self, guard: &mut AttemptGuard<'_, D>) -> Result<Permit, Ending> {
         let flight = guard.flight.as_ref().ok_or(Ending::Withheld)?;
         let permit = self.node.router().permit(self.node.now(), flight);
         permit.map_err(|why| {
             self.node.recorder.metrics().withheld(why);
-            guard.seen.withheld = Some(why);
+            guard.details.withheld = Some(why);
             Ending::Withheld
         })
     }
 
     /// Returns the request as it is sent to the endpoint.
-    fn bytes(&self, call: &Call) -> Vec<u8> {
+    fn encode_request(&self, call: &Call) -> Vec<u8> {
         let to = Addressing {
             placement: self.placement,
             customer: call.customer.as_deref().map(|it| &it.name),
@@ -231,9 +242,9 @@
     /// Returns how long to wait for the start of the response. If the request may be retried
     /// at another endpoint, the wait ends in time for that; otherwise it lasts until the
     /// request's deadline.
-    fn first_wait(&self, call: &Call) -> Duration {
+    fn response_start_timeout(&self, call: &Call) -> Duration {
         let left = call.left(self.node.now());
-        if may_move(call) && !call.is_held() {
+        if may_retry_elsewhere(call) && !call.is_held() {
             let part = self.node.timing.first_part;
             left.min(self.node.router().patience(call, part))
         } else {
@@ -243,7 +254,7 @@
 
     /// Returns whether to abandon an endpoint that has sent nothing in time: the deadline has
     /// passed, or a retry was reserved. Otherwise the endpoint is waited for until the deadline.
-    fn gives_up(&self, call: &mut Call) -> bool {
+    fn try_abandon(&self, call: &mut Call) -> bool {
         let now = self.node.now();
         if call.left(now).is_zero() || self.node.router().reserve(now, call, Ending::Silent) {
             return true;
@@ -256,10 +267,7 @@
     ///
     /// An endpoint may send a response twice. The late duplicate arrives in place of the
     /// response to the next request on the connection, and only its request id differs.
-    async fn head(
-        &self,
-        upstream: &mut Upstream,
-    ) -> std::result::Result<(response::Head, Told), Trouble> {
+    async fn head(&self, upstream: &mut Upstream) -> Result<(response::Head, Told), UpstreamError> {
         loop {
             let head = upstream.head(&self.request.head.method).await?;
             if head.is_informational() {
@@ -273,14 +281,14 @@
                 // Whether the stray response has a body depends on the method of its request,
                 // which is unknown here. Parsed as the response to a HEAD, its body would be
                 // read as the next response.
-                return Err(Trouble::Broken);
+                return Err(UpstreamError::Broken);
             }
-            upstream.pass_over(&head)?;
+            upstream.skip_response(&head)?;
         }
     }
 
     /// Marks the endpoint as leaving, as its response says, so that it gets no new requests.
-    fn leave(&self, guard: &Guard<'_, D>) {
+    fn report_leaving(&self, guard: &AttemptGuard<'_, D>) {
         let Some(flight) = &guard.flight else {
             return;
         };
@@ -294,12 +302,22 @@
     }
 
     /// Reads the rest of a refusal and returns how the attempt ends.
-    async fn refused(&self, mut upstream: Upstream, head: &response::Head, told: &Told) -> Ending {
+    async fn handle_refusal(
+        &self,
+        mut upstream: Upstream,
+        head: &response::Head,
+        told: &Told,
+    ) -> Ending {
         /// The time to read the body of a refusal. Without it the connection isn't reused, and
         /// the request is retried all the same.
-        const LIMIT: Duration = Duration::from_millis(50);
-        if let Ok(Ok(())) = timeout(LIMIT, upstream.body(head, &mut Vec::new(), MAX_WHOLE)).await {
-            self.keep(upstream, head, told);
+        const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(50);
+        if let Ok(Ok(())) = timeout(
+            REFUSAL_BODY_TIMEOUT,
+            upstream.body(head, &mut Vec::new(), MAX_BUFFERED_BYTES),
+        )
+        .await
+        {
+            self.return_to_pool(upstream, head, told);
         }
         if head.status == 421 {
             Ending::Moved
@@ -308,34 +326,37 @@
         }
     }
 
-    async fn whole(
+    async fn relay_buffered(
         &self,
         mut upstream: Upstream,
         head: response::Head,
         told: &Told,
         call: &Call,
-        answer: &mut Answer,
-        lull: &mut Lull<'_>,
-    ) -> Exchange {
+        writer: &mut ResponseWriter,
+        lazy_timeout: &mut LazyTimeout<'_>,
+    ) -> ExchangeOutcome {
         let mut body = Vec::new();
         let left = call.left(self.node.now());
-        let whole = upstream.body(&head, &mut body, MAX_WHOLE);
-        match lull.within(left, whole).await {
+        let whole = upstream.body(&head, &mut body, MAX_BUFFERED_BYTES);
+        match lazy_timeout.within(left, whole).await {
             Some(Ok(())) => {}
-            Some(Err(trouble)) => return trouble.ending().into(),
+            Some(Err(err)) => return err.ending().into(),
             None => return Ending::Silent.into(),
         }
-        self.keep(upstream, &head, told);
+        self.return_to_pool(upstream, &head, told);
         // If the caller already has part of a stream, a response that isn't a stream means
         // that this endpoint can't resume it.
-        let passes = !is_promise(head.status) && !call.has_begun();
-        if head.status >= 500 || !passes {
-            return Exchange::Ended(Ending::Failed, passes.then_some(Whole { head, body }));
+        let may_forward = !promises_not_run(head.status) && !call.has_begun();
+        if head.status >= 500 || !may_forward {
+            return ExchangeOutcome::Ended(
+                Ending::Failed,
+                may_forward.then_some(BufferedResponse { head, body }),
+            );
         }
         self.progress.first.set(Some(self.node.now()));
-        match answer.whole(&self.node.dialect, &head, &body).await {
-            Ok(()) => Exchange::Delivered,
-            Err(_) => Exchange::CallerGone,
+        match writer.send_buffered(&self.node.dialect, &head, &body).await {
+            Ok(()) => ExchangeOutcome::Delivered,
+            Err(_) => ExchangeOutcome::CallerGone,
         }
     }
 
@@ -352,7 +373,7 @@
     /// Returns the connection to the pool if it can be reused. It isn't after a HEAD: a
     /// duplicate of that response would be parsed as one with a body, and the next
     /// response would be read as that body.
-    fn keep(&self, upstream: Upstream, head: &response::Head, told: &Told) {
+    fn return_to_pool(&self, upstream: Upstream, head: &response::Head, told: &Told) {
         let may_keep = head.keep && !self.is_head();
         if let (true, Some(conn)) = (may_keep, upstream.into_clean()) {
             let node = self.node;
@@ -363,12 +384,12 @@
 }
 
 /// Returns whether the request may be retried after an endpoint has sent nothing in time.
-fn may_move(call: &Call) -> bool {
+fn may_retry_elsewhere(call: &Call) -> bool {
     call.route.repeat == Repeat::Idempotent && call.attempts() < call.route.attempts
 }
 
 /// Returns whether callers take the status to mean that the request has not run. It isn't
 /// forwarded from an endpoint that doesn't state this itself and may have run the request.
-fn is_promise(status: u16) -> bool {
+fn promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
--- a/crates/forward/src/attempt/guard.rs
+++ b/crates/forward/src/attempt/guard.rs
@@ -10,7 +10,7 @@
 use crate::{Dialect, Node};
 
 /// Reports and cancels the attempt if it is dropped because the caller disconnected.
-pub(super) struct Guard<'a, D: Dialect> {
+pub(super) struct AttemptGuard<'a, D: Dialect> {
     pub(super) node: &'a Node<D>,
     pub(super) id: &'a RequestId,
     pub(super) print: Print,
@@ -20,13 +20,13 @@
     pub(super) began: Duration,
     pub(super) left: Duration,
     pub(super) config: Option<u64>,
-    pub(super) seen: Seen,
+    pub(super) details: AttemptDetails,
     pub(super) flight: Option<Flight>,
 }
 
 /// Details of the connection and the response, for the attempt's report.
 #[derive(Debug, Default)]
-pub(super) struct Seen {
+pub(super) struct AttemptDetails {
     pub(super) status: Option<u16>,
     pub(super) confidence: Option<u8>,
     pub(super) is_leaving: Option<bool>,
@@ -36,13 +36,13 @@
     pub(super) strays: u32,
 }
 
-impl<D: Dialect> Guard<'_, D> {
+impl<D: Dialect> AttemptGuard<'_, D> {
     /// Reports the end of the attempt and returns the router's handle to it, or `None` if
     /// it was reported before.
-    pub(super) fn land(&mut self, ending: Ending) -> Option<Flight> {
+    pub(super) fn finish(&mut self, ending: Ending) -> Option<Flight> {
         let flight = self.flight.take()?;
         let took = self.node.now().saturating_sub(self.began);
-        self.progress.note(self.placement, ending, took);
+        self.progress.record_attempt(self.placement, ending, took);
         self.node.recorder.attempt(&telemetry::Attempt {
             id: self.id,
             print: self.print,
@@ -52,21 +52,21 @@
             took,
             left: self.left,
             config: self.config,
-            confidence: self.seen.confidence,
-            is_leaving: self.seen.is_leaving,
-            withheld: self.seen.withheld,
-            last_event: self.seen.last_event,
-            status: self.seen.status,
-            connection: self.seen.connection,
-            strays: self.seen.strays,
+            confidence: self.details.confidence,
+            is_leaving: self.details.is_leaving,
+            withheld: self.details.withheld,
+            last_event: self.details.last_event,
+            status: self.details.status,
+            connection: self.details.connection,
+            strays: self.details.strays,
         });
         Some(flight)
     }
 }
 
-impl<D: Dialect> Drop for Guard<'_, D> {
+impl<D: Dialect> Drop for AttemptGuard<'_, D> {
     fn drop(&mut self) {
-        if let Some(flight) = self.land(Ending::Cancelled) {
+        if let Some(flight) = self.finish(Ending::Cancelled) {
             let now = self.node.now();
             self.node.router().cancel(now, flight);
         }
--- a/crates/forward/src/caller.rs
+++ b/crates/forward/src/caller.rs
@@ -11,16 +11,16 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use route::config::Limits;
 
-use crate::answer::{Answer, Notice};
 use crate::conn::Conn;
+use crate::response_writer::{LocalResponse, ResponseWriter};
 use crate::serve::serve;
 use crate::{Dialect, Node, Phase};
 
 /// The number of pipelined bytes that are buffered while a request is served. Further
 /// bytes stay in the socket.
-const MAX_AHEAD: usize = 64 * 1024;
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 /// The longest time between two reads of a request body.
-const BODY_PAUSE: Duration = Duration::from_secs(3);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A complete request.
 #[derive(Debug)]
@@ -42,24 +42,24 @@
 
 /// Whether a connection stays open for another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Keep {
-    Open,
+pub(crate) enum Persistence {
+    KeepAlive,
     Close,
 }
 
-pub(crate) async fn converse<D: Dialect>(node: &Rc<Node<D>>, mut conn: Conn) {
+pub(crate) async fn serve_connection<D: Dialect>(node: &Rc<Node<D>>, mut conn: Conn) {
     loop {
         let limits = limits(node);
-        let keep = match read(node, &mut conn, &limits).await {
+        let persistence = match read(node, &mut conn, &limits).await {
             Incoming::End => return,
             Incoming::Rejected(status) => {
-                let mut answer = Answer::new(conn.writer(), None, Keep::Close);
-                answer.notice(Notice::of(status)).await;
-                Keep::Close
+                let mut response = ResponseWriter::new(conn.writer(), None, Persistence::Close);
+                response.send_local(LocalResponse::of(status)).await;
+                Persistence::Close
             }
-            Incoming::Request(request) => attend(node, &mut conn, *request).await,
+            Incoming::Request(request) => serve_request(node, &mut conn, *request).await,
         };
-        if keep == Keep::Close {
+        if persistence == Persistence::Close {
             return linger(conn, node.timing.linger).await;
         }
     }
@@ -73,29 +73,33 @@
 }
 
 /// Serves a request, and cancels it if the caller disconnects.
-async fn attend<D: Dialect>(node: &Rc<Node<D>>, conn: &mut Conn, request: Request) -> Keep {
-    let _busy = node.count_busy();
-    let keep = if request.head.keep && node.phase() == Phase::Serving {
-        Keep::Open
+async fn serve_request<D: Dialect>(
+    node: &Rc<Node<D>>,
+    conn: &mut Conn,
+    request: Request,
+) -> Persistence {
+    let _busy = node.track_request();
+    let persistence = if request.head.keep && node.phase() == Phase::Serving {
+        Persistence::KeepAlive
     } else {
-        Keep::Close
+        Persistence::Close
     };
-    let answer = Answer::new(conn.writer(), Some(&request.head), keep);
-    let work = serve(node, &request, answer);
+    let response = ResponseWriter::new(conn.writer(), Some(&request.head), persistence);
+    let work = serve(node, &request, response);
     // `FuturesUnordered` polls the read only after its own wake-ups. A read without data
     // costs two system calls, and `work` is woken for each event of a stream.
-    let mut left: FuturesUnordered<_> = iter::once(left(conn)).collect();
+    let mut closed: FuturesUnordered<_> = iter::once(closed(conn)).collect();
     pin_mut!(work);
-    match select(work, left.next()).await {
-        Either::Left((Ok(()), _)) => keep,
+    match select(work, closed.next()).await {
+        Either::Left((Ok(()), _)) => persistence,
         // The caller has disconnected, or has a truncated response that must not look complete.
-        Either::Left((Err(_), _)) | Either::Right(_) => Keep::Close,
+        Either::Left((Err(_), _)) | Either::Right(_) => Persistence::Close,
     }
 }
 
 /// Completes when the caller has closed the connection or it failed.
-async fn left(conn: &mut Conn) {
-    while conn.unread().len() < MAX_AHEAD {
+async fn closed(conn: &mut Conn) {
+    while conn.unread().len() < MAX_PIPELINED_BYTES {
         if !matches!(conn.fill().await, Ok(1..)) {
             return;
         }
@@ -174,7 +178,7 @@
         if decoder.is_done() {
             return Ok(body);
         }
-        match timeout(BODY_PAUSE, conn.fill()).await {
+        match timeout(BODY_READ_TIMEOUT, conn.fill()).await {
             Ok(Ok(1..)) => {}
             Ok(_) => return Err(Incoming::End),
             Err(_) => return Err(Incoming::Rejected(408)),
@@ -185,7 +189,7 @@
 /// Closes the connection after reading what the caller still sends. Closing with unread
 /// bytes resets the connection, and the caller may lose the response.
 async fn linger(mut conn: Conn, limit: Duration) {
-    conn.end();
+    conn.shutdown_write();
     let drain = async {
         while matches!(conn.fill().await, Ok(1..)) {
             let len = conn.unread().len();
--- a/crates/forward/src/conn.rs
+++ b/crates/forward/src/conn.rs
@@ -9,7 +9,7 @@
 use futures::FutureExt;
 
 /// The size of one read in bytes. Most requests and responses fit.
-const READ: usize = 8 * 1024;
+const READ_SIZE: usize = 8 * 1024;
 
 /// A TCP connection with a read buffer.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
             self.buf.clear();
             self.start = 0;
             // Frees large buffers, since there may be thousands of idle connections.
-            if self.buf.capacity() > 4 * READ {
+            if self.buf.capacity() > 4 * READ_SIZE {
                 self.buf = Vec::new();
             }
         }
@@ -63,8 +63,8 @@
             self.start = 0;
         }
         let len = self.buf.len();
-        self.buf.resize(len + READ, 0);
-        let mut guard = Truncate {
+        self.buf.resize(len + READ_SIZE, 0);
+        let mut guard = TruncateOnDrop {
             buf: &mut self.buf,
             len,
         };
@@ -86,7 +86,7 @@
 
     /// Returns whether the peer has sent neither data nor a close since the last response.
     /// Unexpected data belongs to no request, and a closed connection can't be reused.
-    pub(crate) fn is_quiet(&mut self) -> bool {
+    pub(crate) fn is_reusable(&mut self) -> bool {
         if !self.unread().is_empty() {
             return false;
         }
@@ -95,19 +95,19 @@
     }
 
     /// Shuts down the write half; the peer reads the rest of the data and then the end.
-    pub(crate) fn end(&self) {
+    pub(crate) fn shutdown_write(&self) {
         // It fails only if the connection is already closed.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
 
 /// Truncates a buffer to the bytes that were read, also when the read is cancelled.
-struct Truncate<'a> {
+struct TruncateOnDrop<'a> {
     buf: &'a mut Vec<u8>,
     len: usize,
 }
 
-impl Drop for Truncate<'_> {
+impl Drop for TruncateOnDrop<'_> {
     fn drop(&mut self) {
         self.buf.truncate(self.len);
     }
--- a/crates/forward/src/front.rs
+++ b/crates/forward/src/front.rs
@@ -51,8 +51,8 @@
                 Ok((stream, _)) => {
                     let shared = Rc::clone(&node);
                     node.spawn(async move {
-                        let _open = shared.count_open();
-                        caller::converse(&shared, Conn::new(stream)).await;
+                        let _open = shared.track_connection();
+                        caller::serve_connection(&shared, Conn::new(stream)).await;
                     });
                 }
                 Err(_) => task::sleep(ACCEPT_PAUSE).await,
--- a/crates/forward/src/lull.rs
+++ b/crates/forward/src/lazy_timeout.rs
@@ -13,17 +13,17 @@
 /// Each event of a stream has its own timeout. Arming a timer for each one wakes the
 /// reactor with a system call; instead, the timer of an earlier event keeps running
 /// and is armed again only when it fires.
-pub(crate) struct Lull<'a> {
+pub(crate) struct LazyTimeout<'a> {
     clock: &'a dyn Clock,
     timer: Option<Timer>,
 }
 
 struct Timer {
     sleep: Pin<Box<dyn Future<Output = ()>>>,
-    rings: Duration,
+    fires_at: Duration,
 }
 
-impl<'a> Lull<'a> {
+impl<'a> LazyTimeout<'a> {
     pub(crate) fn new(clock: &'a dyn Clock) -> Self {
         Self { clock, timer: None }
     }
@@ -34,29 +34,29 @@
         limit: Duration,
         work: impl Future<Output = T>,
     ) -> Option<T> {
-        let ends = self.clock.now() + limit;
+        let deadline = self.clock.now() + limit;
         pin_mut!(work);
         loop {
-            let timer = self.timer_before(ends);
+            let timer = self.timer_before(deadline);
             match select(&mut work, &mut timer.sleep).await {
                 Either::Left((done, _)) => return Some(done),
                 Either::Right(_) => self.timer = None,
             }
-            if self.clock.now() >= ends {
+            if self.clock.now() >= deadline {
                 return None;
             }
         }
     }
 
     /// Returns a timer that fires at `ends` or earlier.
-    fn timer_before(&mut self, ends: Duration) -> &mut Timer {
-        if self.timer.as_ref().is_some_and(|it| it.rings > ends) {
+    fn timer_before(&mut self, deadline: Duration) -> &mut Timer {
+        if self.timer.as_ref().is_some_and(|it| it.fires_at > deadline) {
             self.timer = None;
         }
         let now = self.clock.now();
         self.timer.get_or_insert_with(|| Timer {
-            sleep: Box::pin(sleep(ends.saturating_sub(now))),
-            rings: ends,
+            sleep: Box::pin(sleep(deadline.saturating_sub(now))),
+            fires_at: deadline,
         })
     }
 }
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -5,22 +5,22 @@
 //! has a part of one core, and passing a request between threads costs more than
 //! processing it. See `docs/design/relay.md`.
 
-mod answer;
 mod attempt;
 mod caller;
 mod conn;
 mod dialect;
-mod doubt;
 mod front;
-mod lull;
+mod lazy_timeout;
 mod node;
 mod pool;
+mod probe;
+mod response_writer;
 mod serve;
 mod timing;
 mod upstream;
 
-pub use answer::Notice;
 pub use dialect::{Addressing, Asked, Dialect, Told};
 pub use front::Front;
 pub use node::{Node, Phase};
+pub use response_writer::LocalResponse;
 pub use timing::Timing;
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -24,7 +24,7 @@
     pub(crate) timing: Timing,
     pub(crate) pool: Pool,
     /// The endpoints that are being probed.
-    pub(crate) asked: RefCell<HashSet<Key>>,
+    pub(crate) probing: RefCell<HashSet<Key>>,
     tasks: LocalExecutor<'static>,
     clock: Arc<dyn Clock>,
     started: Duration,
@@ -65,7 +65,7 @@
             recorder,
             timing,
             pool: Pool::default(),
-            asked: RefCell::default(),
+            probing: RefCell::default(),
             tasks: LocalExecutor::new(),
             started: clock.now(),
             clock,
@@ -129,15 +129,15 @@
 
     /// Waits until there are a configuration and endpoints, for a short time after the start
     /// of the host.
-    pub(crate) async fn settle(&self) {
-        const LOOK: Duration = Duration::from_millis(10);
+    pub(crate) async fn wait_until_configured(&self) {
+        const POLL_INTERVAL: Duration = Duration::from_millis(10);
         let end = self.started + self.timing.start;
-        while !self.knows_where() && self.now() < end {
-            sleep(LOOK).await;
+        while !self.is_configured() && self.now() < end {
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn knows_where(&self) -> bool {
+    fn is_configured(&self) -> bool {
         let router = self.router();
         router.config().is_some() && !router.directory().is_empty()
     }
@@ -159,26 +159,26 @@
         self.pool.sweep(self.now(), self.timing.idle);
     }
 
-    pub(crate) fn count_open(self: &Rc<Self>) -> Count<'_> {
-        Count::up(&self.open)
+    pub(crate) fn track_connection(self: &Rc<Self>) -> CountGuard<'_> {
+        CountGuard::increment(&self.open)
     }
 
-    pub(crate) fn count_busy(&self) -> Count<'_> {
-        Count::up(&self.busy)
+    pub(crate) fn track_request(&self) -> CountGuard<'_> {
+        CountGuard::increment(&self.busy)
     }
 }
 
 /// Increments a counter until it is dropped.
-pub(crate) struct Count<'a>(&'a Cell<usize>);
+pub(crate) struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Count<'a> {
-    fn up(cell: &'a Cell<usize>) -> Self {
+impl<'a> CountGuard<'a> {
+    fn increment(cell: &'a Cell<usize>) -> Self {
         cell.set(cell.get() + 1);
         Self(cell)
     }
 }
 
-impl Drop for Count<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
--- a/crates/forward/src/pool.rs
+++ b/crates/forward/src/pool.rs
@@ -10,10 +10,10 @@
 
 /// The maximum number of idle connections to one endpoint. The hosts share the connections
 /// that an endpoint accepts, and idle ones of this host are unavailable to the others.
-const MOST_IDLE: usize = 8;
+const MAX_IDLE_PER_ENDPOINT: usize = 8;
 /// Subtracted from an endpoint's keep-alive time, which is in whole seconds and doesn't
 /// account for the time that a request takes to arrive.
-const MARGIN: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
 /// Idle connections to endpoints. A restarted endpoint has a new key, so a connection is
 /// never used for another process than the one that it was opened to.
@@ -26,7 +26,7 @@
 struct Idle {
     conn: Conn,
     since: Duration,
-    until: Duration,
+    expires: Duration,
 }
 
 impl Pool {
@@ -36,7 +36,7 @@
         let mut idle = self.idle.borrow_mut();
         let conns = idle.get_mut(&endpoint)?;
         while let Some(mut it) = conns.pop() {
-            if now >= it.until || !it.conn.is_quiet() {
+            if now >= it.expires || !it.conn.is_reusable() {
                 continue;
             }
             if now.saturating_sub(it.since) > max_idle {
@@ -49,25 +49,35 @@
     }
 
     /// Adds an idle connection, and closes the oldest one if there are too many.
-    pub(crate) fn put(&self, now: Duration, endpoint: Key, conn: Conn, keeps: Option<Duration>) {
+    pub(crate) fn put(
+        &self,
+        now: Duration,
+        endpoint: Key,
+        conn: Conn,
+        keep_alive: Option<Duration>,
+    ) {
         // The time is the endpoint's and may be too large to add to `now`.
-        let until = keeps.map_or(Duration::MAX, |it| {
-            now.saturating_add(it.saturating_sub(MARGIN))
+        let expires = keep_alive.map_or(Duration::MAX, |it| {
+            now.saturating_add(it.saturating_sub(KEEP_ALIVE_MARGIN))
         });
         let mut idle = self.idle.borrow_mut();
         let conns = idle.entry(endpoint).or_default();
-        if conns.len() >= MOST_IDLE {
+        if conns.len() >= MAX_IDLE_PER_ENDPOINT {
             conns.remove(0);
         }
         let since = now;
-        conns.push(Idle { conn, since, until });
+        conns.push(Idle {
+            conn,
+            since,
+            expires,
+        });
     }
 
     /// Closes connections that are too old to be reused.
     pub(crate) fn sweep(&self, now: Duration, max_idle: Duration) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, conns| {
-            conns.retain(|it| now < it.until && now.saturating_sub(it.since) <= max_idle);
+            conns.retain(|it| now < it.expires && now.saturating_sub(it.since) <= max_idle);
             !conns.is_empty()
         });
     }
--- a/crates/forward/src/answer.rs
+++ b/crates/forward/src/response_writer.rs
@@ -10,31 +10,31 @@
 use route::{Denial, Failure};
 
 use crate::Dialect;
-use crate::caller::Keep;
+use crate::caller::Persistence;
 
 /// Writes one response to a caller.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct ResponseWriter {
     writer: TcpStream,
     is_head: bool,
-    keep: Keep,
+    persistence: Persistence,
     out: Vec<u8>,
     /// The status that was sent, or 0 before that.
     pub(crate) status: u16,
     /// The header field, name and value, that returns the request id to the caller.
-    pub(crate) echo: Option<(&'static str, String)>,
+    pub(crate) request_id: Option<(&'static str, String)>,
 }
 
 /// A response without a body that this host generates itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Notice {
+pub struct LocalResponse {
     /// The HTTP status code.
     pub status: u16,
     /// The time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-impl Notice {
+impl LocalResponse {
     pub(crate) fn of(status: u16) -> Self {
         Self {
             status,
@@ -43,7 +43,7 @@
     }
 }
 
-impl From<Denial> for Notice {
+impl From<Denial> for LocalResponse {
     fn from(denial: Denial) -> Self {
         /// Short, since a host that starts has a configuration soon and other hosts have one now.
         const SOON: Duration = Duration::from_millis(200);
@@ -62,7 +62,7 @@
     }
 }
 
-impl From<Failure> for Notice {
+impl From<Failure> for LocalResponse {
     fn from(failure: Failure) -> Self {
         match failure {
             Failure::NotRun { retry_after } => Self {
@@ -75,15 +75,19 @@
     }
 }
 
-impl Answer {
-    pub(crate) fn new(writer: TcpStream, request: Option<&request::Head>, keep: Keep) -> Self {
+impl ResponseWriter {
+    pub(crate) fn new(
+        writer: TcpStream,
+        request: Option<&request::Head>,
+        persistence: Persistence,
+    ) -> Self {
         Self {
             writer,
             is_head: request.is_some_and(|it| it.method == "HEAD"),
-            keep,
+            persistence,
             out: Vec::new(),
             status: 0,
-            echo: None,
+            request_id: None,
         }
     }
 
@@ -93,27 +97,27 @@
     }
 
     /// Sends a response that this host generates. Write errors are ignored.
-    pub(crate) async fn notice(&mut self, notice: Notice) {
-        self.start(notice.status);
-        if let Some((name, value)) = self.echo.take() {
-            self.field(name, value.as_bytes());
+    pub(crate) async fn send_local(&mut self, local: LocalResponse) {
+        self.start_head(local.status);
+        if let Some((name, value)) = self.request_id.take() {
+            self.push_field(name, value.as_bytes());
         }
-        if let Some(after) = notice.retry_after {
+        if let Some(after) = local.retry_after {
             let seconds = format!("{:.3}", after.as_secs_f64());
-            self.field("Retry-After", seconds.as_bytes());
+            self.push_field("Retry-After", seconds.as_bytes());
         }
         self.end_head(Some(0));
         let _ = self.flush().await;
     }
 
     /// Sends a complete response of an endpoint.
-    pub(crate) async fn whole<D: Dialect>(
+    pub(crate) async fn send_buffered<D: Dialect>(
         &mut self,
         dialect: &D,
         head: &response::Head,
         body: &[u8],
     ) -> io::Result<()> {
-        self.copy(dialect, head);
+        self.copy_head(dialect, head);
         let length = match head.status {
             204 | 304 => None,
             // The length of the response to a GET.
@@ -128,15 +132,15 @@
     }
 
     /// Starts a stream. Its head is sent with the first event.
-    pub(crate) fn begin<D: Dialect>(&mut self, dialect: &D, head: &response::Head) {
-        self.copy(dialect, head);
+    pub(crate) fn start_stream<D: Dialect>(&mut self, dialect: &D, head: &response::Head) {
+        self.copy_head(dialect, head);
         self.out
             .extend_from_slice(b"Transfer-Encoding: chunked\r\n");
         self.end_head(None);
     }
 
     /// Appends an event to the output buffer, as one chunk.
-    pub(crate) fn event(&mut self, bytes: &[u8]) {
+    pub(crate) fn push_event(&mut self, bytes: &[u8]) {
         let mut size = String::new();
         // Writing to a `String` can't fail.
         let _ = write!(size, "{:x}\r\n", bytes.len());
@@ -146,7 +150,7 @@
     }
 
     /// Writes the last chunk of a stream.
-    pub(crate) async fn finish(&mut self) -> io::Result<()> {
+    pub(crate) async fn finish_stream(&mut self) -> io::Result<()> {
         self.out.extend_from_slice(b"0\r\n\r\n");
         self.flush().await
     }
@@ -161,26 +165,26 @@
         Ok(())
     }
 
-    fn copy<D: Dialect>(&mut self, dialect: &D, head: &response::Head) {
-        self.start(head.status);
+    fn copy_head<D: Dialect>(&mut self, dialect: &D, head: &response::Head) {
+        self.start_head(head.status);
         for (name, value) in head.fields.iter() {
             let is_framing = name.eq_ignore_ascii_case("content-length");
             if !is_framing && !head.fields.is_hop_by_hop(name) && dialect.passes(name) {
-                self.field(name, value);
+                self.push_field(name, value);
             }
         }
     }
 
     /// Starts the head. A second status line would reach the caller as part of the body of
     /// the first response.
-    fn start(&mut self, status: u16) {
-        debug_assert_eq!(self.status, 0, "an answer has one status line");
+    fn start_head(&mut self, status: u16) {
+        debug_assert_eq!(self.status, 0, "a response has one status line");
         self.status = status;
-        let line = format!("HTTP/1.1 {status} {}\r\n", reason(status));
+        let line = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
         self.out.extend_from_slice(line.as_bytes());
     }
 
-    fn field(&mut self, name: &str, value: &[u8]) {
+    fn push_field(&mut self, name: &str, value: &[u8]) {
         self.out.extend_from_slice(name.as_bytes());
         self.out.extend_from_slice(b": ");
         self.out.extend_from_slice(value);
@@ -189,16 +193,16 @@
 
     fn end_head(&mut self, length: Option<u64>) {
         if let Some(length) = length {
-            self.field("Content-Length", length.to_string().as_bytes());
+            self.push_field("Content-Length", length.to_string().as_bytes());
         }
-        if self.keep == Keep::Close {
-            self.field("Connection", b"close");
+        if self.persistence == Persistence::Close {
+            self.push_field("Connection", b"close");
         }
         self.out.extend_from_slice(b"\r\n");
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/forward/src/serve.rs
+++ b/crates/forward/src/serve.rs
@@ -11,45 +11,45 @@
 use route::{Arrival, Call, Denial, Ending, Failure, Next, Placement, Print};
 use telemetry::{Event, Outcome, Report, Smooth, Value};
 
-use crate::answer::{Answer, Notice};
-use crate::attempt::{Attempt, Result as AttemptResult};
+use crate::attempt::{Attempt, AttemptOutcome};
 use crate::caller::Request;
-use crate::{Asked, Dialect, Node, Phase, doubt};
+use crate::response_writer::{LocalResponse, ResponseWriter};
+use crate::{Asked, Dialect, Node, Phase, probe};
 
 /// The response is incomplete and can't be completed; the connection must be closed.
 #[derive(Debug)]
-pub(crate) struct Cut;
+pub(crate) struct ResponseAborted;
 
 pub(crate) async fn serve<D: Dialect>(
     node: &Rc<Node<D>>,
     request: &Request,
-    mut answer: Answer,
-) -> Result<(), Cut> {
+    mut response: ResponseWriter,
+) -> Result<(), ResponseAborted> {
     let asked = node.dialect.asked(&request.head);
     let Some(id) = asked.id.clone() else {
-        answer.notice(Notice::of(400)).await;
+        response.send_local(LocalResponse::of(400)).await;
         return Ok(());
     };
-    answer.echo = Some((node.dialect.id_field(), id.as_str().to_owned()));
-    let record = Record::new(node, request, &id);
-    node.settle().await;
+    response.request_id = Some((node.dialect.id_field(), id.as_str().to_owned()));
+    let record = RequestRecord::new(node, request, &id);
+    node.wait_until_configured().await;
     let mut call = match admit(node, request, &asked, &id) {
         Ok(call) => call,
         Err(outcome) => {
             if let Outcome::Denied(Denial::Quarantined { print, .. }) = outcome {
                 record.progress.print.set(Some(print));
             }
-            let notice = notice_of(outcome);
-            answer.notice(notice).await;
-            record.end(outcome, notice.status);
+            let local = local_response(outcome);
+            response.send_local(local).await;
+            record.end(outcome, local.status);
             return Ok(());
         }
     };
     if call.route.is_stream() && !request.head.reads_chunks {
         // Without chunked encoding the end of the connection marks the end of a stream, and
         // the caller can't tell a truncated stream from a complete one.
-        answer.notice(Notice::of(505)).await;
-        record.end(Outcome::Rejected, answer.status);
+        response.send_local(LocalResponse::of(505)).await;
+        record.end(Outcome::Rejected, response.status);
         return Ok(());
     }
     record.progress.print.set(Some(call.print));
@@ -58,21 +58,21 @@
         .progress
         .route
         .set((call.route.clone(), call.customer.clone()));
-    let outcome = attempts(&record, request, &asked, &mut call, &mut answer).await;
+    let outcome = run_attempts(&record, request, &asked, &mut call, &mut response).await;
     let result = match outcome {
-        Outcome::Failed(_) if call.has_begun() => Err(Cut),
-        Outcome::Gone => Err(Cut),
+        Outcome::Failed(_) if call.has_begun() => Err(ResponseAborted),
+        Outcome::Gone => Err(ResponseAborted),
         _ => Ok(()),
     };
-    record.end(outcome, answer.status);
+    record.end(outcome, response.status);
     result
 }
 
-fn notice_of(outcome: Outcome) -> Notice {
+fn local_response(outcome: Outcome) -> LocalResponse {
     match outcome {
         Outcome::Denied(denial) => denial.into(),
         Outcome::Failed(failure) => failure.into(),
-        Outcome::Answered | Outcome::Rejected | Outcome::Gone => Notice::of(400),
+        Outcome::Answered | Outcome::Rejected | Outcome::Gone => LocalResponse::of(400),
     }
 }
 
@@ -104,12 +104,12 @@
     }
 }
 
-async fn attempts<D: Dialect>(
-    record: &Record<'_, D>,
+async fn run_attempts<D: Dialect>(
+    record: &RequestRecord<'_, D>,
     request: &Request,
     asked: &Asked,
     call: &mut Call,
-    answer: &mut Answer,
+    response: &mut ResponseWriter,
 ) -> Outcome {
     let node = record.node;
     let mut last_event = asked.last_event;
@@ -117,7 +117,7 @@
         let now = node.now();
         let Some(placement) = node.router().place(now, call) else {
             let failure = node.router().unplaced(now, call);
-            return fail(call, answer, failure).await;
+            return send_failure(call, response, failure).await;
         };
         let attempt = Attempt {
             node,
@@ -127,27 +127,30 @@
             progress: &record.progress,
             last_event: &mut last_event,
         };
-        let result = attempt.run(call, answer).await;
+        let result = attempt.run(call, response).await;
         match result {
-            AttemptResult::Delivered => return Outcome::Answered,
-            AttemptResult::CallerGone => return Outcome::Gone,
-            AttemptResult::Ended {
+            AttemptOutcome::Delivered => return Outcome::Answered,
+            AttemptOutcome::CallerGone => return Outcome::Gone,
+            AttemptOutcome::Ended {
                 flight,
                 ending,
-                parked,
+                error_response,
             } => {
                 let next = node.router().end(node.now(), call, *flight, ending);
-                tell_rested(node);
-                doubt::ask(node);
-                match (next, parked) {
+                report_ejections(node);
+                probe::probe_candidates(node);
+                match (next, error_response) {
                     (Next::Again, _) => node.recorder.metrics().retry(ending),
                     (Next::Fail(Failure::Passed), Some(whole)) => {
-                        return match answer.whole(&node.dialect, &whole.head, &whole.body).await {
+                        return match response
+                            .send_buffered(&node.dialect, &whole.head, &whole.body)
+                            .await
+                        {
                             Ok(()) => Outcome::Failed(Failure::Passed),
                             Err(_) => Outcome::Gone,
                         };
                     }
-                    (Next::Fail(failure), _) => return fail(call, answer, failure).await,
+                    (Next::Fail(failure), _) => return send_failure(call, response, failure).await,
                 }
             }
         }
@@ -155,9 +158,9 @@
 }
 
 /// Logs and counts the endpoints that were ejected since the last call.
-fn tell_rested<D: Dialect>(node: &Node<D>) {
-    let rested = node.router().take_rested();
-    for (id, reason) in rested {
+fn report_ejections<D: Dialect>(node: &Node<D>) {
+    let ejected = node.router().take_rested();
+    for (id, reason) in ejected {
         node.recorder.metrics().ejection(reason);
         node.recorder.say(
             Event::EndpointResting,
@@ -169,17 +172,17 @@
     }
 }
 
-async fn fail(call: &Call, answer: &mut Answer, failure: Failure) -> Outcome {
+async fn send_failure(call: &Call, response: &mut ResponseWriter, failure: Failure) -> Outcome {
     // Once a stream has started, only closing the connection can signal the failure.
     if !call.has_begun() {
-        answer.notice(failure.into()).await;
+        response.send_local(failure.into()).await;
     }
     Outcome::Failed(failure)
 }
 
 /// Reports the end of a request, also when the future that serves it is dropped because
 /// the caller disconnected.
-struct Record<'a, D: Dialect> {
+struct RequestRecord<'a, D: Dialect> {
     node: &'a Rc<Node<D>>,
     id: &'a RequestId,
     arrived: Duration,
@@ -205,7 +208,7 @@
 
 impl Progress {
     /// Appends an attempt to the trail.
-    pub(crate) fn note(&self, placement: &Placement, ending: Ending, took: Duration) {
+    pub(crate) fn record_attempt(&self, placement: &Placement, ending: Ending, took: Duration) {
         let mut trail = self.trail.borrow_mut();
         if !trail.is_empty() {
             trail.push_str(", ");
@@ -218,7 +221,7 @@
     }
 }
 
-impl<'a, D: Dialect> Record<'a, D> {
+impl<'a, D: Dialect> RequestRecord<'a, D> {
     fn new(node: &'a Rc<Node<D>>, request: &Request, id: &'a RequestId) -> Self {
         Self {
             node,
@@ -255,7 +258,7 @@
     }
 }
 
-impl<D: Dialect> Drop for Record<'_, D> {
+impl<D: Dialect> Drop for RequestRecord<'_, D> {
     fn drop(&mut self) {
         if !self.ended.get() {
             self.end(Outcome::Gone, 0);
--- a/crates/forward/src/upstream.rs
+++ b/crates/forward/src/upstream.rs
@@ -11,7 +11,7 @@
 use crate::conn::Conn;
 
 /// The longest head of a response.
-const MAX_HEAD: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// A connection to an endpoint with a request in progress.
 ///
@@ -39,14 +39,14 @@
 
 /// An error in the exchange with an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trouble {
+pub(crate) enum UpstreamError {
     /// The connection failed before any byte of the request was written.
     NotSent,
     /// The connection failed later, or the response is invalid.
     Broken,
 }
 
-impl Trouble {
+impl UpstreamError {
     pub(crate) fn ending(self) -> Ending {
         match self {
             Self::NotSent => Ending::NotSent,
@@ -90,22 +90,22 @@
     }
 
     /// Reads the head of the next response. It can be called again after cancellation.
-    pub(crate) async fn head(&mut self, method: &str) -> Result<response::Head, Trouble> {
+    pub(crate) async fn head(&mut self, method: &str) -> Result<response::Head, UpstreamError> {
         self.read_stray().await?;
         loop {
             let unread = self.conn.unread();
             if let Some(end) = framing::head_end(unread) {
                 let head = response::Head::parse(&unread[..end], method);
                 self.conn.consume(end);
-                return head.map_err(|_| Trouble::Broken);
+                return head.map_err(|_| UpstreamError::Broken);
             }
-            if unread.len() > MAX_HEAD {
-                return Err(Trouble::Broken);
+            if unread.len() > MAX_HEAD_BYTES {
+                return Err(UpstreamError::Broken);
             }
             match self.advance().await {
                 Ok(1..) => {}
-                Err(_) if self.sent == 0 => return Err(Trouble::NotSent),
-                _ => return Err(Trouble::Broken),
+                Err(_) if self.sent == 0 => return Err(UpstreamError::NotSent),
+                _ => return Err(UpstreamError::Broken),
             }
         }
     }
@@ -116,7 +116,7 @@
         head: &response::Head,
         body: &mut Vec<u8>,
         max: usize,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), UpstreamError> {
         let mut decoder = Decoder::new(head.length);
         loop {
             self.decode(&mut decoder, body)?;
@@ -124,21 +124,21 @@
                 return Ok(());
             }
             if body.len() > max {
-                return Err(Trouble::Broken);
+                return Err(UpstreamError::Broken);
             }
             match self.advance().await {
                 Ok(1..) => {}
-                Ok(0) => return decoder.finish().map_err(|_| Trouble::Broken),
-                Err(_) => return Err(Trouble::Broken),
+                Ok(0) => return decoder.finish().map_err(|_| UpstreamError::Broken),
+                Err(_) => return Err(UpstreamError::Broken),
             }
         }
     }
 
     /// Skips a stray response. The connection isn't reused afterwards, since more of them may
     /// follow.
-    pub(crate) fn pass_over(&mut self, head: &response::Head) -> Result<(), Trouble> {
+    pub(crate) fn skip_response(&mut self, head: &response::Head) -> Result<(), UpstreamError> {
         if head.length == Length::UntilClose {
-            return Err(Trouble::Broken);
+            return Err(UpstreamError::Broken);
         }
         self.strays += 1;
         self.stray = Some(Stray {
@@ -149,20 +149,20 @@
     }
 
     /// Reads the rest of the stray response.
-    async fn read_stray(&mut self) -> Result<(), Trouble> {
+    async fn read_stray(&mut self) -> Result<(), UpstreamError> {
         /// The longest body that is skipped, in bytes.
-        const MAX: usize = 1024 * 1024;
+        const MAX_STRAY_BYTES: usize = 1024 * 1024;
         while let Some(Stray { decoder, body }) = &mut self.stray {
             let taken = decoder
                 .decode(self.conn.unread(), body)
-                .map_err(|_| Trouble::Broken)?;
+                .map_err(|_| UpstreamError::Broken)?;
             self.conn.consume(taken);
             if decoder.is_done() {
                 self.stray = None;
                 return Ok(());
             }
-            if body.len() > MAX || !matches!(self.advance().await, Ok(1..)) {
-                return Err(Trouble::Broken);
+            if body.len() > MAX_STRAY_BYTES || !matches!(self.advance().await, Ok(1..)) {
+                return Err(UpstreamError::Broken);
             }
         }
         Ok(())
@@ -173,10 +173,10 @@
         &mut self,
         decoder: &mut Decoder,
         body: &mut Vec<u8>,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), UpstreamError> {
         let taken = decoder
             .decode(self.conn.unread(), body)
-            .map_err(|_| Trouble::Broken)?;
+            .map_err(|_| UpstreamError::Broken)?;
         self.conn.consume(taken);
         Ok(())
     }
