--- a/crates/forward/src/attempt.rs
+++ b/crates/forward/src/attempt.rs
@@ -87,8 +87,8 @@
             progress: self.progress,
             number: call.attempts(),
             began: now,
-            left: call.left(now),
-            config: node.router().version(),
+            time_left: call.left(now),
+            config_version: node.router().version(),
             details: AttemptDetails::default(),
             flight: Some(flight),
         };
@@ -196,18 +196,18 @@
         };
         let now = node.now();
         if let Some(conn) = node.pool.take(now, placement.endpoint, max_idle) {
-            return Ok((conn, Connection::Kept));
+            return Ok((conn, Connection::Reused));
         }
         let limit = node.timing.connect.min(call.left(now));
         let opened = Conn::open(placement.address, limit).await;
         let took = node.now().saturating_sub(now);
         match opened {
             Ok(conn) => {
-                node.recorder.connect(&placement.id, took, &Ok(()));
+                node.recorder.record_connect(&placement.id, took, &Ok(()));
                 Ok((conn, Connection::Opened))
             }
             Err(err) => {
-                node.recorder.connect(&placement.id, took, &Err(err));
+                node.recorder.record_connect(&placement.id, took, &Err(err));
                 Err(Ending::NotSent)
             }
         }
@@ -353,7 +353,7 @@
                 may_forward.then_some(BufferedResponse { head, body }),
             );
         }
-        self.progress.first.set(Some(self.node.now()));
+        self.progress.first_byte.set(Some(self.node.now()));
         match writer.send_buffered(&self.node.dialect, &head, &body).await {
             Ok(()) => ExchangeOutcome::Delivered,
             Err(_) => ExchangeOutcome::CallerGone,
--- a/crates/forward/src/attempt/guard.rs
+++ b/crates/forward/src/attempt/guard.rs
@@ -18,8 +18,8 @@
     pub(super) progress: &'a Progress,
     pub(super) number: u32,
     pub(super) began: Duration,
-    pub(super) left: Duration,
-    pub(super) config: Option<u64>,
+    pub(super) time_left: Duration,
+    pub(super) config_version: Option<u64>,
     pub(super) details: AttemptDetails,
     pub(super) flight: Option<Flight>,
 }
@@ -43,15 +43,15 @@
         let flight = self.flight.take()?;
         let took = self.node.now().saturating_sub(self.began);
         self.progress.record_attempt(self.placement, ending, took);
-        self.node.recorder.attempt(&telemetry::Attempt {
+        self.node.recorder.record_attempt(&telemetry::Attempt {
             id: self.id,
             print: self.print,
             number: self.number,
             placement: self.placement,
             ending,
             took,
-            left: self.left,
-            config: self.config,
+            time_left: self.time_left,
+            config_version: self.config_version,
             confidence: self.details.confidence,
             is_leaving: self.details.is_leaving,
             withheld: self.details.withheld,
--- a/crates/forward/src/attempt/stream.rs
+++ b/crates/forward/src/attempt/stream.rs
@@ -116,12 +116,14 @@
     fn record_pause(&self, last_write: &mut Option<Duration>) {
         let now = self.node.now();
         let progress = self.progress;
-        if progress.first.get().is_none() {
-            progress.first.set(Some(now));
+        if progress.first_byte.get().is_none() {
+            progress.first_byte.set(Some(now));
         }
         if let Some(last) = last_write.replace(now) {
             let pause = now.saturating_sub(last);
-            progress.pause.set(progress.pause.get().max(Some(pause)));
+            progress
+                .max_pause
+                .set(progress.max_pause.get().max(Some(pause)));
         }
     }
 
--- a/crates/forward/src/probe.rs
+++ b/crates/forward/src/probe.rs
@@ -45,7 +45,7 @@
         let took = node.now().saturating_sub(began);
         match opened {
             Ok(mut conn) => {
-                node.recorder.connect(id, took, &Ok(()));
+                node.recorder.record_connect(id, took, &Ok(()));
                 sleep(MIN_OPEN_TIME).await;
                 if conn.is_reusable() {
                     node.pool.put(node.now(), key, conn, None);
@@ -54,7 +54,7 @@
             }
             Err(err) => {
                 let is_refused = err.kind() == ErrorKind::ConnectionRefused;
-                node.recorder.connect(id, took, &Err(err));
+                node.recorder.record_connect(id, took, &Err(err));
                 if is_refused {
                     let now = node.now();
                     return node.router().ended(now, key);
--- a/crates/forward/src/serve.rs
+++ b/crates/forward/src/serve.rs
@@ -9,7 +9,7 @@
 use kernel::RequestId;
 use route::config::{Customer, Route};
 use route::{Arrival, Call, Denial, Ending, Failure, Next, Placement, Print};
-use telemetry::{Event, Outcome, Report, Smooth, Value};
+use telemetry::{AttemptSummary, Event, Outcome, Report, Value};
 
 use crate::attempt::{Attempt, AttemptOutcome};
 use crate::caller::Request;
@@ -61,7 +61,7 @@
     let outcome = run_attempts(&record, request, &asked, &mut call, &mut response).await;
     let result = match outcome {
         Outcome::Failed(_) if call.has_begun() => Err(ResponseAborted),
-        Outcome::Gone => Err(ResponseAborted),
+        Outcome::CallerGone => Err(ResponseAborted),
         _ => Ok(()),
     };
     record.end(outcome, response.status);
@@ -72,7 +72,7 @@
     match outcome {
         Outcome::Denied(denial) => denial.into(),
         Outcome::Failed(failure) => failure.into(),
-        Outcome::Answered | Outcome::Rejected | Outcome::Gone => LocalResponse::of(400),
+        Outcome::Answered | Outcome::Rejected | Outcome::CallerGone => LocalResponse::of(400),
     }
 }
 
@@ -130,7 +130,7 @@
         let result = attempt.run(call, response).await;
         match result {
             AttemptOutcome::Delivered => return Outcome::Answered,
-            AttemptOutcome::CallerGone => return Outcome::Gone,
+            AttemptOutcome::CallerGone => return Outcome::CallerGone,
             AttemptOutcome::Ended {
                 flight,
                 ending,
@@ -147,7 +147,7 @@
                             .await
                         {
                             Ok(()) => Outcome::Failed(Failure::Passed),
-                            Err(_) => Outcome::Gone,
+                            Err(_) => Outcome::CallerGone,
                         };
                     }
                     (Next::Fail(failure), _) => return send_failure(call, response, failure).await,
@@ -197,13 +197,13 @@
     print: Cell<Option<Print>>,
     pub(crate) attempts: Cell<u32>,
     /// When the first part of an endpoint's response was written to the caller.
-    pub(crate) first: Cell<Option<Duration>>,
+    pub(crate) first_byte: Cell<Option<Duration>>,
     /// The longest time between two parts of the response.
-    pub(crate) pause: Cell<Option<Duration>>,
+    pub(crate) max_pause: Cell<Option<Duration>>,
     /// Events of a stream written to the caller.
     pub(crate) events: Cell<u64>,
     trail: RefCell<String>,
-    smooth: Cell<Smooth>,
+    attempt_summary: Cell<AttemptSummary>,
 }
 
 impl Progress {
@@ -215,8 +215,8 @@
         }
         // Writing to a `String` can't fail.
         let _ = write!(trail, "{} {ending} {}", placement.id, took.as_millis());
-        if Smooth::from(ending) == Smooth::No {
-            self.smooth.set(Smooth::No);
+        if AttemptSummary::from(ending) == AttemptSummary::SomeFailed {
+            self.attempt_summary.set(AttemptSummary::SomeFailed);
         }
     }
 }
@@ -237,7 +237,7 @@
         let progress = &self.progress;
         let route = progress.route.get();
         let customer = route.and_then(|it| it.1.as_ref());
-        let first = progress.first.get();
+        let first_byte = progress.first_byte.get();
         let report = Report {
             id: self.id,
             print: progress.print.get(),
@@ -245,23 +245,23 @@
             customer: customer.map(|it| it.name.as_str()),
             outcome,
             status,
-            first: first.map(|it| it.saturating_sub(self.arrived)),
-            pause: progress.pause.get(),
+            time_to_first_byte: first_byte.map(|it| it.saturating_sub(self.arrived)),
+            max_pause: progress.max_pause.get(),
             total: self.node.now().saturating_sub(self.arrived),
             attempts: progress.attempts.get(),
             events: progress.events.get(),
             trail: &progress.trail.borrow(),
-            smooth: progress.smooth.get(),
-            config: self.node.router().version(),
+            attempt_summary: progress.attempt_summary.get(),
+            config_version: self.node.router().version(),
         };
-        self.node.recorder.request(&report);
+        self.node.recorder.record_request(&report);
     }
 }
 
 impl<D: Dialect> Drop for RequestRecord<'_, D> {
     fn drop(&mut self) {
         if !self.ended.get() {
-            self.end(Outcome::Gone, 0);
+            self.end(Outcome::CallerGone, 0);
         }
     }
 }
--- a/crates/telemetry/src/events.rs
+++ b/crates/telemetry/src/events.rs
@@ -4,8 +4,8 @@
 /// a message.
 #[macro_export]
 macro_rules! events {
-    ($about:literal; $($name:ident, $number:literal, $level:ident, $message:literal;)*) => {
-        #[doc = $about]
+    ($doc_text:literal; $($name:ident, $number:literal, $level:ident, $message:literal;)*) => {
+        #[doc = $doc_text]
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Event {
             $(#[doc = $message] $name,)*
--- a/crates/telemetry/src/field.rs
+++ b/crates/telemetry/src/field.rs
@@ -16,7 +16,7 @@
     /// An integer.
     Count(u64),
     /// A ratio from 0 to 1, written with three decimals.
-    Share(f64),
+    Ratio(f64),
     /// A duration, written in milliseconds.
     Time(Duration),
     /// A boolean.
@@ -54,7 +54,7 @@
             match value {
                 Value::Text(it) => serializer.emit_arguments(key, &format_args!("{it}"))?,
                 Value::Count(it) => serializer.emit_u64(key, it)?,
-                Value::Share(it) => serializer.emit_f64(key, (it * 1000.0).round() / 1000.0)?,
+                Value::Ratio(it) => serializer.emit_f64(key, (it * 1000.0).round() / 1000.0)?,
                 Value::Time(it) => {
                     let millis = u64::try_from(it.as_millis()).unwrap_or(u64::MAX);
                     serializer.emit_u64(key, millis)?;
--- a/crates/telemetry/src/instruments.rs
+++ b/crates/telemetry/src/instruments.rs
@@ -86,14 +86,14 @@
     }
 
     fn help(&self, name: &str) -> &'static str {
-        let is_it = |full: &str| {
-            let name_of = full.strip_prefix(NAMESPACE).unwrap_or(full);
-            let name_of = name_of.strip_prefix('_').unwrap_or(name_of);
-            name_of.strip_suffix("_total").unwrap_or(name_of) == name
+        let matches_name = |full: &str| {
+            let short_name = full.strip_prefix(NAMESPACE).unwrap_or(full);
+            let short_name = short_name.strip_prefix('_').unwrap_or(short_name);
+            short_name.strip_suffix("_total").unwrap_or(short_name) == name
         };
         self.catalogue
             .iter()
-            .find(|(full, _)| is_it(full))
+            .find(|(full, _)| matches_name(full))
             .map_or("", |(_, help)| help)
     }
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -6,12 +6,12 @@
 //! `docs/reference/relay-events.md` and `docs/reference/relay-metrics.md`;
 //! `docs/OPERATIONS.md` shows how to use them.
 
-mod allowance;
 mod catalogue;
 mod event;
 mod events;
 mod field;
 mod instruments;
+mod line_limiter;
 mod log;
 mod metrics;
 mod recorder;
@@ -26,4 +26,4 @@
 pub use recorder::Recorder;
 pub use slog::Level;
 
-pub use report::{Attempt, Connection, Outcome, Report, Smooth};
+pub use report::{Attempt, AttemptSummary, Connection, Outcome, Report};
--- a/crates/telemetry/src/allowance.rs
+++ b/crates/telemetry/src/line_limiter.rs
@@ -3,57 +3,57 @@
 use std::time::Duration;
 
 /// The sustained rate of log lines per second (docs/design/relay.md).
-const RATE: f64 = 150.0;
+const LINES_PER_SECOND: f64 = 150.0;
 /// The most lines in a burst, as when a service fails.
-const BURST: f64 = 600.0;
+const BURST_LINES: f64 = 600.0;
 /// The fraction of the burst that is reserved for lines about failures and events.
-const KEPT: f64 = 0.5;
+const RESERVED_FRACTION: f64 = 0.5;
 
 /// A token bucket that limits the rate of log lines.
 #[derive(Debug)]
-pub(crate) struct Allowance {
-    left: f64,
-    at: Duration,
+pub(crate) struct LineLimiter {
+    tokens: f64,
+    refilled_at: Duration,
     dropped: u64,
 }
 
 /// The priority of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Weight {
+pub(crate) enum LinePriority {
     /// About a request without failures. Never written.
-    Ordinary,
+    Routine,
     /// About a sampled request without failures.
-    Sample,
+    Sampled,
     /// Any other line.
     Notable,
 }
 
-impl Default for Allowance {
+impl Default for LineLimiter {
     fn default() -> Self {
         Self {
-            left: BURST,
-            at: Duration::ZERO,
+            tokens: BURST_LINES,
+            refilled_at: Duration::ZERO,
             dropped: 0,
         }
     }
 }
 
-impl Allowance {
+impl LineLimiter {
     /// Takes a token if a line of this priority may be written now.
-    pub(crate) fn take(&mut self, now: Duration, weight: Weight) -> bool {
-        let refill = now.saturating_sub(self.at).as_secs_f64() * RATE;
-        self.left = (self.left + refill).min(BURST);
-        self.at = self.at.max(now);
-        let least = match weight {
-            Weight::Notable => 1.0,
-            Weight::Sample => BURST * KEPT,
-            Weight::Ordinary => return false,
+    pub(crate) fn take(&mut self, now: Duration, priority: LinePriority) -> bool {
+        let refill = now.saturating_sub(self.refilled_at).as_secs_f64() * LINES_PER_SECOND;
+        self.tokens = (self.tokens + refill).min(BURST_LINES);
+        self.refilled_at = self.refilled_at.max(now);
+        let min_tokens = match priority {
+            LinePriority::Notable => 1.0,
+            LinePriority::Sampled => BURST_LINES * RESERVED_FRACTION,
+            LinePriority::Routine => return false,
         };
-        if self.left < least {
+        if self.tokens < min_tokens {
             self.dropped += 1;
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -10,7 +10,7 @@
 
 /// The number of lines in the queue of the writer's thread. Further lines are dropped, so
 /// that a reader that stops reading never blocks a request.
-const QUEUE: usize = 1024;
+const MAX_QUEUED_LINES: usize = 1024;
 
 /// A log that writes one JSON object per line.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
     pub fn to<W: Write + Send + 'static>(host: &str, sink: W) -> Self {
         let drain = slog_json::Json::new(sink).add_default_keys().build().fuse();
         let drain = slog_async::Async::new(drain)
-            .chan_size(QUEUE)
+            .chan_size(MAX_QUEUED_LINES)
             .overflow_strategy(OverflowStrategy::DropAndReport)
             .build();
         Self {
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -7,7 +7,7 @@
 use crate::{CATALOGUE, Instruments, Outcome, Report};
 
 /// Histogram bounds in seconds. The lowest ones show the host's own overhead.
-const BOUNDS: [f64; 14] = [
+const BUCKET_BOUNDS_SECONDS: [f64; 14] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 
@@ -100,7 +100,7 @@
     /// alert on its rate sees the first case.
     #[must_use]
     pub fn new() -> Self {
-        let instruments = Instruments::new("relay", CATALOGUE, &BOUNDS);
+        let instruments = Instruments::new("relay", CATALOGUE, &BUCKET_BOUNDS_SECONDS);
         let it = &instruments;
         let metrics = Self {
             requests: it.counter("requests"),
@@ -157,13 +157,13 @@
             Outcome::Failed(_) | Outcome::Rejected => {
                 self.refusals.add(1, &[label("reason", outcome.name())]);
             }
-            Outcome::Answered | Outcome::Gone => {}
+            Outcome::Answered | Outcome::CallerGone => {}
         }
         self.request_seconds.record(report.total.as_secs_f64(), &[]);
-        if let Some(first) = report.first {
+        if let Some(first) = report.time_to_first_byte {
             self.first_piece_seconds.record(first.as_secs_f64(), &[]);
         }
-        if let Some(pause) = report.pause {
+        if let Some(pause) = report.max_pause {
             self.pause_seconds.record(pause.as_secs_f64(), &[]);
         }
     }
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -9,15 +9,15 @@
 use kernel::{Clock, EndpointId, RequestId};
 use route::{Denial, Failure};
 
-use crate::allowance::{Allowance, Weight};
-use crate::{Attempt, Event, Field, Log, Metrics, Outcome, Report, Smooth, Value};
+use crate::line_limiter::{LineLimiter, LinePriority};
+use crate::{Attempt, AttemptSummary, Event, Field, Log, Metrics, Outcome, Report, Value};
 
 /// Records requests, attempts and events in the log and the metrics, without blocking.
 pub struct Recorder {
     log: Log,
     metrics: Arc<Metrics>,
     clock: Arc<dyn Clock>,
-    allowance: RefCell<Allowance>,
+    line_limiter: RefCell<LineLimiter>,
 }
 
 impl Recorder {
@@ -28,7 +28,7 @@
             log,
             metrics,
             clock,
-            allowance: RefCell::default(),
+            line_limiter: RefCell::default(),
         }
     }
 
@@ -40,14 +40,14 @@
 
     /// Logs an event, unless the rate limit is reached.
     pub fn say(&self, event: Event, fields: &[Field<'_>]) {
-        if self.may_write(Weight::Notable) {
+        if self.may_write(LinePriority::Notable) {
             self.log.write(event, fields);
         }
     }
 
     /// Logs how many lines were dropped, if any. It must be called every second.
     pub fn say_dropped(&self) {
-        let dropped = self.allowance.borrow_mut().take_dropped();
+        let dropped = self.line_limiter.borrow_mut().take_dropped();
         if dropped > 0 {
             self.metrics.lines_dropped(dropped);
             self.log
@@ -56,7 +56,7 @@
     }
 
     /// Records the end of a request.
-    pub fn request(&self, report: &Report<'_>) {
+    pub fn record_request(&self, report: &Report<'_>) {
         self.metrics.request(report);
         let (event, reason) = match report.outcome {
             Outcome::Answered => (Event::Answered, None),
@@ -65,10 +65,11 @@
             Outcome::Failed(Failure::NotRun { .. }) => (Event::Refused, None),
             Outcome::Failed(Failure::Passed) => (Event::Passed, None),
             Outcome::Failed(_) => (Event::Failed, Some(report.outcome.name().to_owned())),
-            Outcome::Gone => (Event::CallerGone, None),
+            Outcome::CallerGone => (Event::CallerGone, None),
         };
-        let is_ordinary = report.outcome == Outcome::Answered && report.smooth == Smooth::Yes;
-        if !self.may_write(weight(is_ordinary, report.id)) {
+        let is_routine = report.outcome == Outcome::Answered
+            && report.attempt_summary == AttemptSummary::NoneFailed;
+        if !self.may_write(priority(is_routine, report.id)) {
             return;
         }
         let retry_after = match report.outcome {
@@ -80,17 +81,17 @@
             event,
             &[
                 ("request", Value::Text(report.id)),
-                ("print", words(report.print.as_ref())),
-                ("route", words(report.route.as_ref())),
-                ("customer", words(report.customer.as_ref())),
-                ("reason", words(reason.as_ref())),
+                ("print", optional_text(report.print.as_ref())),
+                ("route", optional_text(report.route.as_ref())),
+                ("customer", optional_text(report.customer.as_ref())),
+                ("reason", optional_text(reason.as_ref())),
                 ("status", Value::Count(report.status.into())),
                 ("attempts", Value::Count(report.attempts.into())),
                 ("events", Value::Count(report.events)),
                 ("trail", Value::Text(&report.trail)),
-                ("config", Value::count(report.config)),
-                ("first_ms", Value::time(report.first)),
-                ("pause_ms", Value::time(report.pause)),
+                ("config", Value::count(report.config_version)),
+                ("first_ms", Value::time(report.time_to_first_byte)),
+                ("pause_ms", Value::time(report.max_pause)),
                 ("retry_after_ms", Value::time(retry_after)),
                 ("ms", Value::Time(report.total)),
             ],
@@ -98,11 +99,11 @@
     }
 
     /// Records the end of an attempt.
-    pub fn attempt(&self, attempt: &Attempt<'_>) {
+    pub fn record_attempt(&self, attempt: &Attempt<'_>) {
         self.metrics.attempt(attempt.ending);
         self.metrics.strays(attempt.strays);
-        let is_ordinary = Smooth::from(attempt.ending) == Smooth::Yes;
-        if !self.may_write(weight(is_ordinary, attempt.id)) {
+        let is_routine = AttemptSummary::from(attempt.ending) == AttemptSummary::NoneFailed;
+        if !self.may_write(priority(is_routine, attempt.id)) {
             return;
         }
         let placement = attempt.placement;
@@ -114,32 +115,32 @@
                 ("attempt", Value::Count(attempt.number.into())),
                 ("endpoint", Value::Text(&placement.id)),
                 ("address", Value::Text(&placement.address)),
-                ("model", words(placement.model.as_ref())),
-                ("release", words(placement.side.as_ref())),
+                ("model", optional_text(placement.model.as_ref())),
+                ("release", optional_text(placement.side.as_ref())),
                 ("ending", Value::Text(&attempt.ending)),
                 ("status", Value::count(attempt.status.map(u64::from))),
                 (
                     "confidence",
                     Value::count(attempt.confidence.map(u64::from)),
                 ),
-                ("withheld", words(attempt.withheld.as_ref())),
+                ("withheld", optional_text(attempt.withheld.as_ref())),
                 ("leaving", Value::flag(attempt.is_leaving)),
                 ("last_event", Value::count(attempt.last_event)),
-                ("connection", words(attempt.connection.as_ref())),
+                ("connection", optional_text(attempt.connection.as_ref())),
                 ("strays", Value::Count(attempt.strays.into())),
                 ("candidates", Value::Count(placement.candidates as u64)),
-                ("used", Value::Share(placement.used)),
+                ("used", Value::Ratio(placement.used)),
                 ("load_age_ms", Value::time(placement.load_age)),
                 ("listing_age_ms", Value::time(placement.listing_age)),
-                ("config", Value::count(attempt.config)),
-                ("left_ms", Value::Time(attempt.left)),
+                ("config", Value::count(attempt.config_version)),
+                ("left_ms", Value::Time(attempt.time_left)),
                 ("ms", Value::Time(attempt.took)),
             ],
         );
     }
 
     /// Records whether a connection to an endpoint could be opened.
-    pub fn connect(&self, endpoint: &EndpointId, took: Duration, result: &io::Result<()>) {
+    pub fn record_connect(&self, endpoint: &EndpointId, took: Duration, result: &io::Result<()>) {
         self.metrics.connect(result.is_ok());
         if let Err(err) = result {
             self.say(
@@ -153,20 +154,20 @@
         }
     }
 
-    fn may_write(&self, weight: Weight) -> bool {
+    fn may_write(&self, priority: LinePriority) -> bool {
         let now = self.clock.now();
-        self.allowance.borrow_mut().take(now, weight)
+        self.line_limiter.borrow_mut().take(now, priority)
     }
 }
 
-/// One in `SAMPLE` requests without failures is logged, with all its attempts.
-const SAMPLE: u64 = 50;
+/// One in `SAMPLE_INTERVAL` requests without failures is logged, with all its attempts.
+const SAMPLE_INTERVAL: u64 = 50;
 
-fn weight(is_ordinary: bool, id: &RequestId) -> Weight {
-    match (is_ordinary, is_sampled(id)) {
-        (false, _) => Weight::Notable,
-        (true, true) => Weight::Sample,
-        (true, false) => Weight::Ordinary,
+fn priority(is_routine: bool, id: &RequestId) -> LinePriority {
+    match (is_routine, is_sampled(id)) {
+        (false, _) => LinePriority::Notable,
+        (true, true) => LinePriority::Sampled,
+        (true, false) => LinePriority::Routine,
     }
 }
 
@@ -174,9 +175,9 @@
 fn is_sampled(id: &RequestId) -> bool {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
-    hasher.finish().is_multiple_of(SAMPLE)
+    hasher.finish().is_multiple_of(SAMPLE_INTERVAL)
 }
 
-fn words<T: std::fmt::Display>(value: Option<&T>) -> Value<'_> {
+fn optional_text<T: std::fmt::Display>(value: Option<&T>) -> Value<'_> {
     value.map_or(Value::Unknown, |it| Value::Text(it))
 }
--- a/crates/telemetry/src/report.rs
+++ b/crates/telemetry/src/report.rs
@@ -21,9 +21,9 @@
     /// The status that was sent to the caller, or 0 if there was none.
     pub status: u16,
     /// The time from the request's head to the first part of an endpoint's response.
-    pub first: Option<Duration>,
+    pub time_to_first_byte: Option<Duration>,
     /// The longest time between two parts of the response.
-    pub pause: Option<Duration>,
+    pub max_pause: Option<Duration>,
     /// The time from the request's head to its end.
     pub total: Duration,
     /// The number of attempts.
@@ -34,9 +34,9 @@
     /// Its attempts in order, each with the endpoint, the ending and the milliseconds.
     pub trail: &'a str,
     /// Whether any attempt failed.
-    pub smooth: Smooth,
+    pub attempt_summary: AttemptSummary,
     /// The version of the configuration in force.
-    pub config: Option<u64>,
+    pub config_version: Option<u64>,
 }
 
 /// How a request ended.
@@ -51,24 +51,24 @@
     /// It ended without a complete response of an endpoint.
     Failed(Failure),
     /// The caller disconnected.
-    Gone,
+    CallerGone,
 }
 
 /// Whether any attempt of a request failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Smooth {
+pub enum AttemptSummary {
     /// Each attempt got a response, which may have been discarded for a larger model's.
     #[default]
-    Yes,
+    NoneFailed,
     /// At least one attempt failed.
-    No,
+    SomeFailed,
 }
 
-impl From<Ending> for Smooth {
+impl From<Ending> for AttemptSummary {
     fn from(ending: Ending) -> Self {
         match ending {
-            Ending::Answered | Ending::Unsure => Self::Yes,
-            _ => Self::No,
+            Ending::Answered | Ending::Unsure => Self::NoneFailed,
+            _ => Self::SomeFailed,
         }
     }
 }
@@ -89,9 +89,9 @@
     /// How long it took.
     pub took: Duration,
     /// The time left until the request's deadline when the attempt began.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The version of the configuration in force.
-    pub config: Option<u64>,
+    pub config_version: Option<u64>,
     /// The model's confidence in its response, from 0 to 100.
     pub confidence: Option<u8>,
     /// Whether the response stated that the endpoint is leaving.
@@ -117,7 +117,7 @@
     Opened,
     /// Reused after an earlier request.
     #[display("kept")]
-    Kept,
+    Reused,
 }
 
 impl Outcome {
@@ -132,7 +132,7 @@
             Self::Failed(Failure::Passed) => "passed",
             Self::Failed(Failure::Lost) => "lost",
             Self::Failed(Failure::Late) => "late",
-            Self::Gone => "caller_gone",
+            Self::CallerGone => "caller_gone",
         }
     }
 }
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -12,7 +12,7 @@
 use telemetry::{CATALOGUE, Event, Gauges, Metrics};
 
 #[test]
-fn the_event_page_lists_every_event() {
+fn event_page_lists_every_event() {
     let mut page = String::from(
         "# Events of a relaying host\n\nWhat `barleypin-platform` logs on standard output, a JSON object a line. Numbers are never reused. How to use them: [OPERATIONS](../OPERATIONS.md). Key material is never among the fields.\n\n| number | level | name | message |\n|---|---|---|---|\n",
     );
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn event_numbers_rise_and_are_unique() {
+fn event_numbers_are_strictly_increasing() {
     let numbers: Vec<u16> = Event::ALL.iter().map(|it| it.number()).collect();
     assert!(numbers.is_sorted_by(|a, b| a < b), "{numbers:?}");
 }
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_metrics_page_lists_every_metric() {
+fn metrics_page_lists_every_metric() {
     let mut page = String::from(
         "# Metrics of a relaying host\n\n`barleypin-platform` answers any request at its metrics address in Prometheus' text. Times are in seconds. Every reason of a refusal or retry is there as zero from the start.\n\n| metric | tells |\n|---|---|\n",
     );
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn all_that_is_catalogued_is_served_and_nothing_else() {
+fn exported_metrics_match_the_catalogue() {
     let metrics = Metrics::new();
     metrics.set(&Gauges {
         budgets: vec![("pool".to_owned(), 3.0)],
@@ -96,23 +96,23 @@
         customer: None,
         outcome: telemetry::Outcome::Answered,
         status: 200,
-        first: Some(Duration::from_millis(3)),
-        pause: Some(Duration::from_millis(2)),
+        time_to_first_byte: Some(Duration::from_millis(3)),
+        max_pause: Some(Duration::from_millis(2)),
         total: Duration::from_millis(9),
         attempts: 1,
         events: 0,
         trail: "",
-        smooth: telemetry::Smooth::Yes,
-        config: None,
+        attempt_summary: telemetry::AttemptSummary::NoneFailed,
+        config_version: None,
     };
-    recorder.request(&report);
-    recorder.connect(&"i-1".into(), Duration::ZERO, &Ok(()));
+    recorder.record_request(&report);
+    recorder.record_connect(&"i-1".into(), Duration::ZERO, &Ok(()));
     let text = recorder.metrics().text();
-    let served: BTreeSet<&str> = text
+    let exported: BTreeSet<&str> = text
         .lines()
         .filter_map(|it| it.strip_prefix("# TYPE "))
         .filter_map(|it| it.split(' ').next())
         .collect();
-    let catalogued: BTreeSet<&str> = CATALOGUE.iter().map(|it| it.0).collect();
-    assert_eq!(served, catalogued);
+    let expected: BTreeSet<&str> = CATALOGUE.iter().map(|it| it.0).collect();
+    assert_eq!(exported, expected);
 }
--- a/crates/telemetry/tests/bounds.rs
+++ b/crates/telemetry/tests/log_limits.rs
@@ -1,4 +1,4 @@
-//! The rate limit of the log.
+//! The limits of the log.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
@@ -7,7 +7,7 @@
 
 use kernel::{ManualClock, RequestId};
 use route::Failure;
-use telemetry::{Log, Metrics, Outcome, Recorder, Report, Smooth};
+use telemetry::{AttemptSummary, Log, Metrics, Outcome, Recorder, Report};
 
 #[derive(Clone, Default)]
 struct Sink(Arc<Mutex<Vec<u8>>>);
@@ -60,24 +60,24 @@
         customer: Some("studio"),
         outcome,
         status: 200,
-        first: None,
-        pause: None,
+        time_to_first_byte: None,
+        max_pause: None,
         total: Duration::from_millis(9),
         attempts: 1,
         events: 0,
         trail: "i-1 answered 9",
-        smooth: Smooth::Yes,
-        config: Some(7),
+        attempt_summary: AttemptSummary::NoneFailed,
+        config_version: Some(7),
     }
 }
 
 /// A failing service must not flood the log: lines are limited, and those dropped are counted.
 #[test]
-fn a_flood_of_failures_is_bounded_and_told() {
+fn flood_of_failures_is_limited_and_counted() {
     let (recorder, sink, clock) = recorder();
     let lost = Outcome::Failed(Failure::Lost);
     for nr in 0..5_000 {
-        recorder.request(&report(&RequestId::from(format!("q{nr}")), lost));
+        recorder.record_request(&report(&RequestId::from(format!("q{nr}")), lost));
     }
     clock.advance(Duration::from_secs(2));
     recorder.say_dropped();
@@ -92,10 +92,10 @@
 }
 
 #[test]
-fn ordinary_requests_are_sampled() {
+fn requests_without_failures_are_sampled() {
     let (recorder, sink, _) = recorder();
     for nr in 0..5_000 {
-        recorder.request(&report(
+        recorder.record_request(&report(
             &RequestId::from(format!("q{nr}")),
             Outcome::Answered,
         ));
@@ -106,9 +106,9 @@
 
 /// A log whose output nobody reads must not block requests.
 #[test]
-fn a_reader_that_stopped_stops_nothing() {
-    struct Stuck;
-    impl Write for Stuck {
+fn blocked_log_output_does_not_block_requests() {
+    struct BlockedSink;
+    impl Write for BlockedSink {
         fn write(&mut self, _: &[u8]) -> io::Result<usize> {
             loop {
                 sleep(Duration::from_mins(1));
@@ -121,14 +121,14 @@
     let clock = Arc::<ManualClock>::default();
     let metrics = Arc::<Metrics>::default();
     let recorder = Recorder::new(
-        Log::to("edge-1", Stuck),
+        Log::to("edge-1", BlockedSink),
         Arc::clone(&metrics),
         clock.clone(),
     );
     for nr in 0..20_000 {
         clock.advance(Duration::from_millis(10));
         let lost = Outcome::Failed(Failure::Lost);
-        recorder.request(&report(&RequestId::from(format!("q{nr}")), lost));
+        recorder.record_request(&report(&RequestId::from(format!("q{nr}")), lost));
     }
     assert!(
         metrics
