--- a/crates/forward/src/caller.rs
+++ b/crates/forward/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: one request after the other.
+//! Serves a caller's connection, one request after the other.
 
 use std::iter;
 use std::rc::Rc;
@@ -11,55 +11,55 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use route::config::Limits;
 
-use crate::answer::{Answer, Notice};
 use crate::conn::Conn;
+use crate::response_writer::{LocalResponse, ResponseWriter};
 use crate::serve::serve;
 use crate::{Dialect, Node, Phase};
 
-/// What a caller may send ahead while its request is worked on, in bytes. It
-/// stays in the caller's socket beyond that.
-const MAX_AHEAD: usize = 64 * 1024;
-/// How long the rest of a body may stay away.
-const BODY_PAUSE: Duration = Duration::from_secs(3);
+/// The number of pipelined bytes that are buffered while a request is served. Further
+/// bytes stay in the socket.
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
+/// The longest time between two reads of a request body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A request, whole.
+/// A complete request.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) head: request::Head,
     pub(crate) body: Vec<u8>,
-    /// When its head was there.
+    /// When the head was complete.
     pub(crate) arrived: Duration,
 }
 
-/// What comes on a connection.
+/// The result of reading from a caller's connection.
 enum Incoming {
     Request(Box<Request>),
-    /// What breaks a limit or the protocol, and the status to say so.
+    /// A request that violates a limit or the protocol, and the status of the response.
     Rejected(u16),
-    /// The caller closed, or stayed idle for too long.
+    /// The caller closed the connection, or it was idle for too long.
     End,
 }
 
-/// Whether a connection takes another request.
+/// Whether a connection stays open for another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Keep {
-    Open,
+pub(crate) enum Persistence {
+    KeepAlive,
     Close,
 }
 
-pub(crate) async fn converse<D: Dialect>(node: &Rc<Node<D>>, mut conn: Conn) {
+pub(crate) async fn serve_connection<D: Dialect>(node: &Rc<Node<D>>, mut conn: Conn) {
     loop {
         let limits = limits(node);
-        let keep = match read(node, &mut conn, &limits).await {
+        let persistence = match read(node, &mut conn, &limits).await {
             Incoming::End => return,
             Incoming::Rejected(status) => {
-                let mut answer = Answer::new(conn.writer(), None, Keep::Close);
-                answer.notice(Notice::of(status)).await;
-                Keep::Close
+                let mut response = ResponseWriter::new(conn.writer(), None, Persistence::Close);
+                response.send_local(LocalResponse::of(status)).await;
+                Persistence::Close
             }
-            Incoming::Request(request) => attend(node, &mut conn, *request).await,
+            Incoming::Request(request) => serve_request(node, &mut conn, *request).await,
         };
-        if keep == Keep::Close {
+        if persistence == Persistence::Close {
             return linger(conn, node.timing.linger).await;
         }
     }
@@ -72,30 +72,34 @@
         .map_or_else(Limits::default, |it| it.limits.clone())
 }
 
-/// Serves a request unless its caller leaves meanwhile.
-async fn attend<D: Dialect>(node: &Rc<Node<D>>, conn: &mut Conn, request: Request) -> Keep {
-    let _busy = node.count_busy();
-    let keep = if request.head.keep && node.phase() == Phase::Serving {
-        Keep::Open
+/// Serves a request, and cancels it if the caller disconnects.
+async fn serve_request<D: Dialect>(
+    node: &Rc<Node<D>>,
+    conn: &mut Conn,
+    request: Request,
+) -> Persistence {
+    let _busy = node.track_request();
+    let persistence = if request.head.keep && node.phase() == Phase::Serving {
+        Persistence::KeepAlive
     } else {
-        Keep::Close
+        Persistence::Close
     };
-    let answer = Answer::new(conn.writer(), Some(&request.head), keep);
-    let work = serve(node, &request, answer);
-    // Polled by its own wake-ups only: a read that finds nothing costs two
-    // system calls, and the work wakes up for each event of a stream.
-    let mut left: FuturesUnordered<_> = iter::once(left(conn)).collect();
+    let response = ResponseWriter::new(conn.writer(), Some(&request.head), persistence);
+    let work = serve(node, &request, response);
+    // `FuturesUnordered` polls the read only after its own wake-ups. A read without data
+    // costs two system calls, and `work` is woken for each event of a stream.
+    let mut closed: FuturesUnordered<_> = iter::once(closed(conn)).collect();
     pin_mut!(work);
-    match select(work, left.next()).await {
-        Either::Left((Ok(()), _)) => keep,
-        // A caller that left needs no answer, and what was cut must not look whole.
-        Either::Left((Err(_), _)) | Either::Right(_) => Keep::Close,
+    match select(work, closed.next()).await {
+        Either::Left((Ok(()), _)) => persistence,
+        // The caller has disconnected, or has a truncated response that must not look complete.
+        Either::Left((Err(_), _)) | Either::Right(_) => Persistence::Close,
     }
 }
 
-/// Completes when the caller closed its side or the connection broke.
-async fn left(conn: &mut Conn) {
-    while conn.unread().len() < MAX_AHEAD {
+/// Completes when the caller has closed the connection or it failed.
+async fn closed(conn: &mut Conn) {
+    while conn.unread().len() < MAX_PIPELINED_BYTES {
         if !matches!(conn.fill().await, Ok(1..)) {
             return;
         }
@@ -133,7 +137,7 @@
 
 async fn read_head(conn: &mut Conn, max: usize) -> Result<request::Head, Incoming> {
     loop {
-        // An empty line before a request is left over from the one before.
+        // Some clients send an extra CRLF after a request body (RFC 9112, section 2.2).
         while conn.unread().starts_with(b"\r\n") {
             conn.consume(2);
         }
@@ -174,7 +178,7 @@
         if decoder.is_done() {
             return Ok(body);
         }
-        match timeout(BODY_PAUSE, conn.fill()).await {
+        match timeout(BODY_READ_TIMEOUT, conn.fill()).await {
             Ok(Ok(1..)) => {}
             Ok(_) => return Err(Incoming::End),
             Err(_) => return Err(Incoming::Rejected(408)),
@@ -182,16 +186,16 @@
     }
 }
 
-/// Closes without losing the answer: closing with unread bytes resets the
-/// connection, and the caller may then never read what was sent.
+/// Closes the connection after reading what the caller still sends. Closing with unread
+/// bytes resets the connection, and the caller may lose the response.
 async fn linger(mut conn: Conn, limit: Duration) {
-    conn.end();
+    conn.shutdown_write();
     let drain = async {
         while matches!(conn.fill().await, Ok(1..)) {
             let len = conn.unread().len();
             conn.consume(len);
         }
     };
-    // The caller has had its time either way.
+    // The connection is closed in either case.
     let _ = timeout(limit, drain).await;
 }
--- a/crates/forward/src/pool.rs
+++ b/crates/forward/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to endpoints.
+//! The pool of idle connections to endpoints.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,15 +8,15 @@
 
 use crate::conn::Conn;
 
-/// The most idle connections that are kept to one endpoint. Hosts share what an
-/// endpoint accepts, and an idle connection of one is missing to another.
-const MOST_IDLE: usize = 8;
-/// Taken off the time for which an endpoint says that it keeps a connection:
-/// whole seconds are told, and the request still has to get there.
-const MARGIN: Duration = Duration::from_millis(500);
+/// The maximum number of idle connections to one endpoint. The hosts share the connections
+/// that an endpoint accepts, and idle ones of this host are unavailable to the others.
+const MAX_IDLE_PER_ENDPOINT: usize = 8;
+/// Subtracted from an endpoint's keep-alive time, which is in whole seconds and doesn't
+/// account for the time that a request takes to arrive.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Idle connections to endpoints. An endpoint's new life has a key of its own,
-/// so a connection never leads to another process than it was opened to.
+/// Idle connections to endpoints. A restarted endpoint has a new key, so a connection is
+/// never used for another process than the one that it was opened to.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: RefCell<HashMap<Key, Vec<Idle>>>,
@@ -26,16 +26,17 @@
 struct Idle {
     conn: Conn,
     since: Duration,
-    until: Duration,
+    expires: Duration,
 }
 
 impl Pool {
-    /// Takes the connection that was used last, if it was within `max_idle`.
+    /// Takes the most recently used connection, unless it has been idle for longer than
+    /// `max_idle`.
     pub(crate) fn take(&self, now: Duration, endpoint: Key, max_idle: Duration) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         let conns = idle.get_mut(&endpoint)?;
         while let Some(mut it) = conns.pop() {
-            if now >= it.until || !it.conn.is_quiet() {
+            if now >= it.expires || !it.conn.is_reusable() {
                 continue;
             }
             if now.saturating_sub(it.since) > max_idle {
@@ -47,26 +48,36 @@
         None
     }
 
-    /// Keeps a connection for the next request.
-    pub(crate) fn put(&self, now: Duration, endpoint: Key, conn: Conn, keeps: Option<Duration>) {
-        // An endpoint may name any time at all.
-        let until = keeps.map_or(Duration::MAX, |it| {
-            now.saturating_add(it.saturating_sub(MARGIN))
+    /// Adds an idle connection, and closes the oldest one if there are too many.
+    pub(crate) fn put(
+        &self,
+        now: Duration,
+        endpoint: Key,
+        conn: Conn,
+        keep_alive: Option<Duration>,
+    ) {
+        // The time is the endpoint's and may be too large to add to `now`.
+        let expires = keep_alive.map_or(Duration::MAX, |it| {
+            now.saturating_add(it.saturating_sub(KEEP_ALIVE_MARGIN))
         });
         let mut idle = self.idle.borrow_mut();
         let conns = idle.entry(endpoint).or_default();
-        if conns.len() >= MOST_IDLE {
+        if conns.len() >= MAX_IDLE_PER_ENDPOINT {
             conns.remove(0);
         }
         let since = now;
-        conns.push(Idle { conn, since, until });
+        conns.push(Idle {
+            conn,
+            since,
+            expires,
+        });
     }
 
-    /// Closes connections that are too old to be used.
+    /// Closes connections that are too old to be reused.
     pub(crate) fn sweep(&self, now: Duration, max_idle: Duration) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, conns| {
-            conns.retain(|it| now < it.until && now.saturating_sub(it.since) <= max_idle);
+            conns.retain(|it| now < it.expires && now.saturating_sub(it.since) <= max_idle);
             !conns.is_empty()
         });
     }
--- /dev/null
+++ b/crates/forward/src/probe.rs
@@ -0,0 +1,65 @@
+//! Probes endpoints whose connections broke, to find out whether their process has ended.
+
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_std::task::sleep;
+use kernel::EndpointId;
+use route::endpoint::Key;
+
+use crate::conn::Conn;
+use crate::{Dialect, Node};
+
+/// The timeout for opening a probe's connection. Longer, and a request that crashes
+/// endpoints is quarantined too late.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long a connection must stay open to show that the endpoint is alive: connections
+/// to a process that is about to end may still be accepted.
+const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
+/// The number of probes when the endpoint closes the connection or doesn't respond, since
+/// the first packet may be lost.
+const MAX_PROBES: u32 = 3;
+
+/// Starts a probe of each endpoint that may have ended since the last call.
+pub(crate) fn probe_candidates<D: Dialect>(node: &Rc<Node<D>>) {
+    let candidates = node.router().take_doubted();
+    for (key, id, address) in candidates {
+        if node.probing.borrow_mut().insert(key) {
+            let shared = Rc::clone(node);
+            node.spawn(async move {
+                probe(&shared, key, &id, address).await;
+                shared.probing.borrow_mut().remove(&key);
+            });
+        }
+    }
+}
+
+/// Finds out whether an endpoint's process has ended. A refused connection proves it, since
+/// nothing listens there; a timeout doesn't, since the network may be partitioned.
+async fn probe<D: Dialect>(node: &Node<D>, key: Key, id: &EndpointId, address: SocketAddr) {
+    for _ in 0..MAX_PROBES {
+        let began = node.now();
+        let opened = Conn::open(address, CONNECT_TIMEOUT).await;
+        let took = node.now().saturating_sub(began);
+        match opened {
+            Ok(mut conn) => {
+                node.recorder.record_connect(id, took, &Ok(()));
+                sleep(MIN_OPEN_TIME).await;
+                if conn.is_reusable() {
+                    node.pool.put(node.now(), key, conn, None);
+                    return node.router().stands(key);
+                }
+            }
+            Err(err) => {
+                let is_refused = err.kind() == ErrorKind::ConnectionRefused;
+                node.recorder.record_connect(id, took, &Err(err));
+                if is_refused {
+                    let now = node.now();
+                    return node.router().ended(now, key);
+                }
+            }
+        }
+    }
+}
--- a/crates/forward/src/serve.rs
+++ b/crates/forward/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request, from its arrival to its end.
+//! Serves one request: admission, attempts and the final report.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::fmt::Write;
@@ -9,70 +9,70 @@
 use kernel::RequestId;
 use route::config::{Customer, Route};
 use route::{Arrival, Call, Denial, Ending, Failure, Next, Placement, Print};
-use telemetry::{Event, Outcome, Report, Smooth, Value};
+use telemetry::{AttemptSummary, Event, Outcome, Report, Value};
 
-use crate::answer::{Answer, Notice};
-use crate::attempt::{Attempt, Result as AttemptResult};
+use crate::attempt::{Attempt, AttemptOutcome};
 use crate::caller::Request;
-use crate::{Asked, Dialect, Node, Phase, doubt};
+use crate::response_writer::{LocalResponse, ResponseWriter};
+use crate::{Asked, Dialect, Node, Phase, probe};
 
-/// The caller has no whole answer on this connection, and can't get one.
+/// The response is incomplete and can't be completed; the connection must be closed.
 #[derive(Debug)]
-pub(crate) struct Cut;
+pub(crate) struct ResponseAborted;
 
 pub(crate) async fn serve<D: Dialect>(
     node: &Rc<Node<D>>,
     request: &Request,
-    mut answer: Answer,
-) -> Result<(), Cut> {
+    mut response: ResponseWriter,
+) -> Result<(), ResponseAborted> {
     let asked = node.dialect.asked(&request.head);
     let Some(id) = asked.id.clone() else {
-        answer.notice(Notice::of(400)).await;
+        response.send_local(LocalResponse::of(400)).await;
         return Ok(());
     };
-    answer.echo = Some((node.dialect.id_field(), id.as_str().to_owned()));
-    let record = Record::new(node, request, &id);
-    node.settle().await;
+    response.request_id = Some((node.dialect.id_field(), id.as_str().to_owned()));
+    let record = RequestRecord::new(node, request, &id);
+    node.wait_until_configured().await;
     let mut call = match admit(node, request, &asked, &id) {
         Ok(call) => call,
         Err(outcome) => {
             if let Outcome::Denied(Denial::Quarantined { print, .. }) = outcome {
                 record.progress.print.set(Some(print));
             }
-            let notice = notice_of(outcome);
-            answer.notice(notice).await;
-            record.end(outcome, notice.status);
+            let local = local_response(outcome);
+            response.send_local(local).await;
+            record.end(outcome, local.status);
             return Ok(());
         }
     };
     if call.route.is_stream() && !request.head.reads_chunks {
-        // Without chunks a stream ends with its connection, and one that is cut off looks
-        // like a whole one.
-        answer.notice(Notice::of(505)).await;
-        record.end(Outcome::Rejected, answer.status);
+        // Without chunked encoding the end of the connection marks the end of a stream, and
+        // the caller can't tell a truncated stream from a complete one.
+        response.send_local(LocalResponse::of(505)).await;
+        record.end(Outcome::Rejected, response.status);
         return Ok(());
     }
     record.progress.print.set(Some(call.print));
-    // Set once: the request has one route.
+    // This is the only place that sets the route.
     let _ = record
         .progress
         .route
         .set((call.route.clone(), call.customer.clone()));
-    let outcome = attempts(&record, request, &asked, &mut call, &mut answer).await;
+    let outcome = run_attempts(&record, request, &asked, &mut call, &mut response).await;
     let result = match outcome {
-        Outcome::Failed(_) if call.has_begun() => Err(Cut),
-        Outcome::Gone => Err(Cut),
+        Outcome::Failed(_) if call.has_begun() => Err(ResponseAborted),
+        Outcome::CallerGone => Err(ResponseAborted),
         _ => Ok(()),
     };
-    record.end(outcome, answer.status);
+    record.end(outcome, response.status);
     result
 }
 
-fn notice_of(outcome: Outcome) -> Notice {
+fn local_response(outcome: Outcome) -> LocalResponse {
     match outcome {
         Outcome::Denied(denial) => denial.into(),
         Outcome::Failed(failure) => failure.into(),
-        Outcome::Answered | Outcome::Rejected | Outcome::Gone => Notice::of(400),
+        Outcome::Answered | Outcome::Rejected | Outcome::CallerGone => LocalResponse::of(400),
     }
 }
 
@@ -104,12 +104,12 @@
     }
 }
 
-async fn attempts<D: Dialect>(
-    record: &Record<'_, D>,
+async fn run_attempts<D: Dialect>(
+    record: &RequestRecord<'_, D>,
     request: &Request,
     asked: &Asked,
     call: &mut Call,
-    answer: &mut Answer,
+    response: &mut ResponseWriter,
 ) -> Outcome {
     let node = record.node;
     let mut last_event = asked.last_event;
@@ -117,7 +117,7 @@
         let now = node.now();
         let Some(placement) = node.router().place(now, call) else {
             let failure = node.router().unplaced(now, call);
-            return fail(call, answer, failure).await;
+            return send_failure(call, response, failure).await;
         };
         let attempt = Attempt {
             node,
@@ -127,37 +127,40 @@
             progress: &record.progress,
             last_event: &mut last_event,
         };
-        let result = attempt.run(call, answer).await;
+        let result = attempt.run(call, response).await;
         match result {
-            AttemptResult::Delivered => return Outcome::Answered,
-            AttemptResult::CallerGone => return Outcome::Gone,
-            AttemptResult::Ended {
+            AttemptOutcome::Delivered => return Outcome::Answered,
+            AttemptOutcome::CallerGone => return Outcome::CallerGone,
+            AttemptOutcome::Ended {
                 flight,
                 ending,
-                parked,
+                error_response,
             } => {
                 let next = node.router().end(node.now(), call, *flight, ending);
-                tell_rested(node);
-                doubt::ask(node);
-                match (next, parked) {
+                report_ejections(node);
+                probe::probe_candidates(node);
+                match (next, error_response) {
                     (Next::Again, _) => node.recorder.metrics().retry(ending),
                     (Next::Fail(Failure::Passed), Some(whole)) => {
-                        return match answer.whole(&node.dialect, &whole.head, &whole.body).await {
+                        return match response
+                            .send_buffered(&node.dialect, &whole.head, &whole.body)
+                            .await
+                        {
                             Ok(()) => Outcome::Failed(Failure::Passed),
-                            Err(_) => Outcome::Gone,
+                            Err(_) => Outcome::CallerGone,
                         };
                     }
-                    (Next::Fail(failure), _) => return fail(call, answer, failure).await,
+                    (Next::Fail(failure), _) => return send_failure(call, response, failure).await,
                 }
             }
         }
     }
 }
 
-/// Says which endpoints are left alone from now on.
-fn tell_rested<D: Dialect>(node: &Node<D>) {
-    let rested = node.router().take_rested();
-    for (id, reason) in rested {
+/// Logs and counts the endpoints that were ejected since the last call.
+fn report_ejections<D: Dialect>(node: &Node<D>) {
+    let ejected = node.router().take_rested();
+    for (id, reason) in ejected {
         node.recorder.metrics().ejection(reason);
         node.recorder.say(
             Event::EndpointResting,
@@ -169,17 +172,17 @@
     }
 }
 
-async fn fail(call: &Call, answer: &mut Answer, failure: Failure) -> Outcome {
-    // Where a part of a stream has gone out the connection's end has to tell.
+async fn send_failure(call: &Call, response: &mut ResponseWriter, failure: Failure) -> Outcome {
+    // Once a stream has started, only closing the connection can signal the failure.
     if !call.has_begun() {
-        answer.notice(failure.into()).await;
+        response.send_local(failure.into()).await;
     }
     Outcome::Failed(failure)
 }
 
-/// Reports a request's end, also when its caller leaves in the middle and its
-/// work is dropped.
-struct Record<'a, D: Dialect> {
+/// Reports the end of a request, also when the future that serves it is dropped because
+/// the caller disconnected.
+struct RequestRecord<'a, D: Dialect> {
     node: &'a Rc<Node<D>>,
     id: &'a RequestId,
     arrived: Duration,
@@ -187,38 +190,38 @@
     ended: Cell<bool>,
 }
 
-/// How far a request has come.
+/// The progress of a request, for its final report.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
     route: OnceCell<(Arc<Route>, Option<Arc<Customer>>)>,
     print: Cell<Option<Print>>,
     pub(crate) attempts: Cell<u32>,
-    /// When the first part of an endpoint's answer went out.
-    pub(crate) first: Cell<Option<Duration>>,
-    /// The longest pause between two parts.
-    pub(crate) pause: Cell<Option<Duration>>,
-    /// How many events of a stream were written to the caller.
+    /// When the first part of an endpoint's response was written to the caller.
+    pub(crate) first_byte: Cell<Option<Duration>>,
+    /// The longest time between two parts of the response.
+    pub(crate) max_pause: Cell<Option<Duration>>,
+    /// Events of a stream written to the caller.
     pub(crate) events: Cell<u64>,
     trail: RefCell<String>,
-    smooth: Cell<Smooth>,
+    attempt_summary: Cell<AttemptSummary>,
 }
 
 impl Progress {
-    /// Takes the end of an attempt.
-    pub(crate) fn note(&self, placement: &Placement, ending: Ending, took: Duration) {
+    /// Appends an attempt to the trail.
+    pub(crate) fn record_attempt(&self, placement: &Placement, ending: Ending, took: Duration) {
         let mut trail = self.trail.borrow_mut();
         if !trail.is_empty() {
             trail.push_str(", ");
         }
-        // Writing to a string doesn't fail.
+        // Writing to a `String` can't fail.
         let _ = write!(trail, "{} {ending} {}", placement.id, took.as_millis());
-        if Smooth::from(ending) == Smooth::No {
-            self.smooth.set(Smooth::No);
+        if AttemptSummary::from(ending) == AttemptSummary::SomeFailed {
+            self.attempt_summary.set(AttemptSummary::SomeFailed);
         }
     }
 }
 
-impl<'a, D: Dialect> Record<'a, D> {
+impl<'a, D: Dialect> RequestRecord<'a, D> {
     fn new(node: &'a Rc<Node<D>>, request: &Request, id: &'a RequestId) -> Self {
         Self {
             node,
@@ -234,7 +237,7 @@
         let progress = &self.progress;
         let route = progress.route.get();
         let customer = route.and_then(|it| it.1.as_ref());
-        let first = progress.first.get();
+        let first_byte = progress.first_byte.get();
         let report = Report {
             id: self.id,
             print: progress.print.get(),
@@ -242,23 +245,23 @@
             customer: customer.map(|it| it.name.as_str()),
             outcome,
             status,
-            first: first.map(|it| it.saturating_sub(self.arrived)),
-            pause: progress.pause.get(),
+            time_to_first_byte: first_byte.map(|it| it.saturating_sub(self.arrived)),
+            max_pause: progress.max_pause.get(),
             total: self.node.now().saturating_sub(self.arrived),
             attempts: progress.attempts.get(),
             events: progress.events.get(),
             trail: &progress.trail.borrow(),
-            smooth: progress.smooth.get(),
-            config: self.node.router().version(),
+            attempt_summary: progress.attempt_summary.get(),
+            config_version: self.node.router().version(),
         };
-        self.node.recorder.request(&report);
+        self.node.recorder.record_request(&report);
     }
 }
 
-impl<D: Dialect> Drop for Record<'_, D> {
+impl<D: Dialect> Drop for RequestRecord<'_, D> {
     fn drop(&mut self) {
         if !self.ended.get() {
-            self.end(Outcome::Gone, 0);
+            self.end(Outcome::CallerGone, 0);
         }
     }
 }
--- a/crates/forward/src/upstream.rs
+++ b/crates/forward/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint, with a request that is on its way.
+//! A connection to an endpoint with a request in progress.
 
 use std::io;
 
@@ -10,43 +10,43 @@
 
 use crate::conn::Conn;
 
-/// The longest head of an answer, in bytes.
-const MAX_HEAD: usize = 64 * 1024;
+/// The longest head of a response.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// A connection to an endpoint, with a request that is on its way.
+/// A connection to an endpoint with a request in progress.
 ///
-/// The rest of the request is written while the answer is read, since an
-/// endpoint may answer before it has the whole request.
+/// The request is written while the response is read, since an endpoint may respond before
+/// it has received the complete request.
 pub(crate) struct Upstream {
     conn: Conn,
     request: Vec<u8>,
     sent: usize,
-    /// How many answers came that were not waited for.
+    /// The number of stray responses: responses to other requests.
     strays: u32,
-    /// The one of them that is being read past.
+    /// The stray response that is being skipped.
     stray: Option<Stray>,
 }
 
-/// The body of an answer that nobody waits for, while it comes.
+/// The state of reading the body of a stray response.
 ///
-/// It is kept with the connection, not by whoever waits: a wait may run out in the
-/// middle of it and be begun anew, and would look for a head in the rest of the body.
-/// A sound answer behind it was lost that way.
+/// It belongs to the connection, not to the future that waits for a head: that future may
+/// time out in the middle of the body, and the next one would look for a head in the rest of
+/// the body and lose the valid response that follows.
 struct Stray {
     decoder: Decoder,
     body: Vec<u8>,
 }
 
-/// What went wrong.
+/// An error in the exchange with an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trouble {
-    /// The operating system took no byte of the request.
+pub(crate) enum UpstreamError {
+    /// The connection failed before any byte of the request was written.
     NotSent,
-    /// The connection broke after that, or what came is no answer.
+    /// The connection failed later, or the response is invalid.
     Broken,
 }
 
-impl Trouble {
+impl UpstreamError {
     pub(crate) fn ending(self) -> Ending {
         match self {
             Self::NotSent => Ending::NotSent,
@@ -56,7 +56,7 @@
 }
 
 impl Upstream {
-    /// Sends a request, which needs a permit: there is no other way to an endpoint.
+    /// Creates an exchange for the request. The permit ensures that the router has allowed it.
     pub(crate) fn new(conn: Conn, request: Vec<u8>, _: Permit) -> Self {
         Self {
             conn,
@@ -67,12 +67,13 @@
         }
     }
 
-    /// How many answers came that were not waited for.
+    /// Returns the number of stray responses.
     pub(crate) fn strays(&self) -> u32 {
         self.strays
     }
 
-    /// Reads once, writing meanwhile; 0 is the connection's end.
+    /// Reads once while writing the rest of the request, and returns the number of bytes, 0 at
+    /// the end of the connection.
     pub(crate) async fn advance(&mut self) -> io::Result<usize> {
         while self.sent < self.request.len() {
             let writer = self.conn.writer();
@@ -88,34 +89,34 @@
         self.conn.fill().await
     }
 
-    /// Waits for the next head. A wait that is given up may be begun anew.
-    pub(crate) async fn head(&mut self, method: &str) -> Result<response::Head, Trouble> {
+    /// Reads the head of the next response. It can be called again after cancellation.
+    pub(crate) async fn head(&mut self, method: &str) -> Result<response::Head, UpstreamError> {
         self.read_stray().await?;
         loop {
             let unread = self.conn.unread();
             if let Some(end) = framing::head_end(unread) {
                 let head = response::Head::parse(&unread[..end], method);
                 self.conn.consume(end);
-                return head.map_err(|_| Trouble::Broken);
+                return head.map_err(|_| UpstreamError::Broken);
             }
-            if unread.len() > MAX_HEAD {
-                return Err(Trouble::Broken);
+            if unread.len() > MAX_HEAD_BYTES {
+                return Err(UpstreamError::Broken);
             }
             match self.advance().await {
                 Ok(1..) => {}
-                Err(_) if self.sent == 0 => return Err(Trouble::NotSent),
-                _ => return Err(Trouble::Broken),
+                Err(_) if self.sent == 0 => return Err(UpstreamError::NotSent),
+                _ => return Err(UpstreamError::Broken),
             }
         }
     }
 
-    /// Reads a body to its end.
+    /// Reads a complete body.
     pub(crate) async fn body(
         &mut self,
         head: &response::Head,
         body: &mut Vec<u8>,
         max: usize,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), UpstreamError> {
         let mut decoder = Decoder::new(head.length);
         loop {
             self.decode(&mut decoder, body)?;
@@ -123,21 +124,21 @@
                 return Ok(());
             }
             if body.len() > max {
-                return Err(Trouble::Broken);
+                return Err(UpstreamError::Broken);
             }
             match self.advance().await {
                 Ok(1..) => {}
-                Ok(0) => return decoder.finish().map_err(|_| Trouble::Broken),
-                Err(_) => return Err(Trouble::Broken),
+                Ok(0) => return decoder.finish().map_err(|_| UpstreamError::Broken),
+                Err(_) => return Err(UpstreamError::Broken),
             }
         }
     }
 
-    /// Passes over an answer that nobody waits for. What may follow it on this
-    /// connection later is anyone's guess, so no other request is sent on it.
-    pub(crate) fn pass_over(&mut self, head: &response::Head) -> Result<(), Trouble> {
+    /// Skips a stray response. The connection isn't reused afterwards, since more of them may
+    /// follow.
+    pub(crate) fn skip_response(&mut self, head: &response::Head) -> Result<(), UpstreamError> {
         if head.length == Length::UntilClose {
-            return Err(Trouble::Broken);
+            return Err(UpstreamError::Broken);
         }
         self.strays += 1;
         self.stray = Some(Stray {
@@ -147,41 +148,41 @@
         Ok(())
     }
 
-    /// Reads the answer that is passed over to its end.
-    async fn read_stray(&mut self) -> Result<(), Trouble> {
-        /// More than any refusal or second answer had.
-        const MAX: usize = 1024 * 1024;
+    /// Reads the rest of the stray response.
+    async fn read_stray(&mut self) -> Result<(), UpstreamError> {
+        /// The longest body that is skipped, in bytes.
+        const MAX_STRAY_BYTES: usize = 1024 * 1024;
         while let Some(Stray { decoder, body }) = &mut self.stray {
             let taken = decoder
                 .decode(self.conn.unread(), body)
-                .map_err(|_| Trouble::Broken)?;
+                .map_err(|_| UpstreamError::Broken)?;
             self.conn.consume(taken);
             if decoder.is_done() {
                 self.stray = None;
                 return Ok(());
             }
-            if body.len() > MAX || !matches!(self.advance().await, Ok(1..)) {
-                return Err(Trouble::Broken);
+            if body.len() > MAX_STRAY_BYTES || !matches!(self.advance().await, Ok(1..)) {
+                return Err(UpstreamError::Broken);
             }
         }
         Ok(())
     }
 
-    /// Decodes what has been read.
+    /// Decodes the bytes that have been read.
     pub(crate) fn decode(
         &mut self,
         decoder: &mut Decoder,
         body: &mut Vec<u8>,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), UpstreamError> {
         let taken = decoder
             .decode(self.conn.unread(), body)
-            .map_err(|_| Trouble::Broken)?;
+            .map_err(|_| UpstreamError::Broken)?;
         self.conn.consume(taken);
         Ok(())
     }
 
-    /// The connection, if another request may be sent on it: the request went
-    /// out whole, and nothing came beside its answer.
+    /// Returns the connection if it can be reused: the request was written completely, and
+    /// nothing but its response was received.
     pub(crate) fn into_clean(self) -> Option<Conn> {
         let is_clean =
             self.strays == 0 && self.sent == self.request.len() && self.conn.unread().is_empty();
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,17 +1,17 @@
-//! What a relaying host says of itself: log lines and metrics.
+//! Log events and metrics of a relaying host.
 //!
-//! On-call engineers have nothing else when a caller complains, so each
-//! decision that touches a request and each change of what the host believes
-//! has a line with the inputs that decided it. Lines are bounded in number and
-//! never waited for. The catalogues are `docs/reference/relay-events.md` and
-//! `docs/reference/relay-metrics.md`; `docs/OPERATIONS.md` shows how to use them.
+//! Each decision on a request and each change of the host's state is logged with its
+//! inputs, so that on-call engineers can explain a caller's complaint. The number of lines
+//! is limited, and writing them never blocks. The catalogues are
+//! `docs/reference/relay-events.md` and `docs/reference/relay-metrics.md`;
+//! `docs/OPERATIONS.md` shows how to use them.
 
-mod allowance;
 mod catalogue;
 mod event;
 mod events;
 mod field;
 mod instruments;
+mod line_limiter;
 mod log;
 mod metrics;
 mod recorder;
@@ -26,4 +26,4 @@
 pub use recorder::Recorder;
 pub use slog::Level;
 
-pub use report::{Attempt, Connection, Outcome, Report, Smooth};
+pub use report::{Attempt, AttemptSummary, Connection, Outcome, Report};
