--- a/crates/route/tests/harness/ends.rs
+++ b/crates/route/tests/harness/ends.rs
@@ -1,4 +1,4 @@
-//! The scripts' words about endpoints that end.
+//! Script commands on processes that exit or shut down.
 
 use route::Router;
 use route::endpoint::Key;
@@ -8,7 +8,7 @@
 use crate::words::Words;
 
 impl Script {
-    /// The words about endpoints that end.
+    /// Runs a command on processes that exit or shut down.
     pub(super) fn line_of_ends(&mut self, words: &Words<'_>) -> Option<String> {
         let now = self.now;
         match words.verb {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Tells this host what is found of the endpoints to which connections broke, and
-    /// says which they are.
+    /// Reports the result of probing the endpoints to which connections broke, and returns
+    /// their IDs.
     fn doubted(&mut self, found: impl Fn(&mut Router, Key)) -> String {
         let doubted = self.router().take_doubted();
         for (key, _, _) in &doubted {
--- a/crates/route/tests/harness/evacuations.rs
+++ b/crates/route/tests/harness/evacuations.rs
@@ -1,4 +1,4 @@
-//! The scripts' words about data centres that operators empty.
+//! Script commands on evacuations of data centres.
 
 use route::evacuation::Access;
 use route::{Evacuation, Revision};
@@ -7,7 +7,7 @@
 use crate::words::Words;
 
 impl Script {
-    /// The words about data centres that operators empty.
+    /// Runs a command on evacuations of data centres.
     pub(super) fn line_of_evacuations(&mut self, words: &Words<'_>) -> String {
         let now = self.now;
         let at = Revision {
@@ -46,7 +46,7 @@
                     Err(why) => format!("withheld: {why}"),
                 }
             }
-            other => panic!("unknown word {other}"),
+            other => panic!("unknown command {other}"),
         }
     }
 }
--- a/crates/route/tests/harness/script.rs
+++ b/crates/route/tests/harness/script.rs
@@ -1,4 +1,4 @@
-//! The small language of the scripts: one event a line.
+//! The interpreter of test scripts: one command per line.
 
 #[path = "ends.rs"]
 mod ends;
@@ -18,10 +18,10 @@
 
 use crate::words::{Words, ending_of, entry, route, settings};
 
-/// How often a host looks at its roll-outs.
+/// The interval at which hosts advance their roll-outs.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// One host's router, or several of them, and what the script has told them.
+/// The state of a running script: the routers of one or more hosts, and open requests.
 pub(crate) struct Script {
     hosts: Vec<Router>,
     host: usize,
@@ -82,7 +82,7 @@
                     priority: None,
                 }),
                 "route" => routes.push(route(&words)),
-                other => panic!("unknown word {other}"),
+                other => panic!("unknown directive {other}"),
             }
         }
         let config = Config::new(version, Limits::default(), services, customers, routes);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Lets time pass: the hosts look at their roll-outs meanwhile.
+    /// Advances the clock in steps, and the hosts' roll-outs with it.
     fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -279,7 +279,7 @@
         format!("{id} {next:?}")
     }
 
-    /// Sends so many requests that end alike and counts where they went.
+    /// Sends a number of requests one after the other and counts them by endpoint.
     fn many(&mut self, words: &Words<'_>) -> String {
         let count: u32 = words.rest[0].parse().unwrap();
         let mut counts = BTreeMap::<String, u32>::new();
@@ -319,10 +319,9 @@
         parts.join(", ")
     }
 
-    /// Sends so many requests, one `each` milliseconds, that last for a while,
-    /// and counts where they went. Endpoints of the release `crowded-fails` fail
-    /// every second one that finds half of their places taken, and those of
-    /// `crowded-silent` are silent to each one that does.
+    /// Sends a number of overlapping requests, one every `each` milliseconds, and counts them
+    /// by endpoint. On endpoints that are half full, those of the release `crowded-fails` fail
+    /// every second request, and those of `crowded-silent` let every request time out.
     fn crowd(&mut self, words: &Words<'_>) -> String {
         let count: u32 = words.rest[0].parse().unwrap();
         let each = Duration::from_millis(words.number::<u64>("each", 40));
--- a/crates/route/tests/harness/words.rs
+++ b/crates/route/tests/harness/words.rs
@@ -1,4 +1,4 @@
-//! The words of the scripts, and what they stand for.
+//! Parsing of script lines and their arguments.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -9,7 +9,7 @@
 use route::endpoint::{Entry, State};
 use route::{Ending, Settings};
 
-/// A line of a script.
+/// A parsed line of a script: a command with positional and named arguments.
 pub(crate) struct Words<'a> {
     pub(crate) verb: &'a str,
     pub(crate) rest: Vec<&'a str>,
@@ -84,9 +84,8 @@
     }
 }
 
-/// `id@service/release`, with `!` after it for one that drains, `#` and a number after the
-/// identity for one that tells its life, and `^` and its data centre at the end if that
-/// isn't `dc1`.
+/// Parses `id[#incarnation]@service/release[!][^data-centre]`. A `!` marks a draining endpoint;
+/// the default data centre is `dc1`.
 pub(crate) fn entry(text: &str) -> Entry {
     let (text, data_centre) = text.split_once('^').unwrap_or((text, "dc1"));
     let (who, rest) = text.split_once('@').unwrap();
--- a/crates/route/tests/scripts.rs
+++ b/crates/route/tests/scripts.rs
@@ -1,6 +1,7 @@
-//! Scripted scenarios of the router's decisions, on a virtual clock.
+//! Scripted tests of the router, on a virtual clock.
 //!
-//! Each file under `scripts/` opens with its story. `docs/scripts.md` has the language.
+//! Each file in `scripts/` starts with what it guards against. `docs/scripts.md` describes
+//! the command language.
 
 #[path = "harness/script.rs"]
 mod script;
