--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -5,10 +5,10 @@
 use crate::Settings;
 
 /// The number of buckets in the sliding window.
-const PIECES: usize = 10;
+const BUCKETS: usize = 10;
 /// The fraction of the fleet's allowance that hosts use. The rest is a margin, since their
 /// windows aren't aligned and a host also counts requests that never reached the service.
-const USED: f64 = 0.8;
+const USED_FRACTION: f64 = 0.8;
 
 /// Limits the retries for one service over a sliding window.
 ///
@@ -17,82 +17,84 @@
 /// host allows itself the ratio of its own requests and its share of the slack. A host that
 /// is partitioned from the others keeps its share.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     ratio: f64,
     slack: f64,
-    piece: Duration,
-    counts: [Count; PIECES],
-    newest: u64,
+    bucket_span: Duration,
+    buckets: [Bucket; BUCKETS],
+    newest_bucket: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
+struct Bucket {
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Creates a budget with an empty window.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         Self {
-            ratio: settings.retry_ratio * USED,
-            slack: settings.retry_slack * USED,
-            piece: settings.retry_window / u32::try_from(PIECES).unwrap_or(u32::MAX),
-            counts: [Count::default(); PIECES],
-            newest: 0,
+            ratio: settings.retry_ratio * USED_FRACTION,
+            slack: settings.retry_slack * USED_FRACTION,
+            bucket_span: settings.retry_window / u32::try_from(BUCKETS).unwrap_or(u32::MAX),
+            buckets: [Bucket::default(); BUCKETS],
+            newest_bucket: 0,
         }
     }
 
     /// Applies a new ratio and slack. The counts and the window's length stay.
-    pub fn tune(&mut self, settings: &Settings) {
-        self.ratio = settings.retry_ratio * USED;
-        self.slack = settings.retry_slack * USED;
+    pub fn apply_settings(&mut self, settings: &Settings) {
+        self.ratio = settings.retry_ratio * USED_FRACTION;
+        self.slack = settings.retry_slack * USED_FRACTION;
     }
 
     /// Records a request.
-    pub fn request(&mut self, now: Duration) {
-        self.current(now).requests += 1;
+    pub fn record_request(&mut self, now: Duration) {
+        self.current_bucket(now).requests += 1;
     }
 
     /// Records a retry if the budget allows one, and returns whether it does. `hosts` is the
     /// number of hosts that share the slack, including this one.
     #[must_use]
-    pub fn repeat(&mut self, now: Duration, hosts: u32) -> bool {
-        self.current(now);
+    pub fn try_retry(&mut self, now: Duration, hosts: u32) -> bool {
+        self.current_bucket(now);
         if self.balance(hosts) < 1.0 {
             return false;
         }
-        self.current(now).repeats += 1;
+        self.current_bucket(now).retries += 1;
         true
     }
 
     /// Returns the number of retries left if `hosts` hosts share the slack.
     #[must_use]
-    pub fn left(&self, now: Duration, hosts: u32) -> f64 {
-        let mut aged = self.clone();
-        aged.current(now);
-        aged.balance(hosts)
+    pub fn remaining(&self, now: Duration, hosts: u32) -> f64 {
+        let mut copy = self.clone();
+        copy.current_bucket(now);
+        copy.balance(hosts)
     }
 
     fn balance(&self, hosts: u32) -> f64 {
-        let requests: u32 = self.counts.iter().map(|it| it.requests).sum();
-        let repeats: u32 = self.counts.iter().map(|it| it.repeats).sum();
+        let requests: u32 = self.buckets.iter().map(|it| it.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|it| it.retries).sum();
         let allowed = f64::from(requests) * self.ratio + self.slack / f64::from(hosts.max(1));
-        allowed - f64::from(repeats)
+        allowed - f64::from(retries)
     }
 
-    fn current(&mut self, now: Duration) -> &mut Count {
-        let piece = u64::try_from(now.as_nanos() / self.piece.as_nanos().max(1)).unwrap_or(0);
-        while self.newest < piece {
-            self.newest = (self.newest + 1).max(piece.saturating_sub(PIECES as u64));
-            *self.slot(self.newest) = Count::default();
+    fn current_bucket(&mut self, now: Duration) -> &mut Bucket {
+        let bucket =
+            u64::try_from(now.as_nanos() / self.bucket_span.as_nanos().max(1)).unwrap_or(0);
+        while self.newest_bucket < bucket {
+            self.newest_bucket =
+                (self.newest_bucket + 1).max(bucket.saturating_sub(BUCKETS as u64));
+            *self.bucket_mut(self.newest_bucket) = Bucket::default();
         }
-        self.slot(self.newest)
+        self.bucket_mut(self.newest_bucket)
     }
 
-    fn slot(&mut self, piece: u64) -> &mut Count {
-        let idx = usize::try_from(piece % PIECES as u64).unwrap_or(0);
-        &mut self.counts[idx]
+    fn bucket_mut(&mut self, bucket: u64) -> &mut Bucket {
+        let idx = usize::try_from(bucket % BUCKETS as u64).unwrap_or(0);
+        &mut self.buckets[idx]
     }
 }
--- a/crates/route/src/call.rs
+++ b/crates/route/src/call.rs
@@ -46,9 +46,9 @@
     /// When the caller's or the route's timeout expires, whichever is first.
     pub deadline: Duration,
     /// The release that the request is assigned to during a roll-out.
-    pub(crate) lane: Option<Lane>,
+    pub(crate) assignment: Option<ReleaseAssignment>,
     /// Whether the caller's response is a stream that has started: see [`Self::begin`].
-    begun: bool,
+    stream_started: bool,
     pub(crate) cascade: Cascade,
     pub(crate) tried: Vec<Key>,
     /// The endpoints that refused the request or were not the listed endpoint.
@@ -57,13 +57,13 @@
     pub(crate) unsent: u32,
     pub(crate) may_have_run: bool,
     /// Whether a connection broke during an attempt; that endpoint's process may have exited.
-    pub(crate) broke: bool,
-    pub(crate) spare: Spare,
+    pub(crate) connection_broke: bool,
+    pub(crate) retry: Retry,
 }
 
 /// The release that a request is assigned to, relative to one roll-out order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Lane {
+pub(crate) struct ReleaseAssignment {
     pub(crate) side: Side,
     /// The initial revision of the order. The new release of an earlier order is the old
     /// release of this one.
@@ -72,9 +72,9 @@
 
 /// The state of a request's next retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Spare {
+pub(crate) enum Retry {
     /// No retry was requested.
-    Unasked,
+    NotRequested,
     /// A retry was taken from the budget and not sent yet.
     Reserved,
     /// No retry is allowed; the current attempt continues despite the endpoint's silence.
@@ -184,21 +184,21 @@
             print,
             arrived,
             deadline,
-            lane: None,
-            begun: false,
+            assignment: None,
+            stream_started: false,
             tried: Vec::new(),
             refused: Vec::new(),
             attempts: 0,
             unsent: 0,
             may_have_run: false,
-            broke: false,
-            spare: Spare::Unasked,
+            connection_broke: false,
+            retry: Retry::NotRequested,
         }
     }
 
     /// Returns the release that the request is assigned to during a roll-out.
     pub(crate) fn side(&self) -> Option<Side> {
-        self.lane.map(|it| it.side)
+        self.assignment.map(|it| it.side)
     }
 
     /// Returns the model to use, if the route chooses it.
@@ -210,8 +210,8 @@
     /// Returns the request's priority; 0 is the most urgent.
     #[must_use]
     pub fn priority(&self) -> u8 {
-        let of_customer = self.customer.as_ref().and_then(|it| it.priority);
-        of_customer.unwrap_or(self.route.priority)
+        let customer_priority = self.customer.as_ref().and_then(|it| it.priority);
+        customer_priority.unwrap_or(self.route.priority)
     }
 
     /// Returns the time left until the deadline.
@@ -224,18 +224,18 @@
     /// the endpoint's silence.
     #[must_use]
     pub fn is_held(&self) -> bool {
-        self.spare == Spare::Denied
+        self.retry == Retry::Denied
     }
 
     /// Records that no retry is allowed.
     pub fn hold(&mut self) {
-        self.spare = Spare::Denied;
+        self.retry = Retry::Denied;
     }
 
     /// Clears a denied retry, after the endpoint has sent data.
     pub fn release(&mut self) {
-        if self.spare == Spare::Denied {
-            self.spare = Spare::Unasked;
+        if self.retry == Retry::Denied {
+            self.retry = Retry::NotRequested;
         }
     }
 
@@ -246,13 +246,13 @@
     /// next endpoint could be written into a stream that stopped at its first event, which
     /// corrupts the chunked encoding (docs/design/relay.md).
     pub fn begin(&mut self) {
-        self.begun = true;
+        self.stream_started = true;
     }
 
     /// Returns whether the response to the caller is a stream that has started.
     #[must_use]
     pub fn has_begun(&self) -> bool {
-        self.begun
+        self.stream_started
     }
 
     /// Returns the number of attempts.
@@ -264,12 +264,12 @@
     /// Returns whether a larger model may be asked. Not once the caller has received part
     /// of the response.
     pub(crate) fn may_escalate(&self) -> bool {
-        !self.begun && self.attempts < self.route.attempts && self.cascade.has_larger()
+        !self.stream_started && self.attempts < self.route.attempts && self.cascade.has_larger()
     }
 
     /// Returns whether the request may be sent again, without regard to the retry budget.
-    pub(crate) fn may_repeat(&self, now: Duration, ending: Ending) -> bool {
-        let safe = match ending {
+    pub(crate) fn may_retry(&self, now: Duration, ending: Ending) -> bool {
+        let is_safe = match ending {
             Ending::NotSent | Ending::Withheld => {
                 return self.unsent < MAX_UNSENT && self.left(now) > Duration::ZERO;
             }
@@ -279,10 +279,10 @@
             }
             Ending::Answered | Ending::Cancelled => false,
         };
-        safe && self.attempts < self.route.attempts && self.left(now) > Duration::ZERO
+        is_safe && self.attempts < self.route.attempts && self.left(now) > Duration::ZERO
     }
 
-    pub(crate) fn note(&mut self, ending: Ending) {
+    pub(crate) fn record_ending(&mut self, ending: Ending) {
         self.release();
         match ending {
             Ending::NotSent | Ending::Withheld => self.unsent += 1,
@@ -293,7 +293,7 @@
             }
             Ending::Broken => {
                 self.may_have_run = true;
-                self.broke = true;
+                self.connection_broke = true;
             }
             _ => self.may_have_run = true,
         }
@@ -301,7 +301,7 @@
 
     /// Returns how the request fails if `ending` ended its last attempt.
     pub(crate) fn failure(&self, now: Duration, ending: Ending) -> Failure {
-        if ending == Ending::Failed && !self.begun {
+        if ending == Ending::Failed && !self.stream_started {
             return Failure::Passed;
         }
         if !self.may_have_run {
@@ -319,7 +319,7 @@
     /// Returns how long a refused caller should wait before it retries: a fraction of the
     /// route's target latency.
     pub(crate) fn retry_after(&self) -> Duration {
-        const PART: u32 = 8;
-        self.route.aim / PART
+        const DIVISOR: u32 = 8;
+        self.route.aim / DIVISOR
     }
 }
--- a/crates/route/src/cascade.rs
+++ b/crates/route/src/cascade.rs
@@ -3,22 +3,22 @@
 use std::time::Duration;
 
 /// The fraction of a response's value that remains if it is late, and if it is wrong.
-const LATE: f64 = 0.3;
-const POOR: f64 = 0.05;
+const LATE_VALUE: f64 = 0.3;
+const WRONG_VALUE: f64 = 0.05;
 /// The probability that the largest model's response is right.
-const LARGEST: f64 = 0.97;
+const LARGEST_ACCURACY: f64 = 0.97;
 /// The value of a right response relative to the price of the largest model's, indexed by
 /// priority. Priorities past the end use the last value.
-const WORTH: [f64; 3] = [7.0, 7.0, 2.5];
+const VALUE_BY_PRIORITY: [f64; 3] = [7.0, 7.0, 2.5];
 /// The cost of the capacity that the largest model's response takes from other requests at
 /// full utilization, relative to that response's price. See `docs/design/deciding.md`.
-const CROWDED: f64 = 5.0;
+const CAPACITY_PRICE: f64 = 5.0;
 /// The midpoint and scale of the logistic function that maps a model's confidence, from 0
 /// to 100, to the probability that its response is right. The mapping is steep, since
 /// confidence tells little more than on which side of the midpoint a request is. See
 /// `docs/design/deciding.md`.
-const EVEN: f64 = 50.0;
-const SPREAD: f64 = 6.0;
+const CONFIDENCE_MIDPOINT: f64 = 50.0;
+const CONFIDENCE_SCALE: f64 = 6.0;
 
 /// A model cascade: the model of a route to ask for a request.
 ///
@@ -32,7 +32,7 @@
 
 /// The inputs of the decision whether to ask the largest model.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Doubt {
+pub struct Escalation {
     /// The model's confidence in its response, from 0 to 100.
     pub confidence: u8,
     /// The request's priority; 0 is the most urgent.
@@ -40,7 +40,7 @@
     /// How long the caller has waited so far.
     pub waited: Duration,
     /// The expected time until the largest model's response starts.
-    pub larger_takes: Duration,
+    pub expected_latency: Duration,
     /// The time within which a response has its full value.
     pub aim: Duration,
     /// The service's utilization.
@@ -72,29 +72,31 @@
     }
 }
 
-impl Doubt {
+impl Escalation {
     /// Returns whether the expected gain from the largest model exceeds its price.
     #[must_use]
-    pub fn is_worth_more(&self) -> bool {
-        let sure = likely(self.confidence);
-        let now = timely(self.waited, self.aim) * (sure + (1.0 - sure) * POOR);
-        let then = timely(self.waited + self.larger_takes, self.aim) * LARGEST;
-        let rank = usize::from(self.priority).min(WORTH.len() - 1);
-        let price = 1.0 + CROWDED * self.used.clamp(0.0, 1.0);
-        (then - now) * WORTH[rank] > price
+    pub fn is_worthwhile(&self) -> bool {
+        let accuracy = probability_right(self.confidence);
+        let current_value =
+            remaining_value(self.waited, self.aim) * (accuracy + (1.0 - accuracy) * WRONG_VALUE);
+        let escalated_value =
+            remaining_value(self.waited + self.expected_latency, self.aim) * LARGEST_ACCURACY;
+        let idx = usize::from(self.priority).min(VALUE_BY_PRIORITY.len() - 1);
+        let price = 1.0 + CAPACITY_PRICE * self.used.clamp(0.0, 1.0);
+        (escalated_value - current_value) * VALUE_BY_PRIORITY[idx] > price
     }
 }
 
 /// Returns the probability that a response with this confidence is right.
-fn likely(confidence: u8) -> f64 {
-    let odds = ((f64::from(confidence) - EVEN) / SPREAD).exp();
+fn probability_right(confidence: u8) -> f64 {
+    let odds = ((f64::from(confidence) - CONFIDENCE_MIDPOINT) / CONFIDENCE_SCALE).exp();
     odds / (1.0 + odds)
 }
 
 /// Returns the expected fraction of its value that a response keeps if it is expected to
 /// start `after` the request. Allows for errors of the estimate in both directions.
-fn timely(after: Duration, aim: Duration) -> f64 {
-    const OFF: f64 = 0.25;
-    let late = (after.div_duration_f64(aim) - (1.0 - OFF)) / (2.0 * OFF);
-    1.0 - (1.0 - LATE) * late.clamp(0.0, 1.0)
+fn remaining_value(after: Duration, aim: Duration) -> f64 {
+    const ESTIMATE_ERROR: f64 = 0.25;
+    let lateness = (after.div_duration_f64(aim) - (1.0 - ESTIMATE_ERROR)) / (2.0 * ESTIMATE_ERROR);
+    1.0 - (1.0 - LATE_VALUE) * lateness.clamp(0.0, 1.0)
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,16 +1,16 @@
 //! The router: a host's state and its routing decisions.
 
-mod arrival;
 mod attempts;
 mod denial;
-mod ends;
-mod evacuate;
-mod expect;
-mod flight;
+mod exits;
+mod in_flight;
+mod incoming;
+mod latency;
+mod permits;
 mod place;
 mod placement;
-mod releases;
-mod told;
+mod reports;
+mod rollouts;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,24 +24,24 @@
 use crate::config::{Access, Config};
 use crate::directory::{Absence, Change};
 use crate::endpoint::{Entry, Key};
-use crate::pace::Pace;
+use crate::prefill::PrefillEstimator;
 use crate::rollout::Order;
 use crate::sessions::Sessions;
-use crate::{Budget, Directory, Print, Quarantine, Rollout, Settings};
+use crate::{Directory, Print, Quarantine, RetryBudget, Rollout, Settings};
 
-pub use arrival::Arrival;
 pub use denial::Denial;
-pub use flight::Flight;
+pub use in_flight::Flight;
+pub use incoming::Arrival;
 pub use placement::Placement;
-pub use releases::Heard;
+pub use rollouts::Heard;
 
 /// Added to the session gap, which the caller measures from the end of a response
 /// and this host from the session's last event that it has recorded.
-const SESSION_MARGIN: Duration = Duration::from_secs(1);
+const SESSION_GAP_MARGIN: Duration = Duration::from_secs(1);
 
 /// The utilization from which an endpoint counts as crowded. Responses of crowded
 /// endpoints are also counted separately, to detect a release that fails only under load.
-const CROWDED: f64 = 0.6;
+const CROWDED_UTILIZATION: f64 = 0.6;
 
 /// A host's state and its routing decisions.
 #[derive(Debug)]
@@ -49,21 +49,21 @@
     settings: Settings,
     config: Option<Arc<Config>>,
     directory: Directory,
-    budgets: HashMap<ServiceName, Budget>,
+    budgets: HashMap<ServiceName, RetryBudget>,
     rollouts: HashMap<ServiceName, Rollout>,
     /// Previous orders of each service, newest first.
-    former: HashMap<ServiceName, Vec<Order>>,
+    previous_orders: HashMap<ServiceName, Vec<Order>>,
     sessions: Sessions,
     quarantine: Quarantine,
     /// Endpoints whose connections broke. The driver probes whether their processes have exited.
-    doubted: Vec<Key>,
-    paces: HashMap<(ServiceName, ModelName), Pace>,
+    probe_candidates: Vec<Key>,
+    prefill_estimators: HashMap<(ServiceName, ModelName), PrefillEstimator>,
     /// Moving average of the time to the first byte, by route, for routes that choose no model.
-    wholes: HashMap<Arc<str>, Duration>,
+    first_byte_times: HashMap<Arc<str>, Duration>,
     /// When the current listing was read.
-    listed: Option<Duration>,
+    listing_time: Option<Duration>,
     /// Endpoints that were ejected since the last [`Self::take_rested`].
-    rested: Vec<(EndpointId, Ending)>,
+    ejected: Vec<(EndpointId, Ending)>,
     hosts: u32,
     rng: Pcg32,
 }
@@ -78,14 +78,14 @@
             directory: Directory::default(),
             budgets: HashMap::new(),
             rollouts: HashMap::new(),
-            former: HashMap::new(),
+            previous_orders: HashMap::new(),
             sessions: Sessions::default(),
             quarantine: Quarantine::default(),
-            doubted: Vec::new(),
-            paces: HashMap::new(),
-            wholes: HashMap::new(),
-            listed: None,
-            rested: Vec::new(),
+            probe_candidates: Vec::new(),
+            prefill_estimators: HashMap::new(),
+            first_byte_times: HashMap::new(),
+            listing_time: None,
+            ejected: Vec::new(),
             hosts: 1,
             rng: Pcg32::seed_from_u64(seed),
         }
@@ -128,14 +128,14 @@
     /// Replaces the settings; retry budgets keep their counts.
     pub fn set_settings(&mut self, settings: Settings) {
         for budget in self.budgets.values_mut() {
-            budget.tune(&settings);
+            budget.apply_settings(&settings);
         }
         self.settings = settings;
     }
 
     /// Replaces the listing of endpoints and returns what changed.
     pub fn list(&mut self, now: Duration, entries: Vec<Entry>, absence: Absence) -> Change {
-        self.listed = Some(now);
+        self.listing_time = Some(now);
         self.directory.list(now, entries, absence)
     }
 
@@ -147,26 +147,28 @@
 
     /// Records that the current listing still matched the store at the time `at`.
     pub fn confirm_listing(&mut self, at: Duration) {
-        self.listed = self.listed.max(Some(at));
+        self.listing_time = self.listing_time.max(Some(at));
     }
 
     /// Returns when the current listing was last read or confirmed.
     #[must_use]
     pub fn listed(&self) -> Option<Duration> {
-        self.listed
+        self.listing_time
     }
 
     /// Returns the endpoints that were ejected since the last call, each with the ending
     /// that caused it.
     pub fn take_rested(&mut self) -> Vec<(EndpointId, Ending)> {
-        std::mem::take(&mut self.rested)
+        std::mem::take(&mut self.ejected)
     }
 
     /// Returns the number of retries that this host may still send, by service.
     #[must_use]
     pub fn budgets(&self, now: Duration) -> Vec<(ServiceName, f64)> {
-        let left = |(name, it): (&ServiceName, &Budget)| (name.clone(), it.left(now, self.hosts));
-        self.budgets.iter().map(left).collect()
+        let retries_left = |(name, it): (&ServiceName, &RetryBudget)| {
+            (name.clone(), it.remaining(now, self.hosts))
+        };
+        self.budgets.iter().map(retries_left).collect()
     }
 
     /// Returns the known endpoints.
@@ -184,7 +186,7 @@
     ///
     /// # Errors
     /// Returns the reason if the request is denied.
-    pub fn admit(&mut self, now: Duration, arrival: Arrival<'_>) -> Result<Call, Denial> {
+    pub fn admit(&mut self, now: Duration, incoming: Arrival<'_>) -> Result<Call, Denial> {
         let Arrival {
             host,
             path,
@@ -193,7 +195,7 @@
             patience,
             shape,
             id,
-        } = arrival;
+        } = incoming;
         let config = self.config.as_ref().ok_or(Denial::NotReady)?;
         let route = config.route(host, path).ok_or(Denial::NoRoute)?;
         let customer = match route.access {
@@ -218,15 +220,15 @@
             return Err(Denial::Quarantined { print, retry_after });
         }
         let mut call = Call::new(route, customer, service, shape, print, now, now + patience);
-        call.lane = self.lane(now, &call, number);
-        self.budget(&call.service).request(now);
+        call.assignment = self.assign_release(now, &call, number);
+        self.budget(&call.service).record_request(now);
         Ok(call)
     }
 
-    fn budget(&mut self, service: &ServiceName) -> &mut Budget {
+    fn budget(&mut self, service: &ServiceName) -> &mut RetryBudget {
         let settings = &self.settings;
         self.budgets
             .entry(service.clone())
-            .or_insert_with(|| Budget::new(settings))
+            .or_insert_with(|| RetryBudget::new(settings))
     }
 }
--- a/crates/route/src/router/attempts.rs
+++ b/crates/route/src/router/attempts.rs
@@ -4,8 +4,8 @@
 
 use kernel::hash;
 
-use super::{CROWDED, Flight, Placement, Router, SESSION_MARGIN};
-use crate::call::{Call, Ending, Failure, Next, Spare};
+use super::{CROWDED_UTILIZATION, Flight, Placement, Router, SESSION_GAP_MARGIN};
+use crate::call::{Call, Ending, Failure, Next, Retry};
 use crate::rollout::Side;
 
 impl Router {
@@ -13,14 +13,17 @@
     pub fn begin(&mut self, now: Duration, call: &mut Call, placement: &Placement) -> Flight {
         call.attempts += 1;
         call.tried.push(placement.endpoint);
-        let expected = call.cascade.model().map(|it| self.expected(call, it));
-        let unread = expected.unwrap_or_default();
-        let is_filled = self.filled(now, call) == Some(placement.endpoint);
+        let expected_latency = call
+            .cascade
+            .model()
+            .map(|it| self.expected_latency(call, it));
+        let unread = expected_latency.unwrap_or_default();
+        let is_filling = self.filling_endpoint(now, call) == Some(placement.endpoint);
         if let Some(it) = self.directory.get_mut(placement.endpoint) {
             if let Some(session) = &call.shape.session {
-                let gap = self.settings.session_gap + SESSION_MARGIN;
+                let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
                 let release = &it.entry.release;
-                self.sessions.note(now, session, release, gap);
+                self.sessions.record(now, session, release, gap);
             }
             it.flights += 1;
             it.sent_since_load += 1;
@@ -31,38 +34,41 @@
             endpoint: placement.endpoint,
             print: call.print,
             process: process.map(|it| it.entry.process()),
-            began: now,
+            started: now,
             unread,
-            is_crowded: placement.used >= CROWDED,
-            is_filled,
-            expected,
-            first: None,
+            is_crowded: placement.used >= CROWDED_UTILIZATION,
+            is_filling,
+            expected_latency,
+            response_started: None,
             events: 0,
-            last: now,
+            last_event: now,
         }
     }
 
     /// Records that the first part of an attempt's response was received.
     pub fn first(&mut self, now: Duration, call: &Call, flight: &mut Flight) {
-        if flight.first.is_some() {
+        if flight.response_started.is_some() {
             return;
         }
-        flight.first = Some(now);
-        self.read(flight);
-        let took = now.saturating_sub(flight.began);
+        flight.response_started = Some(now);
+        self.finish_prefill(flight);
+        let took = now.saturating_sub(flight.started);
         let Some(model) = call.model() else {
             /// The weight of one response in the moving average.
-            const PART: f64 = 0.05;
-            let usual = self.wholes.entry(call.route.name.clone()).or_insert(took);
-            *usual = usual.mul_f64(1.0 - PART) + took.mul_f64(PART);
+            const SMOOTHING: f64 = 0.05;
+            let usual = self
+                .first_byte_times
+                .entry(call.route.name.clone())
+                .or_insert(took);
+            *usual = usual.mul_f64(1.0 - SMOOTHING) + took.mul_f64(SMOOTHING);
             return;
         };
         let key = (call.service.clone(), model.clone());
-        let pace = self.paces.entry(key).or_default();
-        pace.sight(call.shape.prompt_tokens, took);
+        let estimator = self.prefill_estimators.entry(key).or_default();
+        estimator.record(call.shape.prompt_tokens, took);
     }
 
-    fn read(&mut self, flight: &mut Flight) {
+    fn finish_prefill(&mut self, flight: &mut Flight) {
         let unread = std::mem::take(&mut flight.unread);
         if let Some(it) = self.directory.get_mut(flight.endpoint) {
             it.unread = it.unread.saturating_sub(unread);
@@ -74,17 +80,17 @@
         if matches!(ending, Ending::Refused | Ending::Moved) {
             call.refused.push(flight.endpoint);
         }
-        self.finish(now, &flight, ending);
-        self.land(now, call, flight, ending);
-        call.note(ending);
+        self.record_finished(now, &flight, ending);
+        self.record_outcome(now, call, flight, ending);
+        call.record_ending(ending);
         if ending.is_unsent() {
             call.attempts -= 1;
         }
-        if !call.may_repeat(now, ending) || self.quarantine.stops(now, call.print) {
+        if !call.may_retry(now, ending) || self.quarantine.stops(now, call.print) {
             return Next::Fail(self.failure(now, call, ending));
         }
         if ending.is_unsent() || self.reserve(now, call, ending) {
-            call.spare = Spare::Unasked;
+            call.retry = Retry::NotRequested;
             return Next::Again;
         }
         Next::Fail(self.failure(now, call, ending))
@@ -108,19 +114,19 @@
     /// slow or whose model has low confidence: without a retry, the request would fail.
     pub fn reserve(&mut self, now: Duration, call: &mut Call, ending: Ending) -> bool {
         let hosts = self.hosts;
-        if call.spare != Spare::Reserved
-            && call.may_repeat(now, ending)
-            && self.budget(&call.service).repeat(now, hosts)
+        if call.retry != Retry::Reserved
+            && call.may_retry(now, ending)
+            && self.budget(&call.service).try_retry(now, hosts)
         {
-            call.spare = Spare::Reserved;
+            call.retry = Retry::Reserved;
         }
-        call.spare == Spare::Reserved
+        call.retry == Retry::Reserved
     }
 
     /// Ends an attempt whose caller disconnected.
     pub fn cancel(&mut self, now: Duration, mut flight: Flight) {
-        self.finish(now, &flight, Ending::Cancelled);
-        self.read(&mut flight);
+        self.record_finished(now, &flight, Ending::Cancelled);
+        self.finish_prefill(&mut flight);
         if let Some(it) = self.directory.get_mut(flight.endpoint) {
             it.flights = it.flights.saturating_sub(1);
         }
@@ -132,8 +138,8 @@
         self.failure(now, call, Ending::NotSent)
     }
 
-    fn land(&mut self, now: Duration, call: &Call, mut flight: Flight, ending: Ending) {
-        self.read(&mut flight);
+    fn record_outcome(&mut self, now: Duration, call: &Call, mut flight: Flight, ending: Ending) {
+        self.finish_prefill(&mut flight);
         let key = flight.endpoint;
         let Some(it) = self.directory.get_mut(key) else {
             return;
@@ -141,7 +147,7 @@
         it.flights = it.flights.saturating_sub(1);
         let release = it.entry.release.clone();
         if let Some(session) = &call.shape.session {
-            self.sessions.renew(now, session);
+            self.sessions.touch(now, session);
         }
         match ending {
             Ending::Answered | Ending::Unsure => it.health.good(now),
@@ -149,7 +155,7 @@
             Ending::Failed | Ending::Broken | Ending::Silent => {
                 let id = it.entry.id.clone();
                 if self.directory.bad(now, key) {
-                    self.rested.push((id, ending));
+                    self.ejected.push((id, ending));
                 }
             }
             Ending::Withheld | Ending::Refused | Ending::Cancelled => {}
@@ -159,7 +165,7 @@
             Ending::Failed | Ending::Broken | Ending::Silent => true,
             _ => return,
         };
-        if ending == Ending::Silent && flight.is_filled {
+        if ending == Ending::Silent && flight.is_filling {
             // While the endpoint is filled, prompts queue there until they time out. Counting
             // the timeouts would get good releases reverted. Other failures count.
             return;
@@ -171,10 +177,10 @@
                 Side::Old
             };
             let class = hash::of(&(&call.route.name, call.cascade.model()));
-            let mut sighting = flight.sighting(class, failed);
+            let mut observation = flight.observation(class, failed);
             // On a crowded endpoint a timeout is no evidence against the release.
-            sighting.is_crowded &= ending != Ending::Silent;
-            rollout.answer(side, &sighting);
+            observation.is_crowded &= ending != Ending::Silent;
+            rollout.answer(side, &observation);
         }
     }
 }
--- a/crates/route/src/router/ends.rs
+++ b/crates/route/src/router/exits.rs
@@ -13,12 +13,12 @@
 
 impl Router {
     /// Records an attempt that ended, in case it made the endpoint's process exit.
-    pub(super) fn finish(&mut self, now: Duration, flight: &Flight, ending: Ending) {
+    pub(super) fn record_finished(&mut self, now: Duration, flight: &Flight, ending: Ending) {
         let (Some(process), Some(outcome)) = (flight.process, Outcome::of(ending)) else {
             return;
         };
         if outcome == Outcome::Broken && !self.quarantine.knows(process) {
-            self.doubted.push(flight.endpoint);
+            self.probe_candidates.push(flight.endpoint);
         }
         let print = flight.print;
         let finished = Finished {
@@ -39,15 +39,15 @@
     /// processes may have exited. Excludes endpoints in evacuated data centres, since no
     /// connections are opened to these.
     pub fn take_doubted(&mut self) -> Vec<(Key, EndpointId, SocketAddr)> {
-        let mut doubted = std::mem::take(&mut self.doubted);
-        doubted.sort_unstable();
-        doubted.dedup();
+        let mut probe_candidates = std::mem::take(&mut self.probe_candidates);
+        probe_candidates.sort_unstable();
+        probe_candidates.dedup();
         let known = |key| {
             let it = self.directory.get(key)?;
             let entry = (it.access == Access::Open).then_some(&it.entry)?;
             Some((key, entry.id.clone(), entry.address))
         };
-        doubted.into_iter().filter_map(known).collect()
+        probe_candidates.into_iter().filter_map(known).collect()
     }
 
     /// Records that an endpoint's process has exited: nothing listens at its address.
--- a/crates/route/src/router/flight.rs
+++ b/crates/route/src/router/in_flight.rs
@@ -15,38 +15,45 @@
     pub(super) print: Print,
     /// The endpoint's process when the attempt began.
     pub(super) process: Option<Process>,
-    pub(super) began: Duration,
+    pub(super) started: Duration,
     pub(super) unread: Duration,
     /// Whether the endpoint was crowded.
     pub(super) is_crowded: bool,
     /// Whether the endpoint was being filled, to test a new release under load.
-    pub(super) is_filled: bool,
+    pub(super) is_filling: bool,
     /// The expected time until the response starts.
-    pub(super) expected: Option<Duration>,
-    pub(super) first: Option<Duration>,
+    pub(super) expected_latency: Option<Duration>,
+    pub(super) response_started: Option<Duration>,
     pub(super) events: u32,
-    pub(super) last: Duration,
+    pub(super) last_event: Duration,
 }
 
 impl Flight {
     /// Records `count` events of the response stream.
     pub fn events(&mut self, now: Duration, count: u32) {
         self.events += count;
-        self.last = now;
+        self.last_event = now;
     }
 
-    pub(super) fn sighting(&self, class: u64, failed: bool) -> Sighting {
+    pub(super) fn observation(&self, class: u64, failed: bool) -> Sighting {
         /// The least number of events for a meaningful mean interval.
         const MIN_EVENTS: u32 = 4;
-        let took = self.first.map(|it| it.saturating_sub(self.began));
-        let (first, whole) = match (took, self.expected) {
-            (Some(took), Some(expected)) => (Some(took.div_duration_f64(expected)), None),
+        let took = self
+            .response_started
+            .map(|it| it.saturating_sub(self.started));
+        let (first, whole) = match (took, self.expected_latency) {
+            (Some(took), Some(expected_latency)) => {
+                (Some(took.div_duration_f64(expected_latency)), None)
+            }
             (took, _) => (None, took.map(|it| it.as_secs_f64())),
         };
-        let step = self.first.filter(|_| self.events >= MIN_EVENTS).map(|it| {
-            let span = self.last.saturating_sub(it).as_secs_f64();
-            span / f64::from(self.events - 1)
-        });
+        let step = self
+            .response_started
+            .filter(|_| self.events >= MIN_EVENTS)
+            .map(|it| {
+                let span = self.last_event.saturating_sub(it).as_secs_f64();
+                span / f64::from(self.events - 1)
+            });
         Sighting {
             class,
             failed,
--- a/crates/route/src/router/expect.rs
+++ b/crates/route/src/router/latency.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Router;
-use crate::Doubt;
+use crate::Escalation;
 use crate::call::{Call, Ending};
 
 impl Router {
@@ -14,41 +14,43 @@
             return false;
         };
         let largest = call.route.models.len() - 1;
-        let doubt = Doubt {
+        let escalation = Escalation {
             confidence,
             priority: call.priority(),
             waited: now.saturating_sub(call.arrived),
-            larger_takes: self.expected(call, largest),
+            expected_latency: self.expected_latency(call, largest),
             aim: call.route.aim,
             used: self.directory.used(now, &call.service),
         };
-        doubt.is_worth_more() && self.reserve(now, call, Ending::Unsure)
+        escalation.is_worthwhile() && self.reserve(now, call, Ending::Unsure)
     }
 
     /// Returns the timeout for the start of a response: `part` of the route's target latency,
     /// or a multiple of the expected time if that is longer.
     #[must_use]
-    pub fn patience(&self, call: &Call, part: f64) -> Duration {
+    pub fn patience(&self, call: &Call, fraction: f64) -> Duration {
         /// Allows for queueing behind other requests.
-        const TIMES: u32 = 3;
-        let least = call.route.aim.mul_f64(part);
+        const SLACK_FACTOR: u32 = 3;
+        let minimum = call.route.aim.mul_f64(fraction);
         let usual = match call.cascade.model() {
-            Some(model) => self.expected(call, model),
+            Some(model) => self.expected_latency(call, model),
             None => self
-                .wholes
+                .first_byte_times
                 .get(&call.route.name)
                 .copied()
                 .unwrap_or_default(),
         };
-        least.max(usual * TIMES)
+        minimum.max(usual * SLACK_FACTOR)
     }
 
     /// Returns the expected time until a model's response starts.
-    pub(super) fn expected(&self, call: &Call, model: usize) -> Duration {
-        let pace = call.route.models.get(model).and_then(|it| {
+    pub(super) fn expected_latency(&self, call: &Call, model: usize) -> Duration {
+        let estimator = call.route.models.get(model).and_then(|it| {
             let key = (call.service.clone(), it.clone());
-            self.paces.get(&key).copied()
+            self.prefill_estimators.get(&key).copied()
         });
-        pace.unwrap_or_default().expect(call.shape.prompt_tokens)
+        estimator
+            .unwrap_or_default()
+            .estimate(call.shape.prompt_tokens)
     }
 }
--- a/crates/route/src/router/place.rs
+++ b/crates/route/src/router/place.rs
@@ -8,45 +8,45 @@
 use rand::RngExt;
 
 use super::{Placement, Router};
-use crate::call::{Call, Lane};
+use crate::call::{Call, ReleaseAssignment};
 use crate::directory::Endpoint;
 use crate::endpoint::Key;
 use crate::rollout::{Rollout, Side, Verdict};
 
 /// The pending prefill time that weighs as much as full utilization.
-const FULL_UNREAD: Duration = Duration::from_secs(1);
+const PREFILL_UNIT: Duration = Duration::from_secs(1);
 /// The penalty for another data centre. Small, since this costs traffic but no waiting.
-const FAR: f64 = 0.04;
+const REMOTE_PENALTY: f64 = 0.04;
 /// The bonus for an endpoint that has the whole prompt cached.
-const CACHED: f64 = 0.7;
+const CACHE_BONUS: f64 = 0.7;
 /// The penalty per unit of an endpoint's error rate.
-const BAD: f64 = 2.0;
+const ERROR_RATE_PENALTY: f64 = 2.0;
 /// The range of the random term, which keeps hosts with the same information from all
 /// choosing the same endpoint.
-const CHANCE: f64 = 0.03;
+const RANDOM_RANGE: f64 = 0.03;
 /// The penalty for a cold endpoint.
-const COLD: f64 = 0.5;
+const COLD_PENALTY: f64 = 0.5;
 /// The bonus for the endpoint that is being filled. Exceeds what any other endpoint can gain.
-const FILL: f64 = 4.0;
+const FILL_BONUS: f64 = 4.0;
 /// The utilization up to which an endpoint is filled.
-const FILLED: f64 = 1.0;
+const FILL_UTILIZATION: f64 = 1.0;
 /// The multiple of its share of the endpoint's slots that a host may fill. More than one, since
 /// some hosts have few requests.
-const FILL_SHARES: u32 = 3;
+const FILL_SHARE_FACTOR: u32 = 3;
 /// The longest prompt with which an endpoint is filled, in tokens. Longer ones would take up
 /// most of its prefill time.
-const SHORT_TOKENS: u64 = 2_500;
+const MAX_FILL_PROMPT_TOKENS: u64 = 2_500;
 /// The percentage of an endpoint's connection limit that all hosts together use.
-const CONNECTIONS_USED: u32 = 90;
+const CONNECTIONS_PERCENT: u32 = 90;
 
 /// How strictly endpoints are filtered. Each level also admits the endpoints of the previous
 /// ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 enum Strictness {
     /// Endpoints that were neither tried before nor are ejected.
-    Fresh,
+    Healthy,
     /// Endpoints that were not tried before.
-    Rested,
+    Untried,
     /// All endpoints that accept requests and haven't refused this one.
     Any,
 }
@@ -54,22 +54,22 @@
 impl Router {
     /// Chooses the endpoint for the next attempt. Returns `None` if there is no suitable one.
     pub fn place(&mut self, now: Duration, call: &mut Call) -> Option<Placement> {
-        self.settle_side(call);
+        self.update_assignment(call);
         let mut placed = self.place_on_side(now, call);
         if let Some(it) = &mut placed
-            && self.fills(now, call) == Some(it.endpoint)
+            && self.endpoint_to_fill(now, call) == Some(it.endpoint)
         {
             // Responses of the smallest model complete too soon to fill an endpoint.
             call.cascade.escalate();
             it.model = call.model().cloned();
         }
-        let is_running = self.is_running(call);
+        let is_running = self.has_running_rollout(call);
         if placed.is_some() || !is_running {
             return placed;
         }
         // The new release's endpoints may not have started yet, and either release's may be
         // down. Using the other release is better than failing the request.
-        call.lane = call.lane.map(|it| Lane {
+        call.assignment = call.assignment.map(|it| ReleaseAssignment {
             side: it.side.other(),
             ..it
         });
@@ -77,34 +77,41 @@
     }
 
     fn place_on_side(&mut self, now: Duration, call: &Call) -> Option<Placement> {
-        [Strictness::Fresh, Strictness::Rested, Strictness::Any]
+        [Strictness::Healthy, Strictness::Untried, Strictness::Any]
             .into_iter()
-            .find_map(|it| self.place_among(now, call, it))
+            .find_map(|it| self.place_with(now, call, it))
     }
 
     /// Updates the assigned release to the roll-out's current state: moves the request off a
     /// reverted release and onto a complete one. A request that arrived before the current
     /// order stays on the old release, even if an earlier order assigned it to the new one.
-    fn settle_side(&self, call: &mut Call) {
-        call.lane = self.rollouts.get(&call.service).map(|it| {
+    fn update_assignment(&self, call: &mut Call) {
+        call.assignment = self.rollouts.get(&call.service).map(|it| {
             let revision = it.began_as();
-            let chosen = call.lane.filter(|lane| lane.revision == revision);
+            let chosen = call
+                .assignment
+                .filter(|assignment| assignment.revision == revision);
             let side = match it.verdict {
-                Verdict::Running => chosen.map_or(Side::Old, |lane| lane.side),
+                Verdict::Running => chosen.map_or(Side::Old, |assignment| assignment.side),
                 Verdict::Complete => Side::New,
                 Verdict::Reverted => Side::Old,
             };
-            Lane { side, revision }
+            ReleaseAssignment { side, revision }
         });
     }
 
-    fn is_running(&self, call: &Call) -> bool {
+    fn has_running_rollout(&self, call: &Call) -> bool {
         let rollout = self.rollouts.get(&call.service);
         rollout.is_some_and(|it| it.verdict == Verdict::Running)
     }
 
-    fn place_among(&mut self, now: Duration, call: &Call, strict: Strictness) -> Option<Placement> {
-        let scored = self.score(now, call, strict);
+    fn place_with(
+        &mut self,
+        now: Duration,
+        call: &Call,
+        strictness: Strictness,
+    ) -> Option<Placement> {
+        let scored = self.score_endpoints(now, call, strictness);
         let candidates = scored.len();
         let (_, endpoint) = scored.into_iter().min_by(|a, b| a.0.total_cmp(&b.0))?;
         let it = self.directory.get(endpoint)?;
@@ -118,38 +125,46 @@
             candidates,
             used: self.directory.used_of(now, it),
             load_age: it.load.map(|(at, _)| now.saturating_sub(at)),
-            listing_age: self.listed.map(|at| now.saturating_sub(at)),
+            listing_age: self.listing_time.map(|at| now.saturating_sub(at)),
         })
     }
 
     /// Returns the eligible endpoints with their scores.
-    fn score(&mut self, now: Duration, call: &Call, strict: Strictness) -> Vec<(f64, Key)> {
+    fn score_endpoints(
+        &mut self,
+        now: Duration,
+        call: &Call,
+        strictness: Strictness,
+    ) -> Vec<(f64, Key)> {
         // Cache affinity is ignored after a broken connection. Otherwise requests that failed
         // together would be retried together, and a request that crashes endpoints couldn't be
         // told apart from the others that were in flight there.
-        let home = self.home(now, call, strict).filter(|_| !call.broke);
-        let fill = self.fills(now, call);
+        let affinity_endpoint = self
+            .affinity_endpoint(now, call, strictness)
+            .filter(|_| !call.connection_broke);
+        let fill = self.endpoint_to_fill(now, call);
         let rollout = self.rollouts.get(&call.service);
         let mut scored = Vec::new();
         for (key, it) in self.directory.of(&call.service) {
-            if !allows(now, call, strict, rollout, it) || is_tried(call, strict, key) {
+            if !is_candidate(now, call, strictness, rollout, it) || is_tried(call, strictness, key)
+            {
                 continue;
             }
             let mut score = self.directory.used_of(now, it);
-            score += it.unread.div_duration_f64(FULL_UNREAD);
-            score += BAD * it.health.bad_share();
-            score += CHANCE * self.rng.random::<f64>();
+            score += it.unread.div_duration_f64(PREFILL_UNIT);
+            score += ERROR_RATE_PENALTY * it.health.bad_share();
+            score += RANDOM_RANGE * self.rng.random::<f64>();
             if it.entry.data_centre != self.settings.data_centre {
-                score += FAR;
+                score += REMOTE_PENALTY;
             }
             if it.warmth.is_cold(now) {
-                score += COLD;
+                score += COLD_PENALTY;
             }
             if fill == Some(key) {
-                score -= FILL;
+                score -= FILL_BONUS;
             }
-            if home == Some(key) {
-                score -= CACHED * cached_part(call);
+            if affinity_endpoint == Some(key) {
+                score -= CACHE_BONUS * cached_fraction(call);
             }
             scored.push((score, key));
         }
@@ -159,13 +174,15 @@
     /// Returns the endpoint that the shared prompt prefix has affinity to, by rendezvous
     /// hashing: all hosts send requests with the prefix there. The hash includes the model,
     /// since models don't share caches.
-    fn home(&self, now: Duration, call: &Call, strict: Strictness) -> Option<Key> {
+    fn affinity_endpoint(&self, now: Duration, call: &Call, strictness: Strictness) -> Option<Key> {
         let (part, _) = call.shape.shared?;
         let model = call.cascade.model();
         let rollout = self.rollouts.get(&call.service);
         self.directory
             .of(&call.service)
-            .filter(|(_, it)| allows(now, call, strict, rollout, it) && !it.warmth.is_cold(now))
+            .filter(|(_, it)| {
+                is_candidate(now, call, strictness, rollout, it) && !it.warmth.is_cold(now)
+            })
             .map(|(key, it)| (hash::of(&(part, model, it.entry.id.as_str())), key))
             .max()
             .map(|it| it.1)
@@ -174,7 +191,7 @@
     /// Returns this host's share of an endpoint's connection limit.
     fn connections(&self, service: &ServiceName) -> Option<u32> {
         let total = self.config.as_ref()?.service(service)?.max_connections;
-        let used = total.saturating_mul(CONNECTIONS_USED) / 100;
+        let used = total.saturating_mul(CONNECTIONS_PERCENT) / 100;
         Some((used / self.hosts.max(1)).max(1))
     }
 
@@ -182,26 +199,27 @@
     /// suitable and this host's share of the endpoint has room. Since the largest model
     /// handles such requests, streams that have started are excluded: they would change
     /// models midway.
-    fn fills(&self, now: Duration, call: &Call) -> Option<Key> {
+    fn endpoint_to_fill(&self, now: Duration, call: &Call) -> Option<Key> {
         if call.has_begun() {
             return None;
         }
-        let key = self.filled(now, call)?;
+        let key = self.filling_endpoint(now, call)?;
         let it = self.directory.get(key)?;
-        let share = it.entry.slots * FILL_SHARES / self.hosts;
-        let has_room = self.directory.used_of(now, it) < FILLED && it.flights < share.max(1);
-        (has_room && call.shape.prompt_tokens <= SHORT_TOKENS).then_some(key)
+        let share = it.entry.slots * FILL_SHARE_FACTOR / self.hosts;
+        let has_room =
+            self.directory.used_of(now, it) < FILL_UTILIZATION && it.flights < share.max(1);
+        (has_room && call.shape.prompt_tokens <= MAX_FILL_PROMPT_TOKENS).then_some(key)
     }
 
     /// Returns the endpoint of a new release that is being filled. All hosts choose the same.
-    pub(super) fn filled(&self, now: Duration, call: &Call) -> Option<Key> {
+    pub(super) fn filling_endpoint(&self, now: Duration, call: &Call) -> Option<Key> {
         let rollout = self.rollouts.get(&call.service)?;
         if call.side() != Some(Side::New) || !rollout.is_filling(now) {
             return None;
         }
         self.directory
             .of(&call.service)
-            .filter(|(_, it)| allows(now, call, Strictness::Fresh, Some(rollout), it))
+            .filter(|(_, it)| is_candidate(now, call, Strictness::Healthy, Some(rollout), it))
             // Excluded even if this host may send requests there: the others would choose
             // another endpoint.
             .filter(|(_, it)| !it.warmth.is_cold(now))
@@ -210,10 +228,10 @@
     }
 }
 
-fn allows(
+fn is_candidate(
     now: Duration,
     call: &Call,
-    strict: Strictness,
+    strictness: Strictness,
     rollout: Option<&Rollout>,
     it: &Endpoint,
 ) -> bool {
@@ -222,7 +240,7 @@
         _ => true,
     };
     let is_open = it.takes_work() && it.wait(now).is_zero();
-    fits && is_open && (strict > Strictness::Fresh || !it.health.is_resting(now))
+    fits && is_open && (strictness > Strictness::Healthy || !it.health.is_resting(now))
 }
 
 /// Returns whether an endpoint is excluded because of an earlier attempt.
@@ -230,13 +248,13 @@
 /// An endpoint that refused the request is never tried again. It is probably still full, and a
 /// late duplicate of its refusal could be taken for the response to a second attempt, since
 /// all attempts have the same request ID. A running request would be reported as not run.
-fn is_tried(call: &Call, strict: Strictness, key: Key) -> bool {
-    call.refused.contains(&key) || (strict < Strictness::Any && call.tried.contains(&key))
+fn is_tried(call: &Call, strictness: Strictness, key: Key) -> bool {
+    call.refused.contains(&key) || (strictness < Strictness::Any && call.tried.contains(&key))
 }
 
 /// Returns the fraction of the prompt that an endpoint may have cached.
-fn cached_part(call: &Call) -> f64 {
+fn cached_fraction(call: &Call) -> f64 {
     let tokens = call.shape.shared.map_or(0, |(_, tokens)| tokens);
-    let number = |it: u64| u32::try_from(it).map_or(f64::from(u32::MAX), f64::from);
-    (number(tokens) / number(call.shape.prompt_tokens.max(1))).min(1.0)
+    let capped = |it: u64| u32::try_from(it).map_or(f64::from(u32::MAX), f64::from);
+    (capped(tokens) / capped(call.shape.prompt_tokens.max(1))).min(1.0)
 }
--- a/crates/route/src/router/told.rs
+++ b/crates/route/src/router/reports.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use super::{CROWDED, Flight, Router};
+use super::{CROWDED_UTILIZATION, Flight, Router};
 use crate::endpoint::Load;
 
 impl Router {
     /// Records the load that an endpoint reported in a response.
     pub fn load(&mut self, now: Duration, flight: &mut Flight, load: Load) {
         // Only the report includes the requests of other hosts.
-        flight.is_crowded |= load.used() >= CROWDED;
+        flight.is_crowded |= load.used() >= CROWDED_UTILIZATION;
         self.directory.load(now, flight.endpoint, load);
     }
 
--- a/crates/route/src/router/releases.rs
+++ b/crates/route/src/router/rollouts.rs
@@ -5,9 +5,9 @@
 
 use kernel::{HostName, ServiceName, hash};
 
-use super::{Router, SESSION_MARGIN};
+use super::{Router, SESSION_GAP_MARGIN};
 use crate::Rollout;
-use crate::call::{Call, Lane};
+use crate::call::{Call, ReleaseAssignment};
 use crate::rollout::{self, Order, Scope};
 
 /// The changes made by another host's update on roll-outs.
@@ -22,13 +22,15 @@
 }
 
 /// The maximum number of previous orders kept per service.
-const MOST_FORMER: usize = 8;
+const MAX_PREVIOUS_ORDERS: usize = 8;
 
 /// Returns whether an order is a previous one that reappeared because the store was restored
 /// from an older copy, which lacks the order that replaced it.
-fn is_restored(former: &HashMap<ServiceName, Vec<Order>>, order: &Order) -> bool {
-    let former = former.get(&order.service).map_or(&[][..], Vec::as_slice);
-    former.iter().any(|it| {
+fn is_restored(previous_orders: &HashMap<ServiceName, Vec<Order>>, order: &Order) -> bool {
+    let previous_orders = previous_orders
+        .get(&order.service)
+        .map_or(&[][..], Vec::as_slice);
+    previous_orders.iter().any(|it| {
         let is_same = it.release == order.release && it.revision.version == order.revision.version;
         is_same && it.revision.era < order.revision.era
     })
@@ -40,12 +42,15 @@
     pub fn order(&mut self, order: Order, started: Duration) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             let is_older = known.order.revision >= order.revision;
-            if is_older || is_restored(&self.former, &order) || known.renew(&order) {
+            if is_older || is_restored(&self.previous_orders, &order) || known.renew(&order) {
                 return false;
             }
-            let former = self.former.entry(order.service.clone()).or_default();
-            former.truncate(MOST_FORMER - 1);
-            former.insert(0, known.order.clone());
+            let previous_orders = self
+                .previous_orders
+                .entry(order.service.clone())
+                .or_default();
+            previous_orders.truncate(MAX_PREVIOUS_ORDERS - 1);
+            previous_orders.insert(0, known.order.clone());
         }
         let exposure = self.settings.exposure_share;
         let service = order.service.clone();
@@ -56,12 +61,12 @@
 
     /// Returns this host's updates on roll-outs for other hosts.
     pub fn news(&mut self, now: Duration, scope: Scope) -> Vec<rollout::News> {
-        let gap = self.settings.session_gap + SESSION_MARGIN;
+        let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
         let mut news = Vec::with_capacity(self.rollouts.len());
         for rollout in self.rollouts.values_mut() {
             let held: Vec<u64> = self
                 .sessions
-                .others_than(now, &rollout.order.release, gap)
+                .on_other_releases(now, &rollout.order.release, gap)
                 .map(|it| hash::of(it.as_str()))
                 .filter(|&it| rollout.is_contested(it))
                 .collect();
@@ -103,16 +108,21 @@
     }
 
     /// Assigns a new request to a release if its service has a roll-out.
-    pub(super) fn lane(&self, now: Duration, call: &Call, number: u64) -> Option<Lane> {
+    pub(super) fn assign_release(
+        &self,
+        now: Duration,
+        call: &Call,
+        number: u64,
+    ) -> Option<ReleaseAssignment> {
         let rollout = self.rollouts.get(&call.service)?;
-        let gap = self.settings.session_gap + SESSION_MARGIN;
+        let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
         let session = call.shape.session.as_ref();
         let release = session.and_then(|it| self.sessions.release(now, it, gap));
         let side = match release {
             Some(release) => rollout.keep(now, release, number),
             None => rollout.side(now, number),
         };
-        Some(Lane {
+        Some(ReleaseAssignment {
             side,
             revision: rollout.began_as(),
         })
--- a/crates/route/src/sessions.rs
+++ b/crates/route/src/sessions.rs
@@ -6,7 +6,7 @@
 use kernel::{Release, SessionId};
 
 /// The interval at which expired sessions are removed.
-const SWEEP: Duration = Duration::from_secs(2);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The releases that recent sessions use.
 ///
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sessions {
     seen: HashMap<SessionId, Seen>,
-    swept: Duration,
+    last_sweep: Duration,
 }
 
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
     }
 
     /// Returns the sessions active within the last `gap` that use another release.
-    pub(crate) fn others_than(
+    pub(crate) fn on_other_releases(
         &self,
         now: Duration,
         release: &Release,
@@ -45,9 +45,15 @@
     }
 
     /// Records that a session's request is sent to `release`.
-    pub(crate) fn note(&mut self, now: Duration, id: &SessionId, release: &Release, gap: Duration) {
-        if now.saturating_sub(self.swept) > SWEEP {
-            self.swept = now;
+    pub(crate) fn record(
+        &mut self,
+        now: Duration,
+        id: &SessionId,
+        release: &Release,
+        gap: Duration,
+    ) {
+        if now.saturating_sub(self.last_sweep) > SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.seen.retain(|_, it| now.saturating_sub(it.at) <= gap);
         }
         let seen = Seen {
@@ -58,7 +64,7 @@
     }
 
     /// Records activity of a session.
-    pub(crate) fn renew(&mut self, now: Duration, id: &SessionId) {
+    pub(crate) fn touch(&mut self, now: Duration, id: &SessionId) {
         if let Some(seen) = self.seen.get_mut(id) {
             seen.at = now;
         }
--- a/crates/route/tests/harness/evacuations.rs
+++ b/crates/route/tests/harness/evacuations.rs
@@ -4,43 +4,43 @@
 use route::{Evacuation, Revision};
 
 use super::Script;
-use crate::words::Words;
+use crate::line::Line;
 
 impl Script {
     /// Runs a command on evacuations of data centres.
-    pub(super) fn line_of_evacuations(&mut self, words: &Words<'_>) -> String {
+    pub(super) fn run_evacuation_command(&mut self, line: &Line<'_>) -> String {
         let now = self.now;
         let at = Revision {
-            era: words.number::<u64>("era", 0),
-            version: words.number::<u64>("at", 1),
+            era: line.number::<u64>("era", 0),
+            version: line.number::<u64>("at", 1),
         };
-        let said = |data_centre: &str, version, access| Evacuation {
+        let evacuation = |data_centre: &str, version, access| Evacuation {
             data_centre: data_centre.into(),
             revision: Revision { version, ..at },
             access,
         };
-        match words.verb {
+        match line.command {
             "empty" => {
-                let said = said(words.rest[0], at.version, Access::Emptied);
-                let is_change = self.router().evacuate(now, said);
+                let evacuation = evacuation(line.args[0], at.version, Access::Emptied);
+                let is_change = self.router().evacuate(now, evacuation);
                 if is_change { "emptied" } else { "known" }.to_owned()
             }
             "take-back" => {
-                let said = said(words.rest[0], at.version, Access::Open);
-                let is_change = self.router().evacuate(now, said);
+                let evacuation = evacuation(line.args[0], at.version, Access::Open);
+                let is_change = self.router().evacuate(now, evacuation);
                 if is_change { "taken back" } else { "known" }.to_owned()
             }
             "read" => {
-                let emptied = words.rest.iter().map(|it| {
+                let emptied = line.args.iter().map(|it| {
                     let (data_centre, version) = it.split_once('@').unwrap();
-                    said(data_centre, version.parse().unwrap(), Access::Emptied)
+                    evacuation(data_centre, version.parse().unwrap(), Access::Emptied)
                 });
                 let emptied = emptied.collect();
                 let is_change = self.router().read_evacuations(now, at, emptied);
                 if is_change { "changed" } else { "known" }.to_owned()
             }
             "go-out" => {
-                let flight = self.calls[words.rest[0]].flight.as_ref().unwrap();
+                let flight = self.calls[line.args[0]].flight.as_ref().unwrap();
                 match self.hosts[self.host].permit(now, flight) {
                     Ok(_) => "goes out".to_owned(),
                     Err(why) => format!("withheld: {why}"),
--- a/crates/route/tests/harness/words.rs
+++ b/crates/route/tests/harness/line.rs
@@ -10,19 +10,23 @@
 use route::{Ending, Settings};
 
 /// A parsed line of a script: a command with positional and named arguments.
-pub(crate) struct Words<'a> {
-    pub(crate) verb: &'a str,
-    pub(crate) rest: Vec<&'a str>,
+pub(crate) struct Line<'a> {
+    pub(crate) command: &'a str,
+    pub(crate) args: Vec<&'a str>,
     named: BTreeMap<&'a str, &'a str>,
 }
 
-impl<'a> Words<'a> {
+impl<'a> Line<'a> {
     pub(crate) fn of(line: &'a str) -> Self {
         let mut words = line.split_whitespace();
-        let verb = words.next().unwrap_or_default();
-        let (named, rest): (Vec<_>, Vec<_>) = words.partition(|it| it.contains('='));
+        let command = words.next().unwrap_or_default();
+        let (named, args): (Vec<_>, Vec<_>) = words.partition(|it| it.contains('='));
         let named = named.iter().filter_map(|it| it.split_once('=')).collect();
-        Self { verb, rest, named }
+        Self {
+            command,
+            args,
+            named,
+        }
     }
 
     pub(crate) fn text(&self, name: &str) -> Option<&'a str> {
@@ -48,17 +52,17 @@
     }
 }
 
-pub(crate) fn route(words: &Words<'_>) -> Route {
-    let stream = words.text("stream").is_some();
+pub(crate) fn route(line: &Line<'_>) -> Route {
+    let stream = line.text("stream").is_some();
     Route {
-        name: words.rest[0].into(),
+        name: line.args[0].into(),
         host: "shop".to_owned(),
-        prefix: words.rest[1].to_owned(),
+        prefix: line.args[1].to_owned(),
         targets: vec![Target {
-            service: words.rest[2].into(),
+            service: line.args[2].into(),
             weight: 1.0,
         }],
-        repeat: match words.text("repeat") {
+        repeat: match line.text("repeat") {
             Some("once") => Repeat::AtMostOnce,
             _ => Repeat::Idempotent,
         },
@@ -69,15 +73,15 @@
         } else {
             Answer::Whole
         },
-        attempts: words.number::<u32>("attempts", 3),
-        timeout: Duration::from_millis(words.number::<u64>("timeout", 20_000)),
-        aim: Duration::from_millis(words.number::<u64>("aim", 3_000)),
-        priority: words.number::<u8>("rank", 0),
-        access: match words.text("access") {
+        attempts: line.number::<u32>("attempts", 3),
+        timeout: Duration::from_millis(line.number::<u64>("timeout", 20_000)),
+        aim: Duration::from_millis(line.number::<u64>("aim", 3_000)),
+        priority: line.number::<u8>("rank", 0),
+        access: match line.text("access") {
             Some("keyed") => Access::Keyed,
             _ => Access::Public,
         },
-        models: words
+        models: line
             .text("models")
             .map(|it| it.split(',').map(Into::into).collect())
             .unwrap_or_default(),
--- a/crates/route/tests/harness/script.rs
+++ b/crates/route/tests/harness/script.rs
@@ -1,9 +1,9 @@
 //! The interpreter of test scripts: one command per line.
 
-#[path = "ends.rs"]
-mod ends;
 #[path = "evacuations.rs"]
 mod evacuations;
+#[path = "exits.rs"]
+mod exits;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 use route::rollout::{Order, Scope, Verdict};
 use route::{Arrival, Call, Ending, Flight, Placement, Revision, Router, Shape, WarmUp};
 
-use crate::words::{Words, ending_of, entry, route, settings};
+use crate::line::{Line, ending_of, entry, route, settings};
 
 /// The interval at which hosts advance their roll-outs.
-const LOOK: Duration = Duration::from_millis(100);
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The state of a running script: the routers of one or more hosts, and open requests.
 pub(crate) struct Script {
@@ -48,7 +48,7 @@
         let mut out = Vec::new();
         match directive {
             "config" => out.push(self.configure(input)),
-            _ => out.extend(input.lines().filter_map(|it| self.line(it))),
+            _ => out.extend(input.lines().filter_map(|it| self.run_line(it))),
         }
         if out.is_empty() {
             out.push("nothing".to_owned());
@@ -64,24 +64,24 @@
         let mut version = 1;
         let (mut services, mut customers, mut routes) = (Vec::new(), Vec::new(), Vec::new());
         for line in input.lines() {
-            let words = Words::of(line);
-            match words.verb {
-                "version" => version = words.rest[0].parse().unwrap(),
+            let line = Line::of(line);
+            match line.command {
+                "version" => version = line.args[0].parse().unwrap(),
                 "service" => services.push(Service {
-                    name: words.rest[0].into(),
-                    max_connections: words.number::<u32>("connections", 100),
-                    warm_up: words.text("warm-up").map(|it| WarmUp {
+                    name: line.args[0].into(),
+                    max_connections: line.number::<u32>("connections", 100),
+                    warm_up: line.text("warm-up").map(|it| WarmUp {
                         span: Duration::from_secs(3),
                         rate: it.parse().unwrap(),
                     }),
                     engine: None,
                 }),
                 "customer" => customers.push(Customer {
-                    name: words.rest[0].into(),
-                    keys: words.rest[1..].iter().map(|it| (*it).to_owned()).collect(),
+                    name: line.args[0].into(),
+                    keys: line.args[1..].iter().map(|it| (*it).to_owned()).collect(),
                     priority: None,
                 }),
-                "route" => routes.push(route(&words)),
+                "route" => routes.push(route(&line)),
                 other => panic!("unknown directive {other}"),
             }
         }
@@ -90,16 +90,16 @@
         if taken { "in force" } else { "not taken" }.to_owned()
     }
 
-    fn line(&mut self, line: &str) -> Option<String> {
-        let words = Words::of(line);
+    fn run_line(&mut self, line: &str) -> Option<String> {
+        let line = Line::of(line);
         let now = self.now;
-        match words.verb {
+        match line.command {
             "wait" => {
-                self.pass(Duration::from_millis(words.rest[0].parse().unwrap()));
+                self.pass(Duration::from_millis(line.args[0].parse().unwrap()));
                 None
             }
             "host" => {
-                self.host = words.rest[0].parse().unwrap();
+                self.host = line.args[0].parse().unwrap();
                 while self.hosts.len() <= self.host {
                     let seed = self.hosts.len() as u64;
                     self.hosts.push(Router::new(settings(), seed));
@@ -107,68 +107,68 @@
                 None
             }
             "hosts" => {
-                let hosts = words.rest[0].parse().unwrap();
+                let hosts = line.args[0].parse().unwrap();
                 self.router().set_hosts(hosts);
                 None
             }
             "list" | "list-lapsed" => {
-                let absence = if words.verb == "list" {
+                let absence = if line.command == "list" {
                     Absence::Gone
                 } else {
                     Absence::Lapsed
                 };
-                let entries = words.rest.iter().map(|it| entry(it)).collect();
+                let entries = line.args.iter().map(|it| entry(it)).collect();
                 let change = self.router().list(now, entries, absence);
                 let leaving: Vec<_> = change.leaving.iter().map(EndpointId::as_str).collect();
                 (!leaving.is_empty()).then(|| format!("leaving {}", leaving.join(" ")))
             }
             "load" => {
-                self.load(&words);
+                self.load(&line);
                 None
             }
-            "arrive" => Some(self.arrive(&words)),
-            "send" => Some(self.send(words.rest[0])),
+            "arrive" => Some(self.arrive(&line)),
+            "send" => Some(self.send(line.args[0])),
             "begun" => {
-                self.calls.get_mut(words.rest[0]).unwrap().call.begin();
+                self.calls.get_mut(line.args[0]).unwrap().call.begin();
                 None
             }
             "first" => {
-                let open = self.calls.get_mut(words.rest[0]).unwrap();
+                let open = self.calls.get_mut(line.args[0]).unwrap();
                 let flight = open.flight.as_mut().unwrap();
                 self.hosts[self.host].first(now, &open.call, flight);
                 None
             }
             "silent" => {
-                let open = self.calls.get_mut(words.rest[0]).unwrap();
+                let open = self.calls.get_mut(line.args[0]).unwrap();
                 let gives_up = self.hosts[self.host].reserve(now, &mut open.call, Ending::Silent);
                 Some(if gives_up { "give up" } else { "wait on" }.to_owned())
             }
             "confidence" => {
-                let confidence = words.rest[1].parse().ok();
-                let open = self.calls.get_mut(words.rest[0]).unwrap();
+                let confidence = line.args[1].parse().ok();
+                let open = self.calls.get_mut(line.args[0]).unwrap();
                 let larger = self.hosts[self.host].escalates(now, &mut open.call, confidence);
                 Some(if larger { "ask the largest" } else { "deliver" }.to_owned())
             }
-            "end" => Some(self.end(words.rest[0], words.rest[1])),
-            "many" => Some(self.many(&words)),
-            "crowd" => Some(self.crowd(&words)),
+            "end" => Some(self.end(line.args[0], line.args[1])),
+            "many" => Some(self.send_many(&line)),
+            "crowd" => Some(self.send_overlapping(&line)),
             "order" => {
                 let order = Order {
-                    service: words.rest[0].into(),
-                    release: Release::from(words.rest[1]),
-                    over: Duration::from_millis(words.number::<u64>("over", 20_000)),
+                    service: line.args[0].into(),
+                    release: Release::from(line.args[1]),
+                    over: Duration::from_millis(line.number::<u64>("over", 20_000)),
                     revision: Revision {
-                        era: words.number::<u64>("era", 0),
-                        version: words.number::<u64>("revision", 1),
+                        era: line.number::<u64>("era", 0),
+                        version: line.number::<u64>("revision", 1),
                     },
                 };
                 let taken = self.router().order(order, now);
                 (!taken).then(|| "known".to_owned())
             }
-            "rollout" => Some(self.rollout(words.rest[0])),
+            "rollout" => Some(self.rollout(line.args[0])),
             "verdict" => {
-                let service = ServiceName::from(words.rest[0]);
-                let verdict = match words.rest[1] {
+                let service = ServiceName::from(line.args[0]);
+                let verdict = match line.args[1] {
                     "complete" => Verdict::Complete,
                     "reverted" => Verdict::Reverted,
                     _ => Verdict::Running,
@@ -177,16 +177,14 @@
                 None
             }
             "news" => {
-                let (from, to): (usize, usize) = (
-                    words.rest[0].parse().unwrap(),
-                    words.rest[1].parse().unwrap(),
-                );
+                let (from, to): (usize, usize) =
+                    (line.args[0].parse().unwrap(), line.args[1].parse().unwrap());
                 let news = self.hosts[from].news(now, Scope::All);
                 let name = HostName::from(format!("host-{from}"));
                 self.hosts[to].hear(now, &name, news);
                 None
             }
-            _ => self.line_of_ends(&words),
+            _ => self.run_exit_command(&line),
         }
     }
 
@@ -194,7 +192,7 @@
     fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            self.now = end.min(self.now + LOOK);
+            self.now = end.min(self.now + ADVANCE_INTERVAL);
             self.advance();
         }
     }
@@ -207,34 +205,34 @@
         }
     }
 
-    fn load(&mut self, words: &Words<'_>) {
-        let open = self.calls.get_mut(words.rest[0]).unwrap();
+    fn load(&mut self, line: &Line<'_>) {
+        let open = self.calls.get_mut(line.args[0]).unwrap();
         let load = Load {
-            running: words.number::<u32>("running", 0),
-            waiting: words.number::<u32>("waiting", 0),
+            running: line.number::<u32>("running", 0),
+            waiting: line.number::<u32>("waiting", 0),
             slots: 10,
         };
         let flight = open.flight.as_mut().unwrap();
         self.hosts[self.host].load(self.now, flight, load);
     }
 
-    fn arrive(&mut self, words: &Words<'_>) -> String {
+    fn arrive(&mut self, line: &Line<'_>) -> String {
         self.advance();
-        let id = words.rest[0];
+        let id = line.args[0];
         let shape = Shape {
-            prompt_tokens: words.number::<u64>("tokens", 0),
-            session: words.text("session").map(SessionId::from),
+            prompt_tokens: line.number::<u64>("tokens", 0),
+            session: line.text("session").map(SessionId::from),
             ..Shape::default()
         };
-        let patience = words
+        let patience = line
             .text("waits")
             .map(|it| Duration::from_millis(it.parse().unwrap()));
         let arrival = Arrival {
             id,
-            host: words.text("host").unwrap_or("shop"),
-            path: words.text("path").unwrap_or("/a/x"),
-            body: words.text("body").unwrap_or(id).as_bytes(),
-            key: words.text("key"),
+            host: line.text("host").unwrap_or("shop"),
+            path: line.text("path").unwrap_or("/a/x"),
+            body: line.text("body").unwrap_or(id).as_bytes(),
+            key: line.text("key"),
             patience,
             shape,
         };
@@ -280,40 +278,43 @@
     }
 
     /// Sends a number of requests one after the other and counts them by endpoint.
-    fn many(&mut self, words: &Words<'_>) -> String {
-        let count: u32 = words.rest[0].parse().unwrap();
+    fn send_many(&mut self, line: &Line<'_>) -> String {
+        let count: u32 = line.args[0].parse().unwrap();
         let mut counts = BTreeMap::<String, u32>::new();
         for nr in 0..count {
             let id = format!("many-{nr}");
-            let session = words
+            let session = line
                 .text("session")
                 .map_or(format!("{}-{nr}", self.now.as_millis()), str::to_owned);
-            let line = format!(
+            let arrival = format!(
                 "arrive {id} session={session} path={}",
-                words.text("path").unwrap_or("/a/x")
+                line.text("path").unwrap_or("/a/x")
             );
-            self.arrive(&Words::of(&line));
+            self.arrive(&Line::of(&arrival));
             let Some(placement) = self.place(&id) else {
                 *counts.entry("nowhere".to_owned()).or_default() += 1;
                 continue;
             };
             let to = placement.id.as_str().to_owned();
-            let nth = counts.get(&to).copied().unwrap_or(0) + 1;
-            let every = words.number(&format!("{to}-fails-every"), words.number("fails-every", 0));
-            let usual = if every > 0 && nth % every == 0 {
+            let count_here = counts.get(&to).copied().unwrap_or(0) + 1;
+            let every = line.number(&format!("{to}-fails-every"), line.number("fails-every", 0));
+            let default_ending = if every > 0 && count_here % every == 0 {
                 "failed"
             } else {
                 "answered"
             };
-            let ending = words.text(&to).or(words.text("end")).unwrap_or(usual);
-            let took = words.number(&format!("{to}-took"), words.number("took", 0));
+            let ending = line
+                .text(&to)
+                .or(line.text("end"))
+                .unwrap_or(default_ending);
+            let took = line.number(&format!("{to}-took"), line.number("took", 0));
             self.pass(Duration::from_millis(took));
             let open = self.calls.get_mut(&id).unwrap();
             let flight = open.flight.as_mut().unwrap();
             self.hosts[self.host].first(self.now, &open.call, flight);
             *counts.entry(to).or_default() += 1;
             self.end(&id, ending);
-            self.pass(Duration::from_millis(words.number::<u64>("each", 10)));
+            self.pass(Duration::from_millis(line.number::<u64>("each", 10)));
         }
         let parts: Vec<_> = counts.iter().map(|(id, it)| format!("{id} {it}")).collect();
         parts.join(", ")
@@ -322,12 +323,12 @@
     /// Sends a number of overlapping requests, one every `each` milliseconds, and counts them
     /// by endpoint. On endpoints that are half full, those of the release `crowded-fails` fail
     /// every second request, and those of `crowded-silent` let every request time out.
-    fn crowd(&mut self, words: &Words<'_>) -> String {
-        let count: u32 = words.rest[0].parse().unwrap();
-        let each = Duration::from_millis(words.number::<u64>("each", 40));
-        let lasts = Duration::from_millis(words.number::<u64>("lasts", 600));
-        let fails = words.text("crowded-fails").unwrap_or_default();
-        let silent = words.text("crowded-silent").unwrap_or_default();
+    fn send_overlapping(&mut self, line: &Line<'_>) -> String {
+        let count: u32 = line.args[0].parse().unwrap();
+        let each = Duration::from_millis(line.number::<u64>("each", 40));
+        let lasts = Duration::from_millis(line.number::<u64>("lasts", 600));
+        let fails = line.text("crowded-fails").unwrap_or_default();
+        let silent = line.text("crowded-silent").unwrap_or_default();
         let mut open: Vec<(Duration, String, String, &str)> = Vec::new();
         let mut counts = BTreeMap::<String, u32>::new();
         for nr in 0..count {
@@ -336,14 +337,14 @@
                 self.end(&id, ending);
             }
             let id = format!("crowd-{}-{nr}", self.now.as_millis());
-            self.arrive(&Words::of(&format!("arrive {id} session={id}")));
+            self.arrive(&Line::of(&format!("arrive {id} session={id}")));
             let to = self.place(&id).unwrap().id.as_str().to_owned();
-            let beside = open.iter().filter(|it| it.2 == to).count();
-            let crowds =
-                |release: &str| !release.is_empty() && to.ends_with(release) && beside >= 5;
-            let ending = if crowds(silent) {
+            let concurrent = open.iter().filter(|it| it.2 == to).count();
+            let is_crowded_with =
+                |release: &str| !release.is_empty() && to.ends_with(release) && concurrent >= 5;
+            let ending = if is_crowded_with(silent) {
                 "silent"
-            } else if crowds(fails) && nr % 2 == 0 {
+            } else if is_crowded_with(fails) && nr % 2 == 0 {
                 "failed"
             } else {
                 "answered"
--- a/crates/route/tests/scripts.rs
+++ b/crates/route/tests/scripts.rs
@@ -3,10 +3,10 @@
 //! Each file in `scripts/` starts with what it guards against. `docs/scripts.md` describes
 //! the command language.
 
+#[path = "harness/line.rs"]
+mod line;
 #[path = "harness/script.rs"]
 mod script;
-#[path = "harness/words.rs"]
-mod words;
 
 use script::Script;
 
