--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -10,7 +10,7 @@
 /// How far an endpoint's error rate must exceed its service's for an ejection.
 const ERROR_RATE_MARGIN: f64 = 0.25;
 /// The first and the longest ejection time. Each ejection lasts twice as long as the one
-/// before, until the endpoint answers well again.
+/// before, until the endpoint responds well again.
 const FIRST_EJECTION: Duration = Duration::from_millis(1_500);
 const MAX_EJECTION: Duration = Duration::from_secs(8);
 /// The ejection time after a failed connection attempt. Short, since the endpoint may only
--- a/crates/route/src/router/rollouts.rs
+++ b/crates/route/src/router/rollouts.rs
@@ -62,23 +62,23 @@
     /// Returns this host's updates on roll-outs for other hosts.
     pub fn news(&mut self, now: Duration, scope: Scope) -> Vec<rollout::News> {
         let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
-        let mut news = Vec::with_capacity(self.rollouts.len());
+        let mut updates = Vec::with_capacity(self.rollouts.len());
         for rollout in self.rollouts.values_mut() {
-            let held: Vec<u64> = self
+            let retained: Vec<u64> = self
                 .sessions
                 .on_other_releases(now, &rollout.order.release, gap)
                 .map(|it| hash::of(it.as_str()))
                 .filter(|&it| rollout.is_contested(it))
                 .collect();
-            news.push(rollout.news(now, held.into_iter(), scope));
+            updates.push(rollout.news(now, retained.into_iter(), scope));
         }
-        news
+        updates
     }
 
     /// Applies another host's updates on roll-outs and returns what changed.
-    pub fn hear(&mut self, now: Duration, host: &HostName, news: Vec<rollout::News>) -> Heard {
+    pub fn hear(&mut self, now: Duration, host: &HostName, updates: Vec<rollout::News>) -> Heard {
         let mut changed = Heard::default();
-        for it in news {
+        for it in updates {
             let started = now.saturating_sub(it.elapsed);
             if self.order(it.order.clone(), started) {
                 changed.ordered.push(it.order.clone());
--- a/crates/route/tests/harness/exits.rs
+++ b/crates/route/tests/harness/exits.rs
@@ -22,14 +22,14 @@
             "tell" => {
                 let (from, to): (usize, usize) =
                     (line.args[0].parse().unwrap(), line.args[1].parse().unwrap());
-                let news = self.hosts[from].quarantine().news(now, Scope::Fresh);
-                self.hosts[to].quarantine().hear(now, &news);
+                let update = self.hosts[from].quarantine().news(now, Scope::Fresh);
+                self.hosts[to].quarantine().hear(now, &update);
                 None
             }
             "told-leaving" => {
                 let flight = self.calls[line.args[0]].flight.as_ref().unwrap();
-                let is_news = self.hosts[self.host].leave(flight);
-                Some(if is_news { "leaving" } else { "known" }.to_owned())
+                let is_change = self.hosts[self.host].leave(flight);
+                Some(if is_change { "leaving" } else { "known" }.to_owned())
             }
             "leave" => {
                 let open = self.calls.get_mut(line.args[0]).unwrap();
@@ -43,10 +43,10 @@
 
     /// Reports the result of probing the endpoints to which connections broke, and returns
     /// their IDs.
-    fn report_probes(&mut self, found: impl Fn(&mut Router, Key)) -> String {
+    fn report_probes(&mut self, report: impl Fn(&mut Router, Key)) -> String {
         let candidates = self.router().take_doubted();
         for (key, _, _) in &candidates {
-            found(self.router(), *key);
+            report(self.router(), *key);
         }
         let ids: Vec<_> = candidates.iter().map(|it| it.1.as_str()).collect();
         format!("asked {}", ids.join(" "))
--- a/crates/route/tests/harness/script.rs
+++ b/crates/route/tests/harness/script.rs
@@ -179,9 +179,9 @@
             "news" => {
                 let (from, to): (usize, usize) =
                     (line.args[0].parse().unwrap(), line.args[1].parse().unwrap());
-                let news = self.hosts[from].news(now, Scope::All);
+                let updates = self.hosts[from].news(now, Scope::All);
                 let name = HostName::from(format!("host-{from}"));
-                self.hosts[to].hear(now, &name, news);
+                self.hosts[to].hear(now, &name, updates);
                 None
             }
             _ => self.run_exit_command(&line),
