--- a/crates/route/src/router/releases.rs
+++ b/crates/route/src/router/rollouts.rs
@@ -1,50 +1,56 @@
-//! What the router knows of roll-outs.
+//! Roll-outs of releases.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use kernel::{HostName, ServiceName, hash};
 
-use super::{Router, SESSION_MARGIN};
+use super::{Router, SESSION_GAP_MARGIN};
 use crate::Rollout;
-use crate::call::{Call, Lane};
+use crate::call::{Call, ReleaseAssignment};
 use crate::rollout::{self, Order, Scope};
 
-/// What another host's news of roll-outs changed.
+/// The changes made by another host's update on roll-outs.
 #[derive(Clone, Debug, Default)]
 pub struct Heard {
-    /// Orders that weren't known.
+    /// Orders that were unknown before.
     pub ordered: Vec<Order>,
-    /// Roll-outs that have a verdict now.
+    /// Roll-outs whose verdict changed.
     pub judged: Vec<Rollout>,
-    /// Whether neighbours are to hear of it at once.
+    /// Whether to forward the changes to neighbours immediately.
     pub is_news: bool,
 }
 
-/// How many former orders of a service are remembered.
-const MOST_FORMER: usize = 8;
+/// The maximum number of previous orders kept per service.
+const MAX_PREVIOUS_ORDERS: usize = 8;
 
-/// Whether an order is one of before that a store brought back which came back from a
-/// copy: the row is as old as it was then, and what replaced it is only lost there.
-fn is_restored(former: &HashMap<ServiceName, Vec<Order>>, order: &Order) -> bool {
-    let former = former.get(&order.service).map_or(&[][..], Vec::as_slice);
-    former.iter().any(|it| {
+/// Returns whether an order is a previous one that reappeared because the store was restored
+/// from an older copy, which lacks the order that replaced it.
+fn is_restored(previous_orders: &HashMap<ServiceName, Vec<Order>>, order: &Order) -> bool {
+    let previous_orders = previous_orders
+        .get(&order.service)
+        .map_or(&[][..], Vec::as_slice);
+    previous_orders.iter().any(|it| {
         let is_same = it.release == order.release && it.revision.version == order.revision.version;
         is_same && it.revision.era < order.revision.era
     })
 }
 
 impl Router {
-    /// Takes an operator's order; an older one, or the same again, changes nothing.
+    /// Applies an operator's order and returns whether it starts a roll-out. Ignores orders that
+    /// are older than the current one or the same.
     pub fn order(&mut self, order: Order, started: Duration) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             let is_older = known.order.revision >= order.revision;
-            if is_older || is_restored(&self.former, &order) || known.renew(&order) {
+            if is_older || is_restored(&self.previous_orders, &order) || known.renew(&order) {
                 return false;
             }
-            let former = self.former.entry(order.service.clone()).or_default();
-            former.truncate(MOST_FORMER - 1);
-            former.insert(0, known.order.clone());
+            let previous_orders = self
+                .previous_orders
+                .entry(order.service.clone())
+                .or_default();
+            previous_orders.truncate(MAX_PREVIOUS_ORDERS - 1);
+            previous_orders.insert(0, known.order.clone());
         }
         let exposure = self.settings.exposure_share;
         let service = order.service.clone();
@@ -53,26 +59,26 @@
         true
     }
 
-    /// What this host tells the others of roll-outs.
+    /// Returns this host's updates on roll-outs for other hosts.
     pub fn news(&mut self, now: Duration, scope: Scope) -> Vec<rollout::News> {
-        let gap = self.settings.session_gap + SESSION_MARGIN;
-        let mut news = Vec::with_capacity(self.rollouts.len());
+        let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
+        let mut updates = Vec::with_capacity(self.rollouts.len());
         for rollout in self.rollouts.values_mut() {
-            let held: Vec<u64> = self
+            let retained: Vec<u64> = self
                 .sessions
-                .others_than(now, &rollout.order.release, gap)
+                .on_other_releases(now, &rollout.order.release, gap)
                 .map(|it| hash::of(it.as_str()))
                 .filter(|&it| rollout.is_contested(it))
                 .collect();
-            news.push(rollout.news(now, held.into_iter(), scope));
+            updates.push(rollout.news(now, retained.into_iter(), scope));
         }
-        news
+        updates
     }
 
-    /// Takes what another host tells of roll-outs, and says what changed by it.
-    pub fn hear(&mut self, now: Duration, host: &HostName, news: Vec<rollout::News>) -> Heard {
+    /// Applies another host's updates on roll-outs and returns what changed.
+    pub fn hear(&mut self, now: Duration, host: &HostName, updates: Vec<rollout::News>) -> Heard {
         let mut changed = Heard::default();
-        for it in news {
+        for it in updates {
             let started = now.saturating_sub(it.elapsed);
             if self.order(it.order.clone(), started) {
                 changed.ordered.push(it.order.clone());
@@ -91,27 +97,32 @@
         changed
     }
 
-    /// The roll-outs, one a service at most.
+    /// Returns the roll-outs, at most one per service.
     pub fn rollouts(&mut self) -> impl Iterator<Item = &mut Rollout> {
         self.rollouts.values_mut()
     }
 
-    /// The roll-out of a service.
+    /// Returns the roll-out of a service.
     pub fn rollout(&mut self, service: &ServiceName) -> Option<&mut Rollout> {
         self.rollouts.get_mut(service)
     }
 
-    /// The release for a new request while a roll-out is under way.
-    pub(super) fn lane(&self, now: Duration, call: &Call, number: u64) -> Option<Lane> {
+    /// Assigns a new request to a release if its service has a roll-out.
+    pub(super) fn assign_release(
+        &self,
+        now: Duration,
+        call: &Call,
+        number: u64,
+    ) -> Option<ReleaseAssignment> {
         let rollout = self.rollouts.get(&call.service)?;
-        let gap = self.settings.session_gap + SESSION_MARGIN;
+        let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
         let session = call.shape.session.as_ref();
         let release = session.and_then(|it| self.sessions.release(now, it, gap));
         let side = match release {
             Some(release) => rollout.keep(now, release, number),
             None => rollout.side(now, number),
         };
-        Some(Lane {
+        Some(ReleaseAssignment {
             side,
             revision: rollout.began_as(),
         })
--- /dev/null
+++ b/crates/route/tests/harness/exits.rs
@@ -0,0 +1,54 @@
+//! Script commands on processes that exit or shut down.
+
+use route::Router;
+use route::endpoint::Key;
+use route::rollout::Scope;
+
+use super::Script;
+use crate::line::Line;
+
+impl Script {
+    /// Runs a command on processes that exit or shut down.
+    pub(super) fn run_exit_command(&mut self, line: &Line<'_>) -> Option<String> {
+        let now = self.now;
+        match line.command {
+            "ended" => Some(self.report_probes(|router, key| router.ended(now, key))),
+            "stands" => Some(self.report_probes(Router::stands)),
+            "held" => {
+                let quarantine = self.router().quarantine();
+                quarantine.age(now);
+                Some(format!("{} held", quarantine.len()))
+            }
+            "tell" => {
+                let (from, to): (usize, usize) =
+                    (line.args[0].parse().unwrap(), line.args[1].parse().unwrap());
+                let update = self.hosts[from].quarantine().news(now, Scope::Fresh);
+                self.hosts[to].quarantine().hear(now, &update);
+                None
+            }
+            "told-leaving" => {
+                let flight = self.calls[line.args[0]].flight.as_ref().unwrap();
+                let is_change = self.hosts[self.host].leave(flight);
+                Some(if is_change { "leaving" } else { "known" }.to_owned())
+            }
+            "leave" => {
+                let open = self.calls.get_mut(line.args[0]).unwrap();
+                let flight = open.flight.take().unwrap();
+                self.hosts[self.host].cancel(now, flight);
+                None
+            }
+            _ => Some(self.run_evacuation_command(line)),
+        }
+    }
+
+    /// Reports the result of probing the endpoints to which connections broke, and returns
+    /// their IDs.
+    fn report_probes(&mut self, report: impl Fn(&mut Router, Key)) -> String {
+        let candidates = self.router().take_doubted();
+        for (key, _, _) in &candidates {
+            report(self.router(), *key);
+        }
+        let ids: Vec<_> = candidates.iter().map(|it| it.1.as_str()).collect();
+        format!("asked {}", ids.join(" "))
+    }
+}
--- a/crates/route/tests/harness/words.rs
+++ b/crates/route/tests/harness/line.rs
@@ -1,4 +1,4 @@
-//! The words of the scripts, and what they stand for.
+//! Parsing of script lines and their arguments.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -9,20 +9,24 @@
 use route::endpoint::{Entry, State};
 use route::{Ending, Settings};
 
-/// A line of a script.
-pub(crate) struct Words<'a> {
-    pub(crate) verb: &'a str,
-    pub(crate) rest: Vec<&'a str>,
+/// A parsed line of a script: a command with positional and named arguments.
+pub(crate) struct Line<'a> {
+    pub(crate) command: &'a str,
+    pub(crate) args: Vec<&'a str>,
     named: BTreeMap<&'a str, &'a str>,
 }
 
-impl<'a> Words<'a> {
+impl<'a> Line<'a> {
     pub(crate) fn of(line: &'a str) -> Self {
         let mut words = line.split_whitespace();
-        let verb = words.next().unwrap_or_default();
-        let (named, rest): (Vec<_>, Vec<_>) = words.partition(|it| it.contains('='));
+        let command = words.next().unwrap_or_default();
+        let (named, args): (Vec<_>, Vec<_>) = words.partition(|it| it.contains('='));
         let named = named.iter().filter_map(|it| it.split_once('=')).collect();
-        Self { verb, rest, named }
+        Self {
+            command,
+            args,
+            named,
+        }
     }
 
     pub(crate) fn text(&self, name: &str) -> Option<&'a str> {
@@ -48,17 +52,17 @@
     }
 }
 
-pub(crate) fn route(words: &Words<'_>) -> Route {
-    let stream = words.text("stream").is_some();
+pub(crate) fn route(line: &Line<'_>) -> Route {
+    let stream = line.text("stream").is_some();
     Route {
-        name: words.rest[0].into(),
+        name: line.args[0].into(),
         host: "shop".to_owned(),
-        prefix: words.rest[1].to_owned(),
+        prefix: line.args[1].to_owned(),
         targets: vec![Target {
-            service: words.rest[2].into(),
+            service: line.args[2].into(),
             weight: 1.0,
         }],
-        repeat: match words.text("repeat") {
+        repeat: match line.text("repeat") {
             Some("once") => Repeat::AtMostOnce,
             _ => Repeat::Idempotent,
         },
@@ -69,24 +73,23 @@
         } else {
             Answer::Whole
         },
-        attempts: words.number::<u32>("attempts", 3),
-        timeout: Duration::from_millis(words.number::<u64>("timeout", 20_000)),
-        aim: Duration::from_millis(words.number::<u64>("aim", 3_000)),
-        priority: words.number::<u8>("rank", 0),
-        access: match words.text("access") {
+        attempts: line.number::<u32>("attempts", 3),
+        timeout: Duration::from_millis(line.number::<u64>("timeout", 20_000)),
+        aim: Duration::from_millis(line.number::<u64>("aim", 3_000)),
+        priority: line.number::<u8>("rank", 0),
+        access: match line.text("access") {
             Some("keyed") => Access::Keyed,
             _ => Access::Public,
         },
-        models: words
+        models: line
             .text("models")
             .map(|it| it.split(',').map(Into::into).collect())
             .unwrap_or_default(),
     }
 }
 
-/// `id@service/release`, with `!` after it for one that drains, `#` and a number after the
-/// identity for one that tells its life, and `^` and its data centre at the end if that
-/// isn't `dc1`.
+/// Parses `id[#incarnation]@service/release[!][^data-centre]`. A `!` marks a draining endpoint;
+/// the default data centre is `dc1`.
 pub(crate) fn entry(text: &str) -> Entry {
     let (text, data_centre) = text.split_once('^').unwrap_or((text, "dc1"));
     let (who, rest) = text.split_once('@').unwrap();
