--- a/crates/host/src/addresses.rs
+++ b/crates/host/src/addresses.rs
@@ -5,13 +5,13 @@
 use kernel::{DataCentre, Region, hash};
 
 /// Largest number of addresses that callers accept.
-const MOST: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 /// Number of hosts in the caller's data centre from which only a few remote hosts are
 /// added. With fewer, a failed host would leave its callers too few alternatives.
-const ENOUGH: usize = 8;
+const ENOUGH_LOCAL: usize = 8;
 /// Number of local hosts per added remote host. With the remote hosts, callers still find a
 /// live host when their data centre fails.
-const SPARE: usize = 8;
+const LOCAL_PER_REMOTE: usize = 8;
 
 /// A host's address for callers, and its location.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -40,11 +40,11 @@
 ) -> Vec<SocketAddr> {
     let distance = |it: &Address| {
         if Some(&it.data_centre) == data_centre {
-            Distance::Near
+            Distance::SameDataCentre
         } else if Some(&it.region) == region {
-            Distance::Far
+            Distance::SameRegion
         } else {
-            Distance::Farthest
+            Distance::OtherRegion
         }
     };
     let mut order: Vec<_> = hosts
@@ -52,13 +52,13 @@
         .map(|it| (distance(it), hash::of(&(it.front, data_centre)), it.front))
         .collect();
     order.sort_unstable();
-    let near = order.partition_point(|it| it.0 == Distance::Near);
-    let told = if near < ENOUGH {
-        MOST
+    let local_count = order.partition_point(|it| it.0 == Distance::SameDataCentre);
+    let count = if local_count < ENOUGH_LOCAL {
+        MAX_ADDRESSES
     } else {
-        near + near.div_ceil(SPARE)
+        local_count + local_count.div_ceil(LOCAL_PER_REMOTE)
     };
-    order.truncate(told.min(MOST));
+    order.truncate(count.min(MAX_ADDRESSES));
     order.into_iter().map(|it| it.2).collect()
 }
 
@@ -66,9 +66,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     /// In the same data centre.
-    Near,
+    SameDataCentre,
     /// In the same region.
-    Far,
+    SameRegion,
     /// In another region.
-    Farthest,
+    OtherRegion,
 }
--- a/crates/host/src/backoff.rs
+++ b/crates/host/src/backoff.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 /// Delay after the first failure. Refused calls are billed like others.
-const FIRST: Duration = Duration::from_millis(150);
+const INITIAL_DELAY: Duration = Duration::from_millis(150);
 /// Longest delay of a single host: a configuration must be in force two seconds after the
 /// store is back.
-const LONGEST: Duration = Duration::from_millis(800);
+const MAX_DELAY: Duration = Duration::from_millis(800);
 /// Number of other hosts per multiple of the delay.
-const SHARERS: usize = 8;
+const HOSTS_PER_MULTIPLE: usize = 8;
 /// Largest multiple of the delay, so that a fleet soon finds a store that serves only some
 /// hosts.
-const MOST_SHARED: usize = 4;
+const MAX_MULTIPLE: usize = 4;
 
 /// Exponential backoff between failed calls to the store, longer in a larger fleet.
 ///
@@ -25,25 +25,25 @@
 
 impl Backoff {
     /// Returns the delay after one more failure, in a fleet with `others` other live hosts.
-    /// `lot`, from 0 to 1, spreads the retries of hosts that began to fail simultaneously.
-    pub fn pause(&mut self, others: usize, lot: f64) -> Duration {
+    /// `jitter`, from 0 to 1, spreads the retries of hosts that began to fail simultaneously.
+    pub fn next_delay(&mut self, others: usize, jitter: f64) -> Duration {
         /// Fraction of the delay that is random.
-        const SPREAD: f64 = 0.25;
-        let doubled = FIRST * 2u32.pow(self.failures.min(4));
+        const JITTER_FRACTION: f64 = 0.25;
+        let doubled = INITIAL_DELAY * 2u32.pow(self.failures.min(4));
         self.failures += 1;
-        let alone = doubled.min(LONGEST);
-        let shared = Self::shared(alone, others);
-        if shared == alone {
-            return alone;
+        let delay = doubled.min(MAX_DELAY);
+        let scaled = Self::scaled(delay, others);
+        if scaled == delay {
+            return delay;
         }
-        shared.mul_f64(1.0 - SPREAD * lot)
+        scaled.mul_f64(1.0 - JITTER_FRACTION * jitter)
     }
 
     /// Returns the delay multiplied for a fleet with `others` other live hosts.
     #[must_use]
-    pub fn shared(pause: Duration, others: usize) -> Duration {
-        let times = (others / SHARERS).clamp(1, MOST_SHARED);
-        pause * u32::try_from(times).unwrap_or(1)
+    pub fn scaled(delay: Duration, others: usize) -> Duration {
+        let multiple = (others / HOSTS_PER_MULTIPLE).clamp(1, MAX_MULTIPLE);
+        delay * u32::try_from(multiple).unwrap_or(1)
     }
 
     /// Resets the delay after the store has answered.
--- a/crates/host/src/follow.rs
+++ b/crates/host/src/follow.rs
@@ -6,9 +6,9 @@
 
 pub(crate) mod documents;
 pub(crate) mod endpoints;
-pub(crate) mod ends;
 pub(crate) mod evacuations;
 pub(crate) mod members;
+pub(crate) mod quarantine;
 pub(crate) mod verdicts;
 
 use std::time::Duration;
@@ -25,14 +25,14 @@
 
 /// Timeout of a long poll. Each poll is billed. Before it times out, keep-alive detects a
 /// dead connection, see `http`, and other calls detect a store that stops responding.
-const NEWS_WAIT: Duration = Duration::from_secs(5);
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 /// The same while no configuration is known and no other calls are made: readers must
 /// confirm their state often enough that the other hosts don't read the store.
-const FIRST_NEWS_WAIT: Duration = Duration::from_secs(1);
+const STARTUP_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval at which a host that doesn't read the store checks whether it should.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The same for a host that isn't ready, so that the checks don't delay its start.
-const GLANCE: Duration = Duration::from_millis(5);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Returns whether `news` is of another era of the store than `since`.
 fn is_of_another_era(since: Option<Revision>, news: Revision) -> bool {
@@ -43,28 +43,28 @@
 ///
 /// Nothing else is useful until then. While the store refuses calls, one kind of call is
 /// enough to detect its return; five kinds at a time would each be billed.
-pub(crate) async fn configured<S: Store, D: Dialect>(life: &Life<S, D>) {
+pub(crate) async fn wait_for_config<S: Store, D: Dialect>(life: &Life<S, D>) {
     while life.node.router().version().is_none() {
-        sleep(GLANCE).await;
+        sleep(STARTUP_POLL_INTERVAL).await;
     }
 }
 
 /// Waits until the next check whether this host should read the store. The wait is
 /// shorter while the host isn't ready.
-async fn pause<S: Store, D: Dialect>(life: &Life<S, D>) {
+async fn wait_to_read<S: Store, D: Dialect>(life: &Life<S, D>) {
     if life.is_ready() {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     } else {
-        sleep(GLANCE).await;
+        sleep(STARTUP_POLL_INTERVAL).await;
     }
 }
 
 /// Returns the result of a store call, or `None` if the call has to be restarted since
 /// the store was unavailable meanwhile.
-async fn unless<T>(returned: &Receiver<()>, question: impl Future<Output = T>) -> Option<T> {
-    let returned = returned.recv();
-    pin_mut!(question, returned);
-    match select(question, returned).await {
+async fn unless_restarted<T>(restart: &Receiver<()>, call: impl Future<Output = T>) -> Option<T> {
+    let restart = restart.recv();
+    pin_mut!(call, restart);
+    match select(call, restart).await {
         Either::Left((answer, _)) => Some(answer),
         Either::Right(_) => None,
     }
--- a/crates/host/src/follow/documents.rs
+++ b/crates/host/src/follow/documents.rs
@@ -8,7 +8,10 @@
 use route::{Config, Revision};
 use telemetry::{Event, Value};
 
-use super::{FIRST_NEWS_WAIT, NEWS_WAIT, evacuations, is_of_another_era, pause, unless, verdicts};
+use super::{
+    LONG_POLL_TIMEOUT, STARTUP_LONG_POLL_TIMEOUT, evacuations, is_of_another_era, unless_restarted,
+    verdicts, wait_to_read,
+};
 use crate::life::Life;
 use crate::{Backoff, Documents, Store, Trouble, say};
 
@@ -17,29 +20,29 @@
     let mut backoff = Backoff::default();
     loop {
         if !life.asks_store(life.confirmed.get()) {
-            pause(&life).await;
+            wait_to_read(&life).await;
             continue;
         }
         since = since.filter(|it| it.era == life.store.era());
         let began = life.node.now();
-        life.watches.set(since.is_some());
+        life.is_watching_documents.set(since.is_some());
         let wait = match life.node.router().version() {
-            Some(_) => NEWS_WAIT,
-            None => FIRST_NEWS_WAIT,
+            Some(_) => LONG_POLL_TIMEOUT,
+            None => STARTUP_LONG_POLL_TIMEOUT,
         };
-        let question = async {
+        let call = async {
             match since {
                 None => life.store.documents().await,
                 Some(since) => life.store.changes(since, wait).await,
             }
         };
-        let asked = unless(&life.returns[0].1, question).await;
-        life.watches.set(false);
-        let Some(asked) = asked else {
+        let result = unless_restarted(&life.returns[0].1, call).await;
+        life.is_watching_documents.set(false);
+        let Some(result) = result else {
             continue;
         };
-        say::store(&life, "news of documents", began, &asked);
-        match asked {
+        say::store(&life, "news of documents", began, &result);
+        match result {
             // The store was restored from a copy meanwhile. It may have reassigned versions up
             // to `since`, and the answer lacks what was written with those.
             Ok(documents) if is_of_another_era(since, documents.revision) => since = None,
@@ -47,8 +50,8 @@
                 backoff.reset();
                 let revision = documents.revision;
                 match since {
-                    None => read(&life, documents),
-                    Some(_) => take(&life, documents),
+                    None => apply_snapshot(&life, documents),
+                    Some(_) => apply_changes(&life, documents),
                 }
                 since = Some(revision.max(since.unwrap_or_default()));
                 if life.confirm(life.node.now()) {
@@ -62,14 +65,14 @@
 }
 
 /// Applies a snapshot of all documents.
-fn read<S: Store, D: Dialect>(life: &Life<S, D>, mut documents: Documents) {
+fn apply_snapshot<S: Store, D: Dialect>(life: &Life<S, D>, mut documents: Documents) {
     let emptied = std::mem::take(&mut documents.evacuations);
-    evacuations::read(life, documents.revision, emptied);
-    take(life, documents);
+    evacuations::apply_snapshot(life, documents.revision, emptied);
+    apply_changes(life, documents);
 }
 
 /// Applies changed documents.
-fn take<S: Store, D: Dialect>(life: &Life<S, D>, documents: Documents) {
+fn apply_changes<S: Store, D: Dialect>(life: &Life<S, D>, documents: Documents) {
     // Before the configuration: with it, the host starts to serve requests.
     evacuations::hear(life, documents.evacuations);
     say::unusable(life, "documents", documents.unreadable);
--- a/crates/host/src/follow/evacuations.rs
+++ b/crates/host/src/follow/evacuations.rs
@@ -11,12 +11,12 @@
 use crate::life::Life;
 
 /// Applies a snapshot of all evacuations in the store.
-pub(super) fn read<S: Store, D: Dialect>(
+pub(super) fn apply_snapshot<S: Store, D: Dialect>(
     life: &Life<S, D>,
     at: Revision,
     emptied: Vec<Evacuation>,
 ) {
-    change(life, || {
+    apply_and_log(life, || {
         let now = life.node.now();
         life.node.router().read_evacuations(now, at, emptied);
     });
@@ -24,7 +24,7 @@
 
 /// Applies changed evacuations, from the store or from another host.
 pub(crate) fn hear<S: Store, D: Dialect>(life: &Life<S, D>, said: Vec<Evacuation>) {
-    change(life, || {
+    apply_and_log(life, || {
         let (now, mut router) = (life.node.now(), life.node.router());
         for it in said {
             router.evacuate(now, it);
@@ -34,7 +34,7 @@
 
 /// Applies a change, logs which data centres it evacuated or opened, and sends the
 /// neighbours an update if any.
-fn change<S: Store, D: Dialect>(life: &Life<S, D>, change: impl FnOnce()) {
+fn apply_and_log<S: Store, D: Dialect>(life: &Life<S, D>, change: impl FnOnce()) {
     let before = emptied(life);
     change();
     let now = emptied(life);
--- a/crates/host/src/follow/members.rs
+++ b/crates/host/src/follow/members.rs
@@ -1,6 +1,6 @@
 //! Reconciles the store's listing of hosts with the live hosts.
 //!
-//! Hosts that start use the listing to find some others, which know the rest.
+//! Hosts that start use the listing to find batch others, which know the rest.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,54 +12,54 @@
 use crate::{Member, Store, say};
 
 /// Interval at which the first of the readers reads the listing.
-const PERIOD: Duration = Duration::from_secs(10);
+const READ_INTERVAL: Duration = Duration::from_secs(10);
 /// Interval between the first two readings. It doubles with each reading up to the full
 /// interval: hosts that start at the same time aren't in the listing at first.
-const FIRST_PERIOD: Duration = Duration::from_millis(500);
+const FIRST_READ_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which a host checks whether it has to read or write the listing.
-const LOOK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// The same before it has joined the fleet.
-const FIRST_LOOK: Duration = Duration::from_millis(10);
+const JOINING_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Number of entries from which a host doesn't register itself but leaves it to the
 /// readers, which write many entries per call. With fewer entries, each listed host would
 /// get requests from dozens of others when the whole fleet starts.
-const ENOUGH: usize = 24;
+const MIN_ENTRIES: usize = 24;
 /// Largest number of entries in one write.
-const MOST: usize = 100;
+const MAX_BATCH: usize = 100;
 
 pub(crate) async fn follow<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
-    let mut period = FIRST_PERIOD;
+    let mut interval = FIRST_READ_INTERVAL;
     let mut next = Duration::ZERO;
     while !life.is_leaving() {
-        let look = match life.found.get() {
-            Some(_) => LOOK,
+        let poll_interval = match life.hosts_found.get() {
+            Some(_) => POLL_INTERVAL,
             // Hosts that start at the same time should find this one.
-            None => FIRST_LOOK,
+            None => JOINING_POLL_INTERVAL,
         };
-        sleep(look).await;
+        sleep(poll_interval).await;
         let now = life.node.now();
-        let found = life.found.get();
-        let is_due = now >= next && (life.reads_for_all() || !life.is_enlisted.get());
-        let Some(found) = found.filter(|_| is_due) else {
+        let hosts_found = life.hosts_found.get();
+        let is_due = now >= next && (life.reads_for_all() || !life.is_registered.get());
+        let Some(hosts_found) = hosts_found.filter(|_| is_due) else {
             continue;
         };
-        if !life.is_enlisted.get() && found < ENOUGH {
-            let is_done = enlist(&life, &[life.own().clone()]).await;
-            life.is_enlisted.set(is_done);
+        if !life.is_registered.get() && hosts_found < MIN_ENTRIES {
+            let is_done = register(&life, &[life.own().clone()]).await;
+            life.is_registered.set(is_done);
         }
         if life.rank() == 0 && life.asks_store(life.confirmed.get()) {
-            agree(&life).await;
+            reconcile(&life).await;
         }
-        next = life.node.now() + period;
-        if life.is_enlisted.get() {
-            period = PERIOD.min(period * 2);
+        next = life.node.now() + interval;
+        if life.is_registered.get() {
+            interval = READ_INTERVAL.min(interval * 2);
         }
     }
 }
 
 /// Reads the listing, adds live hosts that are missing from it, and removes hosts that
 /// have been silent for long.
-async fn agree<S: Store, D: Dialect>(life: &Life<S, D>) {
+async fn reconcile<S: Store, D: Dialect>(life: &Life<S, D>) {
     let began = life.node.now();
     let listed = life.store.members().await;
     say::store(life, "hosts", began, &listed);
@@ -76,20 +76,20 @@
             roster.gone(life.node.now(), &found.entries),
         )
     };
-    enlist(life, &missing).await;
-    for some in gone.chunks(MOST) {
+    register(life, &missing).await;
+    for batch in gone.chunks(MAX_BATCH) {
         let began = life.node.now();
-        let withdrawn = life.store.withdraw(some).await;
+        let withdrawn = life.store.withdraw(batch).await;
         say::store(life, "withdraw", began, &withdrawn);
     }
 }
 
 /// Writes the entries of these hosts. Returns whether that succeeded.
-async fn enlist<S: Store, D: Dialect>(life: &Life<S, D>, members: &[Member]) -> bool {
+async fn register<S: Store, D: Dialect>(life: &Life<S, D>, members: &[Member]) -> bool {
     let mut is_done = true;
-    for some in members.chunks(MOST) {
+    for batch in members.chunks(MAX_BATCH) {
         let began = life.node.now();
-        let announced = life.store.announce(some).await;
+        let announced = life.store.announce(batch).await;
         say::store(life, "announce", began, &announced);
         is_done &= announced.is_ok();
     }
--- a/crates/host/src/follow/ends.rs
+++ b/crates/host/src/follow/quarantine.rs
@@ -13,19 +13,19 @@
 
 /// Interval of checks for new quarantined requests. Such a request ends an endpoint within
 /// a tenth of a second, and goes on to end others until all hosts know it.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval of checks for entries to write to the store or to delete there.
-const KEEP_LOOK: Duration = Duration::from_millis(500);
+const PERSIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Delay per rank before a host writes. The first host writes, and the others learn of it
 /// before their delay has passed.
-const TURN: Duration = Duration::from_millis(400);
+const RANK_DELAY: Duration = Duration::from_millis(400);
 /// Number of ranks after which the delay stays the same.
-const MOST_TURNS: usize = 8;
+const MAX_DELAYED_RANKS: usize = 8;
 
-pub(crate) async fn follow<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+pub(crate) async fn share<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     loop {
-        sleep(LOOK).await;
-        let (has_news, caught) = {
+        sleep(POLL_INTERVAL).await;
+        let (has_changes, caught) = {
             let mut router = life.node.router();
             let quarantine = router.quarantine();
             (quarantine.take_news(), quarantine.take_caught())
@@ -39,17 +39,17 @@
                 ],
             );
         }
-        if has_news {
+        if has_changes {
             life.hurry();
         }
     }
 }
 
 /// Writes quarantined requests to the store, and deletes those that were released.
-pub(crate) async fn keep<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+pub(crate) async fn persist<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     let mut backoff = Backoff::default();
     loop {
-        sleep(KEEP_LOOK).await;
+        sleep(PERSIST_INTERVAL).await;
         let released = life.node.router().quarantine().take_released();
         if !released.is_empty() && life.rank() == 0 {
             let began = life.node.now();
@@ -60,8 +60,8 @@
         if life.node.router().quarantine().unkept().is_empty() {
             continue;
         }
-        let turns = u32::try_from(life.rank().min(MOST_TURNS)).unwrap_or_default();
-        sleep(TURN * turns).await;
+        let delayed_ranks = u32::try_from(life.rank().min(MAX_DELAYED_RANKS)).unwrap_or_default();
+        sleep(RANK_DELAY * delayed_ranks).await;
         let unkept = life.node.router().quarantine().unkept();
         if unkept.is_empty() {
             continue;
--- a/crates/host/src/follow/verdicts.rs
+++ b/crates/host/src/follow/verdicts.rs
@@ -9,40 +9,42 @@
 use route::{Revision, Rollout};
 use telemetry::{Event, Value};
 
-use super::{NEWS_WAIT, configured, is_of_another_era, pause, unless};
+use super::{
+    LONG_POLL_TIMEOUT, is_of_another_era, unless_restarted, wait_for_config, wait_to_read,
+};
 use crate::life::Life;
 use crate::{Backoff, Documents, Judgement, Store, Trouble, say};
 
 /// Interval at which roll-outs are evaluated.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
 /// Delay per rank before a host writes a verdict. The first host writes, and the others
 /// learn of it before their delay has passed.
-const TURN: Duration = Duration::from_millis(300);
+const RANK_DELAY: Duration = Duration::from_millis(300);
 /// Number of ranks after which the delay stays the same.
-const MOST_TURNS: usize = 8;
+const MAX_DELAYED_RANKS: usize = 8;
 
 pub(crate) async fn follow<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
-    configured(&life).await;
+    wait_for_config(&life).await;
     let mut since: Option<Revision> = None;
     let mut backoff = Backoff::default();
     loop {
         if !life.asks_store(life.confirmed.get()) {
-            pause(&life).await;
+            wait_to_read(&life).await;
             continue;
         }
         since = since.filter(|it| it.era == life.store.era());
         let began = life.node.now();
-        let question = life.store.judgements(since, NEWS_WAIT);
-        let Some(asked) = unless(&life.returns[1].1, question).await else {
+        let call = life.store.judgements(since, LONG_POLL_TIMEOUT);
+        let Some(result) = unless_restarted(&life.returns[1].1, call).await else {
             continue;
         };
-        say::store(&life, "news of verdicts", began, &asked);
-        match asked {
+        say::store(&life, "news of verdicts", began, &result);
+        match result {
             Ok(documents) if is_of_another_era(since, documents.revision) => since = None,
             Ok(documents) => {
                 backoff.reset();
                 if since.is_none() {
-                    forget(&life, &documents);
+                    forget_older_eras(&life, &documents);
                 }
                 since = Some(documents.revision.max(since.unwrap_or_default()));
                 take(&life, documents.judgements);
@@ -55,10 +57,10 @@
 
 /// Forgets verdicts of earlier eras, which the store no longer has, so that they are
 /// written again.
-fn forget<S: Store, D: Dialect>(life: &Life<S, D>, documents: &Documents) {
+fn forget_older_eras<S: Store, D: Dialect>(life: &Life<S, D>, documents: &Documents) {
     let era = documents.revision.era;
-    let is_of_now = |it: &Judgement| it.revision.is_some_and(|it| it.era >= era);
-    life.judgements.borrow_mut().retain(|_, it| is_of_now(it));
+    let is_current = |it: &Judgement| it.revision.is_some_and(|it| it.era >= era);
+    life.judgements.borrow_mut().retain(|_, it| is_current(it));
 }
 
 /// Records verdicts of the store that are newer than the known ones, and applies them.
@@ -121,13 +123,14 @@
 }
 
 /// Writes the verdicts on roll-outs to the store.
-pub(crate) async fn judge<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+pub(crate) async fn write_all<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     loop {
-        sleep(LOOK_PERIOD).await;
+        sleep(EVALUATION_INTERVAL).await;
         let findings = findings(&life.node, &life);
         for it in findings {
-            let turns = u32::try_from(life.rank().min(MOST_TURNS)).unwrap_or_default();
-            sleep(TURN * turns).await;
+            let delayed_ranks =
+                u32::try_from(life.rank().min(MAX_DELAYED_RANKS)).unwrap_or_default();
+            sleep(RANK_DELAY * delayed_ranks).await;
             let is_known = life
                 .judgements
                 .borrow()
@@ -162,7 +165,7 @@
             let found = life.store.judgements(None, Duration::ZERO).await;
             say::store(life, "verdicts", began, &found);
             if let Ok(found) = found {
-                forget(life, &found);
+                forget_older_eras(life, &found);
                 take(life, found.judgements);
             }
         }
--- a/crates/host/src/life.rs
+++ b/crates/host/src/life.rs
@@ -22,7 +22,7 @@
 use wire::{Frame, Identity, Payload};
 
 use crate::addresses::Address;
-use crate::follow::{documents, endpoints, ends, members, verdicts};
+use crate::follow::{documents, endpoints, members, quarantine, verdicts};
 use crate::gossip::{Contact, Gossip, State};
 use crate::listing::Listing;
 use crate::message::{Message, Question};
@@ -31,23 +31,23 @@
 pub(crate) use listed::{Listed, is_much_later};
 
 /// Interval at which old connections are closed.
-const SWEEP_PERIOD: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which a host that shuts down checks for remaining requests.
-const END_PERIOD: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time over which hosts spread their first join when the whole fleet starts for the
 /// first time. Without the spread, each host would find an empty listing and try to
 /// write the authority: three store calls per host instead of one.
-const FIRST_START: Duration = Duration::from_millis(500);
+const FIRST_START_SPREAD: Duration = Duration::from_millis(500);
 /// Time after the last answer of the store at which it counts as unreachable.
-const REACHED: Duration = Duration::from_millis(2_500);
+const STORE_CONTACT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Name of the certificate authority that the hosts share.
-const FLEET: &str = "barleypin";
+const AUTHORITY_NAME: &str = "barleypin";
 /// Idle timeout of a connection between hosts. Updates are sent twice a second, so
 /// only connections to hosts that are gone reach it.
-const LINK_IDLE: Duration = Duration::from_secs(10);
-const LINK_CONNECT: Duration = Duration::from_millis(800);
+const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const LINK_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// A running host: its state, and the tasks that work on it.
 pub struct Life<S, D> {
@@ -77,19 +77,19 @@
     /// to one that reported it.
     pub(crate) confirmed: Cell<Option<Duration>>,
     /// Whether a long poll for changes of the documents is open at the store.
-    pub(crate) watches: Cell<bool>,
+    pub(crate) is_watching_documents: Cell<bool>,
     /// Whether an attempt to join the fleet has ended, successful or not.
     pub(crate) looked: Cell<bool>,
     /// Whether an attempt to fetch the neighbours' state has ended, successful or not.
     pub(crate) greeted: Cell<bool>,
     /// Number of hosts that the store listed when this host joined.
-    pub(crate) found: Cell<Option<usize>>,
+    pub(crate) hosts_found: Cell<Option<usize>>,
     /// When this host joined the fleet.
-    pub(crate) joined: Cell<Option<Duration>>,
+    pub(crate) joined_at: Cell<Option<Duration>>,
     /// The roster's epoch whose hosts the router last received.
-    peers: Cell<Option<u64>>,
+    peers_epoch: Cell<Option<u64>>,
     /// Whether this host is in the store's listing.
-    pub(crate) is_enlisted: Cell<bool>,
+    pub(crate) is_registered: Cell<bool>,
     /// The links to the other hosts, once this host has joined the fleet.
     pub(crate) link: RefCell<Option<Link>>,
     /// Number of times that the store was restored from a copy; unknown before the
@@ -101,7 +101,7 @@
     pub(crate) started: Duration,
     own: Member,
     rng: RefCell<Pcg32>,
-    answers: Cell<bool>,
+    is_accepting: Cell<bool>,
 }
 
 /// Whether other hosts may be running when a host starts.
@@ -137,13 +137,13 @@
             listed: Cell::new(None),
             config_text: RefCell::default(),
             asking: RefCell::default(),
-            watches: Cell::new(false),
+            is_watching_documents: Cell::new(false),
             looked: Cell::new(false),
             greeted: Cell::new(false),
-            found: Cell::new(None),
-            joined: Cell::new(None),
-            peers: Cell::new(None),
-            is_enlisted: Cell::new(false),
+            hosts_found: Cell::new(None),
+            joined_at: Cell::new(None),
+            peers_epoch: Cell::new(None),
+            is_registered: Cell::new(false),
             link: RefCell::default(),
             era: Cell::new(None),
             reached: Cell::new(None),
@@ -161,21 +161,21 @@
             node,
             own,
             rng: RefCell::new(Pcg32::seed_from_u64(seed)),
-            answers: Cell::new(false),
+            is_accepting: Cell::new(false),
         })
     }
 
     /// Starts the host's tasks.
     pub fn start(self: &Rc<Self>, front: Front) {
         self.node.spawn(front.run(Rc::clone(&self.node)));
-        self.answers.set(true);
+        self.is_accepting.set(true);
         self.node.spawn(documents::follow(Rc::clone(self)));
         self.node.spawn(verdicts::follow(Rc::clone(self)));
         self.node.spawn(endpoints::follow(Rc::clone(self)));
         self.node.spawn(members::follow(Rc::clone(self)));
-        self.node.spawn(verdicts::judge(Rc::clone(self)));
-        self.node.spawn(ends::follow(Rc::clone(self)));
-        self.node.spawn(ends::keep(Rc::clone(self)));
+        self.node.spawn(verdicts::write_all(Rc::clone(self)));
+        self.node.spawn(quarantine::share(Rc::clone(self)));
+        self.node.spawn(quarantine::persist(Rc::clone(self)));
         self.node.spawn(talk::join(Rc::clone(self)));
         self.node.spawn(sweep(Rc::clone(&self.node)));
         self.node.spawn(say::gauges(Rc::clone(self)));
@@ -205,8 +205,8 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let router = self.node.router();
-        let knows = router.config().is_some() && !router.directory().is_empty();
-        self.answers.get() && knows && self.node.phase() == Phase::Serving
+        let has_state = router.config().is_some() && !router.directory().is_empty();
+        self.is_accepting.get() && has_state && self.node.phase() == Phase::Serving
     }
 
     /// Shuts down: tells the other hosts, serves remaining callers, and returns when
@@ -220,11 +220,11 @@
         self.node.finish(end);
         self.sleep_until(began + serving.known.min(serving.whole))
             .await;
-        self.say_goodbye();
+        self.announce_end();
         // No await between the last check and the return: a request that was accepted in
         // between would be cut off when the process ends.
         loop {
-            sleep(END_PERIOD).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
             if self.node.busy() == 0 || self.node.now() >= end {
                 break;
             }
@@ -232,7 +232,7 @@
     }
 
     /// Tells the neighbours that this host ends, so that they needn't detect it.
-    fn say_goodbye(&self) {
+    fn announce_end(&self) {
         let now = self.node.now();
         self.gossip.borrow_mut().set_state(now, State::Gone);
         if let Some(link) = &*self.link.borrow() {
@@ -272,7 +272,7 @@
         let hosts = u32::try_from(gossip.roster().count()).unwrap_or(u32::MAX);
         self.node.router().set_hosts(hosts);
         let epoch = Some(gossip.roster().epoch());
-        if self.knows_hosts() && self.peers.replace(epoch) != epoch {
+        if self.is_roster_settled() && self.peers_epoch.replace(epoch) != epoch {
             let peers = gossip.roster().peers();
             self.node.router().set_peers(Some(peers));
         }
@@ -280,17 +280,17 @@
 
     /// Returns whether the roster can be relied on: the host has joined, and hosts that
     /// started at the same time have had time to announce themselves.
-    fn knows_hosts(&self) -> bool {
-        const TELLING: Duration = Duration::from_secs(2);
-        let joined = self.joined.get();
-        joined.is_some_and(|it| self.node.now() >= it + TELLING)
+    fn is_roster_settled(&self) -> bool {
+        const SETTLING_TIME: Duration = Duration::from_secs(2);
+        let joined_at = self.joined_at.get();
+        joined_at.is_some_and(|it| self.node.now() >= it + SETTLING_TIME)
     }
 
     /// Returns whether the store answered a call recently.
     pub(crate) fn contact(&self) -> Contact {
         let now = self.node.now();
         match self.reached.get() {
-            Some(at) if now.saturating_sub(at) < REACHED => Contact::Store,
+            Some(at) if now.saturating_sub(at) < STORE_CONTACT_TIMEOUT => Contact::Store,
             _ => Contact::Lost,
         }
     }
@@ -316,13 +316,13 @@
     /// Waits for a random time when the whole fleet starts for the first time.
     pub(crate) async fn wait_to_join(&self) {
         if self.start == Start::First {
-            sleep(FIRST_START.mul_f64(self.lot())).await;
+            sleep(FIRST_START_SPREAD.mul_f64(self.lot())).await;
         }
     }
 
     /// Reads the fleet's data from the store and opens the links to the other hosts.
     pub(crate) async fn open_link(&self) -> Option<(Link, Receiver<Incoming>)> {
-        let made = Authority::generate(FLEET).ok()?;
+        let made = Authority::generate(AUTHORITY_NAME).ok()?;
         let began = self.node.now();
         let joined = self.store.join(made).await;
         say::store(self, "join", began, &joined);
@@ -331,9 +331,9 @@
             members,
             held,
         } = joined.ok()?;
-        self.found.set(Some(members.len()));
-        self.joined.set(Some(self.node.now()));
-        self.is_enlisted.set(members.contains(&self.own));
+        self.hosts_found.set(Some(members.len()));
+        self.joined_at.set(Some(self.node.now()));
+        self.is_registered.set(members.contains(&self.own));
         let now = self.node.now();
         self.gossip.borrow_mut().list(now, members);
         self.node.router().quarantine().recall(now, &held);
@@ -341,8 +341,8 @@
         self.recorder()
             .say(Event::Joined, &[("address", Value::Text(&self.own.link))]);
         let mut settings = link::Settings::new(self.own.link, keys);
-        settings.idle = LINK_IDLE;
-        settings.connect_timeout = LINK_CONNECT;
+        settings.idle = LINK_IDLE_TIMEOUT;
+        settings.connect_timeout = LINK_CONNECT_TIMEOUT;
         Link::bind(&settings).ok()
     }
 
@@ -367,11 +367,11 @@
     /// Waits after a failed call to the store.
     pub(crate) async fn back_off(&self, backoff: &mut Backoff) {
         let lot = self.lot();
-        sleep(backoff.pause(self.others(), lot)).await;
+        sleep(backoff.next_delay(self.live_peer_count(), lot)).await;
     }
 
     /// Returns the number of other live hosts.
-    fn others(&self) -> usize {
+    fn live_peer_count(&self) -> usize {
         self.gossip.borrow().roster().count() - 1
     }
 
@@ -383,7 +383,7 @@
 
 async fn sweep<D: Dialect>(node: Rc<Node<D>>) {
     loop {
-        sleep(SWEEP_PERIOD).await;
+        sleep(SWEEP_INTERVAL).await;
         node.sweep();
     }
 }
--- a/crates/host/src/life/listed.rs
+++ b/crates/host/src/life/listed.rs
@@ -23,8 +23,8 @@
     /// directory, and an endpoint that was lost in the outage would get requests until
     /// some other entry changes.
     pub(crate) fn covers(&self, fingerprint: u64, absence: Absence) -> bool {
-        let tells_of_gone = self.absence == Absence::Lapsed && absence == Absence::Gone;
-        self.fingerprint == fingerprint && !tells_of_gone
+        let reveals_removals = self.absence == Absence::Lapsed && absence == Absence::Gone;
+        self.fingerprint == fingerprint && !reveals_removals
     }
 }
 
@@ -33,6 +33,6 @@
 pub(crate) fn is_much_later(at: Duration, known: Option<Duration>) -> bool {
     /// Less than the interval between readings, so that each reading is sent on once,
     /// and more than the gap between two readings that happen to coincide.
-    const MUCH: Duration = Duration::from_millis(300);
-    known.is_none_or(|known| at >= known + MUCH)
+    const MIN_DIFFERENCE: Duration = Duration::from_millis(300);
+    known.is_none_or(|known| at >= known + MIN_DIFFERENCE)
 }
--- a/crates/host/src/life/turns.rs
+++ b/crates/host/src/life/turns.rs
@@ -11,37 +11,37 @@
 use crate::Store;
 
 /// Number of hosts that read the store on behalf of all.
-const READERS: usize = 2;
+const READER_COUNT: usize = 2;
 /// Margin before the propagation bound at which a host reads the store itself. By that
 /// bound an endpoint that leaves must get no new requests and a configuration must be in
 /// force. Rank delays, the reading, and requests on their way to an endpoint use part of
 /// the margin.
-const MARGIN: Duration = Duration::from_millis(750);
+const READ_MARGIN: Duration = Duration::from_millis(750);
 /// Least age at which it does so: readers send what they read once a second.
-const LEAST_STALE: Duration = Duration::from_millis(1_250);
+const MIN_READ_AGE: Duration = Duration::from_millis(1_250);
 /// Delay added to that age for each rank in the order of hosts.
-const TURN: Duration = Duration::from_millis(10);
+const RANK_DELAY: Duration = Duration::from_millis(10);
 /// Number of ranks after which the delay stays the same.
-const MOST_TURNS: usize = 25;
+const MAX_DELAYED_RANKS: usize = 25;
 /// How long a host that has just started waits for state from other hosts, plus the
 /// delay of its rank. Running hosts send theirs within about 50 ms. When all hosts start
 /// at once, a few read the store; a listing of thousands takes most of a second to read
 /// and as long to spread. After a shorter wait, hundreds of hosts would read what is
 /// already on its way to them.
-const START: Duration = Duration::from_millis(1_500);
+const STARTUP_WAIT: Duration = Duration::from_millis(1_500);
 /// Number of ranks after which that delay stays the same.
-const MOST_START_TURNS: usize = 100;
+const MAX_DELAYED_STARTUP_RANKS: usize = 100;
 /// How long after its start a host begins to read on behalf of others. By then its own
 /// record, and those of hosts that started with it, have spread. After a longer time,
 /// the state of all hosts would expire before a reader confirms it, and each would read
 /// the store.
-const SETTLED: Duration = Duration::from_millis(300);
-/// Number of hosts without any state that read the store after [`GREETING`]. When all
+const ANNOUNCE_TIME: Duration = Duration::from_millis(300);
+/// Number of hosts without any state that read the store after [`BOOTSTRAP_TIMEOUT`]. When all
 /// hosts start at once, the others get their state from these.
-const FIRST_READERS: usize = 8;
+const STARTUP_READER_COUNT: usize = 8;
 /// How long a host that starts waits for a running host's state before it may read the
 /// store. Callers are refused meanwhile.
-const GREETING: Duration = Duration::from_millis(50);
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl<S: Store, D: Dialect> Life<S, D> {
     /// Returns whether this host should read the store itself: it is one of the readers,
@@ -49,41 +49,43 @@
     /// longer, and most get an update from lower ranks in the meantime.
     pub(crate) fn asks_store(&self, known_at: Option<Duration>) -> bool {
         let rank = self.rank();
-        let is_first = known_at.is_none() && self.is_greeted() && rank < FIRST_READERS;
-        if is_first || (self.reads_for_all() && self.is_settled()) {
+        let is_startup_reader =
+            known_at.is_none() && self.is_bootstrapped() && rank < STARTUP_READER_COUNT;
+        if is_startup_reader || (self.reads_for_all() && self.is_known_to_all()) {
             return true;
         }
-        let (since, patience, most) = match known_at {
-            Some(at) => (at, self.stale(), MOST_TURNS),
-            None => (self.started, START, MOST_START_TURNS),
+        let (since, wait, max_ranks) = match known_at {
+            Some(at) => (at, self.read_age(), MAX_DELAYED_RANKS),
+            None => (self.started, STARTUP_WAIT, MAX_DELAYED_STARTUP_RANKS),
         };
-        let turns = u32::try_from(rank.min(most)).unwrap_or_default();
-        self.looked.get() && self.node.now().saturating_sub(since) >= patience + TURN * turns
+        let delayed_ranks = u32::try_from(rank.min(max_ranks)).unwrap_or_default();
+        self.looked.get()
+            && self.node.now().saturating_sub(since) >= wait + RANK_DELAY * delayed_ranks
     }
 
     /// Returns the age at which this host reads the store itself instead of relying on
     /// other hosts.
-    fn stale(&self) -> Duration {
+    fn read_age(&self) -> Duration {
         let follow = self.node.router().settings().follow;
-        LEAST_STALE.max(follow.saturating_sub(MARGIN))
+        MIN_READ_AGE.max(follow.saturating_sub(READ_MARGIN))
     }
 
     /// Returns whether the attempt to get state from other hosts has ended or timed out.
-    fn is_greeted(&self) -> bool {
-        let has_waited = self.node.now() >= self.started + GREETING;
+    fn is_bootstrapped(&self) -> bool {
+        let has_waited = self.node.now() >= self.started + BOOTSTRAP_TIMEOUT;
         self.looked.get() && (self.greeted.get() || has_waited)
     }
 
     /// Returns whether this host has been running long enough to be known to all others.
     /// Of several hosts that start at once, each takes itself for the first until then.
-    fn is_settled(&self) -> bool {
-        self.node.now() >= self.started + SETTLED
+    fn is_known_to_all(&self) -> bool {
+        self.node.now() >= self.started + ANNOUNCE_TIME
     }
 
     /// Returns whether this host reads the store on behalf of all. Before it has heard
     /// from other hosts, its roster is incomplete, and it doesn't count itself as one.
     pub(crate) fn reads_for_all(&self) -> bool {
-        self.is_greeted() && self.rank() < READERS
+        self.is_bootstrapped() && self.rank() < READER_COUNT
     }
 
     /// Returns this host's rank in the order of hosts, from 0.
--- a/crates/host/src/listing.rs
+++ b/crates/host/src/listing.rs
@@ -17,7 +17,7 @@
 
 /// Number of changes that are kept. A host requests changes as soon as it learns of them,
 /// so it usually needs only the last one or two.
-const REMEMBERED: usize = 8;
+const MAX_CHANGES: usize = 8;
 
 /// The listing in use, and the last changes that led to it.
 #[derive(Debug, Default)]
@@ -42,7 +42,7 @@
 
 impl Listing {
     /// Replaces the entries, and keeps the change if the fingerprint differs.
-    pub fn take(&mut self, entries: &[Entry]) {
+    pub fn replace(&mut self, entries: &[Entry]) {
         let listed: BTreeMap<_, _> = entries
             .iter()
             .map(|it| (it.id.clone(), it.clone()))
@@ -51,13 +51,13 @@
         if let Some(from) = self.fingerprint
             && from != to
         {
-            self.remember(from, to, &listed);
+            self.record_change(from, to, &listed);
         }
         self.entries = listed;
         self.fingerprint = Some(to);
     }
 
-    fn remember(&mut self, from: u64, to: u64, listed: &BTreeMap<EndpointId, Entry>) {
+    fn record_change(&mut self, from: u64, to: u64, listed: &BTreeMap<EndpointId, Entry>) {
         let is_other = |it: &&Entry| self.entries.get(&it.id) != Some(*it);
         let is_gone = |id: &&EndpointId| !listed.contains_key(*id);
         let change = Change {
@@ -66,7 +66,7 @@
             changed: listed.values().filter(is_other).cloned().collect(),
             gone: self.entries.keys().filter(is_gone).cloned().collect(),
         };
-        if self.changes.len() == REMEMBERED {
+        if self.changes.len() == MAX_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(change);
@@ -130,13 +130,13 @@
 /// Hashes those fields of all entries by which hosts decide.
 #[must_use]
 pub fn fingerprint(entries: &[Entry]) -> u64 {
-    let mut facts: Vec<_> = entries.iter().map(facts).collect();
-    facts.sort();
-    hash::of(&facts)
+    let mut fields: Vec<_> = entries.iter().map(compared_fields).collect();
+    fields.sort();
+    hash::of(&fields)
 }
 
 /// Returns the fields of an entry by which hosts decide.
-fn facts(it: &Entry) -> impl Ord + Hash {
+fn compared_fields(it: &Entry) -> impl Ord + Hash {
     let is_ready = it.state == State::Ready;
     let who = (&it.id, it.incarnation, &it.service, it.address, &it.release);
     (who, it.slots, is_ready, it.cold.is_zero())
--- a/crates/host/src/listing/patch.rs
+++ b/crates/host/src/listing/patch.rs
@@ -6,7 +6,7 @@
 use route::endpoint::Entry;
 use serde::{Deserialize, Serialize};
 
-use super::{Listing, facts, fingerprint};
+use super::{Listing, compared_fields, fingerprint};
 
 /// A short hash of each bucket of a listing's entries.
 ///
@@ -15,7 +15,7 @@
 /// among hundreds of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sketch {
-    parts: Vec<u32>,
+    buckets: Vec<u32>,
 }
 
 /// All entries of the buckets in which two listings differ.
@@ -26,7 +26,7 @@
     /// Number of buckets.
     count: usize,
     /// The buckets that differ.
-    parts: BTreeSet<usize>,
+    buckets: BTreeSet<usize>,
     /// The entries that the sender has in these buckets.
     pub entries: Vec<Entry>,
 }
@@ -36,18 +36,22 @@
     /// entry has few other entries.
     #[must_use]
     pub fn sketch(&self) -> Sketch {
-        const ENTRIES: usize = 4;
-        const MOST: usize = 2_048;
-        let count = self.entries.len().div_ceil(ENTRIES).clamp(1, MOST);
+        const ENTRIES_PER_BUCKET: usize = 4;
+        const MAX_BUCKETS: usize = 2_048;
+        let count = self
+            .entries
+            .len()
+            .div_ceil(ENTRIES_PER_BUCKET)
+            .clamp(1, MAX_BUCKETS);
         self.sketch_of(count)
     }
 
     fn sketch_of(&self, count: usize) -> Sketch {
-        let mut parts = vec![0; count];
+        let mut buckets = vec![0; count];
         for it in self.entries.values() {
-            parts[part(&it.id, count)] ^= short(hash::of(&facts(it)));
+            buckets[bucket(&it.id, count)] ^= low_bits(hash::of(&compared_fields(it)));
         }
-        Sketch { parts }
+        Sketch { buckets }
     }
 
     /// Returns the buckets in which a host with the sketch `theirs` differs; `None` if the
@@ -55,19 +59,19 @@
     #[must_use]
     pub fn patch(&self, theirs: &Sketch) -> Option<Patch> {
         let to = self.fingerprint?;
-        let count = theirs.parts.len();
+        let count = theirs.buckets.len();
         if count == 0 {
             return None;
         }
         let own = self.sketch_of(count);
-        let differs = |it: &usize| own.parts[*it] != theirs.parts[*it];
-        let parts: BTreeSet<_> = (0..count).filter(differs).collect();
-        let is_wanted = |it: &&Entry| parts.contains(&part(&it.id, count));
+        let differs = |it: &usize| own.buckets[*it] != theirs.buckets[*it];
+        let buckets: BTreeSet<_> = (0..count).filter(differs).collect();
+        let is_wanted = |it: &&Entry| buckets.contains(&bucket(&it.id, count));
         let entries = self.entries.values().filter(is_wanted).cloned().collect();
         Some(Patch {
             to,
             count,
-            parts,
+            buckets,
             entries,
         })
     }
@@ -76,19 +80,19 @@
     /// it names, as this one has changed since its sketch was sent.
     #[must_use]
     pub fn patched(&self, patch: &Patch) -> Option<Vec<Entry>> {
-        let is_kept = |it: &&Entry| !patch.parts.contains(&part(&it.id, patch.count.max(1)));
+        let is_kept = |it: &&Entry| !patch.buckets.contains(&bucket(&it.id, patch.count.max(1)));
         let kept = self.entries.values().filter(is_kept);
         let entries: Vec<_> = kept.chain(&patch.entries).cloned().collect();
         (fingerprint(&entries) == patch.to).then_some(entries)
     }
 }
 
-fn part(id: &EndpointId, count: usize) -> usize {
+fn bucket(id: &EndpointId, count: usize) -> usize {
     let place = hash::of(id.as_str()) % count as u64;
     usize::try_from(place).unwrap_or_default()
 }
 
-fn short(hash: u64) -> u32 {
+fn low_bits(hash: u64) -> u32 {
     // Any half of the hash is equally well distributed.
     u32::try_from(hash & u64::from(u32::MAX)).unwrap_or_default()
 }
--- a/crates/host/src/outage.rs
+++ b/crates/host/src/outage.rs
@@ -5,17 +5,17 @@
 use route::directory::Absence;
 
 /// How long after an outage entries of live endpoints may be missing.
-const LAPSED: Duration = Duration::from_millis(2_200);
+const RENEWAL_TIME: Duration = Duration::from_millis(2_200);
 /// Shortest outage of the store in which entries can lapse. An endpoint's entry is removed
 /// after three missed heartbeats, and the last heartbeat may have been written up to one
 /// heartbeat interval before the outage.
-const AWAY: Duration = Duration::from_secs(2);
+const MIN_OUTAGE: Duration = Duration::from_secs(2);
 
 /// The outages of the store that this host's own readings indicate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outage {
     /// The last failed reading.
-    failed: Option<Duration>,
+    last_failure: Option<Duration>,
     /// The first successful reading after an outage.
     returned: Option<Duration>,
     /// The first reading after the store was restored from an older copy.
@@ -24,13 +24,13 @@
 
 impl Outage {
     /// Records a failed reading.
-    pub fn fail(&mut self, now: Duration) {
-        self.failed = Some(now);
+    pub fn record_failure(&mut self, now: Duration) {
+        self.last_failure = Some(now);
     }
 
     /// Records that the store was restored from an older copy. The copy lacks entries that
     /// were written later; their endpoints are live and will renew them.
-    pub fn restore(&mut self, now: Duration) {
+    pub fn record_restore(&mut self, now: Duration) {
         self.restored = Some(now);
     }
 
@@ -40,40 +40,40 @@
     /// Failed readings of this host alone don't prove an outage: it may have been cut off
     /// while the others read the store. If it took missing entries for lapsed, the others
     /// would follow, and keep sending requests to endpoints that are gone. A reliable listing
-    /// younger than [`AWAY`] shows that nothing has lapsed since.
+    /// younger than [`MIN_OUTAGE`] shows that nothing has lapsed since.
     ///
     /// Nor does a lack of recent failures prove that there was no outage: this host may have
     /// started during it, or waited long between two calls. It then relies on what the
     /// listing in use says.
     pub fn absence(&mut self, now: Duration, known: Option<(Duration, Absence)>) -> Absence {
-        if !self.was_away(now, known) {
+        if !self.may_have_lapsed(now, known) {
             self.returned = None;
             return Absence::Gone;
         }
         let returned = *self.returned.get_or_insert(now);
         // Later failures don't extend the time: with a store that fails intermittently,
         // endpoints that are gone would stay in use forever.
-        if now.saturating_sub(returned) < LAPSED {
+        if now.saturating_sub(returned) < RENEWAL_TIME {
             Absence::Lapsed
         } else {
             Absence::Gone
         }
     }
 
-    fn was_away(&self, now: Duration, known: Option<(Duration, Absence)>) -> bool {
+    fn may_have_lapsed(&self, now: Duration, known: Option<(Duration, Absence)>) -> bool {
         if self
             .restored
-            .is_some_and(|it| now.saturating_sub(it) < LAPSED)
+            .is_some_and(|it| now.saturating_sub(it) < RENEWAL_TIME)
         {
             return true;
         }
         match known {
             Some((_, Absence::Lapsed)) => true,
             Some((at, Absence::Gone)) => {
-                let has_failed_since = self.failed.is_some_and(|it| it >= at);
-                has_failed_since && now.saturating_sub(at) >= AWAY
+                let has_failed_since = self.last_failure.is_some_and(|it| it >= at);
+                has_failed_since && now.saturating_sub(at) >= MIN_OUTAGE
             }
-            None => self.failed.is_some(),
+            None => self.last_failure.is_some(),
         }
     }
 }
--- a/crates/host/tests/addresses.rs
+++ b/crates/host/tests/addresses.rs
@@ -29,13 +29,14 @@
 }
 
 /// Returns the addresses for a caller in this data centre.
-fn told(hosts: &[Address], caller: usize) -> Vec<SocketAddr> {
+fn addresses_for(hosts: &[Address], caller: usize) -> Vec<SocketAddr> {
     choose(hosts, Some(&data_centre(caller)), Some(&"here".into()))
 }
 
-fn near(told: &[SocketAddr], caller: usize) -> usize {
+fn local_count(addresses: &[SocketAddr], caller: usize) -> usize {
     let prefix = format!("10.{}.", caller + 1);
-    told.iter()
+    addresses
+        .iter()
         .filter(|it| it.to_string().starts_with(&prefix))
         .count()
 }
@@ -43,19 +44,20 @@
 /// Guards against all callers getting the same addresses: a few hosts would serve all
 /// traffic, most of it across data centres, and the others none.
 #[test]
-fn many_hosts_serve_the_callers_of_their_data_centre() {
+fn callers_mostly_get_hosts_of_their_data_centre() {
     let hosts = hosts(295);
     let mut served: HashMap<SocketAddr, f64> = HashMap::new();
     for caller in 0..DATA_CENTRES {
-        let told = told(&hosts, caller);
-        assert!(told.len() <= 64);
-        assert!(near(&told, caller) >= 49);
+        let addresses = addresses_for(&hosts, caller);
+        assert!(addresses.len() <= 64);
+        assert!(local_count(&addresses, caller) >= 49);
         assert!(
-            told.len() - near(&told, caller) >= 6,
+            addresses.len() - local_count(&addresses, caller) >= 6,
             "too few hosts of other data centres"
         );
-        for it in &told {
-            *served.entry(*it).or_default() += 1.0 / f64::from(u32::try_from(told.len()).unwrap());
+        for it in &addresses {
+            *served.entry(*it).or_default() +=
+                1.0 / f64::from(u32::try_from(addresses.len()).unwrap());
         }
     }
     assert_eq!(served.len(), hosts.len());
@@ -67,22 +69,22 @@
 /// Guards against answers that depend on the answering host: a caller closes its
 /// connections to hosts that are missing from a new answer.
 #[test]
-fn the_order_of_the_hosts_changes_nothing() {
-    let (hosts, mut turned) = (hosts(295), hosts(295));
-    turned.reverse();
-    assert_eq!(told(&hosts, 3), told(&turned, 3));
+fn result_does_not_depend_on_host_order() {
+    let (hosts, mut reversed) = (hosts(295), hosts(295));
+    reversed.reverse();
+    assert_eq!(addresses_for(&hosts, 3), addresses_for(&reversed, 3));
 }
 
 /// Guards against callers in a data centre with one or two hosts lacking alternatives.
 #[test]
-fn few_hosts_are_all_told() {
+fn all_hosts_are_returned_when_few() {
     let hosts = hosts(8);
-    let told = told(&hosts, 1);
-    assert_eq!(told.len(), 8);
-    assert_eq!(near(&told[..2], 1), 2);
+    let addresses = addresses_for(&hosts, 1);
+    assert_eq!(addresses.len(), 8);
+    assert_eq!(local_count(&addresses[..2], 1), 2);
 }
 
 #[test]
-fn a_caller_without_a_place_is_told_the_most() {
+fn caller_without_location_gets_maximum() {
     assert_eq!(choose(&hosts(295), None, None).len(), 64);
 }
--- a/crates/host/tests/backoff.rs
+++ b/crates/host/tests/backoff.rs
@@ -8,29 +8,29 @@
 /// Checks the number of calls of one kind that `hosts` hosts make in five seconds to a
 /// store that refuses all of them.
 fn check(hosts: usize, expect: &Expect) {
-    let asked: u32 = (0..hosts)
+    let calls: u32 = (0..hosts)
         .map(|nr| {
-            let lot = f64::from(u32::try_from(nr).unwrap()) / 100.0;
-            let (mut backoff, mut at, mut asked) = (Backoff::default(), Duration::ZERO, 0);
+            let jitter = f64::from(u32::try_from(nr).unwrap()) / 100.0;
+            let (mut backoff, mut at, mut calls) = (Backoff::default(), Duration::ZERO, 0);
             while at < Duration::from_secs(5) {
-                asked += 1;
-                at += backoff.pause(hosts - 1, lot);
+                calls += 1;
+                at += backoff.next_delay(hosts - 1, jitter);
             }
-            asked
+            calls
         })
         .sum();
-    expect.assert_eq(&asked.to_string());
+    expect.assert_eq(&calls.to_string());
 }
 
 #[test]
-fn one_host_alone_asks_often() {
+fn single_host_retries_often() {
     check(1, &expect!["8"]);
 }
 
 /// Guards against each host retrying as if it were alone: the billed calls of a short
 /// outage would exceed those of a day of normal operation.
 #[test]
-fn many_hosts_share_the_asking() {
+fn retry_rate_is_bounded_in_large_fleets() {
     check(9, &expect!["72"]);
     check(30, &expect!["120"]);
     check(76, &expect!["304"]);
--- a/crates/host/tests/listing.rs
+++ b/crates/host/tests/listing.rs
@@ -22,13 +22,13 @@
 }
 
 /// Adds, removes and drains endpoints at random, or changes their cold start.
-fn next(rng: &mut Pcg32, entries: &mut Vec<Entry>, changes: usize, newest: &mut u32) {
+fn change_some(rng: &mut Pcg32, entries: &mut Vec<Entry>, changes: usize, last_id: &mut u32) {
     for _ in 0..changes {
         let place = rng.random_range(0..entries.len());
         match rng.random_range(0..4) {
             0 => {
-                *newest += 1;
-                entries.push(entry(*newest));
+                *last_id += 1;
+                entries.push(entry(*last_id));
             }
             1 => drop(entries.swap_remove(place)),
             2 => entries[place].state = State::Draining,
@@ -45,17 +45,17 @@
 
 /// A host that gets only some of the listings must end up with the reader's listing.
 #[test]
-fn changes_lead_to_the_same_listing() {
+fn changes_reproduce_the_listing() {
     for seed in 0..50 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let mut newest = 40;
-        let mut entries: Vec<_> = (0..newest).map(entry).collect();
+        let mut last_id = 40;
+        let mut entries: Vec<_> = (0..last_id).map(entry).collect();
         let (mut reader, mut other) = (Listing::default(), Listing::default());
-        let (mut changes, mut wholes) = (0, 0);
+        let (mut changes, mut whole_listings) = (0, 0);
         for _ in 0..200 {
             let count = rng.random_range(0..4);
-            next(&mut rng, &mut entries, count, &mut newest);
-            reader.take(&entries);
+            change_some(&mut rng, &mut entries, count, &mut last_id);
+            reader.replace(&entries);
             if rng.random::<f64>() < 0.6 {
                 continue;
             }
@@ -63,13 +63,13 @@
             let change = known.and_then(|it| reader.since(it));
             match change.and_then(|it| other.changed(&it)) {
                 Some(taken) => {
-                    other.take(&taken);
+                    other.replace(&taken);
                     changes += 1;
                 }
                 None if known == reader.fingerprint() => {}
                 None => {
-                    other.take(&entries);
-                    wholes += 1;
+                    other.replace(&entries);
+                    whole_listings += 1;
                 }
             }
             assert_eq!(
@@ -77,18 +77,18 @@
                 Some(fingerprint(&entries)),
                 "seed {seed}"
             );
-            let held = sorted(other.entries().cloned()).into_iter();
-            let is_same = |(held, read): (Entry, Entry)| {
-                held.state == read.state && held.cold.is_zero() == read.cold.is_zero()
+            let received = sorted(other.entries().cloned()).into_iter();
+            let is_same = |(received, read): (Entry, Entry)| {
+                received.state == read.state && received.cold.is_zero() == read.cold.is_zero()
             };
             assert!(
-                held.zip(sorted(entries.iter().cloned())).all(is_same),
+                received.zip(sorted(entries.iter().cloned())).all(is_same),
                 "seed {seed}"
             );
         }
         assert!(
-            changes > 3 * wholes,
-            "seed {seed}: {changes} changes, {wholes} whole listings"
+            changes > 3 * whole_listings,
+            "seed {seed}: {changes} changes, {whole_listings} whole listings"
         );
     }
 }
@@ -96,12 +96,12 @@
 /// Guards against applying a change to another listing than it was made for: removed
 /// endpoints would come back, or new ones be missing.
 #[test]
-fn a_change_of_another_listing_is_not_taken() {
+fn change_of_another_listing_is_rejected() {
     let mut listing = Listing::default();
-    listing.take(&[entry(1), entry(2)]);
+    listing.replace(&[entry(1), entry(2)]);
     let mut other = Listing::default();
-    other.take(&[entry(1), entry(3)]);
-    other.take(&[entry(1)]);
+    other.replace(&[entry(1), entry(3)]);
+    other.replace(&[entry(1)]);
     let change = other.since(fingerprint(&[entry(1), entry(3)])).unwrap();
     assert_eq!(listing.changed(&change), None);
     let wrong = Change {
@@ -117,17 +117,17 @@
 
 /// Guards against a whole listing being sent to a host for which no change is kept.
 #[test]
-fn where_two_listings_differ_leads_to_the_same() {
+fn patch_reproduces_the_listing() {
     for seed in 0..50 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let mut newest = rng.random_range(1..400);
-        let mut entries: Vec<_> = (0..newest).map(entry).collect();
+        let mut last_id = rng.random_range(1..400);
+        let mut entries: Vec<_> = (0..last_id).map(entry).collect();
         let mut other = Listing::default();
-        other.take(&entries);
+        other.replace(&entries);
         let changes = rng.random_range(0..20).min(entries.len() / 2);
-        next(&mut rng, &mut entries, changes, &mut newest);
+        change_some(&mut rng, &mut entries, changes, &mut last_id);
         let mut own = Listing::default();
-        own.take(&entries);
+        own.replace(&entries);
         let patch = own.patch(&other.sketch()).unwrap();
         let patched = other.patched(&patch).unwrap();
         assert_eq!(fingerprint(&patched), fingerprint(&entries), "seed {seed}");
@@ -137,7 +137,7 @@
             patch.entries.len()
         );
         // Applied to a third listing, the patch would keep or lose endpoints.
-        other.take(&[entry(9_999)]);
+        other.replace(&[entry(9_999)]);
         assert_eq!(
             other.patched(&patch).is_some(),
             patch.entries.len() == entries.len()
@@ -147,17 +147,17 @@
 
 /// Guards against sending the whole listing for each change of an entry.
 #[test]
-fn thousands_of_endpoints_cost_what_changes() {
+fn change_of_a_large_listing_is_small() {
     /// Limit of the control traffic per host and second, in bytes.
-    const BUDGET: usize = 7_000;
+    const MAX_BYTES_PER_SECOND: usize = 7_000;
     let mut rng = Pcg32::seed_from_u64(1);
-    let mut newest = 3_000;
-    let mut entries: Vec<_> = (0..newest).map(entry).collect();
+    let mut last_id = 3_000;
+    let mut entries: Vec<_> = (0..last_id).map(entry).collect();
     let mut listing = Listing::default();
-    listing.take(&entries);
+    listing.replace(&entries);
     let before = listing.fingerprint().unwrap();
-    next(&mut rng, &mut entries, 30, &mut newest);
-    listing.take(&entries);
+    change_some(&mut rng, &mut entries, 30, &mut last_id);
+    listing.replace(&entries);
     let change = postcard::to_stdvec(&listing.since(before).unwrap()).unwrap();
     let whole = postcard::to_stdvec(&entries).unwrap();
     println!(
@@ -166,8 +166,8 @@
         whole.len()
     );
     let mut other = Listing::default();
-    next(&mut rng, &mut entries, 30, &mut newest);
-    other.take(&entries);
+    change_some(&mut rng, &mut entries, 30, &mut last_id);
+    other.replace(&entries);
     let sketch = other.sketch();
     let patch = postcard::to_stdvec(&listing.patch(&sketch).unwrap()).unwrap();
     let sketch = postcard::to_stdvec(&sketch).unwrap();
@@ -177,5 +177,5 @@
         patch.len()
     );
     assert!(sketch.len() + patch.len() < whole.len() / 10);
-    assert!(change.len() < BUDGET / 2, "{}", change.len());
+    assert!(change.len() < MAX_BYTES_PER_SECOND / 2, "{}", change.len());
 }
--- a/crates/host/tests/outage.rs
+++ b/crates/host/tests/outage.rs
@@ -15,7 +15,7 @@
 fn check(now: u64, failed: Option<u64>, known: Option<(u64, Absence)>, expect: Absence) {
     let mut outage = Outage::default();
     if let Some(at) = failed {
-        outage.fail(millis(at));
+        outage.record_failure(millis(at));
     }
     let known = known.map(|(at, absence)| (millis(at), absence));
     assert_eq!(outage.absence(millis(now), known), expect);
@@ -25,7 +25,7 @@
 /// the listing in use at the next.
 fn check_series(last: u64, failed: u64, readings: &[(u64, Absence)]) {
     let mut outage = Outage::default();
-    outage.fail(millis(failed));
+    outage.record_failure(millis(failed));
     let mut known = (millis(last), Gone);
     for &(now, expect) in readings {
         let absence = outage.absence(millis(now), Some(known));
@@ -37,14 +37,14 @@
 /// Guards against a host that alone was cut off from the store taking missing entries for
 /// lapsed: all hosts would send requests to endpoints that are gone for too long.
 #[test]
-fn a_host_that_was_cut_off_alone_drops_what_is_missing() {
+fn host_cut_off_alone_drops_missing_endpoints() {
     let readings = [(12_187, Gone), (13_196, Gone)];
     check_series(11_630, 11_500, &readings);
     check_series(11_630, 11_900, &readings);
 }
 
 #[test]
-fn what_is_missing_after_an_outage_is_kept_for_a_while() {
+fn missing_endpoints_stay_for_a_while_after_an_outage() {
     let readings = [
         (9_000, Lapsed),
         (10_000, Lapsed),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_host_that_knows_no_listing_goes_by_its_failures() {
+fn host_without_listing_relies_on_its_own_failures() {
     check(500, None, None, Gone);
     check(500, Some(100), None, Lapsed);
 }
@@ -63,17 +63,17 @@
 /// Guards against a host that started during an outage, and has no failed readings,
 /// declaring lapsed entries gone: all hosts would drop live endpoints.
 #[test]
-fn a_host_that_started_meanwhile_keeps_what_may_have_lapsed() {
+fn host_started_during_outage_keeps_lapsed_endpoints() {
     check(5_300, None, Some((5_200, Lapsed)), Lapsed);
 }
 
 /// Guards against forgetting a failure before the next reading: hosts of a large fleet
 /// wait for seconds between two calls to a store that fails.
 #[test]
-fn a_long_pause_among_many_hosts_ends_no_outage() {
+fn long_backoff_does_not_end_an_outage() {
     let mut backoff = Backoff::default();
-    let pause = (0..8).map(|_| backoff.pause(294, 0.0)).last().unwrap();
-    let now = 3_000 + u64::try_from(pause.as_millis()).unwrap();
+    let delay = (0..8).map(|_| backoff.next_delay(294, 0.0)).last().unwrap();
+    let now = 3_000 + u64::try_from(delay.as_millis()).unwrap();
     check(now, Some(3_000), Some((0, Gone)), Lapsed);
     check(5_500, Some(3_000), Some((5_100, Lapsed)), Lapsed);
 }
@@ -81,10 +81,10 @@
 /// Guards against each refused call counting as a new outage: endpoints that are gone would
 /// get requests for as long as the store fails intermittently.
 #[test]
-fn a_reader_that_is_refused_now_and_then_comes_back_to_gone() {
+fn intermittent_failures_do_not_extend_an_outage() {
     let (mut outage, mut known, mut now) = (Outage::default(), (millis(0), Gone), 3_000);
     for _ in 0..20 {
-        outage.fail(millis(now));
+        outage.record_failure(millis(now));
         let at = millis(now + 150);
         known = (at, outage.absence(at, Some(known)));
         now += 1_150;
