--- a/crates/host/src/life.rs
+++ b/crates/host/src/life.rs
@@ -1,7 +1,7 @@
 //! The running host: its state, its tasks, and its shutdown.
 
 mod listed;
-mod turns;
+mod readers;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
