--- a/crates/host/src/follow/evacuations.rs
+++ b/crates/host/src/follow/evacuations.rs
@@ -33,7 +33,7 @@
 }
 
 /// Applies a change, logs which data centres it evacuated or opened, and sends the
-/// neighbours an update if any.
+/// neighbours an update if there are any.
 fn apply_and_log<S: Store, D: Dialect>(life: &Life<S, D>, change: impl FnOnce()) {
     let before = emptied(life);
     change();
--- a/crates/host/src/follow/members.rs
+++ b/crates/host/src/follow/members.rs
@@ -1,6 +1,6 @@
 //! Reconciles the store's listing of hosts with the live hosts.
 //!
-//! Hosts that start use the listing to find batch others, which know the rest.
+//! Hosts that start use the listing to find some others, which know the rest.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/host/src/follow/quarantine.rs
+++ b/crates/host/src/follow/quarantine.rs
@@ -19,7 +19,7 @@
 /// Delay per rank before a host writes. The first host writes, and the others learn of it
 /// before their delay has passed.
 const RANK_DELAY: Duration = Duration::from_millis(400);
-/// Number of ranks after which the delay stays the same.
+/// Rank from which on the delay no longer grows.
 const MAX_DELAYED_RANKS: usize = 8;
 
 pub(crate) async fn share<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
--- a/crates/host/src/follow/verdicts.rs
+++ b/crates/host/src/follow/verdicts.rs
@@ -20,7 +20,7 @@
 /// Delay per rank before a host writes a verdict. The first host writes, and the others
 /// learn of it before their delay has passed.
 const RANK_DELAY: Duration = Duration::from_millis(300);
-/// Number of ranks after which the delay stays the same.
+/// Rank from which on the delay no longer grows.
 const MAX_DELAYED_RANKS: usize = 8;
 
 pub(crate) async fn follow<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
@@ -174,6 +174,7 @@
     }
 }
 
+/// Updates the roll-outs, and returns the verdicts that have to be written to the store.
 fn findings<S: Store, D: Dialect>(node: &Node<D>, life: &Life<S, D>) -> Vec<Judgement> {
     let now = node.now();
     let mut router = node.router();
--- a/crates/host/src/life.rs
+++ b/crates/host/src/life.rs
@@ -84,7 +84,7 @@
     pub(crate) greeted: Cell<bool>,
     /// Number of hosts that the store listed when this host joined.
     pub(crate) hosts_found: Cell<Option<usize>>,
-    /// When this host joined the fleet.
+    /// When the join call to the store succeeded.
     pub(crate) joined_at: Cell<Option<Duration>>,
     /// The roster's epoch whose hosts the router last received.
     peers_epoch: Cell<Option<u64>>,
--- a/crates/host/src/life/readers.rs
+++ b/crates/host/src/life/readers.rs
@@ -21,7 +21,7 @@
 const MIN_READ_AGE: Duration = Duration::from_millis(1_250);
 /// Delay added to that age for each rank in the order of hosts.
 const RANK_DELAY: Duration = Duration::from_millis(10);
-/// Number of ranks after which the delay stays the same.
+/// Rank from which on the delay no longer grows.
 const MAX_DELAYED_RANKS: usize = 25;
 /// How long a host that has just started waits for state from other hosts, plus the
 /// delay of its rank. Running hosts send theirs within about 50 ms. When all hosts start
@@ -29,18 +29,18 @@
 /// and as long to spread. After a shorter wait, hundreds of hosts would read what is
 /// already on its way to them.
 const STARTUP_WAIT: Duration = Duration::from_millis(1_500);
-/// Number of ranks after which that delay stays the same.
+/// Rank from which on that delay no longer grows.
 const MAX_DELAYED_STARTUP_RANKS: usize = 100;
 /// How long after its start a host begins to read on behalf of others. By then its own
 /// record, and those of hosts that started with it, have spread. After a longer time,
 /// the state of all hosts would expire before a reader confirms it, and each would read
 /// the store.
 const ANNOUNCE_TIME: Duration = Duration::from_millis(300);
-/// Number of hosts without any state that read the store after [`BOOTSTRAP_TIMEOUT`]. When all
-/// hosts start at once, the others get their state from these.
+/// Number of hosts that read the store after bootstrapping from other hosts gave them no
+/// state. When all hosts start at once, the others get their state from these.
 const STARTUP_READER_COUNT: usize = 8;
-/// How long a host that starts waits for a running host's state before it may read the
-/// store. Callers are refused meanwhile.
+/// How long a host that starts waits for the state of a running host before it may read
+/// the store. Callers are refused meanwhile.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl<S: Store, D: Dialect> Life<S, D> {
