--- a/crates/host/src/follow/documents.rs
+++ b/crates/host/src/follow/documents.rs
@@ -66,8 +66,8 @@
 
 /// Applies a snapshot of all documents.
 fn apply_snapshot<S: Store, D: Dialect>(life: &Life<S, D>, mut documents: Documents) {
-    let emptied = std::mem::take(&mut documents.evacuations);
-    evacuations::apply_snapshot(life, documents.revision, emptied);
+    let evacuated = std::mem::take(&mut documents.evacuations);
+    evacuations::apply_snapshot(life, documents.revision, evacuated);
     apply_changes(life, documents);
 }
 
@@ -109,9 +109,9 @@
 ) {
     let (version, routes) = (config.version, config.route_count());
     let before = life.node.router().version();
-    let is_taken = life.node.router().configure(config);
+    let is_applied = life.node.router().configure(config);
     if before != Some(version) {
-        let event = if is_taken {
+        let event = if is_applied {
             Event::ConfigInForce
         } else {
             Event::ConfigOlder
@@ -125,7 +125,7 @@
             ],
         );
     }
-    if is_taken {
+    if is_applied {
         *life.config_text.borrow_mut() = Some(text);
         life.hurry();
     }
--- a/crates/host/src/follow/evacuations.rs
+++ b/crates/host/src/follow/evacuations.rs
@@ -14,19 +14,19 @@
 pub(super) fn apply_snapshot<S: Store, D: Dialect>(
     life: &Life<S, D>,
     at: Revision,
-    emptied: Vec<Evacuation>,
+    evacuations: Vec<Evacuation>,
 ) {
     apply_and_log(life, || {
         let now = life.node.now();
-        life.node.router().read_evacuations(now, at, emptied);
+        life.node.router().read_evacuations(now, at, evacuations);
     });
 }
 
 /// Applies changed evacuations, from the store or from another host.
-pub(crate) fn hear<S: Store, D: Dialect>(life: &Life<S, D>, said: Vec<Evacuation>) {
+pub(crate) fn hear<S: Store, D: Dialect>(life: &Life<S, D>, evacuations: Vec<Evacuation>) {
     apply_and_log(life, || {
         let (now, mut router) = (life.node.now(), life.node.router());
-        for it in said {
+        for it in evacuations {
             router.evacuate(now, it);
         }
     });
@@ -35,25 +35,25 @@
 /// Applies a change, logs which data centres it evacuated or opened, and sends the
 /// neighbours an update if there are any.
 fn apply_and_log<S: Store, D: Dialect>(life: &Life<S, D>, change: impl FnOnce()) {
-    let before = emptied(life);
+    let before = evacuated_data_centres(life);
     change();
-    let now = emptied(life);
-    let say = |event, it: &DataCentre| {
+    let after = evacuated_data_centres(life);
+    let log = |event, it: &DataCentre| {
         let data_centre = ("data_centre", Value::Text(it));
         life.recorder().say(event, &[data_centre]);
     };
-    for it in now.difference(&before) {
-        say(Event::DataCentreEmptied, it);
+    for it in after.difference(&before) {
+        log(Event::DataCentreEmptied, it);
     }
-    for it in before.difference(&now) {
-        say(Event::DataCentreOpen, it);
+    for it in before.difference(&after) {
+        log(Event::DataCentreOpen, it);
     }
-    if now != before {
+    if after != before {
         life.hurry();
     }
 }
 
-fn emptied<S: Store, D: Dialect>(life: &Life<S, D>) -> BTreeSet<DataCentre> {
+fn evacuated_data_centres<S: Store, D: Dialect>(life: &Life<S, D>) -> BTreeSet<DataCentre> {
     let router = life.node.router();
     router
         .directory()
--- a/crates/host/src/follow/members.rs
+++ b/crates/host/src/follow/members.rs
@@ -67,7 +67,7 @@
         return;
     };
     say::unusable(life, "hosts", found.unusable);
-    let (missing, gone) = {
+    let (missing, expired) = {
         let mut gossip = life.gossip.borrow_mut();
         gossip.list(life.node.now(), found.entries.clone());
         let roster = gossip.roster();
@@ -77,10 +77,10 @@
         )
     };
     register(life, &missing).await;
-    for batch in gone.chunks(MAX_BATCH) {
+    for batch in expired.chunks(MAX_BATCH) {
         let began = life.node.now();
-        let withdrawn = life.store.withdraw(batch).await;
-        say::store(life, "withdraw", began, &withdrawn);
+        let result = life.store.withdraw(batch).await;
+        say::store(life, "withdraw", began, &result);
     }
 }
 
@@ -89,9 +89,9 @@
     let mut is_done = true;
     for batch in members.chunks(MAX_BATCH) {
         let began = life.node.now();
-        let announced = life.store.announce(batch).await;
-        say::store(life, "announce", began, &announced);
-        is_done &= announced.is_ok();
+        let result = life.store.announce(batch).await;
+        say::store(life, "announce", began, &result);
+        is_done &= result.is_ok();
     }
     is_done
 }
--- a/crates/host/src/follow/quarantine.rs
+++ b/crates/host/src/follow/quarantine.rs
@@ -25,12 +25,12 @@
 pub(crate) async fn share<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     loop {
         sleep(POLL_INTERVAL).await;
-        let (has_changes, caught) = {
+        let (has_changes, quarantined) = {
             let mut router = life.node.router();
             let quarantine = router.quarantine();
             (quarantine.take_news(), quarantine.take_caught())
         };
-        for (print, ends) in caught {
+        for (print, ends) in quarantined {
             life.recorder().say(
                 Event::RequestHeld,
                 &[
@@ -53,9 +53,9 @@
         let released = life.node.router().quarantine().take_released();
         if !released.is_empty() && life.rank() == 0 {
             let began = life.node.now();
-            let done = life.store.release(&released).await;
+            let result = life.store.release(&released).await;
             // If the delete fails, hosts that start read the row and release it later.
-            say::store(&life, "release", began, &done);
+            say::store(&life, "release", began, &result);
         }
         if life.node.router().quarantine().unkept().is_empty() {
             continue;
@@ -67,9 +67,9 @@
             continue;
         }
         let began = life.node.now();
-        let done = life.store.hold(&unkept).await;
-        say::store(&life, "hold", began, &done);
-        if done.is_ok() {
+        let result = life.store.hold(&unkept).await;
+        say::store(&life, "hold", began, &result);
+        if result.is_ok() {
             backoff.reset();
             let now = life.node.now();
             life.node.router().quarantine().keep(now, &unkept);
--- a/crates/host/src/follow/verdicts.rs
+++ b/crates/host/src/follow/verdicts.rs
@@ -126,8 +126,8 @@
 pub(crate) async fn write_all<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     loop {
         sleep(EVALUATION_INTERVAL).await;
-        let findings = findings(&life.node, &life);
-        for it in findings {
+        let unwritten_verdicts = unwritten_verdicts(&life.node, &life);
+        for it in unwritten_verdicts {
             let delayed_ranks =
                 u32::try_from(life.rank().min(MAX_DELAYED_RANKS)).unwrap_or_default();
             sleep(RANK_DELAY * delayed_ranks).await;
@@ -175,11 +175,11 @@
 }
 
 /// Updates the roll-outs, and returns the verdicts that have to be written to the store.
-fn findings<S: Store, D: Dialect>(node: &Node<D>, life: &Life<S, D>) -> Vec<Judgement> {
+fn unwritten_verdicts<S: Store, D: Dialect>(node: &Node<D>, life: &Life<S, D>) -> Vec<Judgement> {
     let now = node.now();
     let mut router = node.router();
     let known = life.judgements.borrow();
-    let mut findings = Vec::new();
+    let mut unwritten_verdicts = Vec::new();
     for rollout in router.rollouts() {
         if rollout.advance(now) {
             life.hurry();
@@ -205,12 +205,12 @@
         if is_written && written.is_some_and(|it| it.verdict == verdict) {
             continue;
         }
-        findings.push(Judgement {
+        unwritten_verdicts.push(Judgement {
             service: service.clone(),
             release: rollout.order.release.clone(),
             verdict,
             revision: written.and_then(|it| it.revision),
         });
     }
-    findings
+    unwritten_verdicts
 }
--- a/crates/host/src/life.rs
+++ b/crates/host/src/life.rs
@@ -322,9 +322,9 @@
 
     /// Reads the fleet's data from the store and opens the links to the other hosts.
     pub(crate) async fn open_link(&self) -> Option<(Link, Receiver<Incoming>)> {
-        let made = Authority::generate(AUTHORITY_NAME).ok()?;
+        let candidate = Authority::generate(AUTHORITY_NAME).ok()?;
         let began = self.node.now();
-        let joined = self.store.join(made).await;
+        let joined = self.store.join(candidate).await;
         say::store(self, "join", began, &joined);
         let Joined {
             authority,
--- a/crates/host/src/store.rs
+++ b/crates/host/src/store.rs
@@ -34,8 +34,8 @@
     fn config(&self, text: &[u8]) -> Result<Arc<Config>, Trouble>;
 
     /// Reads what a host needs to find and authenticate the others. If the store has no
-    /// certificate authority yet, it writes `made`.
-    fn join(&self, made: Authority) -> impl Future<Output = Result<Joined, Trouble>>;
+    /// certificate authority yet, it writes `candidate`.
+    fn join(&self, candidate: Authority) -> impl Future<Output = Result<Joined, Trouble>>;
 
     /// Reads the verdicts on roll-outs; with `since`, waits up to `wait` for those that
     /// changed after it.
