--- a/crates/host/src/backoff.rs
+++ b/crates/host/src/backoff.rs
@@ -1,55 +1,52 @@
-//! How long to wait before a question to the store that failed is asked again.
+//! Backoff between failed calls to the store.
 
 use std::time::Duration;
 
-/// The pause after the first failure, and the longest: refused calls are paid for
-/// like others, and an outage lasts for seconds. The longest leaves time to have a
-/// configuration in force two seconds after the store is back.
-const FIRST: Duration = Duration::from_millis(150);
-const LONGEST: Duration = Duration::from_millis(800);
-/// How many hosts that hear each other ask as often as one that is alone.
-const SHARERS: usize = 8;
-/// How many times as long a pause gets for that reason, at most: with 76 hosts the
-/// store is asked 24 times a second, and a store that serves one host in twenty is
-/// found within a second.
-const MOST_SHARED: usize = 4;
+/// Delay after the first failure. Refused calls are billed like others.
+const INITIAL_DELAY: Duration = Duration::from_millis(150);
+/// Longest delay of a single host: a configuration must be in force two seconds after the
+/// store is back.
+const MAX_DELAY: Duration = Duration::from_millis(800);
+/// Number of other hosts per multiple of the delay.
+const HOSTS_PER_MULTIPLE: usize = 8;
+/// Largest multiple of the delay, so that a fleet soon finds a store that serves only some
+/// hosts.
+const MAX_MULTIPLE: usize = 4;
 
-/// How long to wait before a question to the store that failed is asked again: twice
-/// as long after each failure, and longer beside many others.
+/// Exponential backoff between failed calls to the store, longer in a larger fleet.
 ///
-/// Whoever is answered first tells all others within some milliseconds. While a store
-/// refused all of 76 hosts for five seconds, each asked as if it were alone, and these
-/// calls were three times those of a whole quiet day.
+/// The first host that gets an answer informs all others within milliseconds, so the hosts
+/// share the retries. If each retried as if it were alone, an outage of seconds would cost
+/// more calls than a day of normal operation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// The pause after one more failure, beside so many other hosts that are heard.
-    /// `lot`, from 0 to 1, keeps those apart that share the asking: they began to fail
-    /// at the same moment.
-    pub fn pause(&mut self, others: usize, lot: f64) -> Duration {
-        /// The part of a shared pause that the lot decides.
-        const SPREAD: f64 = 0.25;
-        let doubled = FIRST * 2u32.pow(self.failures.min(4));
+    /// Returns the delay after one more failure, in a fleet with `others` other live hosts.
+    /// `jitter`, from 0 to 1, spreads the retries of hosts that began to fail simultaneously.
+    pub fn next_delay(&mut self, others: usize, jitter: f64) -> Duration {
+        /// Fraction of the delay that is random.
+        const JITTER_FRACTION: f64 = 0.25;
+        let doubled = INITIAL_DELAY * 2u32.pow(self.failures.min(4));
         self.failures += 1;
-        let alone = doubled.min(LONGEST);
-        let shared = Self::shared(alone, others);
-        if shared == alone {
-            return alone;
+        let delay = doubled.min(MAX_DELAY);
+        let scaled = Self::scaled(delay, others);
+        if scaled == delay {
+            return delay;
         }
-        shared.mul_f64(1.0 - SPREAD * lot)
+        scaled.mul_f64(1.0 - JITTER_FRACTION * jitter)
     }
 
-    /// A pause beside so many other hosts that are heard.
+    /// Returns the delay multiplied for a fleet with `others` other live hosts.
     #[must_use]
-    pub fn shared(pause: Duration, others: usize) -> Duration {
-        let times = (others / SHARERS).clamp(1, MOST_SHARED);
-        pause * u32::try_from(times).unwrap_or(1)
+    pub fn scaled(delay: Duration, others: usize) -> Duration {
+        let multiple = (others / HOSTS_PER_MULTIPLE).clamp(1, MAX_MULTIPLE);
+        delay * u32::try_from(multiple).unwrap_or(1)
     }
 
-    /// Forgets the failures: the store has answered.
+    /// Resets the delay after the store has answered.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/host/src/follow/documents.rs
+++ b/crates/host/src/follow/documents.rs
@@ -1,4 +1,4 @@
-//! Follows what operators write.
+//! Follows the documents that operators write to the store.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -8,7 +8,10 @@
 use route::{Config, Revision};
 use telemetry::{Event, Value};
 
-use super::{FIRST_NEWS_WAIT, NEWS_WAIT, evacuations, is_of_another_era, pause, unless, verdicts};
+use super::{
+    LONG_POLL_TIMEOUT, STARTUP_LONG_POLL_TIMEOUT, evacuations, is_of_another_era, unless_restarted,
+    verdicts, wait_to_read,
+};
 use crate::life::Life;
 use crate::{Backoff, Documents, Store, Trouble, say};
 
@@ -17,38 +20,38 @@
     let mut backoff = Backoff::default();
     loop {
         if !life.asks_store(life.confirmed.get()) {
-            pause(&life).await;
+            wait_to_read(&life).await;
             continue;
         }
         since = since.filter(|it| it.era == life.store.era());
         let began = life.node.now();
-        life.watches.set(since.is_some());
+        life.is_watching_documents.set(since.is_some());
         let wait = match life.node.router().version() {
-            Some(_) => NEWS_WAIT,
-            None => FIRST_NEWS_WAIT,
+            Some(_) => LONG_POLL_TIMEOUT,
+            None => STARTUP_LONG_POLL_TIMEOUT,
         };
-        let question = async {
+        let call = async {
             match since {
                 None => life.store.documents().await,
                 Some(since) => life.store.changes(since, wait).await,
             }
         };
-        let asked = unless(&life.returns[0].1, question).await;
-        life.watches.set(false);
-        let Some(asked) = asked else {
+        let result = unless_restarted(&life.returns[0].1, call).await;
+        life.is_watching_documents.set(false);
+        let Some(result) = result else {
             continue;
         };
-        say::store(&life, "news of documents", began, &asked);
-        match asked {
-            // The store came back from a copy meanwhile: versions before this one may have
-            // been given out anew, and what was written with them isn't among the news.
+        say::store(&life, "news of documents", began, &result);
+        match result {
+            // The store was restored from a copy meanwhile. It may have reassigned versions up
+            // to `since`, and the answer lacks what was written with those.
             Ok(documents) if is_of_another_era(since, documents.revision) => since = None,
             Ok(documents) => {
                 backoff.reset();
                 let revision = documents.revision;
                 match since {
-                    None => read(&life, documents),
-                    Some(_) => take(&life, documents),
+                    None => apply_snapshot(&life, documents),
+                    Some(_) => apply_changes(&life, documents),
                 }
                 since = Some(revision.max(since.unwrap_or_default()));
                 if life.confirm(life.node.now()) {
@@ -61,16 +64,16 @@
     }
 }
 
-/// Takes all documents as of one moment.
-fn read<S: Store, D: Dialect>(life: &Life<S, D>, mut documents: Documents) {
-    let emptied = std::mem::take(&mut documents.evacuations);
-    evacuations::read(life, documents.revision, emptied);
-    take(life, documents);
+/// Applies a snapshot of all documents.
+fn apply_snapshot<S: Store, D: Dialect>(life: &Life<S, D>, mut documents: Documents) {
+    let evacuated = std::mem::take(&mut documents.evacuations);
+    evacuations::apply_snapshot(life, documents.revision, evacuated);
+    apply_changes(life, documents);
 }
 
-/// Takes documents that changed.
-fn take<S: Store, D: Dialect>(life: &Life<S, D>, documents: Documents) {
-    // Before the configuration, by which requests are served at once.
+/// Applies changed documents.
+fn apply_changes<S: Store, D: Dialect>(life: &Life<S, D>, documents: Documents) {
+    // Before the configuration: with it, the host starts to serve requests.
     evacuations::hear(life, documents.evacuations);
     say::unusable(life, "documents", documents.unreadable);
     if let Some((config, text)) = documents.config {
@@ -83,7 +86,7 @@
             say_order(life, &order);
         }
     }
-    // Orders and judgements come on two ways, in any order.
+    // Orders and verdicts arrive independently, in any order.
     verdicts::apply(life);
 }
 
@@ -98,7 +101,7 @@
     );
 }
 
-/// Puts a configuration in force unless a newer one is.
+/// Puts a configuration in force, unless a newer one already is.
 pub(crate) fn configure<S: Store, D: Dialect>(
     life: &Life<S, D>,
     config: Arc<Config>,
@@ -106,9 +109,9 @@
 ) {
     let (version, routes) = (config.version, config.route_count());
     let before = life.node.router().version();
-    let is_taken = life.node.router().configure(config);
+    let is_applied = life.node.router().configure(config);
     if before != Some(version) {
-        let event = if is_taken {
+        let event = if is_applied {
             Event::ConfigInForce
         } else {
             Event::ConfigOlder
@@ -122,7 +125,7 @@
             ],
         );
     }
-    if is_taken {
+    if is_applied {
         *life.config_text.borrow_mut() = Some(text);
         life.hurry();
     }
--- a/crates/host/src/follow/endpoints.rs
+++ b/crates/host/src/follow/endpoints.rs
@@ -1,4 +1,4 @@
-//! Follows the listing of endpoints.
+//! Follows the store's listing of endpoints.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,24 +8,24 @@
 use route::directory::Absence;
 use route::endpoint::Entry;
 
-use super::{configured, pause};
+use super::{wait_for_config, wait_to_read};
 use crate::life::{Life, Listed};
 use crate::listing::fingerprint;
 use crate::{Backoff, Outage, Store, say};
 
-/// How often the listing of endpoints is read. An endpoint that leaves may get
-/// no new work two seconds after it said so; each reading is paid for.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the listing of endpoints is read. Each reading is billed, and an
+/// endpoint that leaves must get no new requests two seconds after it announced that.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(crate) async fn follow<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
-    configured(&life).await;
+    wait_for_config(&life).await;
     let mut outage = Outage::default();
     let mut era = life.store.era();
     let mut backoff = Backoff::default();
     loop {
         let node = &life.node;
-        if !asks(&life) {
-            pause(&life).await;
+        if !should_read(&life) {
+            wait_to_read(&life).await;
             continue;
         }
         let began = node.now();
@@ -37,42 +37,42 @@
             let now = node.now();
             let known = life.listed.get().map(|it| (it.at, it.absence));
             if std::mem::replace(&mut era, life.store.era()) != era {
-                outage.restore(now);
+                outage.record_restore(now);
             }
             let absence = outage.absence(now, known);
             let mut entries = found.entries;
             node.router().directory().correct(now, &mut entries);
             list(&life, now, entries, absence);
-            if life.watches.get() {
-                // A question for news is open, and the store answers: it would
-                // have told of a change.
+            if life.is_watching_documents.get() {
+                // The store responds and a long poll is open: it would have returned a
+                // change.
                 life.confirm(began);
             }
             life.hurry();
-            // A long listing takes most of a second to read: begun a second after the last
-            // one's end, each would be so old that all hosts read it themselves.
-            sleep(PERIOD.saturating_sub(node.now().saturating_sub(began))).await;
+            // The interval counts from the start of a reading: a long listing takes most of
+            // a second to read, and with a longer cycle it would get so old that all hosts
+            // read it themselves.
+            sleep(READ_INTERVAL.saturating_sub(node.now().saturating_sub(began))).await;
         } else {
-            outage.fail(node.now());
+            outage.record_failure(node.now());
             life.back_off(&mut backoff).await;
         }
     }
 }
 
-/// Whether this host reads the listing itself. The second of those who read for all
-/// does so only when the first hasn't: it is there for the case that the first fails,
-/// and its readings would be half of the calls of a quiet day.
-fn asks<S: Store, D: Dialect>(life: &Life<S, D>) -> bool {
-    const LATE: Duration = Duration::from_millis(150);
+/// Returns whether this host should read the listing itself. The second reader does so
+/// only when the first is late: it is a standby, and each of its readings is billed.
+fn should_read<S: Store, D: Dialect>(life: &Life<S, D>) -> bool {
+    const STANDBY_DELAY: Duration = Duration::from_millis(150);
     let known = life.listed.get().map(|it| it.at);
-    let is_fresh = known.is_some_and(|at| life.node.now() < at + PERIOD + LATE);
+    let is_fresh = known.is_some_and(|at| life.node.now() < at + READ_INTERVAL + STANDBY_DELAY);
     match life.rank() {
         1 if is_fresh => false,
         _ => life.asks_store(known),
     }
 }
 
-/// Takes a listing of endpoints that was read at `at`, unless a later one was taken.
+/// Puts a listing of endpoints that was read at `at` in use, unless a later one is.
 pub(crate) fn list<S: Store, D: Dialect>(
     life: &Life<S, D>,
     at: Duration,
@@ -88,7 +88,7 @@
         absence,
         fingerprint: fingerprint(&entries),
     };
-    life.listing.borrow_mut().take(&entries);
+    life.listing.borrow_mut().replace(&entries);
     life.listed.set(Some(listed));
     if before.is_none_or(|it| !it.covers(listed.fingerprint, absence)) {
         life.hurry();
--- a/crates/host/src/follow/evacuations.rs
+++ b/crates/host/src/follow/evacuations.rs
@@ -1,4 +1,4 @@
-//! Takes what operators say of data centres, and has the others told.
+//! Applies operators' evacuations of data centres, and passes them on to other hosts.
 
 use std::collections::BTreeSet;
 
@@ -10,49 +10,50 @@
 use crate::Store;
 use crate::life::Life;
 
-/// Takes all that the store has of emptied data centres at a moment.
-pub(super) fn read<S: Store, D: Dialect>(
+/// Applies a snapshot of all evacuations in the store.
+pub(super) fn apply_snapshot<S: Store, D: Dialect>(
     life: &Life<S, D>,
     at: Revision,
-    emptied: Vec<Evacuation>,
+    evacuations: Vec<Evacuation>,
 ) {
-    change(life, || {
+    apply_and_log(life, || {
         let now = life.node.now();
-        life.node.router().read_evacuations(now, at, emptied);
+        life.node.router().read_evacuations(now, at, evacuations);
     });
 }
 
-/// Takes words on data centres, from the store or from another host.
-pub(crate) fn hear<S: Store, D: Dialect>(life: &Life<S, D>, said: Vec<Evacuation>) {
-    change(life, || {
+/// Applies changed evacuations, from the store or from another host.
+pub(crate) fn hear<S: Store, D: Dialect>(life: &Life<S, D>, evacuations: Vec<Evacuation>) {
+    apply_and_log(life, || {
         let (now, mut router) = (life.node.now(), life.node.router());
-        for it in said {
+        for it in evacuations {
             router.evacuate(now, it);
         }
     });
 }
 
-/// Says what a change has emptied and taken back, and has the neighbours told at once.
-fn change<S: Store, D: Dialect>(life: &Life<S, D>, change: impl FnOnce()) {
-    let before = emptied(life);
+/// Applies a change, logs which data centres it evacuated or opened, and sends the
+/// neighbours an update if there are any.
+fn apply_and_log<S: Store, D: Dialect>(life: &Life<S, D>, change: impl FnOnce()) {
+    let before = evacuated_data_centres(life);
     change();
-    let now = emptied(life);
-    let say = |event, it: &DataCentre| {
+    let after = evacuated_data_centres(life);
+    let log = |event, it: &DataCentre| {
         let data_centre = ("data_centre", Value::Text(it));
         life.recorder().say(event, &[data_centre]);
     };
-    for it in now.difference(&before) {
-        say(Event::DataCentreEmptied, it);
+    for it in after.difference(&before) {
+        log(Event::DataCentreEmptied, it);
     }
-    for it in before.difference(&now) {
-        say(Event::DataCentreOpen, it);
+    for it in before.difference(&after) {
+        log(Event::DataCentreOpen, it);
     }
-    if now != before {
+    if after != before {
         life.hurry();
     }
 }
 
-fn emptied<S: Store, D: Dialect>(life: &Life<S, D>) -> BTreeSet<DataCentre> {
+fn evacuated_data_centres<S: Store, D: Dialect>(life: &Life<S, D>) -> BTreeSet<DataCentre> {
     let router = life.node.router();
     router
         .directory()
--- /dev/null
+++ b/crates/host/src/follow/quarantine.rs
@@ -0,0 +1,80 @@
+//! Shares quarantined requests with the other hosts, and persists them in the store for
+//! the case that all hosts restart.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_std::task::sleep;
+use forward::Dialect;
+use telemetry::{Event, Value};
+
+use crate::life::Life;
+use crate::{Backoff, Store, say};
+
+/// Interval of checks for new quarantined requests. Such a request ends an endpoint within
+/// a tenth of a second, and goes on to end others until all hosts know it.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of checks for entries to write to the store or to delete there.
+const PERSIST_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay per rank before a host writes. The first host writes, and the others learn of it
+/// before their delay has passed.
+const RANK_DELAY: Duration = Duration::from_millis(400);
+/// Rank from which on the delay no longer grows.
+const MAX_DELAYED_RANKS: usize = 8;
+
+pub(crate) async fn share<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+    loop {
+        sleep(POLL_INTERVAL).await;
+        let (has_changes, quarantined) = {
+            let mut router = life.node.router();
+            let quarantine = router.quarantine();
+            (quarantine.take_news(), quarantine.take_caught())
+        };
+        for (print, ends) in quarantined {
+            life.recorder().say(
+                Event::RequestHeld,
+                &[
+                    ("print", Value::Text(&print)),
+                    ("ends", Value::Count(ends as u64)),
+                ],
+            );
+        }
+        if has_changes {
+            life.hurry();
+        }
+    }
+}
+
+/// Writes quarantined requests to the store, and deletes those that were released.
+pub(crate) async fn persist<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+    let mut backoff = Backoff::default();
+    loop {
+        sleep(PERSIST_INTERVAL).await;
+        let released = life.node.router().quarantine().take_released();
+        if !released.is_empty() && life.rank() == 0 {
+            let began = life.node.now();
+            let result = life.store.release(&released).await;
+            // If the delete fails, hosts that start read the row and release it later.
+            say::store(&life, "release", began, &result);
+        }
+        if life.node.router().quarantine().unkept().is_empty() {
+            continue;
+        }
+        let delayed_ranks = u32::try_from(life.rank().min(MAX_DELAYED_RANKS)).unwrap_or_default();
+        sleep(RANK_DELAY * delayed_ranks).await;
+        let unkept = life.node.router().quarantine().unkept();
+        if unkept.is_empty() {
+            continue;
+        }
+        let began = life.node.now();
+        let result = life.store.hold(&unkept).await;
+        say::store(&life, "hold", began, &result);
+        if result.is_ok() {
+            backoff.reset();
+            let now = life.node.now();
+            life.node.router().quarantine().keep(now, &unkept);
+        } else {
+            life.back_off(&mut backoff).await;
+        }
+    }
+}
--- a/crates/host/src/follow/verdicts.rs
+++ b/crates/host/src/follow/verdicts.rs
@@ -1,4 +1,4 @@
-//! Follows what roll-outs have come to, and writes what this host finds.
+//! Follows the stored verdicts on roll-outs, and writes the verdicts of this host.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,40 +9,42 @@
 use route::{Revision, Rollout};
 use telemetry::{Event, Value};
 
-use super::{NEWS_WAIT, configured, is_of_another_era, pause, unless};
+use super::{
+    LONG_POLL_TIMEOUT, is_of_another_era, unless_restarted, wait_for_config, wait_to_read,
+};
 use crate::life::Life;
 use crate::{Backoff, Documents, Judgement, Store, Trouble, say};
 
-/// How often a roll-out is looked at.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
-/// How much longer each host waits than the one before it until it writes a
-/// judgement: the first one writes, and the others hear of it.
-const TURN: Duration = Duration::from_millis(300);
-/// The most turns that a host waits.
-const MOST_TURNS: usize = 8;
+/// Interval at which roll-outs are evaluated.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay per rank before a host writes a verdict. The first host writes, and the others
+/// learn of it before their delay has passed.
+const RANK_DELAY: Duration = Duration::from_millis(300);
+/// Rank from which on the delay no longer grows.
+const MAX_DELAYED_RANKS: usize = 8;
 
 pub(crate) async fn follow<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
-    configured(&life).await;
+    wait_for_config(&life).await;
     let mut since: Option<Revision> = None;
     let mut backoff = Backoff::default();
     loop {
         if !life.asks_store(life.confirmed.get()) {
-            pause(&life).await;
+            wait_to_read(&life).await;
             continue;
         }
         since = since.filter(|it| it.era == life.store.era());
         let began = life.node.now();
-        let question = life.store.judgements(since, NEWS_WAIT);
-        let Some(asked) = unless(&life.returns[1].1, question).await else {
+        let call = life.store.judgements(since, LONG_POLL_TIMEOUT);
+        let Some(result) = unless_restarted(&life.returns[1].1, call).await else {
             continue;
         };
-        say::store(&life, "news of verdicts", began, &asked);
-        match asked {
+        say::store(&life, "news of verdicts", began, &result);
+        match result {
             Ok(documents) if is_of_another_era(since, documents.revision) => since = None,
             Ok(documents) => {
                 backoff.reset();
                 if since.is_none() {
-                    forget(&life, &documents);
+                    forget_older_eras(&life, &documents);
                 }
                 since = Some(documents.revision.max(since.unwrap_or_default()));
                 take(&life, documents.judgements);
@@ -53,18 +55,19 @@
     }
 }
 
-/// Forgets what the store said in an earlier era and no longer says: it is written again.
-fn forget<S: Store, D: Dialect>(life: &Life<S, D>, documents: &Documents) {
+/// Forgets verdicts of earlier eras, which the store no longer has, so that they are
+/// written again.
+fn forget_older_eras<S: Store, D: Dialect>(life: &Life<S, D>, documents: &Documents) {
     let era = documents.revision.era;
-    let is_of_now = |it: &Judgement| it.revision.is_some_and(|it| it.era >= era);
-    life.judgements.borrow_mut().retain(|_, it| is_of_now(it));
+    let is_current = |it: &Judgement| it.revision.is_some_and(|it| it.era >= era);
+    life.judgements.borrow_mut().retain(|_, it| is_current(it));
 }
 
-/// Takes what the store says of roll-outs, unless it said something later.
+/// Records verdicts of the store that are newer than the known ones, and applies them.
 pub(crate) fn take<S: Store, D: Dialect>(life: &Life<S, D>, judgements: Vec<Judgement>) {
     let mut known = life.judgements.borrow_mut();
     for it in judgements {
-        // Others may not have heard yet that the store came back without this.
+        // The sender may not know yet that the store was restored without this verdict.
         if it.revision.is_some_and(|it| it.era < life.store.era()) {
             continue;
         }
@@ -77,7 +80,7 @@
     apply(life);
 }
 
-/// Puts verdicts of the store in force for the orders that they are about.
+/// Applies the store's verdicts to the roll-outs in progress.
 pub(crate) fn apply<S: Store, D: Dialect>(life: &Life<S, D>) {
     let mut router = life.node.router();
     for it in life.judgements.borrow().values() {
@@ -92,7 +95,7 @@
     }
 }
 
-/// Says a verdict with what decided it.
+/// Logs a verdict with the evidence for it.
 pub(crate) fn say_verdict<S: Store, D: Dialect>(
     life: &Life<S, D>,
     rollout: &Rollout,
@@ -119,14 +122,15 @@
     );
 }
 
-/// Writes what roll-outs have come to.
-pub(crate) async fn judge<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+/// Writes the verdicts on roll-outs to the store.
+pub(crate) async fn write_all<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     loop {
-        sleep(LOOK_PERIOD).await;
-        let findings = findings(&life.node, &life);
-        for it in findings {
-            let turns = u32::try_from(life.rank().min(MOST_TURNS)).unwrap_or_default();
-            sleep(TURN * turns).await;
+        sleep(EVALUATION_INTERVAL).await;
+        let unwritten_verdicts = unwritten_verdicts(&life.node, &life);
+        for it in unwritten_verdicts {
+            let delayed_ranks =
+                u32::try_from(life.rank().min(MAX_DELAYED_RANKS)).unwrap_or_default();
+            sleep(RANK_DELAY * delayed_ranks).await;
             let is_known = life
                 .judgements
                 .borrow()
@@ -161,27 +165,28 @@
             let found = life.store.judgements(None, Duration::ZERO).await;
             say::store(life, "verdicts", began, &found);
             if let Ok(found) = found {
-                forget(life, &found);
+                forget_older_eras(life, &found);
                 take(life, found.judgements);
             }
         }
-        // The next look at the roll-out finds the same.
+        // The next evaluation of the roll-out retries the write.
         Err(_) => {}
     }
 }
 
-fn findings<S: Store, D: Dialect>(node: &Node<D>, life: &Life<S, D>) -> Vec<Judgement> {
+/// Updates the roll-outs, and returns the verdicts that have to be written to the store.
+fn unwritten_verdicts<S: Store, D: Dialect>(node: &Node<D>, life: &Life<S, D>) -> Vec<Judgement> {
     let now = node.now();
     let mut router = node.router();
     let known = life.judgements.borrow();
-    let mut findings = Vec::new();
+    let mut unwritten_verdicts = Vec::new();
     for rollout in router.rollouts() {
         if rollout.advance(now) {
             life.hurry();
         }
         let found = rollout.finding(now);
         if found == Some(Verdict::Reverted) {
-            // This host has seen enough; the store hears of it when it can.
+            // Applied before it is written to the store, which may be unavailable.
             rollout.verdict = Verdict::Reverted;
             say_verdict(life, rollout, "own evidence");
             life.hurry();
@@ -193,19 +198,19 @@
             (Some(found), _) => found,
             (None, false) => rollout.verdict,
             (None, true) if rollout.verdict == Verdict::Reverted => rollout.verdict,
-            // The store came back from before it was told.
+            // The store was restored to a state before the verdict was written.
             (None, true) if rollout.began_as().era < life.store.era() => rollout.verdict,
             (None, true) => continue,
         };
         if is_written && written.is_some_and(|it| it.verdict == verdict) {
             continue;
         }
-        findings.push(Judgement {
+        unwritten_verdicts.push(Judgement {
             service: service.clone(),
             release: rollout.order.release.clone(),
             verdict,
             revision: written.and_then(|it| it.revision),
         });
     }
-    findings
+    unwritten_verdicts
 }
--- /dev/null
+++ b/crates/host/src/life/readers.rs
@@ -0,0 +1,95 @@
+//! Decides which hosts read the store.
+//!
+//! Each store call is billed, so a few hosts read it and inform the others; see
+//! `docs/design/relay.md` and `docs/design/gossip.md`.
+
+use std::time::Duration;
+
+use forward::Dialect;
+
+use super::Life;
+use crate::Store;
+
+/// Number of hosts that read the store on behalf of all.
+const READER_COUNT: usize = 2;
+/// Margin before the propagation bound at which a host reads the store itself. By that
+/// bound an endpoint that leaves must get no new requests and a configuration must be in
+/// force. Rank delays, the reading, and requests on their way to an endpoint use part of
+/// the margin.
+const READ_MARGIN: Duration = Duration::from_millis(750);
+/// Least age at which it does so: readers send what they read once a second.
+const MIN_READ_AGE: Duration = Duration::from_millis(1_250);
+/// Delay added to that age for each rank in the order of hosts.
+const RANK_DELAY: Duration = Duration::from_millis(10);
+/// Rank from which on the delay no longer grows.
+const MAX_DELAYED_RANKS: usize = 25;
+/// How long a host that has just started waits for state from other hosts, plus the
+/// delay of its rank. Running hosts send theirs within about 50 ms. When all hosts start
+/// at once, a few read the store; a listing of thousands takes most of a second to read
+/// and as long to spread. After a shorter wait, hundreds of hosts would read what is
+/// already on its way to them.
+const STARTUP_WAIT: Duration = Duration::from_millis(1_500);
+/// Rank from which on that delay no longer grows.
+const MAX_DELAYED_STARTUP_RANKS: usize = 100;
+/// How long after its start a host begins to read on behalf of others. By then its own
+/// record, and those of hosts that started with it, have spread. After a longer time,
+/// the state of all hosts would expire before a reader confirms it, and each would read
+/// the store.
+const ANNOUNCE_TIME: Duration = Duration::from_millis(300);
+/// Number of hosts that read the store after bootstrapping from other hosts gave them no
+/// state. When all hosts start at once, the others get their state from these.
+const STARTUP_READER_COUNT: usize = 8;
+/// How long a host that starts waits for the state of a running host before it may read
+/// the store. Callers are refused meanwhile.
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(50);
+
+impl<S: Store, D: Dialect> Life<S, D> {
+    /// Returns whether this host should read the store itself: it is one of the readers,
+    /// or what it knows, as of `known_at`, is too old. Hosts of a higher rank wait a little
+    /// longer, and most get an update from lower ranks in the meantime.
+    pub(crate) fn asks_store(&self, known_at: Option<Duration>) -> bool {
+        let rank = self.rank();
+        let is_startup_reader =
+            known_at.is_none() && self.is_bootstrapped() && rank < STARTUP_READER_COUNT;
+        if is_startup_reader || (self.reads_for_all() && self.is_known_to_all()) {
+            return true;
+        }
+        let (since, wait, max_ranks) = match known_at {
+            Some(at) => (at, self.read_age(), MAX_DELAYED_RANKS),
+            None => (self.started, STARTUP_WAIT, MAX_DELAYED_STARTUP_RANKS),
+        };
+        let delayed_ranks = u32::try_from(rank.min(max_ranks)).unwrap_or_default();
+        self.looked.get()
+            && self.node.now().saturating_sub(since) >= wait + RANK_DELAY * delayed_ranks
+    }
+
+    /// Returns the age at which this host reads the store itself instead of relying on
+    /// other hosts.
+    fn read_age(&self) -> Duration {
+        let follow = self.node.router().settings().follow;
+        MIN_READ_AGE.max(follow.saturating_sub(READ_MARGIN))
+    }
+
+    /// Returns whether the attempt to get state from other hosts has ended or timed out.
+    fn is_bootstrapped(&self) -> bool {
+        let has_waited = self.node.now() >= self.started + BOOTSTRAP_TIMEOUT;
+        self.looked.get() && (self.greeted.get() || has_waited)
+    }
+
+    /// Returns whether this host has been running long enough to be known to all others.
+    /// Of several hosts that start at once, each takes itself for the first until then.
+    fn is_known_to_all(&self) -> bool {
+        self.node.now() >= self.started + ANNOUNCE_TIME
+    }
+
+    /// Returns whether this host reads the store on behalf of all. Before it has heard
+    /// from other hosts, its roster is incomplete, and it doesn't count itself as one.
+    pub(crate) fn reads_for_all(&self) -> bool {
+        self.is_bootstrapped() && self.rank() < READER_COUNT
+    }
+
+    /// Returns this host's rank in the order of hosts, from 0.
+    pub(crate) fn rank(&self) -> usize {
+        self.gossip.borrow().roster().rank()
+    }
+}
--- a/crates/host/src/listing.rs
+++ b/crates/host/src/listing.rs
@@ -1,9 +1,8 @@
-//! The listing of endpoints, as hosts hand it on: whole, or what has changed since one that
-//! the other host has.
+//! The listing of endpoints, and the changes between listings that hosts send each other.
 //!
 //! With thousands of endpoints some entry changes every second, and a whole listing is
-//! hundreds of kilobytes: handed to each host each second, it takes more of a small host's
-//! link than its callers do, and doesn't arrive in time. See `docs/design/gossip.md`.
+//! hundreds of kilobytes. Sent to each host every second, it would use more of a small
+//! host's bandwidth than its callers do and arrive late. See `docs/design/gossip.md`.
 
 mod patch;
 
@@ -16,11 +15,11 @@
 
 pub use patch::{Patch, Sketch};
 
-/// How many changes are remembered. A host asks for what has changed as soon as it hears
-/// that something has, so one or two are wanted as a rule.
-const REMEMBERED: usize = 8;
+/// Number of changes that are kept. A host requests changes as soon as it learns of them,
+/// so it usually needs only the last one or two.
+const MAX_CHANGES: usize = 8;
 
-/// The listing in force, and how it came about.
+/// The listing in use, and the last changes that led to it.
 #[derive(Debug, Default)]
 pub struct Listing {
     entries: BTreeMap<EndpointId, Entry>,
@@ -28,22 +27,22 @@
     changes: VecDeque<Change>,
 }
 
-/// What makes one listing of another.
+/// The difference between two listings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Which listing it is a change of, by its fingerprint.
+    /// Fingerprint of the listing that it applies to.
     pub from: u64,
-    /// Which listing it leads to.
+    /// Fingerprint of the resulting listing.
     pub to: u64,
-    /// Entries that are new or other than they were.
+    /// Entries that are new or differ.
     pub changed: Vec<Entry>,
-    /// Endpoints that have no entry any more.
+    /// Endpoints whose entries were removed.
     pub gone: Vec<EndpointId>,
 }
 
 impl Listing {
-    /// Takes the listing that is in force from now on.
-    pub fn take(&mut self, entries: &[Entry]) {
+    /// Replaces the entries, and keeps the change if the fingerprint differs.
+    pub fn replace(&mut self, entries: &[Entry]) {
         let listed: BTreeMap<_, _> = entries
             .iter()
             .map(|it| (it.id.clone(), it.clone()))
@@ -52,13 +51,13 @@
         if let Some(from) = self.fingerprint
             && from != to
         {
-            self.remember(from, to, &listed);
+            self.record_change(from, to, &listed);
         }
         self.entries = listed;
         self.fingerprint = Some(to);
     }
 
-    fn remember(&mut self, from: u64, to: u64, listed: &BTreeMap<EndpointId, Entry>) {
+    fn record_change(&mut self, from: u64, to: u64, listed: &BTreeMap<EndpointId, Entry>) {
         let is_other = |it: &&Entry| self.entries.get(&it.id) != Some(*it);
         let is_gone = |id: &&EndpointId| !listed.contains_key(*id);
         let change = Change {
@@ -67,24 +66,25 @@
             changed: listed.values().filter(is_other).cloned().collect(),
             gone: self.entries.keys().filter(is_gone).cloned().collect(),
         };
-        if self.changes.len() == REMEMBERED {
+        if self.changes.len() == MAX_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(change);
     }
 
-    /// The entries.
+    /// Returns the entries, ordered by endpoint.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// Which listing it is.
+    /// Returns the fingerprint; `None` before the first listing.
     #[must_use]
     pub fn fingerprint(&self) -> Option<u64> {
         self.fingerprint
     }
 
-    /// What has changed since another listing, if that is remembered.
+    /// Returns the combined change since the listing with fingerprint `from`, if the changes
+    /// since then are still kept.
     #[must_use]
     pub fn since(&self, from: u64) -> Option<Change> {
         let to = self.fingerprint?;
@@ -108,8 +108,8 @@
         })
     }
 
-    /// The entries that a change of this listing leads to, unless it is a change of another
-    /// one.
+    /// Returns the entries that result from `change`; `None` if it applies to another
+    /// listing or doesn't lead to the one that it names.
     #[must_use]
     pub fn changed(&self, change: &Change) -> Option<Vec<Entry>> {
         if self.fingerprint != Some(change.from) {
@@ -127,16 +127,16 @@
     }
 }
 
-/// A number that tells two listings apart by what hosts go by.
+/// Hashes those fields of all entries by which hosts decide.
 #[must_use]
 pub fn fingerprint(entries: &[Entry]) -> u64 {
-    let mut facts: Vec<_> = entries.iter().map(facts).collect();
-    facts.sort();
-    hash::of(&facts)
+    let mut fields: Vec<_> = entries.iter().map(compared_fields).collect();
+    fields.sort();
+    hash::of(&fields)
 }
 
-/// What hosts go by in an entry.
-fn facts(it: &Entry) -> impl Ord + Hash {
+/// Returns the fields of an entry by which hosts decide.
+fn compared_fields(it: &Entry) -> impl Ord + Hash {
     let is_ready = it.state == State::Ready;
     let who = (&it.id, it.incarnation, &it.service, it.address, &it.release);
     (who, it.slots, is_ready, it.cold.is_zero())
--- a/crates/host/src/listing/patch.rs
+++ b/crates/host/src/listing/patch.rs
@@ -1,4 +1,4 @@
-//! Where two listings differ, found without a whole one going over the wire.
+//! Finds where two listings differ without sending a whole one.
 
 use std::collections::BTreeSet;
 
@@ -6,88 +6,93 @@
 use route::endpoint::Entry;
 use serde::{Deserialize, Serialize};
 
-use super::{Listing, facts, fingerprint};
+use super::{Listing, compared_fields, fingerprint};
 
-/// Which entries a host has, without the entries: a short hash of each part of them.
+/// A short hash of each bucket of a listing's entries.
 ///
-/// Hosts that follow different readers, or hear of every other listing only, have listings
-/// that no remembered change leads from. A whole one for each of them was most of what
-/// hundreds of hosts told each other.
+/// Hosts that follow different readers, or miss some listings, have listings from which no
+/// kept change leads. Sending each of them a whole listing would make up most of the traffic
+/// among hundreds of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sketch {
-    parts: Vec<u32>,
+    buckets: Vec<u32>,
 }
 
-/// All entries of the parts in which two listings differ.
+/// All entries of the buckets in which two listings differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Patch {
-    /// Which listing it leads to, by its fingerprint.
+    /// Fingerprint of the resulting listing.
     pub to: u64,
-    /// Into how many parts entries are dealt.
+    /// Number of buckets.
     count: usize,
-    /// The parts that differ.
-    parts: BTreeSet<usize>,
-    /// What the other listing has in them.
+    /// The buckets that differ.
+    buckets: BTreeSet<usize>,
+    /// The entries that the sender has in these buckets.
     pub entries: Vec<Entry>,
 }
 
 impl Listing {
-    /// Which entries this host has. Parts are so many that one in which something has
-    /// changed holds few others.
+    /// Returns the sketch of this listing. There are enough buckets that one with a changed
+    /// entry has few other entries.
     #[must_use]
     pub fn sketch(&self) -> Sketch {
-        const ENTRIES: usize = 4;
-        const MOST: usize = 2_048;
-        let count = self.entries.len().div_ceil(ENTRIES).clamp(1, MOST);
+        const ENTRIES_PER_BUCKET: usize = 4;
+        const MAX_BUCKETS: usize = 2_048;
+        let count = self
+            .entries
+            .len()
+            .div_ceil(ENTRIES_PER_BUCKET)
+            .clamp(1, MAX_BUCKETS);
         self.sketch_of(count)
     }
 
     fn sketch_of(&self, count: usize) -> Sketch {
-        let mut parts = vec![0; count];
+        let mut buckets = vec![0; count];
         for it in self.entries.values() {
-            parts[part(&it.id, count)] ^= short(hash::of(&facts(it)));
+            buckets[bucket(&it.id, count)] ^= low_bits(hash::of(&compared_fields(it)));
         }
-        Sketch { parts }
+        Sketch { buckets }
     }
 
-    /// What another host lacks or has otherwise; nothing where its question makes no sense.
+    /// Returns the buckets in which a host with the sketch `theirs` differs; `None` if the
+    /// sketch is empty or this host has no listing.
     #[must_use]
     pub fn patch(&self, theirs: &Sketch) -> Option<Patch> {
         let to = self.fingerprint?;
-        let count = theirs.parts.len();
+        let count = theirs.buckets.len();
         if count == 0 {
             return None;
         }
         let own = self.sketch_of(count);
-        let differs = |it: &usize| own.parts[*it] != theirs.parts[*it];
-        let parts: BTreeSet<_> = (0..count).filter(differs).collect();
-        let is_wanted = |it: &&Entry| parts.contains(&part(&it.id, count));
+        let differs = |it: &usize| own.buckets[*it] != theirs.buckets[*it];
+        let buckets: BTreeSet<_> = (0..count).filter(differs).collect();
+        let is_wanted = |it: &&Entry| buckets.contains(&bucket(&it.id, count));
         let entries = self.entries.values().filter(is_wanted).cloned().collect();
         Some(Patch {
             to,
             count,
-            parts,
+            buckets,
             entries,
         })
     }
 
-    /// The entries that a patch of this listing leads to, unless this one has changed
-    /// meanwhile.
+    /// Returns the entries that result from `patch`; `None` if they aren't the listing that
+    /// it names, as this one has changed since its sketch was sent.
     #[must_use]
     pub fn patched(&self, patch: &Patch) -> Option<Vec<Entry>> {
-        let is_kept = |it: &&Entry| !patch.parts.contains(&part(&it.id, patch.count.max(1)));
+        let is_kept = |it: &&Entry| !patch.buckets.contains(&bucket(&it.id, patch.count.max(1)));
         let kept = self.entries.values().filter(is_kept);
         let entries: Vec<_> = kept.chain(&patch.entries).cloned().collect();
         (fingerprint(&entries) == patch.to).then_some(entries)
     }
 }
 
-fn part(id: &EndpointId, count: usize) -> usize {
+fn bucket(id: &EndpointId, count: usize) -> usize {
     let place = hash::of(id.as_str()) % count as u64;
     usize::try_from(place).unwrap_or_default()
 }
 
-fn short(hash: u64) -> u32 {
-    // The lower half is as good as all of it.
+fn low_bits(hash: u64) -> u32 {
+    // Any half of the hash is equally well distributed.
     u32::try_from(hash & u64::from(u32::MAX)).unwrap_or_default()
 }
