--- a/crates/host/src/follow/documents.rs
+++ b/crates/host/src/follow/documents.rs
@@ -96,7 +96,7 @@
         &[
             ("service", Value::Text(&order.service)),
             ("release", Value::Text(&order.release)),
-            ("over_ms", Value::Time(order.over)),
+            ("over_ms", Value::Time(order.duration)),
         ],
     );
 }
--- a/crates/host/src/follow/evacuations.rs
+++ b/crates/host/src/follow/evacuations.rs
@@ -58,7 +58,7 @@
     router
         .directory()
         .evacuations()
-        .emptied()
+        .evacuated()
         .cloned()
         .collect()
 }
--- a/crates/host/src/follow/quarantine.rs
+++ b/crates/host/src/follow/quarantine.rs
@@ -28,7 +28,7 @@
         let (has_changes, quarantined) = {
             let mut router = life.node.router();
             let quarantine = router.quarantine();
-            (quarantine.take_news(), quarantine.take_caught())
+            (quarantine.take_changed(), quarantine.take_quarantined())
         };
         for (print, ends) in quarantined {
             life.recorder().say(
@@ -57,22 +57,25 @@
             // If the delete fails, hosts that start read the row and release it later.
             say::store(&life, "release", began, &result);
         }
-        if life.node.router().quarantine().unkept().is_empty() {
+        if life.node.router().quarantine().unpersisted().is_empty() {
             continue;
         }
         let delayed_ranks = u32::try_from(life.rank().min(MAX_DELAYED_RANKS)).unwrap_or_default();
         sleep(RANK_DELAY * delayed_ranks).await;
-        let unkept = life.node.router().quarantine().unkept();
-        if unkept.is_empty() {
+        let unpersisted = life.node.router().quarantine().unpersisted();
+        if unpersisted.is_empty() {
             continue;
         }
         let began = life.node.now();
-        let result = life.store.hold(&unkept).await;
+        let result = life.store.hold(&unpersisted).await;
         say::store(&life, "hold", began, &result);
         if result.is_ok() {
             backoff.reset();
             let now = life.node.now();
-            life.node.router().quarantine().keep(now, &unkept);
+            life.node
+                .router()
+                .quarantine()
+                .mark_persisted(now, &unpersisted);
         } else {
             life.back_off(&mut backoff).await;
         }
--- a/crates/host/src/follow/verdicts.rs
+++ b/crates/host/src/follow/verdicts.rs
@@ -109,15 +109,15 @@
             ("release", Value::Text(&rollout.order.release)),
             ("verdict", Value::Text(&rollout.verdict)),
             ("source", Value::Text(&source)),
-            ("new_answers", Value::Count(pooled.new.answers.into())),
-            ("new_bad", Value::Count(pooled.new.bad.into())),
+            ("new_answers", Value::Count(pooled.new.responses.into())),
+            ("new_bad", Value::Count(pooled.new.failures.into())),
             (
                 "crowded_answers",
-                Value::Count(pooled.crowded.answers.into()),
+                Value::Count(pooled.crowded.responses.into()),
             ),
-            ("crowded_bad", Value::Count(pooled.crowded.bad.into())),
-            ("old_answers", Value::Count(pooled.old.answers.into())),
-            ("old_bad", Value::Count(pooled.old.bad.into())),
+            ("crowded_bad", Value::Count(pooled.crowded.failures.into())),
+            ("old_answers", Value::Count(pooled.old.responses.into())),
+            ("old_bad", Value::Count(pooled.old.failures.into())),
         ],
     );
 }
@@ -181,10 +181,10 @@
     let known = life.judgements.borrow();
     let mut unwritten_verdicts = Vec::new();
     for rollout in router.rollouts() {
-        if rollout.advance(now) {
+        if rollout.try_end_trial(now) {
             life.hurry();
         }
-        let found = rollout.finding(now);
+        let found = rollout.own_verdict(now);
         if found == Some(Verdict::Reverted) {
             // Applied before it is written to the store, which may be unavailable.
             rollout.verdict = Verdict::Reverted;
@@ -199,7 +199,7 @@
             (None, false) => rollout.verdict,
             (None, true) if rollout.verdict == Verdict::Reverted => rollout.verdict,
             // The store was restored to a state before the verdict was written.
-            (None, true) if rollout.began_as().era < life.store.era() => rollout.verdict,
+            (None, true) if rollout.initial_revision().era < life.store.era() => rollout.verdict,
             (None, true) => continue,
         };
         if is_written && written.is_some_and(|it| it.verdict == verdict) {
--- a/crates/host/src/life.rs
+++ b/crates/host/src/life.rs
@@ -336,7 +336,7 @@
         self.is_registered.set(members.contains(&self.own));
         let now = self.node.now();
         self.gossip.borrow_mut().list(now, members);
-        self.node.router().quarantine().recall(now, &held);
+        self.node.router().quarantine().load_persisted(now, &held);
         let keys = authority.issue(&self.own.name).ok()?;
         self.recorder()
             .say(Event::Joined, &[("address", Value::Text(&self.own.link))]);
--- a/crates/host/src/message.rs
+++ b/crates/host/src/message.rs
@@ -33,7 +33,7 @@
     /// Confirms that the host is alive, without further content.
     Empty,
     /// Process exits of endpoints, and the quarantined requests that caused them.
-    Quarantine(quarantine::News),
+    Quarantine(quarantine::Update),
     /// Evacuation orders for data centres.
     Evacuations(Vec<Evacuation>),
     /// Changes of the listing of endpoints since an earlier one.
@@ -75,7 +75,7 @@
     /// The sender's listing of endpoints.
     pub(crate) listing: Option<ListingStatus>,
     /// Updates on roll-outs.
-    pub(crate) rollouts: Vec<rollout::News>,
+    pub(crate) rollouts: Vec<rollout::Update>,
     /// Verdicts on roll-outs that the store holds.
     pub(crate) judgements: Vec<Judgement>,
 }
--- a/crates/host/src/say.rs
+++ b/crates/host/src/say.rs
@@ -182,7 +182,7 @@
     let mut router = life.node.router();
     let since =
         |at: Option<Duration>| at.map_or(f64::NAN, |at| now.saturating_sub(at).as_secs_f64());
-    let (endpoints, resting) = router.directory().count(now);
+    let (endpoints, resting) = router.directory().endpoint_counts(now);
     let budgets = router.budgets(now);
     Gauges {
         config_version: router.version().unwrap_or(0),
@@ -190,7 +190,7 @@
         listing_age: since(router.listed()),
         endpoints: endpoints as u64,
         resting: resting as u64,
-        data_centres_emptied: router.directory().evacuations().emptied().count() as u64,
+        data_centres_emptied: router.directory().evacuations().evacuated().count() as u64,
         hosts: hosts as u64,
         reads_for_all: u64::from(life.reads_for_all()),
         links: link_gauges(life),
--- a/crates/host/src/talk.rs
+++ b/crates/host/src/talk.rs
@@ -69,8 +69,8 @@
 
 /// Sends this host's current state to the neighbours once.
 pub(crate) fn say<S: Store, D: Dialect>(life: &Life<S, D>, link: &Link) {
-    let update = state_update(life, Scope::Fresh);
-    let quarantine = quarantine_update(life, Scope::Fresh);
+    let update = state_update(life, Scope::Delta);
+    let quarantine = quarantine_update(life, Scope::Delta);
     let quarantine = (!quarantine.is_empty()).then(|| life.frame(&Message::Quarantine(quarantine)));
     let evacuations = evacuations(life);
     let evacuations =
@@ -101,13 +101,13 @@
 /// Returns the operators' evacuation orders for data centres. Revoked ones are included because
 /// a host that was cut off may still have them in force.
 fn evacuations<S: Store, D: Dialect>(life: &Life<S, D>) -> Vec<Evacuation> {
-    life.node.router().directory().evacuations().news()
+    life.node.router().directory().evacuations().changes()
 }
 
 /// Returns what this host knows of process exits and quarantined requests.
-fn quarantine_update<S: Store, D: Dialect>(life: &Life<S, D>, scope: Scope) -> quarantine::News {
+fn quarantine_update<S: Store, D: Dialect>(life: &Life<S, D>, scope: Scope) -> quarantine::Update {
     let now = life.node.now();
-    life.node.router().quarantine().news(now, scope)
+    life.node.router().quarantine().build_update(now, scope)
 }
 
 /// Returns this host's state, where `scope` tells whether it includes what was sent before.
@@ -119,8 +119,8 @@
     let age = |at: std::time::Duration| now.saturating_sub(at);
     let mut gossip = life.gossip.borrow_mut();
     let membership = match scope {
-        Scope::Fresh => gossip.next_update(now),
-        Scope::All => gossip.full_update(),
+        Scope::Delta => gossip.next_update(now),
+        Scope::Full => gossip.full_update(),
     };
     StateUpdate {
         membership,
@@ -146,7 +146,7 @@
     let aggregator = hash::of(&(&own.member.name, own.incarnation));
     for root in (0..ROOT_COUNT).filter(|&it| gossip.graph().distance(it) == Some(0)) {
         for rollout in life.node.router().rollouts() {
-            rollout.gather(now, root, hash::of(&(aggregator, root)));
+            rollout.publish_total(now, root, hash::of(&(aggregator, root)));
         }
     }
 }
@@ -173,8 +173,8 @@
         let Some(rollout) = router.rollout(&it.order.service) else {
             continue;
         };
-        let sum = |&(root, distance): &(usize, u8)| rollout.sum(now, root, distance);
-        it.sums = roots.iter().map(sum).collect::<Vec<rollout::Sum>>();
+        let sum = |&(root, distance): &(usize, u8)| rollout.partial_sum(now, root, distance);
+        it.partial_sums = roots.iter().map(sum).collect::<Vec<rollout::PartialSum>>();
     }
     Some(update)
 }
--- a/crates/host/src/talk/apply.rs
+++ b/crates/host/src/talk/apply.rs
@@ -72,7 +72,7 @@
     let gossip = life.gossip.borrow();
     for it in &mut rollouts {
         // Drops sums of hosts that are no farther from the root: they may include this host's own.
-        it.sums.retain(|sum| {
+        it.partial_sums.retain(|sum| {
             let own = gossip.graph().distance(sum.root);
             own.is_some_and(|own| own < sum.distance)
         });
@@ -146,10 +146,10 @@
 /// Applies an update on process exits and quarantined requests.
 pub(super) fn quarantine_update<S: Store, D: Dialect>(
     life: &Life<S, D>,
-    update: &quarantine::News,
+    update: &quarantine::Update,
 ) {
     let now = life.node.now();
-    life.node.router().quarantine().hear(now, update);
+    life.node.router().quarantine().apply_update(now, update);
 }
 
 /// Merges membership records from another host.
--- a/crates/host/src/talk/respond.rs
+++ b/crates/host/src/talk/respond.rs
@@ -14,7 +14,7 @@
         Question::Config => config(life).map_or(Message::Empty, Message::Config),
         Question::Listing => listing(life).map_or(Message::Empty, Message::Listing),
         Question::FullState => Message::FullState(Box::new(FullState {
-            update: state_update(life, Scope::All),
+            update: state_update(life, Scope::Full),
             config: config(life),
             listing: listing(life),
             evacuations: evacuations(life),
@@ -23,7 +23,7 @@
         Question::Ping => Message::Empty,
         Question::ListingSince(from) => listing_changes(life, from),
         Question::ListingPatch(sketch) => listing_patch(life, &sketch),
-        Question::Quarantine => Message::Quarantine(quarantine_update(life, Scope::All)),
+        Question::Quarantine => Message::Quarantine(quarantine_update(life, Scope::Full)),
     }
 }
 
--- a/crates/route/src/directory.rs
+++ b/crates/route/src/directory.rs
@@ -65,7 +65,7 @@
     /// The copy lists endpoints that have gone since, until their entries expire, and shows
     /// leaving endpoints as ready. Requests sent to these would be lost. So endpoints that were
     /// gone are ignored until then, and leaving ones stay marked as leaving.
-    pub fn restored(&mut self, now: Duration) {
+    pub fn store_restored(&mut self, now: Duration) {
         /// Entries expire after three missed heartbeats, which are 1.2 s apart.
         const ENTRY_LIFETIME: Duration = Duration::from_secs(5);
         let gone = self
@@ -75,7 +75,7 @@
         let gone = gone.map(|it| (it.entry.process(), now + ENTRY_LIFETIME));
         self.gone_until = gone.collect();
         for it in self.endpoints.values_mut() {
-            it.has_left |= it.entry.state == State::Draining;
+            it.is_leaving |= it.entry.state == State::Draining;
         }
     }
 
@@ -93,14 +93,19 @@
                 .get(&it.id)
                 .and_then(|it| self.endpoints.get(*it));
             let is_same = |known: &&Endpoint| known.entry.process() == it.process();
-            if known.filter(is_same).is_some_and(|it| it.has_left) {
+            if known.filter(is_same).is_some_and(|it| it.is_leaving) {
                 it.state = State::Draining;
             }
         }
     }
 
     /// Applies a complete listing.
-    pub fn list(&mut self, now: Duration, entries: Vec<Entry>, absence: Absence) -> Change {
+    pub fn apply_listing(
+        &mut self,
+        now: Duration,
+        entries: Vec<Entry>,
+        absence: Absence,
+    ) -> Change {
         let mut change = Change::default();
         let mut seen = HashSet::with_capacity(entries.len());
         for entry in entries {
@@ -185,7 +190,7 @@
             let Listed::Missing(since) = it.listed else {
                 return true;
             };
-            if it.flights > 0 || now.saturating_sub(since) < RETENTION {
+            if it.in_flight > 0 || now.saturating_sub(since) < RETENTION {
                 return true;
             }
             if by_id.get(&it.entry.id) == Some(&key) {
@@ -200,7 +205,7 @@
 
     /// Returns the number of endpoints that take requests, and how many of them are ejected.
     #[must_use]
-    pub fn count(&self, now: Duration) -> (usize, usize) {
+    pub fn endpoint_counts(&self, now: Duration) -> (usize, usize) {
         let takes: Vec<_> = self
             .endpoints
             .values()
@@ -221,7 +226,7 @@
     }
 
     /// Returns the endpoints of a service, including those that take no new requests.
-    pub fn of(&self, service: &ServiceName) -> impl Iterator<Item = (Key, &Endpoint)> {
+    pub fn endpoints_of(&self, service: &ServiceName) -> impl Iterator<Item = (Key, &Endpoint)> {
         let keys = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         keys.iter()
             .filter_map(|&key| Some((key, self.endpoints.get(key)?)))
@@ -229,10 +234,10 @@
 
     /// Returns the mean utilization of a service's endpoints, as estimated by this host.
     #[must_use]
-    pub fn used(&self, now: Duration, service: &ServiceName) -> f64 {
+    pub fn utilization(&self, now: Duration, service: &ServiceName) -> f64 {
         let (mut used, mut count) = (0.0, 0.0);
-        for (_, it) in self.of(service).filter(|(_, it)| it.takes_work()) {
-            used += self.used_of(now, it);
+        for (_, it) in self.endpoints_of(service).filter(|(_, it)| it.takes_work()) {
+            used += self.endpoint_utilization(now, it);
             count += 1.0;
         }
         if count > 0.0 { used / count } else { 1.0 }
@@ -244,13 +249,13 @@
     /// If it were assumed idle, it would be preferred to those that report, and in a large fleet
     /// hardly any endpoint has reported to this host recently.
     #[must_use]
-    pub fn used_of(&self, now: Duration, it: &Endpoint) -> f64 {
+    pub fn endpoint_utilization(&self, now: Duration, it: &Endpoint) -> f64 {
         let typical_utilization = self.typical_utilization.get(&it.entry.service).copied();
-        it.used(now, typical_utilization.unwrap_or_default())
+        it.utilization(now, typical_utilization.unwrap_or_default())
     }
 
     /// Records an endpoint's load report.
-    pub(crate) fn load(&mut self, now: Duration, key: Key, load: Load) {
+    pub(crate) fn record_load(&mut self, now: Duration, key: Key, load: Load) {
         /// Weight of a new report in the moving average.
         const WEIGHT: f64 = 0.05;
         if let Some(it) = self.endpoints.get_mut(key) {
@@ -266,21 +271,21 @@
 
     /// Records an endpoint's notice that it is leaving. Returns whether it took requests until
     /// now.
-    pub(crate) fn leave(&mut self, key: Key) -> bool {
+    pub(crate) fn mark_leaving(&mut self, key: Key) -> bool {
         let Some(it) = self.endpoints.get_mut(key) else {
             return false;
         };
         let took_work = it.takes_work();
-        it.has_left = true;
+        it.is_leaving = true;
         took_work
     }
 
     /// Records that an endpoint asked this host to send nothing for the given time.
-    pub(crate) fn refuse(&mut self, now: Duration, key: Key, pause: Duration) {
+    pub(crate) fn pause_endpoint(&mut self, now: Duration, key: Key, pause: Duration) {
         /// Upper bound, because the endpoint may ask for any time.
         const MAX_PAUSE: Duration = Duration::from_hours(1);
         if let Some(it) = self.endpoints.get_mut(key) {
-            it.unwilling_until = it.unwilling_until.max(now + pause.min(MAX_PAUSE));
+            it.paused_until = it.paused_until.max(now + pause.min(MAX_PAUSE));
         }
     }
 
@@ -292,7 +297,7 @@
 
     /// Records a failed response of an endpoint. Returns whether the endpoint is ejected because
     /// of it.
-    pub(crate) fn bad(&mut self, now: Duration, key: Key) -> bool {
+    pub(crate) fn record_failure(&mut self, now: Duration, key: Key) -> bool {
         let Some(it) = self.endpoints.get(key) else {
             return false;
         };
@@ -318,7 +323,7 @@
         excluded: Key,
     ) -> (f64, f64) {
         let (mut failure_rate, mut ejected, mut count) = (0.0, 0.0, 0.0);
-        for (key, it) in self.of(service) {
+        for (key, it) in self.endpoints_of(service) {
             if key == excluded || !it.takes_work() {
                 continue;
             }
--- a/crates/route/src/directory/cold_start.rs
+++ b/crates/route/src/directory/cold_start.rs
@@ -47,7 +47,7 @@
     }
 
     /// Records that a request is sent.
-    pub(crate) fn send(&mut self, now: Duration) {
+    pub(crate) fn record_send(&mut self, now: Duration) {
         if let Share::OnePer(pause) = self.share {
             self.next_request = now + pause;
         }
@@ -75,13 +75,13 @@
     /// Updates the cold-start times from the entries of a listing read at `at`.
     pub(super) fn refresh_cold_starts(&mut self, at: Duration) {
         for it in self.endpoints.values_mut() {
-            it.warmth.listed_until = if it.entry.cold.is_zero() {
+            it.cold_start.listed_until = if it.entry.cold.is_zero() {
                 Duration::ZERO
             } else {
                 at.saturating_add(it.entry.cold)
             };
-            if it.warmth.returned_until <= at {
-                it.warmth.returned_until = Duration::ZERO;
+            if it.cold_start.returned_until <= at {
+                it.cold_start.returned_until = Duration::ZERO;
             }
         }
         self.refresh_shares();
@@ -98,17 +98,17 @@
         it: &mut Endpoint,
     ) {
         if let Some(warm_up) = warm_ups.get(&it.entry.service) {
-            it.warmth.returned_until = now + warm_up.span;
+            it.cold_start.returned_until = now + warm_up.span;
         }
     }
 
     pub(super) fn refresh_shares(&mut self) {
         for it in self.endpoints.values_mut() {
-            if it.warmth.cold_until().is_zero() {
+            if it.cold_start.cold_until().is_zero() {
                 continue;
             }
             let warm_up = self.warm_ups.get(&it.entry.service);
-            it.warmth.share = match (warm_up, &self.peers) {
+            it.cold_start.share = match (warm_up, &self.peers) {
                 (None, _) => Share::Unlimited,
                 (Some(_), None) => Share::Zero,
                 (Some(warm_up), Some(peers)) => peers.share(*warm_up, it.entry.process()),
--- a/crates/route/src/directory/endpoint.rs
+++ b/crates/route/src/directory/endpoint.rs
@@ -15,20 +15,20 @@
     /// Whether the endpoint announced that it is leaving, in a response or before the store was
     /// restored from an older copy. No listing resets this, because an outdated one may still show
     /// the endpoint as ready. After a restart it is a new `Endpoint`.
-    pub(crate) has_left: bool,
+    pub(crate) is_leaving: bool,
     /// Whether its data centre may be used.
     pub(crate) access: Access,
     /// Its cold-start state.
-    pub(crate) warmth: ColdStart,
+    pub(crate) cold_start: ColdStart,
     /// Until when it refuses requests of this host, as it said itself. It is skipped even if no
     /// other endpoint is left, because it would only refuse.
-    pub(crate) unwilling_until: Duration,
+    pub(crate) paused_until: Duration,
     /// Whether the listing still contains it.
     pub(crate) listed: Listed,
     /// Number of requests of this host in flight there.
-    pub(crate) flights: u32,
+    pub(crate) in_flight: u32,
     /// Estimated prefill time of those requests that have no response yet.
-    pub(crate) unread: Duration,
+    pub(crate) pending_prefill: Duration,
     /// The latest load report with the time of its arrival, and the number of requests sent since.
     pub(crate) load: Option<(Duration, Load)>,
     pub(crate) sent_since_load: u32,
@@ -47,13 +47,13 @@
     pub(super) fn new(entry: Entry, access: Access) -> Self {
         Self {
             entry,
-            has_left: false,
+            is_leaving: false,
             access,
-            warmth: ColdStart::default(),
-            unwilling_until: Duration::ZERO,
+            cold_start: ColdStart::default(),
+            paused_until: Duration::ZERO,
             listed: Listed::Yes,
-            flights: 0,
-            unread: Duration::ZERO,
+            in_flight: 0,
+            pending_prefill: Duration::ZERO,
             load: None,
             sent_since_load: 0,
             health: Health::default(),
@@ -68,20 +68,20 @@
 
     /// Returns whether it would take new requests if its data centre were in use.
     pub(super) fn is_ready(&self) -> bool {
-        self.listed == Listed::Yes && self.entry.state == State::Ready && !self.has_left
+        self.listed == Listed::Yes && self.entry.state == State::Ready && !self.is_leaving
     }
 
     /// Returns how long this host must send it nothing, because it refuses requests or is cold.
     pub(crate) fn wait(&self, now: Duration) -> Duration {
-        let unwilling = self.unwilling_until.saturating_sub(now);
-        unwilling.max(self.warmth.wait(now))
+        let paused = self.paused_until.saturating_sub(now);
+        paused.max(self.cold_start.wait(now))
     }
 
-    pub(super) fn used(&self, now: Duration, typical_utilization: f64) -> f64 {
+    pub(super) fn utilization(&self, now: Duration, typical_utilization: f64) -> f64 {
         /// How long a load report is valid; about the duration of a request.
         const LOAD_REPORT_TTL: Duration = Duration::from_millis(1_500);
         let slots = f64::from(self.entry.slots.max(1));
-        let own = f64::from(self.flights);
+        let own = f64::from(self.in_flight);
         let reported = match self.load {
             Some((at, load)) if now.saturating_sub(at) < LOAD_REPORT_TTL => {
                 load.requests() + f64::from(self.sent_since_load)
--- a/crates/route/src/directory/evacuate.rs
+++ b/crates/route/src/directory/evacuate.rs
@@ -18,7 +18,7 @@
     /// Applies an operator's change to a data centre. Returns whether it changes which endpoints
     /// are used.
     pub(crate) fn evacuate(&mut self, now: Duration, change: Evacuation) -> bool {
-        let is_change = self.evacuations.hear(change);
+        let is_change = self.evacuations.apply(change);
         self.refresh_access(now);
         is_change
     }
@@ -31,7 +31,7 @@
         at: Revision,
         evacuated: Vec<Evacuation>,
     ) -> bool {
-        let is_change = self.evacuations.read(at, evacuated);
+        let is_change = self.evacuations.apply_snapshot(at, evacuated);
         self.refresh_access(now);
         is_change
     }
@@ -40,7 +40,7 @@
         for it in self.endpoints.values_mut() {
             let access = access(&self.evacuations, &it.entry.data_centre);
             let before = std::mem::replace(&mut it.access, access);
-            if (before, access) == (Access::Emptied, Access::Open) {
+            if (before, access) == (Access::Evacuated, Access::Open) {
                 Self::mark_returned(now, &self.warm_ups, it);
             }
         }
@@ -52,22 +52,22 @@
     }
 
     /// Returns when to retry a request for a service that has no usable endpoint now.
-    pub(crate) fn willing_in(&self, now: Duration, service: &ServiceName) -> Duration {
+    pub(crate) fn min_retry_after(&self, now: Duration, service: &ServiceName) -> Duration {
         /// Operators keep a data centre evacuated for a long time, so frequent retries would be
         /// useless.
         const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
         let wait = |it: &Endpoint| match it.access {
             Access::Open => it.wait(now),
-            Access::Emptied => MIN_RETRY_AFTER.max(it.wait(now)),
+            Access::Evacuated => MIN_RETRY_AFTER.max(it.wait(now)),
         };
-        let ready = self.of(service).filter(|(_, it)| it.is_ready());
+        let ready = self.endpoints_of(service).filter(|(_, it)| it.is_ready());
         ready.map(|(_, it)| wait(it)).min().unwrap_or_default()
     }
 }
 
 fn access(evacuations: &Evacuations, data_centre: &DataCentre) -> Access {
-    if evacuations.is_emptied(data_centre) {
-        Access::Emptied
+    if evacuations.is_evacuated(data_centre) {
+        Access::Evacuated
     } else {
         Access::Open
     }
--- a/crates/route/src/evacuation.rs
+++ b/crates/route/src/evacuation.rs
@@ -31,7 +31,8 @@
     Open,
     /// The data centre is evacuated; nothing more is sent to its endpoints.
     #[display("emptied")]
-    Emptied,
+    #[serde(rename = "Emptied")]
+    Evacuated,
 }
 
 /// The latest known access of each data centre.
@@ -51,7 +52,7 @@
     /// A host that lags behind may still report an evacuation that operators have ended. The store
     /// no longer lists that data centre, so nothing would correct the report. A change to an
     /// unknown data centre is therefore ignored if the latest full read would have contained it.
-    pub fn hear(&mut self, change: Evacuation) -> bool {
+    pub fn apply(&mut self, change: Evacuation) -> bool {
         let Some(known) = self.latest.get(&change.data_centre) else {
             let is_outdated = self
                 .last_read
@@ -72,10 +73,12 @@
     /// A data centre that it lacks is back in use, unless it was evacuated in an earlier era: a
     /// store restored from an older copy has lost later changes, which doesn't mean that operators
     /// undid them.
-    pub fn read(&mut self, at: Revision, emptied: Vec<Evacuation>) -> bool {
+    pub fn apply_snapshot(&mut self, at: Revision, evacuated: Vec<Evacuation>) -> bool {
         let absent = self.latest.values().filter(|known| {
-            let is_listed = emptied.iter().any(|it| it.data_centre == known.data_centre);
-            known.access == Access::Emptied && !is_listed && is_covered_by(known, at)
+            let is_listed = evacuated
+                .iter()
+                .any(|it| it.data_centre == known.data_centre);
+            known.access == Access::Evacuated && !is_listed && is_covered_by(known, at)
         });
         let taken_back: Vec<_> = absent
             .map(|it| Evacuation {
@@ -85,8 +88,8 @@
             })
             .collect();
         let mut is_change = false;
-        for it in taken_back.into_iter().chain(emptied) {
-            is_change |= self.hear(it);
+        for it in taken_back.into_iter().chain(evacuated) {
+            is_change |= self.apply(it);
         }
         self.last_read = self.last_read.max(Some(at));
         is_change
@@ -94,34 +97,34 @@
 
     /// Returns whether a data centre is evacuated.
     #[must_use]
-    pub fn is_emptied(&self, data_centre: &DataCentre) -> bool {
+    pub fn is_evacuated(&self, data_centre: &DataCentre) -> bool {
         let known = self.latest.get(data_centre);
-        known.is_some_and(|it| it.access == Access::Emptied)
+        known.is_some_and(|it| it.access == Access::Evacuated)
     }
 
     /// Returns all known changes, for other hosts.
     #[must_use]
-    pub fn news(&self) -> Vec<Evacuation> {
+    pub fn changes(&self) -> Vec<Evacuation> {
         self.latest.values().cloned().collect()
     }
 
     /// Returns the evacuated data centres.
-    pub fn emptied(&self) -> impl Iterator<Item = &DataCentre> {
-        let emptied = |it: &&Evacuation| it.access == Access::Emptied;
+    pub fn evacuated(&self) -> impl Iterator<Item = &DataCentre> {
+        let evacuated = |it: &&Evacuation| it.access == Access::Evacuated;
         self.latest
             .values()
-            .filter(emptied)
+            .filter(evacuated)
             .map(|it| &it.data_centre)
     }
 
     fn insert_change(&mut self, change: Evacuation) -> bool {
-        let is_emptied = change.access == Access::Emptied;
-        if !is_emptied && self.latest.len() >= MAX_OPEN {
+        let is_evacuated = change.access == Access::Evacuated;
+        if !is_evacuated && self.latest.len() >= MAX_OPEN {
             self.latest.remove(&change.data_centre);
             return true;
         }
         self.latest.insert(change.data_centre.clone(), change);
-        is_emptied
+        is_evacuated
     }
 }
 
--- a/crates/route/src/permit.rs
+++ b/crates/route/src/permit.rs
@@ -16,7 +16,7 @@
 pub enum Withheld {
     /// Operators have evacuated the endpoint's data centre.
     #[display("emptied")]
-    Emptied,
+    Evacuated,
     /// The endpoint is shutting down or no longer listed.
     #[display("leaving")]
     Leaving,
@@ -27,5 +27,5 @@
 
 impl Withheld {
     /// All variants.
-    pub const ALL: [Self; 3] = [Self::Emptied, Self::Leaving, Self::Cold];
+    pub const ALL: [Self; 3] = [Self::Evacuated, Self::Leaving, Self::Cold];
 }
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -17,8 +17,8 @@
 use crate::Print;
 use crate::endpoint::Process;
 
-pub(crate) use finished::{Finished, Outcome};
-pub use update::{ExitReport, News, QuarantineReport};
+pub(crate) use finished::{FinishedAttempt, Outcome};
+pub use update::{ExitReport, QuarantineReport, Update};
 
 /// Number of process exits after which a suspected request is quarantined. Processes exit for
 /// other reasons as well, and every request in flight there is a suspect.
@@ -65,7 +65,7 @@
     /// Requests released from quarantine since the driver last asked.
     released: Vec<Print>,
     /// Recently finished attempts whose endpoints may still exit because of them.
-    finished: VecDeque<Finished>,
+    finished: VecDeque<FinishedAttempt>,
     /// Requests that an endpoint recently survived.
     survived: SurvivedRequests,
     /// Requests quarantined since the driver last asked.
@@ -79,15 +79,15 @@
 impl Quarantine {
     /// Returns the time that a request stays quarantined, or `None` if it isn't.
     #[must_use]
-    pub fn holds(&self, now: Duration, print: Print) -> Option<Duration> {
+    pub fn remaining(&self, now: Duration, print: Print) -> Option<Duration> {
         let time_left = self.quarantined.get(&print)?.time_left(now);
         (!time_left.is_zero()).then_some(time_left)
     }
 
     /// Returns whether a request must not be retried: it is quarantined, or it would be if the
     /// endpoints whose connections broke during its attempts have exited.
-    pub(crate) fn stops(&self, now: Duration, print: Print) -> bool {
-        if self.holds(now, print).is_some() {
+    pub(crate) fn blocks_retry(&self, now: Duration, print: Print) -> bool {
+        if self.remaining(now, print).is_some() {
             return true;
         }
         let mut exits = self.counted_exits(print);
@@ -110,7 +110,7 @@
 
     /// Takes the requests quarantined since the last call, each with the number of exits of which
     /// it is a suspect, as far as this host knows.
-    pub fn take_caught(&mut self) -> Vec<(Print, usize)> {
+    pub fn take_quarantined(&mut self) -> Vec<(Print, usize)> {
         let newly_quarantined = std::mem::take(&mut self.newly_quarantined);
         let exits = |it: &Print| self.exits_by_request.get(it).map_or(0, BTreeSet::len);
         newly_quarantined
@@ -120,13 +120,13 @@
     }
 
     /// Returns whether anything changed since the last call that must be sent to other hosts.
-    pub fn take_news(&mut self) -> bool {
+    pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.has_changes)
     }
 
     /// Records a finished attempt.
-    pub(crate) fn finish(&mut self, now: Duration, finished: Finished) {
-        self.age(now);
+    pub(crate) fn record_attempt(&mut self, now: Duration, finished: FinishedAttempt) {
+        self.expire(now);
         if let Some(exit) = self.exits.get(&finished.process) {
             let is_close = now.saturating_sub(exit.at) <= MAX_EXIT_DELAY;
             if is_close && self.add_suspect(now, finished.process, finished.print) {
@@ -141,8 +141,8 @@
     }
 
     /// Records that an endpoint's process has exited.
-    pub(crate) fn end(&mut self, now: Duration, process: Process) {
-        self.age(now);
+    pub(crate) fn record_exit(&mut self, now: Duration, process: Process) {
+        self.expire(now);
         if self.exits.contains_key(&process) {
             return;
         }
@@ -151,20 +151,21 @@
     }
 
     /// Records that an endpoint's process is alive although connections to it broke.
-    pub(crate) fn stands(&mut self, process: Process) {
-        let broken = |it: &&mut Finished| it.process == process && it.outcome == Outcome::Broken;
+    pub(crate) fn record_alive(&mut self, process: Process) {
+        let broken =
+            |it: &&mut FinishedAttempt| it.process == process && it.outcome == Outcome::Broken;
         for it in self.finished.iter_mut().filter(broken) {
             it.outcome = Outcome::Unknown;
         }
     }
 
     /// Returns whether the process is known to have exited.
-    pub(crate) fn knows(&self, process: Process) -> bool {
+    pub(crate) fn has_exited(&self, process: Process) -> bool {
         self.exits.contains_key(&process)
     }
 
     /// Expires old state, and clears requests whose endpoints survived them.
-    pub fn age(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         while let Some(it) = self.finished.front()
             && now.saturating_sub(it.at) > MAX_EXIT_DELAY
         {
--- a/crates/route/src/quarantine/finished.rs
+++ b/crates/route/src/quarantine/finished.rs
@@ -7,7 +7,7 @@
 
 /// A finished attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Finished {
+pub(crate) struct FinishedAttempt {
     /// When it ended.
     pub(crate) at: Duration,
     /// The endpoint's process.
@@ -44,7 +44,7 @@
     }
 }
 
-impl Finished {
+impl FinishedAttempt {
     /// Returns whether this is an attempt of the given request whose connection broke.
     pub(super) fn broke_connection(&self, print: Print) -> bool {
         self.print == print && self.outcome == Outcome::Broken
--- a/crates/route/src/quarantine/persistence.rs
+++ b/crates/route/src/quarantine/persistence.rs
@@ -8,13 +8,13 @@
 impl Quarantine {
     /// Returns the quarantined requests that the store doesn't contain yet.
     #[must_use]
-    pub fn unkept(&self) -> Vec<Print> {
-        let unkept = self.quarantined.iter().filter(|it| !it.1.is_persisted);
-        unkept.map(|it| *it.0).collect()
+    pub fn unpersisted(&self) -> Vec<Print> {
+        let unpersisted = self.quarantined.iter().filter(|it| !it.1.is_persisted);
+        unpersisted.map(|it| *it.0).collect()
     }
 
     /// Records that the store contains these requests.
-    pub fn keep(&mut self, now: Duration, prints: &[Print]) {
+    pub fn mark_persisted(&mut self, now: Duration, prints: &[Print]) {
         for print in prints {
             if let Some(it) = self.quarantined.get_mut(print) {
                 it.is_persisted = true;
@@ -25,20 +25,20 @@
     }
 
     /// Records that the store was restored from an older copy, which may lack some requests.
-    pub(crate) fn restored(&mut self) {
+    pub(crate) fn store_restored(&mut self) {
         for it in self.quarantined.values_mut() {
             it.is_persisted = false;
         }
     }
 
     /// Quarantines requests that the store contains from before this host's start.
-    pub fn recall(&mut self, now: Duration, prints: &[Print]) {
+    pub fn load_persisted(&mut self, now: Duration, prints: &[Print]) {
         for print in prints {
             if !self.quarantined.contains_key(print) {
                 self.add_quarantined(now, *print, now);
             }
         }
-        self.keep(now, prints);
+        self.mark_persisted(now, prints);
     }
 
     /// Takes the requests released from quarantine since the last call.
--- a/crates/route/src/quarantine/update.rs
+++ b/crates/route/src/quarantine/update.rs
@@ -20,7 +20,7 @@
 
 /// One host's update on process exits and quarantined requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// Process exits.
     #[serde(rename = "ends")]
     pub exits: Vec<ExitReport>,
@@ -54,7 +54,7 @@
     pub is_persisted: bool,
 }
 
-impl News {
+impl Update {
     /// Returns whether the update contains nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -65,10 +65,10 @@
 impl Quarantine {
     /// Builds an update for other hosts: recent changes, or all quarantined requests and the
     /// latest exits.
-    pub fn news(&mut self, now: Duration, scope: Scope) -> News {
-        self.age(now);
+    pub fn build_update(&mut self, now: Duration, scope: Scope) -> Update {
+        self.expire(now);
         let is_included =
-            |at: Duration| scope == Scope::All || now.saturating_sub(at) <= CHANGE_RESEND_TIME;
+            |at: Duration| scope == Scope::Full || now.saturating_sub(at) <= CHANGE_RESEND_TIME;
         let mut exits: Vec<_> = self
             .exits
             .iter()
@@ -88,7 +88,7 @@
         if is_full_due {
             self.last_full_update = now;
         }
-        let includes_all = is_full_due || scope == Scope::All;
+        let includes_all = is_full_due || scope == Scope::Full;
         let is_fresh = |at: Duration| now.saturating_sub(at) <= CHANGE_RESEND_TIME;
         let quarantined = self.quarantined.iter();
         let quarantined = quarantined.filter(|(_, it)| includes_all || is_fresh(it.changed));
@@ -97,19 +97,19 @@
             age: now.saturating_sub(it.since),
             is_persisted: it.is_persisted,
         });
-        News {
+        Update {
             exits: exits.collect(),
             quarantined: quarantined.collect(),
         }
     }
 
     /// Applies another host's update.
-    pub fn hear(&mut self, now: Duration, news: &News) {
-        self.age(now);
-        for it in &news.exits {
+    pub fn apply_update(&mut self, now: Duration, update: &Update) {
+        self.expire(now);
+        for it in &update.exits {
             self.apply_exit(now, it);
         }
-        for it in &news.quarantined {
+        for it in &update.quarantined {
             self.apply_quarantined(now, it);
         }
     }
@@ -149,7 +149,7 @@
             .get(&report.print)
             .is_some_and(|it| it.is_persisted);
         if report.is_persisted && !is_persisted {
-            self.keep(now, &[report.print]);
+            self.mark_persisted(now, &[report.print]);
         }
     }
 
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -18,13 +18,13 @@
 use latency::{LatencyKind, MovingMean};
 use pooled::Pool;
 
-pub use evidence::{Evidence, Tally};
+pub use evidence::{Evidence, ResponseCounts};
 pub use latency::LatencyRatios;
-pub use observation::Sighting;
+pub use observation::Observation;
 pub use order::{Order, Verdict};
-pub use pooled::{Sum, Total};
+pub use pooled::{PartialSum, Total};
 pub use side::Side;
-pub use update::{News, Scope};
+pub use update::{Scope, Update};
 
 /// Fraction of the allowed exposure that the release gets during its trial. The rest is a reserve
 /// for requests that hosts count differently at the edges.
@@ -77,7 +77,7 @@
     pub order: Order,
     /// The current verdict.
     pub verdict: Verdict,
-    began_as: Revision,
+    initial_revision: Revision,
     started: Duration,
     session_exchange: Duration,
     exposure: f64,
@@ -100,7 +100,7 @@
         let extra_hops = hosts.max(HOSTS_PER_HOP).ilog(HOSTS_PER_HOP) - 1;
         Self {
             session_exchange: SESSION_EXCHANGE + EXTRA_HOP_DELAY * extra_hops,
-            began_as: order.revision,
+            initial_revision: order.revision,
             order,
             verdict: Verdict::Running,
             started,
@@ -117,8 +117,8 @@
     /// Returns the order's revision when the roll-out began. It identifies the roll-out even after
     /// the order was rewritten.
     #[must_use]
-    pub fn began_as(&self) -> Revision {
-        self.began_as
+    pub fn initial_revision(&self) -> Revision {
+        self.initial_revision
     }
 
     /// Adopts `order` if it is the current order, written again after the store lost it. Returns
@@ -126,9 +126,9 @@
     ///
     /// If it were treated as a new order, a release that was found bad would be tried again, and
     /// sessions that have moved would move back.
-    pub(crate) fn renew(&mut self, order: &Order) -> bool {
+    pub(crate) fn adopt_rewritten(&mut self, order: &Order) -> bool {
         let known = &mut self.order;
-        let is_same = (&known.release, known.over) == (&order.release, order.over);
+        let is_same = (&known.release, known.duration) == (&order.release, order.duration);
         let is_rewritten = is_same && order.revision.era > known.revision.era;
         if is_rewritten {
             known.revision = order.revision;
@@ -160,7 +160,7 @@
 
     /// Chooses the release for a request whose session this host doesn't know.
     #[must_use]
-    pub(crate) fn side(&self, now: Duration, session: u64) -> Side {
+    pub(crate) fn side_for_new_session(&self, now: Duration, session: u64) -> Side {
         if self.is_pinning_sessions(now) && self.pinned_sessions.contains(&session) {
             return Side::Old;
         }
@@ -176,19 +176,24 @@
     /// The session stays there during the first half of the roll-out. In the second half, when the
     /// new release has proved good, sessions move to it with all other traffic.
     #[must_use]
-    pub(crate) fn keep(&self, now: Duration, release: &Release, session: u64) -> Side {
+    pub(crate) fn side_for_known_session(
+        &self,
+        now: Duration,
+        release: &Release,
+        session: u64,
+    ) -> Side {
         match self.verdict {
             Verdict::Complete => Side::New,
             Verdict::Reverted => Side::Old,
             Verdict::Running if *release == self.order.release => Side::New,
             Verdict::Running if self.is_pinning_sessions(now) => Side::Old,
-            Verdict::Running => self.side(now, session),
+            Verdict::Running => self.side_for_new_session(now, session),
         }
     }
 
     /// Returns whether the session would be on the new release if it hadn't started on the old
     /// one. The other hosts must be informed of such sessions.
-    pub(crate) fn is_contested(&self, session: u64) -> bool {
+    pub(crate) fn is_drawn_for_trial(&self, session: u64) -> bool {
         session_position(session) < self.trial_share()
     }
 
@@ -219,9 +224,9 @@
     /// If each host decided by the evidence it has received, some would end the trial earlier than
     /// others, and a session that changes hosts would alternate between the releases. Instead, one
     /// host proposes a time that all learn before it comes.
-    pub fn advance(&mut self, now: Duration) -> bool {
+    pub fn try_end_trial(&mut self, now: Duration) -> bool {
         let elapsed = self.elapsed(now);
-        let planned_end = self.order.over.mul_f64(TRIAL_END_FRACTION);
+        let planned_end = self.order.duration.mul_f64(TRIAL_END_FRACTION);
         let is_due =
             self.verdict == Verdict::Running && elapsed + self.trial_end_notice >= planned_end;
         if self.trial_end.is_some() || !is_due || !self.is_good() {
@@ -241,13 +246,13 @@
 
     /// Returns whether an endpoint that runs `release` may take a request of this side.
     #[must_use]
-    pub fn fits(&self, side: Side, release: &Release) -> bool {
+    pub fn is_eligible(&self, side: Side, release: &Release) -> bool {
         (side == Side::New) == (*release == self.order.release)
     }
 
     /// Returns the verdict that this host reaches from the evidence, if one is due.
     #[must_use]
-    pub fn finding(&self, now: Duration) -> Option<Verdict> {
+    pub fn own_verdict(&self, now: Duration) -> Option<Verdict> {
         if self.verdict != Verdict::Running {
             return None;
         }
@@ -258,30 +263,30 @@
     }
 
     /// Records a response, or a failure, of either release.
-    pub fn answer(&mut self, side: Side, observation: &Sighting) {
-        let tally = match side {
+    pub fn record_response(&mut self, side: Side, observation: &Observation) {
+        let counts = match side {
             Side::Old => &mut self.pool.own.old,
             Side::New => &mut self.pool.own.new,
         };
-        tally.add(observation.tally());
+        counts.add(observation.counts());
         if side == Side::New && observation.is_crowded {
-            self.pool.own.crowded.add(observation.tally());
+            self.pool.own.crowded.add(observation.counts());
         }
         if !observation.failed {
             self.record_latency(
                 side,
                 (observation.class, LatencyKind::StreamStart),
-                observation.first,
+                observation.stream_start,
             );
             self.record_latency(
                 side,
                 (observation.class, LatencyKind::ResponseStart),
-                observation.whole,
+                observation.response_start,
             );
             self.record_latency(
                 side,
                 (observation.class, LatencyKind::EventInterval),
-                observation.step,
+                observation.event_interval,
             );
         }
     }
@@ -315,26 +320,26 @@
 
     /// Builds the update for other hosts. It includes the sessions that stay on the old release:
     /// those of this host, and those that other hosts reported.
-    pub fn news(
+    pub fn build_update(
         &mut self,
         now: Duration,
         pinned_sessions: impl Iterator<Item = u64>,
         scope: Scope,
-    ) -> News {
+    ) -> Update {
         let mut pinned_sessions: HashSet<u64> = pinned_sessions.collect();
         if self.is_pinning_sessions(now) {
             pinned_sessions.extend(&self.pinned_sessions);
         }
-        if scope == Scope::Fresh {
+        if scope == Scope::Delta {
             pinned_sessions.retain(|it| self.announced_sessions.insert(*it));
         }
-        News {
+        Update {
             order: self.order.clone(),
             elapsed: self.elapsed(now),
             verdict: self.verdict,
             trial_end: self.trial_end,
             evidence: self.pool.own,
-            sums: Vec::new(),
+            partial_sums: Vec::new(),
             totals: self.pool.totals(scope),
             pinned_sessions: pinned_sessions.into_iter().collect(),
         }
@@ -343,33 +348,36 @@
     /// Returns the evidence of this host and of the hosts that report to it, for the aggregating
     /// host `root`.
     #[must_use]
-    pub fn sum(&self, now: Duration, root: usize, distance: u8) -> Sum {
-        self.pool.sum(now, root, distance)
+    pub fn partial_sum(&self, now: Duration, root: usize, distance: u8) -> PartialSum {
+        self.pool.partial_sum(now, root, distance)
     }
 
     /// Publishes the fleet's total evidence while the roll-out is running. Called on an
     /// aggregating host, identified by `aggregator`.
-    pub fn gather(&mut self, now: Duration, root: usize, aggregator: u64) {
+    pub fn publish_total(&mut self, now: Duration, root: usize, aggregator: u64) {
         if self.verdict == Verdict::Running {
-            self.pool.gather(now, root, aggregator);
+            self.pool.publish_total(now, root, aggregator);
         }
     }
 
     /// Applies another host's update on the same roll-out; its evidence replaces that of the
     /// host's previous update. Returns whether neighbours must be informed at once.
-    pub fn hear(&mut self, now: Duration, host: &HostName, news: &News) -> bool {
+    pub fn apply_update(&mut self, now: Duration, host: &HostName, update: &Update) -> bool {
         let known = self.pinned_sessions.len();
-        self.pinned_sessions.extend(&news.pinned_sessions);
+        self.pinned_sessions.extend(&update.pinned_sessions);
         // A host that started later saw the order later than the others.
-        self.started = self.started.min(now.saturating_sub(news.elapsed));
+        self.started = self.started.min(now.saturating_sub(update.elapsed));
         let verdict = self.verdict;
         if self.verdict == Verdict::Running {
-            self.verdict = news.verdict;
+            self.verdict = update.verdict;
         }
-        let earlier = [self.trial_end, news.trial_end].into_iter().flatten().min();
+        let earlier = [self.trial_end, update.trial_end]
+            .into_iter()
+            .flatten()
+            .min();
         let has_new_end = earlier != self.trial_end;
         self.trial_end = earlier;
-        let has_new_total = self.pool.hear(now, host, news);
+        let has_new_total = self.pool.apply_update(now, host, update);
         let has_new_sessions = self.is_pinning_sessions(now) && self.pinned_sessions.len() > known;
         has_new_sessions || has_new_end || has_new_total || self.verdict != verdict
     }
@@ -378,7 +386,7 @@
     #[must_use]
     pub fn progress(&self, now: Duration) -> f64 {
         self.elapsed(now)
-            .div_duration_f64(self.order.over.max(Duration::from_millis(1)))
+            .div_duration_f64(self.order.duration.max(Duration::from_millis(1)))
     }
 
     fn is_bad(&self) -> bool {
@@ -386,15 +394,15 @@
         let max_failure_rate = all.old.failure_rate() + FAILURE_RATE_MARGIN;
         let fails = [all.new, all.crowded]
             .iter()
-            .any(|it| it.bad >= MIN_FAILURES && it.min_failure_rate() > max_failure_rate);
+            .any(|it| it.failures >= MIN_FAILURES && it.min_failure_rate() > max_failure_rate);
         let is_slow = all.event_interval.exceeds(MAX_EVENT_INTERVAL_RATIO)
             || all.stream_start.exceeds(MAX_STREAM_START_RATIO)
             || all.response_start.exceeds(MAX_RESPONSE_START_RATIO);
-        all.old.answers >= MIN_RESPONSES && (fails || is_slow)
+        all.old.responses >= MIN_RESPONSES && (fails || is_slow)
     }
 
     fn is_good(&self) -> bool {
-        !self.is_bad() && self.pooled().new.answers >= MIN_RESPONSES
+        !self.is_bad() && self.pooled().new.responses >= MIN_RESPONSES
     }
 
     /// Returns the evidence of all hosts, as far as this host knows it.
--- a/crates/route/src/rollout/evidence.rs
+++ b/crates/route/src/rollout/evidence.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The new release.
-    pub new: Tally,
+    pub new: ResponseCounts,
     /// The old release.
-    pub old: Tally,
+    pub old: ResponseCounts,
     /// The new release, on endpoints with most of their slots in use.
-    pub crowded: Tally,
+    pub crowded: ResponseCounts,
     /// Ratios of the time until a stream starts.
     #[serde(rename = "first")]
     pub stream_start: LatencyRatios,
@@ -37,22 +37,24 @@
 
     /// Returns the number of responses counted.
     pub(super) fn responses(&self) -> u32 {
-        self.new.answers.saturating_add(self.old.answers)
+        self.new.responses.saturating_add(self.old.responses)
     }
 }
 
 /// Counts of responses of one release.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct ResponseCounts {
     /// All responses.
-    pub answers: u32,
+    #[serde(rename = "answers")]
+    pub responses: u32,
     /// Failed responses.
-    pub bad: u32,
+    #[serde(rename = "bad")]
+    pub failures: u32,
 }
 
-impl Tally {
+impl ResponseCounts {
     pub(super) fn failure_rate(self) -> f64 {
-        f64::from(self.bad) / f64::from(self.answers.max(1))
+        f64::from(self.failures) / f64::from(self.responses.max(1))
     }
 
     /// Returns a lower confidence bound of the failure rate, two and a half standard errors below
@@ -61,12 +63,12 @@
     pub(super) fn min_failure_rate(self) -> f64 {
         const STD_ERRORS: f64 = 2.5;
         let rate = self.failure_rate();
-        let error = (rate * (1.0 - rate) / f64::from(self.answers.max(1))).sqrt();
+        let error = (rate * (1.0 - rate) / f64::from(self.responses.max(1))).sqrt();
         rate - STD_ERRORS * error
     }
 
     pub(super) fn add(&mut self, other: Self) {
-        self.answers = self.answers.saturating_add(other.answers);
-        self.bad = self.bad.saturating_add(other.bad);
+        self.responses = self.responses.saturating_add(other.responses);
+        self.failures = self.failures.saturating_add(other.failures);
     }
 }
--- a/crates/route/src/rollout/observation.rs
+++ b/crates/route/src/rollout/observation.rs
@@ -1,10 +1,10 @@
 //! Observations of single responses.
 
-use super::Tally;
+use super::ResponseCounts;
 
 /// The outcome and latencies of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sighting {
+pub struct Observation {
     /// Groups requests whose latencies are comparable.
     pub class: u64,
     /// Whether the request failed or got no response.
@@ -12,18 +12,18 @@
     /// Whether most of the endpoint's slots were in use when the request was sent.
     pub is_crowded: bool,
     /// Time until the stream started, relative to the time expected for its prompt.
-    pub first: Option<f64>,
+    pub stream_start: Option<f64>,
     /// Seconds until a complete response started.
-    pub whole: Option<f64>,
+    pub response_start: Option<f64>,
     /// Mean seconds between two events.
-    pub step: Option<f64>,
+    pub event_interval: Option<f64>,
 }
 
-impl Sighting {
-    pub(super) fn tally(&self) -> Tally {
-        Tally {
-            answers: 1,
-            bad: u32::from(self.failed),
+impl Observation {
+    pub(super) fn counts(&self) -> ResponseCounts {
+        ResponseCounts {
+            responses: 1,
+            failures: u32::from(self.failed),
         }
     }
 }
--- a/crates/route/src/rollout/order.rs
+++ b/crates/route/src/rollout/order.rs
@@ -16,7 +16,8 @@
     /// The new release.
     pub release: Release,
     /// The duration of the roll-out.
-    pub over: Duration,
+    #[serde(rename = "over")]
+    pub duration: Duration,
     /// When the order was written; a newer order has a higher revision.
     pub revision: Revision,
 }
--- a/crates/route/src/rollout/pooled.rs
+++ b/crates/route/src/rollout/pooled.rs
@@ -6,7 +6,7 @@
 use kernel::HostName;
 use serde::{Deserialize, Serialize};
 
-use super::{Evidence, News, Scope};
+use super::{Evidence, Scope, Update};
 
 /// How long a neighbour's partial sum counts. Neighbours send theirs twice a second; the sum of
 /// one that died or changed its parent must expire, or it would be counted twice.
@@ -22,7 +22,7 @@
 /// expensive or too slow in a large fleet. With sums built on the way, each host sends one report
 /// per interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sum {
+pub struct PartialSum {
     /// Index of the aggregating host that it is for.
     pub root: usize,
     /// The sender's distance from that host, in hops. A receiver that is no nearer ignores the
@@ -70,9 +70,9 @@
 
 impl Pool {
     /// Applies another host's update. Returns whether it contains a new total to forward.
-    pub(super) fn hear(&mut self, now: Duration, host: &HostName, news: &News) -> bool {
-        self.by_host.insert(host.clone(), news.evidence);
-        for it in &news.sums {
+    pub(super) fn apply_update(&mut self, now: Duration, host: &HostName, update: &Update) -> bool {
+        self.by_host.insert(host.clone(), update.evidence);
+        for it in &update.partial_sums {
             let received = ReceivedSum {
                 at: now,
                 evidence: it.evidence,
@@ -80,20 +80,20 @@
             self.received_sums.insert((it.root, host.clone()), received);
         }
         let mut has_new = false;
-        for total in &news.totals {
+        for total in &update.totals {
             has_new |= self.insert_total(*total);
         }
         has_new
     }
 
-    pub(super) fn sum(&self, now: Duration, root: usize, distance: u8) -> Sum {
+    pub(super) fn partial_sum(&self, now: Duration, root: usize, distance: u8) -> PartialSum {
         let mut evidence = self.own;
         for ((of, _), it) in &self.received_sums {
             if *of == root && now.saturating_sub(it.at) <= PARTIAL_SUM_TTL {
                 evidence.add(&it.evidence);
             }
         }
-        Sum {
+        PartialSum {
             root,
             distance,
             evidence,
@@ -102,9 +102,9 @@
 
     /// Publishes the sum of all reports as the next total. Limited to one per reporting interval,
     /// because every total is forwarded to all hosts.
-    pub(super) fn gather(&mut self, now: Duration, root: usize, aggregator: u64) {
+    pub(super) fn publish_total(&mut self, now: Duration, root: usize, aggregator: u64) {
         let sequence = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
-        let evidence = self.sum(now, root, 0).evidence;
+        let evidence = self.partial_sum(now, root, 0).evidence;
         let is_due = self.totals.get(&aggregator).is_none_or(|it| {
             let since = Duration::from_millis(sequence.saturating_sub(it.total.sequence));
             since >= TOTAL_INTERVAL && it.total.evidence != evidence
@@ -119,10 +119,10 @@
     }
 
     pub(super) fn totals(&mut self, scope: Scope) -> Vec<Total> {
-        let is_due = |it: &&KnownTotal| scope == Scope::All || !it.is_sent;
+        let is_due = |it: &&KnownTotal| scope == Scope::Full || !it.is_sent;
         let due = self.totals.values().filter(is_due);
         let totals = due.map(|it| it.total).collect();
-        if scope == Scope::Fresh {
+        if scope == Scope::Delta {
             self.totals.values_mut().for_each(|it| it.is_sent = true);
         }
         totals
--- a/crates/route/src/rollout/update.rs
+++ b/crates/route/src/rollout/update.rs
@@ -4,11 +4,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Evidence, Order, Sum, Total, Verdict};
+use super::{Evidence, Order, PartialSum, Total, Verdict};
 
 /// One host's update on a roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The operator's order.
     pub order: Order,
     /// How long ago the order was first seen.
@@ -21,7 +21,8 @@
     /// What the host itself has observed.
     pub evidence: Evidence,
     /// Partial sums of evidence on their way to the aggregating hosts.
-    pub sums: Vec<Sum>,
+    #[serde(rename = "sums")]
+    pub partial_sums: Vec<PartialSum>,
     /// Totals of all hosts.
     pub totals: Vec<Total>,
     /// Hashes of sessions that are on the old release and would otherwise be on the new one.
@@ -33,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// Only what wasn't sent before; neighbours forward it.
-    Fresh,
+    Delta,
     /// The full state, for a host that has just started.
-    All,
+    Full,
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -136,13 +136,13 @@
     /// Replaces the listing of endpoints and returns what changed.
     pub fn list(&mut self, now: Duration, entries: Vec<Entry>, absence: Absence) -> Change {
         self.listing_time = Some(now);
-        self.directory.list(now, entries, absence)
+        self.directory.apply_listing(now, entries, absence)
     }
 
     /// Records that the store was restored from an older copy.
     pub fn restored(&mut self, now: Duration) {
-        self.directory.restored(now);
-        self.quarantine.restored();
+        self.directory.store_restored(now);
+        self.quarantine.store_restored();
     }
 
     /// Records that the current listing still matched the store at the time `at`.
@@ -216,7 +216,7 @@
         let patience = patience.unwrap_or(route.timeout).min(route.timeout);
         let route = route.clone();
         let print = Print::of(path, customer.as_ref().map(|it| &it.name), body);
-        if let Some(retry_after) = self.quarantine.holds(now, print) {
+        if let Some(retry_after) = self.quarantine.remaining(now, print) {
             return Err(Denial::Quarantined { print, retry_after });
         }
         let mut call = Call::new(route, customer, service, shape, print, now, now + patience);
--- a/crates/route/src/router/attempts.rs
+++ b/crates/route/src/router/attempts.rs
@@ -17,7 +17,7 @@
             .cascade
             .model()
             .map(|it| self.expected_latency(call, it));
-        let unread = expected_latency.unwrap_or_default();
+        let pending_prefill = expected_latency.unwrap_or_default();
         let is_filling = self.filling_endpoint(now, call) == Some(placement.endpoint);
         if let Some(it) = self.directory.get_mut(placement.endpoint) {
             if let Some(session) = &call.shape.session {
@@ -25,9 +25,9 @@
                 let release = &it.entry.release;
                 self.sessions.record(now, session, release, gap);
             }
-            it.flights += 1;
+            it.in_flight += 1;
             it.sent_since_load += 1;
-            it.unread += unread;
+            it.pending_prefill += pending_prefill;
         }
         let process = self.directory.get(placement.endpoint);
         Flight {
@@ -35,7 +35,7 @@
             print: call.print,
             process: process.map(|it| it.entry.process()),
             started: now,
-            unread,
+            pending_prefill,
             is_crowded: placement.used >= CROWDED_UTILIZATION,
             is_filling,
             expected_latency,
@@ -69,9 +69,9 @@
     }
 
     fn finish_prefill(&mut self, flight: &mut Flight) {
-        let unread = std::mem::take(&mut flight.unread);
+        let pending_prefill = std::mem::take(&mut flight.pending_prefill);
         if let Some(it) = self.directory.get_mut(flight.endpoint) {
-            it.unread = it.unread.saturating_sub(unread);
+            it.pending_prefill = it.pending_prefill.saturating_sub(pending_prefill);
         }
     }
 
@@ -86,7 +86,7 @@
         if ending.is_unsent() {
             call.attempts -= 1;
         }
-        if !call.may_retry(now, ending) || self.quarantine.stops(now, call.print) {
+        if !call.may_retry(now, ending) || self.quarantine.blocks_retry(now, call.print) {
             return Next::Fail(self.failure(now, call, ending));
         }
         if ending.is_unsent() || self.reserve(now, call, ending) {
@@ -101,7 +101,7 @@
     fn failure(&self, now: Duration, call: &Call, ending: Ending) -> Failure {
         match call.failure(now, ending) {
             Failure::NotRun { retry_after } => Failure::NotRun {
-                retry_after: retry_after.max(self.directory.willing_in(now, &call.service)),
+                retry_after: retry_after.max(self.directory.min_retry_after(now, &call.service)),
             },
             other => other,
         }
@@ -128,7 +128,7 @@
         self.record_finished(now, &flight, Ending::Cancelled);
         self.finish_prefill(&mut flight);
         if let Some(it) = self.directory.get_mut(flight.endpoint) {
-            it.flights = it.flights.saturating_sub(1);
+            it.in_flight = it.in_flight.saturating_sub(1);
         }
     }
 
@@ -144,7 +144,7 @@
         let Some(it) = self.directory.get_mut(key) else {
             return;
         };
-        it.flights = it.flights.saturating_sub(1);
+        it.in_flight = it.in_flight.saturating_sub(1);
         let release = it.entry.release.clone();
         if let Some(session) = &call.shape.session {
             self.sessions.touch(now, session);
@@ -154,7 +154,7 @@
             Ending::NotSent | Ending::Moved => it.health.unreachable(now),
             Ending::Failed | Ending::Broken | Ending::Silent => {
                 let id = it.entry.id.clone();
-                if self.directory.bad(now, key) {
+                if self.directory.record_failure(now, key) {
                     self.ejected.push((id, ending));
                 }
             }
@@ -180,7 +180,7 @@
             let mut observation = flight.observation(class, failed);
             // On a crowded endpoint a timeout is no evidence against the release.
             observation.is_crowded &= ending != Ending::Silent;
-            rollout.answer(side, &observation);
+            rollout.record_response(side, &observation);
         }
     }
 }
--- a/crates/route/src/router/exits.rs
+++ b/crates/route/src/router/exits.rs
@@ -8,7 +8,7 @@
 use super::{Flight, Router};
 use crate::endpoint::Key;
 use crate::evacuation::Access;
-use crate::quarantine::{Finished, Outcome};
+use crate::quarantine::{FinishedAttempt, Outcome};
 use crate::{Ending, Quarantine};
 
 impl Router {
@@ -17,17 +17,17 @@
         let (Some(process), Some(outcome)) = (flight.process, Outcome::of(ending)) else {
             return;
         };
-        if outcome == Outcome::Broken && !self.quarantine.knows(process) {
+        if outcome == Outcome::Broken && !self.quarantine.has_exited(process) {
             self.probe_candidates.push(flight.endpoint);
         }
         let print = flight.print;
-        let finished = Finished {
+        let finished = FinishedAttempt {
             at: now,
             process,
             print,
             outcome,
         };
-        self.quarantine.finish(now, finished);
+        self.quarantine.record_attempt(now, finished);
     }
 
     /// Returns the quarantined requests.
@@ -53,14 +53,14 @@
     /// Records that an endpoint's process has exited: nothing listens at its address.
     pub fn ended(&mut self, now: Duration, endpoint: Key) {
         if let Some(it) = self.directory.get(endpoint) {
-            self.quarantine.end(now, it.entry.process());
+            self.quarantine.record_exit(now, it.entry.process());
         }
     }
 
     /// Records that an endpoint's process is alive: it accepts connections.
     pub fn stands(&mut self, endpoint: Key) {
         if let Some(it) = self.directory.get(endpoint) {
-            self.quarantine.stands(it.entry.process());
+            self.quarantine.record_alive(it.entry.process());
         }
     }
 }
--- a/crates/route/src/router/in_flight.rs
+++ b/crates/route/src/router/in_flight.rs
@@ -4,7 +4,7 @@
 
 use crate::Print;
 use crate::endpoint::{Key, Process};
-use crate::rollout::Sighting;
+use crate::rollout::Observation;
 
 /// An attempt in flight.
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     /// The endpoint's process when the attempt began.
     pub(super) process: Option<Process>,
     pub(super) started: Duration,
-    pub(super) unread: Duration,
+    pub(super) pending_prefill: Duration,
     /// Whether the endpoint was crowded.
     pub(super) is_crowded: bool,
     /// Whether the endpoint was being filled, to test a new release under load.
@@ -35,32 +35,32 @@
         self.last_event = now;
     }
 
-    pub(super) fn observation(&self, class: u64, failed: bool) -> Sighting {
+    pub(super) fn observation(&self, class: u64, failed: bool) -> Observation {
         /// The least number of events for a meaningful mean interval.
         const MIN_EVENTS: u32 = 4;
         let took = self
             .response_started
             .map(|it| it.saturating_sub(self.started));
-        let (first, whole) = match (took, self.expected_latency) {
+        let (stream_start, response_start) = match (took, self.expected_latency) {
             (Some(took), Some(expected_latency)) => {
                 (Some(took.div_duration_f64(expected_latency)), None)
             }
             (took, _) => (None, took.map(|it| it.as_secs_f64())),
         };
-        let step = self
+        let event_interval = self
             .response_started
             .filter(|_| self.events >= MIN_EVENTS)
             .map(|it| {
                 let span = self.last_event.saturating_sub(it).as_secs_f64();
                 span / f64::from(self.events - 1)
             });
-        Sighting {
+        Observation {
             class,
             failed,
             is_crowded: self.is_crowded,
-            first,
-            whole,
-            step,
+            stream_start,
+            response_start,
+            event_interval,
         }
     }
 }
--- a/crates/route/src/router/latency.rs
+++ b/crates/route/src/router/latency.rs
@@ -20,7 +20,7 @@
             waited: now.saturating_sub(call.arrived),
             expected_latency: self.expected_latency(call, largest),
             aim: call.route.aim,
-            used: self.directory.used(now, &call.service),
+            used: self.directory.utilization(now, &call.service),
         };
         escalation.is_worthwhile() && self.reserve(now, call, Ending::Unsure)
     }
--- a/crates/route/src/router/permits.rs
+++ b/crates/route/src/router/permits.rs
@@ -38,16 +38,16 @@
     pub fn permit(&mut self, now: Duration, flight: &Flight) -> Result<Permit, Withheld> {
         let it = self.directory.get_mut(flight.endpoint);
         let it = it.ok_or(Withheld::Leaving)?;
-        if it.access == Access::Emptied {
-            return Err(Withheld::Emptied);
+        if it.access == Access::Evacuated {
+            return Err(Withheld::Evacuated);
         }
         if !it.takes_work() {
             return Err(Withheld::Leaving);
         }
-        if !it.warmth.wait(now).is_zero() {
+        if !it.cold_start.wait(now).is_zero() {
             return Err(Withheld::Cold);
         }
-        it.warmth.send(now);
+        it.cold_start.record_send(now);
         Ok(Permit(()))
     }
 }
--- a/crates/route/src/router/place.rs
+++ b/crates/route/src/router/place.rs
@@ -87,7 +87,7 @@
     /// order stays on the old release, even if an earlier order assigned it to the new one.
     fn update_assignment(&self, call: &mut Call) {
         call.assignment = self.rollouts.get(&call.service).map(|it| {
-            let revision = it.began_as();
+            let revision = it.initial_revision();
             let chosen = call
                 .assignment
                 .filter(|assignment| assignment.revision == revision);
@@ -123,7 +123,7 @@
             side: call.side(),
             connections: self.connections(&call.service)?,
             candidates,
-            used: self.directory.used_of(now, it),
+            used: self.directory.endpoint_utilization(now, it),
             load_age: it.load.map(|(at, _)| now.saturating_sub(at)),
             listing_age: self.listing_time.map(|at| now.saturating_sub(at)),
         })
@@ -145,19 +145,19 @@
         let fill = self.endpoint_to_fill(now, call);
         let rollout = self.rollouts.get(&call.service);
         let mut scored = Vec::new();
-        for (key, it) in self.directory.of(&call.service) {
+        for (key, it) in self.directory.endpoints_of(&call.service) {
             if !is_candidate(now, call, strictness, rollout, it) || is_tried(call, strictness, key)
             {
                 continue;
             }
-            let mut score = self.directory.used_of(now, it);
-            score += it.unread.div_duration_f64(PREFILL_UNIT);
+            let mut score = self.directory.endpoint_utilization(now, it);
+            score += it.pending_prefill.div_duration_f64(PREFILL_UNIT);
             score += ERROR_RATE_PENALTY * it.health.bad_share();
             score += RANDOM_RANGE * self.rng.random::<f64>();
             if it.entry.data_centre != self.settings.data_centre {
                 score += REMOTE_PENALTY;
             }
-            if it.warmth.is_cold(now) {
+            if it.cold_start.is_cold(now) {
                 score += COLD_PENALTY;
             }
             if fill == Some(key) {
@@ -179,9 +179,9 @@
         let model = call.cascade.model();
         let rollout = self.rollouts.get(&call.service);
         self.directory
-            .of(&call.service)
+            .endpoints_of(&call.service)
             .filter(|(_, it)| {
-                is_candidate(now, call, strictness, rollout, it) && !it.warmth.is_cold(now)
+                is_candidate(now, call, strictness, rollout, it) && !it.cold_start.is_cold(now)
             })
             .map(|(key, it)| (hash::of(&(part, model, it.entry.id.as_str())), key))
             .max()
@@ -206,8 +206,8 @@
         let key = self.filling_endpoint(now, call)?;
         let it = self.directory.get(key)?;
         let share = it.entry.slots * FILL_SHARE_FACTOR / self.hosts;
-        let has_room =
-            self.directory.used_of(now, it) < FILL_UTILIZATION && it.flights < share.max(1);
+        let has_room = self.directory.endpoint_utilization(now, it) < FILL_UTILIZATION
+            && it.in_flight < share.max(1);
         (has_room && call.shape.prompt_tokens <= MAX_FILL_PROMPT_TOKENS).then_some(key)
     }
 
@@ -218,11 +218,11 @@
             return None;
         }
         self.directory
-            .of(&call.service)
+            .endpoints_of(&call.service)
             .filter(|(_, it)| is_candidate(now, call, Strictness::Healthy, Some(rollout), it))
             // Excluded even if this host may send requests there: the others would choose
             // another endpoint.
-            .filter(|(_, it)| !it.warmth.is_cold(now))
+            .filter(|(_, it)| !it.cold_start.is_cold(now))
             .max_by_key(|(_, it)| hash::of(it.entry.id.as_str()))
             .map(|it| it.0)
     }
@@ -236,7 +236,7 @@
     it: &Endpoint,
 ) -> bool {
     let fits = match (rollout, call.side()) {
-        (Some(rollout), Some(side)) => rollout.fits(side, &it.entry.release),
+        (Some(rollout), Some(side)) => rollout.is_eligible(side, &it.entry.release),
         _ => true,
     };
     let is_open = it.takes_work() && it.wait(now).is_zero();
--- a/crates/route/src/router/rollouts.rs
+++ b/crates/route/src/router/rollouts.rs
@@ -42,7 +42,10 @@
     pub fn order(&mut self, order: Order, started: Duration) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             let is_older = known.order.revision >= order.revision;
-            if is_older || is_restored(&self.previous_orders, &order) || known.renew(&order) {
+            if is_older
+                || is_restored(&self.previous_orders, &order)
+                || known.adopt_rewritten(&order)
+            {
                 return false;
             }
             let previous_orders = self
@@ -60,7 +63,7 @@
     }
 
     /// Returns this host's updates on roll-outs for other hosts.
-    pub fn news(&mut self, now: Duration, scope: Scope) -> Vec<rollout::News> {
+    pub fn news(&mut self, now: Duration, scope: Scope) -> Vec<rollout::Update> {
         let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
         let mut updates = Vec::with_capacity(self.rollouts.len());
         for rollout in self.rollouts.values_mut() {
@@ -68,15 +71,15 @@
                 .sessions
                 .on_other_releases(now, &rollout.order.release, gap)
                 .map(|it| hash::of(it.as_str()))
-                .filter(|&it| rollout.is_contested(it))
+                .filter(|&it| rollout.is_drawn_for_trial(it))
                 .collect();
-            updates.push(rollout.news(now, retained.into_iter(), scope));
+            updates.push(rollout.build_update(now, retained.into_iter(), scope));
         }
         updates
     }
 
     /// Applies another host's updates on roll-outs and returns what changed.
-    pub fn hear(&mut self, now: Duration, host: &HostName, updates: Vec<rollout::News>) -> Heard {
+    pub fn hear(&mut self, now: Duration, host: &HostName, updates: Vec<rollout::Update>) -> Heard {
         let mut changed = Heard::default();
         for it in updates {
             let started = now.saturating_sub(it.elapsed);
@@ -88,7 +91,7 @@
                 && rollout.order.revision == it.order.revision
             {
                 let before = rollout.verdict;
-                changed.is_news |= rollout.hear(now, host, &it);
+                changed.is_news |= rollout.apply_update(now, host, &it);
                 if rollout.verdict != before {
                     changed.judged.push(rollout.clone());
                 }
@@ -119,12 +122,12 @@
         let session = call.shape.session.as_ref();
         let release = session.and_then(|it| self.sessions.release(now, it, gap));
         let side = match release {
-            Some(release) => rollout.keep(now, release, number),
-            None => rollout.side(now, number),
+            Some(release) => rollout.side_for_known_session(now, release, number),
+            None => rollout.side_for_new_session(now, number),
         };
         Some(ReleaseAssignment {
             side,
-            revision: rollout.began_as(),
+            revision: rollout.initial_revision(),
         })
     }
 }
--- a/crates/route/tests/harness/evacuations.rs
+++ b/crates/route/tests/harness/evacuations.rs
@@ -21,7 +21,7 @@
         };
         match line.command {
             "empty" => {
-                let evacuation = evacuation(line.args[0], at.version, Access::Emptied);
+                let evacuation = evacuation(line.args[0], at.version, Access::Evacuated);
                 let is_change = self.router().evacuate(now, evacuation);
                 if is_change { "emptied" } else { "known" }.to_owned()
             }
@@ -33,7 +33,7 @@
             "read" => {
                 let emptied = line.args.iter().map(|it| {
                     let (data_centre, version) = it.split_once('@').unwrap();
-                    evacuation(data_centre, version.parse().unwrap(), Access::Emptied)
+                    evacuation(data_centre, version.parse().unwrap(), Access::Evacuated)
                 });
                 let emptied = emptied.collect();
                 let is_change = self.router().read_evacuations(now, at, emptied);
--- a/crates/route/tests/harness/exits.rs
+++ b/crates/route/tests/harness/exits.rs
@@ -16,14 +16,16 @@
             "stands" => Some(self.report_probes(Router::stands)),
             "held" => {
                 let quarantine = self.router().quarantine();
-                quarantine.age(now);
+                quarantine.expire(now);
                 Some(format!("{} held", quarantine.len()))
             }
             "tell" => {
                 let (from, to): (usize, usize) =
                     (line.args[0].parse().unwrap(), line.args[1].parse().unwrap());
-                let update = self.hosts[from].quarantine().news(now, Scope::Fresh);
-                self.hosts[to].quarantine().hear(now, &update);
+                let update = self.hosts[from]
+                    .quarantine()
+                    .build_update(now, Scope::Delta);
+                self.hosts[to].quarantine().apply_update(now, &update);
                 None
             }
             "told-leaving" => {
--- a/crates/route/tests/harness/script.rs
+++ b/crates/route/tests/harness/script.rs
@@ -156,7 +156,7 @@
                 let order = Order {
                     service: line.args[0].into(),
                     release: Release::from(line.args[1]),
-                    over: Duration::from_millis(line.number::<u64>("over", 20_000)),
+                    duration: Duration::from_millis(line.number::<u64>("over", 20_000)),
                     revision: Revision {
                         era: line.number::<u64>("era", 0),
                         version: line.number::<u64>("revision", 1),
@@ -179,7 +179,7 @@
             "news" => {
                 let (from, to): (usize, usize) =
                     (line.args[0].parse().unwrap(), line.args[1].parse().unwrap());
-                let updates = self.hosts[from].news(now, Scope::All);
+                let updates = self.hosts[from].news(now, Scope::Full);
                 let name = HostName::from(format!("host-{from}"));
                 self.hosts[to].hear(now, &name, updates);
                 None
@@ -200,7 +200,7 @@
     fn advance(&mut self) {
         for host in &mut self.hosts {
             host.rollouts().for_each(|it| {
-                it.advance(self.now);
+                it.try_end_trial(self.now);
             });
         }
     }
@@ -365,7 +365,7 @@
         let service = ServiceName::from(service);
         let rollout = self.router().rollout(&service).unwrap();
         let finding = rollout
-            .finding(now)
+            .own_verdict(now)
             .map_or("none".to_owned(), |it| it.to_string());
         format!(
             "{} share {:.2} finding {finding}",
--- a/crates/route/tests/pooled.rs
+++ b/crates/route/tests/pooled.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kernel::HostName;
-use route::rollout::{News, Order, Scope, Sighting};
+use route::rollout::{Observation, Order, Scope, Update};
 use route::{Revision, Rollout};
 
 const NOW: Duration = Duration::from_secs(100);
@@ -12,7 +12,7 @@
     let order = Order {
         service: "pool".into(),
         release: "v2".into(),
-        over: Duration::from_secs(20),
+        duration: Duration::from_secs(20),
         revision: Revision::default(),
     };
     Rollout::new(order, NOW, 0.1, 295)
@@ -20,11 +20,11 @@
 
 fn record_responses(rollout: &mut Rollout, answers: u32, bad: u32) {
     for nr in 0..answers {
-        let sighting = Sighting {
+        let observation = Observation {
             failed: nr < bad,
-            ..Sighting::default()
+            ..Observation::default()
         };
-        rollout.answer(route::rollout::Side::New, &sighting);
+        rollout.record_response(route::rollout::Side::New, &observation);
     }
 }
 
@@ -32,8 +32,8 @@
     HostName::from(format!("host-{nr}"))
 }
 
-fn next_update(rollout: &mut Rollout, now: Duration) -> News {
-    rollout.news(now, std::iter::empty(), Scope::Fresh)
+fn next_update(rollout: &mut Rollout, now: Duration) -> Update {
+    rollout.build_update(now, std::iter::empty(), Scope::Delta)
 }
 
 /// In a large fleet each host hears only a few others directly, so a bad release would be detected
@@ -46,22 +46,22 @@
         record_responses(it, 10, 4);
     }
     for from in [3, 2, 1] {
-        let sum = hosts[from].sum(NOW, 0, u8::try_from(from).unwrap());
-        let mut news = next_update(&mut hosts[from], NOW);
-        news.sums.push(sum);
-        hosts[from - 1].hear(NOW, &name(from), &news);
+        let sum = hosts[from].partial_sum(NOW, 0, u8::try_from(from).unwrap());
+        let mut update = next_update(&mut hosts[from], NOW);
+        update.partial_sums.push(sum);
+        hosts[from - 1].apply_update(NOW, &name(from), &update);
     }
-    hosts[0].gather(NOW, 0, 77);
-    let news = next_update(&mut hosts[0], NOW);
-    assert_eq!(news.totals.len(), 1);
+    hosts[0].publish_total(NOW, 0, 77);
+    let update = next_update(&mut hosts[0], NOW);
+    assert_eq!(update.totals.len(), 1);
     assert!(
-        hosts[3].hear(NOW, &name(0), &news),
+        hosts[3].apply_update(NOW, &name(0), &update),
         "the total is new to host 3"
     );
     let pooled = hosts[3].pooled();
-    assert_eq!((pooled.new.answers, pooled.new.bad), (40, 16));
+    assert_eq!((pooled.new.responses, pooled.new.failures), (40, 16));
     // A total is forwarded only once.
-    assert!(!hosts[3].hear(NOW, &name(0), &news));
+    assert!(!hosts[3].apply_update(NOW, &name(0), &update));
     assert_eq!(next_update(&mut hosts[3], NOW).totals.len(), 1);
     assert_eq!(next_update(&mut hosts[3], NOW).totals.len(), 0);
 }
@@ -72,13 +72,13 @@
 fn partial_sums_of_lost_neighbours_expire() {
     let (mut root, mut leaf) = (rollout(), rollout());
     record_responses(&mut leaf, 10, 4);
-    let sum = leaf.sum(NOW, 0, 1);
-    let mut news = next_update(&mut leaf, NOW);
-    news.sums.push(sum);
-    root.hear(NOW, &name(1), &news);
+    let sum = leaf.partial_sum(NOW, 0, 1);
+    let mut update = next_update(&mut leaf, NOW);
+    update.partial_sums.push(sum);
+    root.apply_update(NOW, &name(1), &update);
     let answers = |after: u64| {
         let now = NOW + Duration::from_millis(after);
-        root.sum(now, 0, 0).evidence.new.answers
+        root.partial_sum(now, 0, 0).evidence.new.responses
     };
     assert_eq!((answers(0), answers(1_900), answers(2_100)), (10, 10, 0));
 }
@@ -91,15 +91,15 @@
     let pinned = [1, 2, 3];
     let mut sent = |scope| {
         sender
-            .news(NOW, pinned.into_iter(), scope)
+            .build_update(NOW, pinned.into_iter(), scope)
             .pinned_sessions
             .len()
     };
-    assert_eq!(sent(Scope::Fresh), 3);
-    assert_eq!(sent(Scope::Fresh), 0);
-    assert_eq!(sent(Scope::All), 3);
-    let news = sender.news(NOW, pinned.into_iter(), Scope::All);
-    assert!(receiver.hear(NOW, &name(1), &news));
+    assert_eq!(sent(Scope::Delta), 3);
+    assert_eq!(sent(Scope::Delta), 0);
+    assert_eq!(sent(Scope::Full), 3);
+    let update = sender.build_update(NOW, pinned.into_iter(), Scope::Full);
+    assert!(receiver.apply_update(NOW, &name(1), &update));
     assert_eq!(next_update(&mut receiver, NOW).pinned_sessions.len(), 3);
     assert_eq!(next_update(&mut receiver, NOW).pinned_sessions.len(), 0);
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -249,7 +249,7 @@
             self.rollout_share
                 .record(*share, &[label("service", service.clone())]);
             for (release, tally) in [("new", evidence.new), ("old", evidence.old)] {
-                let (answers, bad) = (u64::from(tally.answers), u64::from(tally.bad));
+                let (answers, bad) = (u64::from(tally.responses), u64::from(tally.failures));
                 self.rollout_answers
                     .record(answers.saturating_sub(bad), &by(release, "good"));
                 self.rollout_answers.record(bad, &by(release, "bad"));
