--- a/crates/forward/src/attempt.rs
+++ b/crates/forward/src/attempt.rs
@@ -8,8 +8,8 @@
 use async_std::future::timeout;
 use framing::response;
 use kernel::RequestId;
-use route::config::Repeat;
-use route::{Call, Ending, Flight, Permit, Placement};
+use route::config::RetryPolicy;
+use route::{Call, Ending, InFlight, Permit, Placement};
 use telemetry::{Connection, Event, Value};
 
 use crate::caller::Request;
@@ -44,7 +44,7 @@
     CallerGone,
     /// The attempt ended without a complete response.
     Ended {
-        flight: Box<Flight>,
+        in_flight: Box<InFlight>,
         ending: Ending,
         error_response: Option<BufferedResponse>,
     },
@@ -77,20 +77,20 @@
     ) -> AttemptOutcome {
         let node = self.node;
         let now = node.now();
-        let flight = node.router().begin(now, call, self.placement);
+        let in_flight = node.router().begin_attempt(now, call, self.placement);
         self.progress.attempts.set(call.attempts());
         let mut guard = AttemptGuard {
             node,
             id: self.id,
-            print: call.print,
+            fingerprint: call.fingerprint,
             placement: self.placement,
             progress: self.progress,
             number: call.attempts(),
             began: now,
-            time_left: call.left(now),
+            time_left: call.time_left(now),
             config_version: node.router().version(),
             details: AttemptDetails::default(),
-            flight: Some(flight),
+            in_flight: Some(in_flight),
         };
         let exchange = self.exchange(call, writer, &mut guard).await;
         guard.details.last_event = *self.last_event;
@@ -99,20 +99,21 @@
             ExchangeOutcome::CallerGone => Ending::Cancelled,
             ExchangeOutcome::Ended(ending, _) => *ending,
         };
-        let Some(flight) = guard.finish(ending) else {
+        let Some(in_flight) = guard.finish(ending) else {
             return AttemptOutcome::CallerGone;
         };
         match exchange {
             ExchangeOutcome::Delivered => {
-                node.router().end(node.now(), call, flight, ending);
+                node.router()
+                    .end_attempt(node.now(), call, in_flight, ending);
                 AttemptOutcome::Delivered
             }
             ExchangeOutcome::CallerGone => {
-                node.router().cancel(node.now(), flight);
+                node.router().cancel_attempt(node.now(), in_flight);
                 AttemptOutcome::CallerGone
             }
             ExchangeOutcome::Ended(ending, error_response) => AttemptOutcome::Ended {
-                flight: Box::new(flight),
+                in_flight: Box::new(in_flight),
                 ending,
                 error_response,
             },
@@ -143,7 +144,7 @@
             match head {
                 Some(Ok(it)) => break it,
                 Some(Err(err)) => return err.ending().into(),
-                None if self.try_abandon(call) => return Ending::Silent.into(),
+                None if self.try_abandon(call) => return Ending::TimedOut.into(),
                 None => {}
             }
         };
@@ -151,14 +152,14 @@
         guard.details.status = Some(head.status);
         guard.details.confidence = told.confidence;
         guard.details.is_leaving = Some(told.is_leaving);
-        if let (Some(load), Some(flight)) = (told.load, &mut guard.flight) {
-            self.node.router().load(now, flight, load);
+        if let (Some(load), Some(in_flight)) = (told.load, &mut guard.in_flight) {
+            self.node.router().record_load(now, in_flight, load);
         }
         if told.is_leaving {
             self.report_leaving(guard);
         }
-        if let (Some(pause), Some(flight)) = (told.retry_after, &guard.flight) {
-            self.node.router().refuse(now, flight, pause);
+        if let (Some(pause), Some(in_flight)) = (told.retry_after, &guard.in_flight) {
+            self.node.router().record_refusal(now, in_flight, pause);
         }
         if told.not_run || head.status == 421 {
             return self.handle_refusal(upstream, &head, &told).await.into();
@@ -166,11 +167,11 @@
         if !told.is_signed && head.is_success() {
             return Ending::Broken.into();
         }
-        if let Some(flight) = &mut guard.flight {
-            self.node.router().first(now, call, flight);
+        if let Some(in_flight) = &mut guard.in_flight {
+            self.node.router().response_started(now, call, in_flight);
         }
-        if head.is_success() && self.node.router().escalates(now, call, told.confidence) {
-            return Ending::Unsure.into();
+        if head.is_success() && self.node.router().try_escalate(now, call, told.confidence) {
+            return Ending::LowConfidence.into();
         }
         if call.route.is_stream() && self.has_stream(&head) {
             return self
@@ -190,15 +191,15 @@
 
     async fn connect(&self, call: &Call) -> Result<(Conn, Connection), Ending> {
         let (node, placement) = (self.node, self.placement);
-        let max_idle = match call.route.repeat {
-            Repeat::Idempotent => node.timing.idle,
-            Repeat::AtMostOnce => node.timing.warm,
+        let max_idle = match call.route.retry_policy {
+            RetryPolicy::Idempotent => node.timing.idle,
+            RetryPolicy::AtMostOnce => node.timing.warm,
         };
         let now = node.now();
         if let Some(conn) = node.pool.take(now, placement.endpoint, max_idle) {
             return Ok((conn, Connection::Reused));
         }
-        let limit = node.timing.connect.min(call.left(now));
+        let limit = node.timing.connect.min(call.time_left(now));
         let opened = Conn::open(placement.address, limit).await;
         let took = node.now().saturating_sub(now);
         match opened {
@@ -215,8 +216,8 @@
 
     /// Asks the router whether the request may still be sent, now that the connection is open.
     fn permit(&self, guard: &mut AttemptGuard<'_, D>) -> Result<Permit, Ending> {
-        let flight = guard.flight.as_ref().ok_or(Ending::Withheld)?;
-        let permit = self.node.router().permit(self.node.now(), flight);
+        let in_flight = guard.in_flight.as_ref().ok_or(Ending::Withheld)?;
+        let permit = self.node.router().permit(self.node.now(), in_flight);
         permit.map_err(|why| {
             self.node.recorder.metrics().withheld(why);
             guard.details.withheld = Some(why);
@@ -229,7 +230,7 @@
         let to = Addressing {
             placement: self.placement,
             customer: call.customer.as_deref().map(|it| &it.name),
-            left: call.left(self.node.now()),
+            left: call.time_left(self.node.now()),
             last_event: *self.last_event,
             body_len: self.request.body.len(),
             priority: call.priority(),
@@ -243,10 +244,10 @@
     /// at another endpoint, the wait ends in time for that; otherwise it lasts until the
     /// request's deadline.
     fn response_start_timeout(&self, call: &Call) -> Duration {
-        let left = call.left(self.node.now());
-        if may_retry_elsewhere(call) && !call.is_held() {
+        let left = call.time_left(self.node.now());
+        if may_retry_elsewhere(call) && !call.is_retry_denied() {
             let part = self.node.timing.first_part;
-            left.min(self.node.router().patience(call, part))
+            left.min(self.node.router().response_timeout(call, part))
         } else {
             left
         }
@@ -256,10 +257,15 @@
     /// passed, or a retry was reserved. Otherwise the endpoint is waited for until the deadline.
     fn try_abandon(&self, call: &mut Call) -> bool {
         let now = self.node.now();
-        if call.left(now).is_zero() || self.node.router().reserve(now, call, Ending::Silent) {
+        if call.time_left(now).is_zero()
+            || self
+                .node
+                .router()
+                .reserve_retry(now, call, Ending::TimedOut)
+        {
             return true;
         }
-        call.hold();
+        call.deny_retry();
         false
     }
 
@@ -289,10 +295,10 @@
 
     /// Marks the endpoint as leaving, as its response says, so that it gets no new requests.
     fn report_leaving(&self, guard: &AttemptGuard<'_, D>) {
-        let Some(flight) = &guard.flight else {
+        let Some(in_flight) = &guard.in_flight else {
             return;
         };
-        if self.node.router().leave(flight) {
+        if self.node.router().record_leaving(in_flight) {
             let endpoint = ("endpoint", Value::Text(&self.placement.id));
             self.node.recorder.say(
                 Event::EndpointLeaving,
@@ -320,7 +326,7 @@
             self.return_to_pool(upstream, head, told);
         }
         if head.status == 421 {
-            Ending::Moved
+            Ending::Misdirected
         } else {
             Ending::Refused
         }
@@ -336,17 +342,17 @@
         lazy_timeout: &mut LazyTimeout<'_>,
     ) -> ExchangeOutcome {
         let mut body = Vec::new();
-        let left = call.left(self.node.now());
+        let left = call.time_left(self.node.now());
         let whole = upstream.body(&head, &mut body, MAX_BUFFERED_BYTES);
         match lazy_timeout.within(left, whole).await {
             Some(Ok(())) => {}
             Some(Err(err)) => return err.ending().into(),
-            None => return Ending::Silent.into(),
+            None => return Ending::TimedOut.into(),
         }
         self.return_to_pool(upstream, &head, told);
         // If the caller already has part of a stream, a response that isn't a stream means
         // that this endpoint can't resume it.
-        let may_forward = !promises_not_run(head.status) && !call.has_begun();
+        let may_forward = !promises_not_run(head.status) && !call.has_started();
         if head.status >= 500 || !may_forward {
             return ExchangeOutcome::Ended(
                 Ending::Failed,
@@ -385,7 +391,7 @@
 
 /// Returns whether the request may be retried after an endpoint has sent nothing in time.
 fn may_retry_elsewhere(call: &Call) -> bool {
-    call.route.repeat == Repeat::Idempotent && call.attempts() < call.route.attempts
+    call.route.retry_policy == RetryPolicy::Idempotent && call.attempts() < call.route.attempts
 }
 
 /// Returns whether callers take the status to mean that the request has not run. It isn't
--- a/crates/forward/src/attempt/guard.rs
+++ b/crates/forward/src/attempt/guard.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kernel::RequestId;
-use route::{Ending, Flight, Placement, Print, Withheld};
+use route::{Ending, InFlight, Placement, RequestFingerprint, Withheld};
 use telemetry::Connection;
 
 use crate::serve::Progress;
@@ -13,7 +13,7 @@
 pub(super) struct AttemptGuard<'a, D: Dialect> {
     pub(super) node: &'a Node<D>,
     pub(super) id: &'a RequestId,
-    pub(super) print: Print,
+    pub(super) fingerprint: RequestFingerprint,
     pub(super) placement: &'a Placement,
     pub(super) progress: &'a Progress,
     pub(super) number: u32,
@@ -21,7 +21,7 @@
     pub(super) time_left: Duration,
     pub(super) config_version: Option<u64>,
     pub(super) details: AttemptDetails,
-    pub(super) flight: Option<Flight>,
+    pub(super) in_flight: Option<InFlight>,
 }
 
 /// Details of the connection and the response, for the attempt's report.
@@ -39,13 +39,13 @@
 impl<D: Dialect> AttemptGuard<'_, D> {
     /// Reports the end of the attempt and returns the router's handle to it, or `None` if
     /// it was reported before.
-    pub(super) fn finish(&mut self, ending: Ending) -> Option<Flight> {
-        let flight = self.flight.take()?;
+    pub(super) fn finish(&mut self, ending: Ending) -> Option<InFlight> {
+        let in_flight = self.in_flight.take()?;
         let took = self.node.now().saturating_sub(self.began);
         self.progress.record_attempt(self.placement, ending, took);
         self.node.recorder.record_attempt(&telemetry::Attempt {
             id: self.id,
-            print: self.print,
+            fingerprint: self.fingerprint,
             number: self.number,
             placement: self.placement,
             ending,
@@ -60,15 +60,15 @@
             connection: self.details.connection,
             strays: self.details.strays,
         });
-        Some(flight)
+        Some(in_flight)
     }
 }
 
 impl<D: Dialect> Drop for AttemptGuard<'_, D> {
     fn drop(&mut self) {
-        if let Some(flight) = self.finish(Ending::Cancelled) {
+        if let Some(in_flight) = self.finish(Ending::Cancelled) {
             let now = self.node.now();
-            self.node.router().cancel(now, flight);
+            self.node.router().cancel_attempt(now, in_flight);
         }
     }
 }
--- a/crates/forward/src/attempt/stream.rs
+++ b/crates/forward/src/attempt/stream.rs
@@ -4,7 +4,7 @@
 
 use async_std::future::timeout;
 use framing::{Decoder, Events, response};
-use route::config::Answer as Shape;
+use route::config::ResponseKind;
 use route::{Call, Ending};
 
 use super::guard::AttemptGuard;
@@ -40,17 +40,17 @@
         loop {
             let is_valid = upstream.decode(&mut decoder, events.input()).is_ok();
             let Forwarded { count, has_gap } = self.forward_events(&mut events, head, call, writer);
-            if let Some(flight) = &mut guard.flight {
-                flight.events(node.now(), count);
+            if let Some(in_flight) = &mut guard.in_flight {
+                in_flight.events(node.now(), count);
             }
             if writer.has_pending() {
                 self.record_pause(&mut last_write);
             }
             let is_done = decoder.is_done() && !has_gap && !events.has_rest();
             // A resumed stream may have no further events: the caller has the last one.
-            if is_done && (call.has_begun() || self.last_event.is_some()) {
-                if !call.has_begun() {
-                    call.begin();
+            if is_done && (call.has_started() || self.last_event.is_some()) {
+                if !call.has_started() {
+                    call.start_stream();
                     writer.start_stream(&node.dialect, head);
                 }
                 self.return_to_pool(upstream, head, told);
@@ -70,10 +70,10 @@
                 .within(self.event_timeout(call), upstream.advance())
                 .await
             {
-                Some(Ok(1..)) => call.release(),
+                Some(Ok(1..)) => call.clear_denied_retry(),
                 Some(Ok(0)) if decoder.finish().is_ok() => {}
                 Some(_) => return Ending::Broken.into(),
-                None if self.try_abandon(call) => return Ending::Silent.into(),
+                None if self.try_abandon(call) => return Ending::TimedOut.into(),
                 None => {}
             }
         }
@@ -99,8 +99,8 @@
                     return forwarded;
                 }
             }
-            if !call.has_begun() {
-                call.begin();
+            if !call.has_started() {
+                call.start_stream();
                 writer.start_stream(&self.node.dialect, head);
             }
             writer.push_event(event.bytes);
@@ -129,9 +129,11 @@
 
     /// Returns how long to wait for the next event; see [`Self::response_start_timeout`].
     fn event_timeout(&self, call: &Call) -> Duration {
-        let left = call.left(self.node.now());
-        match call.route.answer {
-            Shape::Stream { pause } if may_retry_elsewhere(call) && !call.is_held() => {
+        let left = call.time_left(self.node.now());
+        match call.route.response {
+            ResponseKind::Stream { pause }
+                if may_retry_elsewhere(call) && !call.is_retry_denied() =>
+            {
                 left.min(pause.mul_f64(self.node.timing.pause_part))
             }
             _ => left,
--- a/crates/forward/src/dialect.rs
+++ b/crates/forward/src/dialect.rs
@@ -5,7 +5,7 @@
 use framing::{request, response};
 use kernel::{Customer, RequestId};
 use route::endpoint::Load;
-use route::{Placement, Shape};
+use route::{Placement, RequestProfile};
 
 /// Encodes and decodes the header fields of callers' requests and endpoints' responses.
 ///
@@ -35,11 +35,11 @@
     /// The customer's API key.
     pub key: Option<String>,
     /// How long the caller waits for the response.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The id of the event after which to resume a stream.
     pub last_event: Option<u64>,
     /// The properties that placement depends on.
-    pub shape: Shape,
+    pub profile: RequestProfile,
 }
 
 /// The values that are added to the caller's head when a request is sent to an endpoint.
--- a/crates/forward/src/probe.rs
+++ b/crates/forward/src/probe.rs
@@ -24,7 +24,7 @@
 
 /// Starts a probe of each endpoint that may have ended since the last call.
 pub(crate) fn probe_candidates<D: Dialect>(node: &Rc<Node<D>>) {
-    let candidates = node.router().take_doubted();
+    let candidates = node.router().take_probe_candidates();
     for (key, id, address) in candidates {
         if node.probing.borrow_mut().insert(key) {
             let shared = Rc::clone(node);
@@ -49,7 +49,7 @@
                 sleep(MIN_OPEN_TIME).await;
                 if conn.is_reusable() {
                     node.pool.put(node.now(), key, conn, None);
-                    return node.router().stands(key);
+                    return node.router().process_alive(key);
                 }
             }
             Err(err) => {
@@ -57,7 +57,7 @@
                 node.recorder.record_connect(id, took, &Err(err));
                 if is_refused {
                     let now = node.now();
-                    return node.router().ended(now, key);
+                    return node.router().process_ended(now, key);
                 }
             }
         }
--- a/crates/forward/src/serve.rs
+++ b/crates/forward/src/serve.rs
@@ -8,7 +8,7 @@
 
 use kernel::RequestId;
 use route::config::{Customer, Route};
-use route::{Arrival, Call, Denial, Ending, Failure, Next, Placement, Print};
+use route::{Call, Denial, Ending, Failure, IncomingRequest, Next, Placement, RequestFingerprint};
 use telemetry::{AttemptSummary, Event, Outcome, Report, Value};
 
 use crate::attempt::{Attempt, AttemptOutcome};
@@ -36,8 +36,8 @@
     let mut call = match admit(node, request, &asked, &id) {
         Ok(call) => call,
         Err(outcome) => {
-            if let Outcome::Denied(Denial::Quarantined { print, .. }) = outcome {
-                record.progress.print.set(Some(print));
+            if let Outcome::Denied(Denial::Quarantined { fingerprint, .. }) = outcome {
+                record.progress.fingerprint.set(Some(fingerprint));
             }
             let local = local_response(outcome);
             response.send_local(local).await;
@@ -52,7 +52,7 @@
         record.end(Outcome::Rejected, response.status);
         return Ok(());
     }
-    record.progress.print.set(Some(call.print));
+    record.progress.fingerprint.set(Some(call.fingerprint));
     // This is the only place that sets the route.
     let _ = record
         .progress
@@ -60,7 +60,7 @@
         .set((call.route.clone(), call.customer.clone()));
     let outcome = run_attempts(&record, request, &asked, &mut call, &mut response).await;
     let result = match outcome {
-        Outcome::Failed(_) if call.has_begun() => Err(ResponseAborted),
+        Outcome::Failed(_) if call.has_started() => Err(ResponseAborted),
         Outcome::CallerGone => Err(ResponseAborted),
         _ => Ok(()),
     };
@@ -85,14 +85,14 @@
     let host = request.head.fields.text("host").unwrap_or_default();
     let host = host.split(':').next().unwrap_or_default();
     let host = host.to_ascii_lowercase();
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         id: id.as_str(),
         host: &host,
         path: request.head.path(),
         body: &request.body,
         key: asked.key.as_deref(),
-        patience: asked.patience,
-        shape: asked.shape.clone(),
+        timeout: asked.timeout,
+        profile: asked.profile.clone(),
     };
     let call = node
         .router()
@@ -116,7 +116,7 @@
     loop {
         let now = node.now();
         let Some(placement) = node.router().place(now, call) else {
-            let failure = node.router().unplaced(now, call);
+            let failure = node.router().unplaced_failure(now, call);
             return send_failure(call, response, failure).await;
         };
         let attempt = Attempt {
@@ -132,11 +132,13 @@
             AttemptOutcome::Delivered => return Outcome::Answered,
             AttemptOutcome::CallerGone => return Outcome::CallerGone,
             AttemptOutcome::Ended {
-                flight,
+                in_flight,
                 ending,
                 error_response,
             } => {
-                let next = node.router().end(node.now(), call, *flight, ending);
+                let next = node
+                    .router()
+                    .end_attempt(node.now(), call, *in_flight, ending);
                 report_ejections(node);
                 probe::probe_candidates(node);
                 match (next, error_response) {
@@ -159,7 +161,7 @@
 
 /// Logs and counts the endpoints that were ejected since the last call.
 fn report_ejections<D: Dialect>(node: &Node<D>) {
-    let ejected = node.router().take_rested();
+    let ejected = node.router().take_ejected();
     for (id, reason) in ejected {
         node.recorder.metrics().ejection(reason);
         node.recorder.say(
@@ -174,7 +176,7 @@
 
 async fn send_failure(call: &Call, response: &mut ResponseWriter, failure: Failure) -> Outcome {
     // Once a stream has started, only closing the connection can signal the failure.
-    if !call.has_begun() {
+    if !call.has_started() {
         response.send_local(failure.into()).await;
     }
     Outcome::Failed(failure)
@@ -194,7 +196,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
     route: OnceCell<(Arc<Route>, Option<Arc<Customer>>)>,
-    print: Cell<Option<Print>>,
+    fingerprint: Cell<Option<RequestFingerprint>>,
     pub(crate) attempts: Cell<u32>,
     /// When the first part of an endpoint's response was written to the caller.
     pub(crate) first_byte: Cell<Option<Duration>>,
@@ -240,7 +242,7 @@
         let first_byte = progress.first_byte.get();
         let report = Report {
             id: self.id,
-            print: progress.print.get(),
+            fingerprint: progress.fingerprint.get(),
             route: route.map(|it| &*it.0.name),
             customer: customer.map(|it| it.name.as_str()),
             outcome,
--- a/crates/host/src/follow/documents.rs
+++ b/crates/host/src/follow/documents.rs
@@ -81,7 +81,7 @@
     }
     let now = life.node.now();
     for order in documents.orders {
-        if life.node.router().order(order.clone(), now) {
+        if life.node.router().apply_order(order.clone(), now) {
             life.hurry();
             say_order(life, &order);
         }
--- a/crates/host/src/follow/endpoints.rs
+++ b/crates/host/src/follow/endpoints.rs
@@ -93,7 +93,7 @@
     if before.is_none_or(|it| !it.covers(listed.fingerprint, absence)) {
         life.hurry();
     }
-    let change = life.node.router().list(at, entries, absence);
+    let change = life.node.router().update_listing(at, entries, absence);
     let age = life.node.now().saturating_sub(at);
     say::endpoints(life, &change, age);
 }
--- a/crates/host/src/follow/quarantine.rs
+++ b/crates/host/src/follow/quarantine.rs
@@ -30,11 +30,11 @@
             let quarantine = router.quarantine();
             (quarantine.take_changed(), quarantine.take_quarantined())
         };
-        for (print, ends) in quarantined {
+        for (fingerprint, ends) in quarantined {
             life.recorder().say(
                 Event::RequestHeld,
                 &[
-                    ("print", Value::Text(&print)),
+                    ("print", Value::Text(&fingerprint)),
                     ("ends", Value::Count(ends as u64)),
                 ],
             );
--- a/crates/host/src/life.rs
+++ b/crates/host/src/life.rs
@@ -270,7 +270,7 @@
             self.hurry();
         }
         let hosts = u32::try_from(gossip.roster().count()).unwrap_or(u32::MAX);
-        self.node.router().set_hosts(hosts);
+        self.node.router().set_host_count(hosts);
         let epoch = Some(gossip.roster().epoch());
         if self.is_roster_settled() && self.peers_epoch.replace(epoch) != epoch {
             let peers = gossip.roster().peers();
--- a/crates/host/src/life/readers.rs
+++ b/crates/host/src/life/readers.rs
@@ -66,7 +66,7 @@
     /// Returns the age at which this host reads the store itself instead of relying on
     /// other hosts.
     fn read_age(&self) -> Duration {
-        let follow = self.node.router().settings().follow;
+        let follow = self.node.router().settings().max_propagation_delay;
         MIN_READ_AGE.max(follow.saturating_sub(READ_MARGIN))
     }
 
--- a/crates/host/src/say.rs
+++ b/crates/host/src/say.rs
@@ -70,7 +70,7 @@
         life.recorder()
             .say(Event::StoreRestored, &[("era", Value::Count(era))]);
         let now = life.node.now();
-        life.node.router().restored(now);
+        life.node.router().store_restored(now);
         life.ask_anew();
     }
 }
@@ -187,7 +187,7 @@
     Gauges {
         config_version: router.version().unwrap_or(0),
         config_confirmed: since(life.confirmed.get()),
-        listing_age: since(router.listed()),
+        listing_age: since(router.listing_time()),
         endpoints: endpoints as u64,
         resting: resting as u64,
         data_centres_emptied: router.directory().evacuations().evacuated().count() as u64,
--- a/crates/host/src/store.rs
+++ b/crates/host/src/store.rs
@@ -6,7 +6,7 @@
 use derive_more::{Display, Error};
 use link::keys::Authority;
 use route::endpoint::Entry;
-use route::{Config, Print, Revision};
+use route::{Config, RequestFingerprint, Revision};
 
 use crate::{Documents, Judgement, Member};
 
@@ -58,10 +58,10 @@
     fn withdraw(&self, members: &[Member]) -> impl Future<Output = Result<(), Trouble>>;
 
     /// Writes quarantined requests, for hosts that start.
-    fn hold(&self, prints: &[Print]) -> impl Future<Output = Result<(), Trouble>>;
+    fn hold(&self, prints: &[RequestFingerprint]) -> impl Future<Output = Result<(), Trouble>>;
 
     /// Deletes quarantined requests.
-    fn release(&self, prints: &[Print]) -> impl Future<Output = Result<(), Trouble>>;
+    fn release(&self, prints: &[RequestFingerprint]) -> impl Future<Output = Result<(), Trouble>>;
 
     /// Writes a verdict on a roll-out, unless another one was written after
     /// `judgement.revision`.
@@ -76,7 +76,7 @@
     /// The hosts in the store's listing.
     pub members: Vec<Member>,
     /// The quarantined requests.
-    pub held: Vec<Print>,
+    pub held: Vec<RequestFingerprint>,
 }
 
 /// The decodable entries of a listing in the store. Other programs may write there too,
--- a/crates/host/src/talk.rs
+++ b/crates/host/src/talk.rs
@@ -133,7 +133,7 @@
             },
             absence: it.absence,
         }),
-        rollouts: router.news(now, scope),
+        rollouts: router.rollout_updates(now, scope),
         judgements: life.judgements.borrow().values().cloned().collect(),
     }
 }
--- a/crates/host/src/talk/apply.rs
+++ b/crates/host/src/talk/apply.rs
@@ -78,11 +78,14 @@
         });
     }
     drop(gossip);
-    let heard = life.node.router().hear(life.node.now(), from, rollouts);
-    for order in &heard.ordered {
+    let heard = life
+        .node
+        .router()
+        .apply_rollout_updates(life.node.now(), from, rollouts);
+    for order in &heard.new_orders {
         documents::say_order(life, order);
     }
-    for rollout in &heard.judged {
+    for rollout in &heard.decided {
         verdicts::say_verdict(life, rollout, from.as_str());
     }
     verdicts::take(life, update.judgements.clone());
--- a/crates/route/src/call.rs
+++ b/crates/route/src/call.rs
@@ -5,10 +5,10 @@
 
 use kernel::{ModelName, ServiceName, SessionId};
 
-use crate::config::{Customer, Repeat, Route};
+use crate::config::{Customer, RetryPolicy, Route};
 use crate::endpoint::Key;
 use crate::rollout::Side;
-use crate::{Cascade, Print, Revision};
+use crate::{Cascade, RequestFingerprint, Revision};
 
 /// The most times that a request may be placed without being sent before it fails. Such
 /// tries don't count as attempts, but each may cost the caller a connection timeout.
@@ -16,14 +16,14 @@
 
 /// The properties of a request that placement depends on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Shape {
+pub struct RequestProfile {
     /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
     /// The maximum number of tokens to generate.
     pub output_tokens: u64,
     /// The last part of the prompt that is shared with other requests: its hash, and the
     /// number of prompt tokens up to its end.
-    pub shared: Option<(u64, u64)>,
+    pub shared_prefix: Option<(u64, u64)>,
     /// The session that the request belongs to.
     pub session: Option<SessionId>,
 }
@@ -38,16 +38,16 @@
     /// The service that handles the request.
     pub service: ServiceName,
     /// The properties that placement depends on.
-    pub shape: Shape,
+    pub profile: RequestProfile,
     /// Identifies the same request when it is sent again under another ID.
-    pub print: Print,
+    pub fingerprint: RequestFingerprint,
     /// When the request arrived.
     pub arrived: Duration,
     /// When the caller's or the route's timeout expires, whichever is first.
     pub deadline: Duration,
     /// The release that the request is assigned to during a roll-out.
     pub(crate) assignment: Option<ReleaseAssignment>,
-    /// Whether the caller's response is a stream that has started: see [`Self::begin`].
+    /// Whether the caller's response is a stream that has started: see [`Self::start_stream`].
     stream_started: bool,
     pub(crate) cascade: Cascade,
     pub(crate) tried: Vec<Key>,
@@ -101,16 +101,16 @@
     Refused,
     /// Another endpoint has the address; it didn't run the request.
     #[display("moved")]
-    Moved,
+    Misdirected,
     /// The connection broke, or the data received was not a response to this request.
     #[display("broken")]
     Broken,
     /// The endpoint sent nothing within the timeout.
     #[display("silent")]
-    Silent,
+    TimedOut,
     /// The response was discarded, to ask a larger model instead.
     #[display("unsure")]
-    Unsure,
+    LowConfidence,
     /// The caller disconnected.
     #[display("cancelled")]
     Cancelled,
@@ -155,10 +155,10 @@
         Self::NotSent,
         Self::Withheld,
         Self::Refused,
-        Self::Moved,
+        Self::Misdirected,
         Self::Broken,
-        Self::Silent,
-        Self::Unsure,
+        Self::TimedOut,
+        Self::LowConfidence,
         Self::Cancelled,
     ];
 }
@@ -170,8 +170,8 @@
         route: Arc<Route>,
         customer: Option<Arc<Customer>>,
         service: ServiceName,
-        shape: Shape,
-        print: Print,
+        profile: RequestProfile,
+        fingerprint: RequestFingerprint,
         arrived: Duration,
         deadline: Duration,
     ) -> Self {
@@ -180,8 +180,8 @@
             route,
             customer,
             service,
-            shape,
-            print,
+            profile,
+            fingerprint,
             arrived,
             deadline,
             assignment: None,
@@ -216,24 +216,24 @@
 
     /// Returns the time left until the deadline.
     #[must_use]
-    pub fn left(&self, now: Duration) -> Duration {
+    pub fn time_left(&self, now: Duration) -> Duration {
         self.deadline.saturating_sub(now)
     }
 
     /// Returns whether no retry is allowed, so that the current attempt continues despite
     /// the endpoint's silence.
     #[must_use]
-    pub fn is_held(&self) -> bool {
+    pub fn is_retry_denied(&self) -> bool {
         self.retry == Retry::Denied
     }
 
     /// Records that no retry is allowed.
-    pub fn hold(&mut self) {
+    pub fn deny_retry(&mut self) {
         self.retry = Retry::Denied;
     }
 
     /// Clears a denied retry, after the endpoint has sent data.
-    pub fn release(&mut self) {
+    pub fn clear_denied_retry(&mut self) {
         if self.retry == Retry::Denied {
             self.retry = Retry::NotRequested;
         }
@@ -245,13 +245,13 @@
     /// Must be called before the first byte is written. Otherwise the error response of the
     /// next endpoint could be written into a stream that stopped at its first event, which
     /// corrupts the chunked encoding (docs/design/relay.md).
-    pub fn begin(&mut self) {
+    pub fn start_stream(&mut self) {
         self.stream_started = true;
     }
 
     /// Returns whether the response to the caller is a stream that has started.
     #[must_use]
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.stream_started
     }
 
@@ -271,23 +271,23 @@
     pub(crate) fn may_retry(&self, now: Duration, ending: Ending) -> bool {
         let is_safe = match ending {
             Ending::NotSent | Ending::Withheld => {
-                return self.unsent < MAX_UNSENT && self.left(now) > Duration::ZERO;
+                return self.unsent < MAX_UNSENT && self.time_left(now) > Duration::ZERO;
             }
-            Ending::Refused | Ending::Moved | Ending::Unsure => true,
-            Ending::Failed | Ending::Broken | Ending::Silent => {
-                self.route.repeat == Repeat::Idempotent
+            Ending::Refused | Ending::Misdirected | Ending::LowConfidence => true,
+            Ending::Failed | Ending::Broken | Ending::TimedOut => {
+                self.route.retry_policy == RetryPolicy::Idempotent
             }
             Ending::Answered | Ending::Cancelled => false,
         };
-        is_safe && self.attempts < self.route.attempts && self.left(now) > Duration::ZERO
+        is_safe && self.attempts < self.route.attempts && self.time_left(now) > Duration::ZERO
     }
 
     pub(crate) fn record_ending(&mut self, ending: Ending) {
-        self.release();
+        self.clear_denied_retry();
         match ending {
             Ending::NotSent | Ending::Withheld => self.unsent += 1,
-            Ending::Refused | Ending::Moved => {}
-            Ending::Unsure => {
+            Ending::Refused | Ending::Misdirected => {}
+            Ending::LowConfidence => {
                 self.may_have_run = true;
                 self.cascade.escalate();
             }
@@ -309,7 +309,7 @@
                 retry_after: self.retry_after(),
             };
         }
-        if ending == Ending::Silent || self.left(now).is_zero() {
+        if ending == Ending::TimedOut || self.time_left(now).is_zero() {
             Failure::Late
         } else {
             Failure::Lost
@@ -320,6 +320,6 @@
     /// route's target latency.
     pub(crate) fn retry_after(&self) -> Duration {
         const DIVISOR: u32 = 8;
-        self.route.aim / DIVISOR
+        self.route.target_latency / DIVISOR
     }
 }
--- a/crates/route/src/cascade.rs
+++ b/crates/route/src/cascade.rs
@@ -42,9 +42,9 @@
     /// The expected time until the largest model's response starts.
     pub expected_latency: Duration,
     /// The time within which a response has its full value.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// The service's utilization.
-    pub used: f64,
+    pub utilization: f64,
 }
 
 impl Cascade {
@@ -77,12 +77,13 @@
     #[must_use]
     pub fn is_worthwhile(&self) -> bool {
         let accuracy = probability_right(self.confidence);
-        let current_value =
-            remaining_value(self.waited, self.aim) * (accuracy + (1.0 - accuracy) * WRONG_VALUE);
+        let current_value = remaining_value(self.waited, self.target_latency)
+            * (accuracy + (1.0 - accuracy) * WRONG_VALUE);
         let escalated_value =
-            remaining_value(self.waited + self.expected_latency, self.aim) * LARGEST_ACCURACY;
+            remaining_value(self.waited + self.expected_latency, self.target_latency)
+                * LARGEST_ACCURACY;
         let idx = usize::from(self.priority).min(VALUE_BY_PRIORITY.len() - 1);
-        let price = 1.0 + CAPACITY_PRICE * self.used.clamp(0.0, 1.0);
+        let price = 1.0 + CAPACITY_PRICE * self.utilization.clamp(0.0, 1.0);
         (escalated_value - current_value) * VALUE_BY_PRIORITY[idx] > price
     }
 }
@@ -95,8 +96,9 @@
 
 /// Returns the expected fraction of its value that a response keeps if it is expected to
 /// start `after` the request. Allows for errors of the estimate in both directions.
-fn remaining_value(after: Duration, aim: Duration) -> f64 {
+fn remaining_value(after: Duration, target_latency: Duration) -> f64 {
     const ESTIMATE_ERROR: f64 = 0.25;
-    let lateness = (after.div_duration_f64(aim) - (1.0 - ESTIMATE_ERROR)) / (2.0 * ESTIMATE_ERROR);
+    let lateness =
+        (after.div_duration_f64(target_latency) - (1.0 - ESTIMATE_ERROR)) / (2.0 * ESTIMATE_ERROR);
     1.0 - (1.0 - LATE_VALUE) * lateness.clamp(0.0, 1.0)
 }
--- a/crates/route/src/config/route.rs
+++ b/crates/route/src/config/route.rs
@@ -17,16 +17,16 @@
     /// The services that requests are distributed over.
     pub targets: Vec<Target>,
     /// Whether a request may run more than once.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// The kind of response.
-    pub answer: Answer,
+    pub response: ResponseKind,
     /// The maximum number of attempts per request.
     pub attempts: u32,
     /// The maximum time until a response is complete.
     pub timeout: Duration,
     /// The time within which a response has its full value; for a stream, the time to its
     /// first event.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
     /// Who may use the route.
@@ -46,7 +46,7 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It may: a second run has no further effect.
     Idempotent,
     /// It must not: it runs at most once.
@@ -55,7 +55,7 @@
 
 /// The kind of response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ResponseKind {
     /// A single body.
     Whole,
     /// A stream of events.
@@ -78,7 +78,7 @@
     /// Returns whether the response is a stream.
     #[must_use]
     pub fn is_stream(&self) -> bool {
-        matches!(self.answer, Answer::Stream { .. })
+        matches!(self.response, ResponseKind::Stream { .. })
     }
 
     /// Returns the service for a request by weight. `number` is from 0 to 1 and derived from
--- a/crates/route/src/directory.rs
+++ b/crates/route/src/directory.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use slotmap::SlotMap;
 
-use crate::endpoint::{Entry, Key, Load, Process, State};
+use crate::endpoint::{Entry, Key, Load, ProcessId, State};
 use crate::evacuation::Evacuations;
 use crate::warm_up::{Peers, WarmUp};
 
@@ -33,7 +33,7 @@
     typical_utilization: HashMap<ServiceName, f64>,
     /// Endpoints that were gone when the store was restored from an older copy, each with the time
     /// until which the store may still list it.
-    gone_until: HashMap<Process, Duration>,
+    gone_until: HashMap<ProcessId, Duration>,
     evacuations: Evacuations,
     warm_ups: HashMap<ServiceName, WarmUp>,
     /// The hosts that share the request rate of cold endpoints, once this host knows them.
@@ -211,7 +211,7 @@
             .values()
             .filter(|it| it.takes_work())
             .collect();
-        let ejected = takes.iter().filter(|it| it.health.is_resting(now));
+        let ejected = takes.iter().filter(|it| it.health.is_ejected(now));
         (takes.len(), ejected.count())
     }
 
@@ -265,7 +265,7 @@
                 .typical_utilization
                 .entry(it.entry.service.clone())
                 .or_default();
-            *typical_utilization += WEIGHT * (load.used() - *typical_utilization);
+            *typical_utilization += WEIGHT * (load.utilization() - *typical_utilization);
         }
     }
 
@@ -306,10 +306,10 @@
         let Some(it) = self.endpoints.get_mut(key) else {
             return false;
         };
-        let is_ejected =
-            it.health.bad(now, typical_failure_rate) && ejected_fraction < MAX_EJECTED_FRACTION;
+        let is_ejected = it.health.record_failure(now, typical_failure_rate)
+            && ejected_fraction < MAX_EJECTED_FRACTION;
         if is_ejected {
-            it.health.rest(now);
+            it.health.eject(now);
         }
         is_ejected
     }
@@ -328,10 +328,10 @@
                 continue;
             }
             count += 1.0;
-            if it.health.is_resting(now) {
+            if it.health.is_ejected(now) {
                 ejected += 1.0;
             } else {
-                failure_rate += it.health.bad_share();
+                failure_rate += it.health.error_rate();
             }
         }
         if count == 0.0 {
--- a/crates/route/src/endpoint.rs
+++ b/crates/route/src/endpoint.rs
@@ -14,7 +14,7 @@
 /// Identifies one process of an endpoint, from its start to its exit. All hosts compute the
 /// same value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Process(u64);
+pub struct ProcessId(u64);
 
 /// A directory entry of an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     pub cold: Duration,
 }
 
-impl Process {
+impl ProcessId {
     /// Returns the sort key of a host for rendezvous hashing with this process.
     pub(crate) fn rank(self, host: u64) -> u64 {
         hash::of(&(self.0, host))
@@ -50,8 +50,8 @@
 impl Entry {
     /// Returns the ID of the endpoint's current process.
     #[must_use]
-    pub fn process(&self) -> Process {
-        Process(hash::of(&(&self.id, self.incarnation)))
+    pub fn process(&self) -> ProcessId {
+        ProcessId(hash::of(&(&self.id, self.incarnation)))
     }
 }
 
@@ -84,7 +84,7 @@
 
     /// Returns the load relative to the slots; more than 1 if requests are queued.
     #[must_use]
-    pub fn used(self) -> f64 {
+    pub fn utilization(self) -> f64 {
         self.requests() / f64::from(self.slots.max(1))
     }
 }
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -28,16 +28,16 @@
 }
 
 impl Health {
-    pub(crate) fn is_resting(&self, now: Duration) -> bool {
+    pub(crate) fn is_ejected(&self, now: Duration) -> bool {
         now < self.ejected_until
     }
 
     /// Returns the error rate, biased towards zero while there are few responses.
-    pub(crate) fn bad_share(&self) -> f64 {
+    pub(crate) fn error_rate(&self) -> f64 {
         self.failures / (self.successes + self.failures + 1.0)
     }
 
-    pub(crate) fn good(&mut self, now: Duration) {
+    pub(crate) fn record_success(&mut self, now: Duration) {
         self.decay(now);
         self.successes += 1.0;
         if self.failures < 1.0 {
@@ -47,21 +47,21 @@
 
     /// Records a failure and returns whether the endpoint should be ejected. `usual` is the
     /// error rate of the service's other endpoints.
-    pub(crate) fn bad(&mut self, now: Duration, usual: f64) -> bool {
+    pub(crate) fn record_failure(&mut self, now: Duration, usual: f64) -> bool {
         self.decay(now);
         self.failures += 1.0;
         self.failures >= MIN_FAILURES
-            && self.bad_share() > usual + ERROR_RATE_MARGIN
-            && !self.is_resting(now)
+            && self.error_rate() > usual + ERROR_RATE_MARGIN
+            && !self.is_ejected(now)
     }
 
-    pub(crate) fn unreachable(&mut self, now: Duration) {
+    pub(crate) fn record_unreachable(&mut self, now: Duration) {
         self.decay(now);
         self.failures += 1.0;
         self.ejected_until = self.ejected_until.max(now + CONNECT_EJECTION);
     }
 
-    pub(crate) fn rest(&mut self, now: Duration) {
+    pub(crate) fn eject(&mut self, now: Duration) {
         let ejection = FIRST_EJECTION * 2u32.pow(self.ejections.min(3));
         self.ejected_until = now + ejection.min(MAX_EJECTION);
         self.ejections += 1;
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -14,8 +14,8 @@
 use quarantined::QuarantinedRequest;
 use survived::SurvivedRequests;
 
-use crate::Print;
-use crate::endpoint::Process;
+use crate::RequestFingerprint;
+use crate::endpoint::ProcessId;
 
 pub(crate) use finished::{FinishedAttempt, Outcome};
 pub use update::{ExitReport, QuarantineReport, Update};
@@ -57,19 +57,19 @@
 /// a further exit distinguishes them. See `docs/design/quarantine.md`.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    exits: BTreeMap<Process, Exit>,
+    exits: BTreeMap<ProcessId, Exit>,
     /// The exits of which a request is a suspect.
-    exits_by_request: HashMap<Print, BTreeSet<Process>>,
+    exits_by_request: HashMap<RequestFingerprint, BTreeSet<ProcessId>>,
     /// The quarantined requests.
-    quarantined: HashMap<Print, QuarantinedRequest>,
+    quarantined: HashMap<RequestFingerprint, QuarantinedRequest>,
     /// Requests released from quarantine since the driver last asked.
-    released: Vec<Print>,
+    released: Vec<RequestFingerprint>,
     /// Recently finished attempts whose endpoints may still exit because of them.
     finished: VecDeque<FinishedAttempt>,
     /// Requests that an endpoint recently survived.
     survived: SurvivedRequests,
     /// Requests quarantined since the driver last asked.
-    newly_quarantined: Vec<Print>,
+    newly_quarantined: Vec<RequestFingerprint>,
     /// When all quarantined requests were last sent to other hosts.
     last_full_update: Duration,
     /// Whether anything changed since the driver last asked.
@@ -79,19 +79,22 @@
 impl Quarantine {
     /// Returns the time that a request stays quarantined, or `None` if it isn't.
     #[must_use]
-    pub fn remaining(&self, now: Duration, print: Print) -> Option<Duration> {
-        let time_left = self.quarantined.get(&print)?.time_left(now);
+    pub fn remaining(&self, now: Duration, fingerprint: RequestFingerprint) -> Option<Duration> {
+        let time_left = self.quarantined.get(&fingerprint)?.time_left(now);
         (!time_left.is_zero()).then_some(time_left)
     }
 
     /// Returns whether a request must not be retried: it is quarantined, or it would be if the
     /// endpoints whose connections broke during its attempts have exited.
-    pub(crate) fn blocks_retry(&self, now: Duration, print: Print) -> bool {
-        if self.remaining(now, print).is_some() {
+    pub(crate) fn blocks_retry(&self, now: Duration, fingerprint: RequestFingerprint) -> bool {
+        if self.remaining(now, fingerprint).is_some() {
             return true;
         }
-        let mut exits = self.counted_exits(print);
-        let broken = self.finished.iter().filter(|it| it.broke_connection(print));
+        let mut exits = self.counted_exits(fingerprint);
+        let broken = self
+            .finished
+            .iter()
+            .filter(|it| it.broke_connection(fingerprint));
         exits.extend(broken.map(|it| it.process));
         exits.len() >= MIN_EXITS
     }
@@ -110,9 +113,10 @@
 
     /// Takes the requests quarantined since the last call, each with the number of exits of which
     /// it is a suspect, as far as this host knows.
-    pub fn take_quarantined(&mut self) -> Vec<(Print, usize)> {
+    pub fn take_quarantined(&mut self) -> Vec<(RequestFingerprint, usize)> {
         let newly_quarantined = std::mem::take(&mut self.newly_quarantined);
-        let exits = |it: &Print| self.exits_by_request.get(it).map_or(0, BTreeSet::len);
+        let exits =
+            |it: &RequestFingerprint| self.exits_by_request.get(it).map_or(0, BTreeSet::len);
         newly_quarantined
             .into_iter()
             .map(|it| (it, exits(&it)))
@@ -129,7 +133,7 @@
         self.expire(now);
         if let Some(exit) = self.exits.get(&finished.process) {
             let is_close = now.saturating_sub(exit.at) <= MAX_EXIT_DELAY;
-            if is_close && self.add_suspect(now, finished.process, finished.print) {
+            if is_close && self.add_suspect(now, finished.process, finished.fingerprint) {
                 self.quarantine_suspects(now, finished.process);
             }
             return;
@@ -141,7 +145,7 @@
     }
 
     /// Records that an endpoint's process has exited.
-    pub(crate) fn record_exit(&mut self, now: Duration, process: Process) {
+    pub(crate) fn record_exit(&mut self, now: Duration, process: ProcessId) {
         self.expire(now);
         if self.exits.contains_key(&process) {
             return;
@@ -151,7 +155,7 @@
     }
 
     /// Records that an endpoint's process is alive although connections to it broke.
-    pub(crate) fn record_alive(&mut self, process: Process) {
+    pub(crate) fn record_alive(&mut self, process: ProcessId) {
         let broken =
             |it: &&mut FinishedAttempt| it.process == process && it.outcome == Outcome::Broken;
         for it in self.finished.iter_mut().filter(broken) {
@@ -160,7 +164,7 @@
     }
 
     /// Returns whether the process is known to have exited.
-    pub(crate) fn has_exited(&self, process: Process) -> bool {
+    pub(crate) fn has_exited(&self, process: ProcessId) -> bool {
         self.exits.contains_key(&process)
     }
 
@@ -169,15 +173,16 @@
         while let Some(it) = self.finished.front()
             && now.saturating_sub(it.at) > MAX_EXIT_DELAY
         {
-            let (print, outcome) = (it.print, it.outcome);
+            let (fingerprint, outcome) = (it.fingerprint, it.outcome);
             self.finished.pop_front();
             if outcome == Outcome::Answered {
-                self.survived.record(now, print);
-                self.clear(now, print);
+                self.survived.record(now, fingerprint);
+                self.clear(now, fingerprint);
             }
         }
-        let is_over = |it: &(&Print, &QuarantinedRequest)| it.1.time_left(now).is_zero();
-        let over: Vec<Print> = self
+        let is_over =
+            |it: &(&RequestFingerprint, &QuarantinedRequest)| it.1.time_left(now).is_zero();
+        let over: Vec<RequestFingerprint> = self
             .quarantined
             .iter()
             .filter(is_over)
@@ -189,26 +194,26 @@
     }
 
     /// Clears a request because an endpoint survived its response.
-    fn clear(&mut self, now: Duration, print: Print) {
-        let Some(processes) = self.exits_by_request.get(&print) else {
+    fn clear(&mut self, now: Duration, fingerprint: RequestFingerprint) {
+        let Some(processes) = self.exits_by_request.get(&fingerprint) else {
             return;
         };
         for it in processes {
             if let Some(exit) = self.exits.get_mut(it) {
-                self.has_changes |= exit.clear(now, print);
+                self.has_changes |= exit.clear(now, fingerprint);
             }
         }
-        self.release(print);
+        self.release(fingerprint);
     }
 
-    fn release(&mut self, print: Print) {
-        if self.quarantined.remove(&print).is_some() {
-            self.released.push(print);
+    fn release(&mut self, fingerprint: RequestFingerprint) {
+        if self.quarantined.remove(&fingerprint).is_some() {
+            self.released.push(fingerprint);
         }
     }
 
     /// Adds an exit, with the requests that this host had there until shortly before.
-    fn add_exit(&mut self, now: Duration, process: Process, at: Duration) {
+    fn add_exit(&mut self, now: Duration, process: ProcessId, at: Duration) {
         self.evict_exits(now);
         self.exits.insert(process, Exit::new(at, now));
         self.has_changes = true;
@@ -217,7 +222,7 @@
             .partition::<VecDeque<_>, _>(|it| it.process == process);
         self.finished = rest;
         for it in here {
-            self.add_suspect(now, process, it.print);
+            self.add_suspect(now, process, it.fingerprint);
         }
     }
 
@@ -230,44 +235,49 @@
         }
     }
 
-    fn remove_exit(&mut self, process: Process) {
+    fn remove_exit(&mut self, process: ProcessId) {
         let Some(exit) = self.exits.remove(&process) else {
             return;
         };
-        for print in exit.suspects() {
-            if let Some(processes) = self.exits_by_request.get_mut(&print) {
+        for fingerprint in exit.suspects() {
+            if let Some(processes) = self.exits_by_request.get_mut(&fingerprint) {
                 processes.remove(&process);
                 if processes.is_empty() {
-                    self.exits_by_request.remove(&print);
+                    self.exits_by_request.remove(&fingerprint);
                 }
             }
         }
     }
 
     /// Adds a request to an exit's suspects. Returns whether it is new there.
-    fn add_suspect(&mut self, now: Duration, process: Process, print: Print) -> bool {
+    fn add_suspect(
+        &mut self,
+        now: Duration,
+        process: ProcessId,
+        fingerprint: RequestFingerprint,
+    ) -> bool {
         let is_new = self
             .exits
             .get_mut(&process)
-            .is_some_and(|it| it.add_suspect(now, print));
+            .is_some_and(|it| it.add_suspect(now, fingerprint));
         if is_new {
             self.exits_by_request
-                .entry(print)
+                .entry(fingerprint)
                 .or_default()
                 .insert(process);
             self.has_changes = true;
         }
         if is_new
-            && self.survived.contains(now, print)
+            && self.survived.contains(now, fingerprint)
             && let Some(exit) = self.exits.get_mut(&process)
         {
-            exit.clear(now, print);
+            exit.clear(now, fingerprint);
         }
         is_new
     }
 
     /// Quarantines those suspects of an exit that were found at too many exits.
-    fn quarantine_suspects(&mut self, now: Duration, process: Process) {
+    fn quarantine_suspects(&mut self, now: Duration, process: ProcessId) {
         while let Some(exit) = self.exits.get(&process) {
             let worst = exit
                 .suspects()
@@ -275,14 +285,14 @@
                 .map(|it| (self.counted_exits(it).len(), it))
                 .filter(|&(n, it)| n >= MIN_SHARED_EXITS || (n >= MIN_EXITS && !self.has_rival(it)))
                 .max();
-            let Some((_, print)) = worst else {
+            let Some((_, fingerprint)) = worst else {
                 return;
             };
-            self.add_quarantined(now, print, now);
+            self.add_quarantined(now, fingerprint, now);
         }
     }
 
-    fn add_quarantined(&mut self, now: Duration, print: Print, since: Duration) {
+    fn add_quarantined(&mut self, now: Duration, fingerprint: RequestFingerprint, since: Duration) {
         if self.quarantined.len() == MAX_QUARANTINED
             && let Some((&oldest, _)) = self.quarantined.iter().min_by_key(|it| it.1.since)
         {
@@ -293,10 +303,15 @@
             changed: now,
             is_persisted: false,
         };
-        self.quarantined.insert(print, quarantined);
-        self.newly_quarantined.push(print);
+        self.quarantined.insert(fingerprint, quarantined);
+        self.newly_quarantined.push(fingerprint);
         self.has_changes = true;
-        for process in self.exits_by_request.get(&print).into_iter().flatten() {
+        for process in self
+            .exits_by_request
+            .get(&fingerprint)
+            .into_iter()
+            .flatten()
+        {
             if let Some(it) = self.exits.get_mut(process) {
                 it.touch(now);
             }
@@ -305,15 +320,14 @@
 
     /// Returns the exits that count against a request: those that no other quarantined request
     /// explains.
-    fn counted_exits(&self, print: Print) -> BTreeSet<Process> {
-        let found = self.exits_by_request.get(&print);
-        let counts = |it: &&Process| {
+    fn counted_exits(&self, fingerprint: RequestFingerprint) -> BTreeSet<ProcessId> {
+        let found = self.exits_by_request.get(&fingerprint);
+        let counts = |it: &&ProcessId| {
             self.exits.get(it).is_some_and(|exit| {
-                exit.is_suspect(print)
-                    && !self
-                        .quarantined
-                        .keys()
-                        .any(|quarantined| *quarantined != print && exit.is_suspect(*quarantined))
+                exit.is_suspect(fingerprint)
+                    && !self.quarantined.keys().any(|quarantined| {
+                        *quarantined != fingerprint && exit.is_suspect(*quarantined)
+                    })
             })
         };
         found
@@ -325,15 +339,15 @@
     }
 
     /// Returns whether another request is a suspect of all exits that count against this one.
-    fn has_rival(&self, print: Print) -> bool {
-        let counted_exits = self.counted_exits(print);
+    fn has_rival(&self, fingerprint: RequestFingerprint) -> bool {
+        let counted_exits = self.counted_exits(fingerprint);
         let mut exits = counted_exits.iter().filter_map(|it| self.exits.get(it));
         let Some(first) = exits.next() else {
             return false;
         };
-        let mut rivals: BTreeSet<Print> = first
+        let mut rivals: BTreeSet<RequestFingerprint> = first
             .uncleared_suspects()
-            .filter(|it| *it != print)
+            .filter(|it| *it != fingerprint)
             .collect();
         for exit in exits {
             rivals.retain(|it| exit.is_suspect(*it));
--- a/crates/route/src/quarantine/exit.rs
+++ b/crates/route/src/quarantine/exit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::MAX_SUSPECTS;
-use crate::Print;
+use crate::RequestFingerprint;
 
 /// The exit of an endpoint's process.
 #[derive(Clone, Debug)]
@@ -14,9 +14,9 @@
     /// When this host's information on it last changed.
     changed: Duration,
     /// The requests in flight there.
-    suspects: BTreeSet<Print>,
+    suspects: BTreeSet<RequestFingerprint>,
     /// Requests that an endpoint survived.
-    cleared: BTreeSet<Print>,
+    cleared: BTreeSet<RequestFingerprint>,
 }
 
 impl Exit {
@@ -40,8 +40,8 @@
     }
 
     /// Adds a suspect. Returns whether it is new.
-    pub(super) fn add_suspect(&mut self, now: Duration, print: Print) -> bool {
-        let is_new = self.suspects.len() < MAX_SUSPECTS && self.suspects.insert(print);
+    pub(super) fn add_suspect(&mut self, now: Duration, fingerprint: RequestFingerprint) -> bool {
+        let is_new = self.suspects.len() < MAX_SUSPECTS && self.suspects.insert(fingerprint);
         if is_new {
             self.changed = now;
         }
@@ -50,8 +50,8 @@
 
     /// Clears a request. Returns whether that is new. A request may be cleared before it becomes a
     /// suspect here.
-    pub(super) fn clear(&mut self, now: Duration, print: Print) -> bool {
-        let is_new = self.cleared.len() < MAX_SUSPECTS && self.cleared.insert(print);
+    pub(super) fn clear(&mut self, now: Duration, fingerprint: RequestFingerprint) -> bool {
+        let is_new = self.cleared.len() < MAX_SUSPECTS && self.cleared.insert(fingerprint);
         if is_new {
             self.changed = now;
         }
@@ -59,22 +59,22 @@
     }
 
     /// Returns whether a request is a suspect and not cleared.
-    pub(super) fn is_suspect(&self, print: Print) -> bool {
-        self.suspects.contains(&print) && !self.cleared.contains(&print)
+    pub(super) fn is_suspect(&self, fingerprint: RequestFingerprint) -> bool {
+        self.suspects.contains(&fingerprint) && !self.cleared.contains(&fingerprint)
     }
 
     /// Returns the suspects that are not cleared.
-    pub(super) fn uncleared_suspects(&self) -> impl Iterator<Item = Print> {
+    pub(super) fn uncleared_suspects(&self) -> impl Iterator<Item = RequestFingerprint> {
         self.suspects.difference(&self.cleared).copied()
     }
 
     /// Returns all suspects.
-    pub(super) fn suspects(&self) -> impl Iterator<Item = Print> {
+    pub(super) fn suspects(&self) -> impl Iterator<Item = RequestFingerprint> {
         self.suspects.iter().copied()
     }
 
     /// Returns the cleared requests.
-    pub(super) fn cleared(&self) -> impl Iterator<Item = Print> {
+    pub(super) fn cleared(&self) -> impl Iterator<Item = RequestFingerprint> {
         self.cleared.iter().copied()
     }
 }
--- a/crates/route/src/quarantine/finished.rs
+++ b/crates/route/src/quarantine/finished.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use crate::endpoint::Process;
-use crate::{Ending, Print};
+use crate::endpoint::ProcessId;
+use crate::{Ending, RequestFingerprint};
 
 /// A finished attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,9 +11,9 @@
     /// When it ended.
     pub(crate) at: Duration,
     /// The endpoint's process.
-    pub(crate) process: Process,
+    pub(crate) process: ProcessId,
     /// The request.
-    pub(crate) print: Print,
+    pub(crate) fingerprint: RequestFingerprint,
     /// What its ending implies for the process.
     pub(crate) outcome: Outcome,
 }
@@ -36,17 +36,17 @@
         match ending {
             Ending::Answered => Some(Self::Answered),
             Ending::Broken => Some(Self::Broken),
-            Ending::Failed | Ending::Silent | Ending::Unsure | Ending::Cancelled => {
+            Ending::Failed | Ending::TimedOut | Ending::LowConfidence | Ending::Cancelled => {
                 Some(Self::Unknown)
             }
-            Ending::NotSent | Ending::Withheld | Ending::Refused | Ending::Moved => None,
+            Ending::NotSent | Ending::Withheld | Ending::Refused | Ending::Misdirected => None,
         }
     }
 }
 
 impl FinishedAttempt {
     /// Returns whether this is an attempt of the given request whose connection broke.
-    pub(super) fn broke_connection(&self, print: Print) -> bool {
-        self.print == print && self.outcome == Outcome::Broken
+    pub(super) fn broke_connection(&self, fingerprint: RequestFingerprint) -> bool {
+        self.fingerprint == fingerprint && self.outcome == Outcome::Broken
     }
 }
--- a/crates/route/src/quarantine/persistence.rs
+++ b/crates/route/src/quarantine/persistence.rs
@@ -3,20 +3,20 @@
 use std::time::Duration;
 
 use super::Quarantine;
-use crate::Print;
+use crate::RequestFingerprint;
 
 impl Quarantine {
     /// Returns the quarantined requests that the store doesn't contain yet.
     #[must_use]
-    pub fn unpersisted(&self) -> Vec<Print> {
+    pub fn unpersisted(&self) -> Vec<RequestFingerprint> {
         let unpersisted = self.quarantined.iter().filter(|it| !it.1.is_persisted);
         unpersisted.map(|it| *it.0).collect()
     }
 
     /// Records that the store contains these requests.
-    pub fn mark_persisted(&mut self, now: Duration, prints: &[Print]) {
-        for print in prints {
-            if let Some(it) = self.quarantined.get_mut(print) {
+    pub fn mark_persisted(&mut self, now: Duration, fingerprints: &[RequestFingerprint]) {
+        for fingerprint in fingerprints {
+            if let Some(it) = self.quarantined.get_mut(fingerprint) {
                 it.is_persisted = true;
                 it.changed = now;
                 self.has_changes = true;
@@ -32,17 +32,17 @@
     }
 
     /// Quarantines requests that the store contains from before this host's start.
-    pub fn load_persisted(&mut self, now: Duration, prints: &[Print]) {
-        for print in prints {
-            if !self.quarantined.contains_key(print) {
-                self.add_quarantined(now, *print, now);
+    pub fn load_persisted(&mut self, now: Duration, fingerprints: &[RequestFingerprint]) {
+        for fingerprint in fingerprints {
+            if !self.quarantined.contains_key(fingerprint) {
+                self.add_quarantined(now, *fingerprint, now);
             }
         }
-        self.mark_persisted(now, prints);
+        self.mark_persisted(now, fingerprints);
     }
 
     /// Takes the requests released from quarantine since the last call.
-    pub fn take_released(&mut self) -> Vec<Print> {
+    pub fn take_released(&mut self) -> Vec<RequestFingerprint> {
         std::mem::take(&mut self.released)
     }
 }
--- a/crates/route/src/quarantine/survived.rs
+++ b/crates/route/src/quarantine/survived.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use crate::Print;
+use crate::RequestFingerprint;
 
 /// How long a request counts as safe. Longer than a period in which many endpoints exit at once,
 /// and than the interval between identical requests of many callers.
@@ -14,26 +14,26 @@
 /// Requests that an endpoint recently survived.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SurvivedRequests {
-    latest: HashMap<Print, Duration>,
-    order: VecDeque<(Duration, Print)>,
+    latest: HashMap<RequestFingerprint, Duration>,
+    order: VecDeque<(Duration, RequestFingerprint)>,
 }
 
 impl SurvivedRequests {
     /// Records that an endpoint survived a request.
-    pub(super) fn record(&mut self, now: Duration, print: Print) {
+    pub(super) fn record(&mut self, now: Duration, fingerprint: RequestFingerprint) {
         if self.order.len() == MAX_REQUESTS
             && let Some((at, oldest)) = self.order.pop_front()
             && self.latest.get(&oldest) == Some(&at)
         {
             self.latest.remove(&oldest);
         }
-        self.latest.insert(print, now);
-        self.order.push_back((now, print));
+        self.latest.insert(fingerprint, now);
+        self.order.push_back((now, fingerprint));
     }
 
     /// Returns whether an endpoint recently survived the request.
-    pub(super) fn contains(&self, now: Duration, print: Print) -> bool {
-        let at = self.latest.get(&print);
+    pub(super) fn contains(&self, now: Duration, fingerprint: RequestFingerprint) -> bool {
+        let at = self.latest.get(&fingerprint);
         at.is_some_and(|it| now.saturating_sub(*it) <= VALIDITY)
     }
 }
--- a/crates/route/src/quarantine/update.rs
+++ b/crates/route/src/quarantine/update.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{QUARANTINE_TIME, Quarantine};
-use crate::Print;
-use crate::endpoint::Process;
+use crate::RequestFingerprint;
+use crate::endpoint::ProcessId;
 use crate::rollout::Scope;
 
 /// How often all quarantined requests are sent again, for hosts that missed them during a network
@@ -33,20 +33,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExitReport {
     /// The process.
-    pub process: Process,
+    pub process: ProcessId,
     /// How long ago it was detected.
     pub age: Duration,
     /// The requests in flight there.
-    pub suspects: Vec<Print>,
+    pub suspects: Vec<RequestFingerprint>,
     /// Requests that an endpoint survived.
-    pub cleared: Vec<Print>,
+    pub cleared: Vec<RequestFingerprint>,
 }
 
 /// A quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineReport {
     /// The request.
-    pub print: Print,
+    #[serde(rename = "print")]
+    pub fingerprint: RequestFingerprint,
     /// How long it has been quarantined.
     pub age: Duration,
     /// Whether the store contains it.
@@ -92,8 +93,8 @@
         let is_fresh = |at: Duration| now.saturating_sub(at) <= CHANGE_RESEND_TIME;
         let quarantined = self.quarantined.iter();
         let quarantined = quarantined.filter(|(_, it)| includes_all || is_fresh(it.changed));
-        let quarantined = quarantined.map(|(print, it)| QuarantineReport {
-            print: *print,
+        let quarantined = quarantined.map(|(fingerprint, it)| QuarantineReport {
+            fingerprint: *fingerprint,
             age: now.saturating_sub(it.since),
             is_persisted: it.is_persisted,
         });
@@ -122,17 +123,17 @@
         if is_new {
             self.add_exit(now, report.process, now.saturating_sub(report.age));
         }
-        for print in &report.cleared {
+        for fingerprint in &report.cleared {
             if let Some(exit) = self.exits.get_mut(&report.process)
-                && exit.clear(now, *print)
+                && exit.clear(now, *fingerprint)
             {
                 is_new = true;
                 self.has_changes = true;
-                self.release(*print);
+                self.release(*fingerprint);
             }
         }
-        for print in &report.suspects {
-            is_new |= self.add_suspect(now, report.process, *print);
+        for fingerprint in &report.suspects {
+            is_new |= self.add_suspect(now, report.process, *fingerprint);
         }
         if is_new {
             self.quarantine_suspects(now, report.process);
@@ -140,23 +141,27 @@
     }
 
     fn apply_quarantined(&mut self, now: Duration, report: &QuarantineReport) {
-        let is_known = self.quarantined.contains_key(&report.print);
-        if report.age < QUARANTINE_TIME && !is_known && !self.is_cleared(report.print) {
-            self.add_quarantined(now, report.print, now.saturating_sub(report.age));
+        let is_known = self.quarantined.contains_key(&report.fingerprint);
+        if report.age < QUARANTINE_TIME && !is_known && !self.is_cleared(report.fingerprint) {
+            self.add_quarantined(now, report.fingerprint, now.saturating_sub(report.age));
         }
         let is_persisted = self
             .quarantined
-            .get(&report.print)
+            .get(&report.fingerprint)
             .is_some_and(|it| it.is_persisted);
         if report.is_persisted && !is_persisted {
-            self.mark_persisted(now, &[report.print]);
+            self.mark_persisted(now, &[report.fingerprint]);
         }
     }
 
     /// Returns whether this host knows that a request quarantined elsewhere was cleared.
-    fn is_cleared(&self, print: Print) -> bool {
-        let found = self.exits_by_request.get(&print).into_iter().flatten();
+    fn is_cleared(&self, fingerprint: RequestFingerprint) -> bool {
+        let found = self
+            .exits_by_request
+            .get(&fingerprint)
+            .into_iter()
+            .flatten();
         let mut exits = found.filter_map(|it| self.exits.get(it));
-        exits.any(|it| !it.is_suspect(print))
+        exits.any(|it| !it.is_suspect(fingerprint))
     }
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -27,13 +27,13 @@
 use crate::prefill::PrefillEstimator;
 use crate::rollout::Order;
 use crate::sessions::Sessions;
-use crate::{Directory, Print, Quarantine, RetryBudget, Rollout, Settings};
+use crate::{Directory, Quarantine, RequestFingerprint, RetryBudget, Rollout, Settings};
 
 pub use denial::Denial;
-pub use in_flight::Flight;
-pub use incoming::Arrival;
+pub use in_flight::InFlight;
+pub use incoming::IncomingRequest;
 pub use placement::Placement;
-pub use rollouts::Heard;
+pub use rollouts::RolloutChanges;
 
 /// Added to the session gap, which the caller measures from the end of a response
 /// and this host from the session's last event that it has recorded.
@@ -62,7 +62,7 @@
     first_byte_times: HashMap<Arc<str>, Duration>,
     /// When the current listing was read.
     listing_time: Option<Duration>,
-    /// Endpoints that were ejected since the last [`Self::take_rested`].
+    /// Endpoints that were ejected since the last [`Self::take_ejected`].
     ejected: Vec<(EndpointId, Ending)>,
     hosts: u32,
     rng: Pcg32,
@@ -134,13 +134,18 @@
     }
 
     /// Replaces the listing of endpoints and returns what changed.
-    pub fn list(&mut self, now: Duration, entries: Vec<Entry>, absence: Absence) -> Change {
+    pub fn update_listing(
+        &mut self,
+        now: Duration,
+        entries: Vec<Entry>,
+        absence: Absence,
+    ) -> Change {
         self.listing_time = Some(now);
         self.directory.apply_listing(now, entries, absence)
     }
 
     /// Records that the store was restored from an older copy.
-    pub fn restored(&mut self, now: Duration) {
+    pub fn store_restored(&mut self, now: Duration) {
         self.directory.store_restored(now);
         self.quarantine.store_restored();
     }
@@ -152,13 +157,13 @@
 
     /// Returns when the current listing was last read or confirmed.
     #[must_use]
-    pub fn listed(&self) -> Option<Duration> {
+    pub fn listing_time(&self) -> Option<Duration> {
         self.listing_time
     }
 
     /// Returns the endpoints that were ejected since the last call, each with the ending
     /// that caused it.
-    pub fn take_rested(&mut self) -> Vec<(EndpointId, Ending)> {
+    pub fn take_ejected(&mut self) -> Vec<(EndpointId, Ending)> {
         std::mem::take(&mut self.ejected)
     }
 
@@ -178,7 +183,7 @@
     }
 
     /// Sets the number of hosts that share retry budgets, including this one.
-    pub fn set_hosts(&mut self, hosts: u32) {
+    pub fn set_host_count(&mut self, hosts: u32) {
         self.hosts = hosts.max(1);
     }
 
@@ -186,14 +191,14 @@
     ///
     /// # Errors
     /// Returns the reason if the request is denied.
-    pub fn admit(&mut self, now: Duration, incoming: Arrival<'_>) -> Result<Call, Denial> {
-        let Arrival {
+    pub fn admit(&mut self, now: Duration, incoming: IncomingRequest<'_>) -> Result<Call, Denial> {
+        let IncomingRequest {
             host,
             path,
             body,
             key,
-            patience,
-            shape,
+            timeout,
+            profile,
             id,
         } = incoming;
         let config = self.config.as_ref().ok_or(Denial::NotReady)?;
@@ -205,7 +210,7 @@
             }
             _ => None,
         };
-        let number = match &shape.session {
+        let number = match &profile.session {
             Some(session) => hash::of(session.as_str()),
             None => hash::of(id),
         };
@@ -213,13 +218,24 @@
             .service(hash::unit(number))
             .ok_or(Denial::NoRoute)?
             .clone();
-        let patience = patience.unwrap_or(route.timeout).min(route.timeout);
+        let timeout = timeout.unwrap_or(route.timeout).min(route.timeout);
         let route = route.clone();
-        let print = Print::of(path, customer.as_ref().map(|it| &it.name), body);
-        if let Some(retry_after) = self.quarantine.remaining(now, print) {
-            return Err(Denial::Quarantined { print, retry_after });
+        let fingerprint = RequestFingerprint::of(path, customer.as_ref().map(|it| &it.name), body);
+        if let Some(retry_after) = self.quarantine.remaining(now, fingerprint) {
+            return Err(Denial::Quarantined {
+                fingerprint,
+                retry_after,
+            });
         }
-        let mut call = Call::new(route, customer, service, shape, print, now, now + patience);
+        let mut call = Call::new(
+            route,
+            customer,
+            service,
+            profile,
+            fingerprint,
+            now,
+            now + timeout,
+        );
         call.assignment = self.assign_release(now, &call, number);
         self.budget(&call.service).record_request(now);
         Ok(call)
--- a/crates/route/src/router/attempts.rs
+++ b/crates/route/src/router/attempts.rs
@@ -4,13 +4,18 @@
 
 use kernel::hash;
 
-use super::{CROWDED_UTILIZATION, Flight, Placement, Router, SESSION_GAP_MARGIN};
+use super::{CROWDED_UTILIZATION, InFlight, Placement, Router, SESSION_GAP_MARGIN};
 use crate::call::{Call, Ending, Failure, Next, Retry};
 use crate::rollout::Side;
 
 impl Router {
     /// Starts an attempt at the chosen endpoint.
-    pub fn begin(&mut self, now: Duration, call: &mut Call, placement: &Placement) -> Flight {
+    pub fn begin_attempt(
+        &mut self,
+        now: Duration,
+        call: &mut Call,
+        placement: &Placement,
+    ) -> InFlight {
         call.attempts += 1;
         call.tried.push(placement.endpoint);
         let expected_latency = call
@@ -20,7 +25,7 @@
         let pending_prefill = expected_latency.unwrap_or_default();
         let is_filling = self.filling_endpoint(now, call) == Some(placement.endpoint);
         if let Some(it) = self.directory.get_mut(placement.endpoint) {
-            if let Some(session) = &call.shape.session {
+            if let Some(session) = &call.profile.session {
                 let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
                 let release = &it.entry.release;
                 self.sessions.record(now, session, release, gap);
@@ -30,13 +35,13 @@
             it.pending_prefill += pending_prefill;
         }
         let process = self.directory.get(placement.endpoint);
-        Flight {
+        InFlight {
             endpoint: placement.endpoint,
-            print: call.print,
+            fingerprint: call.fingerprint,
             process: process.map(|it| it.entry.process()),
             started: now,
             pending_prefill,
-            is_crowded: placement.used >= CROWDED_UTILIZATION,
+            is_crowded: placement.utilization >= CROWDED_UTILIZATION,
             is_filling,
             expected_latency,
             response_started: None,
@@ -46,13 +51,13 @@
     }
 
     /// Records that the first part of an attempt's response was received.
-    pub fn first(&mut self, now: Duration, call: &Call, flight: &mut Flight) {
-        if flight.response_started.is_some() {
+    pub fn response_started(&mut self, now: Duration, call: &Call, in_flight: &mut InFlight) {
+        if in_flight.response_started.is_some() {
             return;
         }
-        flight.response_started = Some(now);
-        self.finish_prefill(flight);
-        let took = now.saturating_sub(flight.started);
+        in_flight.response_started = Some(now);
+        self.finish_prefill(in_flight);
+        let took = now.saturating_sub(in_flight.started);
         let Some(model) = call.model() else {
             /// The weight of one response in the moving average.
             const SMOOTHING: f64 = 0.05;
@@ -65,31 +70,37 @@
         };
         let key = (call.service.clone(), model.clone());
         let estimator = self.prefill_estimators.entry(key).or_default();
-        estimator.record(call.shape.prompt_tokens, took);
+        estimator.record(call.profile.prompt_tokens, took);
     }
 
-    fn finish_prefill(&mut self, flight: &mut Flight) {
-        let pending_prefill = std::mem::take(&mut flight.pending_prefill);
-        if let Some(it) = self.directory.get_mut(flight.endpoint) {
+    fn finish_prefill(&mut self, in_flight: &mut InFlight) {
+        let pending_prefill = std::mem::take(&mut in_flight.pending_prefill);
+        if let Some(it) = self.directory.get_mut(in_flight.endpoint) {
             it.pending_prefill = it.pending_prefill.saturating_sub(pending_prefill);
         }
     }
 
     /// Ends an attempt and returns what to do with the request.
-    pub fn end(&mut self, now: Duration, call: &mut Call, flight: Flight, ending: Ending) -> Next {
-        if matches!(ending, Ending::Refused | Ending::Moved) {
-            call.refused.push(flight.endpoint);
+    pub fn end_attempt(
+        &mut self,
+        now: Duration,
+        call: &mut Call,
+        in_flight: InFlight,
+        ending: Ending,
+    ) -> Next {
+        if matches!(ending, Ending::Refused | Ending::Misdirected) {
+            call.refused.push(in_flight.endpoint);
         }
-        self.record_finished(now, &flight, ending);
-        self.record_outcome(now, call, flight, ending);
+        self.record_finished(now, &in_flight, ending);
+        self.record_outcome(now, call, in_flight, ending);
         call.record_ending(ending);
         if ending.is_unsent() {
             call.attempts -= 1;
         }
-        if !call.may_retry(now, ending) || self.quarantine.blocks_retry(now, call.print) {
+        if !call.may_retry(now, ending) || self.quarantine.blocks_retry(now, call.fingerprint) {
             return Next::Fail(self.failure(now, call, ending));
         }
-        if ending.is_unsent() || self.reserve(now, call, ending) {
+        if ending.is_unsent() || self.reserve_retry(now, call, ending) {
             call.retry = Retry::NotRequested;
             return Next::Again;
         }
@@ -112,7 +123,7 @@
     ///
     /// Call this before abandoning an attempt that may still succeed, such as one that is
     /// slow or whose model has low confidence: without a retry, the request would fail.
-    pub fn reserve(&mut self, now: Duration, call: &mut Call, ending: Ending) -> bool {
+    pub fn reserve_retry(&mut self, now: Duration, call: &mut Call, ending: Ending) -> bool {
         let hosts = self.hosts;
         if call.retry != Retry::Reserved
             && call.may_retry(now, ending)
@@ -124,35 +135,41 @@
     }
 
     /// Ends an attempt whose caller disconnected.
-    pub fn cancel(&mut self, now: Duration, mut flight: Flight) {
-        self.record_finished(now, &flight, Ending::Cancelled);
-        self.finish_prefill(&mut flight);
-        if let Some(it) = self.directory.get_mut(flight.endpoint) {
+    pub fn cancel_attempt(&mut self, now: Duration, mut in_flight: InFlight) {
+        self.record_finished(now, &in_flight, Ending::Cancelled);
+        self.finish_prefill(&mut in_flight);
+        if let Some(it) = self.directory.get_mut(in_flight.endpoint) {
             it.in_flight = it.in_flight.saturating_sub(1);
         }
     }
 
     /// Returns how a request fails for which there is no endpoint.
     #[must_use]
-    pub fn unplaced(&self, now: Duration, call: &Call) -> Failure {
+    pub fn unplaced_failure(&self, now: Duration, call: &Call) -> Failure {
         self.failure(now, call, Ending::NotSent)
     }
 
-    fn record_outcome(&mut self, now: Duration, call: &Call, mut flight: Flight, ending: Ending) {
-        self.finish_prefill(&mut flight);
-        let key = flight.endpoint;
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        call: &Call,
+        mut in_flight: InFlight,
+        ending: Ending,
+    ) {
+        self.finish_prefill(&mut in_flight);
+        let key = in_flight.endpoint;
         let Some(it) = self.directory.get_mut(key) else {
             return;
         };
         it.in_flight = it.in_flight.saturating_sub(1);
         let release = it.entry.release.clone();
-        if let Some(session) = &call.shape.session {
+        if let Some(session) = &call.profile.session {
             self.sessions.touch(now, session);
         }
         match ending {
-            Ending::Answered | Ending::Unsure => it.health.good(now),
-            Ending::NotSent | Ending::Moved => it.health.unreachable(now),
-            Ending::Failed | Ending::Broken | Ending::Silent => {
+            Ending::Answered | Ending::LowConfidence => it.health.record_success(now),
+            Ending::NotSent | Ending::Misdirected => it.health.record_unreachable(now),
+            Ending::Failed | Ending::Broken | Ending::TimedOut => {
                 let id = it.entry.id.clone();
                 if self.directory.record_failure(now, key) {
                     self.ejected.push((id, ending));
@@ -161,11 +178,11 @@
             Ending::Withheld | Ending::Refused | Ending::Cancelled => {}
         }
         let failed = match ending {
-            Ending::Answered | Ending::Unsure => false,
-            Ending::Failed | Ending::Broken | Ending::Silent => true,
+            Ending::Answered | Ending::LowConfidence => false,
+            Ending::Failed | Ending::Broken | Ending::TimedOut => true,
             _ => return,
         };
-        if ending == Ending::Silent && flight.is_filling {
+        if ending == Ending::TimedOut && in_flight.is_filling {
             // While the endpoint is filled, prompts queue there until they time out. Counting
             // the timeouts would get good releases reverted. Other failures count.
             return;
@@ -177,9 +194,9 @@
                 Side::Old
             };
             let class = hash::of(&(&call.route.name, call.cascade.model()));
-            let mut observation = flight.observation(class, failed);
+            let mut observation = in_flight.observation(class, failed);
             // On a crowded endpoint a timeout is no evidence against the release.
-            observation.is_crowded &= ending != Ending::Silent;
+            observation.is_crowded &= ending != Ending::TimedOut;
             rollout.record_response(side, &observation);
         }
     }
--- a/crates/route/src/router/denial.rs
+++ b/crates/route/src/router/denial.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::Print;
+use crate::RequestFingerprint;
 
 /// The reason that a request is denied before any endpoint is considered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, derive_more::Display)]
@@ -23,7 +23,7 @@
     #[display("quarantined")]
     Quarantined {
         /// The request's fingerprint.
-        print: Print,
+        fingerprint: RequestFingerprint,
         /// How long the request stays quarantined.
         retry_after: Duration,
     },
@@ -37,7 +37,7 @@
         Self::NoRoute,
         Self::UnknownKey,
         Self::Quarantined {
-            print: Print::NONE,
+            fingerprint: RequestFingerprint::NONE,
             retry_after: Duration::ZERO,
         },
     ];
--- a/crates/route/src/router/exits.rs
+++ b/crates/route/src/router/exits.rs
@@ -5,7 +5,7 @@
 
 use kernel::EndpointId;
 
-use super::{Flight, Router};
+use super::{InFlight, Router};
 use crate::endpoint::Key;
 use crate::evacuation::Access;
 use crate::quarantine::{FinishedAttempt, Outcome};
@@ -13,18 +13,18 @@
 
 impl Router {
     /// Records an attempt that ended, in case it made the endpoint's process exit.
-    pub(super) fn record_finished(&mut self, now: Duration, flight: &Flight, ending: Ending) {
-        let (Some(process), Some(outcome)) = (flight.process, Outcome::of(ending)) else {
+    pub(super) fn record_finished(&mut self, now: Duration, in_flight: &InFlight, ending: Ending) {
+        let (Some(process), Some(outcome)) = (in_flight.process, Outcome::of(ending)) else {
             return;
         };
         if outcome == Outcome::Broken && !self.quarantine.has_exited(process) {
-            self.probe_candidates.push(flight.endpoint);
+            self.probe_candidates.push(in_flight.endpoint);
         }
-        let print = flight.print;
+        let fingerprint = in_flight.fingerprint;
         let finished = FinishedAttempt {
             at: now,
             process,
-            print,
+            fingerprint,
             outcome,
         };
         self.quarantine.record_attempt(now, finished);
@@ -38,7 +38,7 @@
     /// Returns the endpoints to which connections broke since the last call and whose
     /// processes may have exited. Excludes endpoints in evacuated data centres, since no
     /// connections are opened to these.
-    pub fn take_doubted(&mut self) -> Vec<(Key, EndpointId, SocketAddr)> {
+    pub fn take_probe_candidates(&mut self) -> Vec<(Key, EndpointId, SocketAddr)> {
         let mut probe_candidates = std::mem::take(&mut self.probe_candidates);
         probe_candidates.sort_unstable();
         probe_candidates.dedup();
@@ -51,14 +51,14 @@
     }
 
     /// Records that an endpoint's process has exited: nothing listens at its address.
-    pub fn ended(&mut self, now: Duration, endpoint: Key) {
+    pub fn process_ended(&mut self, now: Duration, endpoint: Key) {
         if let Some(it) = self.directory.get(endpoint) {
             self.quarantine.record_exit(now, it.entry.process());
         }
     }
 
     /// Records that an endpoint's process is alive: it accepts connections.
-    pub fn stands(&mut self, endpoint: Key) {
+    pub fn process_alive(&mut self, endpoint: Key) {
         if let Some(it) = self.directory.get(endpoint) {
             self.quarantine.record_alive(it.entry.process());
         }
--- a/crates/route/src/router/in_flight.rs
+++ b/crates/route/src/router/in_flight.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-use crate::Print;
-use crate::endpoint::{Key, Process};
+use crate::RequestFingerprint;
+use crate::endpoint::{Key, ProcessId};
 use crate::rollout::Observation;
 
 /// An attempt in flight.
 #[derive(Debug)]
-pub struct Flight {
+pub struct InFlight {
     /// The endpoint.
     pub endpoint: Key,
     /// The request's fingerprint.
-    pub(super) print: Print,
+    pub(super) fingerprint: RequestFingerprint,
     /// The endpoint's process when the attempt began.
-    pub(super) process: Option<Process>,
+    pub(super) process: Option<ProcessId>,
     pub(super) started: Duration,
     pub(super) pending_prefill: Duration,
     /// Whether the endpoint was crowded.
@@ -28,7 +28,7 @@
     pub(super) last_event: Duration,
 }
 
-impl Flight {
+impl InFlight {
     /// Records `count` events of the response stream.
     pub fn events(&mut self, now: Duration, count: u32) {
         self.events += count;
--- a/crates/route/src/router/incoming.rs
+++ b/crates/route/src/router/incoming.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use crate::Shape;
+use crate::RequestProfile;
 
 /// A request that was received from a caller.
 #[derive(Clone, Debug)]
-pub struct Arrival<'a> {
+pub struct IncomingRequest<'a> {
     /// The request ID. A caller's retry has a new one.
     pub id: &'a str,
     /// The requested host name, in lower case and without a port.
@@ -18,7 +18,7 @@
     /// The API key, if there is one.
     pub key: Option<&'a str>,
     /// The caller's timeout, if it sent one.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The properties that placement depends on.
-    pub shape: Shape,
+    pub profile: RequestProfile,
 }
--- a/crates/route/src/router/latency.rs
+++ b/crates/route/src/router/latency.rs
@@ -9,7 +9,7 @@
 impl Router {
     /// Returns whether to discard a response of this confidence and ask the largest model.
     /// If so, the retry has been reserved from the budget.
-    pub fn escalates(&mut self, now: Duration, call: &mut Call, confidence: Option<u8>) -> bool {
+    pub fn try_escalate(&mut self, now: Duration, call: &mut Call, confidence: Option<u8>) -> bool {
         let (Some(confidence), true) = (confidence, call.may_escalate()) else {
             return false;
         };
@@ -19,19 +19,19 @@
             priority: call.priority(),
             waited: now.saturating_sub(call.arrived),
             expected_latency: self.expected_latency(call, largest),
-            aim: call.route.aim,
-            used: self.directory.utilization(now, &call.service),
+            target_latency: call.route.target_latency,
+            utilization: self.directory.utilization(now, &call.service),
         };
-        escalation.is_worthwhile() && self.reserve(now, call, Ending::Unsure)
+        escalation.is_worthwhile() && self.reserve_retry(now, call, Ending::LowConfidence)
     }
 
     /// Returns the timeout for the start of a response: `part` of the route's target latency,
     /// or a multiple of the expected time if that is longer.
     #[must_use]
-    pub fn patience(&self, call: &Call, fraction: f64) -> Duration {
+    pub fn response_timeout(&self, call: &Call, fraction: f64) -> Duration {
         /// Allows for queueing behind other requests.
         const SLACK_FACTOR: u32 = 3;
-        let minimum = call.route.aim.mul_f64(fraction);
+        let minimum = call.route.target_latency.mul_f64(fraction);
         let usual = match call.cascade.model() {
             Some(model) => self.expected_latency(call, model),
             None => self
@@ -51,6 +51,6 @@
         });
         estimator
             .unwrap_or_default()
-            .estimate(call.shape.prompt_tokens)
+            .estimate(call.profile.prompt_tokens)
     }
 }
--- a/crates/route/src/router/permits.rs
+++ b/crates/route/src/router/permits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Flight, Router};
+use super::{InFlight, Router};
 use crate::evacuation::{Access, Evacuation};
 use crate::permit::Withheld;
 use crate::{Peers, Permit, Revision};
@@ -35,8 +35,8 @@
     ///
     /// # Errors
     /// Returns the reason if it may no longer be sent.
-    pub fn permit(&mut self, now: Duration, flight: &Flight) -> Result<Permit, Withheld> {
-        let it = self.directory.get_mut(flight.endpoint);
+    pub fn permit(&mut self, now: Duration, in_flight: &InFlight) -> Result<Permit, Withheld> {
+        let it = self.directory.get_mut(in_flight.endpoint);
         let it = it.ok_or(Withheld::Leaving)?;
         if it.access == Access::Evacuated {
             return Err(Withheld::Evacuated);
--- a/crates/route/src/router/place.rs
+++ b/crates/route/src/router/place.rs
@@ -123,7 +123,7 @@
             side: call.side(),
             connections: self.connections(&call.service)?,
             candidates,
-            used: self.directory.endpoint_utilization(now, it),
+            utilization: self.directory.endpoint_utilization(now, it),
             load_age: it.load.map(|(at, _)| now.saturating_sub(at)),
             listing_age: self.listing_time.map(|at| now.saturating_sub(at)),
         })
@@ -152,7 +152,7 @@
             }
             let mut score = self.directory.endpoint_utilization(now, it);
             score += it.pending_prefill.div_duration_f64(PREFILL_UNIT);
-            score += ERROR_RATE_PENALTY * it.health.bad_share();
+            score += ERROR_RATE_PENALTY * it.health.error_rate();
             score += RANDOM_RANGE * self.rng.random::<f64>();
             if it.entry.data_centre != self.settings.data_centre {
                 score += REMOTE_PENALTY;
@@ -175,7 +175,7 @@
     /// hashing: all hosts send requests with the prefix there. The hash includes the model,
     /// since models don't share caches.
     fn affinity_endpoint(&self, now: Duration, call: &Call, strictness: Strictness) -> Option<Key> {
-        let (part, _) = call.shape.shared?;
+        let (part, _) = call.profile.shared_prefix?;
         let model = call.cascade.model();
         let rollout = self.rollouts.get(&call.service);
         self.directory
@@ -200,7 +200,7 @@
     /// handles such requests, streams that have started are excluded: they would change
     /// models midway.
     fn endpoint_to_fill(&self, now: Duration, call: &Call) -> Option<Key> {
-        if call.has_begun() {
+        if call.has_started() {
             return None;
         }
         let key = self.filling_endpoint(now, call)?;
@@ -208,7 +208,7 @@
         let share = it.entry.slots * FILL_SHARE_FACTOR / self.hosts;
         let has_room = self.directory.endpoint_utilization(now, it) < FILL_UTILIZATION
             && it.in_flight < share.max(1);
-        (has_room && call.shape.prompt_tokens <= MAX_FILL_PROMPT_TOKENS).then_some(key)
+        (has_room && call.profile.prompt_tokens <= MAX_FILL_PROMPT_TOKENS).then_some(key)
     }
 
     /// Returns the endpoint of a new release that is being filled. All hosts choose the same.
@@ -240,7 +240,7 @@
         _ => true,
     };
     let is_open = it.takes_work() && it.wait(now).is_zero();
-    fits && is_open && (strictness > Strictness::Healthy || !it.health.is_resting(now))
+    fits && is_open && (strictness > Strictness::Healthy || !it.health.is_ejected(now))
 }
 
 /// Returns whether an endpoint is excluded because of an earlier attempt.
@@ -254,7 +254,7 @@
 
 /// Returns the fraction of the prompt that an endpoint may have cached.
 fn cached_fraction(call: &Call) -> f64 {
-    let tokens = call.shape.shared.map_or(0, |(_, tokens)| tokens);
+    let tokens = call.profile.shared_prefix.map_or(0, |(_, tokens)| tokens);
     let capped = |it: u64| u32::try_from(it).map_or(f64::from(u32::MAX), f64::from);
-    (capped(tokens) / capped(call.shape.prompt_tokens.max(1))).min(1.0)
+    (capped(tokens) / capped(call.profile.prompt_tokens.max(1))).min(1.0)
 }
--- a/crates/route/src/router/placement.rs
+++ b/crates/route/src/router/placement.rs
@@ -26,7 +26,7 @@
     /// The number of eligible endpoints.
     pub candidates: usize,
     /// The endpoint's estimated utilization.
-    pub used: f64,
+    pub utilization: f64,
     /// The age of the endpoint's last load report.
     pub load_age: Option<Duration>,
     /// The age of the listing of endpoints.
--- a/crates/route/src/router/rollouts.rs
+++ b/crates/route/src/router/rollouts.rs
@@ -12,11 +12,11 @@
 
 /// The changes made by another host's update on roll-outs.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct RolloutChanges {
     /// Orders that were unknown before.
-    pub ordered: Vec<Order>,
+    pub new_orders: Vec<Order>,
     /// Roll-outs whose verdict changed.
-    pub judged: Vec<Rollout>,
+    pub decided: Vec<Rollout>,
     /// Whether to forward the changes to neighbours immediately.
     pub is_news: bool,
 }
@@ -39,7 +39,7 @@
 impl Router {
     /// Applies an operator's order and returns whether it starts a roll-out. Ignores orders that
     /// are older than the current one or the same.
-    pub fn order(&mut self, order: Order, started: Duration) -> bool {
+    pub fn apply_order(&mut self, order: Order, started: Duration) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             let is_older = known.order.revision >= order.revision;
             if is_older
@@ -63,7 +63,7 @@
     }
 
     /// Returns this host's updates on roll-outs for other hosts.
-    pub fn news(&mut self, now: Duration, scope: Scope) -> Vec<rollout::Update> {
+    pub fn rollout_updates(&mut self, now: Duration, scope: Scope) -> Vec<rollout::Update> {
         let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
         let mut updates = Vec::with_capacity(self.rollouts.len());
         for rollout in self.rollouts.values_mut() {
@@ -79,12 +79,17 @@
     }
 
     /// Applies another host's updates on roll-outs and returns what changed.
-    pub fn hear(&mut self, now: Duration, host: &HostName, updates: Vec<rollout::Update>) -> Heard {
-        let mut changed = Heard::default();
+    pub fn apply_rollout_updates(
+        &mut self,
+        now: Duration,
+        host: &HostName,
+        updates: Vec<rollout::Update>,
+    ) -> RolloutChanges {
+        let mut changed = RolloutChanges::default();
         for it in updates {
             let started = now.saturating_sub(it.elapsed);
-            if self.order(it.order.clone(), started) {
-                changed.ordered.push(it.order.clone());
+            if self.apply_order(it.order.clone(), started) {
+                changed.new_orders.push(it.order.clone());
                 changed.is_news = true;
             }
             if let Some(rollout) = self.rollouts.get_mut(&it.order.service)
@@ -93,7 +98,7 @@
                 let before = rollout.verdict;
                 changed.is_news |= rollout.apply_update(now, host, &it);
                 if rollout.verdict != before {
-                    changed.judged.push(rollout.clone());
+                    changed.decided.push(rollout.clone());
                 }
             }
         }
@@ -119,7 +124,7 @@
     ) -> Option<ReleaseAssignment> {
         let rollout = self.rollouts.get(&call.service)?;
         let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
-        let session = call.shape.session.as_ref();
+        let session = call.profile.session.as_ref();
         let release = session.and_then(|it| self.sessions.release(now, it, gap));
         let side = match release {
             Some(release) => rollout.side_for_known_session(now, release, number),
--- a/crates/route/src/settings.rs
+++ b/crates/route/src/settings.rs
@@ -20,7 +20,7 @@
     /// The requests that a release on trial may receive in addition to the share.
     pub exposure_slack: f64,
     /// The time within which hosts must follow changes in the store.
-    pub follow: Duration,
+    pub max_propagation_delay: Duration,
     /// The longest pause between two requests of a session.
     pub session_gap: Duration,
 }
--- a/crates/route/src/warm_up.rs
+++ b/crates/route/src/warm_up.rs
@@ -11,7 +11,7 @@
 
 use kernel::{HostName, hash};
 
-use crate::endpoint::Process;
+use crate::endpoint::ProcessId;
 
 /// The warm-up limits of a service's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -55,7 +55,7 @@
     }
 
     /// Returns this host's share of a cold endpoint's rate.
-    pub(crate) fn share(&self, warm_up: WarmUp, endpoint: Process) -> Share {
+    pub(crate) fn share(&self, warm_up: WarmUp, endpoint: ProcessId) -> Share {
         /// Tolerance for requests that arrive closer together than they were sent.
         const INTERVAL_MARGIN: f64 = 1.05;
         let hosts = 1.0 + to_f64(self.others.len());
--- a/crates/route/tests/harness/evacuations.rs
+++ b/crates/route/tests/harness/evacuations.rs
@@ -40,8 +40,8 @@
                 if is_change { "changed" } else { "known" }.to_owned()
             }
             "go-out" => {
-                let flight = self.calls[line.args[0]].flight.as_ref().unwrap();
-                match self.hosts[self.host].permit(now, flight) {
+                let in_flight = self.calls[line.args[0]].in_flight.as_ref().unwrap();
+                match self.hosts[self.host].permit(now, in_flight) {
                     Ok(_) => "goes out".to_owned(),
                     Err(why) => format!("withheld: {why}"),
                 }
--- a/crates/route/tests/harness/exits.rs
+++ b/crates/route/tests/harness/exits.rs
@@ -12,8 +12,8 @@
     pub(super) fn run_exit_command(&mut self, line: &Line<'_>) -> Option<String> {
         let now = self.now;
         match line.command {
-            "ended" => Some(self.report_probes(|router, key| router.ended(now, key))),
-            "stands" => Some(self.report_probes(Router::stands)),
+            "ended" => Some(self.report_probes(|router, key| router.process_ended(now, key))),
+            "stands" => Some(self.report_probes(Router::process_alive)),
             "held" => {
                 let quarantine = self.router().quarantine();
                 quarantine.expire(now);
@@ -29,14 +29,14 @@
                 None
             }
             "told-leaving" => {
-                let flight = self.calls[line.args[0]].flight.as_ref().unwrap();
-                let is_change = self.hosts[self.host].leave(flight);
+                let in_flight = self.calls[line.args[0]].in_flight.as_ref().unwrap();
+                let is_change = self.hosts[self.host].record_leaving(in_flight);
                 Some(if is_change { "leaving" } else { "known" }.to_owned())
             }
             "leave" => {
                 let open = self.calls.get_mut(line.args[0]).unwrap();
-                let flight = open.flight.take().unwrap();
-                self.hosts[self.host].cancel(now, flight);
+                let in_flight = open.in_flight.take().unwrap();
+                self.hosts[self.host].cancel_attempt(now, in_flight);
                 None
             }
             _ => Some(self.run_evacuation_command(line)),
@@ -46,7 +46,7 @@
     /// Reports the result of probing the endpoints to which connections broke, and returns
     /// their IDs.
     fn report_probes(&mut self, report: impl Fn(&mut Router, Key)) -> String {
-        let candidates = self.router().take_doubted();
+        let candidates = self.router().take_probe_candidates();
         for (key, _, _) in &candidates {
             report(self.router(), *key);
         }
--- a/crates/route/tests/harness/line.rs
+++ b/crates/route/tests/harness/line.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kernel::{DataCentre, Incarnation};
-use route::config::{Access, Answer, Repeat, Route, Target};
+use route::config::{Access, ResponseKind, RetryPolicy, Route, Target};
 use route::endpoint::{Entry, State};
 use route::{Ending, Settings};
 
@@ -47,7 +47,7 @@
         retry_window: Duration::from_secs(10),
         exposure_share: 0.15,
         exposure_slack: 30.0,
-        follow: Duration::from_secs(2),
+        max_propagation_delay: Duration::from_secs(2),
         session_gap: Duration::from_secs(5),
     }
 }
@@ -62,20 +62,20 @@
             service: line.args[2].into(),
             weight: 1.0,
         }],
-        repeat: match line.text("repeat") {
-            Some("once") => Repeat::AtMostOnce,
-            _ => Repeat::Idempotent,
+        retry_policy: match line.text("repeat") {
+            Some("once") => RetryPolicy::AtMostOnce,
+            _ => RetryPolicy::Idempotent,
         },
-        answer: if stream {
-            Answer::Stream {
+        response: if stream {
+            ResponseKind::Stream {
                 pause: Duration::from_millis(1_200),
             }
         } else {
-            Answer::Whole
+            ResponseKind::Whole
         },
         attempts: line.number::<u32>("attempts", 3),
         timeout: Duration::from_millis(line.number::<u64>("timeout", 20_000)),
-        aim: Duration::from_millis(line.number::<u64>("aim", 3_000)),
+        target_latency: Duration::from_millis(line.number::<u64>("aim", 3_000)),
         priority: line.number::<u8>("rank", 0),
         access: match line.text("access") {
             Some("keyed") => Access::Keyed,
@@ -121,10 +121,10 @@
         "not-sent" => Ending::NotSent,
         "withheld" => Ending::Withheld,
         "refused" => Ending::Refused,
-        "moved" => Ending::Moved,
+        "moved" => Ending::Misdirected,
         "broken" => Ending::Broken,
-        "silent" => Ending::Silent,
-        "unsure" => Ending::Unsure,
+        "silent" => Ending::TimedOut,
+        "unsure" => Ending::LowConfidence,
         other => panic!("unknown ending {other}"),
     }
 }
--- a/crates/route/tests/harness/script.rs
+++ b/crates/route/tests/harness/script.rs
@@ -14,7 +14,9 @@
 use route::directory::Absence;
 use route::endpoint::Load;
 use route::rollout::{Order, Scope, Verdict};
-use route::{Arrival, Call, Ending, Flight, Placement, Revision, Router, Shape, WarmUp};
+use route::{
+    Call, Ending, InFlight, IncomingRequest, Placement, RequestProfile, Revision, Router, WarmUp,
+};
 
 use crate::line::{Line, ending_of, entry, route, settings};
 
@@ -31,7 +33,7 @@
 
 struct Open {
     call: Call,
-    flight: Option<Flight>,
+    in_flight: Option<InFlight>,
 }
 
 impl Script {
@@ -108,7 +110,7 @@
             }
             "hosts" => {
                 let hosts = line.args[0].parse().unwrap();
-                self.router().set_hosts(hosts);
+                self.router().set_host_count(hosts);
                 None
             }
             "list" | "list-lapsed" => {
@@ -118,7 +120,7 @@
                     Absence::Lapsed
                 };
                 let entries = line.args.iter().map(|it| entry(it)).collect();
-                let change = self.router().list(now, entries, absence);
+                let change = self.router().update_listing(now, entries, absence);
                 let leaving: Vec<_> = change.leaving.iter().map(EndpointId::as_str).collect();
                 (!leaving.is_empty()).then(|| format!("leaving {}", leaving.join(" ")))
             }
@@ -129,24 +131,29 @@
             "arrive" => Some(self.arrive(&line)),
             "send" => Some(self.send(line.args[0])),
             "begun" => {
-                self.calls.get_mut(line.args[0]).unwrap().call.begin();
+                self.calls
+                    .get_mut(line.args[0])
+                    .unwrap()
+                    .call
+                    .start_stream();
                 None
             }
             "first" => {
                 let open = self.calls.get_mut(line.args[0]).unwrap();
-                let flight = open.flight.as_mut().unwrap();
-                self.hosts[self.host].first(now, &open.call, flight);
+                let in_flight = open.in_flight.as_mut().unwrap();
+                self.hosts[self.host].response_started(now, &open.call, in_flight);
                 None
             }
             "silent" => {
                 let open = self.calls.get_mut(line.args[0]).unwrap();
-                let gives_up = self.hosts[self.host].reserve(now, &mut open.call, Ending::Silent);
+                let gives_up =
+                    self.hosts[self.host].reserve_retry(now, &mut open.call, Ending::TimedOut);
                 Some(if gives_up { "give up" } else { "wait on" }.to_owned())
             }
             "confidence" => {
                 let confidence = line.args[1].parse().ok();
                 let open = self.calls.get_mut(line.args[0]).unwrap();
-                let larger = self.hosts[self.host].escalates(now, &mut open.call, confidence);
+                let larger = self.hosts[self.host].try_escalate(now, &mut open.call, confidence);
                 Some(if larger { "ask the largest" } else { "deliver" }.to_owned())
             }
             "end" => Some(self.end(line.args[0], line.args[1])),
@@ -162,7 +169,7 @@
                         version: line.number::<u64>("revision", 1),
                     },
                 };
-                let taken = self.router().order(order, now);
+                let taken = self.router().apply_order(order, now);
                 (!taken).then(|| "known".to_owned())
             }
             "rollout" => Some(self.rollout(line.args[0])),
@@ -179,9 +186,9 @@
             "news" => {
                 let (from, to): (usize, usize) =
                     (line.args[0].parse().unwrap(), line.args[1].parse().unwrap());
-                let updates = self.hosts[from].news(now, Scope::Full);
+                let updates = self.hosts[from].rollout_updates(now, Scope::Full);
                 let name = HostName::from(format!("host-{from}"));
-                self.hosts[to].hear(now, &name, updates);
+                self.hosts[to].apply_rollout_updates(now, &name, updates);
                 None
             }
             _ => self.run_exit_command(&line),
@@ -212,35 +219,38 @@
             waiting: line.number::<u32>("waiting", 0),
             slots: 10,
         };
-        let flight = open.flight.as_mut().unwrap();
-        self.hosts[self.host].load(self.now, flight, load);
+        let in_flight = open.in_flight.as_mut().unwrap();
+        self.hosts[self.host].record_load(self.now, in_flight, load);
     }
 
     fn arrive(&mut self, line: &Line<'_>) -> String {
         self.advance();
         let id = line.args[0];
-        let shape = Shape {
+        let profile = RequestProfile {
             prompt_tokens: line.number::<u64>("tokens", 0),
             session: line.text("session").map(SessionId::from),
-            ..Shape::default()
+            ..RequestProfile::default()
         };
-        let patience = line
+        let timeout = line
             .text("waits")
             .map(|it| Duration::from_millis(it.parse().unwrap()));
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id,
             host: line.text("host").unwrap_or("shop"),
             path: line.text("path").unwrap_or("/a/x"),
             body: line.text("body").unwrap_or(id).as_bytes(),
             key: line.text("key"),
-            patience,
-            shape,
+            timeout,
+            profile,
         };
         let now = self.now;
         match self.router().admit(now, arrival) {
             Ok(call) => {
                 let line = format!("to {} by {}", call.service, call.route.name);
-                let call = Open { call, flight: None };
+                let call = Open {
+                    call,
+                    in_flight: None,
+                };
                 self.calls.insert(id.to_owned(), call);
                 line
             }
@@ -254,7 +264,7 @@
             format!("{id} to {}{model}", it.id)
         } else {
             let open = &self.calls[id];
-            let failure = self.hosts[self.host].unplaced(self.now, &open.call);
+            let failure = self.hosts[self.host].unplaced_failure(self.now, &open.call);
             format!("{id} nowhere: {failure:?}")
         }
     }
@@ -264,16 +274,16 @@
         let router = &mut self.hosts[self.host];
         let open = self.calls.get_mut(id).unwrap();
         let placement = router.place(now, &mut open.call)?;
-        open.flight = Some(router.begin(now, &mut open.call, &placement));
+        open.in_flight = Some(router.begin_attempt(now, &mut open.call, &placement));
         Some(placement)
     }
 
     fn end(&mut self, id: &str, ending: &str) -> String {
         let now = self.now;
         let open = self.calls.get_mut(id).unwrap();
-        let flight = open.flight.take().unwrap();
+        let in_flight = open.in_flight.take().unwrap();
         let ending = ending_of(ending);
-        let next = self.hosts[self.host].end(now, &mut open.call, flight, ending);
+        let next = self.hosts[self.host].end_attempt(now, &mut open.call, in_flight, ending);
         format!("{id} {next:?}")
     }
 
@@ -310,8 +320,8 @@
             let took = line.number(&format!("{to}-took"), line.number("took", 0));
             self.pass(Duration::from_millis(took));
             let open = self.calls.get_mut(&id).unwrap();
-            let flight = open.flight.as_mut().unwrap();
-            self.hosts[self.host].first(self.now, &open.call, flight);
+            let in_flight = open.in_flight.as_mut().unwrap();
+            self.hosts[self.host].response_started(self.now, &open.call, in_flight);
             *counts.entry(to).or_default() += 1;
             self.end(&id, ending);
             self.pass(Duration::from_millis(line.number::<u64>("each", 10)));
--- a/crates/route/tests/warm_up.rs
+++ b/crates/route/tests/warm_up.rs
@@ -6,10 +6,10 @@
 use kernel::HostName;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use route::config::{Access, Answer, Config, Limits, Repeat, Route, Service, Target};
+use route::config::{Access, Config, Limits, ResponseKind, RetryPolicy, Route, Service, Target};
 use route::directory::Absence;
 use route::endpoint::{Entry, State};
-use route::{Arrival, Ending, Peers, Router, Settings, Shape, WarmUp};
+use route::{Ending, IncomingRequest, Peers, RequestProfile, Router, Settings, WarmUp};
 
 const SECOND: Duration = Duration::from_secs(1);
 const STEP: Duration = Duration::from_millis(10);
@@ -45,7 +45,7 @@
                 // The hosts' clocks differ, and so do the ages of their listings.
                 let clock = Duration::from_secs_f64(100.0 * rng.random::<f64>());
                 let age = SECOND.mul_f64(rng.random());
-                host.list(clock, entries(age), Absence::Gone);
+                host.update_listing(clock, entries(age), Absence::Gone);
                 host.set_peers(Some(peers));
                 (clock, host)
             })
@@ -89,7 +89,7 @@
             retry_window: Duration::from_secs(10),
             exposure_share: 0.15,
             exposure_slack: 30.0,
-            follow: Duration::from_secs(2),
+            max_propagation_delay: Duration::from_secs(2),
             session_gap: Duration::from_secs(5),
         },
         seed,
@@ -108,11 +108,11 @@
             service: "pool".into(),
             weight: 1.0,
         }],
-        repeat: Repeat::Idempotent,
-        answer: Answer::Whole,
+        retry_policy: RetryPolicy::Idempotent,
+        response: ResponseKind::Whole,
         attempts: 3,
         timeout: Duration::from_secs(5),
-        aim: SECOND,
+        target_latency: SECOND,
         priority: 0,
         access: Access::Public,
         models: Vec::new(),
@@ -145,26 +145,26 @@
 
 /// Sends a request if the host permits it, and returns the endpoint's index.
 fn send(host: &mut Router, now: Duration) -> Option<usize> {
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         id: "q",
         host: "shop",
         path: "/",
         body: &[],
         key: None,
-        patience: None,
-        shape: Shape::default(),
+        timeout: None,
+        profile: RequestProfile::default(),
     };
     let mut call = host.admit(now, arrival).unwrap();
     let placement = host.place(now, &mut call)?;
-    let flight = host.begin(now, &mut call, &placement);
-    let permit = host.permit(now, &flight);
+    let in_flight = host.begin_attempt(now, &mut call, &placement);
+    let permit = host.permit(now, &in_flight);
     let is_out = permit.is_ok();
     let ending = if is_out {
         Ending::Answered
     } else {
         Ending::Withheld
     };
-    host.end(now, &mut call, flight, ending);
+    host.end_attempt(now, &mut call, in_flight, ending);
     is_out.then(|| placement.id.as_str()[1..].parse().unwrap())
 }
 
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -81,7 +81,7 @@
             event,
             &[
                 ("request", Value::Text(report.id)),
-                ("print", optional_text(report.print.as_ref())),
+                ("print", optional_text(report.fingerprint.as_ref())),
                 ("route", optional_text(report.route.as_ref())),
                 ("customer", optional_text(report.customer.as_ref())),
                 ("reason", optional_text(reason.as_ref())),
@@ -111,7 +111,7 @@
             Event::Attempt,
             &[
                 ("request", Value::Text(attempt.id)),
-                ("print", Value::Text(&attempt.print)),
+                ("print", Value::Text(&attempt.fingerprint)),
                 ("attempt", Value::Count(attempt.number.into())),
                 ("endpoint", Value::Text(&placement.id)),
                 ("address", Value::Text(&placement.address)),
@@ -129,7 +129,7 @@
                 ("connection", optional_text(attempt.connection.as_ref())),
                 ("strays", Value::Count(attempt.strays.into())),
                 ("candidates", Value::Count(placement.candidates as u64)),
-                ("used", Value::Ratio(placement.used)),
+                ("used", Value::Ratio(placement.utilization)),
                 ("load_age_ms", Value::time(placement.load_age)),
                 ("listing_age_ms", Value::time(placement.listing_age)),
                 ("config", Value::count(attempt.config_version)),
--- a/crates/telemetry/src/report.rs
+++ b/crates/telemetry/src/report.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kernel::RequestId;
-use route::{Denial, Ending, Failure, Placement, Print, Withheld};
+use route::{Denial, Ending, Failure, Placement, RequestFingerprint, Withheld};
 
 /// The report on a request that has ended.
 #[derive(Clone, Debug)]
@@ -11,7 +11,7 @@
     /// The request id.
     pub id: &'a RequestId,
     /// The request's fingerprint, if it was admitted or quarantined.
-    pub print: Option<Print>,
+    pub fingerprint: Option<RequestFingerprint>,
     /// Its route, if one was found.
     pub route: Option<&'a str>,
     /// The customer, if the route requires a key.
@@ -67,7 +67,7 @@
 impl From<Ending> for AttemptSummary {
     fn from(ending: Ending) -> Self {
         match ending {
-            Ending::Answered | Ending::Unsure => Self::NoneFailed,
+            Ending::Answered | Ending::LowConfidence => Self::NoneFailed,
             _ => Self::SomeFailed,
         }
     }
@@ -79,7 +79,7 @@
     /// The request id.
     pub id: &'a RequestId,
     /// The request's fingerprint.
-    pub print: Print,
+    pub fingerprint: RequestFingerprint,
     /// The number of the attempt within the request, from 1.
     pub number: u32,
     /// The endpoint, and the inputs to its choice.
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -90,7 +90,7 @@
         std::sync::Arc::new(kernel::ManualClock::default()),
     );
     let report = telemetry::Report {
-        print: None,
+        fingerprint: None,
         id: &RequestId::from("q1"),
         route: None,
         customer: None,
--- a/crates/telemetry/tests/log_limits.rs
+++ b/crates/telemetry/tests/log_limits.rs
@@ -54,7 +54,7 @@
 
 fn report(id: &RequestId, outcome: Outcome) -> Report<'_> {
     Report {
-        print: None,
+        fingerprint: None,
         id,
         route: Some("draft"),
         customer: Some("studio"),
