--- a/crates/forward/src/attempt.rs
+++ b/crates/forward/src/attempt.rs
@@ -18,7 +18,7 @@
 use crate::response_writer::ResponseWriter;
 use crate::serve::Progress;
 use crate::upstream::{Upstream, UpstreamError};
-use crate::{Addressing, Dialect, Node, Told};
+use crate::{Dialect, ForwardedFields, Node, ResponseFields};
 use guard::{AttemptDetails, AttemptGuard};
 
 /// The longest response body that is buffered. Responses that aren't streams are
@@ -137,7 +137,7 @@
         guard.details.connection = Some(connection);
         let mut upstream = Upstream::new(conn, self.encode_request(call), permit);
         let mut lazy_timeout = LazyTimeout::new(self.node.clock());
-        let (head, told) = loop {
+        let (head, response_fields) = loop {
             let wait = self.response_start_timeout(call);
             let head = lazy_timeout.within(wait, self.head(&mut upstream)).await;
             guard.details.strays = upstream.strays();
@@ -150,34 +150,42 @@
         };
         let now = self.node.now();
         guard.details.status = Some(head.status);
-        guard.details.confidence = told.confidence;
-        guard.details.is_leaving = Some(told.is_leaving);
-        if let (Some(load), Some(in_flight)) = (told.load, &mut guard.in_flight) {
+        guard.details.confidence = response_fields.confidence;
+        guard.details.is_leaving = Some(response_fields.is_leaving);
+        if let (Some(load), Some(in_flight)) = (response_fields.load, &mut guard.in_flight) {
             self.node.router().record_load(now, in_flight, load);
         }
-        if told.is_leaving {
+        if response_fields.is_leaving {
             self.report_leaving(guard);
         }
-        if let (Some(pause), Some(in_flight)) = (told.retry_after, &guard.in_flight) {
+        if let (Some(pause), Some(in_flight)) = (response_fields.retry_after, &guard.in_flight) {
             self.node.router().record_refusal(now, in_flight, pause);
         }
-        if told.not_run || head.status == 421 {
-            return self.handle_refusal(upstream, &head, &told).await.into();
+        if response_fields.not_run || head.status == 421 {
+            return self
+                .handle_refusal(upstream, &head, &response_fields)
+                .await
+                .into();
         }
-        if !told.is_signed && head.is_success() {
+        if !response_fields.is_signed && head.is_success() {
             return Ending::Broken.into();
         }
         if let Some(in_flight) = &mut guard.in_flight {
             self.node.router().response_started(now, call, in_flight);
         }
-        if head.is_success() && self.node.router().try_escalate(now, call, told.confidence) {
+        if head.is_success()
+            && self
+                .node
+                .router()
+                .try_escalate(now, call, response_fields.confidence)
+        {
             return Ending::LowConfidence.into();
         }
         if call.route.is_stream() && self.has_stream(&head) {
             return self
                 .relay_stream(
                     upstream,
-                    (&head, &told),
+                    (&head, &response_fields),
                     call,
                     writer,
                     guard,
@@ -185,21 +193,28 @@
                 )
                 .await;
         }
-        self.relay_buffered(upstream, head, &told, call, writer, &mut lazy_timeout)
-            .await
+        self.relay_buffered(
+            upstream,
+            head,
+            &response_fields,
+            call,
+            writer,
+            &mut lazy_timeout,
+        )
+        .await
     }
 
     async fn connect(&self, call: &Call) -> Result<(Conn, Connection), Ending> {
         let (node, placement) = (self.node, self.placement);
         let max_idle = match call.route.retry_policy {
-            RetryPolicy::Idempotent => node.timing.idle,
-            RetryPolicy::AtMostOnce => node.timing.warm,
+            RetryPolicy::Idempotent => node.timeouts.idempotent_max_idle,
+            RetryPolicy::AtMostOnce => node.timeouts.at_most_once_max_idle,
         };
         let now = node.now();
         if let Some(conn) = node.pool.take(now, placement.endpoint, max_idle) {
             return Ok((conn, Connection::Reused));
         }
-        let limit = node.timing.connect.min(call.time_left(now));
+        let limit = node.timeouts.connect.min(call.time_left(now));
         let opened = Conn::open(placement.address, limit).await;
         let took = node.now().saturating_sub(now);
         match opened {
@@ -227,15 +242,15 @@
 
     /// Returns the request as it is sent to the endpoint.
     fn encode_request(&self, call: &Call) -> Vec<u8> {
-        let to = Addressing {
+        let to = ForwardedFields {
             placement: self.placement,
             customer: call.customer.as_deref().map(|it| &it.name),
-            left: call.time_left(self.node.now()),
+            time_left: call.time_left(self.node.now()),
             last_event: *self.last_event,
             body_len: self.request.body.len(),
             priority: call.priority(),
         };
-        let mut bytes = self.node.dialect.address(&self.request.head, &to);
+        let mut bytes = self.node.dialect.encode_head(&self.request.head, &to);
         bytes.extend_from_slice(&self.request.body);
         bytes
     }
@@ -246,7 +261,7 @@
     fn response_start_timeout(&self, call: &Call) -> Duration {
         let left = call.time_left(self.node.now());
         if may_retry_elsewhere(call) && !call.is_retry_denied() {
-            let part = self.node.timing.first_part;
+            let part = self.node.timeouts.response_start_fraction;
             left.min(self.node.router().response_timeout(call, part))
         } else {
             left
@@ -273,15 +288,18 @@
     ///
     /// An endpoint may send a response twice. The late duplicate arrives in place of the
     /// response to the next request on the connection, and only its request id differs.
-    async fn head(&self, upstream: &mut Upstream) -> Result<(response::Head, Told), UpstreamError> {
+    async fn head(
+        &self,
+        upstream: &mut Upstream,
+    ) -> Result<(response::Head, ResponseFields), UpstreamError> {
         loop {
             let head = upstream.head(&self.request.head.method).await?;
             if head.is_informational() {
                 continue;
             }
-            let told = self.node.dialect.told(&head);
-            if told.id.as_ref() == Some(self.id) {
-                return Ok((head, told));
+            let response_fields = self.node.dialect.parse_response(&head);
+            if response_fields.id.as_ref() == Some(self.id) {
+                return Ok((head, response_fields));
             }
             if self.is_head() {
                 // Whether the stray response has a body depends on the method of its request,
@@ -300,7 +318,7 @@
         };
         if self.node.router().record_leaving(in_flight) {
             let endpoint = ("endpoint", Value::Text(&self.placement.id));
-            self.node.recorder.say(
+            self.node.recorder.log_event(
                 Event::EndpointLeaving,
                 &[endpoint, ("told_by", Value::Text(&"its answer"))],
             );
@@ -312,7 +330,7 @@
         &self,
         mut upstream: Upstream,
         head: &response::Head,
-        told: &Told,
+        response_fields: &ResponseFields,
     ) -> Ending {
         /// The time to read the body of a refusal. Without it the connection isn't reused, and
         /// the request is retried all the same.
@@ -323,7 +341,7 @@
         )
         .await
         {
-            self.return_to_pool(upstream, head, told);
+            self.return_to_pool(upstream, head, response_fields);
         }
         if head.status == 421 {
             Ending::Misdirected
@@ -336,7 +354,7 @@
         &self,
         mut upstream: Upstream,
         head: response::Head,
-        told: &Told,
+        response_fields: &ResponseFields,
         call: &Call,
         writer: &mut ResponseWriter,
         lazy_timeout: &mut LazyTimeout<'_>,
@@ -349,7 +367,7 @@
             Some(Err(err)) => return err.ending().into(),
             None => return Ending::TimedOut.into(),
         }
-        self.return_to_pool(upstream, &head, told);
+        self.return_to_pool(upstream, &head, response_fields);
         // If the caller already has part of a stream, a response that isn't a stream means
         // that this endpoint can't resume it.
         let may_forward = !promises_not_run(head.status) && !call.has_started();
@@ -379,12 +397,21 @@
     /// Returns the connection to the pool if it can be reused. It isn't after a HEAD: a
     /// duplicate of that response would be parsed as one with a body, and the next
     /// response would be read as that body.
-    fn return_to_pool(&self, upstream: Upstream, head: &response::Head, told: &Told) {
+    fn return_to_pool(
+        &self,
+        upstream: Upstream,
+        head: &response::Head,
+        response_fields: &ResponseFields,
+    ) {
         let may_keep = head.keep && !self.is_head();
         if let (true, Some(conn)) = (may_keep, upstream.into_clean()) {
             let node = self.node;
-            node.pool
-                .put(node.now(), self.placement.endpoint, conn, told.keeps);
+            node.pool.put(
+                node.now(),
+                self.placement.endpoint,
+                conn,
+                response_fields.keep_alive,
+            );
         }
     }
 }
--- a/crates/forward/src/attempt/stream.rs
+++ b/crates/forward/src/attempt/stream.rs
@@ -12,7 +12,7 @@
 use crate::lazy_timeout::LazyTimeout;
 use crate::response_writer::ResponseWriter;
 use crate::upstream::Upstream;
-use crate::{Dialect, Told};
+use crate::{Dialect, ResponseFields};
 
 /// The result of forwarding the buffered events.
 #[derive(Clone, Copy, Debug, Default)]
@@ -27,7 +27,7 @@
     pub(super) async fn relay_stream(
         &mut self,
         mut upstream: Upstream,
-        (head, told): (&response::Head, &Told),
+        (head, response_fields): (&response::Head, &ResponseFields),
         call: &mut Call,
         writer: &mut ResponseWriter,
         guard: &mut AttemptGuard<'_, D>,
@@ -53,13 +53,13 @@
                     call.start_stream();
                     writer.start_stream(&node.dialect, head);
                 }
-                self.return_to_pool(upstream, head, told);
-                return match timeout(node.timing.write, writer.finish_stream()).await {
+                self.return_to_pool(upstream, head, response_fields);
+                return match timeout(node.timeouts.write, writer.finish_stream()).await {
                     Ok(Ok(())) => ExchangeOutcome::Delivered,
                     _ => ExchangeOutcome::CallerGone,
                 };
             }
-            match timeout(node.timing.write, writer.flush()).await {
+            match timeout(node.timeouts.write, writer.flush()).await {
                 Ok(Ok(())) => {}
                 _ => return ExchangeOutcome::CallerGone,
             }
@@ -134,7 +134,7 @@
             ResponseKind::Stream { pause }
                 if may_retry_elsewhere(call) && !call.is_retry_denied() =>
             {
-                left.min(pause.mul_f64(self.node.timing.pause_part))
+                left.min(pause.mul_f64(self.node.timeouts.pause_fraction))
             }
             _ => left,
         }
--- a/crates/forward/src/caller.rs
+++ b/crates/forward/src/caller.rs
@@ -60,7 +60,7 @@
             Incoming::Request(request) => serve_request(node, &mut conn, *request).await,
         };
         if persistence == Persistence::Close {
-            return linger(conn, node.timing.linger).await;
+            return linger(conn, node.timeouts.linger).await;
         }
     }
 }
--- a/crates/forward/src/dialect.rs
+++ b/crates/forward/src/dialect.rs
@@ -12,24 +12,24 @@
 /// Implementations only translate; they make no decisions.
 pub trait Dialect: 'static {
     /// Parses the fields of a caller's request.
-    fn asked(&self, head: &request::Head) -> Asked;
+    fn parse_request(&self, head: &request::Head) -> RequestFields;
 
     /// Returns the head of a request to an endpoint, including the final blank line.
-    fn address(&self, head: &request::Head, to: &Addressing<'_>) -> Vec<u8>;
+    fn encode_head(&self, head: &request::Head, to: &ForwardedFields<'_>) -> Vec<u8>;
 
     /// Parses the fields of an endpoint's response.
-    fn told(&self, head: &response::Head) -> Told;
+    fn parse_response(&self, head: &response::Head) -> ResponseFields;
 
     /// Returns whether a field of an endpoint's response is forwarded to the caller.
-    fn passes(&self, field: &str) -> bool;
+    fn forwards_field(&self, field: &str) -> bool;
 
     /// Returns the name of the field that carries the request id.
-    fn id_field(&self) -> &'static str;
+    fn request_id_field(&self) -> &'static str;
 }
 
 /// The fields of a caller's request that `forward` and `route` use.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Asked {
+pub struct RequestFields {
     /// The request id that the caller chose.
     pub id: Option<RequestId>,
     /// The customer's API key.
@@ -44,13 +44,13 @@
 
 /// The values that are added to the caller's head when a request is sent to an endpoint.
 #[derive(Clone, Debug)]
-pub struct Addressing<'a> {
+pub struct ForwardedFields<'a> {
     /// The endpoint that it is sent to.
     pub placement: &'a Placement,
     /// The customer, if the route requires a key.
     pub customer: Option<&'a Customer>,
     /// The time left until the request's deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The id of the event after which to resume a stream.
     pub last_event: Option<u64>,
     /// The length of the body in bytes.
@@ -61,7 +61,7 @@
 
 /// The fields of an endpoint's response that `forward` and `route` use.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct ResponseFields {
     /// The id of the request that it responds to.
     pub id: Option<RequestId>,
     /// Whether the endpoint states that the request has not run.
@@ -77,5 +77,5 @@
     /// How long this host must send the refusing endpoint no further requests.
     pub retry_after: Option<Duration>,
     /// How long the endpoint keeps the idle connection open.
-    pub keeps: Option<Duration>,
+    pub keep_alive: Option<Duration>,
 }
--- a/crates/forward/src/front.rs
+++ b/crates/forward/src/listener.rs
@@ -17,12 +17,12 @@
 
 /// Accepts callers' connections and serves each in its own task.
 #[derive(Debug)]
-pub struct Front {
+pub struct Listener {
     listener: TcpListener,
     max_open: usize,
 }
 
-impl Front {
+impl Listener {
     /// Binds to `address`. While `max_open` connections are open, no further ones are accepted.
     ///
     /// # Errors
@@ -36,14 +36,14 @@
     ///
     /// # Errors
     /// Returns the error of the operating system.
-    pub fn address(&self) -> io::Result<SocketAddr> {
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
     /// Accepts connections until the task is dropped.
     pub async fn run<D: Dialect>(self, node: Rc<Node<D>>) {
         loop {
-            if node.open() >= self.max_open {
+            if node.open_connections() >= self.max_open {
                 task::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -14,14 +14,14 @@
 use telemetry::Recorder;
 
 use crate::pool::Pool;
-use crate::{Dialect, Timing};
+use crate::{Dialect, Timeouts};
 
 /// The state that the tasks of a host share. They run on one thread, and none holds a
 /// borrow across an `await`.
 pub struct Node<D> {
     pub(crate) dialect: D,
     pub(crate) recorder: Rc<Recorder>,
-    pub(crate) timing: Timing,
+    pub(crate) timeouts: Timeouts,
     pub(crate) pool: Pool,
     /// The endpoints that are being probed.
     pub(crate) probing: RefCell<HashSet<Key>>,
@@ -30,8 +30,8 @@
     started: Duration,
     router: RefCell<Router>,
     phase: Cell<Phase>,
-    open: Cell<usize>,
-    busy: Cell<usize>,
+    open_connections: Cell<usize>,
+    active_requests: Cell<usize>,
 }
 
 /// The phase of a host between start and shutdown.
@@ -44,7 +44,7 @@
     Leaving,
     /// Accepts only requests whose deadline is not after the end of the process, and finishes
     /// those in progress.
-    Finishing {
+    Draining {
         /// The latest time at which the process ends.
         end: Duration,
     },
@@ -57,13 +57,13 @@
         router: Router,
         dialect: D,
         recorder: Rc<Recorder>,
-        timing: Timing,
+        timeouts: Timeouts,
         clock: Arc<dyn Clock>,
     ) -> Rc<Self> {
         Rc::new(Self {
             dialect,
             recorder,
-            timing,
+            timeouts,
             pool: Pool::default(),
             probing: RefCell::default(),
             tasks: LocalExecutor::new(),
@@ -71,8 +71,8 @@
             clock,
             router: RefCell::new(router),
             phase: Cell::new(Phase::Serving),
-            open: Cell::new(0),
-            busy: Cell::new(0),
+            open_connections: Cell::new(0),
+            active_requests: Cell::new(0),
         })
     }
 
@@ -123,15 +123,15 @@
     }
 
     /// Accepts only requests whose deadline is not after `end` from now on.
-    pub fn finish(&self, end: Duration) {
-        self.phase.set(Phase::Finishing { end });
+    pub fn drain(&self, end: Duration) {
+        self.phase.set(Phase::Draining { end });
     }
 
     /// Waits until there are a configuration and endpoints, for a short time after the start
     /// of the host.
     pub(crate) async fn wait_until_configured(&self) {
         const POLL_INTERVAL: Duration = Duration::from_millis(10);
-        let end = self.started + self.timing.start;
+        let end = self.started + self.timeouts.startup_wait;
         while !self.is_configured() && self.now() < end {
             sleep(POLL_INTERVAL).await;
         }
@@ -144,27 +144,28 @@
 
     /// Returns the number of requests in progress.
     #[must_use]
-    pub fn busy(&self) -> usize {
-        self.busy.get()
+    pub fn active_requests(&self) -> usize {
+        self.active_requests.get()
     }
 
     /// Returns the number of open connections from callers.
     #[must_use]
-    pub fn open(&self) -> usize {
-        self.open.get()
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.get()
     }
 
     /// Closes idle connections to endpoints that are too old to be reused.
     pub fn sweep(&self) {
-        self.pool.sweep(self.now(), self.timing.idle);
+        self.pool
+            .sweep(self.now(), self.timeouts.idempotent_max_idle);
     }
 
     pub(crate) fn track_connection(self: &Rc<Self>) -> CountGuard<'_> {
-        CountGuard::increment(&self.open)
+        CountGuard::increment(&self.open_connections)
     }
 
     pub(crate) fn track_request(&self) -> CountGuard<'_> {
-        CountGuard::increment(&self.busy)
+        CountGuard::increment(&self.active_requests)
     }
 }
 
--- a/crates/forward/src/response_writer.rs
+++ b/crates/forward/src/response_writer.rs
@@ -169,7 +169,7 @@
         self.start_head(head.status);
         for (name, value) in head.fields.iter() {
             let is_framing = name.eq_ignore_ascii_case("content-length");
-            if !is_framing && !head.fields.is_hop_by_hop(name) && dialect.passes(name) {
+            if !is_framing && !head.fields.is_hop_by_hop(name) && dialect.forwards_field(name) {
                 self.push_field(name, value);
             }
         }
--- a/crates/forward/src/serve.rs
+++ b/crates/forward/src/serve.rs
@@ -14,7 +14,7 @@
 use crate::attempt::{Attempt, AttemptOutcome};
 use crate::caller::Request;
 use crate::response_writer::{LocalResponse, ResponseWriter};
-use crate::{Asked, Dialect, Node, Phase, probe};
+use crate::{Dialect, Node, Phase, RequestFields, probe};
 
 /// The response is incomplete and can't be completed; the connection must be closed.
 #[derive(Debug)]
@@ -25,15 +25,15 @@
     request: &Request,
     mut response: ResponseWriter,
 ) -> Result<(), ResponseAborted> {
-    let asked = node.dialect.asked(&request.head);
-    let Some(id) = asked.id.clone() else {
+    let request_fields = node.dialect.parse_request(&request.head);
+    let Some(id) = request_fields.id.clone() else {
         response.send_local(LocalResponse::of(400)).await;
         return Ok(());
     };
-    response.request_id = Some((node.dialect.id_field(), id.as_str().to_owned()));
+    response.request_id = Some((node.dialect.request_id_field(), id.as_str().to_owned()));
     let record = RequestRecord::new(node, request, &id);
     node.wait_until_configured().await;
-    let mut call = match admit(node, request, &asked, &id) {
+    let mut call = match admit(node, request, &request_fields, &id) {
         Ok(call) => call,
         Err(outcome) => {
             if let Outcome::Denied(Denial::Quarantined { fingerprint, .. }) = outcome {
@@ -58,7 +58,7 @@
         .progress
         .route
         .set((call.route.clone(), call.customer.clone()));
-    let outcome = run_attempts(&record, request, &asked, &mut call, &mut response).await;
+    let outcome = run_attempts(&record, request, &request_fields, &mut call, &mut response).await;
     let result = match outcome {
         Outcome::Failed(_) if call.has_started() => Err(ResponseAborted),
         Outcome::CallerGone => Err(ResponseAborted),
@@ -79,7 +79,7 @@
 fn admit<D: Dialect>(
     node: &Node<D>,
     request: &Request,
-    asked: &Asked,
+    request_fields: &RequestFields,
     id: &RequestId,
 ) -> Result<Call, Outcome> {
     let host = request.head.fields.text("host").unwrap_or_default();
@@ -90,16 +90,16 @@
         host: &host,
         path: request.head.path(),
         body: &request.body,
-        key: asked.key.as_deref(),
-        timeout: asked.timeout,
-        profile: asked.profile.clone(),
+        key: request_fields.key.as_deref(),
+        timeout: request_fields.timeout,
+        profile: request_fields.profile.clone(),
     };
     let call = node
         .router()
         .admit(request.arrived, arrival)
         .map_err(Outcome::Denied)?;
     match node.phase() {
-        Phase::Finishing { end } if call.deadline > end => Err(Outcome::Denied(Denial::Stopping)),
+        Phase::Draining { end } if call.deadline > end => Err(Outcome::Denied(Denial::Stopping)),
         _ => Ok(call),
     }
 }
@@ -107,12 +107,12 @@
 async fn run_attempts<D: Dialect>(
     record: &RequestRecord<'_, D>,
     request: &Request,
-    asked: &Asked,
+    request_fields: &RequestFields,
     call: &mut Call,
     response: &mut ResponseWriter,
 ) -> Outcome {
     let node = record.node;
-    let mut last_event = asked.last_event;
+    let mut last_event = request_fields.last_event;
     loop {
         let now = node.now();
         let Some(placement) = node.router().place(now, call) else {
@@ -164,7 +164,7 @@
     let ejected = node.router().take_ejected();
     for (id, reason) in ejected {
         node.recorder.metrics().ejection(reason);
-        node.recorder.say(
+        node.recorder.log_event(
             Event::EndpointResting,
             &[
                 ("endpoint", Value::Text(&id)),
--- a/crates/forward/src/timing.rs
+++ b/crates/forward/src/timeouts.rs
@@ -5,24 +5,24 @@
 /// Timeouts for endpoints and callers, against peers that stop responding without closing
 /// their connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Timing {
+pub struct Timeouts {
     /// The timeout for opening a connection to an endpoint. TCP repeats a lost SYN only after
     /// a second.
     pub connect: Duration,
     /// The longest idle time of a connection on which a request that must run at most once is
     /// sent. Endpoints close idle connections, and if a close crosses the request, it is
     /// unknown whether the request ran.
-    pub warm: Duration,
+    pub at_most_once_max_idle: Duration,
     /// The same for idempotent requests.
-    pub idle: Duration,
+    pub idempotent_max_idle: Duration,
     /// The fraction of a route's target latency after which an idempotent request is retried
     /// at another endpoint, if the response hasn't started.
-    pub first_part: f64,
+    pub response_start_fraction: f64,
     /// The fraction of a stream's maximum pause after which it is resumed at another endpoint.
-    pub pause_part: f64,
+    pub pause_fraction: f64,
     /// How long after the start of the host requests wait for the first configuration and
     /// endpoints. Otherwise each caller would be refused and have to retry.
-    pub start: Duration,
+    pub startup_wait: Duration,
     /// The timeout for writing a part of a stream to a caller.
     pub write: Duration,
     /// How long a closed connection is still read, so that unread bytes don't reset it before
@@ -30,15 +30,15 @@
     pub linger: Duration,
 }
 
-impl Default for Timing {
+impl Default for Timeouts {
     fn default() -> Self {
         Self {
             connect: Duration::from_millis(300),
-            warm: Duration::from_millis(300),
-            idle: Duration::from_secs(4),
-            first_part: 0.6,
-            pause_part: 0.7,
-            start: Duration::from_millis(600),
+            at_most_once_max_idle: Duration::from_millis(300),
+            idempotent_max_idle: Duration::from_secs(4),
+            response_start_fraction: 0.6,
+            pause_fraction: 0.7,
+            startup_wait: Duration::from_millis(600),
             write: Duration::from_secs(10),
             linger: Duration::from_millis(500),
         }
--- a/crates/host/src/follow/documents.rs
+++ b/crates/host/src/follow/documents.rs
@@ -91,7 +91,7 @@
 }
 
 pub(crate) fn say_order<S: Store, D: Dialect>(life: &Life<S, D>, order: &Order) {
-    life.recorder().say(
+    life.recorder().log_event(
         Event::RolloutSeen,
         &[
             ("service", Value::Text(&order.service)),
@@ -116,7 +116,7 @@
         } else {
             Event::ConfigOlder
         };
-        life.recorder().say(
+        life.recorder().log_event(
             event,
             &[
                 ("version", Value::Count(version)),
--- a/crates/host/src/follow/evacuations.rs
+++ b/crates/host/src/follow/evacuations.rs
@@ -40,7 +40,7 @@
     let after = evacuated_data_centres(life);
     let log = |event, it: &DataCentre| {
         let data_centre = ("data_centre", Value::Text(it));
-        life.recorder().say(event, &[data_centre]);
+        life.recorder().log_event(event, &[data_centre]);
     };
     for it in after.difference(&before) {
         log(Event::DataCentreEmptied, it);
--- a/crates/host/src/follow/quarantine.rs
+++ b/crates/host/src/follow/quarantine.rs
@@ -31,7 +31,7 @@
             (quarantine.take_changed(), quarantine.take_quarantined())
         };
         for (fingerprint, ends) in quarantined {
-            life.recorder().say(
+            life.recorder().log_event(
                 Event::RequestHeld,
                 &[
                     ("print", Value::Text(&fingerprint)),
--- a/crates/host/src/follow/verdicts.rs
+++ b/crates/host/src/follow/verdicts.rs
@@ -102,7 +102,7 @@
     source: &str,
 ) {
     let pooled = rollout.pooled();
-    life.recorder().say(
+    life.recorder().log_event(
         Event::RolloutJudged,
         &[
             ("service", Value::Text(&rollout.order.service)),
@@ -149,7 +149,7 @@
     say::store(life, "judge", began, &written);
     match written {
         Ok(()) => {
-            life.recorder().say(
+            life.recorder().log_event(
                 Event::RolloutWritten,
                 &[
                     ("service", Value::Text(&judgement.service)),
--- a/crates/host/src/life.rs
+++ b/crates/host/src/life.rs
@@ -12,7 +12,7 @@
 
 use async_std::channel::{Receiver, Sender, bounded};
 use async_std::task::sleep;
-use forward::{Dialect, Front, Node, Phase};
+use forward::{Dialect, Listener, Node, Phase};
 use kernel::{Incarnation, ServiceName};
 use link::keys::Authority;
 use link::{Incoming, Link};
@@ -166,8 +166,8 @@
     }
 
     /// Starts the host's tasks.
-    pub fn start(self: &Rc<Self>, front: Front) {
-        self.node.spawn(front.run(Rc::clone(&self.node)));
+    pub fn start(self: &Rc<Self>, listener: Listener) {
+        self.node.spawn(listener.run(Rc::clone(&self.node)));
         self.is_accepting.set(true);
         self.node.spawn(documents::follow(Rc::clone(self)));
         self.node.spawn(verdicts::follow(Rc::clone(self)));
@@ -217,7 +217,7 @@
         self.node.leave();
         self.hurry();
         self.sleep_until(began + serving.taking).await;
-        self.node.finish(end);
+        self.node.drain(end);
         self.sleep_until(began + serving.known.min(serving.whole))
             .await;
         self.announce_end();
@@ -225,7 +225,7 @@
         // between would be cut off when the process ends.
         loop {
             sleep(DRAIN_POLL_INTERVAL).await;
-            if self.node.busy() == 0 || self.node.now() >= end {
+            if self.node.active_requests() == 0 || self.node.now() >= end {
                 break;
             }
         }
@@ -339,7 +339,7 @@
         self.node.router().quarantine().load_persisted(now, &held);
         let keys = authority.issue(&self.own.name).ok()?;
         self.recorder()
-            .say(Event::Joined, &[("address", Value::Text(&self.own.link))]);
+            .log_event(Event::Joined, &[("address", Value::Text(&self.own.link))]);
         let mut settings = link::Settings::new(self.own.link, keys);
         settings.idle = LINK_IDLE_TIMEOUT;
         settings.connect_timeout = LINK_CONNECT_TIMEOUT;
--- a/crates/host/src/say.rs
+++ b/crates/host/src/say.rs
@@ -39,7 +39,7 @@
     match result {
         // The store responded, so it is reachable.
         Err(Trouble::Conflict | Trouble::HistoryGone) => {}
-        Err(trouble) if lost.insert(call) => life.recorder().say(
+        Err(trouble) if lost.insert(call) => life.recorder().log_event(
             Event::StoreLost,
             &[
                 ("call", Value::Text(&call)),
@@ -49,7 +49,7 @@
         ),
         Ok(_) if lost.remove(call) => {
             life.recorder()
-                .say(Event::StoreBack, &[("call", Value::Text(&call))]);
+                .log_event(Event::StoreBack, &[("call", Value::Text(&call))]);
             if timed.is_some() {
                 life.ask_anew();
             }
@@ -68,7 +68,7 @@
         .is_some_and(|before| before != era)
     {
         life.recorder()
-            .say(Event::StoreRestored, &[("era", Value::Count(era))]);
+            .log_event(Event::StoreRestored, &[("era", Value::Count(era))]);
         let now = life.node.now();
         life.node.router().store_restored(now);
         life.ask_anew();
@@ -84,7 +84,7 @@
 ) {
     let before = life.unusable.borrow_mut().insert(listing, count);
     if before.unwrap_or_default() != count {
-        life.recorder().say(
+        life.recorder().log_event(
             Event::EntriesUnusable,
             &[
                 ("listing", Value::Text(&listing)),
@@ -97,7 +97,7 @@
 /// Logs what a listing of endpoints changed.
 pub(crate) fn endpoints<S: Store, D: Dialect>(life: &Life<S, D>, change: &Change, age: Duration) {
     let log = |event, id: &kernel::EndpointId| {
-        life.recorder().say(
+        life.recorder().log_event(
             event,
             &[
                 ("endpoint", Value::Text(id)),
@@ -119,7 +119,7 @@
     let mut hosts: HashSet<SocketAddr> = HashSet::new();
     loop {
         sleep(GAUGE_INTERVAL).await;
-        life.recorder().say_dropped();
+        life.recorder().log_dropped_lines();
         let is_ready = life.is_ready();
         if is_ready != was_ready {
             let event = if is_ready {
@@ -127,7 +127,7 @@
             } else {
                 Event::Unready
             };
-            life.recorder().say(event, &[]);
+            life.recorder().log_event(event, &[]);
             was_ready = is_ready;
         }
         let now: HashSet<SocketAddr> = life.live().into_iter().map(|it| it.front).collect();
@@ -136,7 +136,7 @@
             hosts = now;
         }
         let gauges = collect_gauges(&life, hosts.len());
-        life.recorder().metrics().set(&gauges);
+        life.recorder().metrics().set_gauges(&gauges);
     }
 }
 
@@ -154,7 +154,7 @@
         let names = some.iter().take(MAX_LISTED).map(ToString::to_string);
         names.collect::<Vec<_>>().join(" ")
     };
-    life.recorder().say(
+    life.recorder().log_event(
         Event::HostsChanged,
         &[
             ("hosts", Value::Count(now.len() as u64)),
@@ -189,15 +189,15 @@
         config_confirmed: since(life.confirmed.get()),
         listing_age: since(router.listing_time()),
         endpoints: endpoints as u64,
-        resting: resting as u64,
-        data_centres_emptied: router.directory().evacuations().evacuated().count() as u64,
+        ejected: resting as u64,
+        data_centres_evacuated: router.directory().evacuations().evacuated().count() as u64,
         hosts: hosts as u64,
-        reads_for_all: u64::from(life.reads_for_all()),
+        is_reader: u64::from(life.reads_for_all()),
         links: link_gauges(life),
-        callers: life.node.open() as u64,
-        requests: life.node.busy() as u64,
-        held: router.quarantine().len() as u64,
-        budgets: budgets
+        callers: life.node.open_connections() as u64,
+        requests: life.node.active_requests() as u64,
+        quarantined: router.quarantine().len() as u64,
+        retry_budgets: budgets
             .into_iter()
             .map(|(service, left)| (service.to_string(), left))
             .collect(),
--- a/crates/host/src/talk/probe.rs
+++ b/crates/host/src/talk/probe.rs
@@ -49,7 +49,7 @@
         .probe_failed(now, &it.host, contact);
     if is_silent {
         life.recorder()
-            .say(Event::HostSilent, &[("other", Value::Text(&it.host))]);
+            .log_event(Event::HostSilent, &[("other", Value::Text(&it.host))]);
         life.hurry();
     }
 }
--- a/crates/telemetry/src/instruments.rs
+++ b/crates/telemetry/src/instruments.rs
@@ -63,14 +63,14 @@
 
     /// Creates an integer gauge.
     #[must_use]
-    pub fn whole(&self, name: &'static str) -> Gauge<u64> {
+    pub fn int_gauge(&self, name: &'static str) -> Gauge<u64> {
         let builder = self.meter.u64_gauge(name);
         builder.with_description(self.help(name)).build()
     }
 
     /// Creates a floating-point gauge.
     #[must_use]
-    pub fn real(&self, name: &'static str) -> Gauge<f64> {
+    pub fn float_gauge(&self, name: &'static str) -> Gauge<f64> {
         let builder = self.meter.f64_gauge(name);
         builder.with_description(self.help(name)).build()
     }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -23,13 +23,13 @@
     /// Endpoints that accept requests.
     pub endpoints: u64,
     /// Endpoints that are ejected.
-    pub resting: u64,
+    pub ejected: u64,
     /// Data centres that operators have evacuated.
-    pub data_centres_emptied: u64,
+    pub data_centres_evacuated: u64,
     /// Hosts in the list for callers.
     pub hosts: u64,
     /// Whether this host reads the store for the other hosts, as 1 or 0.
-    pub reads_for_all: u64,
+    pub is_reader: u64,
     /// The statistics of the links to other hosts.
     pub links: Links,
     /// Callers' open connections.
@@ -37,9 +37,9 @@
     /// Requests in progress.
     pub requests: u64,
     /// Requests that are quarantined because endpoints crash on them.
-    pub held: u64,
+    pub quarantined: u64,
     /// The retries left, by service.
-    pub budgets: Vec<(String, f64)>,
+    pub retry_budgets: Vec<(String, f64)>,
     /// Roll-outs: the service, the new release's share, and the responses and failures of both
     /// releases, pooled over the hosts.
     pub rollouts: Vec<(String, f64, route::rollout::Evidence)>,
@@ -79,10 +79,10 @@
     config_confirmed: Gauge<f64>,
     listing_age: Gauge<f64>,
     endpoints: Gauge<u64>,
-    resting: Gauge<u64>,
-    data_centres_emptied: Gauge<u64>,
+    ejected: Gauge<u64>,
+    data_centres_evacuated: Gauge<u64>,
     hosts: Gauge<u64>,
-    reads_for_all: Gauge<u64>,
+    is_reader: Gauge<u64>,
     link_connections: Gauge<u64>,
     link_handshakes: Gauge<u64>,
     link_sent: Gauge<u64>,
@@ -117,24 +117,24 @@
             store_calls: it.counter("store_calls"),
             store_call_seconds: it.histogram("store_call_seconds"),
             lines_dropped: it.counter("log_lines_dropped"),
-            config_version: it.whole("config_version"),
-            config_confirmed: it.real("config_confirmed_seconds"),
-            listing_age: it.real("listing_age_seconds"),
-            endpoints: it.whole("endpoints"),
-            resting: it.whole("endpoints_resting"),
-            data_centres_emptied: it.whole("data_centres_emptied"),
-            hosts: it.whole("hosts"),
-            reads_for_all: it.whole("reads_for_all"),
-            link_connections: it.whole("link_connections"),
-            link_handshakes: it.whole("link_handshakes"),
-            link_sent: it.whole("link_sent_bytes"),
-            link_received: it.whole("link_received_bytes"),
-            callers: it.whole("callers"),
-            requests_open: it.whole("requests_open"),
-            requests_held: it.whole("requests_held"),
-            budget_left: it.real("retry_budget_left"),
-            rollout_answers: it.whole("rollout_answers"),
-            rollout_share: it.real("rollout_share"),
+            config_version: it.int_gauge("config_version"),
+            config_confirmed: it.float_gauge("config_confirmed_seconds"),
+            listing_age: it.float_gauge("listing_age_seconds"),
+            endpoints: it.int_gauge("endpoints"),
+            ejected: it.int_gauge("endpoints_resting"),
+            data_centres_evacuated: it.int_gauge("data_centres_emptied"),
+            hosts: it.int_gauge("hosts"),
+            is_reader: it.int_gauge("reads_for_all"),
+            link_connections: it.int_gauge("link_connections"),
+            link_handshakes: it.int_gauge("link_handshakes"),
+            link_sent: it.int_gauge("link_sent_bytes"),
+            link_received: it.int_gauge("link_received_bytes"),
+            callers: it.int_gauge("callers"),
+            requests_open: it.int_gauge("requests_open"),
+            requests_held: it.int_gauge("requests_held"),
+            budget_left: it.float_gauge("retry_budget_left"),
+            rollout_answers: it.int_gauge("rollout_answers"),
+            rollout_share: it.float_gauge("rollout_share"),
             instruments,
         };
         metrics.start_at_zero();
@@ -217,24 +217,24 @@
     }
 
     /// Sets the gauges.
-    pub fn set(&self, gauges: &Gauges) {
+    pub fn set_gauges(&self, gauges: &Gauges) {
         self.config_version.record(gauges.config_version, &[]);
         self.config_confirmed.record(gauges.config_confirmed, &[]);
         self.listing_age.record(gauges.listing_age, &[]);
         self.endpoints.record(gauges.endpoints, &[]);
-        self.resting.record(gauges.resting, &[]);
-        self.data_centres_emptied
-            .record(gauges.data_centres_emptied, &[]);
+        self.ejected.record(gauges.ejected, &[]);
+        self.data_centres_evacuated
+            .record(gauges.data_centres_evacuated, &[]);
         self.hosts.record(gauges.hosts, &[]);
-        self.reads_for_all.record(gauges.reads_for_all, &[]);
+        self.is_reader.record(gauges.is_reader, &[]);
         self.link_connections.record(gauges.links.connections, &[]);
         self.link_handshakes.record(gauges.links.handshakes, &[]);
         self.link_sent.record(gauges.links.sent, &[]);
         self.link_received.record(gauges.links.received, &[]);
         self.callers.record(gauges.callers, &[]);
         self.requests_open.record(gauges.requests, &[]);
-        self.requests_held.record(gauges.held, &[]);
-        for (service, left) in &gauges.budgets {
+        self.requests_held.record(gauges.quarantined, &[]);
+        for (service, left) in &gauges.retry_budgets {
             self.budget_left
                 .record(*left, &[label("service", service.clone())]);
         }
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -39,14 +39,14 @@
     }
 
     /// Logs an event, unless the rate limit is reached.
-    pub fn say(&self, event: Event, fields: &[Field<'_>]) {
+    pub fn log_event(&self, event: Event, fields: &[Field<'_>]) {
         if self.may_write(LinePriority::Notable) {
             self.log.write(event, fields);
         }
     }
 
     /// Logs how many lines were dropped, if any. It must be called every second.
-    pub fn say_dropped(&self) {
+    pub fn log_dropped_lines(&self) {
         let dropped = self.line_limiter.borrow_mut().take_dropped();
         if dropped > 0 {
             self.metrics.lines_dropped(dropped);
@@ -143,7 +143,7 @@
     pub fn record_connect(&self, endpoint: &EndpointId, took: Duration, result: &io::Result<()>) {
         self.metrics.connect(result.is_ok());
         if let Err(err) = result {
-            self.say(
+            self.log_event(
                 Event::Connect,
                 &[
                     ("endpoint", Value::Text(endpoint)),
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -74,8 +74,8 @@
 #[test]
 fn exported_metrics_match_the_catalogue() {
     let metrics = Metrics::new();
-    metrics.set(&Gauges {
-        budgets: vec![("pool".to_owned(), 3.0)],
+    metrics.set_gauges(&Gauges {
+        retry_budgets: vec![("pool".to_owned(), 3.0)],
         rollouts: vec![("pool".to_owned(), 0.1, Evidence::default())],
         ..Gauges::default()
     });
--- a/crates/telemetry/tests/log_limits.rs
+++ b/crates/telemetry/tests/log_limits.rs
@@ -80,7 +80,7 @@
         recorder.record_request(&report(&RequestId::from(format!("q{nr}")), lost));
     }
     clock.advance(Duration::from_secs(2));
-    recorder.say_dropped();
+    recorder.log_dropped_lines();
     let lines = sink.lines();
     assert_eq!(lines.len(), 601);
     assert_eq!(lines.last().unwrap()["lines"], 4_400);
