--- a/crates/host/src/follow/documents.rs
+++ b/crates/host/src/follow/documents.rs
@@ -13,7 +13,7 @@
     verdicts, wait_to_read,
 };
 use crate::life::Life;
-use crate::{Backoff, Documents, Store, Trouble, say};
+use crate::{Backoff, Documents, Store, Trouble, report};
 
 pub(crate) async fn follow<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     let mut since: Option<Revision> = None;
@@ -41,7 +41,7 @@
         let Some(result) = result else {
             continue;
         };
-        say::store(&life, "news of documents", began, &result);
+        report::record_store_call(&life, "news of documents", began, &result);
         match result {
             // The store was restored from a copy meanwhile. It may have reassigned versions up
             // to `since`, and the answer lacks what was written with those.
@@ -75,7 +75,7 @@
 fn apply_changes<S: Store, D: Dialect>(life: &Life<S, D>, documents: Documents) {
     // Before the configuration: with it, the host starts to serve requests.
     evacuations::hear(life, documents.evacuations);
-    say::unusable(life, "documents", documents.unreadable);
+    report::log_unusable(life, "documents", documents.unreadable);
     if let Some((config, text)) = documents.config {
         configure(life, config, text);
     }
--- a/crates/host/src/follow/endpoints.rs
+++ b/crates/host/src/follow/endpoints.rs
@@ -11,7 +11,7 @@
 use super::{wait_for_config, wait_to_read};
 use crate::life::{Life, Listed};
 use crate::listing::fingerprint;
-use crate::{Backoff, Outage, Store, say};
+use crate::{Backoff, Outage, Store, report};
 
 /// Interval at which the listing of endpoints is read. Each reading is billed, and an
 /// endpoint that leaves must get no new requests two seconds after it announced that.
@@ -30,10 +30,10 @@
         }
         let began = node.now();
         let listed = life.store.endpoints().await;
-        say::store(&life, "endpoints", began, &listed);
+        report::record_store_call(&life, "endpoints", began, &listed);
         if let Ok(found) = listed {
             backoff.reset();
-            say::unusable(&life, "endpoints", found.unusable);
+            report::log_unusable(&life, "endpoints", found.unusable);
             let now = node.now();
             let known = life.listed.get().map(|it| (it.at, it.absence));
             if std::mem::replace(&mut era, life.store.era()) != era {
@@ -95,5 +95,5 @@
     }
     let change = life.node.router().update_listing(at, entries, absence);
     let age = life.node.now().saturating_sub(at);
-    say::endpoints(life, &change, age);
+    report::log_endpoint_changes(life, &change, age);
 }
--- a/crates/host/src/follow/members.rs
+++ b/crates/host/src/follow/members.rs
@@ -9,7 +9,7 @@
 use forward::Dialect;
 
 use crate::life::Life;
-use crate::{Member, Store, say};
+use crate::{Member, Store, report};
 
 /// Interval at which the first of the readers reads the listing.
 const READ_INTERVAL: Duration = Duration::from_secs(10);
@@ -62,25 +62,25 @@
 async fn reconcile<S: Store, D: Dialect>(life: &Life<S, D>) {
     let began = life.node.now();
     let listed = life.store.members().await;
-    say::store(life, "hosts", began, &listed);
+    report::record_store_call(life, "hosts", began, &listed);
     let Ok(found) = listed else {
         return;
     };
-    say::unusable(life, "hosts", found.unusable);
+    report::log_unusable(life, "hosts", found.unusable);
     let (missing, expired) = {
         let mut gossip = life.gossip.borrow_mut();
-        gossip.list(life.node.now(), found.entries.clone());
+        gossip.add_listed(life.node.now(), found.entries.clone());
         let roster = gossip.roster();
         (
             roster.missing(&found.entries),
-            roster.gone(life.node.now(), &found.entries),
+            roster.expired(life.node.now(), &found.entries),
         )
     };
     register(life, &missing).await;
     for batch in expired.chunks(MAX_BATCH) {
         let began = life.node.now();
         let result = life.store.withdraw(batch).await;
-        say::store(life, "withdraw", began, &result);
+        report::record_store_call(life, "withdraw", began, &result);
     }
 }
 
@@ -90,7 +90,7 @@
     for batch in members.chunks(MAX_BATCH) {
         let began = life.node.now();
         let result = life.store.announce(batch).await;
-        say::store(life, "announce", began, &result);
+        report::record_store_call(life, "announce", began, &result);
         is_done &= result.is_ok();
     }
     is_done
--- a/crates/host/src/follow/quarantine.rs
+++ b/crates/host/src/follow/quarantine.rs
@@ -9,7 +9,7 @@
 use telemetry::{Event, Value};
 
 use crate::life::Life;
-use crate::{Backoff, Store, say};
+use crate::{Backoff, Store, report};
 
 /// Interval of checks for new quarantined requests. Such a request ends an endpoint within
 /// a tenth of a second, and goes on to end others until all hosts know it.
@@ -55,7 +55,7 @@
             let began = life.node.now();
             let result = life.store.release(&released).await;
             // If the delete fails, hosts that start read the row and release it later.
-            say::store(&life, "release", began, &result);
+            report::record_store_call(&life, "release", began, &result);
         }
         if life.node.router().quarantine().unpersisted().is_empty() {
             continue;
@@ -68,7 +68,7 @@
         }
         let began = life.node.now();
         let result = life.store.hold(&unpersisted).await;
-        say::store(&life, "hold", began, &result);
+        report::record_store_call(&life, "hold", began, &result);
         if result.is_ok() {
             backoff.reset();
             let now = life.node.now();
--- a/crates/host/src/follow/verdicts.rs
+++ b/crates/host/src/follow/verdicts.rs
@@ -13,7 +13,7 @@
     LONG_POLL_TIMEOUT, is_of_another_era, unless_restarted, wait_for_config, wait_to_read,
 };
 use crate::life::Life;
-use crate::{Backoff, Documents, Judgement, Store, Trouble, say};
+use crate::{Backoff, Documents, Judgement, Store, Trouble, report};
 
 /// Interval at which roll-outs are evaluated.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
@@ -38,7 +38,7 @@
         let Some(result) = unless_restarted(&life.returns[1].1, call).await else {
             continue;
         };
-        say::store(&life, "news of verdicts", began, &result);
+        report::record_store_call(&life, "news of verdicts", began, &result);
         match result {
             Ok(documents) if is_of_another_era(since, documents.revision) => since = None,
             Ok(documents) => {
@@ -146,7 +146,7 @@
 async fn write<S: Store, D: Dialect>(life: &Life<S, D>, judgement: Judgement) {
     let began = life.node.now();
     let written = life.store.judge(&judgement).await;
-    say::store(life, "judge", began, &written);
+    report::record_store_call(life, "judge", began, &written);
     match written {
         Ok(()) => {
             life.recorder().log_event(
@@ -163,7 +163,7 @@
         Err(Trouble::Conflict) => {
             let began = life.node.now();
             let found = life.store.judgements(None, Duration::ZERO).await;
-            say::store(life, "verdicts", began, &found);
+            report::record_store_call(life, "verdicts", began, &found);
             if let Ok(found) = found {
                 forget_older_eras(life, &found);
                 take(life, found.judgements);
--- a/crates/host/src/gossip.rs
+++ b/crates/host/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Host membership and failure detection by gossip.
 //!
 //! Does no input or output and takes the time from its caller, so that a test can simulate
-//! hundreds of hosts. [`crate::talk`] sends and receives the messages. See
+//! hundreds of hosts. [`crate::messaging`] sends and receives the messages. See
 //! `docs/design/gossip.md`.
 
 mod compare;
@@ -105,9 +105,9 @@
     }
 
     /// Adds the hosts that the store lists.
-    pub fn list(&mut self, now: Duration, members: Vec<Member>) {
+    pub fn add_listed(&mut self, now: Duration, members: Vec<Member>) {
         for it in members {
-            self.roster.list(now, it);
+            self.roster.add_listed(now, it);
         }
         self.update_graph(now);
     }
--- a/crates/host/src/gossip/roster.rs
+++ b/crates/host/src/gossip/roster.rs
@@ -127,7 +127,7 @@
 
     /// Returns the entries whose hosts have been silent or gone for long.
     #[must_use]
-    pub fn gone(&self, now: Duration, listed: &[Member]) -> Vec<Member> {
+    pub fn expired(&self, now: Duration, listed: &[Member]) -> Vec<Member> {
         let is_gone = |it: &&Member| {
             self.hosts.get(&it.name).is_some_and(|known| {
                 !known.record.is_live() && now >= known.stored_at + WITHDRAW_AFTER
@@ -190,7 +190,7 @@
 
     /// Adds a host's entry from the store. A known host is replaced only if the entry has other
     /// addresses and the host is listed or silent: what a host reports itself is more reliable.
-    pub(super) fn list(&mut self, now: Duration, member: Member) {
+    pub(super) fn add_listed(&mut self, now: Duration, member: Member) {
         let known = self.get(&member.name);
         let is_new = known.is_none_or(|it| {
             let has_moved = it.member.link != member.link || it.member.front != member.front;
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -14,10 +14,10 @@
 pub mod listing;
 mod member;
 mod message;
+mod messaging;
 mod outage;
-mod say;
+mod report;
 mod store;
-mod talk;
 
 pub use backoff::Backoff;
 pub use documents::{Documents, Judgement};
--- a/crates/host/src/life.rs
+++ b/crates/host/src/life.rs
@@ -25,8 +25,8 @@
 use crate::follow::{documents, endpoints, members, quarantine, verdicts};
 use crate::gossip::{Contact, Gossip, State};
 use crate::listing::Listing;
-use crate::message::{Message, Question};
-use crate::{Backoff, Joined, Judgement, Member, Store, say, talk};
+use crate::message::{Message, Request};
+use crate::{Backoff, Joined, Judgement, Member, Store, messaging, report};
 
 pub(crate) use listed::{Listed, is_much_later};
 
@@ -61,7 +61,7 @@
     pub(crate) listed: Cell<Option<Listed>>,
     pub(crate) config_text: RefCell<Option<Arc<[u8]>>>,
     /// The kinds of request to other hosts that are in flight.
-    pub(crate) asking: RefCell<HashSet<Discriminant<Question>>>,
+    pub(crate) asking: RefCell<HashSet<Discriminant<Request>>>,
     /// Wakes the task that sends updates to the neighbours.
     pub(crate) hurry: Sender<()>,
     pub(crate) changes: Receiver<()>,
@@ -176,9 +176,9 @@
         self.node.spawn(verdicts::write_all(Rc::clone(self)));
         self.node.spawn(quarantine::share(Rc::clone(self)));
         self.node.spawn(quarantine::persist(Rc::clone(self)));
-        self.node.spawn(talk::join(Rc::clone(self)));
+        self.node.spawn(messaging::join(Rc::clone(self)));
         self.node.spawn(sweep(Rc::clone(&self.node)));
-        self.node.spawn(say::gauges(Rc::clone(self)));
+        self.node.spawn(report::run_gauges(Rc::clone(self)));
     }
 
     /// Returns the recorder for log events and metrics.
@@ -236,7 +236,7 @@
         let now = self.node.now();
         self.gossip.borrow_mut().set_state(now, State::Gone);
         if let Some(link) = &*self.link.borrow() {
-            talk::say(self, link);
+            messaging::send_update(self, link);
         }
     }
 
@@ -325,7 +325,7 @@
         let candidate = Authority::generate(AUTHORITY_NAME).ok()?;
         let began = self.node.now();
         let joined = self.store.join(candidate).await;
-        say::store(self, "join", began, &joined);
+        report::record_store_call(self, "join", began, &joined);
         let Joined {
             authority,
             members,
@@ -335,7 +335,7 @@
         self.joined_at.set(Some(self.node.now()));
         self.is_registered.set(members.contains(&self.own));
         let now = self.node.now();
-        self.gossip.borrow_mut().list(now, members);
+        self.gossip.borrow_mut().add_listed(now, members);
         self.node.router().quarantine().load_persisted(now, &held);
         let keys = authority.issue(&self.own.name).ok()?;
         self.recorder()
--- a/crates/host/src/message.rs
+++ b/crates/host/src/message.rs
@@ -19,7 +19,7 @@
     /// A host's state, sent several times a second.
     StateUpdate(Box<StateUpdate>),
     /// A request for a response.
-    Request(Question),
+    Request(Request),
     /// The configuration in the operators' original text.
     Config(Vec<u8>),
     /// The listing of endpoints.
@@ -46,7 +46,7 @@
 
 /// A request to another host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Question {
+pub(crate) enum Request {
     Config,
     Listing,
     /// The full state, for a host that has just started.
--- a/crates/host/src/talk.rs
+++ b/crates/host/src/messaging.rs
@@ -54,7 +54,7 @@
 /// Sends updates to the neighbours periodically, and early when something changes.
 async fn send_updates<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
     loop {
-        say(&life, &link);
+        send_update(&life, &link);
         sleep(MIN_GOSSIP_INTERVAL.saturating_sub(BATCH_DELAY)).await;
         let pause = sleep(GOSSIP_INTERVAL.saturating_sub(MIN_GOSSIP_INTERVAL));
         let change = life.changes.recv();
@@ -68,7 +68,7 @@
 }
 
 /// Sends this host's current state to the neighbours once.
-pub(crate) fn say<S: Store, D: Dialect>(life: &Life<S, D>, link: &Link) {
+pub(crate) fn send_update<S: Store, D: Dialect>(life: &Life<S, D>, link: &Link) {
     let update = state_update(life, Scope::Delta);
     let quarantine = quarantine_update(life, Scope::Delta);
     let quarantine = (!quarantine.is_empty()).then(|| life.frame(&Message::Quarantine(quarantine)));
--- a/crates/host/src/talk/apply.rs
+++ b/crates/host/src/messaging/apply.rs
@@ -14,7 +14,7 @@
 use crate::gossip::Record;
 use crate::life::{Life, Listed, is_much_later};
 use crate::message::{
-    FullState, Listing, ListingChange, ListingPatch, ListingStatus, Message, Question, StateUpdate,
+    FullState, Listing, ListingChange, ListingPatch, ListingStatus, Message, Request, StateUpdate,
 };
 
 /// Applies a host's update, and schedules an update of this host at once if something
@@ -38,13 +38,13 @@
     let peer = known.map_or_else(|| from.clone(), |it| peer(&it.member));
     if outcome.needs_comparison || !is_known {
         let digest = life.gossip.borrow().digest();
-        request::send_once(life, link, &peer, Question::Compare(digest));
+        request::send_once(life, link, &peer, Request::Compare(digest));
     }
     let own = life.node.router().version();
     if update.version > own {
         let request = match own {
-            Some(_) => Question::Config,
-            None => Question::FullState,
+            Some(_) => Request::Config,
+            None => Request::FullState,
         };
         request::send_once(life, link, &peer, request);
     }
@@ -195,7 +195,7 @@
 
 fn request_patch<S: Store, D: Dialect>(life: &Rc<Life<S, D>>, link: &Link, from: &Peer) {
     let sketch = life.listing.borrow().sketch();
-    request::send_once(life, link, from, Question::ListingPatch(sketch));
+    request::send_once(life, link, from, Request::ListingPatch(sketch));
 }
 
 /// Applies a patch of the listing. A patch that no longer fits is dropped; the next update
@@ -237,9 +237,8 @@
             is_much_later(at, Some(own.at))
         }
         known => {
-            let request = known.map_or(Question::Listing, |it| {
-                Question::ListingSince(it.fingerprint)
-            });
+            let request =
+                known.map_or(Request::Listing, |it| Request::ListingSince(it.fingerprint));
             request::send_once(life, link, from, request);
             false
         }
--- a/crates/host/src/talk/bootstrap.rs
+++ b/crates/host/src/messaging/bootstrap.rs
@@ -8,7 +8,7 @@
 use super::{apply, peer, request};
 use crate::Store;
 use crate::life::Life;
-use crate::message::{Message, Question};
+use crate::message::{Message, Request};
 
 /// The most neighbours that are asked for their state, one after another.
 const MAX_ATTEMPTS: usize = 3;
@@ -22,11 +22,11 @@
         if life.node.router().version().is_some() {
             break;
         }
-        let response = request::send(&life, &link, &it, Question::FullState).await;
+        let response = request::send(&life, &link, &it, Request::FullState).await;
         if let Some(Message::FullState(state)) = response {
             apply::full_state(&life, &link, &it, *state);
             life.greeted.set(true);
-            request::send_once(&life, &link, &it, Question::Quarantine);
+            request::send_once(&life, &link, &it, Request::Quarantine);
         }
     }
     life.greeted.set(true);
--- a/crates/host/src/talk/probe.rs
+++ b/crates/host/src/messaging/probe.rs
@@ -13,7 +13,7 @@
 use crate::Store;
 use crate::gossip::RECONNECT_INTERVAL;
 use crate::life::Life;
-use crate::message::{Message, Question};
+use crate::message::{Message, Request};
 
 /// The timeout of a probe, connection setup included. A host that is merely slow refutes the
 /// claim before callers are affected.
@@ -35,7 +35,7 @@
 async fn probe<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link, it: Peer) {
     let response = timeout(
         PROBE_TIMEOUT,
-        request::send(&life, &link, &it, Question::Ping),
+        request::send(&life, &link, &it, Request::Ping),
     )
     .await;
     let now = life.node.now();
@@ -70,7 +70,7 @@
             continue;
         };
         let digest = life.gossip.borrow().digest();
-        let response = request::send(&life, &link, &silent, Question::Compare(digest)).await;
+        let response = request::send(&life, &link, &silent, Request::Compare(digest)).await;
         if let Some(it @ Message::Comparison(_)) = response {
             apply::response(&life, &link, &silent, it);
         }
--- a/crates/host/src/talk/request.rs
+++ b/crates/host/src/messaging/request.rs
@@ -10,7 +10,7 @@
 use super::apply;
 use crate::Store;
 use crate::life::Life;
-use crate::message::{Message, Question};
+use crate::message::{Message, Request};
 
 /// The timeout of a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
@@ -24,7 +24,7 @@
     life: &Rc<Life<S, D>>,
     link: &Link,
     peer: &Peer,
-    request: Question,
+    request: Request,
 ) {
     let kind = std::mem::discriminant(&request);
     if !life.asking.borrow_mut().insert(kind) {
@@ -45,10 +45,10 @@
     life: &Life<S, D>,
     link: &Link,
     peer: &Peer,
-    request: Question,
+    request: Request,
 ) -> Option<Message> {
     let timeout = match request {
-        Question::Listing | Question::ListingPatch(_) => LISTING_RESPONSE_TIMEOUT,
+        Request::Listing | Request::ListingPatch(_) => LISTING_RESPONSE_TIMEOUT,
         _ => RESPONSE_TIMEOUT,
     };
     let frame = life.frame(&Message::Request(request))?;
--- a/crates/host/src/talk/respond.rs
+++ b/crates/host/src/messaging/respond.rs
@@ -7,23 +7,23 @@
 use crate::Store;
 use crate::life::Life;
 use crate::listing::Sketch;
-use crate::message::{FullState, Listing, ListingChange, ListingPatch, Message, Question};
+use crate::message::{FullState, Listing, ListingChange, ListingPatch, Message, Request};
 
-pub(super) fn respond<S: Store, D: Dialect>(life: &Life<S, D>, request: Question) -> Message {
+pub(super) fn respond<S: Store, D: Dialect>(life: &Life<S, D>, request: Request) -> Message {
     match request {
-        Question::Config => config(life).map_or(Message::Empty, Message::Config),
-        Question::Listing => listing(life).map_or(Message::Empty, Message::Listing),
-        Question::FullState => Message::FullState(Box::new(FullState {
+        Request::Config => config(life).map_or(Message::Empty, Message::Config),
+        Request::Listing => listing(life).map_or(Message::Empty, Message::Listing),
+        Request::FullState => Message::FullState(Box::new(FullState {
             update: state_update(life, Scope::Full),
             config: config(life),
             listing: listing(life),
             evacuations: evacuations(life),
         })),
-        Question::Compare(digest) => Message::Comparison(life.gossip.borrow().compare(&digest)),
-        Question::Ping => Message::Empty,
-        Question::ListingSince(from) => listing_changes(life, from),
-        Question::ListingPatch(sketch) => listing_patch(life, &sketch),
-        Question::Quarantine => Message::Quarantine(quarantine_update(life, Scope::Full)),
+        Request::Compare(digest) => Message::Comparison(life.gossip.borrow().compare(&digest)),
+        Request::Ping => Message::Empty,
+        Request::ListingSince(from) => listing_changes(life, from),
+        Request::ListingPatch(sketch) => listing_patch(life, &sketch),
+        Request::Quarantine => Message::Quarantine(quarantine_update(life, Scope::Full)),
     }
 }
 
--- a/crates/host/src/say.rs
+++ b/crates/host/src/report.rs
@@ -18,7 +18,7 @@
 
 /// Counts a call to the store, and logs when calls of its kind begin to fail or succeed
 /// again.
-pub(crate) fn store<S: Store, D: Dialect, T>(
+pub(crate) fn record_store_call<S: Store, D: Dialect, T>(
     life: &Life<S, D>,
     call: &'static str,
     began: Duration,
@@ -77,7 +77,7 @@
 
 /// Logs the number of unusable entries in a listing when it changes. Logging it at each
 /// reading would repeat the same line.
-pub(crate) fn unusable<S: Store, D: Dialect>(
+pub(crate) fn log_unusable<S: Store, D: Dialect>(
     life: &Life<S, D>,
     listing: &'static str,
     count: usize,
@@ -95,7 +95,11 @@
 }
 
 /// Logs what a listing of endpoints changed.
-pub(crate) fn endpoints<S: Store, D: Dialect>(life: &Life<S, D>, change: &Change, age: Duration) {
+pub(crate) fn log_endpoint_changes<S: Store, D: Dialect>(
+    life: &Life<S, D>,
+    change: &Change,
+    age: Duration,
+) {
     let log = |event, id: &kernel::EndpointId| {
         life.recorder().log_event(
             event,
@@ -114,7 +118,7 @@
 }
 
 /// Sets the gauges, and logs changes of readiness and of the set of serving hosts.
-pub(crate) async fn gauges<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+pub(crate) async fn run_gauges<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
     let mut was_ready = false;
     let mut hosts: HashSet<SocketAddr> = HashSet::new();
     loop {
--- a/crates/host/tests/gossip/network.rs
+++ b/crates/host/tests/gossip/network.rs
@@ -107,7 +107,7 @@
         host.version = 0;
         let incarnation = Incarnation(u64::try_from(now.as_nanos()).unwrap());
         host.gossip = Gossip::new(host.member.clone(), incarnation, now);
-        host.gossip.list(now, listing);
+        host.gossip.add_listed(now, listing);
         host.gossip.set_state(now, State::Ready);
         let run = host.run;
         let random = self.rng.random_range(0..500);
@@ -130,7 +130,7 @@
         let all: Vec<Member> = (0..count).map(member).collect();
         let now = self.now;
         for host in self.hosts.iter_mut().take(8) {
-            host.gossip.list(now, all.clone());
+            host.gossip.add_listed(now, all.clone());
         }
     }
 
