--- a/crates/host/src/documents.rs
+++ b/crates/host/src/documents.rs
@@ -22,12 +22,12 @@
     /// Number of invalid documents. One of them must not hide the others.
     pub unreadable: usize,
     /// The verdicts on roll-outs.
-    pub judgements: Vec<Judgement>,
+    pub verdicts: Vec<RolloutVerdict>,
 }
 
 /// A verdict on a roll-out, as the store has it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Judgement {
+pub struct RolloutVerdict {
     /// The service.
     pub service: ServiceName,
     /// The release that was rolled out.
--- a/crates/host/src/follow.rs
+++ b/crates/host/src/follow.rs
@@ -21,7 +21,7 @@
 use route::Revision;
 
 use crate::Store;
-use crate::life::Life;
+use crate::host::Host;
 
 /// Timeout of a long poll. Each poll is billed. Before it times out, keep-alive detects a
 /// dead connection, see `http`, and other calls detect a store that stops responding.
@@ -43,16 +43,16 @@
 ///
 /// Nothing else is useful until then. While the store refuses calls, one kind of call is
 /// enough to detect its return; five kinds at a time would each be billed.
-pub(crate) async fn wait_for_config<S: Store, D: Dialect>(life: &Life<S, D>) {
-    while life.node.router().version().is_none() {
+pub(crate) async fn wait_for_config<S: Store, D: Dialect>(host: &Host<S, D>) {
+    while host.node.router().version().is_none() {
         sleep(STARTUP_POLL_INTERVAL).await;
     }
 }
 
 /// Waits until the next check whether this host should read the store. The wait is
 /// shorter while the host isn't ready.
-async fn wait_to_read<S: Store, D: Dialect>(life: &Life<S, D>) {
-    if life.is_ready() {
+async fn wait_to_read<S: Store, D: Dialect>(host: &Host<S, D>) {
+    if host.is_ready() {
         sleep(POLL_INTERVAL).await;
     } else {
         sleep(STARTUP_POLL_INTERVAL).await;
--- a/crates/host/src/follow/evacuations.rs
+++ b/crates/host/src/follow/evacuations.rs
@@ -8,24 +8,24 @@
 use telemetry::{Event, Value};
 
 use crate::Store;
-use crate::life::Life;
+use crate::host::Host;
 
 /// Applies a snapshot of all evacuations in the store.
 pub(super) fn apply_snapshot<S: Store, D: Dialect>(
-    life: &Life<S, D>,
+    host: &Host<S, D>,
     at: Revision,
     evacuations: Vec<Evacuation>,
 ) {
-    apply_and_log(life, || {
-        let now = life.node.now();
-        life.node.router().read_evacuations(now, at, evacuations);
+    apply_and_log(host, || {
+        let now = host.node.now();
+        host.node.router().read_evacuations(now, at, evacuations);
     });
 }
 
 /// Applies changed evacuations, from the store or from another host.
-pub(crate) fn hear<S: Store, D: Dialect>(life: &Life<S, D>, evacuations: Vec<Evacuation>) {
-    apply_and_log(life, || {
-        let (now, mut router) = (life.node.now(), life.node.router());
+pub(crate) fn apply<S: Store, D: Dialect>(host: &Host<S, D>, evacuations: Vec<Evacuation>) {
+    apply_and_log(host, || {
+        let (now, mut router) = (host.node.now(), host.node.router());
         for it in evacuations {
             router.evacuate(now, it);
         }
@@ -34,13 +34,13 @@
 
 /// Applies a change, logs which data centres it evacuated or opened, and sends the
 /// neighbours an update if there are any.
-fn apply_and_log<S: Store, D: Dialect>(life: &Life<S, D>, change: impl FnOnce()) {
-    let before = evacuated_data_centres(life);
+fn apply_and_log<S: Store, D: Dialect>(host: &Host<S, D>, change: impl FnOnce()) {
+    let before = evacuated_data_centres(host);
     change();
-    let after = evacuated_data_centres(life);
+    let after = evacuated_data_centres(host);
     let log = |event, it: &DataCentre| {
         let data_centre = ("data_centre", Value::Text(it));
-        life.recorder().log_event(event, &[data_centre]);
+        host.recorder().log_event(event, &[data_centre]);
     };
     for it in after.difference(&before) {
         log(Event::DataCentreEmptied, it);
@@ -49,12 +49,12 @@
         log(Event::DataCentreOpen, it);
     }
     if after != before {
-        life.hurry();
+        host.schedule_update();
     }
 }
 
-fn evacuated_data_centres<S: Store, D: Dialect>(life: &Life<S, D>) -> BTreeSet<DataCentre> {
-    let router = life.node.router();
+fn evacuated_data_centres<S: Store, D: Dialect>(host: &Host<S, D>) -> BTreeSet<DataCentre> {
+    let router = host.node.router();
     router
         .directory()
         .evacuations()
--- a/crates/host/src/follow/members.rs
+++ b/crates/host/src/follow/members.rs
@@ -8,7 +8,7 @@
 use async_std::task::sleep;
 use forward::Dialect;
 
-use crate::life::Life;
+use crate::host::Host;
 use crate::{Member, Store, report};
 
 /// Interval at which the first of the readers reads the listing.
@@ -27,31 +27,31 @@
 /// Largest number of entries in one write.
 const MAX_BATCH: usize = 100;
 
-pub(crate) async fn follow<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+pub(crate) async fn follow<S: Store, D: Dialect>(host: Rc<Host<S, D>>) {
     let mut interval = FIRST_READ_INTERVAL;
     let mut next = Duration::ZERO;
-    while !life.is_leaving() {
-        let poll_interval = match life.hosts_found.get() {
+    while !host.is_leaving() {
+        let poll_interval = match host.hosts_found.get() {
             Some(_) => POLL_INTERVAL,
             // Hosts that start at the same time should find this one.
             None => JOINING_POLL_INTERVAL,
         };
         sleep(poll_interval).await;
-        let now = life.node.now();
-        let hosts_found = life.hosts_found.get();
-        let is_due = now >= next && (life.reads_for_all() || !life.is_registered.get());
+        let now = host.node.now();
+        let hosts_found = host.hosts_found.get();
+        let is_due = now >= next && (host.is_reader() || !host.is_registered.get());
         let Some(hosts_found) = hosts_found.filter(|_| is_due) else {
             continue;
         };
-        if !life.is_registered.get() && hosts_found < MIN_ENTRIES {
-            let is_done = register(&life, &[life.own().clone()]).await;
-            life.is_registered.set(is_done);
+        if !host.is_registered.get() && hosts_found < MIN_ENTRIES {
+            let is_done = register(&host, &[host.own().clone()]).await;
+            host.is_registered.set(is_done);
         }
-        if life.rank() == 0 && life.asks_store(life.confirmed.get()) {
-            reconcile(&life).await;
+        if host.rank() == 0 && host.should_read_store(host.config_confirmed.get()) {
+            reconcile(&host).await;
         }
-        next = life.node.now() + interval;
-        if life.is_registered.get() {
+        next = host.node.now() + interval;
+        if host.is_registered.get() {
             interval = READ_INTERVAL.min(interval * 2);
         }
     }
@@ -59,38 +59,38 @@
 
 /// Reads the listing, adds live hosts that are missing from it, and removes hosts that
 /// have been silent for long.
-async fn reconcile<S: Store, D: Dialect>(life: &Life<S, D>) {
-    let began = life.node.now();
-    let listed = life.store.members().await;
-    report::record_store_call(life, "hosts", began, &listed);
+async fn reconcile<S: Store, D: Dialect>(host: &Host<S, D>) {
+    let began = host.node.now();
+    let listed = host.store.members().await;
+    report::record_store_call(host, "hosts", began, &listed);
     let Ok(found) = listed else {
         return;
     };
-    report::log_unusable(life, "hosts", found.unusable);
+    report::log_unusable(host, "hosts", found.unusable);
     let (missing, expired) = {
-        let mut gossip = life.gossip.borrow_mut();
-        gossip.add_listed(life.node.now(), found.entries.clone());
+        let mut gossip = host.gossip.borrow_mut();
+        gossip.add_listed(host.node.now(), found.entries.clone());
         let roster = gossip.roster();
         (
             roster.missing(&found.entries),
-            roster.expired(life.node.now(), &found.entries),
+            roster.expired(host.node.now(), &found.entries),
         )
     };
-    register(life, &missing).await;
+    register(host, &missing).await;
     for batch in expired.chunks(MAX_BATCH) {
-        let began = life.node.now();
-        let result = life.store.withdraw(batch).await;
-        report::record_store_call(life, "withdraw", began, &result);
+        let began = host.node.now();
+        let result = host.store.withdraw(batch).await;
+        report::record_store_call(host, "withdraw", began, &result);
     }
 }
 
 /// Writes the entries of these hosts. Returns whether that succeeded.
-async fn register<S: Store, D: Dialect>(life: &Life<S, D>, members: &[Member]) -> bool {
+async fn register<S: Store, D: Dialect>(host: &Host<S, D>, members: &[Member]) -> bool {
     let mut is_done = true;
     for batch in members.chunks(MAX_BATCH) {
-        let began = life.node.now();
-        let result = life.store.announce(batch).await;
-        report::record_store_call(life, "announce", began, &result);
+        let began = host.node.now();
+        let result = host.store.announce(batch).await;
+        report::record_store_call(host, "announce", began, &result);
         is_done &= result.is_ok();
     }
     is_done
--- a/crates/host/src/follow/quarantine.rs
+++ b/crates/host/src/follow/quarantine.rs
@@ -8,7 +8,7 @@
 use forward::Dialect;
 use telemetry::{Event, Value};
 
-use crate::life::Life;
+use crate::host::Host;
 use crate::{Backoff, Store, report};
 
 /// Interval of checks for new quarantined requests. Such a request ends an endpoint within
@@ -22,16 +22,16 @@
 /// Rank from which on the delay no longer grows.
 const MAX_DELAYED_RANKS: usize = 8;
 
-pub(crate) async fn share<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+pub(crate) async fn share<S: Store, D: Dialect>(host: Rc<Host<S, D>>) {
     loop {
         sleep(POLL_INTERVAL).await;
         let (has_changes, quarantined) = {
-            let mut router = life.node.router();
+            let mut router = host.node.router();
             let quarantine = router.quarantine();
             (quarantine.take_changed(), quarantine.take_quarantined())
         };
         for (fingerprint, ends) in quarantined {
-            life.recorder().log_event(
+            host.recorder().log_event(
                 Event::RequestHeld,
                 &[
                     ("print", Value::Text(&fingerprint)),
@@ -40,44 +40,44 @@
             );
         }
         if has_changes {
-            life.hurry();
+            host.schedule_update();
         }
     }
 }
 
 /// Writes quarantined requests to the store, and deletes those that were released.
-pub(crate) async fn persist<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+pub(crate) async fn persist<S: Store, D: Dialect>(host: Rc<Host<S, D>>) {
     let mut backoff = Backoff::default();
     loop {
         sleep(PERSIST_INTERVAL).await;
-        let released = life.node.router().quarantine().take_released();
-        if !released.is_empty() && life.rank() == 0 {
-            let began = life.node.now();
-            let result = life.store.release(&released).await;
+        let released = host.node.router().quarantine().take_released();
+        if !released.is_empty() && host.rank() == 0 {
+            let began = host.node.now();
+            let result = host.store.remove_quarantined(&released).await;
             // If the delete fails, hosts that start read the row and release it later.
-            report::record_store_call(&life, "release", began, &result);
+            report::record_store_call(&host, "release", began, &result);
         }
-        if life.node.router().quarantine().unpersisted().is_empty() {
+        if host.node.router().quarantine().unpersisted().is_empty() {
             continue;
         }
-        let delayed_ranks = u32::try_from(life.rank().min(MAX_DELAYED_RANKS)).unwrap_or_default();
+        let delayed_ranks = u32::try_from(host.rank().min(MAX_DELAYED_RANKS)).unwrap_or_default();
         sleep(RANK_DELAY * delayed_ranks).await;
-        let unpersisted = life.node.router().quarantine().unpersisted();
+        let unpersisted = host.node.router().quarantine().unpersisted();
         if unpersisted.is_empty() {
             continue;
         }
-        let began = life.node.now();
-        let result = life.store.hold(&unpersisted).await;
-        report::record_store_call(&life, "hold", began, &result);
+        let began = host.node.now();
+        let result = host.store.add_quarantined(&unpersisted).await;
+        report::record_store_call(&host, "hold", began, &result);
         if result.is_ok() {
             backoff.reset();
-            let now = life.node.now();
-            life.node
+            let now = host.node.now();
+            host.node
                 .router()
                 .quarantine()
                 .mark_persisted(now, &unpersisted);
         } else {
-            life.back_off(&mut backoff).await;
+            host.back_off(&mut backoff).await;
         }
     }
 }
--- a/crates/host/src/follow/verdicts.rs
+++ b/crates/host/src/follow/verdicts.rs
@@ -12,8 +12,8 @@
 use super::{
     LONG_POLL_TIMEOUT, is_of_another_era, unless_restarted, wait_for_config, wait_to_read,
 };
-use crate::life::Life;
-use crate::{Backoff, Documents, Judgement, Store, Trouble, report};
+use crate::host::Host;
+use crate::{Backoff, Documents, RolloutVerdict, Store, StoreError, report};
 
 /// Interval at which roll-outs are evaluated.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
@@ -23,52 +23,52 @@
 /// Rank from which on the delay no longer grows.
 const MAX_DELAYED_RANKS: usize = 8;
 
-pub(crate) async fn follow<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
-    wait_for_config(&life).await;
+pub(crate) async fn follow<S: Store, D: Dialect>(host: Rc<Host<S, D>>) {
+    wait_for_config(&host).await;
     let mut since: Option<Revision> = None;
     let mut backoff = Backoff::default();
     loop {
-        if !life.asks_store(life.confirmed.get()) {
-            wait_to_read(&life).await;
+        if !host.should_read_store(host.config_confirmed.get()) {
+            wait_to_read(&host).await;
             continue;
         }
-        since = since.filter(|it| it.era == life.store.era());
-        let began = life.node.now();
-        let call = life.store.judgements(since, LONG_POLL_TIMEOUT);
-        let Some(result) = unless_restarted(&life.returns[1].1, call).await else {
+        since = since.filter(|it| it.era == host.store.era());
+        let began = host.node.now();
+        let call = host.store.verdicts(since, LONG_POLL_TIMEOUT);
+        let Some(result) = unless_restarted(&host.long_poll_restarts[1].1, call).await else {
             continue;
         };
-        report::record_store_call(&life, "news of verdicts", began, &result);
+        report::record_store_call(&host, "news of verdicts", began, &result);
         match result {
             Ok(documents) if is_of_another_era(since, documents.revision) => since = None,
             Ok(documents) => {
                 backoff.reset();
                 if since.is_none() {
-                    forget_older_eras(&life, &documents);
+                    forget_older_eras(&host, &documents);
                 }
                 since = Some(documents.revision.max(since.unwrap_or_default()));
-                take(&life, documents.judgements);
+                record(&host, documents.verdicts);
             }
-            Err(Trouble::HistoryGone) => since = None,
-            Err(_) => life.back_off(&mut backoff).await,
+            Err(StoreError::HistoryGone) => since = None,
+            Err(_) => host.back_off(&mut backoff).await,
         }
     }
 }
 
 /// Forgets verdicts of earlier eras, which the store no longer has, so that they are
 /// written again.
-fn forget_older_eras<S: Store, D: Dialect>(life: &Life<S, D>, documents: &Documents) {
+fn forget_older_eras<S: Store, D: Dialect>(host: &Host<S, D>, documents: &Documents) {
     let era = documents.revision.era;
-    let is_current = |it: &Judgement| it.revision.is_some_and(|it| it.era >= era);
-    life.judgements.borrow_mut().retain(|_, it| is_current(it));
+    let is_current = |it: &RolloutVerdict| it.revision.is_some_and(|it| it.era >= era);
+    host.verdicts.borrow_mut().retain(|_, it| is_current(it));
 }
 
 /// Records verdicts of the store that are newer than the known ones, and applies them.
-pub(crate) fn take<S: Store, D: Dialect>(life: &Life<S, D>, judgements: Vec<Judgement>) {
-    let mut known = life.judgements.borrow_mut();
-    for it in judgements {
+pub(crate) fn record<S: Store, D: Dialect>(host: &Host<S, D>, verdicts: Vec<RolloutVerdict>) {
+    let mut known = host.verdicts.borrow_mut();
+    for it in verdicts {
         // The sender may not know yet that the store was restored without this verdict.
-        if it.revision.is_some_and(|it| it.era < life.store.era()) {
+        if it.revision.is_some_and(|it| it.era < host.store.era()) {
             continue;
         }
         let before = known.get(&it.service).map(|it| it.revision);
@@ -77,32 +77,32 @@
         }
     }
     drop(known);
-    apply(life);
+    apply(host);
 }
 
 /// Applies the store's verdicts to the roll-outs in progress.
-pub(crate) fn apply<S: Store, D: Dialect>(life: &Life<S, D>) {
-    let mut router = life.node.router();
-    for it in life.judgements.borrow().values() {
+pub(crate) fn apply<S: Store, D: Dialect>(host: &Host<S, D>) {
+    let mut router = host.node.router();
+    for it in host.verdicts.borrow().values() {
         if let Some(rollout) = router.rollout(&it.service)
             && rollout.order.release == it.release
             && it.verdict != Verdict::Running
             && it.verdict != rollout.verdict
         {
             rollout.verdict = it.verdict;
-            say_verdict(life, rollout, "the store");
+            log_verdict(host, rollout, "the store");
         }
     }
 }
 
 /// Logs a verdict with the evidence for it.
-pub(crate) fn say_verdict<S: Store, D: Dialect>(
-    life: &Life<S, D>,
+pub(crate) fn log_verdict<S: Store, D: Dialect>(
+    host: &Host<S, D>,
     rollout: &Rollout,
     source: &str,
 ) {
     let pooled = rollout.pooled();
-    life.recorder().log_event(
+    host.recorder().log_event(
         Event::RolloutJudged,
         &[
             ("service", Value::Text(&rollout.order.service)),
@@ -123,50 +123,50 @@
 }
 
 /// Writes the verdicts on roll-outs to the store.
-pub(crate) async fn write_all<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+pub(crate) async fn write_all<S: Store, D: Dialect>(host: Rc<Host<S, D>>) {
     loop {
         sleep(EVALUATION_INTERVAL).await;
-        let unwritten_verdicts = unwritten_verdicts(&life.node, &life);
+        let unwritten_verdicts = unwritten_verdicts(&host.node, &host);
         for it in unwritten_verdicts {
             let delayed_ranks =
-                u32::try_from(life.rank().min(MAX_DELAYED_RANKS)).unwrap_or_default();
+                u32::try_from(host.rank().min(MAX_DELAYED_RANKS)).unwrap_or_default();
             sleep(RANK_DELAY * delayed_ranks).await;
-            let is_known = life
-                .judgements
+            let is_known = host
+                .verdicts
                 .borrow()
                 .get(&it.service)
                 .is_some_and(|known| known.release == it.release && known.verdict == it.verdict);
             if !is_known {
-                write(&life, it).await;
+                write(&host, it).await;
             }
         }
     }
 }
 
-async fn write<S: Store, D: Dialect>(life: &Life<S, D>, judgement: Judgement) {
-    let began = life.node.now();
-    let written = life.store.judge(&judgement).await;
-    report::record_store_call(life, "judge", began, &written);
+async fn write<S: Store, D: Dialect>(host: &Host<S, D>, rollout_verdict: RolloutVerdict) {
+    let began = host.node.now();
+    let written = host.store.write_verdict(&rollout_verdict).await;
+    report::record_store_call(host, "judge", began, &written);
     match written {
         Ok(()) => {
-            life.recorder().log_event(
+            host.recorder().log_event(
                 Event::RolloutWritten,
                 &[
-                    ("service", Value::Text(&judgement.service)),
-                    ("release", Value::Text(&judgement.release)),
-                    ("verdict", Value::Text(&judgement.verdict)),
+                    ("service", Value::Text(&rollout_verdict.service)),
+                    ("release", Value::Text(&rollout_verdict.release)),
+                    ("verdict", Value::Text(&rollout_verdict.verdict)),
                 ],
             );
-            let service = judgement.service.clone();
-            life.judgements.borrow_mut().insert(service, judgement);
+            let service = rollout_verdict.service.clone();
+            host.verdicts.borrow_mut().insert(service, rollout_verdict);
         }
-        Err(Trouble::Conflict) => {
-            let began = life.node.now();
-            let found = life.store.judgements(None, Duration::ZERO).await;
-            report::record_store_call(life, "verdicts", began, &found);
+        Err(StoreError::Conflict) => {
+            let began = host.node.now();
+            let found = host.store.verdicts(None, Duration::ZERO).await;
+            report::record_store_call(host, "verdicts", began, &found);
             if let Ok(found) = found {
-                forget_older_eras(life, &found);
-                take(life, found.judgements);
+                forget_older_eras(host, &found);
+                record(host, found.verdicts);
             }
         }
         // The next evaluation of the roll-out retries the write.
@@ -175,21 +175,24 @@
 }
 
 /// Updates the roll-outs, and returns the verdicts that have to be written to the store.
-fn unwritten_verdicts<S: Store, D: Dialect>(node: &Node<D>, life: &Life<S, D>) -> Vec<Judgement> {
+fn unwritten_verdicts<S: Store, D: Dialect>(
+    node: &Node<D>,
+    host: &Host<S, D>,
+) -> Vec<RolloutVerdict> {
     let now = node.now();
     let mut router = node.router();
-    let known = life.judgements.borrow();
+    let known = host.verdicts.borrow();
     let mut unwritten_verdicts = Vec::new();
     for rollout in router.rollouts() {
         if rollout.try_end_trial(now) {
-            life.hurry();
+            host.schedule_update();
         }
         let found = rollout.own_verdict(now);
         if found == Some(Verdict::Reverted) {
             // Applied before it is written to the store, which may be unavailable.
             rollout.verdict = Verdict::Reverted;
-            say_verdict(life, rollout, "own evidence");
-            life.hurry();
+            log_verdict(host, rollout, "own evidence");
+            host.schedule_update();
         }
         let service = &rollout.order.service;
         let written = known.get(service);
@@ -199,13 +202,13 @@
             (None, false) => rollout.verdict,
             (None, true) if rollout.verdict == Verdict::Reverted => rollout.verdict,
             // The store was restored to a state before the verdict was written.
-            (None, true) if rollout.initial_revision().era < life.store.era() => rollout.verdict,
+            (None, true) if rollout.initial_revision().era < host.store.era() => rollout.verdict,
             (None, true) => continue,
         };
         if is_written && written.is_some_and(|it| it.verdict == verdict) {
             continue;
         }
-        unwritten_verdicts.push(Judgement {
+        unwritten_verdicts.push(RolloutVerdict {
             service: service.clone(),
             release: rollout.order.release.clone(),
             verdict,
--- a/crates/host/src/life.rs
+++ b/crates/host/src/host.rs
@@ -1,6 +1,6 @@
 //! The running host: its state, its tasks, and its shutdown.
 
-mod listed;
+mod listing_meta;
 mod readers;
 
 use std::cell::{Cell, RefCell};
@@ -26,9 +26,9 @@
 use crate::gossip::{Contact, Gossip, State};
 use crate::listing::Listing;
 use crate::message::{Message, Request};
-use crate::{Backoff, Joined, Judgement, Member, Store, messaging, report};
+use crate::{Backoff, JoinInfo, Member, RolloutVerdict, Store, messaging, report};
 
-pub(crate) use listed::{Listed, is_much_later};
+pub(crate) use listing_meta::{ListingMeta, is_much_later};
 
 /// Interval at which old connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -50,38 +50,38 @@
 const LINK_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// A running host: its state, and the tasks that work on it.
-pub struct Life<S, D> {
+pub struct Host<S, D> {
     pub(crate) store: S,
     pub(crate) node: Rc<Node<D>>,
     pub(crate) gossip: RefCell<Gossip>,
-    pub(crate) judgements: RefCell<HashMap<ServiceName, Judgement>>,
+    pub(crate) verdicts: RefCell<HashMap<ServiceName, RolloutVerdict>>,
     /// The listing of endpoints in use, as it is sent to other hosts.
     pub(crate) listing: RefCell<Listing>,
     /// Read time and fingerprint of that listing, for comparison with other hosts'.
-    pub(crate) listed: Cell<Option<Listed>>,
+    pub(crate) listing_meta: Cell<Option<ListingMeta>>,
     pub(crate) config_text: RefCell<Option<Arc<[u8]>>>,
     /// The kinds of request to other hosts that are in flight.
-    pub(crate) asking: RefCell<HashSet<Discriminant<Request>>>,
+    pub(crate) in_flight_requests: RefCell<HashSet<Discriminant<Request>>>,
     /// Wakes the task that sends updates to the neighbours.
-    pub(crate) hurry: Sender<()>,
-    pub(crate) changes: Receiver<()>,
+    pub(crate) update_trigger: Sender<()>,
+    pub(crate) update_requests: Receiver<()>,
     pub(crate) incarnation: Incarnation,
     /// Restarts the long polls of the store, for documents and for verdicts, after the
     /// store was unavailable.
-    pub(crate) returns: [(Sender<()>, Receiver<()>); 2],
+    pub(crate) long_poll_restarts: [(Sender<()>, Receiver<()>); 2],
     /// The kinds of store call whose last attempt failed.
-    pub(crate) lost: RefCell<HashSet<&'static str>>,
+    pub(crate) failing_calls: RefCell<HashSet<&'static str>>,
     /// Number of unusable entries in each listing when it was last read.
-    pub(crate) unusable: RefCell<HashMap<&'static str, usize>>,
+    pub(crate) unusable_entries: RefCell<HashMap<&'static str, usize>>,
     /// When the store last confirmed the configuration in force, to this host or
     /// to one that reported it.
-    pub(crate) confirmed: Cell<Option<Duration>>,
+    pub(crate) config_confirmed: Cell<Option<Duration>>,
     /// Whether a long poll for changes of the documents is open at the store.
     pub(crate) is_watching_documents: Cell<bool>,
     /// Whether an attempt to join the fleet has ended, successful or not.
-    pub(crate) looked: Cell<bool>,
+    pub(crate) join_attempted: Cell<bool>,
     /// Whether an attempt to fetch the neighbours' state has ended, successful or not.
-    pub(crate) greeted: Cell<bool>,
+    pub(crate) bootstrap_attempted: Cell<bool>,
     /// Number of hosts that the store listed when this host joined.
     pub(crate) hosts_found: Cell<Option<usize>>,
     /// When the join call to the store succeeded.
@@ -96,7 +96,7 @@
     /// first call to it.
     pub(crate) era: Cell<Option<u64>>,
     /// When the store last answered a call.
-    pub(crate) reached: Cell<Option<Duration>>,
+    pub(crate) store_reached: Cell<Option<Duration>>,
     start: Start,
     pub(crate) started: Duration,
     own: Member,
@@ -115,48 +115,48 @@
 
 /// The phases of a shutdown, each as a time since the request to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Serving {
+pub struct ShutdownSchedule {
     /// How long the host accepts every request.
-    pub taking: Duration,
+    pub accept_until: Duration,
     /// How long callers may still use its address. Until then it keeps its port open,
     /// accepts requests that can end in time and refuses the others immediately. A
     /// closed port would cost each caller a failed connection.
-    pub known: Duration,
+    pub listen_until: Duration,
     /// When the process ends at the latest.
-    pub whole: Duration,
+    pub exit_by: Duration,
 }
 
-impl<S: Store, D: Dialect> Life<S, D> {
+impl<S: Store, D: Dialect> Host<S, D> {
     /// Creates a host that has not started yet.
     #[must_use]
     pub fn new(store: S, node: Rc<Node<D>>, own: Member, start: Start, seed: u64) -> Rc<Self> {
-        let (hurry, changes) = bounded(1);
+        let (update_trigger, update_requests) = bounded(1);
         Rc::new(Self {
             gossip: RefCell::new(Gossip::new(own.clone(), Incarnation(seed), node.now())),
             listing: RefCell::default(),
-            listed: Cell::new(None),
+            listing_meta: Cell::new(None),
             config_text: RefCell::default(),
-            asking: RefCell::default(),
+            in_flight_requests: RefCell::default(),
             is_watching_documents: Cell::new(false),
-            looked: Cell::new(false),
-            greeted: Cell::new(false),
+            join_attempted: Cell::new(false),
+            bootstrap_attempted: Cell::new(false),
             hosts_found: Cell::new(None),
             joined_at: Cell::new(None),
             peers_epoch: Cell::new(None),
             is_registered: Cell::new(false),
             link: RefCell::default(),
             era: Cell::new(None),
-            reached: Cell::new(None),
+            store_reached: Cell::new(None),
             start,
-            returns: [bounded(1), bounded(1)],
-            lost: RefCell::default(),
-            unusable: RefCell::default(),
-            confirmed: Cell::new(None),
-            hurry,
-            changes,
+            long_poll_restarts: [bounded(1), bounded(1)],
+            failing_calls: RefCell::default(),
+            unusable_entries: RefCell::default(),
+            config_confirmed: Cell::new(None),
+            update_trigger,
+            update_requests,
             incarnation: Incarnation(seed),
             store,
-            judgements: RefCell::default(),
+            verdicts: RefCell::default(),
             started: node.now(),
             node,
             own,
@@ -195,8 +195,8 @@
 
     /// Returns the addresses of the hosts that callers may use.
     #[must_use]
-    pub fn live(&self) -> Vec<Address> {
-        self.renew_state();
+    pub fn serving_addresses(&self) -> Vec<Address> {
+        self.refresh_state();
         self.gossip.borrow().roster().addresses(self.node.now())
     }
 
@@ -211,14 +211,14 @@
 
     /// Shuts down: tells the other hosts, serves remaining callers, and returns when
     /// callers no longer use the address and no request is left, or the time is over.
-    pub async fn leave(&self, serving: Serving) {
+    pub async fn leave(&self, schedule: ShutdownSchedule) {
         let began = self.node.now();
-        let end = began + serving.whole;
+        let end = began + schedule.exit_by;
         self.node.leave();
-        self.hurry();
-        self.sleep_until(began + serving.taking).await;
+        self.schedule_update();
+        self.sleep_until(began + schedule.accept_until).await;
         self.node.drain(end);
-        self.sleep_until(began + serving.known.min(serving.whole))
+        self.sleep_until(began + schedule.listen_until.min(schedule.exit_by))
             .await;
         self.announce_end();
         // No await between the last check and the return: a request that was accepted in
@@ -255,7 +255,7 @@
     }
 
     /// Updates this host's own record, and the router's view of the other hosts.
-    pub(crate) fn renew_state(&self) {
+    pub(crate) fn refresh_state(&self) {
         let now = self.node.now();
         let mut gossip = self.gossip.borrow_mut();
         if gossip.roster().own().state == State::Gone {
@@ -267,7 +267,7 @@
             (false, false) => State::Starting,
         };
         if gossip.set_state(now, state) {
-            self.hurry();
+            self.schedule_update();
         }
         let hosts = u32::try_from(gossip.roster().count()).unwrap_or(u32::MAX);
         self.node.router().set_host_count(hosts);
@@ -289,7 +289,7 @@
     /// Returns whether the store answered a call recently.
     pub(crate) fn contact(&self) -> Contact {
         let now = self.node.now();
-        match self.reached.get() {
+        match self.store_reached.get() {
             Some(at) if now.saturating_sub(at) < STORE_CONTACT_TIMEOUT => Contact::Store,
             _ => Contact::Lost,
         }
@@ -297,9 +297,9 @@
 
     /// Records that the store had the configuration in force at `at`. Returns whether
     /// that is later than was known by enough to be sent on.
-    pub(crate) fn confirm(&self, at: Duration) -> bool {
-        let known = self.confirmed.get();
-        self.confirmed.set(known.max(Some(at)));
+    pub(crate) fn confirm_config(&self, at: Duration) -> bool {
+        let known = self.config_confirmed.get();
+        self.config_confirmed.set(known.max(Some(at)));
         is_much_later(at, known)
     }
 
@@ -314,29 +314,32 @@
     }
 
     /// Waits for a random time when the whole fleet starts for the first time.
-    pub(crate) async fn wait_to_join(&self) {
+    pub(crate) async fn delay_first_join(&self) {
         if self.start == Start::First {
-            sleep(FIRST_START_SPREAD.mul_f64(self.lot())).await;
+            sleep(FIRST_START_SPREAD.mul_f64(self.random_fraction())).await;
         }
     }
 
     /// Reads the fleet's data from the store and opens the links to the other hosts.
-    pub(crate) async fn open_link(&self) -> Option<(Link, Receiver<Incoming>)> {
+    pub(crate) async fn join_fleet(&self) -> Option<(Link, Receiver<Incoming>)> {
         let candidate = Authority::generate(AUTHORITY_NAME).ok()?;
         let began = self.node.now();
         let joined = self.store.join(candidate).await;
         report::record_store_call(self, "join", began, &joined);
-        let Joined {
+        let JoinInfo {
             authority,
             members,
-            held,
+            quarantined,
         } = joined.ok()?;
         self.hosts_found.set(Some(members.len()));
         self.joined_at.set(Some(self.node.now()));
         self.is_registered.set(members.contains(&self.own));
         let now = self.node.now();
         self.gossip.borrow_mut().add_listed(now, members);
-        self.node.router().quarantine().load_persisted(now, &held);
+        self.node
+            .router()
+            .quarantine()
+            .load_persisted(now, &quarantined);
         let keys = authority.issue(&self.own.name).ok()?;
         self.recorder()
             .log_event(Event::Joined, &[("address", Value::Text(&self.own.link))]);
@@ -351,23 +354,23 @@
     /// A store that stops responding without closing its connections never answers the
     /// polls that were open. Without a restart, a configuration would be missed until
     /// the poll times out.
-    pub(crate) fn ask_anew(&self) {
-        for (sender, _) in &self.returns {
+    pub(crate) fn restart_long_polls(&self) {
+        for (sender, _) in &self.long_poll_restarts {
             // One pending restart is enough.
             let _ = sender.try_send(());
         }
     }
 
     /// Sends the neighbours an update soon instead of at the next interval.
-    pub(crate) fn hurry(&self) {
+    pub(crate) fn schedule_update(&self) {
         // One pending update is enough.
-        let _ = self.hurry.try_send(());
+        let _ = self.update_trigger.try_send(());
     }
 
     /// Waits after a failed call to the store.
     pub(crate) async fn back_off(&self, backoff: &mut Backoff) {
-        let lot = self.lot();
-        sleep(backoff.next_delay(self.live_peer_count(), lot)).await;
+        let jitter = self.random_fraction();
+        sleep(backoff.next_delay(self.live_peer_count(), jitter)).await;
     }
 
     /// Returns the number of other live hosts.
@@ -376,7 +379,7 @@
     }
 
     /// Returns a random number from 0 to 1.
-    pub(crate) fn lot(&self) -> f64 {
+    pub(crate) fn random_fraction(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 }
--- a/crates/host/src/life/listed.rs
+++ b/crates/host/src/host/listing_meta.rs
@@ -6,7 +6,7 @@
 
 /// What is needed to compare a listing of endpoints with another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Listed {
+pub(crate) struct ListingMeta {
     /// When it was read from the store.
     pub(crate) at: Duration,
     /// What an absent entry means in it.
@@ -14,7 +14,7 @@
     pub(crate) fingerprint: u64,
 }
 
-impl Listed {
+impl ListingMeta {
     /// Returns whether a later listing with this fingerprint adds nothing to this one.
     ///
     /// The same entries do add something where an absent entry now means that its
--- a/crates/host/src/life/readers.rs
+++ b/crates/host/src/host/readers.rs
@@ -7,7 +7,7 @@
 
 use forward::Dialect;
 
-use super::Life;
+use super::Host;
 use crate::Store;
 
 /// Number of hosts that read the store on behalf of all.
@@ -43,15 +43,15 @@
 /// the store. Callers are refused meanwhile.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(50);
 
-impl<S: Store, D: Dialect> Life<S, D> {
+impl<S: Store, D: Dialect> Host<S, D> {
     /// Returns whether this host should read the store itself: it is one of the readers,
     /// or what it knows, as of `known_at`, is too old. Hosts of a higher rank wait a little
     /// longer, and most get an update from lower ranks in the meantime.
-    pub(crate) fn asks_store(&self, known_at: Option<Duration>) -> bool {
+    pub(crate) fn should_read_store(&self, known_at: Option<Duration>) -> bool {
         let rank = self.rank();
         let is_startup_reader =
             known_at.is_none() && self.is_bootstrapped() && rank < STARTUP_READER_COUNT;
-        if is_startup_reader || (self.reads_for_all() && self.is_known_to_all()) {
+        if is_startup_reader || (self.is_reader() && self.is_known_to_all()) {
             return true;
         }
         let (since, wait, max_ranks) = match known_at {
@@ -59,7 +59,7 @@
             None => (self.started, STARTUP_WAIT, MAX_DELAYED_STARTUP_RANKS),
         };
         let delayed_ranks = u32::try_from(rank.min(max_ranks)).unwrap_or_default();
-        self.looked.get()
+        self.join_attempted.get()
             && self.node.now().saturating_sub(since) >= wait + RANK_DELAY * delayed_ranks
     }
 
@@ -73,7 +73,7 @@
     /// Returns whether the attempt to get state from other hosts has ended or timed out.
     fn is_bootstrapped(&self) -> bool {
         let has_waited = self.node.now() >= self.started + BOOTSTRAP_TIMEOUT;
-        self.looked.get() && (self.greeted.get() || has_waited)
+        self.join_attempted.get() && (self.bootstrap_attempted.get() || has_waited)
     }
 
     /// Returns whether this host has been running long enough to be known to all others.
@@ -84,7 +84,7 @@
 
     /// Returns whether this host reads the store on behalf of all. Before it has heard
     /// from other hosts, its roster is incomplete, and it doesn't count itself as one.
-    pub(crate) fn reads_for_all(&self) -> bool {
+    pub(crate) fn is_reader(&self) -> bool {
         self.is_bootstrapped() && self.rank() < READER_COUNT
     }
 
--- a/crates/host/src/listing.rs
+++ b/crates/host/src/listing.rs
@@ -86,7 +86,7 @@
     /// Returns the combined change since the listing with fingerprint `from`, if the changes
     /// since then are still kept.
     #[must_use]
-    pub fn since(&self, from: u64) -> Option<Change> {
+    pub fn changes_since(&self, from: u64) -> Option<Change> {
         let to = self.fingerprint?;
         let first = self.changes.iter().rposition(|it| it.from == from)?;
         let (mut changed, mut gone) = (BTreeMap::new(), BTreeSet::new());
@@ -111,7 +111,7 @@
     /// Returns the entries that result from `change`; `None` if it applies to another
     /// listing or doesn't lead to the one that it names.
     #[must_use]
-    pub fn changed(&self, change: &Change) -> Option<Vec<Entry>> {
+    pub fn with_change(&self, change: &Change) -> Option<Vec<Entry>> {
         if self.fingerprint != Some(change.from) {
             return None;
         }
--- a/crates/host/src/listing/patch.rs
+++ b/crates/host/src/listing/patch.rs
@@ -79,7 +79,7 @@
     /// Returns the entries that result from `patch`; `None` if they aren't the listing that
     /// it names, as this one has changed since its sketch was sent.
     #[must_use]
-    pub fn patched(&self, patch: &Patch) -> Option<Vec<Entry>> {
+    pub fn with_patch(&self, patch: &Patch) -> Option<Vec<Entry>> {
         let is_kept = |it: &&Entry| !patch.buckets.contains(&bucket(&it.id, patch.count.max(1)));
         let kept = self.entries.values().filter(is_kept);
         let entries: Vec<_> = kept.chain(&patch.entries).cloned().collect();
--- a/crates/host/src/message.rs
+++ b/crates/host/src/message.rs
@@ -7,7 +7,7 @@
 use route::{Evacuation, quarantine, rollout};
 use serde::{Deserialize, Serialize};
 
-use crate::Judgement;
+use crate::RolloutVerdict;
 use crate::gossip::{Comparison, Digest, MembershipUpdate, Record};
 use crate::listing::{Change, Patch, Sketch};
 
@@ -77,7 +77,7 @@
     /// Updates on roll-outs.
     pub(crate) rollouts: Vec<rollout::Update>,
     /// Verdicts on roll-outs that the store holds.
-    pub(crate) judgements: Vec<Judgement>,
+    pub(crate) verdicts: Vec<RolloutVerdict>,
 }
 
 /// Age and identity of a listing.
--- a/crates/host/src/messaging.rs
+++ b/crates/host/src/messaging.rs
@@ -22,42 +22,42 @@
 use wire::Frame;
 
 use crate::gossip::{BATCH_DELAY, GOSSIP_INTERVAL, MIN_GOSSIP_INTERVAL, ROOT_COUNT};
-use crate::life::Life;
+use crate::host::Host;
 use crate::message::{ListingStatus, ListingVersion, Message, StateUpdate};
 use crate::{Backoff, Member, Store, follow};
 
 /// Connects to the other hosts, with certificates from the store, and receives their messages.
-pub(crate) async fn join<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
-    life.wait_to_join().await;
+pub(crate) async fn join<S: Store, D: Dialect>(host: Rc<Host<S, D>>) {
+    host.delay_first_join().await;
     let mut backoff = Backoff::default();
     let (link, inbox) = loop {
-        let opened = life.open_link().await;
-        life.looked.set(true);
+        let opened = host.join_fleet().await;
+        host.join_attempted.set(true);
         if let Some(it) = opened {
             break it;
         }
-        life.greeted.set(true);
-        life.back_off(&mut backoff).await;
+        host.bootstrap_attempted.set(true);
+        host.back_off(&mut backoff).await;
     };
-    life.link.replace(Some(link.clone()));
-    life.node
-        .spawn(send_updates(Rc::clone(&life), link.clone()));
-    life.node
-        .spawn(bootstrap::bootstrap(Rc::clone(&life), link.clone()));
-    life.node
-        .spawn(probe::probe_suspects(Rc::clone(&life), link.clone()));
-    life.node
-        .spawn(probe::reconnect(Rc::clone(&life), link.clone()));
-    receive_messages(life, link, inbox).await;
+    host.link.replace(Some(link.clone()));
+    host.node
+        .spawn(send_updates(Rc::clone(&host), link.clone()));
+    host.node
+        .spawn(bootstrap::bootstrap(Rc::clone(&host), link.clone()));
+    host.node
+        .spawn(probe::probe_suspects(Rc::clone(&host), link.clone()));
+    host.node
+        .spawn(probe::reconnect(Rc::clone(&host), link.clone()));
+    receive_messages(host, link, inbox).await;
 }
 
 /// Sends updates to the neighbours periodically, and early when something changes.
-async fn send_updates<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
+async fn send_updates<S: Store, D: Dialect>(host: Rc<Host<S, D>>, link: Link) {
     loop {
-        send_update(&life, &link);
+        send_update(&host, &link);
         sleep(MIN_GOSSIP_INTERVAL.saturating_sub(BATCH_DELAY)).await;
         let pause = sleep(GOSSIP_INTERVAL.saturating_sub(MIN_GOSSIP_INTERVAL));
-        let change = life.changes.recv();
+        let change = host.update_requests.recv();
         pin_mut!(pause, change);
         match select(pause, change).await {
             Either::Left(_) => {}
@@ -68,25 +68,25 @@
 }
 
 /// Sends this host's current state to the neighbours once.
-pub(crate) fn send_update<S: Store, D: Dialect>(life: &Life<S, D>, link: &Link) {
-    let update = state_update(life, Scope::Delta);
-    let quarantine = quarantine_update(life, Scope::Delta);
-    let quarantine = (!quarantine.is_empty()).then(|| life.frame(&Message::Quarantine(quarantine)));
-    let evacuations = evacuations(life);
+pub(crate) fn send_update<S: Store, D: Dialect>(host: &Host<S, D>, link: &Link) {
+    let update = state_update(host, Scope::Delta);
+    let quarantine = quarantine_update(host, Scope::Delta);
+    let quarantine = (!quarantine.is_empty()).then(|| host.frame(&Message::Quarantine(quarantine)));
+    let evacuations = evacuations(host);
     let evacuations =
-        (!evacuations.is_empty()).then(|| life.frame(&Message::Evacuations(evacuations)));
+        (!evacuations.is_empty()).then(|| host.frame(&Message::Evacuations(evacuations)));
     let extra_frames: Vec<_> = [evacuations, quarantine]
         .into_iter()
         .flatten()
         .flatten()
         .collect();
     let mut shared_frame = None;
-    for peer in life.gossip.borrow().recipients().iter().map(peer) {
-        let update_with_sums = with_partial_sums(life, &update, &peer.host);
+    for peer in host.gossip.borrow().recipients().iter().map(peer) {
+        let update_with_sums = with_partial_sums(host, &update, &peer.host);
         let frame = match update_with_sums {
-            Some(update) => life.frame(&Message::StateUpdate(Box::new(update))),
+            Some(update) => host.frame(&Message::StateUpdate(Box::new(update))),
             None => shared_frame
-                .get_or_insert_with(|| life.frame(&Message::StateUpdate(Box::new(update.clone()))))
+                .get_or_insert_with(|| host.frame(&Message::StateUpdate(Box::new(update.clone()))))
                 .clone(),
         };
         if let Some(frame) = frame {
@@ -100,24 +100,24 @@
 
 /// Returns the operators' evacuation orders for data centres. Revoked ones are included because
 /// a host that was cut off may still have them in force.
-fn evacuations<S: Store, D: Dialect>(life: &Life<S, D>) -> Vec<Evacuation> {
-    life.node.router().directory().evacuations().changes()
+fn evacuations<S: Store, D: Dialect>(host: &Host<S, D>) -> Vec<Evacuation> {
+    host.node.router().directory().evacuations().changes()
 }
 
 /// Returns what this host knows of process exits and quarantined requests.
-fn quarantine_update<S: Store, D: Dialect>(life: &Life<S, D>, scope: Scope) -> quarantine::Update {
-    let now = life.node.now();
-    life.node.router().quarantine().build_update(now, scope)
+fn quarantine_update<S: Store, D: Dialect>(host: &Host<S, D>, scope: Scope) -> quarantine::Update {
+    let now = host.node.now();
+    host.node.router().quarantine().build_update(now, scope)
 }
 
 /// Returns this host's state, where `scope` tells whether it includes what was sent before.
-pub(crate) fn state_update<S: Store, D: Dialect>(life: &Life<S, D>, scope: Scope) -> StateUpdate {
-    let now = life.node.now();
-    life.renew_state();
-    publish_totals(life);
-    let mut router = life.node.router();
+pub(crate) fn state_update<S: Store, D: Dialect>(host: &Host<S, D>, scope: Scope) -> StateUpdate {
+    let now = host.node.now();
+    host.refresh_state();
+    publish_totals(host);
+    let mut router = host.node.router();
     let age = |at: std::time::Duration| now.saturating_sub(at);
-    let mut gossip = life.gossip.borrow_mut();
+    let mut gossip = host.gossip.borrow_mut();
     let membership = match scope {
         Scope::Delta => gossip.next_update(now),
         Scope::Full => gossip.full_update(),
@@ -125,8 +125,8 @@
     StateUpdate {
         membership,
         version: router.version(),
-        confirmed: life.confirmed.get().map(age),
-        listing: life.listed.get().map(|it| ListingStatus {
+        confirmed: host.config_confirmed.get().map(age),
+        listing: host.listing_meta.get().map(|it| ListingStatus {
             version: ListingVersion {
                 age: age(it.at),
                 fingerprint: it.fingerprint,
@@ -134,18 +134,18 @@
             absence: it.absence,
         }),
         rollouts: router.rollout_updates(now, scope),
-        judgements: life.judgements.borrow().values().cloned().collect(),
+        verdicts: host.verdicts.borrow().values().cloned().collect(),
     }
 }
 
 /// Publishes the total evidence on each roll-out if this host is a root.
-fn publish_totals<S: Store, D: Dialect>(life: &Life<S, D>) {
-    let now = life.node.now();
-    let gossip = life.gossip.borrow();
+fn publish_totals<S: Store, D: Dialect>(host: &Host<S, D>) {
+    let now = host.node.now();
+    let gossip = host.gossip.borrow();
     let own = gossip.roster().own();
     let aggregator = hash::of(&(&own.member.name, own.incarnation));
     for root in (0..ROOT_COUNT).filter(|&it| gossip.graph().distance(it) == Some(0)) {
-        for rollout in life.node.router().rollouts() {
+        for rollout in host.node.router().rollouts() {
             rollout.publish_total(now, root, hash::of(&(aggregator, root)));
         }
     }
@@ -154,11 +154,11 @@
 /// Returns the update for a neighbour on the path to a root, with the partial sums of the
 /// roll-outs; `None` if the neighbour is on no such path or there are no roll-outs.
 fn with_partial_sums<S: Store, D: Dialect>(
-    life: &Life<S, D>,
+    host: &Host<S, D>,
     update: &StateUpdate,
     to: &HostName,
 ) -> Option<StateUpdate> {
-    let gossip = life.gossip.borrow();
+    let gossip = host.gossip.borrow();
     let graph = gossip.graph();
     let roots: Vec<_> = (0..ROOT_COUNT)
         .filter(|&it| graph.parent(it) == Some(to))
@@ -167,7 +167,7 @@
     if roots.is_empty() || update.rollouts.is_empty() {
         return None;
     }
-    let (now, mut router) = (life.node.now(), life.node.router());
+    let (now, mut router) = (host.node.now(), host.node.router());
     let mut update = update.clone();
     for it in &mut update.rollouts {
         let Some(rollout) = router.rollout(&it.order.service) else {
@@ -181,7 +181,7 @@
 
 /// Receives messages from other hosts.
 async fn receive_messages<S: Store, D: Dialect>(
-    life: Rc<Life<S, D>>,
+    host: Rc<Host<S, D>>,
     link: Link,
     inbox: Receiver<Incoming>,
 ) {
@@ -194,14 +194,14 @@
             continue;
         };
         match message {
-            Message::StateUpdate(it) => apply::state_update(&life, &link, &incoming.from, &it),
-            Message::Records(records) => apply::records(&life, &records),
-            Message::Quarantine(it) => apply::quarantine_update(&life, &it),
-            Message::Evacuations(it) => follow::evacuations::hear(&life, it),
+            Message::StateUpdate(it) => apply::state_update(&host, &link, &incoming.from, &it),
+            Message::Records(records) => apply::records(&host, &records),
+            Message::Quarantine(it) => apply::quarantine_update(&host, &it),
+            Message::Evacuations(it) => follow::evacuations::apply(&host, it),
             Message::Request(request) => {
                 if let (Some(reply), Some(frame)) = (
                     incoming.reply,
-                    life.frame(&respond::respond(&life, request)),
+                    host.frame(&respond::respond(&host, request)),
                 ) {
                     reply.send(&frame).await;
                 }
--- a/crates/host/src/messaging/apply.rs
+++ b/crates/host/src/messaging/apply.rs
@@ -12,7 +12,7 @@
 use crate::Store;
 use crate::follow::{documents, endpoints, evacuations, verdicts};
 use crate::gossip::Record;
-use crate::life::{Life, Listed, is_much_later};
+use crate::host::{Host, ListingMeta, is_much_later};
 use crate::message::{
     FullState, Listing, ListingChange, ListingPatch, ListingStatus, Message, Request, StateUpdate,
 };
@@ -20,56 +20,56 @@
 /// Applies a host's update, and schedules an update of this host at once if something
 /// changed or is much more recent than what was known.
 pub(super) fn state_update<S: Store, D: Dialect>(
-    life: &Rc<Life<S, D>>,
+    host: &Rc<Host<S, D>>,
     link: &Link,
     from: &Peer,
     update: &StateUpdate,
 ) {
-    let has_changes = rollouts(life, &from.host, update);
-    let outcome = life
+    let has_changes = rollouts(host, &from.host, update);
+    let outcome = host
         .gossip
         .borrow_mut()
-        .receive(life.node.now(), &from.host, &update.membership);
-    let known = life.gossip.borrow().roster().get(&from.host).cloned();
+        .receive(host.node.now(), &from.host, &update.membership);
+    let known = host.gossip.borrow().roster().get(&from.host).cloned();
     if has_changes || outcome.has_changes {
-        life.hurry();
+        host.schedule_update();
     }
     let is_known = known.is_some();
     let peer = known.map_or_else(|| from.clone(), |it| peer(&it.member));
     if outcome.needs_comparison || !is_known {
-        let digest = life.gossip.borrow().digest();
-        request::send_once(life, link, &peer, Request::Compare(digest));
+        let digest = host.gossip.borrow().digest();
+        request::send_once(host, link, &peer, Request::Compare(digest));
     }
-    let own = life.node.router().version();
+    let own = host.node.router().version();
     if update.version > own {
         let request = match own {
             Some(_) => Request::Config,
             None => Request::FullState,
         };
-        request::send_once(life, link, &peer, request);
+        request::send_once(host, link, &peer, request);
     }
     let is_confirmed = match update.confirmed {
-        Some(age) if update.version == own => life.confirm(read_at(life.node.now(), age)),
+        Some(age) if update.version == own => host.confirm_config(read_at(host.node.now(), age)),
         _ => false,
     };
     let is_listed = match update.listing {
-        Some(it) if own.is_some() => listing_status(life, link, &peer, it),
+        Some(it) if own.is_some() => listing_status(host, link, &peer, it),
         _ => false,
     };
     if is_confirmed || is_listed {
-        life.hurry();
+        host.schedule_update();
     }
 }
 
 /// Applies what a host reports of roll-outs. Returns whether it is new to the neighbours as
 /// well.
 fn rollouts<S: Store, D: Dialect>(
-    life: &Life<S, D>,
+    host: &Host<S, D>,
     from: &HostName,
     update: &StateUpdate,
 ) -> bool {
     let mut rollouts = update.rollouts.clone();
-    let gossip = life.gossip.borrow();
+    let gossip = host.gossip.borrow();
     for it in &mut rollouts {
         // Drops sums of hosts that are no farther from the root: they may include this host's own.
         it.partial_sums.retain(|sum| {
@@ -78,69 +78,69 @@
         });
     }
     drop(gossip);
-    let heard = life
+    let heard = host
         .node
         .router()
-        .apply_rollout_updates(life.node.now(), from, rollouts);
+        .apply_rollout_updates(host.node.now(), from, rollouts);
     for order in &heard.new_orders {
-        documents::say_order(life, order);
+        documents::log_order(host, order);
     }
     for rollout in &heard.decided {
-        verdicts::say_verdict(life, rollout, from.as_str());
+        verdicts::log_verdict(host, rollout, from.as_str());
     }
-    verdicts::take(life, update.judgements.clone());
+    verdicts::record(host, update.verdicts.clone());
     heard.is_news
 }
 
 /// Applies the full state of another host.
 pub(super) fn full_state<S: Store, D: Dialect>(
-    life: &Rc<Life<S, D>>,
+    host: &Rc<Host<S, D>>,
     link: &Link,
     from: &Peer,
     state: FullState,
 ) {
-    let now = life.node.now();
-    life.gossip.borrow_mut().mark_alive(now, &from.host);
+    let now = host.node.now();
+    host.gossip.borrow_mut().mark_alive(now, &from.host);
     // Before the configuration: requests are served as soon as it is in force.
-    rollouts(life, &from.host, &state.update);
-    evacuations::hear(life, state.evacuations);
+    rollouts(host, &from.host, &state.update);
+    evacuations::apply(host, state.evacuations);
     if let Some(it) = state.listing {
-        listing(life, it);
+        listing(host, it);
     }
     if let Some(text) = state.config {
-        config(life, text);
+        config(host, text);
     }
-    state_update(life, link, from, &state.update);
+    state_update(host, link, from, &state.update);
 }
 
 /// Applies a response from another host.
 pub(super) fn response<S: Store, D: Dialect>(
-    life: &Rc<Life<S, D>>,
+    host: &Rc<Host<S, D>>,
     link: &Link,
     from: &Peer,
     response: Message,
 ) {
     match response {
-        Message::Config(text) => config(life, text),
-        Message::Listing(it) => listing(life, it),
-        Message::ListingChange(it) => listing_change(life, link, from, &it),
-        Message::ListingChangesUnavailable => request_patch(life, link, from),
-        Message::ListingPatch(it) => listing_patch(life, &it),
-        Message::FullState(it) => full_state(life, link, from, *it),
+        Message::Config(text) => config(host, text),
+        Message::Listing(it) => listing(host, it),
+        Message::ListingChange(it) => listing_change(host, link, from, &it),
+        Message::ListingChangesUnavailable => request_patch(host, link, from),
+        Message::ListingPatch(it) => listing_patch(host, &it),
+        Message::FullState(it) => full_state(host, link, from, *it),
         Message::Comparison(it) => {
-            let now = life.node.now();
-            let (wanted, has_changes) = life.gossip.borrow_mut().apply_comparison(now, &it);
+            let now = host.node.now();
+            let (wanted, has_changes) = host.gossip.borrow_mut().apply_comparison(now, &it);
             if !wanted.is_empty()
-                && let Some(frame) = life.frame(&Message::Records(wanted))
+                && let Some(frame) = host.frame(&Message::Records(wanted))
             {
                 link.send(from, &frame);
             }
             if has_changes {
-                life.hurry();
+                host.schedule_update();
             }
         }
-        Message::Quarantine(it) => quarantine_update(life, &it),
-        Message::Evacuations(it) => evacuations::hear(life, it),
+        Message::Quarantine(it) => quarantine_update(host, &it),
+        Message::Evacuations(it) => evacuations::apply(host, it),
         // Not responses.
         Message::StateUpdate(_) | Message::Request(_) | Message::Records(_) | Message::Empty => {}
     }
@@ -148,63 +148,63 @@
 
 /// Applies an update on process exits and quarantined requests.
 pub(super) fn quarantine_update<S: Store, D: Dialect>(
-    life: &Life<S, D>,
+    host: &Host<S, D>,
     update: &quarantine::Update,
 ) {
-    let now = life.node.now();
-    life.node.router().quarantine().apply_update(now, update);
+    let now = host.node.now();
+    host.node.router().quarantine().apply_update(now, update);
 }
 
 /// Merges membership records from another host.
-pub(super) fn records<S: Store, D: Dialect>(life: &Life<S, D>, records: &[Record]) {
-    let now = life.node.now();
-    if life.gossip.borrow_mut().merge(now, records) {
-        life.hurry();
+pub(super) fn records<S: Store, D: Dialect>(host: &Host<S, D>, records: &[Record]) {
+    let now = host.node.now();
+    if host.gossip.borrow_mut().merge(now, records) {
+        host.schedule_update();
     }
 }
 
-fn config<S: Store, D: Dialect>(life: &Life<S, D>, text: Vec<u8>) {
-    if let Ok(config) = life.store.config(&text) {
-        documents::configure(life, config, text.into());
+fn config<S: Store, D: Dialect>(host: &Host<S, D>, text: Vec<u8>) {
+    if let Ok(config) = host.store.parse_config(&text) {
+        documents::apply_config(host, config, text.into());
     }
 }
 
-fn listing<S: Store, D: Dialect>(life: &Life<S, D>, it: Listing) {
-    let at = read_at(life.node.now(), it.age);
-    endpoints::list(life, at, it.entries, it.absence);
+fn listing<S: Store, D: Dialect>(host: &Host<S, D>, it: Listing) {
+    let at = read_at(host.node.now(), it.age);
+    endpoints::apply_listing(host, at, it.entries, it.absence);
 }
 
 /// Applies changes of the listing. Requests a patch if this host's listing has changed since
 /// the request.
 fn listing_change<S: Store, D: Dialect>(
-    life: &Rc<Life<S, D>>,
+    host: &Rc<Host<S, D>>,
     link: &Link,
     from: &Peer,
     it: &ListingChange,
 ) {
-    let changed = life.listing.borrow().changed(&it.change);
+    let changed = host.listing.borrow().with_change(&it.change);
     match changed {
         Some(entries) => {
-            let at = read_at(life.node.now(), it.age);
-            endpoints::list(life, at, entries, it.absence);
+            let at = read_at(host.node.now(), it.age);
+            endpoints::apply_listing(host, at, entries, it.absence);
         }
-        None if life.listing.borrow().fingerprint() == Some(it.change.to) => {}
-        None => request_patch(life, link, from),
+        None if host.listing.borrow().fingerprint() == Some(it.change.to) => {}
+        None => request_patch(host, link, from),
     }
 }
 
-fn request_patch<S: Store, D: Dialect>(life: &Rc<Life<S, D>>, link: &Link, from: &Peer) {
-    let sketch = life.listing.borrow().sketch();
-    request::send_once(life, link, from, Request::ListingPatch(sketch));
+fn request_patch<S: Store, D: Dialect>(host: &Rc<Host<S, D>>, link: &Link, from: &Peer) {
+    let sketch = host.listing.borrow().sketch();
+    request::send_once(host, link, from, Request::ListingPatch(sketch));
 }
 
 /// Applies a patch of the listing. A patch that no longer fits is dropped; the next update
 /// triggers a new request.
-fn listing_patch<S: Store, D: Dialect>(life: &Life<S, D>, it: &ListingPatch) {
-    let patched = life.listing.borrow().patched(&it.patch);
+fn listing_patch<S: Store, D: Dialect>(host: &Host<S, D>, it: &ListingPatch) {
+    let patched = host.listing.borrow().with_patch(&it.patch);
     if let Some(entries) = patched {
-        let at = read_at(life.node.now(), it.age);
-        endpoints::list(life, at, entries, it.absence);
+        let at = read_at(host.node.now(), it.age);
+        endpoints::apply_listing(host, at, entries, it.absence);
     }
 }
 
@@ -219,27 +219,27 @@
 /// Takes over the read time of another host's listing if it equals this host's, and requests
 /// a newer listing that differs. Returns whether the read time is much later than before.
 fn listing_status<S: Store, D: Dialect>(
-    life: &Rc<Life<S, D>>,
+    host: &Rc<Host<S, D>>,
     link: &Link,
     from: &Peer,
     status: ListingStatus,
 ) -> bool {
-    let at = read_at(life.node.now(), status.version.age);
-    match life.listed.get() {
+    let at = read_at(host.node.now(), status.version.age);
+    match host.listing_meta.get() {
         Some(own) if own.at >= at => false,
         Some(own) if own.covers(status.version.fingerprint, status.absence) => {
-            life.listed.set(Some(Listed {
+            host.listing_meta.set(Some(ListingMeta {
                 at,
                 absence: status.absence,
                 ..own
             }));
-            life.node.router().confirm_listing(at);
+            host.node.router().confirm_listing(at);
             is_much_later(at, Some(own.at))
         }
         known => {
             let request =
                 known.map_or(Request::Listing, |it| Request::ListingSince(it.fingerprint));
-            request::send_once(life, link, from, request);
+            request::send_once(host, link, from, request);
             false
         }
     }
--- a/crates/host/src/messaging/probe.rs
+++ b/crates/host/src/messaging/probe.rs
@@ -12,7 +12,7 @@
 use super::{apply, peer, request};
 use crate::Store;
 use crate::gossip::RECONNECT_INTERVAL;
-use crate::life::Life;
+use crate::host::Host;
 use crate::message::{Message, Request};
 
 /// The timeout of a probe, connection setup included. A host that is merely slow refutes the
@@ -22,45 +22,45 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Probes neighbours that have stopped sending updates.
-pub(super) async fn probe_suspects<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
+pub(super) async fn probe_suspects<S: Store, D: Dialect>(host: Rc<Host<S, D>>, link: Link) {
     loop {
         sleep(CHECK_INTERVAL).await;
-        let suspects = life.gossip.borrow_mut().suspects(life.node.now());
+        let suspects = host.gossip.borrow_mut().suspects(host.node.now());
         for it in suspects.iter().map(peer) {
-            life.node.spawn(probe(Rc::clone(&life), link.clone(), it));
+            host.node.spawn(probe(Rc::clone(&host), link.clone(), it));
         }
     }
 }
 
-async fn probe<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link, it: Peer) {
+async fn probe<S: Store, D: Dialect>(host: Rc<Host<S, D>>, link: Link, it: Peer) {
     let response = timeout(
         PROBE_TIMEOUT,
-        request::send(&life, &link, &it, Request::Ping),
+        request::send(&host, &link, &it, Request::Ping),
     )
     .await;
-    let now = life.node.now();
+    let now = host.node.now();
     if let Ok(Some(_)) = response {
-        return life.gossip.borrow_mut().mark_alive(now, &it.host);
+        return host.gossip.borrow_mut().mark_alive(now, &it.host);
     }
-    let contact = life.contact();
-    let is_silent = life
+    let contact = host.contact();
+    let is_silent = host
         .gossip
         .borrow_mut()
         .probe_failed(now, &it.host, contact);
     if is_silent {
-        life.recorder()
+        host.recorder()
             .log_event(Event::HostSilent, &[("other", Value::Text(&it.host))]);
-        life.hurry();
+        host.schedule_update();
     }
 }
 
 /// Tries to reconnect to silent hosts. After a partition heals, both sides have marked each
 /// other silent, and neither would send the first message without this.
-pub(super) async fn reconnect<S: Store, D: Dialect>(life: Rc<Life<S, D>>, link: Link) {
+pub(super) async fn reconnect<S: Store, D: Dialect>(host: Rc<Host<S, D>>, link: Link) {
     loop {
         sleep(RECONNECT_INTERVAL).await;
-        let random = life.lot();
-        let Some(silent) = life
+        let random = host.random_fraction();
+        let Some(silent) = host
             .gossip
             .borrow()
             .reconnect_candidate(random)
@@ -69,10 +69,10 @@
         else {
             continue;
         };
-        let digest = life.gossip.borrow().digest();
-        let response = request::send(&life, &link, &silent, Request::Compare(digest)).await;
+        let digest = host.gossip.borrow().digest();
+        let response = request::send(&host, &link, &silent, Request::Compare(digest)).await;
         if let Some(it @ Message::Comparison(_)) = response {
-            apply::response(&life, &link, &silent, it);
+            apply::response(&host, &link, &silent, it);
         }
     }
 }
--- a/crates/host/src/messaging/request.rs
+++ b/crates/host/src/messaging/request.rs
@@ -9,7 +9,7 @@
 
 use super::apply;
 use crate::Store;
-use crate::life::Life;
+use crate::host::Host;
 use crate::message::{Message, Request};
 
 /// The timeout of a response.
@@ -21,28 +21,28 @@
 
 /// Sends a request in the background, unless one of the same kind is in flight.
 pub(super) fn send_once<S: Store, D: Dialect>(
-    life: &Rc<Life<S, D>>,
+    host: &Rc<Host<S, D>>,
     link: &Link,
     peer: &Peer,
     request: Request,
 ) {
     let kind = std::mem::discriminant(&request);
-    if !life.asking.borrow_mut().insert(kind) {
+    if !host.in_flight_requests.borrow_mut().insert(kind) {
         return;
     }
-    let (node, life, link) = (Rc::clone(&life.node), Rc::clone(life), link.clone());
+    let (node, host, link) = (Rc::clone(&host.node), Rc::clone(host), link.clone());
     let peer = peer.clone();
     node.spawn(async move {
-        if let Some(response) = send(&life, &link, &peer, request).await {
-            apply::response(&life, &link, &peer, response);
+        if let Some(response) = send(&host, &link, &peer, request).await {
+            apply::response(&host, &link, &peer, response);
         }
-        life.asking.borrow_mut().remove(&kind);
+        host.in_flight_requests.borrow_mut().remove(&kind);
     });
 }
 
 /// Sends a request; returns `None` if there is no usable response.
 pub(super) async fn send<S: Store, D: Dialect>(
-    life: &Life<S, D>,
+    host: &Host<S, D>,
     link: &Link,
     peer: &Peer,
     request: Request,
@@ -51,7 +51,7 @@
         Request::Listing | Request::ListingPatch(_) => LISTING_RESPONSE_TIMEOUT,
         _ => RESPONSE_TIMEOUT,
     };
-    let frame = life.frame(&Message::Request(request))?;
+    let frame = host.frame(&Message::Request(request))?;
     let Ok(Frame::Decide(payload)) = link.ask(peer, &frame, timeout).await else {
         return None;
     };
--- a/crates/host/src/report.rs
+++ b/crates/host/src/report.rs
@@ -10,8 +10,8 @@
 use route::directory::Change;
 use telemetry::{Event, Gauges, Links, Value};
 
-use crate::life::Life;
-use crate::{Store, Trouble};
+use crate::host::Host;
+use crate::{Store, StoreError};
 
 /// The interval at which gauges are set and dropped log lines are reported.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
@@ -19,39 +19,39 @@
 /// Counts a call to the store, and logs when calls of its kind begin to fail or succeed
 /// again.
 pub(crate) fn record_store_call<S: Store, D: Dialect, T>(
-    life: &Life<S, D>,
+    host: &Host<S, D>,
     call: &'static str,
     began: Duration,
-    result: &Result<T, Trouble>,
+    result: &Result<T, StoreError>,
 ) {
-    let took = life.node.now().saturating_sub(began);
+    let took = host.node.now().saturating_sub(began);
     let name = match result {
         Ok(_) => "done".to_owned(),
-        Err(trouble) => trouble.to_string(),
+        Err(error) => error.to_string(),
     };
     let timed = (!call.starts_with("news")).then_some(took);
-    life.recorder().metrics().store_call(call, name, timed);
-    detect_restore(life);
+    host.recorder().metrics().store_call(call, name, timed);
+    detect_restore(host);
     if result.is_ok() {
-        life.reached.set(Some(life.node.now()));
+        host.store_reached.set(Some(host.node.now()));
     }
-    let mut lost = life.lost.borrow_mut();
+    let mut failing_calls = host.failing_calls.borrow_mut();
     match result {
         // The store responded, so it is reachable.
-        Err(Trouble::Conflict | Trouble::HistoryGone) => {}
-        Err(trouble) if lost.insert(call) => life.recorder().log_event(
+        Err(StoreError::Conflict | StoreError::HistoryGone) => {}
+        Err(error) if failing_calls.insert(call) => host.recorder().log_event(
             Event::StoreLost,
             &[
                 ("call", Value::Text(&call)),
-                ("trouble", Value::Text(trouble)),
+                ("trouble", Value::Text(error)),
                 ("ms", Value::Time(took)),
             ],
         ),
-        Ok(_) if lost.remove(call) => {
-            life.recorder()
+        Ok(_) if failing_calls.remove(call) => {
+            host.recorder()
                 .log_event(Event::StoreBack, &[("call", Value::Text(&call))]);
             if timed.is_some() {
-                life.ask_anew();
+                host.restart_long_polls();
             }
         }
         _ => {}
@@ -60,31 +60,31 @@
 
 /// Detects that the store was restored from an older copy. Open long polls are restarted then,
 /// because they refer to revisions that may have been assigned anew.
-fn detect_restore<S: Store, D: Dialect>(life: &Life<S, D>) {
-    let era = life.store.era();
-    if life
+fn detect_restore<S: Store, D: Dialect>(host: &Host<S, D>) {
+    let era = host.store.era();
+    if host
         .era
         .replace(Some(era))
         .is_some_and(|before| before != era)
     {
-        life.recorder()
+        host.recorder()
             .log_event(Event::StoreRestored, &[("era", Value::Count(era))]);
-        let now = life.node.now();
-        life.node.router().store_restored(now);
-        life.ask_anew();
+        let now = host.node.now();
+        host.node.router().store_restored(now);
+        host.restart_long_polls();
     }
 }
 
 /// Logs the number of unusable entries in a listing when it changes. Logging it at each
 /// reading would repeat the same line.
 pub(crate) fn log_unusable<S: Store, D: Dialect>(
-    life: &Life<S, D>,
+    host: &Host<S, D>,
     listing: &'static str,
     count: usize,
 ) {
-    let before = life.unusable.borrow_mut().insert(listing, count);
+    let before = host.unusable_entries.borrow_mut().insert(listing, count);
     if before.unwrap_or_default() != count {
-        life.recorder().log_event(
+        host.recorder().log_event(
             Event::EntriesUnusable,
             &[
                 ("listing", Value::Text(&listing)),
@@ -96,12 +96,12 @@
 
 /// Logs what a listing of endpoints changed.
 pub(crate) fn log_endpoint_changes<S: Store, D: Dialect>(
-    life: &Life<S, D>,
+    host: &Host<S, D>,
     change: &Change,
     age: Duration,
 ) {
     let log = |event, id: &kernel::EndpointId| {
-        life.recorder().log_event(
+        host.recorder().log_event(
             event,
             &[
                 ("endpoint", Value::Text(id)),
@@ -118,36 +118,40 @@
 }
 
 /// Sets the gauges, and logs changes of readiness and of the set of serving hosts.
-pub(crate) async fn run_gauges<S: Store, D: Dialect>(life: Rc<Life<S, D>>) {
+pub(crate) async fn run_gauges<S: Store, D: Dialect>(host: Rc<Host<S, D>>) {
     let mut was_ready = false;
     let mut hosts: HashSet<SocketAddr> = HashSet::new();
     loop {
         sleep(GAUGE_INTERVAL).await;
-        life.recorder().log_dropped_lines();
-        let is_ready = life.is_ready();
+        host.recorder().log_dropped_lines();
+        let is_ready = host.is_ready();
         if is_ready != was_ready {
             let event = if is_ready {
                 Event::Ready
             } else {
                 Event::Unready
             };
-            life.recorder().log_event(event, &[]);
+            host.recorder().log_event(event, &[]);
             was_ready = is_ready;
         }
-        let now: HashSet<SocketAddr> = life.live().into_iter().map(|it| it.front).collect();
+        let now: HashSet<SocketAddr> = host
+            .serving_addresses()
+            .into_iter()
+            .map(|it| it.front)
+            .collect();
         if now != hosts {
-            hosts_changed(&life, &hosts, &now);
+            hosts_changed(&host, &hosts, &now);
             hosts = now;
         }
-        let gauges = collect_gauges(&life, hosts.len());
-        life.recorder().metrics().set_gauges(&gauges);
+        let gauges = collect_gauges(&host, hosts.len());
+        host.recorder().metrics().set_gauges(&gauges);
     }
 }
 
 /// Logs which hosts callers are now sent to and no longer sent to. When many hosts change at
 /// once, the first few suffice to identify the data centre.
 fn hosts_changed<S: Store, D: Dialect>(
-    life: &Life<S, D>,
+    host: &Host<S, D>,
     before: &HashSet<SocketAddr>,
     now: &HashSet<SocketAddr>,
 ) {
@@ -158,7 +162,7 @@
         let names = some.iter().take(MAX_LISTED).map(ToString::to_string);
         names.collect::<Vec<_>>().join(" ")
     };
-    life.recorder().log_event(
+    host.recorder().log_event(
         Event::HostsChanged,
         &[
             ("hosts", Value::Count(now.len() as u64)),
@@ -168,8 +172,8 @@
     );
 }
 
-fn link_gauges<S: Store, D: Dialect>(life: &Life<S, D>) -> Links {
-    let Some(link) = life.link.borrow().clone() else {
+fn link_gauges<S: Store, D: Dialect>(host: &Host<S, D>) -> Links {
+    let Some(link) = host.link.borrow().clone() else {
         return Links::default();
     };
     let transport = link.transport();
@@ -181,25 +185,25 @@
     }
 }
 
-fn collect_gauges<S: Store, D: Dialect>(life: &Life<S, D>, hosts: usize) -> Gauges {
-    let now = life.node.now();
-    let mut router = life.node.router();
+fn collect_gauges<S: Store, D: Dialect>(host: &Host<S, D>, hosts: usize) -> Gauges {
+    let now = host.node.now();
+    let mut router = host.node.router();
     let since =
         |at: Option<Duration>| at.map_or(f64::NAN, |at| now.saturating_sub(at).as_secs_f64());
     let (endpoints, resting) = router.directory().endpoint_counts(now);
     let budgets = router.budgets(now);
     Gauges {
         config_version: router.version().unwrap_or(0),
-        config_confirmed: since(life.confirmed.get()),
+        config_confirmed: since(host.config_confirmed.get()),
         listing_age: since(router.listing_time()),
         endpoints: endpoints as u64,
         ejected: resting as u64,
         data_centres_evacuated: router.directory().evacuations().evacuated().count() as u64,
         hosts: hosts as u64,
-        is_reader: u64::from(life.reads_for_all()),
-        links: link_gauges(life),
-        callers: life.node.open_connections() as u64,
-        requests: life.node.active_requests() as u64,
+        is_reader: u64::from(host.is_reader()),
+        links: link_gauges(host),
+        callers: host.node.open_connections() as u64,
+        requests: host.node.active_requests() as u64,
         quarantined: router.quarantine().len() as u64,
         retry_budgets: budgets
             .into_iter()
--- a/crates/host/src/store.rs
+++ b/crates/host/src/store.rs
@@ -8,12 +8,12 @@
 use route::endpoint::Entry;
 use route::{Config, RequestFingerprint, Revision};
 
-use crate::{Documents, Judgement, Member};
+use crate::{Documents, Member, RolloutVerdict};
 
 /// The persistent store that all hosts share.
 pub trait Store: 'static {
     /// Reads a snapshot of all documents.
-    fn documents(&self) -> impl Future<Output = Result<Documents, Trouble>>;
+    fn documents(&self) -> impl Future<Output = Result<Documents, StoreError>>;
 
     /// Returns how many times the store was restored from an older copy, according to its
     /// latest answer.
@@ -25,64 +25,73 @@
         &self,
         since: Revision,
         wait: Duration,
-    ) -> impl Future<Output = Result<Documents, Trouble>>;
+    ) -> impl Future<Output = Result<Documents, StoreError>>;
 
     /// Parses the text of a configuration that another host sent.
     ///
     /// # Errors
-    /// Returns [`Trouble::Unreadable`] if the text isn't a valid configuration.
-    fn config(&self, text: &[u8]) -> Result<Arc<Config>, Trouble>;
+    /// Returns [`StoreError::Unreadable`] if the text isn't a valid configuration.
+    fn parse_config(&self, text: &[u8]) -> Result<Arc<Config>, StoreError>;
 
     /// Reads what a host needs to find and authenticate the others. If the store has no
     /// certificate authority yet, it writes `candidate`.
-    fn join(&self, candidate: Authority) -> impl Future<Output = Result<Joined, Trouble>>;
+    fn join(&self, candidate: Authority) -> impl Future<Output = Result<JoinInfo, StoreError>>;
 
     /// Reads the verdicts on roll-outs; with `since`, waits up to `wait` for those that
     /// changed after it.
-    fn judgements(
+    fn verdicts(
         &self,
         since: Option<Revision>,
         wait: Duration,
-    ) -> impl Future<Output = Result<Documents, Trouble>>;
+    ) -> impl Future<Output = Result<Documents, StoreError>>;
 
     /// Reads the listing of endpoints.
-    fn endpoints(&self) -> impl Future<Output = Result<Found<Entry>, Trouble>>;
+    fn endpoints(&self) -> impl Future<Output = Result<Decoded<Entry>, StoreError>>;
 
     /// Reads the listing of hosts.
-    fn members(&self) -> impl Future<Output = Result<Found<Member>, Trouble>>;
+    fn members(&self) -> impl Future<Output = Result<Decoded<Member>, StoreError>>;
 
     /// Adds these hosts to the listing, or updates their entries.
-    fn announce(&self, members: &[Member]) -> impl Future<Output = Result<(), Trouble>>;
+    fn announce(&self, members: &[Member]) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Removes these hosts from the listing.
-    fn withdraw(&self, members: &[Member]) -> impl Future<Output = Result<(), Trouble>>;
+    fn withdraw(&self, members: &[Member]) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Writes quarantined requests, for hosts that start.
-    fn hold(&self, prints: &[RequestFingerprint]) -> impl Future<Output = Result<(), Trouble>>;
+    fn add_quarantined(
+        &self,
+        prints: &[RequestFingerprint],
+    ) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Deletes quarantined requests.
-    fn release(&self, prints: &[RequestFingerprint]) -> impl Future<Output = Result<(), Trouble>>;
+    fn remove_quarantined(
+        &self,
+        prints: &[RequestFingerprint],
+    ) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Writes a verdict on a roll-out, unless another one was written after
-    /// `judgement.revision`.
-    fn judge(&self, judgement: &Judgement) -> impl Future<Output = Result<(), Trouble>>;
+    /// `rollout_verdict.revision`.
+    fn write_verdict(
+        &self,
+        rollout_verdict: &RolloutVerdict,
+    ) -> impl Future<Output = Result<(), StoreError>>;
 }
 
 /// What a host needs to find and authenticate the others.
 #[derive(Clone, Debug)]
-pub struct Joined {
+pub struct JoinInfo {
     /// The authority that issues the hosts' certificates.
     pub authority: Authority,
     /// The hosts in the store's listing.
     pub members: Vec<Member>,
     /// The quarantined requests.
-    pub held: Vec<RequestFingerprint>,
+    pub quarantined: Vec<RequestFingerprint>,
 }
 
 /// The decodable entries of a listing in the store. Other programs may write there too,
 /// and an invalid entry must not hide the valid ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found<T> {
+pub struct Decoded<T> {
     /// The valid entries.
     pub entries: Vec<T>,
     /// Number of invalid entries.
@@ -91,7 +100,7 @@
 
 /// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq, Hash)]
-pub enum Trouble {
+pub enum StoreError {
     /// The call wasn't executed: the store rejected it, or it was never sent.
     #[display("refused")]
     Refused,
--- a/crates/host/tests/listing.rs
+++ b/crates/host/tests/listing.rs
@@ -60,8 +60,8 @@
                 continue;
             }
             let known = other.fingerprint();
-            let change = known.and_then(|it| reader.since(it));
-            match change.and_then(|it| other.changed(&it)) {
+            let change = known.and_then(|it| reader.changes_since(it));
+            match change.and_then(|it| other.with_change(&it)) {
                 Some(taken) => {
                     other.replace(&taken);
                     changes += 1;
@@ -102,14 +102,16 @@
     let mut other = Listing::default();
     other.replace(&[entry(1), entry(3)]);
     other.replace(&[entry(1)]);
-    let change = other.since(fingerprint(&[entry(1), entry(3)])).unwrap();
-    assert_eq!(listing.changed(&change), None);
+    let change = other
+        .changes_since(fingerprint(&[entry(1), entry(3)]))
+        .unwrap();
+    assert_eq!(listing.with_change(&change), None);
     let wrong = Change {
         from: listing.fingerprint().unwrap(),
         ..change
     };
     assert_eq!(
-        listing.changed(&wrong),
+        listing.with_change(&wrong),
         None,
         "the change results in another listing"
     );
@@ -129,7 +131,7 @@
         let mut own = Listing::default();
         own.replace(&entries);
         let patch = own.patch(&other.sketch()).unwrap();
-        let patched = other.patched(&patch).unwrap();
+        let patched = other.with_patch(&patch).unwrap();
         assert_eq!(fingerprint(&patched), fingerprint(&entries), "seed {seed}");
         assert!(
             patch.entries.len() <= 16 * changes,
@@ -139,7 +141,7 @@
         // Applied to a third listing, the patch would keep or lose endpoints.
         other.replace(&[entry(9_999)]);
         assert_eq!(
-            other.patched(&patch).is_some(),
+            other.with_patch(&patch).is_some(),
             patch.entries.len() == entries.len()
         );
     }
@@ -158,7 +160,7 @@
     let before = listing.fingerprint().unwrap();
     change_some(&mut rng, &mut entries, 30, &mut last_id);
     listing.replace(&entries);
-    let change = postcard::to_stdvec(&listing.since(before).unwrap()).unwrap();
+    let change = postcard::to_stdvec(&listing.changes_since(before).unwrap()).unwrap();
     let whole = postcard::to_stdvec(&entries).unwrap();
     println!(
         "change: {} bytes, listing: {} bytes",
