--- a/crates/route/tests/pooled.rs
+++ b/crates/route/tests/pooled.rs
@@ -18,10 +18,10 @@
     Rollout::new(order, NOW, 0.1, 295)
 }
 
-fn record_responses(rollout: &mut Rollout, answers: u32, bad: u32) {
-    for nr in 0..answers {
+fn record_responses(rollout: &mut Rollout, responses: u32, failures: u32) {
+    for nr in 0..responses {
         let observation = Observation {
-            failed: nr < bad,
+            failed: nr < failures,
             ..Observation::default()
         };
         rollout.record_response(route::rollout::Side::New, &observation);
@@ -76,11 +76,11 @@
     let mut update = next_update(&mut leaf, NOW);
     update.partial_sums.push(sum);
     root.apply_update(NOW, &name(1), &update);
-    let answers = |after: u64| {
+    let responses = |after: u64| {
         let now = NOW + Duration::from_millis(after);
         root.partial_sum(now, 0, 0).evidence.new.responses
     };
-    assert_eq!((answers(0), answers(1_900), answers(2_100)), (10, 10, 0));
+    assert_eq!((responses(0), responses(1_900), responses(2_100)), (10, 10, 0));
 }
 
 /// Sending all sessions that stay on the old release in each update would waste bandwidth during
