--- a/crates/route/tests/pooled.rs
+++ b/crates/route/tests/pooled.rs
@@ -80,7 +80,10 @@
         let now = NOW + Duration::from_millis(after);
         root.partial_sum(now, 0, 0).evidence.new.responses
     };
-    assert_eq!((responses(0), responses(1_900), responses(2_100)), (10, 10, 0));
+    assert_eq!(
+        (responses(0), responses(1_900), responses(2_100)),
+        (10, 10, 0)
+    );
 }
 
 /// Sending all sessions that stay on the old release in each update would waste bandwidth during
