--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -34,7 +34,8 @@
 /// which a trial under light load doesn't show.
 const TRIAL_END_FRACTION: f64 = 0.5;
 /// Share of requests that the new release gets while one endpoint is filled, as a multiple of the
-/// allowed exposure. That phase is short, so the whole roll-out stays within the allowed exposure.
+/// allowed exposure. That phase is short: together with the trial it stays within what is allowed
+/// of all requests.
 const FILL_EXPOSURE_FACTOR: f64 = 4.0;
 /// When traffic starts to shift to the new release, as a fraction of the roll-out's duration.
 const SHIFT_START_FRACTION: f64 = 0.62;
