--- a/crates/route/src/call.rs
+++ b/crates/route/src/call.rs
@@ -56,7 +56,7 @@
     pub(crate) attempts: u32,
     pub(crate) unsent: u32,
     pub(crate) may_have_run: bool,
-    /// Whether a connection broke during an attempt; that endpoint's process may have exited.
+    /// Whether an attempt ended as [`Ending::Broken`]; the endpoint's process may have exited.
     pub(crate) connection_broke: bool,
     pub(crate) retry: Retry,
 }
--- a/crates/route/src/config/limits.rs
+++ b/crates/route/src/config/limits.rs
@@ -17,7 +17,7 @@
 
 impl Default for Limits {
     /// Returns the limits that apply until a configuration is loaded. They are lenient, so
-    /// that they reject no request that the configuration may allow.
+    /// that a starting host doesn't reject valid requests.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
--- a/crates/route/src/router/place.rs
+++ b/crates/route/src/router/place.rs
@@ -26,7 +26,7 @@
 const RANDOM_RANGE: f64 = 0.03;
 /// The penalty for a cold endpoint.
 const COLD_PENALTY: f64 = 0.5;
-/// The bonus for the endpoint that is being filled. Exceeds what any other endpoint can gain.
+/// The bonus for the endpoint that is being filled. Outweighs the penalties.
 const FILL_BONUS: f64 = 4.0;
 /// The utilization up to which an endpoint is filled.
 const FILL_UTILIZATION: f64 = 1.0;
