--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Records a failure and returns whether the endpoint should be ejected. `usual` is the
-    /// error rate of the service's other endpoints.
-    pub(crate) fn record_failure(&mut self, now: Duration, usual: f64) -> bool {
+    /// Records a failure and returns whether the endpoint should be ejected.
+    /// `service_error_rate` is the mean error rate of the service's other endpoints.
+    pub(crate) fn record_failure(&mut self, now: Duration, service_error_rate: f64) -> bool {
         self.decay(now);
         self.failures += 1.0;
         self.failures >= MIN_FAILURES
-            && self.error_rate() > usual + ERROR_RATE_MARGIN
+            && self.error_rate() > service_error_rate + ERROR_RATE_MARGIN
             && !self.is_ejected(now)
     }
 
--- a/crates/route/src/router/attempts.rs
+++ b/crates/route/src/router/attempts.rs
@@ -61,11 +61,11 @@
         let Some(model) = call.model() else {
             /// The weight of one response in the moving average.
             const SMOOTHING: f64 = 0.05;
-            let usual = self
+            let average = self
                 .first_byte_times
                 .entry(call.route.name.clone())
                 .or_insert(took);
-            *usual = usual.mul_f64(1.0 - SMOOTHING) + took.mul_f64(SMOOTHING);
+            *average = average.mul_f64(1.0 - SMOOTHING) + took.mul_f64(SMOOTHING);
             return;
         };
         let key = (call.service.clone(), model.clone());
--- a/crates/route/src/router/latency.rs
+++ b/crates/route/src/router/latency.rs
@@ -32,7 +32,7 @@
         /// Allows for queueing behind other requests.
         const SLACK_FACTOR: u32 = 3;
         let minimum = call.route.target_latency.mul_f64(fraction);
-        let usual = match call.cascade.model() {
+        let expected = match call.cascade.model() {
             Some(model) => self.expected_latency(call, model),
             None => self
                 .first_byte_times
@@ -40,7 +40,7 @@
                 .copied()
                 .unwrap_or_default(),
         };
-        minimum.max(usual * SLACK_FACTOR)
+        minimum.max(expected * SLACK_FACTOR)
     }
 
     /// Returns the expected time until a model's response starts.
