--- a/crates/forward/src/attempt.rs
+++ b/crates/forward/src/attempt.rs
@@ -332,8 +332,7 @@
         head: &response::Head,
         response_fields: &ResponseFields,
     ) -> Ending {
-        /// The time to read the body of a refusal. Without it the connection isn't reused, and
-        /// the request is retried all the same.
+        /// The limit on reading the body of a refusal, after which the connection isn't reused.
         const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(50);
         if let Ok(Ok(())) = timeout(
             REFUSAL_BODY_TIMEOUT,
@@ -421,8 +420,8 @@
     call.route.retry_policy == RetryPolicy::Idempotent && call.attempts() < call.route.attempts
 }
 
-/// Returns whether callers take the status to mean that the request has not run. It isn't
-/// forwarded from an endpoint that doesn't state this itself and may have run the request.
+/// Returns whether callers take the status to mean that the request has not run. An endpoint
+/// that sends it without the not-run field may have run the request.
 fn promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
--- a/crates/forward/src/caller.rs
+++ b/crates/forward/src/caller.rs
@@ -78,7 +78,7 @@
     conn: &mut Conn,
     request: Request,
 ) -> Persistence {
-    let _busy = node.track_request();
+    let _active_request = node.track_request();
     let persistence = if request.head.keep && node.phase() == Phase::Serving {
         Persistence::KeepAlive
     } else {
--- a/crates/forward/src/listener.rs
+++ b/crates/forward/src/listener.rs
@@ -13,7 +13,7 @@
 
 /// The delay after a failed accept, so that the loop doesn't spin while the process has no
 /// free file descriptor.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts callers' connections and serves each in its own task.
 #[derive(Debug)]
@@ -44,18 +44,18 @@
     pub async fn run<D: Dialect>(self, node: Rc<Node<D>>) {
         loop {
             if node.open_connections() >= self.max_open {
-                task::sleep(ACCEPT_PAUSE).await;
+                task::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
             match self.listener.accept().await {
                 Ok((stream, _)) => {
                     let shared = Rc::clone(&node);
                     node.spawn(async move {
-                        let _open = shared.track_connection();
+                        let _connection = shared.track_connection();
                         caller::serve_connection(&shared, Conn::new(stream)).await;
                     });
                 }
-                Err(_) => task::sleep(ACCEPT_PAUSE).await,
+                Err(_) => task::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
--- a/crates/forward/src/response_writer.rs
+++ b/crates/forward/src/response_writer.rs
@@ -46,11 +46,11 @@
 impl From<Denial> for LocalResponse {
     fn from(denial: Denial) -> Self {
         /// Short, since a host that starts has a configuration soon and other hosts have one now.
-        const SOON: Duration = Duration::from_millis(200);
+        const RETRY_DELAY: Duration = Duration::from_millis(200);
         match denial {
             Denial::NotReady | Denial::Stopping => Self {
                 status: 503,
-                retry_after: Some(SOON),
+                retry_after: Some(RETRY_DELAY),
             },
             Denial::Quarantined { retry_after, .. } => Self {
                 status: 503,
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -239,7 +239,7 @@
                 .record(*left, &[label("service", service.clone())]);
         }
         for (service, share, evidence) in &gauges.rollouts {
-            let by = |release: &'static str, quality: &'static str| {
+            let labels = |release: &'static str, quality: &'static str| {
                 [
                     label("service", service.clone()),
                     label("release", release),
@@ -251,8 +251,8 @@
             for (release, tally) in [("new", evidence.new), ("old", evidence.old)] {
                 let (answers, bad) = (u64::from(tally.responses), u64::from(tally.failures));
                 self.rollout_answers
-                    .record(answers.saturating_sub(bad), &by(release, "good"));
-                self.rollout_answers.record(bad, &by(release, "bad"));
+                    .record(answers.saturating_sub(bad), &labels(release, "good"));
+                self.rollout_answers.record(bad, &labels(release, "bad"));
             }
         }
     }
