--- a/crates/forward/src/probe.rs
+++ b/crates/forward/src/probe.rs
@@ -12,8 +12,8 @@
 use crate::conn::Conn;
 use crate::{Dialect, Node};
 
-/// The timeout for opening a probe's connection. Longer, and a request that crashes
-/// endpoints is quarantined too late.
+/// The timeout for opening a probe's connection. Longer, and a request that makes
+/// endpoints exit is quarantined too late.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a connection must stay open to show that the endpoint is alive: connections
 /// to a process that is about to end may still be accepted.
--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -12,7 +12,7 @@
     Stopping, 1004, Info, "The host was asked to stop.";
     Stopped, 1005, Info, "The host has stopped.";
     Reloaded, 1006, Info, "The settings were reloaded.";
-    NotReloaded, 1007, Warning, "The changed settings are invalid; the previous ones stay in use.";
+    NotReloaded, 1007, Warning, "The changed settings can't be used; the previous ones stay in use.";
     LinesDropped, 1008, Warning, "Log lines were dropped because of the rate limit.";
 
     Answered, 1100, Info, "A request was answered.";
@@ -31,18 +31,18 @@
 
     StoreLost, 1400, Warning, "Calls of this kind to the store fail.";
     StoreBack, 1401, Info, "Calls of this kind to the store succeed again.";
-    StoreRestored, 1402, Warning, "The store was restored from an older backup.";
+    StoreRestored, 1402, Warning, "The store was restored from an older copy.";
 
     HostsChanged, 1500, Info, "The list of hosts for callers changed.";
-    Joined, 1501, Info, "This host is connected to the other hosts.";
-    HostSilent, 1502, Warning, "Another host sends no updates and doesn't respond to probes.";
+    Joined, 1501, Info, "This host can connect to the other hosts.";
+    HostSilent, 1502, Warning, "Another host has stopped sending updates and doesn't respond.";
 
     EndpointAdded, 1600, Info, "An endpoint was added to the listing.";
     EndpointLeaving, 1601, Info, "An endpoint accepts no new requests.";
     EndpointResting, 1602, Warning, "An endpoint was ejected for a while because of failures.";
-    EntriesUnusable, 1603, Warning, "Entries of a listing are invalid and ignored; the others are used.";
+    EntriesUnusable, 1603, Warning, "Entries of a listing can't be used and are ignored; the others are used.";
 
-    RequestHeld, 1604, Warning, "A request was quarantined because endpoints crash on it.";
+    RequestHeld, 1604, Warning, "A request was quarantined because endpoints exited while running it.";
 
     DataCentreEmptied, 1650, Warning, "Operators evacuated a data centre; its endpoints get no requests.";
     DataCentreOpen, 1651, Info, "Operators reopened a data centre; its endpoints get requests again.";
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -36,7 +36,7 @@
     pub callers: u64,
     /// Requests in progress.
     pub requests: u64,
-    /// Requests that are quarantined because endpoints crash on them.
+    /// Requests that are quarantined because endpoints exited while running them.
     pub quarantined: u64,
     /// The retries left, by service.
     pub retry_budgets: Vec<(String, f64)>,
