--- a/crates/host/src/outage.rs
+++ b/crates/host/src/outage.rs
@@ -40,7 +40,7 @@
     /// Failed readings of this host alone don't prove an outage: it may have been cut off
     /// while the others read the store. If it took missing entries for lapsed, the others
     /// would follow, and keep sending requests to endpoints that are gone. A reliable listing
-    /// younger than [`MIN_OUTAGE`] shows that nothing has lapsed since.
+    /// younger than `MIN_OUTAGE` shows that nothing has lapsed since.
     ///
     /// Nor does a lack of recent failures prove that there was no outage: this host may have
     /// started during it, or waited long between two calls. It then relies on what the
