--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -67,7 +67,8 @@
         true
     }
 
-    /// Returns the number of retries left if `hosts` hosts share the slack.
+    /// Returns how many retries the budget still allows if `hosts` hosts share the slack.
+    /// Negative if the allowance has shrunk below the retries in the window.
     #[must_use]
     pub fn remaining(&self, now: Duration, hosts: u32) -> f64 {
         let mut copy = self.clone();
--- a/crates/route/src/call.rs
+++ b/crates/route/src/call.rs
@@ -10,8 +10,8 @@
 use crate::rollout::Side;
 use crate::{Cascade, RequestFingerprint, Revision};
 
-/// The most times that a request may be placed without being sent before it fails. Such
-/// tries don't count as attempts, but each may cost the caller a connection timeout.
+/// The request fails after this many attempts that ended before anything was sent. They
+/// aren't included in [`Call::attempts`], but each may cost the caller a connection timeout.
 const MAX_UNSENT: u32 = 4;
 
 /// The properties of a request that placement depends on.
@@ -33,7 +33,7 @@
 pub struct Call {
     /// The route that matched.
     pub route: Arc<Route>,
-    /// The customer, if the route requires a key.
+    /// The customer, if the route requires a key and any customers are configured.
     pub customer: Option<Arc<Customer>>,
     /// The service that handles the request.
     pub service: ServiceName,
@@ -77,7 +77,8 @@
     NotRequested,
     /// A retry was taken from the budget and not sent yet.
     Reserved,
-    /// No retry is allowed; the current attempt continues despite the endpoint's silence.
+    /// The last request for a retry was denied; the current attempt continues despite the
+    /// endpoint's silence. A later request for a retry may succeed.
     Denied,
 }
 
@@ -116,7 +117,7 @@
     Cancelled,
 }
 
-/// What to do with a request after an attempt without a response to deliver.
+/// What to do with a request whose attempt ended. Has no meaning after [`Ending::Answered`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Try another endpoint.
@@ -220,14 +221,14 @@
         self.deadline.saturating_sub(now)
     }
 
-    /// Returns whether no retry is allowed, so that the current attempt continues despite
-    /// the endpoint's silence.
+    /// Returns whether the last request for a retry was denied, so that the current attempt
+    /// continues despite the endpoint's silence.
     #[must_use]
     pub fn is_retry_denied(&self) -> bool {
         self.retry == Retry::Denied
     }
 
-    /// Records that no retry is allowed.
+    /// Records that a retry was denied.
     pub fn deny_retry(&mut self) {
         self.retry = Retry::Denied;
     }
--- a/crates/route/src/cascade.rs
+++ b/crates/route/src/cascade.rs
@@ -2,8 +2,9 @@
 
 use std::time::Duration;
 
-/// The fraction of a response's value that remains if it is late, and if it is wrong.
+/// The fraction of its value that a late response keeps.
 const LATE_VALUE: f64 = 0.3;
+/// The fraction of its value that a wrong response keeps.
 const WRONG_VALUE: f64 = 0.05;
 /// The probability that the largest model's response is right.
 const LARGEST_ACCURACY: f64 = 0.97;
--- a/crates/route/src/config/route.rs
+++ b/crates/route/src/config/route.rs
@@ -49,7 +49,8 @@
 pub enum RetryPolicy {
     /// It may: a second run has no further effect.
     Idempotent,
-    /// It must not: it runs at most once.
+    /// It must not run again after it failed or its response was lost. Escalation to a larger
+    /// model may still run it again.
     AtMostOnce,
 }
 
@@ -70,7 +71,7 @@
 pub enum Access {
     /// Everyone.
     Public,
-    /// Customers with a valid key.
+    /// Customers with a valid key, or everyone while no customers are configured.
     Keyed,
 }
 
--- a/crates/route/src/directory.rs
+++ b/crates/route/src/directory.rs
@@ -19,8 +19,9 @@
 pub use endpoint::Endpoint;
 pub(crate) use endpoint::Listed;
 
-/// Largest fraction of a service's endpoints that may be ejected at once. If most of them fail,
-/// the cause is elsewhere, and the remaining ones would only be overloaded.
+/// Ejections for failed responses stay below this fraction of a service's endpoints. If more of
+/// them fail, the cause is elsewhere, and the remaining ones would only be overloaded. Ejections
+/// of unreachable endpoints aren't limited.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 
 /// The known endpoints, with their state, load and health.
@@ -66,7 +67,7 @@
     /// leaving endpoints as ready. Requests sent to these would be lost. So endpoints that were
     /// gone are ignored until then, and leaving ones stay marked as leaving.
     pub fn store_restored(&mut self, now: Duration) {
-        /// Entries expire after three missed heartbeats, which are 1.2 s apart.
+        /// Longer than an entry's lifetime, which is three heartbeat intervals of 1.2 s.
         const ENTRY_LIFETIME: Duration = Duration::from_secs(5);
         let gone = self
             .endpoints
@@ -80,7 +81,7 @@
     }
 
     /// Corrects entries of endpoints on which this host has newer information than the store,
-    /// which may show an older copy. The other hosts get the corrected listing.
+    /// which may show an older copy. Call this before the listing is sent to other hosts.
     pub fn correct(&self, now: Duration, entries: &mut Vec<Entry>) {
         let is_gone = |it: &Entry| {
             let until = self.gone_until.get(&it.process());
@@ -126,7 +127,8 @@
         let known = &mut self.endpoints[key];
         let is_other_service = known.entry.service != entry.service;
         match entry.incarnation.cmp(&known.entry.incarnation) {
-            // A late entry of an earlier process only shows that the identity is in use.
+            // An outdated entry of an earlier process: the known process stays and
+            // counts as listed.
             Ordering::Less => known.listed = Listed::Yes,
             Ordering::Equal if !is_other_service => {
                 if known.takes_work() && entry.state == State::Draining {
@@ -148,7 +150,7 @@
         key
     }
 
-    /// Gives a restarted endpoint a new key.
+    /// Gives an endpoint that restarted or changed its service a new key.
     ///
     /// Load, health, requests and connections of the previous process stay with the old key.
     /// Carried over, an ejection would leave a healthy endpoint unused, and requests that were
@@ -232,7 +234,8 @@
             .filter_map(|&key| Some((key, self.endpoints.get(key)?)))
     }
 
-    /// Returns the mean utilization of a service's endpoints, as estimated by this host.
+    /// Returns the mean estimated utilization of the service's endpoints that take requests; 1 if
+    /// there are none.
     #[must_use]
     pub fn utilization(&self, now: Duration, service: &ServiceName) -> f64 {
         let (mut used, mut count) = (0.0, 0.0);
@@ -314,8 +317,9 @@
         is_ejected
     }
 
-    /// Returns the mean failure rate of a service's other endpoints, and the fraction of its
-    /// endpoints that would be ejected with this one.
+    /// Returns the mean failure rate of a service's other endpoints, where ejected ones count as
+    /// zero, and the fraction of its endpoints that would be ejected with this one. Considers only
+    /// endpoints that take requests.
     fn failure_statistics(
         &self,
         now: Duration,
@@ -335,7 +339,7 @@
             }
         }
         if count == 0.0 {
-            // The only endpoint of a service is never ejected.
+            // The only endpoint that takes requests is never ejected for failed responses.
             return (0.0, 1.0);
         }
         (failure_rate / count, (ejected + 1.0) / (count + 1.0))
--- a/crates/route/src/directory/cold_start.rs
+++ b/crates/route/src/directory/cold_start.rs
@@ -11,7 +11,7 @@
 /// Cold-start state of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ColdStart {
-    /// Cold until this time, by its entry.
+    /// Cold until this time, according to its entry in the listing.
     listed_until: Duration,
     /// Cold until this time because its data centre is back in use.
     returned_until: Duration,
@@ -89,9 +89,9 @@
 
     /// Marks an endpoint as cold because its data centre is back in use.
     ///
-    /// Its endpoints may have restarted while they got no requests. They would get requests of all
-    /// hosts at once before their entries show that they are cold, which takes up to a heartbeat.
-    /// So they count as cold for a full warm-up.
+    /// It may have restarted while it got no requests, and its entry shows that it is cold only
+    /// after up to a heartbeat. Until then, all hosts would send requests to it at once. So it
+    /// counts as cold for a full warm-up.
     pub(super) fn mark_returned(
         now: Duration,
         warm_ups: &HashMap<ServiceName, WarmUp>,
--- a/crates/route/src/directory/endpoint.rs
+++ b/crates/route/src/directory/endpoint.rs
@@ -20,8 +20,8 @@
     pub(crate) access: Access,
     /// Its cold-start state.
     pub(crate) cold_start: ColdStart,
-    /// Until when it refuses requests of this host, as it said itself. It is skipped even if no
-    /// other endpoint is left, because it would only refuse.
+    /// Until when it asked this host to send nothing. It is skipped even if no other endpoint is
+    /// left, because it would only refuse.
     pub(crate) paused_until: Duration,
     /// Whether the listing still contains it.
     pub(crate) listed: Listed,
--- a/crates/route/src/directory/evacuate.rs
+++ b/crates/route/src/directory/evacuate.rs
@@ -51,7 +51,8 @@
         access(&self.evacuations, data_centre)
     }
 
-    /// Returns when to retry a request for a service that has no usable endpoint now.
+    /// Returns how long until a ready endpoint of the service may be sent requests, without regard
+    /// to ejections. Zero if one already may, or if none is ready.
     pub(crate) fn min_retry_after(&self, now: Duration, service: &ServiceName) -> Duration {
         /// Operators keep a data centre evacuated for a long time, so frequent retries would be
         /// useless.
--- a/crates/route/src/evacuation.rs
+++ b/crates/route/src/evacuation.rs
@@ -8,8 +8,8 @@
 
 use crate::Revision;
 
-/// Maximum number of data centres remembered as back in use, so that arbitrary names can't fill
-/// the memory.
+/// Data centres that are back in use are remembered only while fewer data centres than this are
+/// known, so that arbitrary names can't fill the memory.
 const MAX_OPEN: usize = 256;
 
 /// An operator's latest change to a data centre's access.
@@ -47,7 +47,8 @@
 }
 
 impl Evacuations {
-    /// Applies a change. Returns whether it changes which data centres may be used.
+    /// Applies a change. Returns whether it changes which data centres may be used; also true for
+    /// the end of an unknown evacuation if too many data centres are known to remember it.
     ///
     /// A host that lags behind may still report an evacuation that operators have ended. The store
     /// no longer lists that data centre, so nothing would correct the report. A change to an
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -9,11 +9,12 @@
 const MIN_FAILURES: f64 = 2.5;
 /// How far an endpoint's error rate must exceed its service's for an ejection.
 const ERROR_RATE_MARGIN: f64 = 0.25;
-/// The first and the longest ejection time. Each ejection lasts twice as long as the one
+/// The duration of an endpoint's first ejection. Each further one lasts twice as long as the one
 /// before, until the endpoint responds well again.
 const FIRST_EJECTION: Duration = Duration::from_millis(1_500);
+/// The maximum duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(8);
-/// The ejection time after a failed connection attempt. Short, since the endpoint may only
+/// The ejection time of an endpoint that couldn't be reached. Short, since the endpoint may only
 /// be restarting and another try is cheap.
 const CONNECT_EJECTION: Duration = Duration::from_millis(700);
 
@@ -46,7 +47,8 @@
     }
 
     /// Records a failure and returns whether the endpoint should be ejected.
-    /// `service_error_rate` is the mean error rate of the service's other endpoints.
+    /// `service_error_rate` is the mean error rate of the service's other endpoints, where ejected
+    /// ones count as zero.
     pub(crate) fn record_failure(&mut self, now: Duration, service_error_rate: f64) -> bool {
         self.decay(now);
         self.failures += 1.0;
@@ -65,7 +67,7 @@
         let ejection = FIRST_EJECTION * 2u32.pow(self.ejections.min(3));
         self.ejected_until = now + ejection.min(MAX_EJECTION);
         self.ejections += 1;
-        // A single failure after the ejection is enough for the next one.
+        // After a short ejection, fewer failures than usual are enough for the next one.
         self.failures = MIN_FAILURES - 1.0;
         self.successes = 0.0;
     }
--- a/crates/route/src/permit.rs
+++ b/crates/route/src/permit.rs
@@ -8,7 +8,7 @@
 /// it. While the connection is opened, operators may evacuate the data centre, or the endpoint
 /// may report that it is shutting down.
 #[derive(Debug)]
-#[must_use = "a request counts as sent"]
+#[must_use = "the request counts as sent from now on: send it"]
 pub struct Permit(pub(crate) ());
 
 /// The reason that a request may not be sent to the endpoint that was chosen.
@@ -20,7 +20,7 @@
     /// The endpoint is shutting down or no longer listed.
     #[display("leaving")]
     Leaving,
-    /// The endpoint is cold, and this host has used up its share of the endpoint's rate.
+    /// The endpoint is cold, and this host may not send it a request now.
     #[display("cold")]
     Cold,
 }
--- a/crates/route/src/prefill.rs
+++ b/crates/route/src/prefill.rs
@@ -6,8 +6,7 @@
 const PRIOR_SECONDS_PER_TOKEN: f64 = 0.02e-3;
 /// The weight of the prior, in observed tokens.
 const PRIOR_TOKENS: f64 = 20_000.0;
-/// The length of the moving average, in observed tokens. Short enough to follow a pool
-/// that fills up.
+/// The length of the moving average, in observed tokens.
 const WINDOW_TOKENS: f64 = 400_000.0;
 /// The time to start a response besides prefill.
 const BASE_LATENCY: Duration = Duration::from_millis(15);
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -23,7 +23,7 @@
 /// Number of process exits after which a suspected request is quarantined. Processes exit for
 /// other reasons as well, and every request in flight there is a suspect.
 const MIN_EXITS: usize = 3;
-/// Number of exits after which it is quarantined even if another request was in flight at all of
+/// Number of exits after which it is quarantined even if another request is a suspect of all of
 /// them.
 const MIN_SHARED_EXITS: usize = 5;
 /// How long a request is quarantined. Its caller is told to retry after that; a release that can
@@ -33,8 +33,7 @@
 /// leaves, or the response is discarded in favour of a larger model's, the attempt ends although
 /// the request may already have done its damage.
 const MAX_EXIT_DELAY: Duration = Duration::from_secs(1);
-/// Maximum number of remembered exits. Only requests in flight during an exit are stored, so a
-/// flood of distinct requests doesn't fill the memory.
+/// Maximum number of remembered exits.
 const MAX_EXITS: usize = 256;
 /// Maximum number of suspects per exit.
 const MAX_SUSPECTS: usize = 128;
@@ -54,7 +53,7 @@
 /// any endpoint. Innocent suspects are excluded in three ways: an exit no longer counts against
 /// others once a quarantined request explains it; a request is cleared if an endpoint survives its
 /// response; and of two requests that are suspects of the same exits, neither is quarantined until
-/// a further exit distinguishes them. See `docs/design/quarantine.md`.
+/// a further exit distinguishes them or they share many exits. See `docs/design/quarantine.md`.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     exits: BTreeMap<ProcessId, Exit>,
@@ -62,17 +61,17 @@
     exits_by_request: HashMap<RequestFingerprint, BTreeSet<ProcessId>>,
     /// The quarantined requests.
     quarantined: HashMap<RequestFingerprint, QuarantinedRequest>,
-    /// Requests released from quarantine since the driver last asked.
+    /// Requests released from quarantine since the last [`Self::take_released`].
     released: Vec<RequestFingerprint>,
     /// Recently finished attempts whose endpoints may still exit because of them.
     finished: VecDeque<FinishedAttempt>,
     /// Requests that an endpoint recently survived.
     survived: SurvivedRequests,
-    /// Requests quarantined since the driver last asked.
+    /// Requests quarantined since the last [`Self::take_quarantined`].
     newly_quarantined: Vec<RequestFingerprint>,
-    /// When all quarantined requests were last sent to other hosts.
+    /// When the last periodic update with all quarantined requests was built.
     last_full_update: Duration,
-    /// Whether anything changed since the driver last asked.
+    /// Whether anything changed since the last [`Self::take_changed`].
     has_changes: bool,
 }
 
@@ -84,8 +83,8 @@
         (!time_left.is_zero()).then_some(time_left)
     }
 
-    /// Returns whether a request must not be retried: it is quarantined, or it would be if the
-    /// endpoints whose connections broke during its attempts have exited.
+    /// Returns whether a request must not be retried: it is quarantined, or `MIN_EXITS` exits would
+    /// count against it if the endpoints whose connections broke during its attempts have exited.
     pub(crate) fn blocks_retry(&self, now: Duration, fingerprint: RequestFingerprint) -> bool {
         if self.remaining(now, fingerprint).is_some() {
             return true;
@@ -168,7 +167,7 @@
         self.exits.contains_key(&process)
     }
 
-    /// Expires old state, and clears requests whose endpoints survived them.
+    /// Ends quarantines that are over, and clears requests that endpoints survived.
     pub fn expire(&mut self, now: Duration) {
         while let Some(it) = self.finished.front()
             && now.saturating_sub(it.at) > MAX_EXIT_DELAY
@@ -276,7 +275,8 @@
         is_new
     }
 
-    /// Quarantines those suspects of an exit that were found at too many exits.
+    /// Quarantines the suspects of an exit that have at least `MIN_EXITS` counted exits and no
+    /// rival, or at least `MIN_SHARED_EXITS` counted exits.
     fn quarantine_suspects(&mut self, now: Duration, process: ProcessId) {
         while let Some(exit) = self.exits.get(&process) {
             let worst = exit
--- a/crates/route/src/quarantine/survived.rs
+++ b/crates/route/src/quarantine/survived.rs
@@ -5,8 +5,7 @@
 
 use crate::RequestFingerprint;
 
-/// How long a request counts as safe. Longer than a period in which many endpoints exit at once,
-/// and than the interval between identical requests of many callers.
+/// How long a request counts as safe after an endpoint survived it.
 const VALIDITY: Duration = Duration::from_secs(30);
 /// Maximum number of requests remembered; the latest are kept.
 const MAX_REQUESTS: usize = 4_096;
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -26,16 +26,16 @@
 pub use side::Side;
 pub use update::{Scope, Update};
 
-/// Fraction of the allowed exposure that the release gets during its trial. The rest is a reserve
-/// for requests that hosts count differently at the edges.
+/// Fraction of the allowed exposure that the release gets during its trial. The rest is a margin
+/// for differences between hosts' counts at the start and end of the trial.
 const TRIAL_EXPOSURE_FRACTION: f64 = 0.5;
 /// When the trial ends and one endpoint of the new release is filled to capacity, as a fraction of
-/// the roll-out's duration. A release may fail only when most of an endpoint's slots are in use,
-/// which a trial under light load doesn't show.
+/// the roll-out's duration. Some faults show only when most of an endpoint's slots are in use,
+/// which may not happen in a trial under light load.
 const TRIAL_END_FRACTION: f64 = 0.5;
 /// Share of requests that the new release gets while one endpoint is filled, as a multiple of the
-/// allowed exposure. That phase is short: together with the trial it stays within what is allowed
-/// of all requests.
+/// allowed exposure. Averaged over the roll-out's duration, the trial and this phase together stay
+/// within the allowed exposure.
 const FILL_EXPOSURE_FACTOR: f64 = 4.0;
 /// When traffic starts to shift to the new release, as a fraction of the roll-out's duration.
 const SHIFT_START_FRACTION: f64 = 0.62;
@@ -54,8 +54,9 @@
 /// release's rate.
 const FAILURE_RATE_MARGIN: f64 = 0.05;
 /// Latency ratios between the new and the old release (geometric mean) above which the new one is
-/// judged bad: between events of a stream, until a stream starts, and until a complete response
-/// starts. The start of a stream varies most because the new release's caches are empty.
+/// judged bad: between events of a stream, until a response starts on routes that choose the
+/// model, and until it starts on other routes. The second varies most because the new release's
+/// caches are empty.
 const MAX_EVENT_INTERVAL_RATIO: f64 = 1.6;
 const MAX_STREAM_START_RATIO: f64 = 2.2;
 const MAX_RESPONSE_START_RATIO: f64 = 1.4;
@@ -63,12 +64,13 @@
 /// How long hosts exchange which sessions are active before the new release gets any requests.
 /// Updates are sent twice in that time.
 const SESSION_EXCHANGE: Duration = Duration::from_millis(1_200);
-/// How long before the end of the trial it is announced, once plus once for each extra hop of
-/// gossip. Several times the propagation delay, to tolerate lost messages.
+/// How long before the end of the trial that end is announced, per hop of gossip. Several times
+/// the propagation delay, to tolerate lost messages.
 const TRIAL_END_NOTICE: Duration = Duration::from_millis(300);
-/// Time added for each extra hop that an update needs to reach all hosts, and the factor by which
-/// the number of reached hosts grows per hop.
+/// Time added to the exchange of sessions for each extra hop that an update needs to reach all
+/// hosts.
 const EXTRA_HOP_DELAY: Duration = Duration::from_millis(600);
+/// Factor by which the number of hosts that an update reaches grows per hop.
 const HOSTS_PER_HOP: u32 = 8;
 
 /// The state of a roll-out on this host.
@@ -87,7 +89,7 @@
     pool: Pool,
     /// Moving means of the old release's latencies, as logarithms, by class of request.
     baselines: HashMap<(u64, LatencyKind), MovingMean>,
-    /// Sessions that began on the old release and stay on it during the trial.
+    /// Sessions that began on the old release and stay on it during the first half of the roll-out.
     pinned_sessions: HashSet<u64>,
     /// Those of these sessions that were already sent to the neighbours.
     announced_sessions: HashSet<u64>,
@@ -145,12 +147,14 @@
             Verdict::Reverted => 0.0,
             Verdict::Running if self.is_exchanging_sessions(now) => 0.0,
             Verdict::Running => {
-                // Bad evidence limits exposure at once; the verdict follows at the next poll.
+                // Bad evidence limits exposure at once; the caller sets the verdict later, from
+                // `own_verdict`.
                 if !self.has_left_trial(now) || self.is_bad() {
                     return self.trial_share();
                 }
                 let progress = self.progress(now);
-                // The share never decreases, so sessions that have moved stay.
+                // After the trial the share doesn't decrease unless the release turns out bad, so
+                // sessions that have moved stay.
                 let fill_share = (self.exposure * FILL_EXPOSURE_FACTOR).min(1.0);
                 let shifted =
                     (progress - SHIFT_START_FRACTION) / (SHIFT_END_FRACTION - SHIFT_START_FRACTION);
@@ -174,8 +178,8 @@
 
     /// Chooses the release for a request whose session is already on `release`.
     ///
-    /// The session stays there during the first half of the roll-out. In the second half, when the
-    /// new release has proved good, sessions move to it with all other traffic.
+    /// Until a verdict, sessions on the new release stay there. Sessions on the old release stay
+    /// during the first half of the roll-out; after that they are assigned like new sessions.
     #[must_use]
     pub(crate) fn side_for_known_session(
         &self,
@@ -223,8 +227,8 @@
     /// whether other hosts must be informed.
     ///
     /// If each host decided by the evidence it has received, some would end the trial earlier than
-    /// others, and a session that changes hosts would alternate between the releases. Instead, one
-    /// host proposes a time that all learn before it comes.
+    /// others, and a session that changes hosts would alternate between the releases. Instead,
+    /// hosts announce a time in advance, and the earliest announced time applies.
     pub fn try_end_trial(&mut self, now: Duration) -> bool {
         let elapsed = self.elapsed(now);
         let planned_end = self.order.duration.mul_f64(TRIAL_END_FRACTION);
@@ -354,7 +358,7 @@
     }
 
     /// Publishes the fleet's total evidence while the roll-out is running. Called on an
-    /// aggregating host, identified by `aggregator`.
+    /// aggregating host: `root` is its index in [`PartialSum`], `aggregator` its ID in [`Total`].
     pub fn publish_total(&mut self, now: Duration, root: usize, aggregator: u64) {
         if self.verdict == Verdict::Running {
             self.pool.publish_total(now, root, aggregator);
@@ -363,6 +367,8 @@
 
     /// Applies another host's update on the same roll-out; its evidence replaces that of the
     /// host's previous update. Returns whether neighbours must be informed at once.
+    ///
+    /// The caller removes partial sums of hosts that aren't farther from the aggregating host.
     pub fn apply_update(&mut self, now: Duration, host: &HostName, update: &Update) -> bool {
         let known = self.pinned_sessions.len();
         self.pinned_sessions.extend(&update.pinned_sessions);
--- a/crates/route/src/rollout/evidence.rs
+++ b/crates/route/src/rollout/evidence.rs
@@ -13,10 +13,10 @@
     pub old: ResponseCounts,
     /// The new release, on endpoints with most of their slots in use.
     pub crowded: ResponseCounts,
-    /// Ratios of the time until a stream starts.
+    /// Ratios of the time until a response starts, on routes that choose the model.
     #[serde(rename = "first")]
     pub stream_start: LatencyRatios,
-    /// Ratios of the time until a complete response starts.
+    /// Ratios of the time until a response starts, on other routes.
     #[serde(rename = "whole")]
     pub response_start: LatencyRatios,
     /// Ratios of the time between events.
--- a/crates/route/src/rollout/latency.rs
+++ b/crates/route/src/rollout/latency.rs
@@ -5,9 +5,9 @@
 /// Which latency of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum LatencyKind {
-    /// Until a stream starts.
+    /// Until the response starts, relative to the expected time, on routes that choose the model.
     StreamStart,
-    /// Until a complete response starts.
+    /// Until the response starts, on other routes.
     ResponseStart,
     /// Between two events of a stream.
     EventInterval,
@@ -15,8 +15,7 @@
 
 /// Statistics of the logarithms of the latency ratios between the new and the old release.
 ///
-/// Latencies are heavy-tailed: even a good release has single slow responses. The mean of the
-/// logarithms is robust against them after a dozen samples.
+/// Even a good release has single slow responses. Logarithms keep these from dominating the mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencyRatios {
     count: u32,
@@ -42,7 +41,7 @@
         self.squares += other.squares;
     }
 
-    /// Returns whether the mean ratio exceeds `times` with confidence.
+    /// Returns whether the mean ratio exceeds `factor` with confidence.
     pub(super) fn exceeds(&self, factor: f64) -> bool {
         if self.count < Self::MIN_SAMPLES {
             return false;
--- a/crates/route/src/rollout/observation.rs
+++ b/crates/route/src/rollout/observation.rs
@@ -9,11 +9,13 @@
     pub class: u64,
     /// Whether the request failed or got no response.
     pub failed: bool,
-    /// Whether most of the endpoint's slots were in use when the request was sent.
+    /// Whether the endpoint was crowded when the request was sent or when it reported its load in
+    /// the response. False for timeouts.
     pub is_crowded: bool,
-    /// Time until the stream started, relative to the time expected for its prompt.
+    /// Time until the response started, relative to the time expected for its prompt, if the route
+    /// chooses the model.
     pub stream_start: Option<f64>,
-    /// Seconds until a complete response started.
+    /// Seconds until the response started, if the route doesn't choose the model.
     pub response_start: Option<f64>,
     /// Mean seconds between two events.
     pub event_interval: Option<f64>,
--- a/crates/route/src/rollout/pooled.rs
+++ b/crates/route/src/rollout/pooled.rs
@@ -9,7 +9,7 @@
 use super::{Evidence, Scope, Update};
 
 /// How long a neighbour's partial sum counts. Neighbours send theirs twice a second; the sum of
-/// one that died or changed its parent must expire, or it would be counted twice.
+/// one that died or reports to another host must expire, or it would be counted twice.
 const PARTIAL_SUM_TTL: Duration = Duration::from_secs(2);
 
 /// Minimum time between two totals of the same host.
@@ -25,8 +25,9 @@
 pub struct PartialSum {
     /// Index of the aggregating host that it is for.
     pub root: usize,
-    /// The sender's distance from that host, in hops. A receiver that is no nearer ignores the
-    /// sum: while hosts disagree on the membership, a sum could otherwise return to its origin.
+    /// The sender's distance from that host, in hops. A receiver that is no nearer must drop the
+    /// sum before it applies the update: while hosts disagree on the membership, a sum could
+    /// otherwise return to its origin.
     pub distance: u8,
     /// The sum.
     pub evidence: Evidence,
@@ -38,7 +39,7 @@
     /// Identifies the aggregating host.
     #[serde(rename = "gatherer")]
     pub aggregator: u64,
-    /// Increases with each total that the host publishes.
+    /// The publishing host's time in milliseconds; it orders the host's totals.
     #[serde(rename = "number")]
     pub sequence: u64,
     /// The total.
@@ -101,7 +102,7 @@
     }
 
     /// Publishes the sum of all reports as the next total. Limited to one per reporting interval,
-    /// because every total is forwarded to all hosts.
+    /// because every total is forwarded to all hosts, and skipped if the evidence hasn't changed.
     pub(super) fn publish_total(&mut self, now: Duration, root: usize, aggregator: u64) {
         let sequence = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
         let evidence = self.partial_sum(now, root, 0).evidence;
--- a/crates/route/src/rollout/update.rs
+++ b/crates/route/src/rollout/update.rs
@@ -33,7 +33,8 @@
 /// How much of its state a host sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Only what wasn't sent before; neighbours forward it.
+    /// Recent changes, which neighbours forward, and small parts of the state that each update
+    /// repeats.
     Delta,
     /// The full state, for a host that has just started.
     Full,
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -35,8 +35,8 @@
 pub use placement::Placement;
 pub use rollouts::RolloutChanges;
 
-/// Added to the session gap, which the caller measures from the end of a response
-/// and this host from the session's last event that it has recorded.
+/// Added to the session gap: callers measure the gap from the end of a response, which may be
+/// later than the last activity recorded here.
 const SESSION_GAP_MARGIN: Duration = Duration::from_secs(1);
 
 /// The utilization from which an endpoint counts as crowded. Responses of crowded
@@ -55,14 +55,15 @@
     previous_orders: HashMap<ServiceName, Vec<Order>>,
     sessions: Sessions,
     quarantine: Quarantine,
-    /// Endpoints whose connections broke. The driver probes whether their processes have exited.
+    /// Endpoints whose connections broke since the last [`Self::take_probe_candidates`]. The caller
+    /// probes whether their processes have exited.
     probe_candidates: Vec<Key>,
     prefill_estimators: HashMap<(ServiceName, ModelName), PrefillEstimator>,
     /// Moving average of the time to the first byte, by route, for routes that choose no model.
     first_byte_times: HashMap<Arc<str>, Duration>,
     /// When the current listing was read.
     listing_time: Option<Duration>,
-    /// Endpoints that were ejected since the last [`Self::take_ejected`].
+    /// Endpoints that were ejected for failed responses since the last [`Self::take_ejected`].
     ejected: Vec<(EndpointId, Ending)>,
     hosts: u32,
     rng: Pcg32,
@@ -93,8 +94,8 @@
 
     /// Applies a configuration and returns whether it is newer than the current one.
     ///
-    /// Older versions are ignored: a lagging reader may deliver one late, and callers
-    /// would be denied routes or keys that they already use.
+    /// Older versions are ignored: one that arrives late could remove routes or keys that
+    /// callers already use.
     pub fn configure(&mut self, config: Arc<Config>) -> bool {
         if self.version().is_some_and(|it| it >= config.version) {
             return false;
@@ -161,13 +162,14 @@
         self.listing_time
     }
 
-    /// Returns the endpoints that were ejected since the last call, each with the ending
-    /// that caused it.
+    /// Returns the endpoints that were ejected for failed responses since the last call, each
+    /// with the ending that caused it. Ejections of unreachable endpoints aren't included.
     pub fn take_ejected(&mut self) -> Vec<(EndpointId, Ending)> {
         std::mem::take(&mut self.ejected)
     }
 
-    /// Returns the number of retries that this host may still send, by service.
+    /// Returns how many retries this host's budgets still allow, by service; see
+    /// [`RetryBudget::remaining`].
     #[must_use]
     pub fn budgets(&self, now: Duration) -> Vec<(ServiceName, f64)> {
         let retries_left = |(name, it): (&ServiceName, &RetryBudget)| {
--- a/crates/route/src/router/attempts.rs
+++ b/crates/route/src/router/attempts.rs
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Ends an attempt and returns what to do with the request.
+    /// Ends an attempt and returns what to do with the request. The returned value has no meaning
+    /// after [`Ending::Answered`].
     pub fn end_attempt(
         &mut self,
         now: Duration,
@@ -107,8 +108,9 @@
         Next::Fail(self.failure(now, call, ending))
     }
 
-    /// Returns how a request fails after its last attempt. If no endpoint accepts requests,
-    /// the caller is asked to wait until one is expected to.
+    /// Returns how a request fails after its last attempt. If it was not run and all ready
+    /// endpoints are paused, cold or evacuated, the caller is asked to wait at least until one is
+    /// expected to accept requests.
     fn failure(&self, now: Duration, call: &Call, ending: Ending) -> Failure {
         match call.failure(now, ending) {
             Failure::NotRun { retry_after } => Failure::NotRun {
@@ -195,7 +197,7 @@
             };
             let class = hash::of(&(&call.route.name, call.cascade.model()));
             let mut observation = in_flight.observation(class, failed);
-            // On a crowded endpoint a timeout is no evidence against the release.
+            // Timeouts count among all responses, but not among those of crowded endpoints.
             observation.is_crowded &= ending != Ending::TimedOut;
             rollout.record_response(side, &observation);
         }
--- a/crates/route/src/router/exits.rs
+++ b/crates/route/src/router/exits.rs
@@ -30,7 +30,7 @@
         self.quarantine.record_attempt(now, finished);
     }
 
-    /// Returns the quarantined requests.
+    /// Returns the quarantine.
     pub fn quarantine(&mut self) -> &mut Quarantine {
         &mut self.quarantine
     }
--- a/crates/route/src/router/latency.rs
+++ b/crates/route/src/router/latency.rs
@@ -25,8 +25,8 @@
         escalation.is_worthwhile() && self.reserve_retry(now, call, Ending::LowConfidence)
     }
 
-    /// Returns the timeout for the start of a response: `part` of the route's target latency,
-    /// or a multiple of the expected time if that is longer.
+    /// Returns the timeout for the start of a response: `fraction` of the route's target
+    /// latency, or a multiple of the expected time if that is longer.
     #[must_use]
     pub fn response_timeout(&self, call: &Call, fraction: f64) -> Duration {
         /// Allows for queueing behind other requests.
--- a/crates/route/src/router/place.rs
+++ b/crates/route/src/router/place.rs
@@ -15,7 +15,7 @@
 
 /// The pending prefill time that weighs as much as full utilization.
 const PREFILL_UNIT: Duration = Duration::from_secs(1);
-/// The penalty for another data centre. Small, since this costs traffic but no waiting.
+/// The penalty for an endpoint in another data centre.
 const REMOTE_PENALTY: f64 = 0.04;
 /// The bonus for an endpoint that has the whole prompt cached.
 const CACHE_BONUS: f64 = 0.7;
@@ -26,7 +26,7 @@
 const RANDOM_RANGE: f64 = 0.03;
 /// The penalty for a cold endpoint.
 const COLD_PENALTY: f64 = 0.5;
-/// The bonus for the endpoint that is being filled. Outweighs the penalties.
+/// The bonus for the endpoint that is being filled. Larger than the usual penalties.
 const FILL_BONUS: f64 = 4.0;
 /// The utilization up to which an endpoint is filled.
 const FILL_UTILIZATION: f64 = 1.0;
@@ -172,7 +172,7 @@
     }
 
     /// Returns the endpoint that the shared prompt prefix has affinity to, by rendezvous
-    /// hashing: all hosts send requests with the prefix there. The hash includes the model,
+    /// hashing: all hosts prefer the same endpoint for the prefix. The hash includes the model,
     /// since models don't share caches.
     fn affinity_endpoint(&self, now: Duration, call: &Call, strictness: Strictness) -> Option<Key> {
         let (part, _) = call.profile.shared_prefix?;
@@ -220,8 +220,8 @@
         self.directory
             .endpoints_of(&call.service)
             .filter(|(_, it)| is_candidate(now, call, Strictness::Healthy, Some(rollout), it))
-            // Excluded even if this host may send requests there: the others would choose
-            // another endpoint.
+            // Cold endpoints are excluded even if this host may use them, so that all hosts
+            // choose the same.
             .filter(|(_, it)| !it.cold_start.is_cold(now))
             .max_by_key(|(_, it)| hash::of(it.entry.id.as_str()))
             .map(|it| it.0)
@@ -247,7 +247,8 @@
 ///
 /// An endpoint that refused the request is never tried again. It is probably still full, and a
 /// late duplicate of its refusal could be taken for the response to a second attempt, since
-/// all attempts have the same request ID. A running request would be reported as not run.
+/// all attempts have the same request ID. The request would then be reported as not run although
+/// the second attempt may be running.
 fn is_tried(call: &Call, strictness: Strictness, key: Key) -> bool {
     call.refused.contains(&key) || (strictness < Strictness::Any && call.tried.contains(&key))
 }
--- a/crates/route/src/router/reports.rs
+++ b/crates/route/src/router/reports.rs
@@ -8,7 +8,8 @@
 impl Router {
     /// Records the load that an endpoint reported in a response.
     pub fn record_load(&mut self, now: Duration, in_flight: &mut InFlight, load: Load) {
-        // Only the report includes the requests of other hosts.
+        // The estimate when the request was sent may miss requests of other hosts; the report
+        // includes them.
         in_flight.is_crowded |= load.utilization() >= CROWDED_UTILIZATION;
         self.directory.record_load(now, in_flight.endpoint, load);
     }
--- a/crates/route/src/router/rollouts.rs
+++ b/crates/route/src/router/rollouts.rs
@@ -38,7 +38,8 @@
 
 impl Router {
     /// Applies an operator's order and returns whether it starts a roll-out. Ignores orders that
-    /// are older than the current one or the same.
+    /// aren't newer than the current one, and previous orders that a restored store repeats. If the
+    /// store lost the current order and it was written again, only its revision is updated.
     pub fn apply_order(&mut self, order: Order, started: Duration) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             let is_older = known.order.revision >= order.revision;
--- a/crates/route/src/sessions.rs
+++ b/crates/route/src/sessions.rs
@@ -10,8 +10,8 @@
 
 /// The releases that recent sessions use.
 ///
-/// Without it, a session that began before a roll-out could switch to the release on trial
-/// when the trial's share grows. For unknown sessions all hosts make the same choice.
+/// Without it, a session that began before a roll-out could switch to the new release
+/// when that release's share grows. For unknown sessions all hosts make the same choice.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sessions {
     seen: HashMap<SessionId, Seen>,
--- a/crates/route/src/warm_up.rs
+++ b/crates/route/src/warm_up.rs
@@ -36,7 +36,7 @@
 /// The request rate that one host may use at a cold endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Share {
-    /// Unlimited.
+    /// The endpoint hasn't been cold, or its service has no warm-up limits.
     Unlimited,
     /// Zero: other hosts are selected, or this host doesn't know the others yet.
     Zero,
--- a/crates/route/tests/harness/exits.rs
+++ b/crates/route/tests/harness/exits.rs
@@ -8,7 +8,8 @@
 use crate::line::Line;
 
 impl Script {
-    /// Runs a command on processes that exit or shut down.
+    /// Runs a command on process exits, quarantine, shutdown or cancellation. Other commands go to
+    /// `run_evacuation_command`.
     pub(super) fn run_exit_command(&mut self, line: &Line<'_>) -> Option<String> {
         let now = self.now;
         match line.command {
--- a/crates/route/tests/pooled.rs
+++ b/crates/route/tests/pooled.rs
@@ -66,8 +66,8 @@
     assert_eq!(next_update(&mut hosts[3], NOW).totals.len(), 0);
 }
 
-/// A neighbour dies or reports to another parent. Its partial sum expires after two seconds, so it
-/// isn't counted twice.
+/// The partial sum of a neighbour that died or reports to another host expires after two seconds,
+/// so that it isn't counted twice.
 #[test]
 fn partial_sums_of_lost_neighbours_expire() {
     let (mut root, mut leaf) = (rollout(), rollout());
--- a/crates/route/tests/warm_up.rs
+++ b/crates/route/tests/warm_up.rs
@@ -192,7 +192,7 @@
 }
 
 /// Hosts that don't know many others yet select themselves as senders too often. The rate may
-/// exceed the limit only in proportion.
+/// then exceed the limit, but only to about twice the limit.
 #[test]
 fn unknown_hosts_raise_the_rate_in_proportion() {
     const RATE: f64 = 7.6;
