--- a/crates/route/src/call.rs
+++ b/crates/route/src/call.rs
@@ -12,7 +12,7 @@
 
 /// The request fails after this many attempts that ended before anything was sent. They
 /// aren't included in [`Call::attempts`], but each may cost the caller a connection timeout.
-const MAX_UNSENT: u32 = 4;
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
 /// The properties of a request that placement depends on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -272,7 +272,7 @@
     pub(crate) fn may_retry(&self, now: Duration, ending: Ending) -> bool {
         let is_safe = match ending {
             Ending::NotSent | Ending::Withheld => {
-                return self.unsent < MAX_UNSENT && self.time_left(now) > Duration::ZERO;
+                return self.unsent < MAX_UNSENT_ATTEMPTS && self.time_left(now) > Duration::ZERO;
             }
             Ending::Refused | Ending::Misdirected | Ending::LowConfidence => true,
             Ending::Failed | Ending::Broken | Ending::TimedOut => {
@@ -320,7 +320,7 @@
     /// Returns how long a refused caller should wait before it retries: a fraction of the
     /// route's target latency.
     pub(crate) fn retry_after(&self) -> Duration {
-        const DIVISOR: u32 = 8;
-        self.route.target_latency / DIVISOR
+        const RETRY_AFTER_DIVISOR: u32 = 8;
+        self.route.target_latency / RETRY_AFTER_DIVISOR
     }
 }
--- a/crates/route/src/directory/evacuate.rs
+++ b/crates/route/src/directory/evacuate.rs
@@ -56,10 +56,10 @@
     pub(crate) fn min_retry_after(&self, now: Duration, service: &ServiceName) -> Duration {
         /// Operators keep a data centre evacuated for a long time, so frequent retries would be
         /// useless.
-        const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+        const EVACUATED_RETRY_AFTER: Duration = Duration::from_secs(1);
         let wait = |it: &Endpoint| match it.access {
             Access::Open => it.wait(now),
-            Access::Evacuated => MIN_RETRY_AFTER.max(it.wait(now)),
+            Access::Evacuated => EVACUATED_RETRY_AFTER.max(it.wait(now)),
         };
         let ready = self.endpoints_of(service).filter(|(_, it)| it.is_ready());
         ready.map(|(_, it)| wait(it)).min().unwrap_or_default()
--- a/crates/route/src/quarantine/survived.rs
+++ b/crates/route/src/quarantine/survived.rs
@@ -6,7 +6,7 @@
 use crate::RequestFingerprint;
 
 /// How long a request counts as safe after an endpoint survived it.
-const VALIDITY: Duration = Duration::from_secs(30);
+const SURVIVED_TTL: Duration = Duration::from_secs(30);
 /// Maximum number of requests remembered; the latest are kept.
 const MAX_REQUESTS: usize = 4_096;
 
@@ -33,6 +33,6 @@
     /// Returns whether an endpoint recently survived the request.
     pub(super) fn contains(&self, now: Duration, fingerprint: RequestFingerprint) -> bool {
         let at = self.latest.get(&fingerprint);
-        at.is_some_and(|it| now.saturating_sub(*it) <= VALIDITY)
+        at.is_some_and(|it| now.saturating_sub(*it) <= SURVIVED_TTL)
     }
 }
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -63,7 +63,7 @@
 
 /// How long hosts exchange which sessions are active before the new release gets any requests.
 /// Updates are sent twice in that time.
-const SESSION_EXCHANGE: Duration = Duration::from_millis(1_200);
+const SESSION_EXCHANGE_TIME: Duration = Duration::from_millis(1_200);
 /// How long before the end of the trial that end is announced, per hop of gossip. Several times
 /// the propagation delay, to tolerate lost messages.
 const TRIAL_END_NOTICE: Duration = Duration::from_millis(300);
@@ -102,7 +102,7 @@
     pub fn new(order: Order, started: Duration, exposure: f64, hosts: u32) -> Self {
         let extra_hops = hosts.max(HOSTS_PER_HOP).ilog(HOSTS_PER_HOP) - 1;
         Self {
-            session_exchange: SESSION_EXCHANGE + EXTRA_HOP_DELAY * extra_hops,
+            session_exchange: SESSION_EXCHANGE_TIME + EXTRA_HOP_DELAY * extra_hops,
             initial_revision: order.revision,
             order,
             verdict: Verdict::Running,
--- a/crates/route/src/rollout/latency.rs
+++ b/crates/route/src/rollout/latency.rs
@@ -63,10 +63,10 @@
     /// Minimum number of samples of the old release for a comparison.
     const MIN_SAMPLES: f64 = 8.0;
     /// Number of samples after which old ones decay exponentially.
-    const MAX_COUNT: f64 = 50.0;
+    const WINDOW_SAMPLES: f64 = 50.0;
 
     pub(super) fn add(&mut self, value: f64) {
-        self.count = (self.count + 1.0).min(Self::MAX_COUNT);
+        self.count = (self.count + 1.0).min(Self::WINDOW_SAMPLES);
         self.value += (value - self.value) / self.count;
     }
 
--- a/crates/route/src/router/attempts.rs
+++ b/crates/route/src/router/attempts.rs
@@ -23,7 +23,7 @@
             .model()
             .map(|it| self.expected_latency(call, it));
         let pending_prefill = expected_latency.unwrap_or_default();
-        let is_filling = self.filling_endpoint(now, call) == Some(placement.endpoint);
+        let is_filling = self.endpoint_being_filled(now, call) == Some(placement.endpoint);
         if let Some(it) = self.directory.get_mut(placement.endpoint) {
             if let Some(session) = &call.profile.session {
                 let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
--- a/crates/route/src/router/permits.rs
+++ b/crates/route/src/router/permits.rs
@@ -10,8 +10,8 @@
 impl Router {
     /// Applies an operator's evacuation, or its end, to a data centre. Returns whether this
     /// changes which data centres are in use.
-    pub fn evacuate(&mut self, now: Duration, said: Evacuation) -> bool {
-        self.directory.evacuate(now, said)
+    pub fn evacuate(&mut self, now: Duration, change: Evacuation) -> bool {
+        self.directory.evacuate(now, change)
     }
 
     /// Applies the store's complete list of evacuated data centres at revision `at`. Returns
@@ -20,9 +20,9 @@
         &mut self,
         now: Duration,
         at: Revision,
-        emptied: Vec<Evacuation>,
+        evacuated: Vec<Evacuation>,
     ) -> bool {
-        self.directory.read_evacuations(now, at, emptied)
+        self.directory.read_evacuations(now, at, evacuated)
     }
 
     /// Sets the hosts, including this one, that share the request rate of cold endpoints.
--- a/crates/route/src/router/place.rs
+++ b/crates/route/src/router/place.rs
@@ -203,7 +203,7 @@
         if call.has_started() {
             return None;
         }
-        let key = self.filling_endpoint(now, call)?;
+        let key = self.endpoint_being_filled(now, call)?;
         let it = self.directory.get(key)?;
         let share = it.entry.slots * FILL_SHARE_FACTOR / self.hosts;
         let has_room = self.directory.endpoint_utilization(now, it) < FILL_UTILIZATION
@@ -212,7 +212,7 @@
     }
 
     /// Returns the endpoint of a new release that is being filled. All hosts choose the same.
-    pub(super) fn filling_endpoint(&self, now: Duration, call: &Call) -> Option<Key> {
+    pub(super) fn endpoint_being_filled(&self, now: Duration, call: &Call) -> Option<Key> {
         let rollout = self.rollouts.get(&call.service)?;
         if call.side() != Some(Side::New) || !rollout.is_filling(now) {
             return None;
--- a/crates/route/src/router/rollouts.rs
+++ b/crates/route/src/router/rollouts.rs
@@ -42,8 +42,8 @@
     /// store lost the current order and it was written again, only its revision is updated.
     pub fn apply_order(&mut self, order: Order, started: Duration) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
-            let is_older = known.order.revision >= order.revision;
-            if is_older
+            let is_not_newer = known.order.revision >= order.revision;
+            if is_not_newer
                 || is_restored(&self.previous_orders, &order)
                 || known.adopt_rewritten(&order)
             {
--- a/crates/route/tests/harness/script.rs
+++ b/crates/route/tests/harness/script.rs
@@ -28,10 +28,10 @@
     hosts: Vec<Router>,
     host: usize,
     now: Duration,
-    calls: BTreeMap<String, Open>,
+    calls: BTreeMap<String, OpenCall>,
 }
 
-struct Open {
+struct OpenCall {
     call: Call,
     in_flight: Option<InFlight>,
 }
@@ -247,7 +247,7 @@
         match self.router().admit(now, arrival) {
             Ok(call) => {
                 let line = format!("to {} by {}", call.service, call.route.name);
-                let call = Open {
+                let call = OpenCall {
                     call,
                     in_flight: None,
                 };
--- a/crates/route/tests/warm_up.rs
+++ b/crates/route/tests/warm_up.rs
@@ -194,8 +194,10 @@
 /// Hosts that don't know many others yet select themselves as senders too often. The rate may
 /// then exceed the limit, but only to about twice the limit.
 #[test]
-fn unknown_hosts_raise_the_rate_in_proportion() {
+fn unknown_hosts_raise_the_rate_within_a_bound() {
     const RATE: f64 = 7.6;
+    /// About twice the limit.
+    const MAX_PER_SECOND: usize = 16;
     let unknown_fraction = 0.3;
     let mut most = 0;
     for seed in 0..20 {
@@ -209,5 +211,5 @@
         most = most.max(fleet.max_per_second());
     }
     println!("{most} requests in one second");
-    assert!(most <= 16, "{most} requests in one second");
+    assert!(most <= MAX_PER_SECOND, "{most} requests in one second");
 }
