--- a/crates/route/src/directory.rs
+++ b/crates/route/src/directory.rs
@@ -19,9 +19,9 @@
 pub use endpoint::Endpoint;
 pub(crate) use endpoint::Listed;
 
-/// Ejections for failed responses stay below this fraction of a service's endpoints. If more of
-/// them fail, the cause is elsewhere, and the remaining ones would only be overloaded. Ejections
-/// of unreachable endpoints aren't limited.
+/// Ejections for failed or missing responses stay below this fraction of a service's endpoints. If
+/// more of them fail, the cause is elsewhere, and the remaining ones would only be overloaded.
+/// Ejections of unreachable endpoints aren't limited.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 
 /// The known endpoints, with their state, load and health.
@@ -339,7 +339,8 @@
             }
         }
         if count == 0.0 {
-            // The only endpoint that takes requests is never ejected for failed responses.
+            // The only endpoint that takes requests is never ejected for failed or missing
+            // responses.
             return (0.0, 1.0);
         }
         (failure_rate / count, (ejected + 1.0) / (count + 1.0))
--- a/crates/route/src/evacuation.rs
+++ b/crates/route/src/evacuation.rs
@@ -48,7 +48,7 @@
 
 impl Evacuations {
     /// Applies a change. Returns whether it changes which data centres may be used; also true for
-    /// the end of an unknown evacuation if too many data centres are known to remember it.
+    /// the end of an unknown evacuation if it isn't remembered because many data centres are known.
     ///
     /// A host that lags behind may still report an evacuation that operators have ended. The store
     /// no longer lists that data centre, so nothing would correct the report. A change to an
--- a/crates/route/src/rollout/update.rs
+++ b/crates/route/src/rollout/update.rs
@@ -33,8 +33,7 @@
 /// How much of its state a host sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Recent changes, which neighbours forward, and small parts of the state that each update
-    /// repeats.
+    /// Recent changes, which neighbours forward, and parts of the state that are sent repeatedly.
     Delta,
     /// The full state, for a host that has just started.
     Full,
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -63,7 +63,7 @@
     first_byte_times: HashMap<Arc<str>, Duration>,
     /// When the current listing was read.
     listing_time: Option<Duration>,
-    /// Endpoints that were ejected for failed responses since the last [`Self::take_ejected`].
+    /// Endpoints that were ejected since the last [`Self::take_ejected`], except unreachable ones.
     ejected: Vec<(EndpointId, Ending)>,
     hosts: u32,
     rng: Pcg32,
@@ -162,8 +162,9 @@
         self.listing_time
     }
 
-    /// Returns the endpoints that were ejected for failed responses since the last call, each
-    /// with the ending that caused it. Ejections of unreachable endpoints aren't included.
+    /// Returns the endpoints that were ejected for failed responses, broken connections or
+    /// timeouts since the last call, each with the ending that caused it. Ejections of
+    /// unreachable endpoints aren't included.
     pub fn take_ejected(&mut self) -> Vec<(EndpointId, Ending)> {
         std::mem::take(&mut self.ejected)
     }
--- a/crates/route/tests/harness/script.rs
+++ b/crates/route/tests/harness/script.rs
@@ -331,9 +331,9 @@
     }
 
     /// Sends a number of overlapping requests, one every `each` milliseconds, and counts them
-    /// by endpoint. While an endpoint has at least five of these requests in flight, it fails those
-    /// with even numbers if its ID ends with the value of `crowded-fails`, and lets all of them time
-    /// out if its ID ends with that of `crowded-silent`.
+    /// by endpoint. A request to an endpoint with at least five of the earlier ones in flight times
+    /// out if the endpoint's ID ends with the value of `crowded-silent`. It fails if its number is
+    /// even and the ID ends with the value of `crowded-fails`.
     fn send_overlapping(&mut self, line: &Line<'_>) -> String {
         let count: u32 = line.args[0].parse().unwrap();
         let each = Duration::from_millis(line.number::<u64>("each", 40));
