--- a/crates/route/tests/harness/script.rs
+++ b/crates/route/tests/harness/script.rs
@@ -28,10 +28,10 @@
     hosts: Vec<Router>,
     host: usize,
     now: Duration,
-    calls: BTreeMap<String, Open>,
+    calls: BTreeMap<String, OpenCall>,
 }
 
-struct Open {
+struct OpenCall {
     call: Call,
     in_flight: Option<InFlight>,
 }
@@ -247,7 +247,7 @@
         match self.router().admit(now, arrival) {
             Ok(call) => {
                 let line = format!("to {} by {}", call.service, call.route.name);
-                let call = Open {
+                let call = OpenCall {
                     call,
                     in_flight: None,
                 };
@@ -331,8 +331,9 @@
     }
 
     /// Sends a number of overlapping requests, one every `each` milliseconds, and counts them
-    /// by endpoint. On endpoints that are half full, those of the release `crowded-fails` fail
-    /// every second request, and those of `crowded-silent` let every request time out.
+    /// by endpoint. A request to an endpoint with at least five of the earlier ones in flight times
+    /// out if the endpoint's ID ends with the value of `crowded-silent`. It fails if its number is
+    /// even and the ID ends with the value of `crowded-fails`.
     fn send_overlapping(&mut self, line: &Line<'_>) -> String {
         let count: u32 = line.args[0].parse().unwrap();
         let each = Duration::from_millis(line.number::<u64>("each", 40));
