--- a/crates/forward/src/attempt.rs
+++ b/crates/forward/src/attempt.rs
@@ -10,7 +10,7 @@
 use kernel::RequestId;
 use route::config::RetryPolicy;
 use route::{Call, Ending, InFlight, Permit, Placement};
-use telemetry::{Connection, Event, Value};
+use telemetry::{ConnectionOrigin, Event, Value};
 
 use crate::caller::Request;
 use crate::conn::Conn;
@@ -206,7 +206,7 @@
         .await
     }
 
-    async fn connect(&self, call: &Call) -> Result<(Conn, Connection), Ending> {
+    async fn connect(&self, call: &Call) -> Result<(Conn, ConnectionOrigin), Ending> {
         let (node, placement) = (self.node, self.placement);
         let max_idle = match call.route.retry_policy {
             RetryPolicy::Idempotent => node.timeouts.idempotent_max_idle,
@@ -214,7 +214,7 @@
         };
         let now = node.now();
         if let Some(conn) = node.pool.take(now, placement.endpoint, max_idle) {
-            return Ok((conn, Connection::Reused));
+            return Ok((conn, ConnectionOrigin::Reused));
         }
         let limit = node.timeouts.connect.min(call.time_left(now));
         let opened = Conn::open(placement.address, limit).await;
@@ -222,7 +222,7 @@
         match opened {
             Ok(conn) => {
                 node.recorder.record_connect(&placement.id, took, &Ok(()));
-                Ok((conn, Connection::Opened))
+                Ok((conn, ConnectionOrigin::Opened))
             }
             Err(err) => {
                 node.recorder.record_connect(&placement.id, took, &Err(err));
@@ -263,8 +263,8 @@
     fn response_start_timeout(&self, call: &Call) -> Duration {
         let left = call.time_left(self.node.now());
         if may_retry_elsewhere(call) && !call.is_retry_denied() {
-            let part = self.node.timeouts.response_start_fraction;
-            left.min(self.node.router().response_timeout(call, part))
+            let fraction = self.node.timeouts.response_start_fraction;
+            left.min(self.node.router().response_timeout(call, fraction))
         } else {
             left
         }
--- a/crates/forward/src/attempt/guard.rs
+++ b/crates/forward/src/attempt/guard.rs
@@ -4,7 +4,7 @@
 
 use kernel::RequestId;
 use route::{Ending, InFlight, Placement, RequestFingerprint, Withheld};
-use telemetry::Connection;
+use telemetry::{AttemptReport, ConnectionOrigin};
 
 use crate::serve::Progress;
 use crate::{Dialect, Node};
@@ -33,7 +33,7 @@
     pub(super) withheld: Option<Withheld>,
     /// Set when the exchange with the endpoint ends; `None` if the attempt is dropped.
     pub(super) last_event: Option<u64>,
-    pub(super) connection: Option<Connection>,
+    pub(super) connection: Option<ConnectionOrigin>,
     pub(super) strays: u32,
 }
 
@@ -44,7 +44,7 @@
         let in_flight = self.in_flight.take()?;
         let took = self.node.now().saturating_sub(self.began);
         self.progress.record_attempt(self.placement, ending, took);
-        self.node.recorder.record_attempt(&telemetry::Attempt {
+        self.node.recorder.record_attempt(&AttemptReport {
             id: self.id,
             fingerprint: self.fingerprint,
             number: self.number,
--- a/crates/forward/src/attempt/stream.rs
+++ b/crates/forward/src/attempt/stream.rs
@@ -44,7 +44,7 @@
                 in_flight.events(node.now(), count);
             }
             if writer.has_pending() {
-                self.record_pause(&mut last_write);
+                self.record_write(&mut last_write);
             }
             let is_done = decoder.is_done() && !has_gap && !events.has_rest();
             // A resumed stream may have no further events: the caller has the last one.
@@ -114,7 +114,7 @@
 
     /// Records that a part of the response is about to be written, and the pause since the
     /// previous part.
-    fn record_pause(&self, last_write: &mut Option<Duration>) {
+    fn record_write(&self, last_write: &mut Option<Duration>) {
         let now = self.node.now();
         let progress = self.progress;
         if progress.first_byte.get().is_none() {
--- a/crates/forward/src/probe.rs
+++ b/crates/forward/src/probe.rs
@@ -23,7 +23,7 @@
 const MAX_PROBES: u32 = 3;
 
 /// Starts a probe of each endpoint that may have ended since the last call.
-pub(crate) fn probe_candidates<D: Dialect>(node: &Rc<Node<D>>) {
+pub(crate) fn spawn_probes<D: Dialect>(node: &Rc<Node<D>>) {
     let candidates = node.router().take_probe_candidates();
     for (key, id, address) in candidates {
         if node.probing.borrow_mut().insert(key) {
--- a/crates/forward/src/serve.rs
+++ b/crates/forward/src/serve.rs
@@ -9,7 +9,7 @@
 use kernel::RequestId;
 use route::config::{Customer, Route};
 use route::{Call, Denial, Ending, Failure, IncomingRequest, Next, Placement, RequestFingerprint};
-use telemetry::{AttemptSummary, Event, Outcome, Report, Value};
+use telemetry::{AttemptSummary, Event, Outcome, RequestReport, Value};
 
 use crate::attempt::{Attempt, AttemptOutcome};
 use crate::caller::Request;
@@ -142,7 +142,7 @@
                     .router()
                     .end_attempt(node.now(), call, *in_flight, ending);
                 report_ejections(node);
-                probe::probe_candidates(node);
+                probe::spawn_probes(node);
                 match (next, error_response) {
                     (Next::Again, _) => node.recorder.metrics().retry(ending),
                     // `Failure::Passed` without an error response that may be forwarded is
@@ -244,7 +244,7 @@
         let route = progress.route.get();
         let customer = route.and_then(|it| it.1.as_ref());
         let first_byte = progress.first_byte.get();
-        let report = Report {
+        let report = RequestReport {
             id: self.id,
             fingerprint: progress.fingerprint.get(),
             route: route.map(|it| &*it.0.name),
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -26,4 +26,4 @@
 pub use recorder::Recorder;
 pub use slog::Level;
 
-pub use report::{Attempt, AttemptSummary, Connection, Outcome, Report};
+pub use report::{AttemptReport, AttemptSummary, ConnectionOrigin, Outcome, RequestReport};
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -4,7 +4,7 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 use route::{Denial, Ending, Withheld};
 
-use crate::{CATALOGUE, Instruments, Outcome, Report};
+use crate::{CATALOGUE, Instruments, Outcome, RequestReport};
 
 /// The bounds of all histograms in seconds.
 const BUCKET_BOUNDS_SECONDS: [f64; 14] = [
@@ -148,7 +148,7 @@
         self.instruments.text()
     }
 
-    pub(crate) fn request(&self, report: &Report<'_>) {
+    pub(crate) fn request(&self, report: &RequestReport<'_>) {
         let outcome = report.outcome;
         self.requests.add(1, &[label("outcome", outcome.name())]);
         match outcome {
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -10,7 +10,9 @@
 use route::{Denial, Failure};
 
 use crate::line_limiter::{LineLimiter, LinePriority};
-use crate::{Attempt, AttemptSummary, Event, Field, Log, Metrics, Outcome, Report, Value};
+use crate::{
+    AttemptReport, AttemptSummary, Event, Field, Log, Metrics, Outcome, RequestReport, Value,
+};
 
 /// Records requests, attempts and events in the log and the metrics, without blocking.
 pub struct Recorder {
@@ -57,7 +59,7 @@
     }
 
     /// Records the end of a request.
-    pub fn record_request(&self, report: &Report<'_>) {
+    pub fn record_request(&self, report: &RequestReport<'_>) {
         self.metrics.request(report);
         let (event, reason) = match report.outcome {
             Outcome::Answered => (Event::Answered, None),
@@ -100,7 +102,7 @@
     }
 
     /// Records the end of an attempt.
-    pub fn record_attempt(&self, attempt: &Attempt<'_>) {
+    pub fn record_attempt(&self, attempt: &AttemptReport<'_>) {
         self.metrics.attempt(attempt.ending);
         self.metrics.strays(attempt.strays);
         let is_routine = AttemptSummary::from(attempt.ending) == AttemptSummary::NoneFailed;
--- a/crates/telemetry/src/report.rs
+++ b/crates/telemetry/src/report.rs
@@ -7,7 +7,7 @@
 
 /// The report on a request that has ended.
 #[derive(Clone, Debug)]
-pub struct Report<'a> {
+pub struct RequestReport<'a> {
     /// The request id.
     pub id: &'a RequestId,
     /// The request's fingerprint, if it was accepted for forwarding or quarantined.
@@ -77,7 +77,7 @@
 
 /// The report on an attempt that has ended.
 #[derive(Clone, Debug)]
-pub struct Attempt<'a> {
+pub struct AttemptReport<'a> {
     /// The request id.
     pub id: &'a RequestId,
     /// The request's fingerprint.
@@ -107,7 +107,7 @@
     /// The status of the endpoint's response.
     pub status: Option<u16>,
     /// Whether the connection was new or reused, if sending the request on it was permitted.
-    pub connection: Option<Connection>,
+    pub connection: Option<ConnectionOrigin>,
     /// The number of responses to other requests that came first and were skipped.
     pub strays: u32,
 }
@@ -115,7 +115,7 @@
 /// Whether an attempt's connection was new or reused. A late response to an earlier request
 /// can only arrive on a reused one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum Connection {
+pub enum ConnectionOrigin {
     /// Opened for this attempt.
     #[display("opened")]
     Opened,
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -89,7 +89,7 @@
         metrics.into(),
         std::sync::Arc::new(kernel::ManualClock::default()),
     );
-    let report = telemetry::Report {
+    let report = telemetry::RequestReport {
         fingerprint: None,
         id: &RequestId::from("q1"),
         route: None,
--- a/crates/telemetry/tests/log_limits.rs
+++ b/crates/telemetry/tests/log_limits.rs
@@ -7,7 +7,7 @@
 
 use kernel::{ManualClock, RequestId};
 use route::Failure;
-use telemetry::{AttemptSummary, Log, Metrics, Outcome, Recorder, Report};
+use telemetry::{AttemptSummary, Log, Metrics, Outcome, Recorder, RequestReport};
 
 #[derive(Clone, Default)]
 struct Sink(Arc<Mutex<Vec<u8>>>);
@@ -52,8 +52,8 @@
     (recorder, sink, clock)
 }
 
-fn report(id: &RequestId, outcome: Outcome) -> Report<'_> {
-    Report {
+fn report(id: &RequestId, outcome: Outcome) -> RequestReport<'_> {
+    RequestReport {
         fingerprint: None,
         id,
         route: Some("draft"),
