--- a/crates/forward/src/attempt/stream.rs
+++ b/crates/forward/src/attempt/stream.rs
@@ -44,7 +44,7 @@
                 in_flight.events(node.now(), count);
             }
             if writer.has_pending() {
-                self.record_pause(&mut last_write);
+                self.record_write(&mut last_write);
             }
             let is_done = decoder.is_done() && !has_gap && !events.has_rest();
             // A resumed stream may have no further events: the caller has the last one.
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Forwards the complete events in the buffer, each once and in order, and stops
-    /// before a gap in the event ids.
+    /// Moves the complete events from the input buffer to the output buffer of `writer`, each
+    /// once and in order, and stops before a gap in the event ids.
     fn forward_events(
         &mut self,
         events: &mut Events,
@@ -112,8 +112,9 @@
         forwarded
     }
 
-    /// Records the time at which a part of the response is written.
-    fn record_pause(&self, last_write: &mut Option<Duration>) {
+    /// Records that a part of the response is about to be written, and the pause since the
+    /// previous part.
+    fn record_write(&self, last_write: &mut Option<Duration>) {
         let now = self.node.now();
         let progress = self.progress;
         if progress.first_byte.get().is_none() {
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -10,7 +10,9 @@
 use route::{Denial, Failure};
 
 use crate::line_limiter::{LineLimiter, LinePriority};
-use crate::{Attempt, AttemptSummary, Event, Field, Log, Metrics, Outcome, Report, Value};
+use crate::{
+    AttemptReport, AttemptSummary, Event, Field, Log, Metrics, Outcome, RequestReport, Value,
+};
 
 /// Records requests, attempts and events in the log and the metrics, without blocking.
 pub struct Recorder {
@@ -45,7 +47,8 @@
         }
     }
 
-    /// Logs how many lines were dropped, if any. It must be called every second.
+    /// Logs and counts the lines that the rate limit has dropped since the last call, if any.
+    /// Call it at regular intervals.
     pub fn log_dropped_lines(&self) {
         let dropped = self.line_limiter.borrow_mut().take_dropped();
         if dropped > 0 {
@@ -56,7 +59,7 @@
     }
 
     /// Records the end of a request.
-    pub fn record_request(&self, report: &Report<'_>) {
+    pub fn record_request(&self, report: &RequestReport<'_>) {
         self.metrics.request(report);
         let (event, reason) = match report.outcome {
             Outcome::Answered => (Event::Answered, None),
@@ -99,7 +102,7 @@
     }
 
     /// Records the end of an attempt.
-    pub fn record_attempt(&self, attempt: &Attempt<'_>) {
+    pub fn record_attempt(&self, attempt: &AttemptReport<'_>) {
         self.metrics.attempt(attempt.ending);
         self.metrics.strays(attempt.strays);
         let is_routine = AttemptSummary::from(attempt.ending) == AttemptSummary::NoneFailed;
@@ -160,7 +163,8 @@
     }
 }
 
-/// One in `SAMPLE_INTERVAL` requests without failures is logged, with all its attempts.
+/// One in `SAMPLE_INTERVAL` requests without failures is selected for the log, with all its
+/// attempts. The rate limit may drop some of their lines.
 const SAMPLE_INTERVAL: u64 = 50;
 
 fn priority(is_routine: bool, id: &RequestId) -> LinePriority {
