--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -1,4 +1,4 @@
-//! What the decider asks of the driver.
+//! Actions that the decider requests from the driver.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,65 +8,65 @@
 
 use crate::{Demand, Evidence, Refusal, endpoint, key};
 
-/// What the decider asks of the driver, to be carried out in order.
+/// An action for the driver. Actions are carried out in the order in which they are emitted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to an endpoint.
+    /// Sends a request to an endpoint.
     Dispatch(Dispatch),
-    /// The request is done: pass on the answer of `attempt`, or end it where it
-    /// has been relayed already. It may be an earlier attempt than the last, so
-    /// answers are kept until here.
+    /// Completes a request with the response of an attempt: forwards the response, or ends it if it
+    /// has already been relayed. The attempt needn't be the last one, so the driver keeps all
+    /// responses of a request until this action.
     Deliver(Deliver),
-    /// The request is done: refuse it. Where part of an answer has been relayed
-    /// the stream ends with an error.
+    /// Completes a request with a refusal. If part of a response has been relayed, the stream ends
+    /// with an error.
     Refuse {
         /// The request.
         request: key::Request,
-        /// Why.
+        /// The reason and related details.
         refusal: Refusal,
     },
-    /// Stop an attempt; its end need not be told.
+    /// Aborts an attempt. The driver needn't report its end.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Tell the other hosts.
+    /// Sends evidence to the other hosts.
     Publish(Evidence),
-    /// Tell the other hosts.
+    /// Sends this host's demand to the other hosts.
     Demand(Demand),
-    /// Send an answer to the rating service. Comes before the request's `Deliver`
-    /// or the dispatch of its next step, while the driver has the answer; an
-    /// answer being relayed is sent once it is whole.
+    /// Sends a response to the rating service. Precedes the request's `Deliver` or the dispatch of
+    /// its next step, while the driver still has the response. A response that is being relayed is
+    /// sent once it is complete.
     Sample {
         /// The request.
         request: key::Request,
-        /// The attempt with the answer.
+        /// The attempt that returned the response.
         attempt: AttemptId,
-        /// The version that answered.
+        /// The version that produced the response.
         version: key::Version,
         /// The request class.
         class: key::Class,
     },
-    /// The verdict on a version changed; for logs, status and the other hosts.
+    /// Reports that the verdict on a version changed, for logs, status and the other hosts.
     Version {
         /// The version.
         version: key::Version,
         /// The verdict.
         verdict: Verdict,
     },
-    /// A quarantined version stays in use as the least bad one, since some
-    /// customer would be left with none. Said once a quarantine.
+    /// Reports that a quarantined version stays in use because a customer has no healthy one.
+    /// Emitted once per profile and customer until the verdict on the version or the policy changes.
     LastResort {
         /// The version.
         version: key::Version,
-        /// The profile whose customer has no other.
+        /// The profile for which the customer has no healthy version.
         profile: key::Profile,
         /// The customer.
         customer: key::Customer,
     },
-    /// A roll-out is to take a step. Repeated every few seconds until a policy
-    /// with the new share comes; the host that holds the roll-out's lease
-    /// writes it, all others ignore it.
+    /// Requests a change of a roll-out's share. Repeated every few seconds until a policy with the
+    /// new share arrives. The host that holds the roll-out's lease writes the change; all others
+    /// ignore it.
     Step(Step),
 }
 
@@ -75,94 +75,94 @@
 pub struct Dispatch {
     /// The request.
     pub request: key::Request,
-    /// The attempt, unique in the life of this decider.
+    /// The attempt's id, unique for the lifetime of this decider.
     pub attempt: AttemptId,
-    /// Where to.
+    /// The endpoint to send to.
     pub endpoint: endpoint::Id,
-    /// The version, none for a plain service.
+    /// The version; `None` for a plain service.
     pub version: Option<key::Version>,
-    /// Whether the answer may be relayed while it comes.
+    /// Whether the response may be relayed while it is received.
     pub relay: Relay,
-    /// How long the attempt may take; an end after that is `TimedOut`.
+    /// The time limit of the attempt, after which it ends as `TimedOut`.
     pub timeout: Duration,
-    /// The revision under which this was decided.
+    /// The revision of the policy that was in force.
     pub revision: Revision,
-    /// What became of the session's version.
+    /// Whether the session keeps its version.
     pub session: Session,
-    /// Which attempt of the request this is, counted from 1.
+    /// The ordinal number of this attempt of the request, counted from 1.
     pub number: u32,
     /// The priority to pass to the endpoint.
     pub priority: crate::policy::Priority,
 }
 
-/// The end of a request with an answer.
+/// The completion of a request with a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deliver {
     /// The request.
     pub request: key::Request,
-    /// The attempt whose answer it gets.
+    /// The attempt whose response the caller gets.
     pub attempt: AttemptId,
-    /// The version that answered, none for a plain service.
+    /// The version that produced the response; `None` for a plain service.
     pub version: Option<key::Version>,
-    /// What all its attempts cost together.
+    /// The total cost of all attempts of the request.
     pub cost: Money,
-    /// How many attempts it took.
+    /// The number of attempts.
     pub attempts: u32,
 }
 
-/// Whether an answer may be relayed while it comes.
+/// Whether a response may be relayed while it is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Relay {
-    /// Yes; nothing can replace it once its first byte has been relayed.
+    /// It may. It can't be replaced once its first byte has been relayed.
     Now,
-    /// No: it may still be rejected.
+    /// It is buffered until it is complete, since it may be rejected for low confidence.
     AfterCheck,
 }
 
-/// What became of a session's version.
+/// Whether a session keeps its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Session {
-    /// The request named none; the version that answers is its version from now on.
+    /// The request isn't pinned; the version that responds becomes the session's version.
     Free,
-    /// It is kept.
+    /// The session keeps its version.
     Kept,
-    /// It was withdrawn or is no longer allowed: moved to this dispatch's version.
+    /// The session is moved to the version of this dispatch, since its own may no longer be used.
     Moved,
 }
 
 /// The verdict on a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// In use.
+    /// The version is in normal use.
     Healthy,
-    /// Out of use but for probes, for this reason.
+    /// The version gets only probes, unless it is a last resort.
     Quarantined(Cause),
 }
 
 /// Why a version is quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Cause {
-    /// It fails more than it used to and more than others do.
+    /// Its error rate is above its baseline and above that of other versions.
     Errors,
-    /// Its answers are rated bad more than they used to be.
+    /// Its share of responses rated bad is above its baseline.
     Ratings,
-    /// The engines are less sure of its answers than they used to be.
+    /// The confidence reported for its responses is below its baseline.
     Confidence,
-    /// It is far slower than it used to be.
+    /// Its latency is far above its baseline.
     Latency,
 }
 
-/// A step of a roll-out.
+/// A change of a roll-out's share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// The roll-out.
     pub rollout: Arc<str>,
-    /// The version that is rolled out.
+    /// The version being rolled out.
     pub version: key::Version,
-    /// The share that it has.
+    /// The present share.
     pub from: f64,
-    /// The share that it should have: 1 ends the roll-out, 0 takes it back.
+    /// The new share: 1 completes the roll-out, 0 reverts it.
     pub to: f64,
-    /// The revision that this was decided on; a write on a newer one is void.
+    /// The revision of the policy that was in force. The change is void if a newer one exists.
     pub revision: Revision,
 }
--- a/crates/decide/src/arrival.rs
+++ b/crates/decide/src/arrival.rs
@@ -1,59 +1,59 @@
-//! A request that has come in.
+//! Requests as they arrive at the host.
 
 use std::time::Duration;
 
 use crate::key;
 use crate::policy::{Priority, Repeat};
 
-/// A request that has come in, authenticated and parsed.
+/// A request that has been authenticated and parsed.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The driver's number for it, never used before with this decider.
+    /// The request's id, unique for the lifetime of this decider.
     pub request: key::Request,
-    /// Whose it is.
+    /// The customer that sent the request.
     pub customer: key::Customer,
-    /// What is asked for.
+    /// The requested work.
     pub work: Work,
-    /// Overrides the priority of the profile or service.
+    /// The priority; by default that of the profile or service.
     pub priority: Option<Priority>,
-    /// When the caller stops waiting, on the clock of `now`; the default of the
-    /// profile or service otherwise.
+    /// The time at which the caller stops waiting, on the clock of `now`; by default that of the
+    /// profile or service.
     pub deadline: Option<Duration>,
 }
 
-/// What a request asks for.
+/// The work that a request asks for.
 #[derive(Clone, Debug)]
 pub enum Work {
-    /// An answer of a model.
+    /// A model request.
     Chat(Chat),
     /// A call of a plain service.
     Call(Call),
 }
 
-/// A request for an answer of a model.
+/// A model request.
 #[derive(Clone, Debug)]
 pub struct Chat {
     /// The profile that the caller named.
     pub profile: key::Profile,
     /// The request class.
     pub class: key::Class,
-    /// An estimate of the prompt's tokens.
+    /// The estimated number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// The most completion tokens that the caller accepts; zero for no bound.
+    /// The maximum number of completion tokens; zero for no limit.
     pub max_tokens: u32,
-    /// A hash of the start of the prompt, by which requests find the endpoint
-    /// that has the prefix cached; zero for none.
+    /// A hash of the start of the prompt, used to select an endpoint that has the prefix cached; zero
+    /// for none.
     pub prefix: u64,
-    /// The version that the session is pinned to.
+    /// The version that the session is pinned to, if any.
     pub pin: Option<Pin>,
 }
 
-/// The version that a session token names.
+/// The version named by a session token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pin {
-    /// A version of the policy.
+    /// A version in the policy.
     Version(key::Version),
-    /// A version that the policy no longer has.
+    /// A version that is no longer in the policy.
     Gone,
 }
 
@@ -62,6 +62,6 @@
 pub struct Call {
     /// The service.
     pub service: key::Service,
-    /// Overrides the service's own setting, as the route says.
+    /// The route's retry setting, which overrides that of the service.
     pub repeat: Option<Repeat>,
 }
--- a/crates/decide/src/attempt.rs
+++ b/crates/decide/src/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt in flight.
+//! Attempts to send a request to an endpoint.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use crate::{replica, request};
 
 slotmap::new_key_type! {
-    /// An attempt in flight.
+    /// The key of an attempt in flight.
     pub(crate) struct Key;
 }
 
-/// An attempt from its dispatch to its end.
+/// An attempt between its dispatch and its end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    /// Its number towards the driver.
+    /// The id that the driver uses for the attempt.
     pub(crate) id: AttemptId,
     pub(crate) request: request::Key,
     pub(crate) replica: replica::Key,
@@ -27,19 +27,19 @@
     pub(crate) sent: Duration,
     pub(crate) timeout: Duration,
     pub(crate) progress: Progress,
-    /// How full the endpoint was when it was sent.
+    /// Whether the endpoint had free capacity at dispatch.
     pub(crate) fill: Fill,
 }
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
     Sent,
-    /// Its first byte came at this time.
+    /// The first byte of the response was received at this time.
     Started(Duration),
 }
 
-/// How full an endpoint was.
+/// Whether an endpoint had free capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fill {
     Free,
--- a/crates/decide/src/decider.rs
+++ b/crates/decide/src/decider.rs
@@ -1,4 +1,4 @@
-//! The decider.
+//! The state of the decider and the dispatch of its events.
 
 mod arrive;
 mod blame;
@@ -37,12 +37,12 @@
 use crate::samples::Samples;
 use crate::{Action, Evidence, Policy, Tuning, endpoint, key};
 
-/// Retries that a host may make before it has seen any traffic.
+/// Initial balance of the retry budget.
 const FIRST_RETRIES: f64 = 5.0;
 
-/// Decides for one entry host.
+/// Makes the routing decisions of one entry host.
 ///
-/// Same seed, tuning and events, same actions.
+/// Deterministic: the same seed, tuning and events produce the same actions.
 pub struct Decider {
     tuning: Tuning,
     random: Pcg64Mcg,
@@ -53,7 +53,7 @@
     requests: SlotMap<request::Key, Request>,
     by_id: HashMap<key::Request, request::Key>,
     attempts: Flights,
-    /// Urgent attempts that may get a second one beside them.
+    /// Attempts of urgent idempotent requests that may still be hedged.
     hedgeable: Vec<attempt::Key>,
     pools: Pools,
     knowledge: Knowledge,
@@ -63,10 +63,11 @@
     peers: Peers,
     samples: Samples,
     outbox: Outbox,
-    /// Answers that were cut, until it is known whether their endpoints live on.
+    /// Truncated responses. They count against the version only if the endpoint turns out to have
+    /// survived.
     cuts: VecDeque<blame::Failure>,
     pilots: Vec<Pilot>,
-    /// Last resorts that have been told.
+    /// Last resorts for which [`Action::LastResort`] has been emitted.
     told: BTreeSet<Resort>,
     retries: Bucket,
     sampler: Sampler,
@@ -79,8 +80,8 @@
     Configured,
 }
 
-/// A customer's limits; those of plain services are their own, so that a flood
-/// of model requests never has its seat holds refused.
+/// A customer's limiters. Calls of plain services are limited separately, so that a flood of model
+/// requests doesn't cause them to be refused.
 struct Limits {
     chat: Limiter,
     calls: Limiter,
@@ -94,7 +95,7 @@
 }
 
 impl Decider {
-    /// A decider without policy or endpoints; it refuses all until it has them.
+    /// Creates a decider without a policy or endpoints. It refuses all requests until it has both.
     #[must_use]
     pub fn new(seed: u64, tuning: Tuning) -> Self {
         Self {
@@ -125,39 +126,40 @@
         }
     }
 
-    /// The constants that it decides by.
+    /// Returns the parameters of the decisions.
     #[must_use]
     pub fn tuning(&self) -> &Tuning {
         &self.tuning
     }
 
-    /// The policy in force.
+    /// Returns the policy in force.
     #[must_use]
     pub fn policy(&self) -> &Arc<Policy> {
         &self.policy
     }
 
-    /// The endpoints that this host sends to; the load of others needn't be
-    /// asked for. Changes with `Configure` and `Endpoint` events.
+    /// Returns the endpoints that this host sends requests to, which are the only ones whose load it
+    /// needs. The list changes with `Configure` and `Endpoint` events.
     #[must_use]
     pub fn watched(&self) -> Vec<endpoint::Id> {
         self.directory.watched()
     }
 
-    /// What this host has learned, for one that starts to take as
-    /// [`Event::Digest`]. It says nothing of quarantines: those are told by verdicts.
+    /// Returns a summary of what this host has learned, for a starting host to apply as
+    /// [`Event::Digest`]. Quarantines aren't included; they are sent as verdicts.
     #[must_use]
     pub fn digest(&self) -> Evidence {
         self.knowledge.digest(&self.policy)
     }
 
-    /// Requests that have arrived and have not ended.
+    /// Returns the number of requests that have arrived and not yet ended.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes an event at `now`, which never goes back, and appends what to do.
+    /// Handles an event at time `now`, which must not decrease between calls, and appends the
+    /// resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Configure(policy) => self.configure(now, policy, actions),
--- a/crates/decide/src/decider/arrive.rs
+++ b/crates/decide/src/decider/arrive.rs
@@ -1,4 +1,4 @@
-//! Requests that come in, and callers that go away.
+//! Admission and cancellation of requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::request::{self, Request};
 use crate::{Action, Arrival, key};
 
-/// What the policy says of a request.
+/// The policy's settings for a request.
 struct Terms {
     repeat: Repeat,
     priority: Priority,
@@ -23,11 +23,11 @@
 }
 
 impl Decider {
-    /// Admits a request and sends it, or refuses it at once.
+    /// Admits a request and dispatches or queues it, or refuses it.
     pub(super) fn arrive(&mut self, now: Duration, arrival: Arrival, actions: &mut Vec<Action>) {
         let id = arrival.request;
         if self.by_id.contains_key(&id) {
-            // A driver's mistake; answering would end the first request twice.
+            // The driver reused an id. A refusal would complete the first request a second time.
             return;
         }
         match self.admit(now, arrival) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The caller went away: nothing is sent for it any more.
+    /// Drops the request of a caller that disconnected.
     pub(super) fn cancelled(&mut self, now: Duration, id: key::Request, actions: &mut Vec<Action>) {
         if let Some(key) = self.by_id.get(&id).copied() {
             self.close(now, key, actions);
@@ -143,7 +143,7 @@
     }
 }
 
-/// The most retries that may be saved up for a bad moment.
+/// Maximum balance of the retry budget.
 const MOST_RETRIES: f64 = 20.0;
 
 fn not_run(reason: Reason) -> Refusal {
--- a/crates/decide/src/decider/blame.rs
+++ b/crates/decide/src/decider/blame.rs
@@ -1,4 +1,4 @@
-//! Which failures are held against a version.
+//! Attribution of failures to versions.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::outcome::Outcome;
 use crate::{Action, endpoint, key};
 
-/// A failure that may be a version's fault.
+/// A failure that the version may have caused.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Failure {
     at: Duration,
@@ -42,15 +42,16 @@
             place,
         };
         if outcome == Outcome::Cut {
-            // A dying endpoint cuts all its answers; it is only known to be gone
-            // a little later.
+            // An endpoint that crashes truncates all its responses, which isn't the version's fault.
+            // The crash becomes known only later.
             self.cuts.push_back(failure);
         } else {
             self.blame(now, &failure, actions);
         }
     }
 
-    /// Blames versions for the answers that were cut at endpoints that live on.
+    /// Counts truncated responses against their versions if the endpoint is still live after a
+    /// delay, so that a crash of the endpoint isn't attributed to the version.
     pub(super) fn settle_cuts(&mut self, now: Duration, actions: &mut Vec<Action>) {
         const NEWS: Duration = Duration::from_secs(5);
         while let Some(cut) = self.cuts.front().copied()
@@ -75,9 +76,9 @@
         }
     }
 
-    /// Whether an attempt had a free endpoint and far more time than it should
-    /// need. One that waited in a full engine, or was sent shortly before its
-    /// deadline, tells of overload and not of the version.
+    /// Returns whether an attempt had an endpoint with free capacity and far more time than usual. A
+    /// timeout at a full endpoint, or shortly before the deadline, is caused by overload and not by
+    /// the version.
     fn had_plenty(&self, attempt: &Attempt) -> bool {
         const PLENTY: u32 = 4;
         let usual = self.latency(attempt.request, attempt.target);
--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of versions.
+//! Selection of versions.
 
 use std::time::Duration;
 
@@ -15,25 +15,24 @@
 use crate::tuning::Pins;
 use crate::{Action, key, request};
 
-/// How far below the target a version may be expected and still stand in for
-/// one that has no room.
+/// How far the expected quality of a version may be below the target if it replaces a version
+/// without capacity.
 const SPILL_SLACK: f64 = 0.02;
 
-/// A request for an answer and what its choice depends on.
+/// The properties of a model request on which its plan depends.
 pub(super) struct Ask {
     pub(super) profile: key::Profile,
     pub(super) customer: key::Customer,
     pub(super) class: ClassIndex,
-    /// The most steps of its plan.
+    /// The maximum number of steps.
     pub(super) steps: usize,
-    /// The share of requests that come in a session.
+    /// The share of requests of the class that are pinned to a version.
     pub(super) pinned: f64,
 }
 
 impl Decider {
-    /// What the request needs next, by the newest policy. Asked again before
-    /// each dispatch, so that a version that was withdrawn while the request
-    /// waited or was tried elsewhere gets nothing more.
+    /// Returns the request's next step under the current policy. Called again before each dispatch,
+    /// so that a version that was withdrawn in the meantime gets no more requests.
     pub(super) fn next(
         &mut self,
         now: Duration,
@@ -58,7 +57,7 @@
         Ok(Next { target, step })
     }
 
-    /// Other versions that could answer the request, the cheapest first.
+    /// Returns steps with other versions that could serve the request, the cheapest first.
     pub(super) fn alternatives(&mut self, now: Duration, key: request::Key) -> Vec<Next> {
         let Some(request) = self.requests.get(key) else {
             return Vec::new();
@@ -85,7 +84,7 @@
             .collect()
     }
 
-    /// Another version for a request that `failed` has failed.
+    /// Returns a plan that doesn't use `failed`, or `None` if the request must keep its version.
     pub(super) fn replacement(
         &mut self,
         now: Duration,
@@ -109,7 +108,8 @@
         Some(Plan::of(&[Step::last(best.version)]))
     }
 
-    /// The step under way if it still may be taken, else the first of a new plan.
+    /// Returns the current step if its version may still be used, or else the first step of a new
+    /// plan.
     fn version_step(
         &mut self,
         now: Duration,
@@ -144,7 +144,7 @@
         let mut plan = self.plan(now, key, chat, actions)?;
         let request = &mut self.requests[key];
         if chat.pin.is_some() {
-            // Moved once: from here on the request has no pin any more.
+            // The request is no longer pinned, so that it isn't moved again.
             request.session = Session::Moved;
             if let Work::Chat(chat) = &mut request.work {
                 chat.pin = None;
@@ -158,7 +158,7 @@
         plan.step(0).ok_or(Reason::NoVersion)
     }
 
-    /// Whether a session leaves a quarantined version, see `docs/design/decide-sessions.md`.
+    /// Returns whether a session must leave a quarantined version, see `docs/design/decide-sessions.md`.
     fn moves_off(&self, pin: key::Version) -> bool {
         match self.tuning.pins {
             Pins::Keep => false,
@@ -200,7 +200,8 @@
         Ok(())
     }
 
-    /// The step, or the best one that the request's cost cap leaves room for.
+    /// Returns `step`, or if it would exceed the cost cap, a step with the version of the highest
+    /// expected quality within the cap.
     fn affordable(
         &mut self,
         now: Duration,
--- a/crates/decide/src/decider/configure.rs
+++ b/crates/decide/src/decider/configure.rs
@@ -1,4 +1,4 @@
-//! A new policy, and endpoints that come and go.
+//! Changes of the policy and of endpoints.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::request::{self, Request};
 use crate::{Action, Policy, key};
 
-/// Where the entries of an old policy are in a new one, by old index.
+/// Maps the keys of one policy to those of another, by index.
 struct Moves {
     versions: Vec<Option<key::Version>>,
     profiles: Vec<Option<key::Profile>>,
@@ -23,8 +23,8 @@
 }
 
 impl Decider {
-    /// Puts a policy in force. A lower revision than the present one is a late
-    /// message of a slow path: it is ignored, so that nothing ever reverts.
+    /// Applies a policy. A revision lower than the present one arrived out of order and is ignored,
+    /// so that the policy never reverts.
     pub(super) fn configure(
         &mut self,
         now: Duration,
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Takes news of an endpoint and sends what waited for it.
+    /// Applies an update of an endpoint and dispatches queued requests to it.
     pub(super) fn endpoint(&mut self, now: Duration, update: &Update, actions: &mut Vec<Action>) {
         let before = self.directory.outline();
         let key = self.directory.update(now, &self.policy, update);
         if self.directory.outline() != before {
-            // Some version has its first endpoint or lost its last.
+            // A version got its first endpoint or lost its last one.
             self.plans.invalidate();
         }
         if let Some(key) = key {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes all waiting requests out of the queues, those to be served first in front.
+    /// Removes all requests from the queues and returns them, each queue in the order of service.
     fn take_waiting(&mut self) -> Vec<request::Key> {
         let mut waiting = Vec::new();
         for target in self.pools.waiting() {
@@ -136,8 +136,8 @@
         }
     }
 
-    /// The new key of a version. One that is gone gets a key that no policy
-    /// has, so that nothing is permitted to use it.
+    /// Returns the new key of a version. A removed version gets a key that is in no policy, so that
+    /// it can't be used.
     fn version(&self, old: key::Version) -> key::Version {
         let new = self.versions.get(old.index()).copied().flatten();
         new.unwrap_or(key::Version(u16::MAX))
--- a/crates/decide/src/decider/end.rs
+++ b/crates/decide/src/decider/end.rs
@@ -1,4 +1,4 @@
-//! Attempts that start to answer and end.
+//! Responses and failures of attempts.
 
 use std::time::Duration;
 
@@ -13,13 +13,14 @@
 use crate::tally::Bucket;
 use crate::{Action, key};
 
-/// What a retry after an endpoint's own "not me" takes from the budget. These
-/// correct a stale list and can't make a storm: the endpoint is struck off.
+/// Cost of a retry after an endpoint reported that it isn't the right one: the version isn't loaded,
+/// the endpoint is leaving, or another process has its address. Cheaper than other retries, since the
+/// endpoint is taken out of use and such retries can't amplify an overload.
 const REDIRECT: f64 = 0.25;
 
 impl Decider {
-    /// The first byte of an answer came. From here on no other attempt may
-    /// answer, so a hedge beside it is cancelled.
+    /// Handles the first byte of a response. Once the response is being relayed it can't be
+    /// replaced, so the request's other attempt is cancelled.
     pub(super) fn started(&mut self, now: Duration, key: attempt::Key, actions: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.get_mut(key) else {
             return;
@@ -40,7 +41,7 @@
         }
     }
 
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub(super) fn ended(
         &mut self,
         now: Duration,
@@ -97,8 +98,8 @@
         self.escalate(now, attempt.request, actions);
     }
 
-    /// Goes on to the next step, unless the answer that is kept is all that the
-    /// deadline and the attempts leave time for.
+    /// Continues with the next step, or completes the request if it has no attempts left, or has a
+    /// fallback response and too little time for the step.
     fn escalate(&mut self, now: Duration, key: request::Key, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(key) else {
             return;
@@ -149,7 +150,7 @@
             return;
         }
         if request.relayed {
-            // Part of an answer has been passed on; another would not continue it.
+            // Part of a response has been relayed, and another response can't continue it.
             return self.give_up(now, key, Reason::AnswerCut, None, actions);
         }
         if attempt.step.is_probe() {
@@ -167,8 +168,8 @@
         self.place(now, key, actions);
     }
 
-    /// Another endpoint next time, and another version if this one has failed
-    /// the request twice.
+    /// Makes the retry avoid the endpoint, and if the version failed twice in succession, also the
+    /// version.
     fn prepare_retry(&mut self, now: Duration, attempt: &Attempt, outcome: Outcome) {
         let key = attempt.request;
         let Some(request) = self.requests.get_mut(key) else {
--- a/crates/decide/src/decider/evidence.rs
+++ b/crates/decide/src/decider/evidence.rs
@@ -1,4 +1,4 @@
-//! What other hosts say of versions.
+//! Evidence and verdicts from other hosts.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 use crate::tally::Bucket;
 use crate::{Action, key};
 
-/// Outcomes after which a host trusts its own verdict more than another's.
+/// Number of outcomes from which a host uses only its own verdict on a version.
 const OWN_VERDICT: f64 = 50.0;
 
 impl Decider {
-    /// Takes another host's evidence.
+    /// Applies evidence from another host.
     pub(super) fn evidence(
         &mut self,
         now: Duration,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Takes another host's verdict, if this host has seen too little of the
-    /// version to judge: a new host doesn't have to harm callers to find out.
+    /// Adopts another host's verdict if this host has too few outcomes of the version to judge it,
+    /// so that a new host doesn't send callers' requests to a version known to be bad.
     pub(super) fn verdict(
         &mut self,
         now: Duration,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Another host's answers of a bucket, of first and of later turns.
+/// Returns samples for another host's responses in a bucket, of first and of later turns.
 fn samples(bucket: Bucket) -> [Sample; 2] {
     [Turn::First, Turn::Later].map(|turn| Sample {
         bucket,
--- a/crates/decide/src/decider/learn.rs
+++ b/crates/decide/src/decider/learn.rs
@@ -1,4 +1,4 @@
-//! What outcomes, ratings and other hosts' evidence teach.
+//! Learning from outcomes, ratings and other hosts' evidence.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,14 +18,15 @@
 use crate::tally::Bucket;
 use crate::{Action, key};
 
-/// Answers after which a version's usual confidence is known.
+/// Number of responses from which the baseline of a version's confidence is known.
 const ANSWERS: f64 = 100.0;
-/// Ratings after which a version's usual quality is known.
+/// Number of ratings from which the baseline of a version's quality is known.
 const RATINGS: f64 = 40.0;
-/// Without that a version is only taken for bad when most of it is.
+/// Lowest expected share of bad ratings for a version without a quality baseline, so that it is
+/// quarantined only if most of its responses are bad.
 const UNKNOWN_BAD: f64 = 0.5;
 
-/// Answers of one kind.
+/// A number of responses with the same properties.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Seen {
     pub(super) sample: Sample,
@@ -33,7 +34,7 @@
     pub(super) order: Order,
 }
 
-/// Ratings of answers of one kind.
+/// A number of ratings of responses with the same properties.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Rated {
     pub(super) sample: Sample,
@@ -42,7 +43,7 @@
 }
 
 impl Decider {
-    /// Learns from how an attempt ended.
+    /// Records the outcome of an attempt.
     pub(super) fn learn(
         &mut self,
         now: Duration,
@@ -65,12 +66,12 @@
             Outcome::Failed | Outcome::Cut | Outcome::TimedOut => {
                 self.learn_failure(now, attempt, version, outcome, actions);
             }
-            // Nothing ran, so nothing is said of the version.
+            // The request didn't run, so the outcome isn't evidence about the version.
             Outcome::NotSent | Outcome::Denied(_) | Outcome::Served => {}
         }
     }
 
-    /// Asks for a rating of an answer, as far as ratings are worth having.
+    /// Requests a rating of a response, depending on the value of a further rating.
     pub(super) fn sample(
         &mut self,
         now: Duration,
@@ -122,7 +123,7 @@
         });
     }
 
-    /// Takes a rating of an answer of this host.
+    /// Applies a rating of a response that this host has sampled.
     pub(super) fn rated(&mut self, now: Duration, rating: &Rating, actions: &mut Vec<Action>) {
         let Some(version) = self.policy.version(&rating.version) else {
             return;
@@ -216,8 +217,8 @@
         self.learn_answers(now, version, class, seen, actions);
     }
 
-    /// Looks at the time between tokens: unlike the time to the first one it
-    /// doesn't grow with what waits before a full engine.
+    /// Records the time per token, which unlike the time to the first token doesn't grow with the
+    /// queue of a full engine.
     fn learn_pace(
         &mut self,
         now: Duration,
@@ -303,14 +304,14 @@
         }
     }
 
-    /// Whether what the version does is to be learned as usual. Probes of a
-    /// quarantined one are not: it would come back once it is known to be bad.
+    /// Returns whether observations of the version become part of its baseline. Those of a
+    /// quarantined version don't: its probes would make bad results the norm and end the quarantine.
     fn is_usual(&self, version: key::Version) -> bool {
         !self.health.is_quarantined(version)
     }
 
-    /// Those answers whose past tells what is usual: of the version itself, or
-    /// of the one that it replaces as long as it has little past of its own.
+    /// Returns the kind of responses to compare with: that of the version itself, or that of the
+    /// version it replaces if it has too few responses.
     fn baseline(&self, kind: Kind) -> Option<Kind> {
         let known = |it: &Kind| self.knowledge.answers(*it) >= ANSWERS;
         if known(&kind) {
@@ -325,7 +326,7 @@
         rollouts.find(|it| it.version == version)?.replaces
     }
 
-    /// How often such an answer is rated bad as a rule.
+    /// Returns the expected share of bad ratings for such a response.
     fn usually_bad(&self, version: key::Version, class: ClassIndex, sample: Sample) -> f64 {
         let kind = |version| Kind {
             version,
@@ -343,7 +344,7 @@
         }
     }
 
-    /// Lets `observe` look at a version, and tells of a change of its verdict.
+    /// Passes the version's monitor to `observe`, and handles a change of the verdict.
     pub(super) fn judge(
         &mut self,
         now: Duration,
@@ -366,14 +367,14 @@
         self.told.retain(|it| it.version != version);
         let policy = Arc::clone(&self.policy);
         if version.index() < policy.versions.len() {
-            // What waits for it is to go elsewhere.
+            // Requests that wait for the version may now need another one.
             self.drain(now, Target::Version(version), actions);
         }
     }
 }
 
-/// Whether the answer is to a request as requests come, or to one that another
-/// version's answer wasn't good enough for.
+/// Returns whether a response comes from the first version tried, or after the response of another
+/// version had too low confidence.
 fn turn(attempt: &Attempt, kept: bool) -> Turn {
     if kept && !attempt.step.is_probe() {
         Turn::Later
--- a/crates/decide/src/decider/place.rs
+++ b/crates/decide/src/decider/place.rs
@@ -1,4 +1,4 @@
-//! Sending requests, and letting them wait.
+//! Dispatch, queueing and completion of requests.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::refusal::{Reason, Refusal};
 use crate::{Action, attempt, replica, request};
 
-/// What a request needs next.
+/// The next step of a request, and the target that serves it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Next {
     pub(super) target: Target,
@@ -20,7 +20,7 @@
 }
 
 impl Decider {
-    /// Sends the request's present step, or lets it wait, or refuses it.
+    /// Dispatches the request's current step, queues it, or refuses the request.
     pub(super) fn place(&mut self, now: Duration, key: request::Key, actions: &mut Vec<Action>) {
         let next = match self.next(now, key, actions) {
             Ok(next) => next,
@@ -36,7 +36,7 @@
             return;
         }
         if next.step.is_probe() {
-            // A probe isn't worth waiting for.
+            // A request doesn't wait for a probe.
             return self.skip_step(now, key, actions);
         }
         match self.expected_wait(now, key, next) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Goes on to the step after this one.
+    /// Continues with the next step.
     pub(super) fn skip_step(
         &mut self,
         now: Duration,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sends what waits for `target`, as far as there is room.
+    /// Dispatches requests queued for `target` until its endpoints have no more capacity.
     pub(super) fn drain(&mut self, now: Duration, target: Target, actions: &mut Vec<Action>) {
         while let Some(key) = self.pools.get(target).and_then(|it| it.queue.first()) {
             let next = self.next(now, key, actions);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sends what waits for anything that the endpoint serves.
+    /// Dispatches requests queued for any version or service of the endpoint.
     pub(super) fn drain_replica(
         &mut self,
         now: Duration,
@@ -98,7 +98,7 @@
             .chain(versions)
             .filter(|it| self.pools.get(*it).is_some_and(|it| !it.queue.is_empty()))
             .collect();
-        // The most urgent go first, whichever version they wait for.
+        // The queues with the most urgent requests come first.
         targets.sort_by_key(|it| {
             let queue = self.pools.get(*it).map(|it| &it.queue);
             let ahead = |priority: &Priority| queue.is_some_and(|it| it.is_ahead(*priority));
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Sends to an endpoint with room, if there is one.
+    /// Dispatches the request if an endpoint has capacity, and returns whether it did.
     pub(super) fn send(
         &mut self,
         now: Duration,
@@ -202,7 +202,7 @@
         self.directory.remember(prefix, replica);
     }
 
-    /// The answer that is kept, or a refusal that says what is known of the run.
+    /// Completes the request with its fallback response, or with a refusal if it has none.
     pub(super) fn give_up(
         &mut self,
         now: Duration,
@@ -237,8 +237,7 @@
         actions.push(Action::Refuse { request, refusal });
     }
 
-    /// Forgets a request: it is answered, refused or abandoned. What is still
-    /// in flight for it is cancelled.
+    /// Removes a request that has been completed or cancelled, and cancels its attempts in flight.
     pub(super) fn close(&mut self, now: Duration, key: request::Key, actions: &mut Vec<Action>) {
         self.unqueue(key);
         let Some(request) = self.requests.remove(key) else {
@@ -269,8 +268,8 @@
         self.drain_replica(now, attempt.replica, actions);
     }
 
-    /// Tries an allowed version that costs more but has room, before a request
-    /// is refused for want of room.
+    /// Dispatches the request to another permitted version with capacity, and returns whether there
+    /// was one.
     fn spill(&mut self, now: Duration, key: request::Key, actions: &mut Vec<Action>) -> bool {
         for next in self.alternatives(now, key) {
             if self.send(now, key, next, actions) {
--- a/crates/decide/src/decider/plan.rs
+++ b/crates/decide/src/decider/plan.rs
@@ -1,4 +1,4 @@
-//! The making of plans.
+//! Creation of plans.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,12 +20,12 @@
 use crate::refusal::Reason;
 use crate::{Action, key, request};
 
-/// Ratings from which on a version is known well enough.
+/// Number of ratings from which a version needs little exploration.
 const KNOWN: f64 = 300.0;
 
 impl Decider {
-    /// The plan for a request: the usual one, or one that takes part in a
-    /// roll-out, a probe or an exploration.
+    /// Returns the plan for a request: the optimal plan, possibly changed by a roll-out, a probe or
+    /// an exploration.
     pub(super) fn plan(
         &mut self,
         now: Duration,
@@ -52,7 +52,7 @@
         Ok(self.with_probe(now, &ask, &entry, usual))
     }
 
-    /// Whatever the roll-outs under way want this request to take.
+    /// Replaces versions by those on trial, for the share of requests given by each roll-out.
     pub(super) fn with_trials(&mut self, ask: &Ask, plan: Plan) -> Plan {
         let policy = Arc::clone(&self.policy);
         let mut plan = plan;
@@ -74,8 +74,8 @@
         plan
     }
 
-    /// A probe of a quarantined version that is due, or a try of one of which
-    /// little is known. Neither answer reaches the caller.
+    /// Prepends a probe of a quarantined version if one is due, or else possibly an exploration of a
+    /// version with few ratings. The caller doesn't get the responses of either.
     pub(super) fn with_probe(
         &mut self,
         now: Duration,
@@ -144,13 +144,14 @@
         })
     }
 
-    /// The version of which it pays most to know more.
+    /// Returns the version to explore: among those that could improve the plan, the one with the
+    /// fewest ratings.
     pub(super) fn explore(&self, usable: &[Forecast], mix: &Mix, goal: &Goal) -> Option<Explore> {
         let short = mix.quality < goal.target;
         let unused = usable
             .iter()
             .filter(|it| !mix.cheap.uses(it.version) && !mix.good.uses(it.version));
-        // What costs more than the plan could only help where the target is missed.
+        // A version that costs more than the plan is useful only if the plan misses the target.
         let useful = unused.filter(|it| short || it.cost < mix.cost);
         let least = useful.min_by(|a, b| {
             let known = |it: &Forecast| it.ratings.min(KNOWN);
@@ -163,7 +164,7 @@
             many if many < KNOWN => 0.2,
             _ => 0.04,
         };
-        // What costs little beside the plan may be tried more often.
+        // A version that is cheap compared with the plan is explored more often.
         let cheapness = (mix.cost / least.cost.max(1.0)).clamp(1.0, 6.0);
         Some(Explore {
             version: least.version,
@@ -171,8 +172,8 @@
         })
     }
 
-    /// What to expect of the versions that may be used as things are. Versions
-    /// on trial only count where there is no other.
+    /// Returns forecasts for the healthy versions that have endpoints. Versions on trial are
+    /// included only if there are no others.
     pub(super) fn forecasts(&mut self, ask: &Ask) -> Vec<Forecast> {
         let policy = Arc::clone(&self.policy);
         let allowed = policy.allowed(ask.profile, ask.customer).iter().copied();
@@ -188,7 +189,8 @@
         usable.into_iter().map(forecast).collect()
     }
 
-    /// The best of the versions that are all quarantined or out of reach.
+    /// Returns the best forecast among all permitted versions that have endpoints, including
+    /// quarantined ones. Versions not quarantined for errors come first.
     pub(super) fn least_bad(&mut self, ask: &Ask) -> Result<Forecast, Reason> {
         let allowed = self.policy.allowed(ask.profile, ask.customer).iter();
         let permitted = allowed.filter(|it| self.policy.permits(ask.profile, ask.customer, **it));
@@ -212,13 +214,13 @@
             .ok_or(Reason::NoEndpoint)
     }
 
-    /// Whether a quarantined version at least answers.
+    /// Returns whether the version isn't quarantined for errors.
     pub(super) fn answers(&self, version: key::Version) -> bool {
         let verdict = self.health.get(version).map(Monitor::verdict);
         verdict != Some(Verdict::Quarantined(Cause::Errors))
     }
 
-    /// Says once that a customer only has a quarantined version left.
+    /// Reports that a customer has only a quarantined version left, unless that has been reported.
     pub(super) fn tell(&mut self, ask: &Ask, version: key::Version, actions: &mut Vec<Action>) {
         let resort = Resort {
             version,
--- a/crates/decide/src/decider/tick.rs
+++ b/crates/decide/src/decider/tick.rs
@@ -1,4 +1,4 @@
-//! What happens as time passes.
+//! Periodic work.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::refusal::Reason;
 use crate::{Action, key, request};
 
-/// How often limits are shared out anew and roll-outs are looked at.
+/// Interval at which demand is published and roll-outs are checked.
 const SECOND: Duration = Duration::from_secs(1);
 
 impl Decider {
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Refuses what can't be done in time any more, so that nobody waits for a
-    /// late refusal, and lets retries go back to the endpoint that they avoided.
+    /// Refuses queued requests that can no longer meet their deadline, so that callers aren't refused
+    /// only at the deadline. Lets the other queued requests use the endpoint that they avoided.
     fn expire(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let mut late = Vec::new();
         for target in self.pools.waiting() {
@@ -69,8 +69,8 @@
         request.is_some_and(|it| now + needed >= it.deadline)
     }
 
-    /// Sends urgent idempotent attempts that take unusually long a second time,
-    /// elsewhere and from the budget of retries.
+    /// Hedges urgent idempotent requests: sends a second attempt to another endpoint if the first
+    /// byte takes unusually long and the retry budget permits it.
     fn hedge(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let mut hedgeable = std::mem::take(&mut self.hedgeable);
         hedgeable.retain(|key| self.hedge_one(now, *key, actions));
@@ -78,7 +78,7 @@
         self.hedgeable = hedgeable;
     }
 
-    /// Whether the attempt may still be hedged later.
+    /// Hedges the attempt if it is due, and returns whether to check it again later.
     fn hedge_one(&mut self, now: Duration, key: attempt::Key, actions: &mut Vec<Action>) -> bool {
         let Some(attempt) = self.attempts.get(key).copied() else {
             return false;
@@ -135,7 +135,7 @@
             chat: limits.chat.flow(now),
             calls: limits.calls.flow(now),
         });
-        // A customer that isn't here takes no room in the message.
+        // Customers without traffic at this host are left out of the message.
         let busy = rates.filter(|it| !it.chat.is_idle() || !it.calls.is_idle());
         actions.push(Action::Demand(Demand {
             host: self.tuning.host.clone(),
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -1,4 +1,4 @@
-//! How long things take, and who waits for them.
+//! Queueing, and estimates of latency and cost.
 
 use std::time::Duration;
 
@@ -16,7 +16,8 @@
 use crate::{key, pool, request};
 
 impl Decider {
-    /// Lets the request wait, unless it would wait too long or too many do.
+    /// Returns an error if the request may not be queued, because the queue is full or the expected
+    /// wait is too long.
     pub(super) fn expected_wait(
         &self,
         now: Duration,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Whether a plain service has as much in flight from here as it may.
+    /// Returns whether a plain service has reached its limit of attempts in flight from this host.
     pub(super) fn is_at_limit(&self, target: Target) -> bool {
         match target {
             Target::Version(_) => false,
@@ -106,10 +107,10 @@
         }
     }
 
-    /// How long an attempt may take. One whose answer is checked first gets no
-    /// more than half of the time that is left, if that is plenty, so that a hung
-    /// endpoint leaves time for another. One that is relayed as it comes gets all
-    /// of it: nothing could replace it once it has begun.
+    /// Returns the time limit of an attempt. If another attempt could follow, the limit is half of
+    /// the remaining time, or a multiple of the usual latency if that is longer, so that an endpoint
+    /// that hangs leaves time for a retry. A model response that is relayed while it is received gets
+    /// all of the remaining time, since it can't be replaced once it has started.
     pub(super) fn timeout(&self, now: Duration, key: request::Key, next: Next) -> Duration {
         const PLENTY: u32 = 5;
         let Some(request) = self.requests.get(key) else {
@@ -129,7 +130,7 @@
         left.min((usual * PLENTY).max(left / 2))
     }
 
-    /// How long an attempt takes as a rule.
+    /// Returns the usual duration of an attempt.
     pub(super) fn latency(&self, key: request::Key, target: Target) -> Duration {
         let class = self.requests.get(key).map(|it| it.class);
         let seconds = match (target, class) {
@@ -143,7 +144,7 @@
         Duration::from_secs_f64(seconds.unwrap_or_else(pool))
     }
 
-    /// The most that a step can be expected to cost.
+    /// Returns an upper estimate of the cost of a step.
     pub(super) fn price(&self, key: request::Key, step: Step) -> Money {
         let (Some(request), Some(version)) = (
             self.requests.get(key),
@@ -166,7 +167,7 @@
         weight.filter(|it| *it > 0.0).unwrap_or(1.0)
     }
 
-    /// How many requests of a customer of this weight may wait for one target.
+    /// Returns the number of requests that a customer of this weight may have queued for a target.
     pub(super) fn queue_share(&self, weight: f64) -> usize {
         const LEAST: usize = 4;
         let customers = self.policy.customers.iter();
@@ -176,7 +177,7 @@
     }
 }
 
-/// Why a request may not wait.
+/// The reason why a request may not be queued.
 pub(super) struct Refused {
     pub(super) reason: Reason,
     pub(super) retry_after: Option<Duration>,
@@ -191,7 +192,7 @@
     }
 }
 
-/// Nobody is kept waiting longer than this, whatever the deadline says.
+/// Returns the maximum expected wait, which applies even if the deadline is later.
 fn longest_wait(priority: Priority) -> Duration {
     match priority {
         Priority::Urgent => Duration::from_secs(2),
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -1,4 +1,4 @@
-//! What the driver tells the decider.
+//! Events that the driver reports to the decider.
 
 use std::sync::Arc;
 
@@ -7,81 +7,79 @@
 use crate::action::Verdict;
 use crate::{Arrival, Demand, Evidence, Outcome, Policy, endpoint, key};
 
-/// What the driver tells the decider.
+/// An event that the driver reports to the decider.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A policy came into force. Keys in later arrivals are this policy's.
+    /// A policy came into force. Keys in later arrivals refer to this policy.
     Configure(Arc<Policy>),
-    /// An endpoint appeared, reported its load, changed or went.
+    /// An endpoint was added, changed, removed, or reported its load.
     Endpoint(endpoint::Update),
-    /// A request came in. It gets exactly one `Deliver` or `Refuse`, unless
-    /// [`Self::Cancelled`] comes before.
+    /// A request arrived. It gets exactly one `Deliver` or `Refuse`, unless [`Self::Cancelled`]
+    /// comes first.
     Arrive(Arrival),
-    /// The first byte of an attempt's answer came. The driver passes this in
-    /// before it relays the byte and relays nothing of an attempt that the
-    /// actions cancel.
+    /// The first byte of an attempt's response was received. The driver reports this before it
+    /// relays the byte, and relays nothing from an attempt that the resulting actions cancel.
     Started {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// An attempt ended. Each dispatched attempt ends once, unless it was
-    /// cancelled; a later end of a cancelled one is ignored.
+    /// An attempt ended. Reported once for each dispatched attempt that wasn't cancelled; the end of
+    /// a cancelled attempt is ignored.
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// The outcome.
         outcome: Outcome,
     },
-    /// The caller went away. Its attempts get `Cancel`; no `Deliver` or `Refuse` follows.
+    /// The caller disconnected. The request's attempts get `Cancel`; no `Deliver` or `Refuse` follows.
     Cancelled {
         /// The request.
         request: key::Request,
     },
-    /// The rating service rated an answer, at any later time.
+    /// The rating service rated a response. May arrive at any time after the `Sample` action.
     Rated(Rating),
-    /// Another host's evidence.
+    /// Evidence from another host.
     Evidence(Evidence),
-    /// Another host's verdict on a version. It only counts where this host has
-    /// seen too little to judge by itself, as after its start.
+    /// Another host's verdict on a version. Applied only while this host has too few outcomes to
+    /// judge the version itself, for example after it started.
     Verdict {
         /// The version.
         version: VersionId,
         /// The verdict.
         verdict: Verdict,
     },
-    /// What another host has learned, see [`Decider::digest`](crate::Decider::digest).
-    /// Asked for once, by a host that starts; ignored by one that has learned
-    /// enough itself.
+    /// A summary of what another host has learned, see [`Decider::digest`](crate::Decider::digest).
+    /// Requested once, by a starting host; ignored by a host that has learned enough itself.
     Digest(Evidence),
-    /// How many entry hosts are live, this one included.
+    /// The number of live entry hosts changed.
     Hosts {
-        /// Their number.
+        /// The number of live entry hosts, including this one.
         live: u32,
     },
-    /// Another host's demand.
+    /// The demand at another host.
     Demand(Demand),
-    /// Time passed. Comes every [`Tuning::tick`](crate::Tuning::tick).
+    /// Periodic timer, fired every [`Tuning::tick`](crate::Tuning::tick).
     Tick,
 }
 
-/// A rating of one answer.
+/// A rating of one response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rating {
     /// The request of the `Sample` action.
     pub request: key::Request,
-    /// The version that answered.
+    /// The version that produced the response.
     pub version: VersionId,
     /// The request class.
     pub class: key::Class,
-    /// What the rating service says.
+    /// The result of the rating.
     pub verdict: Quality,
 }
 
-/// What the rating service says of an answer.
+/// The quality of a response as rated by the rating service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Quality {
-    /// Good enough.
+    /// The response is good enough.
     Good,
-    /// Not good enough.
+    /// The response isn't good enough.
     Bad,
 }
--- a/crates/decide/src/flights.rs
+++ b/crates/decide/src/flights.rs
@@ -1,4 +1,4 @@
-//! All attempts in flight.
+//! The attempts in flight.
 
 use std::collections::HashMap;
 
@@ -7,9 +7,9 @@
 
 use crate::attempt::{Attempt, Key};
 
-/// All attempts in flight, by key and by the number that the driver knows.
+/// The attempts in flight, by key and by the id that the driver uses.
 ///
-/// Numbers rise from 1, so that drivers may pack them into fewer bits.
+/// Ids increase from 1, so that drivers may pack them into fewer bits.
 #[derive(Debug, Default)]
 pub(crate) struct Flights {
     attempts: SlotMap<Key, Attempt>,
@@ -18,7 +18,7 @@
 }
 
 impl Flights {
-    /// The number of the next attempt.
+    /// Allocates the id of the next attempt.
     pub(crate) fn next_id(&mut self) -> AttemptId {
         self.last += 1;
         AttemptId(self.last)
@@ -44,7 +44,7 @@
         self.attempts.get_mut(key)
     }
 
-    /// The attempt with this number; none when it has ended or was cancelled.
+    /// Returns the attempt with this id, or `None` if it has ended or was cancelled.
     pub(crate) fn find(&self, id: AttemptId) -> Option<Key> {
         self.by_id.get(&id).copied()
     }
--- a/crates/decide/src/key.rs
+++ b/crates/decide/src/key.rs
@@ -1,8 +1,8 @@
-//! Small `Copy` keys, so that the hot path compares numbers and never text.
+//! Small `Copy` keys, which spare the hot path comparisons of strings.
 //!
 //! [`Version`], [`Profile`], [`Customer`] and [`Service`] index the lists of the
-//! [`Policy`](crate::Policy) that was last passed to
-//! [`Event::Configure`](crate::Event::Configure); a new policy renumbers them.
+//! [`Policy`](crate::Policy) in the last
+//! [`Event::Configure`](crate::Event::Configure). A new policy assigns new keys.
 
 use derive_more::{Display, From, Into};
 use serde::{Deserialize, Serialize};
@@ -16,13 +16,13 @@
         pub struct $name(pub u16);
 
         impl $name {
-            /// The place in the policy's list.
+            /// Returns the index in the policy's list.
             #[must_use]
             pub fn index(self) -> usize {
                 usize::from(self.0)
             }
 
-            /// The key of the entry at `index`; lists are far shorter than `u16::MAX`.
+            /// Returns the key of the entry at `index`. Lists are far shorter than `u16::MAX`.
             #[must_use]
             pub fn at(index: usize) -> Self {
                 Self(u16::try_from(index).unwrap_or(u16::MAX))
@@ -42,13 +42,13 @@
     Service;
 }
 
-/// A request as the driver numbers it; unique in the life of one decider.
+/// The driver's id for a request, unique for the lifetime of a decider.
 #[derive(
     Clone, Copy, Debug, Default, Display, From, Into, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
 pub struct Request(pub u64);
 
-/// A request class, named by a hash of its text so that it is the same on every host.
+/// A request class, identified by a hash of its name, so that it is the same on all hosts.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -56,7 +56,7 @@
 pub struct Class(u64);
 
 impl Class {
-    /// The class that callers name with `text`.
+    /// Returns the class named `text`.
     #[must_use]
     pub fn named(text: &str) -> Self {
         Self(hash(text.as_bytes()))
@@ -69,7 +69,7 @@
     }
 }
 
-/// FNV-1a: stable over builds and hosts, which the standard hasher isn't.
+/// Returns the FNV-1a hash, which unlike the standard hasher is stable across builds and hosts.
 pub(crate) fn hash(bytes: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -78,7 +78,7 @@
     })
 }
 
-/// Mixes two hashes so that every bit of both counts (the finisher of `splitmix64`).
+/// Combines two hashes with the finalizer of `splitmix64`.
 pub(crate) fn mix(a: u64, b: u64) -> u64 {
     let mut it = a ^ b.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     it = (it ^ (it >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,8 +1,9 @@
-//! Pure decisions: cascade, health, endpoint choice, limits, retries and sessions.
+//! Routing decisions without I/O: model cascades, health, endpoint selection, rate limits, retries
+//! and sessions.
 //!
-//! [`Decider::handle`] takes the time and an [`Event`] and appends [`Action`]s
-//! for the driver to carry out. It knows no network, clock or disk, and the same
-//! seed and events give the same actions. See `docs/design/decide-*.md`.
+//! [`Decider::handle`] takes the current time and an [`Event`] and appends the [`Action`]s that the
+//! driver has to carry out. It uses no network, clock or disk, and is deterministic: the same seed
+//! and events produce the same actions. See `docs/design/decide-*.md`.
 
 pub mod action;
 pub mod arrival;
--- a/crates/decide/src/outbox.rs
+++ b/crates/decide/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Evidence that is still to be published.
+//! Evidence to be published to other hosts.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::samples::Sample;
 use crate::{endpoint, key};
 
-/// Time between two publications when all is well.
+/// Interval between publications if no evidence is urgent.
 const CALM: Duration = Duration::from_secs(1);
 
-/// Evidence that is still to be published.
+/// Evidence that hasn't been published yet, aggregated by version and class.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     items: Vec<Item>,
@@ -26,7 +26,7 @@
 enum Urgency {
     #[default]
     Calm,
-    /// Something speaks against a version: other hosts should hear at once.
+    /// There is a failure or a bad rating, which other hosts should learn of at once.
     Bad,
 }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /// What is due to be published.
+    /// Takes the evidence if its publication is due.
     pub(crate) fn take(&mut self, now: Duration) -> Option<Evidence> {
         let due = now.saturating_sub(self.published) >= CALM || self.urgency == Urgency::Bad;
         if (self.items.is_empty() && self.turns.is_empty()) || !due {
--- a/crates/decide/src/outcome.rs
+++ b/crates/decide/src/outcome.rs
@@ -1,54 +1,54 @@
-//! How an attempt ended.
+//! Outcomes of attempts.
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 ///
-/// The driver chooses the first that it can prove: [`Self::NotSent`] only when
-/// no byte of the request can have left the host, [`Self::Denied`] only on the
-/// endpoint's own refusal. All else may have run.
+/// The driver reports [`Self::NotSent`] only if no byte of the request can have left the host, and
+/// [`Self::Denied`] only if the endpoint itself refused the request. After any other outcome the
+/// request may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// A whole answer of a model.
+    /// A model returned a complete response.
     Answered(Answer),
-    /// A whole answer of a plain service.
+    /// A plain service returned a complete response.
     Served,
-    /// No byte left: no connection.
+    /// No byte of the request was sent, for example because the connection failed.
     NotSent,
-    /// The endpoint says that it ran nothing.
+    /// The endpoint refused the request without running it.
     Denied(Denial),
-    /// An error came instead of an answer; it may have run.
+    /// The attempt failed with an error. The request may have run.
     Failed,
-    /// The attempt's timeout passed after bytes may have left.
+    /// The attempt timed out after bytes of the request may have been sent.
     TimedOut,
-    /// The answer broke off after its first byte.
+    /// The response ended prematurely after its first byte.
     Cut,
 }
 
-/// A whole answer of a model.
+/// A complete response of a model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Answer {
-    /// How sure the engine is that the answer is good, 0 to 1.
+    /// The engine's confidence that the response is good, from 0 to 1.
     pub confidence: f64,
-    /// Prompt tokens charged.
+    /// The number of prompt tokens charged.
     pub prompt_tokens: u32,
-    /// Completion tokens charged.
+    /// The number of completion tokens charged.
     pub completion_tokens: u32,
 }
 
-/// Why an endpoint ran nothing.
+/// The reason why an endpoint refused a request without running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Denial {
-    /// The version isn't loaded there.
+    /// The version isn't loaded at the endpoint.
     NotLoaded,
-    /// It is full.
+    /// The endpoint is at capacity.
     Overloaded,
-    /// It is leaving.
+    /// The endpoint is shutting down.
     Leaving,
-    /// Another process lives at this address now.
+    /// Another process is now listening at the endpoint's address.
     WrongIncarnation,
 }
 
 impl Outcome {
-    /// Whether the endpoint provably ran nothing.
+    /// Returns whether the request certainly didn't run.
     #[must_use]
     pub fn not_run(self) -> bool {
         matches!(self, Self::NotSent | Self::Denied(_))
--- a/crates/decide/src/refusal.rs
+++ b/crates/decide/src/refusal.rs
@@ -1,46 +1,46 @@
-//! Why a request is refused.
+//! Refusals of requests.
 
 use std::time::Duration;
 
-/// Why a request is refused, whether it may have run, and when to come back.
+/// The refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The reason.
     pub reason: Reason,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub run: Run,
-    /// When a new try has a chance, where that can be told.
+    /// The delay after which the caller may retry, if it can be estimated.
     pub retry_after: Option<Duration>,
 }
 
-/// Reasons for a refusal that the decider can have.
+/// The reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// The policy has no such profile (any more).
+    /// The policy doesn't have the profile, or no longer has it.
     UnknownProfile,
-    /// The policy has no such service (any more).
+    /// The policy doesn't have the service, or no longer has it.
     UnknownService,
     /// The customer may not use the profile.
     NotAllowed,
-    /// The customer's rate is used up.
+    /// The customer has exceeded its request rate.
     RateLimited,
-    /// The customer has too much in flight.
+    /// The customer has too many requests in flight.
     ConcurrencyLimited,
-    /// Too much is waiting.
+    /// The queue is full, the expected wait is too long, or an endpoint was at capacity.
     Overloaded,
-    /// It can't be done before the deadline.
+    /// The request can't be completed before its deadline.
     Deadline,
-    /// All allowed versions are withdrawn.
+    /// All versions that the customer may use are withdrawn.
     NoVersion,
-    /// No live endpoint has what it needs.
+    /// No live endpoint serves the version or service.
     NoEndpoint,
-    /// It would cost more than the profile's cap.
+    /// The request would exceed the profile's cost cap.
     CostCap,
-    /// The endpoints failed, and it may not or need not be tried again.
+    /// The attempts failed, and the request can't be retried.
     UpstreamFailed,
-    /// The answer broke off after part of it had been passed on.
+    /// The response ended prematurely after part of it had been relayed.
     AnswerCut,
-    /// No policy has come yet.
+    /// The host has no policy yet.
     NotReady,
 }
 
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -1,4 +1,4 @@
-//! A request under way.
+//! Requests in progress.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 use crate::{attempt, key, replica};
 
 slotmap::new_key_type! {
-    /// A request under way.
+    /// The key of a request in progress.
     pub(crate) struct Key;
 }
 
-/// A request from its arrival to its end.
+/// A request between its arrival and its completion.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) id: key::Request,
@@ -29,29 +29,29 @@
     pub(crate) repeat: Repeat,
     pub(crate) deadline: Duration,
     pub(crate) plan: Plan,
-    /// The step of the plan that is under way or waits.
+    /// The index of the plan's current step.
     pub(crate) step: usize,
     pub(crate) session: Session,
     pub(crate) attempts: u32,
-    /// What its attempts have cost.
+    /// The total cost of its attempts so far.
     pub(crate) spent: Money,
-    /// Whether any attempt may have run.
+    /// Whether an endpoint may have run the request.
     pub(crate) run: Run,
-    /// Its attempts in flight; two where it is hedged.
+    /// The attempts in flight; two if the request is hedged.
     pub(crate) flights: [Option<attempt::Key>; 2],
-    /// An answer that was not good enough but is better than none.
+    /// A response of low confidence, delivered if no better one is received.
     pub(crate) kept: Option<Kept>,
-    /// Whether part of an answer has been passed on.
+    /// Whether part of a response may have been relayed.
     pub(crate) relayed: bool,
-    /// The endpoint of the attempt before.
+    /// The endpoint of the previous attempt, which the next one avoids.
     pub(crate) avoid: Option<replica::Key>,
-    /// The version that failed it.
+    /// The version of the last failed attempt that may have run.
     pub(crate) failed: Option<key::Version>,
-    /// Where it waits, if it does.
+    /// The target whose queue the request is in, if any.
     pub(crate) waits: Option<Target>,
 }
 
-/// An answer that is kept in case no better one comes.
+/// A response to deliver if no better one is received.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Kept {
     pub(crate) attempt: AttemptId,
@@ -59,7 +59,7 @@
 }
 
 impl Request {
-    /// The tokens of the prompt; none for a plain call.
+    /// Returns the number of prompt tokens; zero for a call of a plain service.
     pub(crate) fn prompt_tokens(&self) -> u32 {
         match &self.work {
             Work::Chat(chat) => chat.prompt_tokens,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The hash of the prompt's start; 0 for none.
+    /// Returns the hash of the start of the prompt; zero for none.
     pub(crate) fn prefix(&self) -> u64 {
         match &self.work {
             Work::Chat(chat) => chat.prefix,
--- a/crates/decide/src/tuning.rs
+++ b/crates/decide/src/tuning.rs
@@ -1,42 +1,43 @@
-//! The constants of the decisions.
+//! Parameters of the decisions.
 
 use std::time::Duration;
 
 use kernel::HostName;
 
-/// The constants of the decisions. The defaults are the ones that were measured.
+/// Parameters of the decisions.
 #[derive(Clone, Debug)]
 pub struct Tuning {
-    /// This host's name, which chooses its subset of the endpoints.
+    /// The name of this host, which determines the subset of the endpoints that it uses.
     pub host: HostName,
-    /// How often the driver sends `Tick`.
+    /// The interval between `Tick` events.
     pub tick: Duration,
-    /// The most attempts that one request gets, over all its steps and retries.
+    /// The maximum number of attempts of a request, including all its steps, retries and hedges.
     pub attempts: u32,
-    /// Retries and hedges as a share of the requests.
+    /// The retry budget earned per request, shared by retries and hedges.
     pub retry_share: f64,
-    /// The share of ratings that are taken to be wrong.
+    /// The share of ratings that are assumed to be wrong.
     pub rating_noise: f64,
-    /// Answers a second that may be sent to the rating service.
+    /// The maximum number of responses sent to the rating service per second.
     pub sample_rate: f64,
-    /// The largest share of answers that is sent to be rated where enough is
-    /// known already.
+    /// The maximum share of responses sent to the rating service once a version and class have
+    /// enough ratings.
     pub sample_share: f64,
-    /// The share of requests on which a version that the plan doesn't use is
-    /// tried beside it, where little is known of it.
+    /// The base share of requests on which a version outside the plan that has few ratings is also
+    /// tried.
     pub explore_share: f64,
-    /// Requests that may wait for one version or service at this host.
+    /// The queue length for one version or service at this host. Customers' limits are shares of it,
+    /// and the total may reach twice this length.
     pub queue: usize,
-    /// What becomes of a session whose version is quarantined.
+    /// The treatment of sessions whose version is quarantined.
     pub pins: Pins,
 }
 
-/// What becomes of a session whose version is quarantined.
+/// The treatment of sessions whose version is quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pins {
-    /// It keeps its version until that is withdrawn, as the brief promises.
+    /// A session keeps its version until the version is withdrawn.
     Keep,
-    /// It is moved once, as at a withdrawal.
+    /// A session is moved to another version, as if its own were withdrawn.
     Move,
 }
 
