--- a/crates/decide/src/attempt.rs
+++ b/crates/decide/src/attempt.rs
@@ -24,11 +24,11 @@
     pub(crate) target: Target,
     pub(crate) step: Step,
     pub(crate) relay: Relay,
-    pub(crate) sent: Duration,
+    pub(crate) sent_at: Duration,
     pub(crate) timeout: Duration,
     pub(crate) progress: Progress,
     /// Whether the endpoint had free capacity at dispatch.
-    pub(crate) fill: Fill,
+    pub(crate) occupancy: Occupancy,
 }
 
 /// The progress of an attempt.
@@ -41,7 +41,7 @@
 
 /// Whether an endpoint had free capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fill {
+pub(crate) enum Occupancy {
     Free,
     Full,
 }
--- a/crates/decide/src/flights.rs
+++ b/crates/decide/src/attempts.rs
@@ -11,13 +11,13 @@
 ///
 /// Ids increase from 1, so that drivers may pack them into fewer bits.
 #[derive(Debug, Default)]
-pub(crate) struct Flights {
-    attempts: SlotMap<Key, Attempt>,
+pub(crate) struct Attempts {
+    by_key: SlotMap<Key, Attempt>,
     by_id: HashMap<AttemptId, Key>,
     last: u64,
 }
 
-impl Flights {
+impl Attempts {
     /// Allocates the id of the next attempt.
     pub(crate) fn next_id(&mut self) -> AttemptId {
         self.last += 1;
@@ -25,23 +25,23 @@
     }
 
     pub(crate) fn insert(&mut self, attempt: Attempt) -> Key {
-        let key = self.attempts.insert(attempt);
+        let key = self.by_key.insert(attempt);
         self.by_id.insert(attempt.id, key);
         key
     }
 
     pub(crate) fn remove(&mut self, key: Key) -> Option<Attempt> {
-        let attempt = self.attempts.remove(key)?;
+        let attempt = self.by_key.remove(key)?;
         self.by_id.remove(&attempt.id);
         Some(attempt)
     }
 
     pub(crate) fn get(&self, key: Key) -> Option<&Attempt> {
-        self.attempts.get(key)
+        self.by_key.get(key)
     }
 
     pub(crate) fn get_mut(&mut self, key: Key) -> Option<&mut Attempt> {
-        self.attempts.get_mut(key)
+        self.by_key.get_mut(key)
     }
 
     /// Returns the attempt with this id, or `None` if it has ended or was cancelled.
@@ -50,6 +50,6 @@
     }
 
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Attempt> {
-        self.attempts.values_mut()
+        self.by_key.values_mut()
     }
 }
--- a/crates/decide/src/decider.rs
+++ b/crates/decide/src/decider.rs
@@ -1,11 +1,11 @@
 //! The state of the decider and the dispatch of its events.
 
 mod arrive;
-mod blame;
 mod choose;
 mod configure;
 mod end;
 mod evidence;
+mod failures;
 mod learn;
 mod place;
 mod plan;
@@ -20,10 +20,10 @@
 use slotmap::SlotMap;
 
 use crate::attempt;
+use crate::attempts::Attempts;
 use crate::bucket::Bucket;
 use crate::directory::Directory;
 use crate::event::Event;
-use crate::flights::Flights;
 use crate::health::Health;
 use crate::knowledge::Knowledge;
 use crate::limiter::Limiter;
@@ -38,21 +38,21 @@
 use crate::{Action, Evidence, Policy, Tuning, endpoint, key};
 
 /// Initial balance of the retry budget.
-const FIRST_RETRIES: f64 = 5.0;
+const INITIAL_RETRIES: f64 = 5.0;
 
 /// Makes the routing decisions of one entry host.
 ///
 /// Deterministic: the same seed, tuning and events produce the same actions.
 pub struct Decider {
     tuning: Tuning,
-    random: Pcg64Mcg,
+    rng: Pcg64Mcg,
     policy: Arc<Policy>,
     readiness: Readiness,
-    live: u32,
+    live_hosts: u32,
     directory: Directory,
     requests: SlotMap<request::Key, Request>,
     by_id: HashMap<key::Request, request::Key>,
-    attempts: Flights,
+    attempts: Attempts,
     /// Attempts of urgent idempotent requests that may still be hedged.
     hedgeable: Vec<attempt::Key>,
     pools: Pools,
@@ -65,13 +65,13 @@
     outbox: Outbox,
     /// Truncated responses. They count against the version only if the endpoint turns out to have
     /// survived.
-    cuts: VecDeque<blame::Failure>,
+    cut_responses: VecDeque<failures::Failure>,
     pilots: Vec<Pilot>,
     /// Last resorts for which [`Action::LastResort`] has been emitted.
-    told: BTreeSet<Resort>,
+    reported_last_resorts: BTreeSet<LastResort>,
     retries: Bucket,
     sampler: Sampler,
-    next_second: Duration,
+    next_periodic: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Resort {
+struct LastResort {
     version: key::Version,
     profile: key::Profile,
     customer: key::Customer,
@@ -99,14 +99,14 @@
     #[must_use]
     pub fn new(seed: u64, tuning: Tuning) -> Self {
         Self {
-            random: Pcg64Mcg::new(u128::from(seed) << 1 | 1),
+            rng: Pcg64Mcg::new(u128::from(seed) << 1 | 1),
             policy: Arc::default(),
             readiness: Readiness::Unconfigured,
-            live: 1,
+            live_hosts: 1,
             directory: Directory::new(&tuning.host),
             requests: SlotMap::with_key(),
             by_id: HashMap::new(),
-            attempts: Flights::default(),
+            attempts: Attempts::default(),
             hedgeable: Vec::new(),
             pools: Pools::default(),
             knowledge: Knowledge::new(tuning.rating_noise),
@@ -116,12 +116,12 @@
             peers: Peers::default(),
             samples: Samples::default(),
             outbox: Outbox::default(),
-            cuts: VecDeque::new(),
+            cut_responses: VecDeque::new(),
             pilots: Vec::new(),
-            told: BTreeSet::new(),
-            retries: Bucket::new(FIRST_RETRIES, Duration::ZERO),
+            reported_last_resorts: BTreeSet::new(),
+            retries: Bucket::new(INITIAL_RETRIES, Duration::ZERO),
             sampler: Sampler::new(),
-            next_second: Duration::ZERO,
+            next_periodic: Duration::ZERO,
             tuning,
         }
     }
@@ -167,27 +167,27 @@
             Event::Arrive(arrival) => self.arrive(now, arrival, actions),
             Event::Started { attempt } => {
                 if let Some(key) = self.attempts.find(attempt) {
-                    self.started(now, key, actions);
+                    self.response_started(now, key, actions);
                 }
             }
             Event::Ended { attempt, outcome } => {
                 if let Some(key) = self.attempts.find(attempt) {
-                    self.ended(now, key, outcome, actions);
+                    self.attempt_ended(now, key, outcome, actions);
                 }
             }
             Event::Cancelled { request } => self.cancelled(now, request, actions),
-            Event::Rated(rating) => self.rated(now, &rating, actions),
-            Event::Evidence(evidence) => self.evidence(now, &evidence, actions),
+            Event::Rated(rating) => self.apply_rating(now, &rating, actions),
+            Event::Evidence(evidence) => self.apply_evidence(now, &evidence, actions),
             Event::Digest(digest) => {
                 self.knowledge.absorb(&self.policy, &digest);
                 self.plans.invalidate();
             }
             Event::Verdict { version, verdict } => {
-                self.verdict(now, &version, verdict, actions);
+                self.apply_verdict(now, &version, verdict, actions);
             }
             Event::Hosts { live } => {
-                self.live = live.max(1);
-                self.directory.live = self.live;
+                self.live_hosts = live.max(1);
+                self.directory.live = self.live_hosts;
             }
             Event::Demand(demand) => self.peers.heard(now, &self.policy, &demand),
             Event::Tick => self.tick(now, actions),
--- a/crates/decide/src/decider/arrive.rs
+++ b/crates/decide/src/decider/arrive.rs
@@ -72,15 +72,16 @@
             attempts: 0,
             spent: Money::ZERO,
             run: Run::NotRun,
-            flights: [None; 2],
-            kept: None,
+            in_flight: [None; 2],
+            fallback: None,
             relayed: false,
-            avoid: None,
-            failed: None,
-            waits: None,
+            avoided_replica: None,
+            last_failed_version: None,
+            waiting_for: None,
         });
         self.by_id.insert(id, key);
-        self.retries.earn(self.tuning.retry_share, MOST_RETRIES);
+        self.retries
+            .earn(self.tuning.retry_share, MAX_SAVED_RETRIES);
         Ok(key)
     }
 
@@ -135,7 +136,7 @@
                 self.knowledge.arrived(class, chat.prompt_tokens);
                 let known = self.knowledge.class_of_mut(class);
                 known.turned(now, 1 - pinned, pinned);
-                self.outbox.arrived(chat.class, pinned);
+                self.outbox.record_arrival(chat.class, pinned);
                 class
             }
             Work::Call(_) => ClassIndex(0),
@@ -144,7 +145,7 @@
 }
 
 /// Maximum balance of the retry budget.
-const MOST_RETRIES: f64 = 20.0;
+const MAX_SAVED_RETRIES: f64 = 20.0;
 
 fn not_run(reason: Reason) -> Refusal {
     Refusal {
--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::place::Next;
-use super::{Decider, Resort};
+use super::place::NextStep;
+use super::{Decider, LastResort};
 use crate::action::Session;
 use crate::arrival::{Chat, Pin, Work};
 use crate::directory::Target;
@@ -17,75 +17,77 @@
 
 /// How far the expected quality of a version may be below the target if it replaces a version
 /// without capacity.
-const SPILL_SLACK: f64 = 0.02;
+const MAX_SPILL_QUALITY_LOSS: f64 = 0.02;
 
 /// The properties of a model request on which its plan depends.
-pub(super) struct Ask {
+pub(super) struct PlanInput {
     pub(super) profile: key::Profile,
     pub(super) customer: key::Customer,
     pub(super) class: ClassIndex,
     /// The maximum number of steps.
-    pub(super) steps: usize,
+    pub(super) max_steps: usize,
     /// The share of requests of the class that are pinned to a version.
-    pub(super) pinned: f64,
+    pub(super) pinned_share: f64,
 }
 
 impl Decider {
     /// Returns the request's next step under the current policy. Called again before each dispatch,
     /// so that a version that was withdrawn in the meantime gets no more requests.
-    pub(super) fn next(
+    pub(super) fn next_step(
         &mut self,
         now: Duration,
         key: request::Key,
         actions: &mut Vec<Action>,
-    ) -> Result<Next, Reason> {
+    ) -> Result<NextStep, Reason> {
         let request = self.requests.get(key).ok_or(Reason::NoEndpoint)?;
         let chat = match &request.work {
             Work::Call(call) => {
                 let target = Target::Service(call.service);
                 let known = self.policy.services.get(call.service.index());
                 known.ok_or(Reason::UnknownService)?;
-                self.reach(target)?;
+                self.require_endpoint(target)?;
                 let step = Step::default();
-                return Ok(Next { target, step });
+                return Ok(NextStep { target, step });
             }
             Work::Chat(chat) => chat.clone(),
         };
         let step = self.version_step(now, key, &chat, actions)?;
-        let step = self.affordable(now, key, &chat, step)?;
+        let step = self.within_cost_cap(now, key, &chat, step)?;
         let target = Target::Version(step.version);
-        Ok(Next { target, step })
+        Ok(NextStep { target, step })
     }
 
     /// Returns steps with other versions that could serve the request, the cheapest first.
-    pub(super) fn alternatives(&mut self, now: Duration, key: request::Key) -> Vec<Next> {
+    pub(super) fn alternatives(&mut self, now: Duration, key: request::Key) -> Vec<NextStep> {
         let Some(request) = self.requests.get(key) else {
             return Vec::new();
         };
         let Work::Chat(chat) = &request.work else {
             return Vec::new();
         };
-        if request.session == Session::Kept || request.kept.is_some() {
+        if request.session == Session::Kept || request.fallback.is_some() {
             return Vec::new();
         }
-        let ask = Ask::new(now, &self.knowledge, request, chat);
+        let input = PlanInput::new(now, &self.knowledge, request, chat);
         let chat = chat.clone();
         let tried = request.plan.step(request.step).map(|it| it.version);
         let target = self.policy.profiles[chat.profile.index()].target;
-        let mut it = self.forecasts(&ask);
-        it.retain(|it| Some(it.version) != tried && it.quality() >= target - SPILL_SLACK);
+        let mut it = self.forecasts(&input);
+        it.retain(|it| {
+            Some(it.version) != tried && it.quality() >= target - MAX_SPILL_QUALITY_LOSS
+        });
         it.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        let nexts = it.into_iter().map(|it| Next {
+        let nexts = it.into_iter().map(|it| NextStep {
             target: Target::Version(it.version),
             step: Step::last(it.version),
         });
         nexts
-            .filter(|it| self.fits_cap(key, &chat, it.step))
+            .filter(|it| self.fits_cost_cap(key, &chat, it.step))
             .collect()
     }
 
     /// Returns a plan that doesn't use `failed`, or `None` if the request must keep its version.
-    pub(super) fn replacement(
+    pub(super) fn replacement_plan(
         &mut self,
         now: Duration,
         key: request::Key,
@@ -99,7 +101,7 @@
             return None;
         }
         let target = self.policy.profiles.get(chat.profile.index())?.target;
-        let mut it = self.forecasts(&Ask::new(now, &self.knowledge, request, chat));
+        let mut it = self.forecasts(&PlanInput::new(now, &self.knowledge, request, chat));
         it.retain(|it| it.version != failed);
         let enough = it.iter().filter(|it| it.quality() >= target);
         let best = enough
@@ -127,18 +129,18 @@
         }
         if let Some(Pin::Version(pin)) = chat.pin
             && self.policy.permits(profile, customer, pin)
-            && !self.moves_off(pin)
+            && !self.must_leave(pin)
         {
             let step = Step::last(pin);
             let request = &mut self.requests[key];
             request.session = Session::Kept;
             request.plan = Plan::of(&[step]);
             request.step = 0;
-            self.reach(Target::Version(pin))?;
+            self.require_endpoint(Target::Version(pin))?;
             return Ok(step);
         }
         let step = request.plan.step(request.step);
-        if let Some(step) = step.filter(|it| self.may_take(profile, customer, *it)) {
+        if let Some(step) = step.filter(|it| self.may_use(profile, customer, *it)) {
             return Ok(step);
         }
         let mut plan = self.plan(now, key, chat, actions)?;
@@ -150,7 +152,7 @@
                 chat.pin = None;
             }
         }
-        if let (Some(_), Some(last)) = (request.kept, plan.last()) {
+        if let (Some(_), Some(last)) = (request.fallback, plan.last()) {
             plan = Plan::of(&[Step::last(last.version)]);
         }
         request.plan = plan;
@@ -159,14 +161,14 @@
     }
 
     /// Returns whether a session must leave a quarantined version, see `docs/design/decide-sessions.md`.
-    fn moves_off(&self, pin: key::Version) -> bool {
+    fn must_leave(&self, pin: key::Version) -> bool {
         match self.tuning.pins {
             Pins::Keep => false,
             Pins::Move => self.health.is_quarantined(pin),
         }
     }
 
-    pub(super) fn may_take(
+    pub(super) fn may_use(
         &self,
         profile: key::Profile,
         customer: key::Customer,
@@ -186,14 +188,14 @@
         customer: key::Customer,
         version: key::Version,
     ) -> bool {
-        self.told.contains(&Resort {
+        self.reported_last_resorts.contains(&LastResort {
             version,
             profile,
             customer,
         })
     }
 
-    fn reach(&self, target: Target) -> Result<(), Reason> {
+    fn require_endpoint(&self, target: Target) -> Result<(), Reason> {
         if self.directory.is_empty(target) {
             return Err(Reason::NoEndpoint);
         }
@@ -202,22 +204,22 @@
 
     /// Returns `step`, or if it would exceed the cost cap, a step with the version of the highest
     /// expected quality within the cap.
-    fn affordable(
+    fn within_cost_cap(
         &mut self,
         now: Duration,
         key: request::Key,
         chat: &Chat,
         step: Step,
     ) -> Result<Step, Reason> {
-        if self.fits_cap(key, chat, step) {
+        if self.fits_cost_cap(key, chat, step) {
             return Ok(step);
         }
         let request = &self.requests[key];
         if request.attempts > 0 || request.session == Session::Kept {
             return Err(Reason::CostCap);
         }
-        let mut it = self.forecasts(&Ask::new(now, &self.knowledge, request, chat));
-        it.retain(|it| self.fits_cap(key, chat, Step::last(it.version)));
+        let mut it = self.forecasts(&PlanInput::new(now, &self.knowledge, request, chat));
+        it.retain(|it| self.fits_cost_cap(key, chat, Step::last(it.version)));
         let best = it.iter().max_by(|a, b| a.quality().total_cmp(&b.quality()));
         let step = Step::last(best.ok_or(Reason::CostCap)?.version);
         let request = &mut self.requests[key];
@@ -226,17 +228,17 @@
         Ok(step)
     }
 
-    fn fits_cap(&self, key: request::Key, chat: &Chat, step: Step) -> bool {
+    fn fits_cost_cap(&self, key: request::Key, chat: &Chat, step: Step) -> bool {
         let cap = self.policy.profiles.get(chat.profile.index());
         let Some(cap) = cap.and_then(|it| it.cap) else {
             return true;
         };
         let spent = self.requests.get(key).map(|it| it.spent);
-        spent.unwrap_or_default() + self.price(key, step) <= cap
+        spent.unwrap_or_default() + self.max_step_cost(key, step) <= cap
     }
 }
 
-impl Ask {
+impl PlanInput {
     pub(super) fn new(
         now: Duration,
         knowledge: &Knowledge,
@@ -248,8 +250,8 @@
             profile: chat.profile,
             customer: request.customer,
             class: request.class,
-            steps: if single { 1 } else { STEPS },
-            pinned: knowledge.class_of(request.class).pinned(now),
+            max_steps: if single { 1 } else { STEPS },
+            pinned_share: knowledge.class_of(request.class).pinned(now),
         }
     }
 }
--- a/crates/decide/src/decider/configure.rs
+++ b/crates/decide/src/decider/configure.rs
@@ -15,7 +15,7 @@
 use crate::{Action, Policy, key};
 
 /// Maps the keys of one policy to those of another, by index.
-struct Moves {
+struct KeyMap {
     versions: Vec<Option<key::Version>>,
     profiles: Vec<Option<key::Profile>>,
     customers: Vec<Option<key::Customer>>,
@@ -37,29 +37,29 @@
         }
         self.readiness = Readiness::Configured;
         let waiting = self.take_waiting();
-        let forward = Moves::new(&self.policy, &policy);
-        let back = Moves::new(&policy, &self.policy);
+        let to_new = KeyMap::new(&self.policy, &policy);
+        let to_old = KeyMap::new(&policy, &self.policy);
         let old = std::mem::replace(&mut self.policy, policy);
-        self.knowledge.configure(&self.policy, &back.versions);
-        self.health.configure(&self.policy, &back.versions);
+        self.knowledge.configure(&self.policy, &to_old.versions);
+        self.health.configure(&self.policy, &to_old.versions);
         self.pools
-            .configure(&self.policy, &back.versions, &back.services);
+            .configure(&self.policy, &to_old.versions, &to_old.services);
         self.plans.configure(&self.policy);
         self.directory.configure(&self.policy);
-        self.move_limits(now, &old, &back.customers);
-        self.move_pilots(now);
-        self.told.clear();
+        self.remap_limits(now, &old, &to_old.customers);
+        self.renew_pilots(now);
+        self.reported_last_resorts.clear();
         self.hedgeable.clear();
         for attempt in self.attempts.iter_mut() {
-            forward.attempt(&mut attempt.target);
+            to_new.remap_target(&mut attempt.target);
             let version = attempt.step.version;
-            attempt.step.version = forward.version(version);
+            attempt.step.version = to_new.version(version);
         }
-        for cut in &mut self.cuts {
-            cut.version = forward.version(cut.version);
+        for cut in &mut self.cut_responses {
+            cut.version = to_new.version(cut.version);
         }
         for request in self.requests.values_mut() {
-            forward.request(request);
+            to_new.remap_request(request);
         }
         for key in waiting {
             self.place(now, key, actions);
@@ -88,7 +88,7 @@
             };
             while let Some(key) = pool.queue.pop() {
                 if let Some(request) = self.requests.get_mut(key) {
-                    request.waits = None;
+                    request.waiting_for = None;
                     waiting.push(key);
                 }
             }
@@ -96,10 +96,10 @@
         waiting
     }
 
-    fn move_limits(&mut self, now: Duration, old: &Policy, from: &[Option<key::Customer>]) {
+    fn remap_limits(&mut self, now: Duration, old: &Policy, from: &[Option<key::Customer>]) {
         let mut limits: Vec<Option<Limits>> = self.limiters.drain(..).map(Some).collect();
         debug_assert_eq!(limits.len(), old.customers.len());
-        let live = f64::from(self.live);
+        let live = f64::from(self.live_hosts);
         for (customer, was) in self.policy.customers.iter().zip(from) {
             let known = was.and_then(|it| limits.get_mut(it.index())?.take());
             self.limiters.push(known.unwrap_or_else(|| Limits {
@@ -110,7 +110,7 @@
         self.peers.configure(from);
     }
 
-    fn move_pilots(&mut self, now: Duration) {
+    fn renew_pilots(&mut self, now: Duration) {
         let old = std::mem::take(&mut self.pilots);
         for rollout in &self.policy.rollouts {
             let known = old.iter().find(|it| it.is_of(rollout));
@@ -122,7 +122,7 @@
     }
 }
 
-impl Moves {
+impl KeyMap {
     fn new(from: &Policy, to: &Policy) -> Self {
         let versions = from.versions.iter().map(|it| to.version(&it.id));
         let profiles = from.profiles.iter().map(|it| to.profile(&it.name));
@@ -143,7 +143,7 @@
         new.unwrap_or(key::Version(u16::MAX))
     }
 
-    fn attempt(&self, target: &mut Target) {
+    fn remap_target(&self, target: &mut Target) {
         *target = match *target {
             Target::Version(old) => Target::Version(self.version(old)),
             Target::Service(old) => Target::Service(self.service(old)),
@@ -155,7 +155,7 @@
         new.unwrap_or(key::Service(u16::MAX))
     }
 
-    fn request(&self, request: &mut Request) {
+    fn remap_request(&self, request: &mut Request) {
         let customer = self.customers.get(request.customer.index());
         request.customer = customer
             .copied()
@@ -178,9 +178,9 @@
             step.version = self.version(step.version);
         }
         request.plan = Plan::of(&steps);
-        request.failed = request.failed.map(|it| self.version(it));
-        if let Some(kept) = &mut request.kept {
-            kept.version = self.version(kept.version);
+        request.last_failed_version = request.last_failed_version.map(|it| self.version(it));
+        if let Some(fallback) = &mut request.fallback {
+            fallback.version = self.version(fallback.version);
         }
     }
 }
--- a/crates/decide/src/decider/end.rs
+++ b/crates/decide/src/decider/end.rs
@@ -9,19 +9,24 @@
 use crate::outcome::{Answer, Denial, Outcome};
 use crate::policy::Repeat;
 use crate::refusal::{Reason, Run};
-use crate::request::{self, Kept};
+use crate::request::{self, Fallback};
 use crate::tally::Bucket;
 use crate::{Action, key};
 
 /// Cost of a retry after an endpoint reported that it isn't the right one: the version isn't loaded,
 /// the endpoint is leaving, or another process has its address. Cheaper than other retries, since the
 /// endpoint is taken out of use and such retries can't amplify an overload.
-const REDIRECT: f64 = 0.25;
+const REDIRECT_RETRY_COST: f64 = 0.25;
 
 impl Decider {
     /// Handles the first byte of a response. Once the response is being relayed it can't be
     /// replaced, so the request's other attempt is cancelled.
-    pub(super) fn started(&mut self, now: Duration, key: attempt::Key, actions: &mut Vec<Action>) {
+    pub(super) fn response_started(
+        &mut self,
+        now: Duration,
+        key: attempt::Key,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(attempt) = self.attempts.get_mut(key) else {
             return;
         };
@@ -31,7 +36,7 @@
         attempt.progress = Progress::Started(now);
         let attempt = *attempt;
         if let Some(pool) = self.pools.get_mut(attempt.target) {
-            pool.first_byte(now.saturating_sub(attempt.sent).as_secs_f64());
+            pool.first_byte(now.saturating_sub(attempt.sent_at).as_secs_f64());
         }
         if attempt.relay == Relay::Now
             && let Some(request) = self.requests.get_mut(attempt.request)
@@ -42,7 +47,7 @@
     }
 
     /// Handles the end of an attempt.
-    pub(super) fn ended(
+    pub(super) fn attempt_ended(
         &mut self,
         now: Duration,
         key: attempt::Key,
@@ -56,41 +61,42 @@
             replica.freed();
         }
         if let Some(request) = self.requests.get_mut(attempt.request) {
-            request.landed(key);
+            request.remove_attempt(key);
             if !outcome.not_run() {
                 request.run = Run::Unknown;
             }
         }
-        self.learn(now, &attempt, outcome, actions);
+        self.record_outcome(now, &attempt, outcome, actions);
         match outcome {
-            Outcome::Answered(answer) => self.answered(now, &attempt, answer, actions),
+            Outcome::Answered(answer) => self.handle_response(now, &attempt, answer, actions),
             Outcome::Served => self.deliver(now, &attempt, actions),
-            _ => self.failed(now, &attempt, outcome, actions),
+            _ => self.handle_failure(now, &attempt, outcome, actions),
         }
         self.drain_replica(now, attempt.replica, actions);
     }
 
-    fn answered(
+    fn handle_response(
         &mut self,
         now: Duration,
         attempt: &Attempt,
         answer: Answer,
         actions: &mut Vec<Action>,
     ) {
-        self.charge_answer(now, attempt, answer);
-        self.sample(now, attempt, answer, actions);
+        self.record_cost(now, attempt, answer);
+        self.request_rating(now, attempt, answer, actions);
         let Some(request) = self.requests.get_mut(attempt.request) else {
             return;
         };
         let version = attempt.step.version;
         let bucket = Bucket::from(answer.confidence);
-        let sick = self.health.is_quarantined(version);
-        let taken = attempt.relay == Relay::Now || (bucket.passes(attempt.step.threshold) && !sick);
-        if taken {
+        let is_quarantined = self.health.is_quarantined(version);
+        let accepted = attempt.relay == Relay::Now
+            || (bucket.passes(attempt.step.threshold) && !is_quarantined);
+        if accepted {
             return self.deliver(now, attempt, actions);
         }
-        if !sick && (request.kept.is_none() || !attempt.step.is_probe()) {
-            request.kept = Some(Kept {
+        if !is_quarantined && (request.fallback.is_none() || !attempt.step.is_probe()) {
+            request.fallback = Some(Fallback {
                 attempt: attempt.id,
                 version,
             });
@@ -109,12 +115,12 @@
         }
         let next = request.plan.step(request.step + 1);
         let exhausted = request.attempts >= self.tuning.attempts;
-        let (deadline, kept) = (request.deadline, request.kept.is_some());
+        let (deadline, has_fallback) = (request.deadline, request.fallback.is_some());
         let late = next.is_some_and(|it| {
-            let needed = self.latency(key, Target::Version(it.version));
+            let needed = self.expected_latency(key, Target::Version(it.version));
             now + needed > deadline
         });
-        if exhausted || (late && kept) {
+        if exhausted || (late && has_fallback) {
             return self.give_up(now, key, Reason::UpstreamFailed, None, actions);
         }
         self.skip_step(now, key, actions);
@@ -135,7 +141,7 @@
         actions.push(Action::Deliver(deliver));
     }
 
-    fn failed(
+    fn handle_failure(
         &mut self,
         now: Duration,
         attempt: &Attempt,
@@ -156,11 +162,11 @@
         if attempt.step.is_probe() {
             return self.escalate(now, key, actions);
         }
-        let harmless = outcome.not_run() || request.repeat == Repeat::Idempotent;
+        let may_repeat = outcome.not_run() || request.repeat == Repeat::Idempotent;
         let late = now >= request.deadline;
-        let left = request.attempts < self.tuning.attempts && !late;
-        if !harmless || !left || !self.retries.take(retry_price(outcome)) {
-            let retry_after = self.comes_back(attempt, outcome);
+        let may_retry = request.attempts < self.tuning.attempts && !late;
+        if !may_repeat || !may_retry || !self.retries.take(retry_cost(outcome)) {
+            let retry_after = self.retry_after(attempt, outcome);
             let reason = reason(outcome, late);
             return self.give_up(now, key, reason, retry_after, actions);
         }
@@ -175,19 +181,19 @@
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        request.avoid = Some(attempt.replica);
+        request.avoided_replica = Some(attempt.replica);
         let Some(version) = version(attempt).filter(|_| !outcome.not_run()) else {
             return;
         };
-        let again = request.failed.replace(version) == Some(version);
-        if again && let Some(plan) = self.replacement(now, key, version) {
+        let failed_twice = request.last_failed_version.replace(version) == Some(version);
+        if failed_twice && let Some(plan) = self.replacement_plan(now, key, version) {
             let request = &mut self.requests[key];
             request.plan = plan;
             request.step = 0;
         }
     }
 
-    fn comes_back(&self, attempt: &Attempt, outcome: Outcome) -> Option<Duration> {
+    fn retry_after(&self, attempt: &Attempt, outcome: Outcome) -> Option<Duration> {
         if outcome != Outcome::Denied(Denial::Overloaded) {
             return None;
         }
@@ -195,7 +201,7 @@
         Some(Duration::from_secs_f64(pool.seconds().clamp(0.1, 60.0)))
     }
 
-    fn charge_answer(&mut self, now: Duration, attempt: &Attempt, answer: Answer) {
+    fn record_cost(&mut self, now: Duration, attempt: &Attempt, answer: Answer) {
         let entry = self.policy.versions.get(attempt.step.version.index());
         let cost = entry.map(|it| {
             let prompt = u64::from(answer.prompt_tokens);
@@ -218,9 +224,9 @@
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        let flights = std::mem::take(&mut request.flights);
-        request.took_off(started);
-        let others = flights.into_iter().flatten().filter(|it| *it != started);
+        let in_flight = std::mem::take(&mut request.in_flight);
+        request.add_attempt(started);
+        let others = in_flight.into_iter().flatten().filter(|it| *it != started);
         for other in others {
             self.cancel(now, other, actions);
         }
@@ -234,9 +240,11 @@
     }
 }
 
-fn retry_price(outcome: Outcome) -> f64 {
+fn retry_cost(outcome: Outcome) -> f64 {
     match outcome {
-        Outcome::Denied(Denial::NotLoaded | Denial::Leaving | Denial::WrongIncarnation) => REDIRECT,
+        Outcome::Denied(Denial::NotLoaded | Denial::Leaving | Denial::WrongIncarnation) => {
+            REDIRECT_RETRY_COST
+        }
         _ => 1.0,
     }
 }
--- a/crates/decide/src/decider/evidence.rs
+++ b/crates/decide/src/decider/evidence.rs
@@ -5,7 +5,7 @@
 use kernel::VersionId;
 
 use super::Decider;
-use super::learn::{Rated, Seen};
+use super::learn::{ObservedRatings, ObservedResponses};
 use crate::action::Verdict;
 use crate::belief::Turn;
 use crate::directory::Target;
@@ -18,11 +18,11 @@
 use crate::{Action, key};
 
 /// Number of outcomes from which a host uses only its own verdict on a version.
-const OWN_VERDICT: f64 = 50.0;
+const MIN_OWN_OUTCOMES: f64 = 50.0;
 
 impl Decider {
     /// Applies evidence from another host.
-    pub(super) fn evidence(
+    pub(super) fn apply_evidence(
         &mut self,
         now: Duration,
         evidence: &Evidence,
@@ -35,14 +35,14 @@
         }
         for item in &evidence.items {
             if let Some(version) = self.policy.version(&item.version) {
-                self.learn_item(now, version, item, actions);
+                self.apply_item(now, version, item, actions);
             }
         }
     }
 
     /// Adopts another host's verdict if this host has too few outcomes of the version to judge it,
     /// so that a new host doesn't send callers' requests to a version known to be bad.
-    pub(super) fn verdict(
+    pub(super) fn apply_verdict(
         &mut self,
         now: Duration,
         version: &VersionId,
@@ -52,14 +52,14 @@
         let Some(version) = self.policy.version(version) else {
             return;
         };
-        self.judge(now, version, actions, |it| {
-            if it.outcomes() < OWN_VERDICT {
+        self.observe_version(now, version, actions, |it| {
+            if it.outcomes() < MIN_OWN_OUTCOMES {
                 it.adopt(now, verdict);
             }
         });
     }
 
-    pub(super) fn learn_item(
+    pub(super) fn apply_item(
         &mut self,
         now: Duration,
         version: key::Version,
@@ -69,42 +69,42 @@
         let class = self.knowledge.class(item.class);
         for bucket in Bucket::all() {
             let at = bucket.index();
-            let [first, later] = samples(bucket);
+            let [first, later] = samples_by_turn(bucket);
             for (sample, count) in [(first, item.answered[at]), (later, item.later_answered[at])] {
                 if count > 0 {
                     let count = f64::from(count);
-                    let seen = Seen {
+                    let seen = ObservedResponses {
                         sample,
                         count,
                         order: Order::Unknown,
                     };
-                    self.learn_answers(now, version, class, seen, actions);
+                    self.learn_from_responses(now, version, class, seen, actions);
                 }
             }
         }
         let scope = self.health.quality_scope(version);
-        self.judge(now, version, actions, |it| it.settle(now, scope));
+        self.observe_version(now, version, actions, |it| it.settle(now, scope));
         for bucket in Bucket::all() {
             let at = bucket.index();
-            let [first, later] = samples(bucket);
+            let [first, later] = samples_by_turn(bucket);
             for (sample, good, bad) in [
                 (first, item.good[at], item.bad[at]),
                 (later, item.later_good[at], item.later_bad[at]),
             ] {
                 if good + bad > 0 {
-                    let rated = Rated {
+                    let rated = ObservedRatings {
                         sample,
                         good: f64::from(good),
                         bad: f64::from(bad),
                     };
-                    self.learn_rating(now, version, class, rated, actions);
+                    self.learn_from_ratings(now, version, class, rated, actions);
                 }
             }
         }
-        self.learn_item_outcomes(now, version, class, item, actions);
+        self.apply_item_outcomes(now, version, class, item, actions);
     }
 
-    pub(super) fn learn_item_outcomes(
+    pub(super) fn apply_item_outcomes(
         &mut self,
         now: Duration,
         version: key::Version,
@@ -115,7 +115,7 @@
         let endpoints = self.directory.len(Target::Version(version));
         let normal = self.health.normal(version, endpoints);
         let failed = f64::from(item.failed);
-        self.judge(now, version, actions, |it| {
+        self.observe_version(now, version, actions, |it| {
             if failed > 0.0 {
                 it.failed(now, normal, failed, &item.failed_at);
             }
@@ -135,7 +135,7 @@
 }
 
 /// Returns samples for another host's responses in a bucket, of first and of later turns.
-fn samples(bucket: Bucket) -> [Sample; 2] {
+fn samples_by_turn(bucket: Bucket) -> [Sample; 2] {
     [Turn::First, Turn::Later].map(|turn| Sample {
         bucket,
         turn,
--- a/crates/decide/src/decider/blame.rs
+++ b/crates/decide/src/decider/failures.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Decider;
-use crate::attempt::{Attempt, Fill};
+use crate::attempt::{Attempt, Occupancy};
 use crate::directory::Target;
 use crate::outcome::Outcome;
 use crate::{Action, endpoint, key};
@@ -14,11 +14,11 @@
     at: Duration,
     pub(super) version: key::Version,
     class: key::Class,
-    place: endpoint::Id,
+    endpoint: endpoint::Id,
 }
 
 impl Decider {
-    pub(super) fn learn_failure(
+    pub(super) fn learn_from_failure(
         &mut self,
         now: Duration,
         attempt: &Attempt,
@@ -26,10 +26,10 @@
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
-        if outcome == Outcome::TimedOut && !self.had_plenty(attempt) {
+        if outcome == Outcome::TimedOut && !self.had_ample_time(attempt) {
             return;
         }
-        let Some(place) = self.directory.get(attempt.replica).map(|it| it.id) else {
+        let Some(endpoint) = self.directory.get(attempt.replica).map(|it| it.id) else {
             return;
         };
         let Some(class) = self.requests.get(attempt.request).map(|it| it.class) else {
@@ -39,49 +39,55 @@
             at: now,
             version,
             class: self.knowledge.class_key(class),
-            place,
+            endpoint,
         };
         if outcome == Outcome::Cut {
             // An endpoint that crashes truncates all its responses, which isn't the version's fault.
             // The crash becomes known only later.
-            self.cuts.push_back(failure);
+            self.cut_responses.push_back(failure);
         } else {
-            self.blame(now, &failure, actions);
+            self.record_version_failure(now, &failure, actions);
         }
     }
 
     /// Counts truncated responses against their versions if the endpoint is still live after a
     /// delay, so that a crash of the endpoint isn't attributed to the version.
-    pub(super) fn settle_cuts(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        const NEWS: Duration = Duration::from_secs(5);
-        while let Some(cut) = self.cuts.front().copied()
-            && now >= cut.at + NEWS
+    pub(super) fn settle_cut_responses(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        const ENDPOINT_LOSS_DELAY: Duration = Duration::from_secs(5);
+        while let Some(cut) = self.cut_responses.front().copied()
+            && now >= cut.at + ENDPOINT_LOSS_DELAY
         {
-            self.cuts.pop_front();
-            if self.directory.is_live(cut.place) {
-                self.blame(now, &cut, actions);
+            self.cut_responses.pop_front();
+            if self.directory.is_live(cut.endpoint) {
+                self.record_version_failure(now, &cut, actions);
             }
         }
     }
 
-    fn blame(&mut self, now: Duration, failure: &Failure, actions: &mut Vec<Action>) {
+    fn record_version_failure(
+        &mut self,
+        now: Duration,
+        failure: &Failure,
+        actions: &mut Vec<Action>,
+    ) {
         let version = failure.version;
         let endpoints = self.directory.len(Target::Version(version));
         let normal = self.health.normal(version, endpoints);
-        self.judge(now, version, actions, |it| {
-            it.failed(now, normal, 1.0, &[Some(failure.place)]);
+        self.observe_version(now, version, actions, |it| {
+            it.failed(now, normal, 1.0, &[Some(failure.endpoint)]);
         });
         if let Some(entry) = self.policy.versions.get(version.index()) {
-            self.outbox.failed(&entry.id, failure.class, failure.place);
+            self.outbox
+                .record_failure(&entry.id, failure.class, failure.endpoint);
         }
     }
 
     /// Returns whether an attempt had an endpoint with free capacity and far more time than usual. A
     /// timeout at a full endpoint, or shortly before the deadline, is caused by overload and not by
     /// the version.
-    fn had_plenty(&self, attempt: &Attempt) -> bool {
-        const PLENTY: u32 = 4;
-        let usual = self.latency(attempt.request, attempt.target);
-        attempt.fill == Fill::Free && attempt.timeout >= usual * PLENTY
+    fn had_ample_time(&self, attempt: &Attempt) -> bool {
+        const AMPLE_TIME_FACTOR: u32 = 4;
+        let usual = self.expected_latency(attempt.request, attempt.target);
+        attempt.occupancy == Occupancy::Free && attempt.timeout >= usual * AMPLE_TIME_FACTOR
     }
 }
--- a/crates/decide/src/decider/learn.rs
+++ b/crates/decide/src/decider/learn.rs
@@ -19,16 +19,16 @@
 use crate::{Action, key};
 
 /// Number of responses from which the baseline of a version's confidence is known.
-const ANSWERS: f64 = 100.0;
+const MIN_BASELINE_RESPONSES: f64 = 100.0;
 /// Number of ratings from which the baseline of a version's quality is known.
-const RATINGS: f64 = 40.0;
+const MIN_BASELINE_RATINGS: f64 = 40.0;
 /// Lowest expected share of bad ratings for a version without a quality baseline, so that it is
 /// quarantined only if most of its responses are bad.
-const UNKNOWN_BAD: f64 = 0.5;
+const MIN_UNKNOWN_BAD_RATE: f64 = 0.5;
 
 /// A number of responses with the same properties.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seen {
+pub(super) struct ObservedResponses {
     pub(super) sample: Sample,
     pub(super) count: f64,
     pub(super) order: Order,
@@ -36,7 +36,7 @@
 
 /// A number of ratings of responses with the same properties.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Rated {
+pub(super) struct ObservedRatings {
     pub(super) sample: Sample,
     pub(super) good: f64,
     pub(super) bad: f64,
@@ -44,7 +44,7 @@
 
 impl Decider {
     /// Records the outcome of an attempt.
-    pub(super) fn learn(
+    pub(super) fn record_outcome(
         &mut self,
         now: Duration,
         attempt: &Attempt,
@@ -54,17 +54,19 @@
         if let Some(pool) = self.pools.get_mut(attempt.target) {
             pool.departed(now);
         }
-        self.learn_of_replica(now, attempt, outcome);
+        self.update_replica(now, attempt, outcome);
         let Target::Version(version) = attempt.target else {
             if outcome == Outcome::Served {
-                self.learn_seconds(now, attempt);
+                self.record_duration(now, attempt);
             }
             return;
         };
         match outcome {
-            Outcome::Answered(answer) => self.learn_answer(now, attempt, version, answer, actions),
+            Outcome::Answered(answer) => {
+                self.learn_from_response(now, attempt, version, answer, actions);
+            }
             Outcome::Failed | Outcome::Cut | Outcome::TimedOut => {
-                self.learn_failure(now, attempt, version, outcome, actions);
+                self.learn_from_failure(now, attempt, version, outcome, actions);
             }
             // The request didn't run, so the outcome isn't evidence about the version.
             Outcome::NotSent | Outcome::Denied(_) | Outcome::Served => {}
@@ -72,7 +74,7 @@
     }
 
     /// Requests a rating of a response, depending on the value of a further rating.
-    pub(super) fn sample(
+    pub(super) fn request_rating(
         &mut self,
         now: Duration,
         attempt: &Attempt,
@@ -86,25 +88,25 @@
         let kind = Kind {
             version,
             class: request.class,
-            turn: turn(attempt, request.kept.is_some()),
+            turn: turn(attempt, request.fallback.is_some()),
         };
         let class = self.knowledge.class_key(request.class);
         let Some(entry) = self.policy.versions.get(version.index()) else {
             return;
         };
-        let insists = attempt.step.is_probe()
+        let has_priority = attempt.step.is_probe()
             || matches!(entry.state, State::Trial(_))
             || self.health.get(version).is_some_and(Monitor::is_suspect);
-        let most = self.tuning.sample_rate;
-        let known = self.knowledge.ratings(version, kind.class) >= 4.0 * RATINGS;
-        let sparing = known && self.random.random::<f64>() >= self.tuning.sample_share;
-        let wanted = if sparing {
+        let max_rate = self.tuning.sample_rate;
+        let known = self.knowledge.ratings(version, kind.class) >= 4.0 * MIN_BASELINE_RATINGS;
+        let skipped = known && self.rng.random::<f64>() >= self.tuning.sample_share;
+        let wanted = if skipped {
             false
-        } else if insists {
-            self.sampler.insists(now, most)
+        } else if has_priority {
+            self.sampler.insists(now, max_rate)
         } else {
             let value = self.knowledge.value_of_rating(now, kind);
-            self.sampler.wants(now, value, most, &mut self.random)
+            self.sampler.wants(now, value, max_rate, &mut self.rng)
         };
         if !wanted {
             return;
@@ -124,7 +126,12 @@
     }
 
     /// Applies a rating of a response that this host has sampled.
-    pub(super) fn rated(&mut self, now: Duration, rating: &Rating, actions: &mut Vec<Action>) {
+    pub(super) fn apply_rating(
+        &mut self,
+        now: Duration,
+        rating: &Rating,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(version) = self.policy.version(&rating.version) else {
             return;
         };
@@ -133,17 +140,17 @@
         };
         self.sampler.returned(now);
         self.outbox
-            .rated(&rating.version, rating.class, sample, rating.verdict);
+            .record_rating(&rating.version, rating.class, sample, rating.verdict);
         let class = self.knowledge.class(rating.class);
         let (good, bad) = match rating.verdict {
             Quality::Good => (1.0, 0.0),
             Quality::Bad => (0.0, 1.0),
         };
-        let rated = Rated { sample, good, bad };
-        self.learn_rating(now, version, class, rated, actions);
+        let rated = ObservedRatings { sample, good, bad };
+        self.learn_from_ratings(now, version, class, rated, actions);
     }
 
-    fn learn_of_replica(&mut self, now: Duration, attempt: &Attempt, outcome: Outcome) {
+    fn update_replica(&mut self, now: Duration, attempt: &Attempt, outcome: Outcome) {
         let key = attempt.replica;
         match outcome {
             Outcome::Denied(Denial::Leaving | Denial::WrongIncarnation) => {
@@ -171,8 +178,8 @@
         }
     }
 
-    fn learn_seconds(&mut self, now: Duration, attempt: &Attempt) {
-        let seconds = now.saturating_sub(attempt.sent).as_secs_f64();
+    fn record_duration(&mut self, now: Duration, attempt: &Attempt) {
+        let seconds = now.saturating_sub(attempt.sent_at).as_secs_f64();
         if let Some(pool) = self.pools.get_mut(attempt.target) {
             pool.answered(seconds);
             if attempt.progress == Progress::Sent {
@@ -181,7 +188,7 @@
         }
     }
 
-    fn learn_answer(
+    fn learn_from_response(
         &mut self,
         now: Duration,
         attempt: &Attempt,
@@ -189,37 +196,37 @@
         answer: Answer,
         actions: &mut Vec<Action>,
     ) {
-        self.learn_seconds(now, attempt);
+        self.record_duration(now, attempt);
         let Some(request) = self.requests.get(attempt.request) else {
             return;
         };
         let class = request.class;
         let sample = Sample {
             bucket: Bucket::from(answer.confidence),
-            turn: turn(attempt, request.kept.is_some()),
+            turn: turn(attempt, request.fallback.is_some()),
             at: Some(now),
         };
-        let took = now.saturating_sub(attempt.sent);
-        self.learn_pace(now, attempt, version, answer, actions);
+        let took = now.saturating_sub(attempt.sent_at);
+        self.learn_token_time(now, attempt, version, answer, actions);
         let tokens = answer.completion_tokens;
         self.knowledge
             .measured(version, class, f64::from(tokens), took.as_secs_f64());
         if let Some(entry) = self.policy.versions.get(version.index()) {
             let key = self.knowledge.class_key(class);
-            self.outbox.answered(&entry.id, key, sample);
-            self.outbox.measured(&entry.id, key, tokens, took);
+            self.outbox.record_response(&entry.id, key, sample);
+            self.outbox.record_measurement(&entry.id, key, tokens, took);
         }
-        let seen = Seen {
+        let seen = ObservedResponses {
             sample,
             count: 1.0,
             order: Order::Known,
         };
-        self.learn_answers(now, version, class, seen, actions);
+        self.learn_from_responses(now, version, class, seen, actions);
     }
 
     /// Records the time per token, which unlike the time to the first token doesn't grow with the
     /// queue of a full engine.
-    fn learn_pace(
+    fn learn_token_time(
         &mut self,
         now: Duration,
         attempt: &Attempt,
@@ -231,27 +238,27 @@
             return;
         };
         let tokens = f64::from(answer.completion_tokens.max(1));
-        let pace = now.saturating_sub(first).as_secs_f64() / tokens;
-        let usual = self.knowledge.pace(version, pace);
+        let token_time = now.saturating_sub(first).as_secs_f64() / tokens;
+        let usual = self.knowledge.pace(version, token_time);
         if let Some(usual) = usual {
             let scope = self.health.latency_scope(version);
-            let ratio = pace.max(1e-6) / usual.max(1e-6);
-            self.judge(now, version, actions, |it| it.took(now, scope, ratio));
+            let ratio = token_time.max(1e-6) / usual.max(1e-6);
+            self.observe_version(now, version, actions, |it| it.took(now, scope, ratio));
         }
     }
 
-    pub(super) fn learn_answers(
+    pub(super) fn learn_from_responses(
         &mut self,
         now: Duration,
         version: key::Version,
         class: ClassIndex,
-        seen: Seen,
+        seen: ObservedResponses,
         actions: &mut Vec<Action>,
     ) {
-        let Seen { sample, count, .. } = seen;
+        let ObservedResponses { sample, count, .. } = seen;
         let endpoints = self.directory.len(Target::Version(version));
         let normal = self.health.normal(version, endpoints);
-        self.judge(now, version, actions, |it| it.answered(now, normal, count));
+        self.observe_version(now, version, actions, |it| it.answered(now, normal, count));
         let kind = Kind {
             version,
             class,
@@ -266,26 +273,26 @@
                 scope: self.health.quality_scope(version),
                 order: seen.order,
             };
-            self.judge(now, version, actions, |it| {
+            self.observe_version(now, version, actions, |it| {
                 it.confident(now, &confidence, count);
             });
         }
-        if self.is_usual(version) {
+        if self.feeds_baseline(version) {
             self.knowledge.answered(kind, sample.bucket, count);
         }
     }
 
-    pub(super) fn learn_rating(
+    pub(super) fn learn_from_ratings(
         &mut self,
         now: Duration,
         version: key::Version,
         class: ClassIndex,
-        rated: Rated,
+        rated: ObservedRatings,
         actions: &mut Vec<Action>,
     ) {
-        let Rated { sample, good, bad } = rated;
+        let ObservedRatings { sample, good, bad } = rated;
         let scope = self.health.quality_scope(version);
-        let normal = self.usually_bad(version, class, sample);
+        let normal = self.expected_bad_rate(version, class, sample);
         let seen = Ratings {
             good,
             bad,
@@ -293,27 +300,27 @@
             scope,
             answered: sample.at,
         };
-        self.judge(now, version, actions, |it| it.rated(now, &seen));
+        self.observe_version(now, version, actions, |it| it.rated(now, &seen));
         let kind = Kind {
             version,
             class,
             turn: sample.turn,
         };
-        if self.is_usual(version) {
+        if self.feeds_baseline(version) {
             self.knowledge.rated(kind, sample.bucket, good, bad);
         }
     }
 
     /// Returns whether observations of the version become part of its baseline. Those of a
     /// quarantined version don't: its probes would make bad results the norm and end the quarantine.
-    fn is_usual(&self, version: key::Version) -> bool {
+    fn feeds_baseline(&self, version: key::Version) -> bool {
         !self.health.is_quarantined(version)
     }
 
     /// Returns the kind of responses to compare with: that of the version itself, or that of the
     /// version it replaces if it has too few responses.
     fn baseline(&self, kind: Kind) -> Option<Kind> {
-        let known = |it: &Kind| self.knowledge.answers(*it) >= ANSWERS;
+        let known = |it: &Kind| self.knowledge.answers(*it) >= MIN_BASELINE_RESPONSES;
         if known(&kind) {
             return Some(kind);
         }
@@ -327,25 +334,25 @@
     }
 
     /// Returns the expected share of bad ratings for such a response.
-    fn usually_bad(&self, version: key::Version, class: ClassIndex, sample: Sample) -> f64 {
+    fn expected_bad_rate(&self, version: key::Version, class: ClassIndex, sample: Sample) -> f64 {
         let kind = |version| Kind {
             version,
             class,
             turn: sample.turn,
         };
-        let known = |it: &key::Version| self.knowledge.ratings(*it, class) >= RATINGS;
+        let known = |it: &key::Version| self.knowledge.ratings(*it, class) >= MIN_BASELINE_RATINGS;
         let baseline = Some(version)
             .filter(known)
             .or_else(|| self.replaced(version).filter(known));
         let of = |it| self.knowledge.rated_bad(kind(it), sample.bucket);
         match baseline {
             Some(it) => of(it),
-            None => of(version).max(UNKNOWN_BAD),
+            None => of(version).max(MIN_UNKNOWN_BAD_RATE),
         }
     }
 
     /// Passes the version's monitor to `observe`, and handles a change of the verdict.
-    pub(super) fn judge(
+    pub(super) fn observe_version(
         &mut self,
         now: Duration,
         version: key::Version,
@@ -364,7 +371,8 @@
         actions.push(Action::Version { version, verdict });
         self.health.count_quarantined();
         self.plans.invalidate();
-        self.told.retain(|it| it.version != version);
+        self.reported_last_resorts
+            .retain(|it| it.version != version);
         let policy = Arc::clone(&self.policy);
         if version.index() < policy.versions.len() {
             // Requests that wait for the version may now need another one.
@@ -375,8 +383,8 @@
 
 /// Returns whether a response comes from the first version tried, or after the response of another
 /// version had too low confidence.
-fn turn(attempt: &Attempt, kept: bool) -> Turn {
-    if kept && !attempt.step.is_probe() {
+fn turn(attempt: &Attempt, has_fallback: bool) -> Turn {
+    if has_fallback && !attempt.step.is_probe() {
         Turn::Later
     } else {
         Turn::First
--- a/crates/decide/src/decider/place.rs
+++ b/crates/decide/src/decider/place.rs
@@ -5,7 +5,7 @@
 use super::Decider;
 use crate::action::{Deliver, Dispatch, Relay};
 use crate::arrival::Work;
-use crate::attempt::{Attempt, Fill, Progress};
+use crate::attempt::{Attempt, Occupancy, Progress};
 use crate::directory::{Target, Want};
 use crate::plan::{Plan, Step};
 use crate::policy::{Priority, Repeat};
@@ -14,7 +14,7 @@
 
 /// The next step of a request, and the target that serves it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Next {
+pub(super) struct NextStep {
     pub(super) target: Target,
     pub(super) step: Step,
 }
@@ -22,7 +22,7 @@
 impl Decider {
     /// Dispatches the request's current step, queues it, or refuses the request.
     pub(super) fn place(&mut self, now: Duration, key: request::Key, actions: &mut Vec<Action>) {
-        let next = match self.next(now, key, actions) {
+        let next = match self.next_step(now, key, actions) {
             Ok(next) => next,
             Err(reason) => return self.give_up(now, key, reason, None, actions),
         };
@@ -32,14 +32,14 @@
         let priority = request.priority;
         let pool = self.pools.get(next.target);
         let free = pool.is_some_and(|it| !it.queue.is_ahead(priority));
-        if free && self.send(now, key, next, actions) {
+        if free && self.try_send(now, key, next, actions) {
             return;
         }
         if next.step.is_probe() {
             // A request doesn't wait for a probe.
             return self.skip_step(now, key, actions);
         }
-        match self.expected_wait(now, key, next) {
+        match self.check_wait(now, key, next) {
             Ok(()) => self.enqueue(key, next.target),
             Err(refused) => {
                 if !self.spill(now, key, actions) {
@@ -65,16 +65,16 @@
     /// Dispatches requests queued for `target` until its endpoints have no more capacity.
     pub(super) fn drain(&mut self, now: Duration, target: Target, actions: &mut Vec<Action>) {
         while let Some(key) = self.pools.get(target).and_then(|it| it.queue.first()) {
-            let next = self.next(now, key, actions);
+            let next = self.next_step(now, key, actions);
             if let Ok(next) = next
                 && next.target == target
             {
-                if !self.send(now, key, next, actions) {
+                if !self.try_send(now, key, next, actions) {
                     return;
                 }
                 continue;
             }
-            self.unqueue(key);
+            self.dequeue(key);
             match next {
                 Ok(_) => self.place(now, key, actions),
                 Err(reason) => self.give_up(now, key, reason, None, actions),
@@ -110,11 +110,11 @@
     }
 
     /// Dispatches the request if an endpoint has capacity, and returns whether it did.
-    pub(super) fn send(
+    pub(super) fn try_send(
         &mut self,
         now: Duration,
         key: request::Key,
-        next: Next,
+        next: NextStep,
         actions: &mut Vec<Action>,
     ) -> bool {
         let Some(request) = self.requests.get(key) else {
@@ -127,12 +127,12 @@
             target: next.target,
             priority: request.priority,
             prefix: request.prefix(),
-            avoid: request.avoid,
+            avoid: request.avoided_replica,
         };
-        let Some(replica) = self.directory.choose(now, &want, &mut self.random) else {
+        let Some(replica) = self.directory.choose(now, &want, &mut self.rng) else {
             return false;
         };
-        self.unqueue(key);
+        self.dequeue(key);
         self.dispatch(now, key, next, replica, actions);
         true
     }
@@ -141,7 +141,7 @@
         &mut self,
         now: Duration,
         key: request::Key,
-        next: Next,
+        next: NextStep,
         replica: replica::Key,
         actions: &mut Vec<Action>,
     ) {
@@ -157,10 +157,10 @@
         } else {
             Relay::AfterCheck
         };
-        let fill = if endpoint.may_be_full(now) {
-            Fill::Full
+        let occupancy = if endpoint.may_be_full(now) {
+            Occupancy::Full
         } else {
-            Fill::Free
+            Occupancy::Free
         };
         endpoint.sent();
         let endpoint = endpoint.id;
@@ -172,13 +172,13 @@
             target: next.target,
             step: next.step,
             relay,
-            sent: now,
+            sent_at: now,
             timeout,
             progress: Progress::Sent,
-            fill,
+            occupancy,
         });
         request.attempts += 1;
-        request.took_off(attempt);
+        request.add_attempt(attempt);
         let version = match next.target {
             Target::Version(version) => Some(version),
             Target::Service(_) => None,
@@ -214,13 +214,13 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        if let Some(kept) = request.kept
+        if let Some(fallback) = request.fallback
             && !request.relayed
         {
             let deliver = Deliver {
                 request: request.id,
-                attempt: kept.attempt,
-                version: Some(kept.version),
+                attempt: fallback.attempt,
+                version: Some(fallback.version),
                 cost: request.spent,
                 attempts: request.attempts,
             };
@@ -239,7 +239,7 @@
 
     /// Removes a request that has been completed or cancelled, and cancels its attempts in flight.
     pub(super) fn close(&mut self, now: Duration, key: request::Key, actions: &mut Vec<Action>) {
-        self.unqueue(key);
+        self.dequeue(key);
         let Some(request) = self.requests.remove(key) else {
             return;
         };
@@ -250,7 +250,7 @@
                 Work::Call(_) => limits.calls.released(),
             }
         }
-        for attempt in request.flights.into_iter().flatten() {
+        for attempt in request.in_flight.into_iter().flatten() {
             self.cancel(now, attempt, actions);
         }
     }
@@ -272,7 +272,7 @@
     /// was one.
     fn spill(&mut self, now: Duration, key: request::Key, actions: &mut Vec<Action>) -> bool {
         for next in self.alternatives(now, key) {
-            if self.send(now, key, next, actions) {
+            if self.try_send(now, key, next, actions) {
                 if let Some(request) = self.requests.get_mut(key) {
                     request.plan = Plan::of(&[next.step]);
                     request.step = 0;
--- a/crates/decide/src/decider/plan.rs
+++ b/crates/decide/src/decider/plan.rs
@@ -5,8 +5,8 @@
 
 use rand::RngExt;
 
-use super::choose::Ask;
-use super::{Decider, Resort};
+use super::choose::PlanInput;
+use super::{Decider, LastResort};
 use crate::action::{Cause, Verdict};
 use crate::arrival::Chat;
 use crate::directory::Target;
@@ -21,7 +21,7 @@
 use crate::{Action, key, request};
 
 /// Number of ratings from which a version needs little exploration.
-const KNOWN: f64 = 300.0;
+const WELL_KNOWN_RATINGS: f64 = 300.0;
 
 impl Decider {
     /// Returns the plan for a request: the optimal plan, possibly changed by a roll-out, a probe or
@@ -35,25 +35,25 @@
     ) -> Result<Plan, Reason> {
         let request = &self.requests[key];
         let first = request.plan.steps().is_empty();
-        let ask = Ask::new(now, &self.knowledge, request, chat);
-        let entry = self.entry(now, &ask)?;
+        let input = PlanInput::new(now, &self.knowledge, request, chat);
+        let entry = self.cached_plan(now, &input)?;
         if let Some(version) = entry.last_resort {
-            self.tell(&ask, version, actions);
+            self.report_last_resort(&input, version, actions);
         }
-        let usual = if self.random.random::<f64>() < entry.mix.share {
+        let usual = if self.rng.random::<f64>() < entry.mix.share {
             entry.mix.cheap
         } else {
             entry.mix.good
         };
-        let usual = self.with_trials(&ask, usual);
-        if ask.steps < STEPS || !first {
+        let usual = self.with_trials(&input, usual);
+        if input.max_steps < STEPS || !first {
             return Ok(usual);
         }
-        Ok(self.with_probe(now, &ask, &entry, usual))
+        Ok(self.with_probe(now, &input, &entry, usual))
     }
 
     /// Replaces versions by those on trial, for the share of requests given by each roll-out.
-    pub(super) fn with_trials(&mut self, ask: &Ask, plan: Plan) -> Plan {
+    pub(super) fn with_trials(&mut self, input: &PlanInput, plan: Plan) -> Plan {
         let policy = Arc::clone(&self.policy);
         let mut plan = plan;
         for rollout in &policy.rollouts {
@@ -62,8 +62,8 @@
             else {
                 continue;
             };
-            let usable = self.may_take(ask.profile, ask.customer, Step::last(version));
-            if !usable || self.random.random::<f64>() >= share {
+            let usable = self.may_use(input.profile, input.customer, Step::last(version));
+            if !usable || self.rng.random::<f64>() >= share {
                 continue;
             }
             plan = match rollout.replaces {
@@ -79,14 +79,14 @@
     pub(super) fn with_probe(
         &mut self,
         now: Duration,
-        ask: &Ask,
+        input: &PlanInput,
         entry: &Entry,
         plan: Plan,
     ) -> Plan {
         if self.health.has_quarantined() {
             let policy = Arc::clone(&self.policy);
-            for version in policy.allowed(ask.profile, ask.customer) {
-                let free = self.may_take(ask.profile, ask.customer, Step::probe(*version))
+            for version in policy.allowed(input.profile, input.customer) {
+                let free = self.may_use(input.profile, input.customer, Step::probe(*version))
                     && !plan.uses(*version);
                 let monitor = self.health.get_mut(*version);
                 if free && monitor.is_some_and(|it| it.take_probe(now)) {
@@ -95,49 +95,57 @@
             }
         }
         match entry.explore {
-            Some(it) if self.random.random::<f64>() < it.share && !plan.uses(it.version) => {
+            Some(it) if self.rng.random::<f64>() < it.share && !plan.uses(it.version) => {
                 plan.after(it.version)
             }
             _ => plan,
         }
     }
 
-    pub(super) fn entry(&mut self, now: Duration, ask: &Ask) -> Result<Entry, Reason> {
-        let menu = self.plans.menu(ask.profile, ask.customer);
+    pub(super) fn cached_plan(
+        &mut self,
+        now: Duration,
+        input: &PlanInput,
+    ) -> Result<Entry, Reason> {
+        let menu = self.plans.menu(input.profile, input.customer);
         let name = Name {
-            profile: ask.profile,
+            profile: input.profile,
             menu: menu.ok_or(Reason::NotAllowed)?,
-            class: ask.class,
-            steps: ask.steps,
+            class: input.class,
+            steps: input.max_steps,
         };
         if let Some(entry) = self.plans.get(now, self.knowledge.changes(), name) {
             return Ok(entry);
         }
-        let entry = self.make_entry(now, ask)?;
+        let entry = self.build_cached_plan(now, input)?;
         self.plans.insert(name, entry);
         Ok(entry)
     }
 
-    pub(super) fn make_entry(&mut self, now: Duration, ask: &Ask) -> Result<Entry, Reason> {
-        let healthy = self.forecasts(ask);
+    pub(super) fn build_cached_plan(
+        &mut self,
+        now: Duration,
+        input: &PlanInput,
+    ) -> Result<Entry, Reason> {
+        let healthy = self.forecasts(input);
         let (usable, last_resort) = if healthy.is_empty() {
-            let it = self.least_bad(ask)?;
-            let resort = self.health.is_quarantined(it.version);
-            (vec![it], resort.then_some(it.version))
+            let it = self.fallback_forecast(input)?;
+            let is_last_resort = self.health.is_quarantined(it.version);
+            (vec![it], is_last_resort.then_some(it.version))
         } else {
             (healthy, None)
         };
-        let profile = &self.policy.profiles[ask.profile.index()];
+        let profile = &self.policy.profiles[input.profile.index()];
         let goal = Goal {
             target: profile.target,
             cap: profile.cap.map_or(f64::MAX, |it| float(it.0)),
-            steps: ask.steps,
-            pinned: ask.pinned,
+            steps: input.max_steps,
+            pinned: input.pinned_share,
         };
         let mix = plan(&usable, &goal).ok_or(Reason::NoVersion)?;
         Ok(Entry {
             mix,
-            explore: self.explore(&usable, &mix, &goal),
+            explore: self.exploration(&usable, &mix, &goal),
             last_resort,
             made: now,
             changes: self.knowledge.changes(),
@@ -146,7 +154,12 @@
 
     /// Returns the version to explore: among those that could improve the plan, the one with the
     /// fewest ratings.
-    pub(super) fn explore(&self, usable: &[Forecast], mix: &Mix, goal: &Goal) -> Option<Explore> {
+    pub(super) fn exploration(
+        &self,
+        usable: &[Forecast],
+        mix: &Mix,
+        goal: &Goal,
+    ) -> Option<Explore> {
         let short = mix.quality < goal.target;
         let unused = usable
             .iter()
@@ -154,14 +167,14 @@
         // A version that costs more than the plan is useful only if the plan misses the target.
         let useful = unused.filter(|it| short || it.cost < mix.cost);
         let least = useful.min_by(|a, b| {
-            let known = |it: &Forecast| it.ratings.min(KNOWN);
+            let known = |it: &Forecast| it.ratings.min(WELL_KNOWN_RATINGS);
             let order = known(a).total_cmp(&known(b));
             order.then(a.cost.total_cmp(&b.cost))
         })?;
         let part = match least.ratings {
             few if few < 40.0 => 1.0,
             some if some < 120.0 => 0.5,
-            many if many < KNOWN => 0.2,
+            many if many < WELL_KNOWN_RATINGS => 0.2,
             _ => 0.04,
         };
         // A version that is cheap compared with the plan is explored more often.
@@ -174,9 +187,12 @@
 
     /// Returns forecasts for the healthy versions that have endpoints. Versions on trial are
     /// included only if there are no others.
-    pub(super) fn forecasts(&mut self, ask: &Ask) -> Vec<Forecast> {
+    pub(super) fn forecasts(&mut self, input: &PlanInput) -> Vec<Forecast> {
         let policy = Arc::clone(&self.policy);
-        let allowed = policy.allowed(ask.profile, ask.customer).iter().copied();
+        let allowed = policy
+            .allowed(input.profile, input.customer)
+            .iter()
+            .copied();
         let state = |it: &key::Version| policy.versions.get(it.index()).map(|it| it.state);
         let usable = allowed
             .filter(|it| state(it).is_some_and(|it| it != State::Withdrawn))
@@ -185,15 +201,16 @@
         let (active, trial): (Vec<_>, Vec<_>) =
             usable.partition(|it| state(it) == Some(State::Active));
         let usable = if active.is_empty() { trial } else { active };
-        let forecast = |it| self.knowledge.forecast(&policy, it, ask.class);
+        let forecast = |it| self.knowledge.forecast(&policy, it, input.class);
         usable.into_iter().map(forecast).collect()
     }
 
     /// Returns the best forecast among all permitted versions that have endpoints, including
     /// quarantined ones. Versions not quarantined for errors come first.
-    pub(super) fn least_bad(&mut self, ask: &Ask) -> Result<Forecast, Reason> {
-        let allowed = self.policy.allowed(ask.profile, ask.customer).iter();
-        let permitted = allowed.filter(|it| self.policy.permits(ask.profile, ask.customer, **it));
+    pub(super) fn fallback_forecast(&mut self, input: &PlanInput) -> Result<Forecast, Reason> {
+        let allowed = self.policy.allowed(input.profile, input.customer).iter();
+        let permitted =
+            allowed.filter(|it| self.policy.permits(input.profile, input.customer, **it));
         let permitted: Vec<_> = permitted.copied().collect();
         if permitted.is_empty() {
             return Err(Reason::NoVersion);
@@ -203,35 +220,42 @@
             .filter(|it| !self.directory.is_empty(Target::Version(*it)));
         let reachable: Vec<_> = reachable.collect();
         let policy = Arc::clone(&self.policy);
-        let forecast = |it| self.knowledge.forecast(&policy, it, ask.class);
+        let forecast = |it| self.knowledge.forecast(&policy, it, input.class);
         let forecasts: Vec<_> = reachable.into_iter().map(forecast).collect();
         forecasts
             .into_iter()
             .max_by(|a, b| {
-                let order = self.answers(a.version).cmp(&self.answers(b.version));
+                let order = self
+                    .is_responding(a.version)
+                    .cmp(&self.is_responding(b.version));
                 order.then(a.quality().total_cmp(&b.quality()))
             })
             .ok_or(Reason::NoEndpoint)
     }
 
     /// Returns whether the version isn't quarantined for errors.
-    pub(super) fn answers(&self, version: key::Version) -> bool {
+    pub(super) fn is_responding(&self, version: key::Version) -> bool {
         let verdict = self.health.get(version).map(Monitor::verdict);
         verdict != Some(Verdict::Quarantined(Cause::Errors))
     }
 
     /// Reports that a customer has only a quarantined version left, unless that has been reported.
-    pub(super) fn tell(&mut self, ask: &Ask, version: key::Version, actions: &mut Vec<Action>) {
-        let resort = Resort {
+    pub(super) fn report_last_resort(
+        &mut self,
+        input: &PlanInput,
+        version: key::Version,
+        actions: &mut Vec<Action>,
+    ) {
+        let last_resort = LastResort {
             version,
-            profile: ask.profile,
-            customer: ask.customer,
+            profile: input.profile,
+            customer: input.customer,
         };
-        if self.told.insert(resort) {
+        if self.reported_last_resorts.insert(last_resort) {
             actions.push(Action::LastResort {
                 version,
-                profile: ask.profile,
-                customer: ask.customer,
+                profile: input.profile,
+                customer: input.customer,
             });
         }
     }
--- a/crates/decide/src/decider/tick.rs
+++ b/crates/decide/src/decider/tick.rs
@@ -11,22 +11,22 @@
 use crate::{Action, key, request};
 
 /// Interval at which demand is published and roll-outs are checked.
-const SECOND: Duration = Duration::from_secs(1);
+const PERIODIC_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Decider {
     pub(super) fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if let Some(evidence) = self.outbox.take(now) {
+        if let Some(evidence) = self.outbox.take_due(now) {
             actions.push(Action::Publish(evidence));
         }
-        self.settle_cuts(now, actions);
+        self.settle_cut_responses(now, actions);
         self.share_limits(now);
-        self.expire(now, actions);
+        self.refuse_late(now, actions);
         for target in self.pools.waiting() {
             self.drain(now, target, actions);
         }
         self.hedge(now, actions);
-        if now >= self.next_second {
-            self.next_second = now + SECOND;
+        if now >= self.next_periodic {
+            self.next_periodic = now + PERIODIC_INTERVAL;
             self.publish_demand(now, actions);
             self.step_rollouts(now, actions);
         }
@@ -34,7 +34,7 @@
 
     fn share_limits(&mut self, now: Duration) {
         self.peers.settle(now);
-        let live = f64::from(self.live);
+        let live = f64::from(self.live_hosts);
         for (at, limits) in self.limiters.iter_mut().enumerate() {
             let elsewhere = self.peers.elsewhere(key::Customer::at(at));
             limits.chat.share(now, live, elsewhere.chat);
@@ -44,7 +44,7 @@
 
     /// Refuses queued requests that can no longer meet their deadline, so that callers aren't refused
     /// only at the deadline. Lets the other queued requests use the endpoint that they avoided.
-    fn expire(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn refuse_late(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let mut late = Vec::new();
         for target in self.pools.waiting() {
             let Some(pool) = self.pools.get(target) else {
@@ -54,7 +54,7 @@
                 if self.is_late(now, key, target) {
                     late.push(key);
                 } else if let Some(request) = self.requests.get_mut(key) {
-                    request.avoid = None;
+                    request.avoided_replica = None;
                 }
             }
         }
@@ -64,7 +64,7 @@
     }
 
     fn is_late(&self, now: Duration, key: request::Key, target: Target) -> bool {
-        let needed = self.latency(key, target) / 2;
+        let needed = self.expected_latency(key, target) / 2;
         let request = self.requests.get(key);
         request.is_some_and(|it| now + needed >= it.deadline)
     }
@@ -73,13 +73,13 @@
     /// byte takes unusually long and the retry budget permits it.
     fn hedge(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let mut hedgeable = std::mem::take(&mut self.hedgeable);
-        hedgeable.retain(|key| self.hedge_one(now, *key, actions));
+        hedgeable.retain(|key| self.try_hedge(now, *key, actions));
         hedgeable.append(&mut self.hedgeable);
         self.hedgeable = hedgeable;
     }
 
     /// Hedges the attempt if it is due, and returns whether to check it again later.
-    fn hedge_one(&mut self, now: Duration, key: attempt::Key, actions: &mut Vec<Action>) -> bool {
+    fn try_hedge(&mut self, now: Duration, key: attempt::Key, actions: &mut Vec<Action>) -> bool {
         let Some(attempt) = self.attempts.get(key).copied() else {
             return false;
         };
@@ -90,34 +90,37 @@
         let Some(after) = pool.and_then(Pool::hedge_after) else {
             return true;
         };
-        if now < attempt.sent + after {
+        if now < attempt.sent_at + after {
             return true;
         }
         let Some(request) = self.requests.get_mut(attempt.request) else {
             return false;
         };
-        let single = request.flights.iter().flatten().count() == 1;
+        let single = request.in_flight.iter().flatten().count() == 1;
         if !single || request.attempts >= self.tuning.attempts {
             return false;
         }
-        request.avoid = Some(attempt.replica);
+        request.avoided_replica = Some(attempt.replica);
         let want = Want {
             target: attempt.target,
             priority: request.priority,
             prefix: 0,
             avoid: Some(attempt.replica),
         };
-        let same = |next: super::place::Next| next.target == attempt.target;
-        if !self.next(now, attempt.request, actions).is_ok_and(same) {
+        let same = |next: super::place::NextStep| next.target == attempt.target;
+        if !self
+            .next_step(now, attempt.request, actions)
+            .is_ok_and(same)
+        {
             return false;
         }
-        let Some(replica) = self.directory.choose(now, &want, &mut self.random) else {
+        let Some(replica) = self.directory.choose(now, &want, &mut self.rng) else {
             return true;
         };
         if !self.retries.take(1.0) {
             return true;
         }
-        let next = super::place::Next {
+        let next = super::place::NextStep {
             target: attempt.target,
             step: attempt.step,
         };
@@ -126,7 +129,7 @@
     }
 
     fn publish_demand(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.live < 2 {
+        if self.live_hosts < 2 {
             return;
         }
         let customers = self.policy.customers.iter().zip(&self.limiters);
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -5,7 +5,7 @@
 use kernel::Money;
 
 use super::Decider;
-use super::place::Next;
+use super::place::NextStep;
 use crate::arrival::Work;
 use crate::directory::Target;
 use crate::number::{count, floor};
@@ -18,30 +18,30 @@
 impl Decider {
     /// Returns an error if the request may not be queued, because the queue is full or the expected
     /// wait is too long.
-    pub(super) fn expected_wait(
+    pub(super) fn check_wait(
         &self,
         now: Duration,
         key: request::Key,
-        next: Next,
-    ) -> Result<(), Refused> {
+        next: NextStep,
+    ) -> Result<(), WaitRefused> {
         let (Some(request), Some(pool)) = (self.requests.get(key), self.pools.get(next.target))
         else {
-            return Err(Refused::new(Reason::NoEndpoint, None));
+            return Err(WaitRefused::new(Reason::NoEndpoint, None));
         };
         let weight = self.weight(request.customer);
         let running = f64::from(self.directory.in_flight(next.target));
         let running = running.max(self.directory.slot_share(next.target));
         let wait = pool.wait(now, request.customer, request.priority, weight, running);
         let own = pool.queue.own(request.customer, request.priority);
-        if own >= self.queue_share(weight) || pool.queue.len() >= 2 * self.tuning.queue {
-            return Err(Refused::new(Reason::Overloaded, Some(wait)));
+        if own >= self.max_queued(weight) || pool.queue.len() >= 2 * self.tuning.queue {
+            return Err(WaitRefused::new(Reason::Overloaded, Some(wait)));
         }
-        let seconds = self.latency(key, next.target);
+        let seconds = self.expected_latency(key, next.target);
         if now + wait + seconds > request.deadline {
-            return Err(Refused::new(Reason::Deadline, Some(wait)));
+            return Err(WaitRefused::new(Reason::Deadline, Some(wait)));
         }
-        if wait > longest_wait(request.priority) {
-            return Err(Refused::new(Reason::Overloaded, Some(wait)));
+        if wait > max_wait(request.priority) {
+            return Err(WaitRefused::new(Reason::Overloaded, Some(wait)));
         }
         Ok(())
     }
@@ -50,7 +50,7 @@
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        request.waits = Some(target);
+        request.waiting_for = Some(target);
         let entry = Entry {
             request: key,
             customer: request.customer,
@@ -67,11 +67,11 @@
         }
     }
 
-    pub(super) fn unqueue(&mut self, key: request::Key) {
+    pub(super) fn dequeue(&mut self, key: request::Key) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        let Some(target) = request.waits.take() else {
+        let Some(target) = request.waiting_for.take() else {
             return;
         };
         let entry = Entry {
@@ -89,7 +89,7 @@
             return;
         };
         let (customer, priority) = (request.customer, request.priority);
-        let work = self.latency(key, target).as_secs_f64().max(0.001);
+        let work = self.expected_latency(key, target).as_secs_f64().max(0.001);
         let weight = self.weight(customer);
         if let Some(pool) = self.pools.get_mut(target) {
             pool.queue.charge(customer, priority, work, weight);
@@ -111,8 +111,8 @@
     /// the remaining time, or a multiple of the usual latency if that is longer, so that an endpoint
     /// that hangs leaves time for a retry. A model response that is relayed while it is received gets
     /// all of the remaining time, since it can't be replaced once it has started.
-    pub(super) fn timeout(&self, now: Duration, key: request::Key, next: Next) -> Duration {
-        const PLENTY: u32 = 5;
+    pub(super) fn timeout(&self, now: Duration, key: request::Key, next: NextStep) -> Duration {
+        const TIMEOUT_LATENCY_FACTOR: u32 = 5;
         let Some(request) = self.requests.get(key) else {
             return Duration::ZERO;
         };
@@ -123,15 +123,15 @@
         if request.repeat == Repeat::AtMostOnce {
             return left;
         }
-        let usual = self.latency(key, next.target);
+        let usual = self.expected_latency(key, next.target);
         if usual.is_zero() {
             return left;
         }
-        left.min((usual * PLENTY).max(left / 2))
+        left.min((usual * TIMEOUT_LATENCY_FACTOR).max(left / 2))
     }
 
     /// Returns the usual duration of an attempt.
-    pub(super) fn latency(&self, key: request::Key, target: Target) -> Duration {
+    pub(super) fn expected_latency(&self, key: request::Key, target: Target) -> Duration {
         let class = self.requests.get(key).map(|it| it.class);
         let seconds = match (target, class) {
             (Target::Version(version), Some(class)) => self
@@ -145,7 +145,7 @@
     }
 
     /// Returns an upper estimate of the cost of a step.
-    pub(super) fn price(&self, key: request::Key, step: Step) -> Money {
+    pub(super) fn max_step_cost(&self, key: request::Key, step: Step) -> Money {
         let (Some(request), Some(version)) = (
             self.requests.get(key),
             self.policy.versions.get(step.version.index()),
@@ -168,22 +168,24 @@
     }
 
     /// Returns the number of requests that a customer of this weight may have queued for a target.
-    pub(super) fn queue_share(&self, weight: f64) -> usize {
-        const LEAST: usize = 4;
+    pub(super) fn max_queued(&self, weight: f64) -> usize {
+        const MIN_QUEUED: usize = 4;
         let customers = self.policy.customers.iter();
         let total: f64 = customers.map(|it| it.weight).sum();
         let share = count(self.tuning.queue) * (2.0 * weight / total).min(1.0);
-        usize::try_from(floor(share)).unwrap_or(LEAST).max(LEAST)
+        usize::try_from(floor(share))
+            .unwrap_or(MIN_QUEUED)
+            .max(MIN_QUEUED)
     }
 }
 
 /// The reason why a request may not be queued.
-pub(super) struct Refused {
+pub(super) struct WaitRefused {
     pub(super) reason: Reason,
     pub(super) retry_after: Option<Duration>,
 }
 
-impl Refused {
+impl WaitRefused {
     fn new(reason: Reason, retry_after: Option<Duration>) -> Self {
         Self {
             reason,
@@ -193,7 +195,7 @@
 }
 
 /// Returns the maximum expected wait, which applies even if the deadline is later.
-fn longest_wait(priority: Priority) -> Duration {
+fn max_wait(priority: Priority) -> Duration {
     match priority {
         Priority::Urgent => Duration::from_secs(2),
         Priority::Interactive => Duration::from_secs(15),
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod action;
 pub mod arrival;
 mod attempt;
+mod attempts;
 mod belief;
 mod bucket;
 mod class;
@@ -19,7 +20,6 @@
 pub mod endpoint;
 pub mod event;
 pub mod evidence;
-mod flights;
 mod forecast;
 mod health;
 pub mod key;
--- a/crates/decide/src/outbox.rs
+++ b/crates/decide/src/outbox.rs
@@ -11,7 +11,7 @@
 use crate::{endpoint, key};
 
 /// Interval between publications if no evidence is urgent.
-const CALM: Duration = Duration::from_secs(1);
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Evidence that hasn't been published yet, aggregated by version and class.
 #[derive(Debug, Default)]
@@ -25,13 +25,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Urgency {
     #[default]
-    Calm,
+    Routine,
     /// There is a failure or a bad rating, which other hosts should learn of at once.
-    Bad,
+    Immediate,
 }
 
 impl Outbox {
-    pub(crate) fn arrived(&mut self, class: key::Class, pinned: u32) {
+    pub(crate) fn record_arrival(&mut self, class: key::Class, pinned: u32) {
         let at = self.turns.iter().position(|it| it.class == class);
         let at = at.unwrap_or_else(|| {
             self.turns.push(Turns {
@@ -45,7 +45,12 @@
         self.turns[at].free += 1 - pinned;
     }
 
-    pub(crate) fn answered(&mut self, version: &VersionId, class: key::Class, sample: Sample) {
+    pub(crate) fn record_response(
+        &mut self,
+        version: &VersionId,
+        class: key::Class,
+        sample: Sample,
+    ) {
         let it = self.item(version, class);
         match sample.turn {
             Turn::First => it.answered[sample.bucket.index()] += 1,
@@ -53,7 +58,7 @@
         }
     }
 
-    pub(crate) fn measured(
+    pub(crate) fn record_measurement(
         &mut self,
         version: &VersionId,
         class: key::Class,
@@ -65,7 +70,12 @@
         it.latency_ms += u64::try_from(latency.as_millis()).unwrap_or(u64::MAX);
     }
 
-    pub(crate) fn failed(&mut self, version: &VersionId, class: key::Class, at: endpoint::Id) {
+    pub(crate) fn record_failure(
+        &mut self,
+        version: &VersionId,
+        class: key::Class,
+        at: endpoint::Id,
+    ) {
         let it = self.item(version, class);
         it.failed += 1;
         let [first, second] = &mut it.failed_at;
@@ -74,10 +84,10 @@
             Some(known) if known != at => *second = Some(at),
             Some(_) => {}
         }
-        self.urgency = Urgency::Bad;
+        self.urgency = Urgency::Immediate;
     }
 
-    pub(crate) fn rated(
+    pub(crate) fn record_rating(
         &mut self,
         version: &VersionId,
         class: key::Class,
@@ -93,18 +103,19 @@
         };
         counts[sample.bucket.index()] += 1;
         if quality == Quality::Bad {
-            self.urgency = Urgency::Bad;
+            self.urgency = Urgency::Immediate;
         }
     }
 
     /// Takes the evidence if its publication is due.
-    pub(crate) fn take(&mut self, now: Duration) -> Option<Evidence> {
-        let due = now.saturating_sub(self.published) >= CALM || self.urgency == Urgency::Bad;
+    pub(crate) fn take_due(&mut self, now: Duration) -> Option<Evidence> {
+        let due = now.saturating_sub(self.published) >= PUBLISH_INTERVAL
+            || self.urgency == Urgency::Immediate;
         if (self.items.is_empty() && self.turns.is_empty()) || !due {
             return None;
         }
         self.published = now;
-        self.urgency = Urgency::Calm;
+        self.urgency = Urgency::Routine;
         Some(Evidence {
             items: std::mem::take(&mut self.items),
             turns: std::mem::take(&mut self.turns),
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -38,22 +38,22 @@
     /// Whether an endpoint may have run the request.
     pub(crate) run: Run,
     /// The attempts in flight; two if the request is hedged.
-    pub(crate) flights: [Option<attempt::Key>; 2],
+    pub(crate) in_flight: [Option<attempt::Key>; 2],
     /// A response of low confidence, delivered if no better one is received.
-    pub(crate) kept: Option<Kept>,
+    pub(crate) fallback: Option<Fallback>,
     /// Whether part of a response may have been relayed.
     pub(crate) relayed: bool,
     /// The endpoint of the previous attempt, which the next one avoids.
-    pub(crate) avoid: Option<replica::Key>,
+    pub(crate) avoided_replica: Option<replica::Key>,
     /// The version of the last failed attempt that may have run.
-    pub(crate) failed: Option<key::Version>,
+    pub(crate) last_failed_version: Option<key::Version>,
     /// The target whose queue the request is in, if any.
-    pub(crate) waits: Option<Target>,
+    pub(crate) waiting_for: Option<Target>,
 }
 
 /// A response to deliver if no better one is received.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Kept {
+pub(crate) struct Fallback {
     pub(crate) attempt: AttemptId,
     pub(crate) version: key::Version,
 }
@@ -76,17 +76,17 @@
     }
 
     pub(crate) fn is_in_flight(&self) -> bool {
-        self.flights.iter().any(Option::is_some)
+        self.in_flight.iter().any(Option::is_some)
     }
 
-    pub(crate) fn took_off(&mut self, attempt: attempt::Key) {
-        if let Some(free) = self.flights.iter_mut().find(|it| it.is_none()) {
+    pub(crate) fn add_attempt(&mut self, attempt: attempt::Key) {
+        if let Some(free) = self.in_flight.iter_mut().find(|it| it.is_none()) {
             *free = Some(attempt);
         }
     }
 
-    pub(crate) fn landed(&mut self, attempt: attempt::Key) {
-        for it in &mut self.flights {
+    pub(crate) fn remove_attempt(&mut self, attempt: attempt::Key) {
+        for it in &mut self.in_flight {
             if *it == Some(attempt) {
                 *it = None;
             }
