--- a/crates/decide/src/decider.rs
+++ b/crates/decide/src/decider.rs
@@ -1,11 +1,11 @@
-//! The decider.
+//! The state of the decider and the dispatch of its events.
 
 mod arrive;
-mod blame;
 mod choose;
 mod configure;
 mod end;
 mod evidence;
+mod failures;
 mod learn;
 mod place;
 mod plan;
@@ -20,10 +20,10 @@
 use slotmap::SlotMap;
 
 use crate::attempt;
+use crate::attempts::Attempts;
 use crate::bucket::Bucket;
 use crate::directory::Directory;
 use crate::event::Event;
-use crate::flights::Flights;
 use crate::health::Health;
 use crate::knowledge::Knowledge;
 use crate::limiter::Limiter;
@@ -37,23 +37,23 @@
 use crate::samples::Samples;
 use crate::{Action, Evidence, Policy, Tuning, endpoint, key};
 
-/// Retries that a host may make before it has seen any traffic.
-const FIRST_RETRIES: f64 = 5.0;
+/// Initial balance of the retry budget.
+const INITIAL_RETRIES: f64 = 5.0;
 
-/// Decides for one entry host.
+/// Makes the routing decisions of one entry host.
 ///
-/// Same seed, tuning and events, same actions.
+/// Deterministic: the same seed, tuning and events produce the same actions.
 pub struct Decider {
     tuning: Tuning,
-    random: Pcg64Mcg,
+    rng: Pcg64Mcg,
     policy: Arc<Policy>,
     readiness: Readiness,
-    live: u32,
+    live_hosts: u32,
     directory: Directory,
     requests: SlotMap<request::Key, Request>,
     by_id: HashMap<key::Request, request::Key>,
-    attempts: Flights,
-    /// Urgent attempts that may get a second one beside them.
+    attempts: Attempts,
+    /// Attempts of urgent idempotent requests that may still be hedged.
     hedgeable: Vec<attempt::Key>,
     pools: Pools,
     knowledge: Knowledge,
@@ -63,14 +63,15 @@
     peers: Peers,
     samples: Samples,
     outbox: Outbox,
-    /// Answers that were cut, until it is known whether their endpoints live on.
-    cuts: VecDeque<blame::Failure>,
+    /// Truncated responses. They count against the version only if the endpoint turns out to have
+    /// survived.
+    cut_responses: VecDeque<failures::Failure>,
     pilots: Vec<Pilot>,
-    /// Last resorts that have been told.
-    told: BTreeSet<Resort>,
+    /// Last resorts for which [`Action::LastResort`] has been emitted.
+    reported_last_resorts: BTreeSet<LastResort>,
     retries: Bucket,
     sampler: Sampler,
-    next_second: Duration,
+    next_periodic: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,33 +80,33 @@
     Configured,
 }
 
-/// A customer's limits; those of plain services are their own, so that a flood
-/// of model requests never has its seat holds refused.
+/// A customer's limiters. Calls of plain services are limited separately, so that a flood of model
+/// requests doesn't cause them to be refused.
 struct Limits {
     chat: Limiter,
     calls: Limiter,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Resort {
+struct LastResort {
     version: key::Version,
     profile: key::Profile,
     customer: key::Customer,
 }
 
 impl Decider {
-    /// A decider without policy or endpoints; it refuses all until it has them.
+    /// Creates a decider without a policy or endpoints. It refuses all requests until it has both.
     #[must_use]
     pub fn new(seed: u64, tuning: Tuning) -> Self {
         Self {
-            random: Pcg64Mcg::new(u128::from(seed) << 1 | 1),
+            rng: Pcg64Mcg::new(u128::from(seed) << 1 | 1),
             policy: Arc::default(),
             readiness: Readiness::Unconfigured,
-            live: 1,
+            live_hosts: 1,
             directory: Directory::new(&tuning.host),
             requests: SlotMap::with_key(),
             by_id: HashMap::new(),
-            attempts: Flights::default(),
+            attempts: Attempts::default(),
             hedgeable: Vec::new(),
             pools: Pools::default(),
             knowledge: Knowledge::new(tuning.rating_noise),
@@ -115,49 +116,50 @@
             peers: Peers::default(),
             samples: Samples::default(),
             outbox: Outbox::default(),
-            cuts: VecDeque::new(),
+            cut_responses: VecDeque::new(),
             pilots: Vec::new(),
-            told: BTreeSet::new(),
-            retries: Bucket::new(FIRST_RETRIES, Duration::ZERO),
+            reported_last_resorts: BTreeSet::new(),
+            retries: Bucket::new(INITIAL_RETRIES, Duration::ZERO),
             sampler: Sampler::new(),
-            next_second: Duration::ZERO,
+            next_periodic: Duration::ZERO,
             tuning,
         }
     }
 
-    /// The constants that it decides by.
+    /// Returns the parameters of the decisions.
     #[must_use]
     pub fn tuning(&self) -> &Tuning {
         &self.tuning
     }
 
-    /// The policy in force.
+    /// Returns the policy in force.
     #[must_use]
     pub fn policy(&self) -> &Arc<Policy> {
         &self.policy
     }
 
-    /// The endpoints that this host sends to; the load of others needn't be
-    /// asked for. Changes with `Configure` and `Endpoint` events.
+    /// Returns the endpoints that this host sends requests to, which are the only ones whose load it
+    /// needs. The list changes with `Configure` and `Endpoint` events.
     #[must_use]
     pub fn watched(&self) -> Vec<endpoint::Id> {
         self.directory.watched()
     }
 
-    /// What this host has learned, for one that starts to take as
-    /// [`Event::Digest`]. It says nothing of quarantines: those are told by verdicts.
+    /// Returns a summary of what this host has learned, for a starting host to apply as
+    /// [`Event::Digest`]. Quarantines aren't included; they are sent as verdicts.
     #[must_use]
     pub fn digest(&self) -> Evidence {
         self.knowledge.digest(&self.policy)
     }
 
-    /// Requests that have arrived and have not ended.
+    /// Returns the number of requests that have arrived and not yet ended.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes an event at `now`, which never goes back, and appends what to do.
+    /// Handles an event at time `now`, which must not decrease between calls, and appends the
+    /// resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Configure(policy) => self.configure(now, policy, actions),
@@ -165,27 +167,27 @@
             Event::Arrive(arrival) => self.arrive(now, arrival, actions),
             Event::Started { attempt } => {
                 if let Some(key) = self.attempts.find(attempt) {
-                    self.started(now, key, actions);
+                    self.response_started(now, key, actions);
                 }
             }
             Event::Ended { attempt, outcome } => {
                 if let Some(key) = self.attempts.find(attempt) {
-                    self.ended(now, key, outcome, actions);
+                    self.attempt_ended(now, key, outcome, actions);
                 }
             }
             Event::Cancelled { request } => self.cancelled(now, request, actions),
-            Event::Rated(rating) => self.rated(now, &rating, actions),
-            Event::Evidence(evidence) => self.evidence(now, &evidence, actions),
+            Event::Rated(rating) => self.apply_rating(now, &rating, actions),
+            Event::Evidence(evidence) => self.apply_evidence(now, &evidence, actions),
             Event::Digest(digest) => {
                 self.knowledge.absorb(&self.policy, &digest);
                 self.plans.invalidate();
             }
             Event::Verdict { version, verdict } => {
-                self.verdict(now, &version, verdict, actions);
+                self.apply_verdict(now, &version, verdict, actions);
             }
             Event::Hosts { live } => {
-                self.live = live.max(1);
-                self.directory.live = self.live;
+                self.live_hosts = live.max(1);
+                self.directory.live = self.live_hosts;
             }
             Event::Demand(demand) => self.peers.heard(now, &self.policy, &demand),
             Event::Tick => self.tick(now, actions),
