--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -1,4 +1,4 @@
-//! What one decision costs: a request arrives, is sent, and its answer ends.
+//! Measures the time of routing decisions for a request from arrival to response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use decide::{Action, Arrival, Decider, Event, Outcome, Policy, Tuning, key};
 use kernel::{HostName, Incarnation, Money, Revision, VersionId};
 
-/// The size that is to be carried.
+/// The size of a large deployment.
 const TARGET: Size = Size {
     versions: 34,
     replicas: 1200,
@@ -57,7 +57,7 @@
         self.decider.handle(self.now, event, &mut self.actions);
     }
 
-    /// One request from its arrival to its answer, with the time going on.
+    /// Handles one request from its arrival to its response, and advances the time.
     fn request(&mut self) {
         self.next += 1;
         self.now += Duration::from_millis(2);
@@ -97,7 +97,8 @@
             .sum::<u64>();
     }
 
-    /// Lets it learn; what is measured must be answers, not refusals.
+    /// Collects evidence before the measurement, and checks that all requests were
+    /// answered, so that the benchmark does not measure refusals.
     fn warm_up(&mut self) {
         const REQUESTS: u64 = 2_000;
         for _ in 0..REQUESTS {
@@ -150,7 +151,8 @@
     }
 }
 
-/// Each replica has two versions loaded; a twentieth are in this data centre.
+/// Returns a replica with two versions loaded; a twentieth of the replicas are in
+/// this data centre.
 fn endpoint(size: Size, number: u16) -> Update {
     let name = HostName::from(format!("replica-{number}"));
     let versions = [number % size.versions, (number * 7 + 1) % size.versions].map(version_id);
--- a/crates/decide/src/bucket.rs
+++ b/crates/decide/src/bucket.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// A token bucket whose rate and depth are given at each use, since they
+/// A token bucket whose rate and depth are passed to each call, since they
 /// change with the demand at other hosts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bucket {
@@ -25,7 +25,7 @@
         self.tokens = (self.tokens + amount).min(depth);
     }
 
-    /// Takes `amount`, or nothing and returns false when there is less.
+    /// Takes `amount` and returns true, or takes nothing if there are fewer tokens.
     pub(crate) fn take(&mut self, amount: f64) -> bool {
         let enough = self.tokens >= amount;
         if enough {
@@ -34,12 +34,12 @@
         enough
     }
 
-    /// How much of its depth is there, 0 to 1.
+    /// Returns the fill level, from 0 to 1.
     pub(crate) fn filled(&self, depth: f64) -> f64 {
         (self.tokens / depth).clamp(0.0, 1.0)
     }
 
-    /// How long until one token is there, at `rate`.
+    /// Returns the time until one token is available at `rate`.
     pub(crate) fn wait(&self, rate: f64) -> Duration {
         const LONGEST: f64 = 3600.0;
         let missing = (1.0 - self.tokens).max(0.0);
--- a/crates/decide/src/class.rs
+++ b/crates/decide/src/class.rs
@@ -1,36 +1,37 @@
-//! What has been seen of one class.
+//! Traffic statistics of a request class.
 
 use std::time::Duration;
 
 use crate::key;
 use crate::meter::{Mean, Meter};
 
-/// Requests of a class after which old ones count half.
+/// The request counts are halved when their sum exceeds this.
 const TURN_MEMORY: f64 = 2000.0;
-/// How far back a class's spending is looked at.
+/// The time constant of the average spending.
 const SPENDING_MEMORY: Duration = Duration::from_mins(5);
 
-/// What has been seen of one class.
+/// Traffic statistics of a request class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Class {
     pub(crate) key: key::Class,
     pub(crate) prompt: Mean,
     pub(crate) age: Age,
-    /// Requests without and with a version, as far as they are remembered.
+    /// Requests without and with a version set by their session, older ones
+    /// weighing less.
     pub(crate) free: f64,
     pub(crate) pinned: f64,
     pub(crate) completion: Mean,
-    /// Microcents a second.
+    /// Microcents per second.
     pub(crate) spending: Meter,
 }
 
-/// Since when a class is known.
+/// How long a class has been known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Age {
     Unseen,
-    /// This host's or another's first request came then.
+    /// The first request, at this or another host, came at this time.
     Since(Duration),
-    /// Another host told of its long past.
+    /// Another host sent its statistics of the class.
     Told,
 }
 
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Requests of the class came, here or elsewhere, with and without a version.
+    /// Records requests of the class at this or another host, without and with a
+    /// version.
     pub(crate) fn turned(&mut self, now: Duration, free: u32, pinned: u32) {
         let it = self;
         if it.age == Age::Unseen {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Another host tells of the class's past.
+    /// Adds another host's statistics of the class.
     pub(crate) fn told(&mut self, free: u32, pinned: u32) {
         let it = self;
         it.age = Age::Told;
@@ -69,9 +71,9 @@
         it.pinned += f64::from(pinned);
     }
 
-    /// The share of the class's requests that come in a session with a version.
-    /// A new class is taken for a conversation until its second turns have had
-    /// time to come.
+    /// Returns the share of requests that continue a session with a version. A
+    /// new class is assumed to have sessions until their second requests have had
+    /// time to arrive.
     pub(crate) fn pinned(&self, now: Duration) -> f64 {
         const UNKNOWN: f64 = 0.7;
         const ENOUGH: f64 = 20.0;
--- a/crates/decide/src/limiter.rs
+++ b/crates/decide/src/limiter.rs
@@ -1,4 +1,4 @@
-//! A customer's limits at this host.
+//! Rate and concurrency limits of a customer at this host.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 use crate::policy::Customer;
 use crate::refusal::{Reason, Refusal, Run};
 
-/// How far back demand is looked at.
+/// The time constant of the average demand.
 const DEMAND_MEMORY: Duration = Duration::from_secs(2);
-/// The part of a limit that is split evenly over the hosts, so that a customer
-/// that turns to another host isn't refused until the hosts have heard of it.
+/// The part of a limit that is split evenly over the hosts, so that requests of
+/// a customer that switches hosts are admitted before its demand is reported.
 const EVEN_PART: f64 = 0.05;
 
-/// One customer's limits at this host: its fleet-wide limits times the share of
-/// its demand that arrives here.
+/// The limits of a customer at this host: its fleet-wide limits times this
+/// host's share of its demand.
 #[derive(Clone, Debug)]
 pub(crate) struct Limiter {
     bucket: Bucket,
     arrivals: Meter,
     in_flight: u32,
-    /// This host's share of the rate and of the concurrency.
+    /// This host's shares of the fleet-wide rate and concurrency.
     rate_share: f64,
     concurrency_share: f64,
 }
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Counts an arrival, and admits it or says when to come back.
+    /// Records an arrival, and admits it or returns the refusal.
     pub(crate) fn admit(&mut self, now: Duration, limits: &Customer) -> Result<(), Refusal> {
         self.arrivals.add(now, 1.0);
         let rate = limits.rate * self.rate_share;
@@ -73,11 +73,11 @@
         }
     }
 
-    /// Takes its share of the limits after what the others say of theirs.
+    /// Updates this host's shares of the limits from the demand at the other hosts.
     pub(crate) fn share(&mut self, now: Duration, live: f64, elsewhere: Flow) {
         let own = self.flow(now);
         self.rate_share = share(own.rate, elsewhere.rate, live);
-        // With nothing in flight here the arrivals tell whose turn it is.
+        // Uses the arrival rate if nothing is in flight.
         let near = own.in_flight.max(own.rate);
         let far = elsewhere.in_flight.max(elsewhere.rate);
         self.concurrency_share = share(near, far, live);
--- a/crates/decide/src/meter.rs
+++ b/crates/decide/src/meter.rs
@@ -1,8 +1,8 @@
-//! Rates and means that forget.
+//! Exponentially weighted rates and means.
 
 use std::time::Duration;
 
-/// Events a second, weighted towards the recent ones.
+/// An exponentially decaying average rate per second.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Meter {
     memory: f64,
@@ -11,7 +11,7 @@
 }
 
 impl Meter {
-    /// A meter that mostly forgets what is older than `memory`.
+    /// Creates a meter with the time constant `memory`.
     pub(crate) fn new(memory: Duration) -> Self {
         Self {
             memory: memory.as_secs_f64(),
@@ -31,7 +31,7 @@
     }
 }
 
-/// A mean and mean deviation, weighted towards the recent values.
+/// An exponentially weighted mean and mean absolute deviation.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Mean {
     value: f64,
@@ -40,7 +40,7 @@
 }
 
 impl Mean {
-    /// The weight of a new value once enough have come.
+    /// The minimum weight of a new value.
     const GAIN: f64 = 0.05;
 
     pub(crate) fn add(&mut self, value: f64) {
@@ -51,12 +51,13 @@
         self.deviation += gain * (error.abs() - self.deviation);
     }
 
-    /// The mean, once `least` values have come.
+    /// Returns the mean if there are at least `least` values.
     pub(crate) fn value(&self, least: u32) -> Option<f64> {
         (self.count >= least).then_some(self.value)
     }
 
-    /// A value that few exceed, once `least` have come.
+    /// Returns the mean plus four deviations, a bound that few values exceed, if
+    /// there are at least `least` values.
     pub(crate) fn high(&self, least: u32) -> Option<f64> {
         let value = self.value(least)?;
         Some(value + 4.0 * self.deviation)
--- a/crates/decide/src/pilot.rs
+++ b/crates/decide/src/pilot.rs
@@ -1,4 +1,4 @@
-//! The steps of a roll-out.
+//! Decides the steps of a roll-out.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use crate::policy::{Pace, Rollout, State};
 use crate::{Policy, key};
 
-/// The shares that a roll-out goes through.
+/// The stages of a roll-out before the full share.
 const RUNGS: [Rung; 4] = [
     Rung::new(0.01, 20.0, 8.0),
     Rung::new(0.05, 60.0, 20.0),
     Rung::new(0.2, 150.0, 40.0),
     Rung::new(0.5, 300.0, 80.0),
 ];
-/// The least time at a share, so that slow faults show.
+/// Minimum time at a share before the next, so that slow failures are detected.
 const DWELL: Duration = Duration::from_secs(30);
-/// How often a step is asked for until it is taken.
+/// Interval at which a step is requested again until it is taken.
 const AGAIN: Duration = Duration::from_secs(5);
-/// How much worse a version may be than the one that it replaces.
+/// The quality that a version may lose against the one that it replaces.
 const SLACK: f64 = 0.02;
 
-/// What has to be seen at a share before the next.
+/// The evidence required at a share before the next one.
 #[derive(Clone, Copy, Debug)]
 struct Rung {
     share: f64,
@@ -42,8 +42,8 @@
     }
 }
 
-/// A roll-out as this host follows it. All that has to last stands in the
-/// policy, so any host that holds the lease can take the next step.
+/// This host's view of a roll-out. The persistent state is in the policy, so
+/// that any host that holds the lease can take the next step.
 #[derive(Clone, Debug)]
 pub(crate) struct Pilot {
     id: Arc<str>,
@@ -52,13 +52,14 @@
     pace: Pace,
     share: Option<f64>,
     since: Duration,
-    /// What had been seen when the share began.
+    /// The totals when the current share was set.
     before: Totals,
     next: Duration,
 }
 
 impl Pilot {
-    /// Follows a roll-out; evidence counts from when its share last changed.
+    /// Starts following a roll-out. Only evidence since the last change of the
+    /// share counts; `known` is the previous state of the same roll-out.
     pub(crate) fn new(
         now: Duration,
         policy: &Policy,
@@ -88,7 +89,7 @@
         self.id == rollout.id
     }
 
-    /// The step that is due, if any.
+    /// Returns the step that is due, if any.
     pub(crate) fn step(
         &mut self,
         now: Duration,
@@ -111,7 +112,7 @@
         })
     }
 
-    /// The share that it should have, where that is another than it has.
+    /// Returns the share to move to, or `None` to stay at `from`.
     fn judge(
         &self,
         now: Duration,
@@ -121,7 +122,7 @@
     ) -> Option<f64> {
         let monitor = health.get(self.version)?;
         if from <= 0.0 {
-            // Taken back: only an operator starts it again.
+            // Rolled back; only an operator can restart it.
             return None;
         }
         if monitor.is_quarantined() {
@@ -147,7 +148,7 @@
     }
 }
 
-/// How much better one version is than another, and how sure that is.
+/// The difference in quality between two versions, with its standard error.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Comparison {
     pub(crate) difference: f64,
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -1,19 +1,20 @@
-//! The steps by which a request is answered.
+//! Plans: the sequence of versions that a request is sent to.
 
 use crate::evidence::BUCKETS;
 use crate::key;
 
-/// The most steps that a plan has.
+/// The maximum number of steps of a plan.
 pub(crate) const STEPS: usize = 3;
 
-/// The steps by which a request is answered, the cheapest first.
+/// The versions that a request is sent to in turn, the cheapest first, until a
+/// response is confident enough.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub(crate) struct Plan {
     steps: [Step; STEPS],
     len: usize,
 }
 
-/// One step: a version, and the confidence bucket from which its answer is taken.
+/// A version and the lowest confidence bucket in which its response is accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Step {
     pub(crate) version: key::Version,
@@ -21,7 +22,7 @@
 }
 
 impl Step {
-    /// A step whose answer is always taken.
+    /// Returns a step whose response is always accepted.
     pub(crate) fn last(version: key::Version) -> Self {
         Self {
             version,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// A step whose answer is rated and never taken.
+    /// Returns a step whose response is rated but never accepted.
     pub(crate) fn probe(version: key::Version) -> Self {
         Self {
             version,
@@ -43,7 +44,7 @@
 }
 
 impl Plan {
-    /// A plan of the first [`STEPS`] of `steps`.
+    /// Creates a plan from the first [`STEPS`] of `steps`.
     pub(crate) fn of(steps: &[Step]) -> Self {
         let mut it = Self::default();
         for step in steps.iter().take(STEPS) {
@@ -65,7 +66,8 @@
         self.steps().last().copied()
     }
 
-    /// The same plan after a probe. Where there is no room the cheapest step goes.
+    /// Returns the plan with a probe before it. Drops the cheapest step if the
+    /// plan is full.
     pub(crate) fn after(&self, probe: key::Version) -> Self {
         let skip = self.len.saturating_sub(STEPS - 1);
         let mut steps = vec![Step::probe(probe)];
@@ -73,7 +75,7 @@
         Self::of(&steps)
     }
 
-    /// The same plan with one version in the place of another.
+    /// Returns the plan with version `old` replaced by `new`.
     pub(crate) fn replaced(&self, old: key::Version, new: key::Version) -> Self {
         let mut it = *self;
         for step in &mut it.steps[..it.len] {
--- a/crates/decide/src/planner.rs
+++ b/crates/decide/src/planner.rs
@@ -1,47 +1,47 @@
-//! The choice of a plan for a profile and class.
+//! Finds the cheapest plan that meets a quality target.
 
 use crate::evidence::BUCKETS;
 use crate::forecast::Forecast;
 use crate::number::floor;
 use crate::plan::{Plan, Step};
 
-/// Versions that are combined with each other; more don't pay for the time.
+/// Limits how many versions are combined into plans of several steps.
 const COMBINED: usize = 7;
-/// Places on the scale of quality on which the cheapest plan is remembered.
+/// Intervals of quality; the cheapest plan of each is kept.
 const PLACES: usize = 128;
-/// How many standard errors of doubt a plan has to make up for.
+/// Standard errors subtracted from the expected quality of a plan of one step.
 const DOUBT: f64 = 0.35;
-/// The same for plans of several steps: the best of thousands of combinations
-/// is often the one that was overrated most.
+/// Standard errors subtracted for plans of several steps. The margin is larger
+/// because the best of many combinations is often the most overestimated one.
 const CHOICE_DOUBT: f64 = 0.6;
 
-/// Two plans and how often each is used, so that the target is met on the
-/// whole and not overshot.
+/// A random mix of two plans whose average quality meets the target without
+/// exceeding it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Mix {
-    /// The cheaper one.
+    /// The cheaper plan.
     pub(crate) cheap: Plan,
-    /// The better one.
+    /// The plan of higher quality.
     pub(crate) good: Plan,
-    /// The share of requests (0 to 1) that take the cheaper one.
+    /// The share of requests (0 to 1) that use the cheaper plan.
     pub(crate) share: f64,
     /// The expected cost in microcents.
     pub(crate) cost: f64,
-    /// The expected share of good answers, less the margin for doubt.
+    /// The expected share of good responses, less the margin for uncertainty.
     pub(crate) quality: f64,
 }
 
-/// What a plan has to achieve.
+/// The constraints on a plan.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Goal {
-    /// The share of answers that have to be good.
+    /// The share of responses that must be good.
     pub(crate) target: f64,
-    /// The most that a request may cost, in microcents.
+    /// The maximum expected cost of a request in microcents.
     pub(crate) cap: f64,
-    /// The most steps.
+    /// The maximum number of steps.
     pub(crate) steps: usize,
-    /// The share of requests that come in a session and take the version that
-    /// answered its first one, with no step after it.
+    /// The share of requests that continue a session. They use the version that
+    /// answered the session's first request, in a single step.
     pub(crate) pinned: f64,
 }
 
@@ -52,8 +52,8 @@
     quality: f64,
 }
 
-/// Finds the mix of plans of least cost that meets the goal, or the best plan
-/// where none does. Nothing when there is no version.
+/// Returns the cheapest mix of plans that meets the goal, or the plan of highest
+/// quality within the cost cap if none does. Returns `None` if there is no version.
 pub(crate) fn plan(forecasts: &[Forecast], goal: &Goal) -> Option<Mix> {
     let mut offers = Offers::new(goal);
     for it in forecasts {
@@ -69,8 +69,8 @@
     offers.mix()
 }
 
-/// The versions for which no cheaper one is better even with the doubt in its
-/// favour, the cheapest first.
+/// Returns the versions whose quality plus one standard error exceeds that of
+/// every cheaper version, in order of cost.
 fn frontier(forecasts: &[Forecast]) -> Vec<Forecast> {
     let mut sorted = forecasts.to_vec();
     sorted.sort_by(|a, b| a.cost.total_cmp(&b.cost));
@@ -81,7 +81,7 @@
         keep
     });
     if sorted.len() > COMBINED {
-        // The cheapest and the best ones combine well; those between rarely do.
+        // Keeps the cheapest and the best; those in between rarely combine well.
         let best = sorted.split_off(sorted.len() - COMBINED / 2);
         sorted.truncate(COMBINED - best.len());
         sorted.extend(best);
@@ -164,7 +164,7 @@
     }
 }
 
-/// What to expect of a plan.
+/// The expected cost and quality of a plan.
 #[derive(Clone, Copy, Debug)]
 struct Sum {
     cost: f64,
@@ -173,9 +173,10 @@
 }
 
 impl Sum {
-    /// The same with the sessions that it starts: their later requests take the
-    /// version that answered, unchecked. `ends` are the versions and how often
-    /// each one's answer is taken; `pinned` is the share of later requests.
+    /// Includes the later requests of the sessions that the plan starts, which use
+    /// the version that answered first, in a single step. `ends` lists the
+    /// versions with the share of requests for which each one's response is
+    /// accepted; `pinned` is the share of later requests.
     fn with_sessions(self, ends: &[(&Forecast, f64)], pinned: f64) -> Self {
         let free = 1.0 - pinned;
         let mut it = Self {
@@ -193,7 +194,7 @@
     }
 }
 
-/// The cheapest plan at each place of the scale of quality.
+/// The cheapest plan for each interval of quality.
 struct Offers {
     goal: Goal,
     places: [Option<Offer>; PLACES],
@@ -281,7 +282,8 @@
     }
 }
 
-/// The place of a quality; the scale is finer towards 1, where targets lie.
+/// Returns the interval of a quality. Intervals are narrower towards 1, where
+/// most targets are.
 fn place(quality: f64) -> usize {
     const SCALE: [f64; 4] = [0.0, 0.5, 0.8, 1.0];
     let bands = [16.0, 48.0, 63.0];
--- a/crates/decide/src/plans.rs
+++ b/crates/decide/src/plans.rs
@@ -1,4 +1,4 @@
-//! Plans that were made, to be used again.
+//! A cache of plans.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,48 +7,49 @@
 use crate::planner::Mix;
 use crate::{Policy, key};
 
-/// How long a plan is used at least, while more is learned.
+/// A plan younger than this is reused whatever was learned since.
 const FRESH: Duration = Duration::from_secs(1);
-/// How long it is used at most.
+/// The maximum age of a reused plan.
 const STALE: Duration = Duration::from_secs(10);
 
-/// A set of allowed versions that customers of profiles share.
+/// Identifies a set of allowed versions. Customers and profiles with the same
+/// set share plans.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Menu(usize);
 
-/// Plans that were made, by profile, menu and class.
+/// A cache of plans by profile, set of allowed versions, and class.
 #[derive(Debug, Default)]
 pub(crate) struct Plans {
     menus: Vec<Vec<key::Version>>,
-    /// By profile, then by customer.
+    /// Indexed by profile, then by customer.
     chosen: Vec<Vec<Option<Menu>>>,
     entries: HashMap<Name, Entry>,
 }
 
-/// What a plan is made for.
+/// The key of a cached plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Name {
     pub(crate) profile: key::Profile,
     pub(crate) menu: Menu,
     pub(crate) class: ClassIndex,
-    /// The most steps.
+    /// The maximum number of steps.
     pub(crate) steps: usize,
 }
 
-/// A plan that was made.
+/// A cached plan.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Entry {
     pub(crate) mix: Mix,
-    /// A version of which more ought to be known, and the share of requests to try it on.
+    /// The version to explore, if any.
     pub(crate) explore: Option<Explore>,
-    /// The quarantined version that has to be used for want of others.
+    /// The quarantined version that is used because there is no other.
     pub(crate) last_resort: Option<key::Version>,
     pub(crate) made: Duration,
-    /// The state of the knowledge it rests on.
+    /// The number of knowledge changes when the plan was made.
     pub(crate) changes: u64,
 }
 
-/// A version of which more ought to be known.
+/// A version that is tried on a share of requests to learn more about it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Explore {
     pub(crate) version: key::Version,
@@ -56,7 +57,7 @@
 }
 
 impl Plans {
-    /// Forgets all and finds the menus of the policy.
+    /// Clears the cache and indexes the sets of allowed versions of `policy`.
     pub(crate) fn configure(&mut self, policy: &Policy) {
         self.entries.clear();
         self.menus.clear();
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Forgets all plans: a version's health or its endpoints changed.
+    /// Drops all plans. Must be called when the health or the endpoints of a
+    /// version change.
     pub(crate) fn invalidate(&mut self) {
         self.entries.clear();
     }
@@ -81,12 +83,12 @@
         *self.chosen.get(profile.index())?.get(customer.index())?
     }
 
-    /// The plan, unless what is known has changed since.
+    /// Returns the cached plan unless it is too old or too much was learned since.
     pub(crate) fn get(&self, now: Duration, changes: u64, name: Name) -> Option<Entry> {
         let it = self.entries.get(&name)?;
         let age = now.saturating_sub(it.made);
         let learned = changes.saturating_sub(it.changes);
-        // Early on each rating may change the plan; later few do.
+        // A change matters less the more is known.
         let enough = learned * 50 > it.changes;
         let fresh = age < FRESH || (age < STALE && !enough);
         fresh.then_some(*it)
--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -1,4 +1,4 @@
-//! What operators have configured, compiled for decisions.
+//! The configuration, compiled for routing decisions.
 
 mod customer;
 mod profile;
@@ -18,13 +18,14 @@
 
 /// One revision of the configuration, compiled by the driver.
 ///
-/// Keys in it index its own lists. The driver builds it in full and never changes it.
+/// Its keys are indices into its own lists. The driver never modifies a policy
+/// once it is built.
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
-    /// The revision that this policy was compiled from; a lower one than the
-    /// current is ignored.
+    /// The configuration revision; a policy of a lower revision than the current
+    /// one is ignored.
     pub revision: Revision,
-    /// All versions, the withdrawn ones included.
+    /// All versions, including withdrawn ones.
     pub versions: Vec<Version>,
     /// All profiles.
     pub profiles: Vec<Profile>,
@@ -32,40 +33,41 @@
     pub customers: Vec<Customer>,
     /// All plain services.
     pub services: Vec<Service>,
-    /// Roll-outs under way.
+    /// Roll-outs in progress.
     pub rollouts: Vec<Rollout>,
 }
 
 impl Policy {
-    /// The key of the version with this identifier.
+    /// Returns the key of the version with this identifier.
     #[must_use]
     pub fn version(&self, id: &VersionId) -> Option<key::Version> {
         let at = self.versions.iter().position(|it| it.id == *id)?;
         Some(key::Version::at(at))
     }
 
-    /// The key of the profile with this name.
+    /// Returns the key of the profile with this name.
     #[must_use]
     pub fn profile(&self, name: &ProfileName) -> Option<key::Profile> {
         let at = self.profiles.iter().position(|it| it.name == *name)?;
         Some(key::Profile::at(at))
     }
 
-    /// The key of the customer with this name.
+    /// Returns the key of the customer with this name.
     #[must_use]
     pub fn customer(&self, name: &kernel::Customer) -> Option<key::Customer> {
         let at = self.customers.iter().position(|it| it.name == *name)?;
         Some(key::Customer::at(at))
     }
 
-    /// The key of the plain service with this name.
+    /// Returns the key of the plain service with this name.
     #[must_use]
     pub fn service(&self, name: &ServiceName) -> Option<key::Service> {
         let at = self.services.iter().position(|it| it.name == *name)?;
         Some(key::Service::at(at))
     }
 
-    /// The versions that `customer` may use through `profile`; none when either is unknown.
+    /// Returns the versions that `customer` may use through `profile`; empty if
+    /// either is unknown.
     #[must_use]
     pub fn allowed(&self, profile: key::Profile, customer: key::Customer) -> &[key::Version] {
         let Some(profile) = self.profiles.get(profile.index()) else {
@@ -77,7 +79,7 @@
             .map_or(&[], |it| &it.versions)
     }
 
-    /// Whether new work of `customer` through `profile` may go to `version` now.
+    /// Returns whether new requests of `customer` through `profile` may use `version`.
     #[must_use]
     pub fn permits(
         &self,
--- a/crates/decide/src/policy/customer.rs
+++ b/crates/decide/src/policy/customer.rs
@@ -1,16 +1,16 @@
-//! A customer's limits.
+//! Limits of a customer.
 
-/// The limits of a customer over the whole fleet.
+/// The fleet-wide limits of a customer.
 #[derive(Clone, Debug)]
 pub struct Customer {
-    /// Its name, by which it is recognised in the next revision.
+    /// The name, which identifies it across revisions.
     pub name: kernel::Customer,
-    /// Requests a second over all hosts.
+    /// Requests per second over all hosts.
     pub rate: f64,
-    /// Requests above the rate that may come at once, over all hosts.
+    /// Burst size in requests, over all hosts.
     pub burst: f64,
-    /// Requests in flight or waiting at once, over all hosts.
+    /// Maximum number of requests in flight or queued, over all hosts.
     pub concurrency: u32,
-    /// Its weight when it shares a full pool with others.
+    /// Weight in fair queueing when endpoints are full.
     pub weight: f64,
 }
--- a/crates/decide/src/policy/profile.rs
+++ b/crates/decide/src/policy/profile.rs
@@ -1,4 +1,4 @@
-//! A profile.
+//! Profiles and priorities.
 
 use std::time::Duration;
 
@@ -6,22 +6,23 @@
 
 use crate::key;
 
-/// What operators promise the services that name this profile.
+/// The quality, cost and latency objectives of the requests that name this profile.
 #[derive(Clone, Debug)]
 pub struct Profile {
-    /// Its name, by which it is recognised in the next revision.
+    /// The name, which identifies it across revisions.
     pub name: ProfileName,
-    /// Who may use it, and with which versions. A customer without an entry may not.
+    /// The customers that may use it, each with its versions. Customers without an
+    /// entry may not use it.
     pub allowed: Vec<Allowance>,
-    /// The share of answers (0 to 1) that have to be good.
+    /// The share of responses (0 to 1) that must be good.
     pub target: f64,
-    /// The most that one request may cost over all its attempts.
+    /// The maximum cost of one request over all its attempts.
     pub cap: Option<Money>,
-    /// Whether its requests may run more than once.
+    /// Whether requests may run more than once.
     pub repeat: Repeat,
-    /// The priority of requests that name none.
+    /// The priority of requests that do not specify one.
     pub priority: Priority,
-    /// How long a request may take from its arrival when the caller sets no deadline.
+    /// The time limit from arrival if the caller sets no deadline.
     pub deadline: Duration,
 }
 
@@ -37,30 +38,30 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Repeat {
-    /// Running it again does no harm.
+    /// Running it more than once is harmless.
     #[default]
     Idempotent,
-    /// It is never sent again once bytes of it may have left.
+    /// It is not sent again once any of its bytes may have been sent.
     AtMostOnce,
 }
 
-/// The order in which requests that wait for the same endpoints are sent.
+/// The precedence of requests that wait for the same endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Holds, gate scans and whoever waits at a counter.
+    /// Holds, gate scans and requests for a person waiting at a counter.
     Urgent,
-    /// A person waits.
+    /// A person is waiting for the response.
     #[default]
     Interactive,
-    /// Nobody waits.
+    /// Nobody is waiting for the response.
     Batch,
 }
 
 impl Priority {
-    /// All priorities, the first to be served first.
+    /// All priorities, highest first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Interactive, Self::Batch];
 
-    /// Its place in [`Self::ALL`].
+    /// Returns the index in [`Self::ALL`].
     #[must_use]
     pub fn index(self) -> usize {
         match self {
--- a/crates/decide/src/policy/rollout.rs
+++ b/crates/decide/src/policy/rollout.rs
@@ -1,28 +1,28 @@
-//! A roll-out.
+//! Roll-outs.
 
 use std::sync::Arc;
 
 use crate::key;
 
-/// A roll-out of a version. Its present share stands in the version's
-/// [`State::Trial`](super::State::Trial), so that any host can carry on with it.
+/// A roll-out of a version. The current share is in the version's
+/// [`State::Trial`](super::State::Trial), so that any host can continue it.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// Its identifier.
+    /// The identifier.
     pub id: Arc<str>,
-    /// The version that comes in.
+    /// The version that is rolled out.
     pub version: key::Version,
-    /// The version that it is meant to replace, against which it is judged.
+    /// The version that it replaces and is compared with.
     pub replaces: Option<key::Version>,
-    /// Whether it takes steps by itself.
+    /// Whether it advances automatically.
     pub pace: Pace,
 }
 
-/// Whether a roll-out takes steps by itself.
+/// Whether a roll-out advances automatically.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pace {
-    /// It advances, holds or steps back on evidence.
+    /// It advances or steps back depending on the evidence.
     Running,
-    /// It keeps its share, but still steps back when the version turns bad.
+    /// It does not advance, but still steps back if the version degrades.
     Paused,
 }
--- a/crates/decide/src/policy/service.rs
+++ b/crates/decide/src/policy/service.rs
@@ -1,4 +1,4 @@
-//! A plain service.
+//! Plain services.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 
 use crate::policy::{Priority, Repeat};
 
-/// A plain service beside the model engines. Its endpoints and its queue are
-/// its own, so that a full model pool never delays it.
+/// A service other than a model engine. It has its own endpoints and queue, so
+/// that overloaded engines do not delay it.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name, by which it is recognised in the next revision.
+    /// The name, which identifies it across revisions.
     pub name: ServiceName,
-    /// Whether its calls may run more than once, where the route says nothing else.
+    /// Whether calls may run more than once, unless the route overrides it.
     pub repeat: Repeat,
-    /// The priority of its calls, where the caller names none.
+    /// The priority of calls that do not specify one.
     pub priority: Priority,
-    /// How long a call may take when the caller sets no deadline.
+    /// The time limit if the caller sets no deadline.
     pub deadline: Duration,
-    /// Calls that this host may have in flight there at once.
+    /// Maximum number of calls that this host may have in flight to the service.
     pub concurrency: u32,
 }
--- a/crates/decide/src/policy/version.rs
+++ b/crates/decide/src/policy/version.rs
@@ -1,13 +1,13 @@
-//! A model version.
+//! Model versions.
 
 use kernel::{Money, VersionId};
 
 /// A version of a model, with its prices.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// Its identifier, `model@version`, the same on all hosts and in all revisions.
+    /// The identifier, `model@version`, the same on all hosts and in all revisions.
     pub id: VersionId,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: State,
     /// The price of a million prompt tokens.
     pub prompt_price: Money,
@@ -15,19 +15,19 @@
     pub completion_price: Money,
 }
 
-/// Whether a version takes new work.
+/// Whether a version accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// It takes all work that the profiles allow.
+    /// It accepts all requests that the profiles allow.
     Active,
-    /// It takes this share (0 to 1) of the work that it could take.
+    /// It accepts this share (0 to 1) of the requests that it is eligible for.
     Trial(f64),
-    /// It takes no new work, not even a retry or the next turn of a session.
+    /// It accepts no new attempts, including retries and later requests of a session.
     Withdrawn,
 }
 
 impl Version {
-    /// What a call with this many tokens costs.
+    /// Returns the cost of a call with these token counts.
     #[must_use]
     pub fn cost(&self, prompt_tokens: u64, completion_tokens: u64) -> Money {
         self.prompt_price.per_million(prompt_tokens)
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a pool of endpoints.
+//! The queue of requests that wait for a pool of endpoints.
 
 use std::collections::VecDeque;
 
@@ -7,14 +7,14 @@
 use crate::policy::Priority;
 use crate::request::Key;
 
-/// Requests that wait for the endpoints of one version or service: strict
-/// between priorities, start-time fair between the customers within one.
+/// The queue for the endpoints of one version or service: strict priorities, and
+/// start-time fair queueing between the customers of the same priority.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     lanes: [Lane; Priority::ALL.len()],
 }
 
-/// Who waits and for how much work.
+/// A queued request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Entry {
     pub(crate) request: Key,
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default)]
 struct Lane {
     backlogs: Vec<Backlog>,
-    /// The start tag of the request served last.
+    /// The virtual time: the start tag of the request served last.
     clock: f64,
     len: usize,
 }
@@ -47,20 +47,20 @@
         self.lanes.iter().all(|it| it.len == 0)
     }
 
-    /// Whether anyone waits who goes before, or with, this priority.
+    /// Returns whether a request of this or a higher priority is queued.
     pub(crate) fn is_ahead(&self, priority: Priority) -> bool {
         let lanes = &self.lanes[..=priority.index()];
         lanes.iter().any(|it| it.len > 0)
     }
 
-    /// How many of the customer's own requests wait at this priority.
+    /// Returns the number of queued requests of the customer at this priority.
     pub(crate) fn own(&self, customer: key::Customer, priority: Priority) -> usize {
         let lane = &self.lanes[priority.index()];
         let backlog = lane.backlogs.get(customer.index());
         backlog.map_or(0, |it| it.requests.len())
     }
 
-    /// How many requests will be served before a new one of this customer.
+    /// Estimates how many requests are served before a new one of this customer.
     pub(crate) fn ahead(&self, customer: key::Customer, priority: Priority, weight: f64) -> f64 {
         let before = &self.lanes[..priority.index()];
         let before: usize = before.iter().map(|it| it.len).sum();
@@ -69,7 +69,7 @@
         let own = own.map_or(0, |it| it.requests.len());
         let others = lane.backlogs.iter().enumerate();
         let others = others.filter(|(at, it)| *at != customer.index() && !it.requests.is_empty());
-        // Who has nothing waiting goes before what others have waiting beyond one.
+        // A customer with an empty backlog is behind at most one request of each other.
         let turns = count(own) / weight;
         let others = others.map(|(_, it)| count(it.requests.len()).min(1.0 + turns * it.weight));
         count(before + own) + others.sum::<f64>()
@@ -86,7 +86,7 @@
         lane.len += 1;
     }
 
-    /// Puts a request back to where it was taken from.
+    /// Returns a request to the front of its customer's backlog.
     pub(crate) fn push_front(&mut self, entry: Entry, weight: f64) {
         let lane = &mut self.lanes[entry.priority.index()];
         let backlog = lane.backlog(entry.customer, weight);
@@ -94,14 +94,14 @@
         lane.len += 1;
     }
 
-    /// The request to be served next.
+    /// Returns the request to serve next.
     pub(crate) fn first(&self) -> Option<Key> {
         let lane = self.lanes.iter().find(|it| it.len > 0)?;
         let backlog = &lane.backlogs[lane.next()?];
         backlog.requests.front().copied()
     }
 
-    /// Takes the request that [`Self::first`] names.
+    /// Removes and returns the request that [`Self::first`] returns.
     pub(crate) fn pop(&mut self) -> Option<Key> {
         let lane = self.lanes.iter_mut().find(|it| it.len > 0)?;
         let next = lane.next()?;
@@ -109,8 +109,8 @@
         lane.backlogs[next].requests.pop_front()
     }
 
-    /// Accounts for work that was sent, whether it had to wait or not: who has
-    /// just had much waits longer once the pool is full.
+    /// Accounts for work that was sent, whether it was queued or not, so that
+    /// recent use counts against a customer once the pool is full.
     pub(crate) fn charge(
         &mut self,
         customer: key::Customer,
@@ -136,7 +136,7 @@
         lane.len -= before - backlog.requests.len();
     }
 
-    /// All that waits, in no particular order between customers.
+    /// Iterates over all queued requests, in no particular order between customers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = Key> {
         let backlogs = self.lanes.iter().flat_map(|it| &it.backlogs);
         backlogs.flat_map(|it| it.requests.iter().copied())
--- a/crates/decide/src/shape.rs
+++ b/crates/decide/src/shape.rs
@@ -1,39 +1,39 @@
-//! How confidence tells good answers from bad ones.
+//! Estimates the share of good responses from their confidence.
 
 use crate::evidence::BUCKETS;
 use crate::tally::{Bucket, Tally};
 
-/// Steps of the fit; it converges long before.
+/// Iterations of the expectation-maximization fit.
 const STEPS: u32 = 12;
-/// Unrated answers count as no more than so many, since the shape may be
-/// another in this class.
+/// Maximum number of unrated responses that count, since the distributions may
+/// differ in this class.
 const UNRATED: f64 = 1200.0;
-/// What an unrated answer tells, as a part of what a rating tells.
+/// The weight of an unrated response relative to a rating.
 const UNRATED_WORTH: f64 = 0.35;
-/// The buckets of the surest answers.
+/// The number of buckets with the highest confidence that noise is estimated from.
 const SUREST: usize = 2;
-/// Ratings of the surest answers that the configured noise is worth, and the
-/// most that is taken for noise.
+/// The weight of the configured noise, in ratings.
 const NOISE_WEIGHT: f64 = 100.0;
+/// The maximum estimated noise, unless the configured noise is higher.
 const MOST_NOISE: f64 = 0.1;
-/// Ratings in all after which the shape itself is trusted by half.
+/// The number of ratings at which unrated responses have half their full weight.
 const SHAPE_RATINGS: f64 = 40.0;
 
-/// How confidence spreads over good and over bad answers.
+/// The distributions of confidence over good and over bad responses.
 ///
-/// The mix of the two that an unrated answer's confidence shows gives away how
-/// many are good, so that a version is known long before it has been rated often.
+/// The confidence of unrated responses follows a mixture of the two, from which
+/// the share of good ones is estimated with few ratings.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shape {
     good: [f64; BUCKETS],
     bad: [f64; BUCKETS],
-    /// The share of ratings that are wrong.
+    /// The share of wrong ratings.
     noise: f64,
-    /// Ratings that this rests on.
+    /// The number of ratings that the distributions are based on.
     ratings: f64,
 }
 
-/// A share of good answers, and how many ratings it is worth.
+/// An estimated share of good responses, and its weight in ratings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Fit {
     pub(crate) share: f64,
@@ -41,7 +41,7 @@
 }
 
 impl Shape {
-    /// What is taken for granted of engines: the surer the better.
+    /// Returns the prior: good responses tend to high confidence, bad ones to low.
     pub(crate) fn prior(noise: f64) -> Self {
         let mut it = Self {
             good: [0.0; BUCKETS],
@@ -57,7 +57,8 @@
         it
     }
 
-    /// The shape that ratings show, with this one worth `weight` ratings.
+    /// Returns the distributions estimated from ratings, with `self` as a prior
+    /// that weighs `weight` ratings.
     pub(crate) fn learned(&self, tally: &Tally, weight: f64) -> Self {
         let noise = self.noise;
         let clear = 1.0 - 2.0 * noise;
@@ -72,7 +73,7 @@
         it
     }
 
-    /// The same with the share of wrong ratings that the tally shows.
+    /// Returns the same distributions with the noise estimated from `tally`.
     pub(crate) fn denoised(&self, tally: &Tally) -> Self {
         Self {
             noise: self.noise_in(tally),
@@ -80,8 +81,8 @@
         }
     }
 
-    /// The share of wrong ratings: the surest answers are nearly all good, so
-    /// the bad ratings among them are mostly wrong.
+    /// Estimates the share of wrong ratings. Nearly all responses of the highest
+    /// confidence are good, so that bad ratings among them are mostly wrong.
     fn noise_in(&self, tally: &Tally) -> f64 {
         let surest = BUCKETS - SUREST..;
         let bad: f64 = tally.bad[surest.clone()].iter().sum();
@@ -90,34 +91,37 @@
         noise.min(MOST_NOISE.max(self.noise))
     }
 
-    /// How confidence spreads when `share` of the answers are good.
+    /// Returns the distribution of confidence if `share` of the responses are good.
     pub(crate) fn spread(&self, share: f64) -> [f64; BUCKETS] {
         std::array::from_fn(|at| share * self.good[at] + (1.0 - share) * self.bad[at])
     }
 
-    /// How confidence spreads over bad answers.
+    /// Returns the distribution of confidence over bad responses.
     pub(crate) fn bad(&self) -> &[f64; BUCKETS] {
         &self.bad
     }
 
-    /// The chance that an answer in a bucket is good when `share` of all are.
+    /// Returns the probability that a response in bucket `at` is good if `share` of
+    /// all responses are.
     pub(crate) fn chance(&self, share: f64, at: usize) -> f64 {
         let good = share * self.good[at];
         good / (good + (1.0 - share) * self.bad[at]).max(1e-9)
     }
 
-    /// The chance that such an answer is rated bad.
+    /// Returns the probability that a response is rated bad, given the probability
+    /// that it is good.
     pub(crate) fn rated_bad(&self, chance: f64) -> f64 {
         chance * self.noise + (1.0 - chance) * (1.0 - self.noise)
     }
 
-    /// The good ones among rated answers, with the wrong ratings taken out.
+    /// Estimates the number of good responses among rated ones, corrected for wrong
+    /// ratings.
     pub(crate) fn truly_good(&self, good: f64, bad: f64) -> f64 {
         let all = good + bad;
         ((good - self.noise * all) / (1.0 - 2.0 * self.noise)).clamp(0.0, all)
     }
 
-    /// The share of good answers that explains the tally best.
+    /// Estimates the share of good responses by expectation maximization.
     pub(crate) fn fit(&self, tally: &Tally, prior: Fit) -> Fit {
         let unrated = (tally.answers() - tally.ratings()).max(0.0);
         let scale = (UNRATED / unrated.max(1e-9)).min(1.0);
@@ -147,20 +151,21 @@
 }
 
 impl Fit {
-    /// The variance of the share.
+    /// Returns the variance of the share.
     pub(crate) fn variance(self) -> f64 {
         self.share * (1.0 - self.share) / (self.weight + 1.0)
     }
 }
 
-/// The chance that an answer is good after a rating that a good one gets with
-/// chance `rated`.
+/// Returns the posterior probability that a response is good after a rating that
+/// a good one gets with probability `rated`.
 fn good_if(chance: f64, rated: f64) -> f64 {
     let good = chance * rated;
     good / (good + (1.0 - chance) * (1.0 - rated)).max(1e-9)
 }
 
-/// The shares of `counts`, with `prior` shares worth `weight` counts.
+/// Returns the shares of `counts`, smoothed by `prior` with a weight of `weight`
+/// counts.
 pub(crate) fn blend(
     counts: &[f64; BUCKETS],
     prior: &[f64; BUCKETS],
--- a/crates/decide/tests/decide/fleet.rs
+++ b/crates/decide/tests/decide/fleet.rs
@@ -1,4 +1,4 @@
-//! Endpoints and raters that answer by themselves, for cases about many requests.
+//! Simulates endpoints and raters, for scripts with many requests.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -14,14 +14,14 @@
 
 use crate::script::{Script, span};
 
-/// How each version, or `calls` for all services, behaves.
+/// The simulated endpoints, by version; `calls` is all services.
 pub(crate) struct Fleet {
     random: Pcg64Mcg,
     manners: BTreeMap<String, Manner>,
     next: u64,
 }
 
-/// How a version behaves.
+/// The simulated behaviour of a version.
 #[derive(Clone, Copy, Debug)]
 struct Manner {
     good: f64,
@@ -30,7 +30,7 @@
     time: Duration,
 }
 
-/// Requests that come one after the other.
+/// Requests at a fixed interval.
 pub(crate) struct Load {
     number: u64,
     every: Duration,
@@ -103,7 +103,7 @@
     }
 }
 
-/// What is to come, in order.
+/// A scheduled event.
 enum Next {
     Arrive(u64),
     End(AttemptId, Outcome),
@@ -111,7 +111,7 @@
     Tick,
 }
 
-/// A run of requests, and what is counted of it.
+/// A simulation of requests, with the counts of its results.
 struct Run<'a> {
     script: &'a mut Script,
     agenda: BTreeMap<(Duration, u64), Next>,
@@ -121,7 +121,7 @@
     text: String,
 }
 
-/// Sends the requests and sums up what became of them.
+/// Sends the requests and returns the counts of their results.
 pub(crate) fn traffic(script: &mut Script, load: &Load) -> String {
     let first = script.fleet.next;
     script.fleet.next += load.number;
@@ -212,7 +212,7 @@
             Action::Step(_) | Action::Version { .. } | Action::LastResort { .. } => {
                 let mut line = String::new();
                 self.script.write(action, &mut line);
-                // Steps are asked for again until they are taken.
+                // Steps are requested repeatedly until they are taken.
                 if !self.text.ends_with(&line) {
                     self.text.push_str(&line);
                 }
--- a/crates/decide/tests/decide/main.rs
+++ b/crates/decide/tests/decide/main.rs
@@ -1,5 +1,5 @@
-//! The decider, driven from outside like a daemon would: scripts of events with
-//! the actions that they have to lead to, and properties that hold for all events.
+//! Tests of the decider through its public interface: scripts of events with the
+//! expected actions, and properties of arbitrary sequences of events.
 
 mod fleet;
 mod print;
--- a/crates/decide/tests/decide/print.rs
+++ b/crates/decide/tests/decide/print.rs
@@ -1,16 +1,16 @@
-//! Actions as short lines.
+//! Formats actions as lines of text.
 
 use decide::action::{Action, Deliver, Dispatch, Verdict};
 use decide::{Policy, endpoint, key};
 
-/// Names for what actions only have keys of.
+/// Resolves the keys in actions to names.
 pub(crate) struct Names<'a> {
     pub(crate) policy: &'a Policy,
     pub(crate) endpoints: &'a [(String, endpoint::Id)],
 }
 
 impl Names<'_> {
-    /// The action as a line; none for what hosts only tell each other.
+    /// Formats an action; `None` for messages between hosts.
     pub(crate) fn line(&self, action: &Action) -> Option<String> {
         let line = match action {
             Action::Dispatch(it) => self.dispatch(it),
--- a/crates/decide/tests/decide/properties.rs
+++ b/crates/decide/tests/decide/properties.rs
@@ -1,4 +1,4 @@
-//! What holds whatever happens.
+//! Invariants over arbitrary sequences of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 const VERSIONS: [&str; 4] = ["small@1", "medium@1", "medium@2", "large@1"];
 const ENDPOINTS: u64 = 6;
 
-/// Something that happens.
+/// A random event.
 #[derive(Clone, Debug)]
 enum Step {
     Chat {
@@ -114,7 +114,7 @@
     }
 }
 
-/// What became of a request as its caller and endpoints see it.
+/// The state of a request as its caller and endpoints observe it.
 #[derive(Clone, Debug, Default)]
 struct Seen {
     once: bool,
@@ -244,8 +244,8 @@
         }
     }
 
-    /// Ends all that is in flight and lets all deadlines pass: each request has
-    /// had its one end then.
+    /// Ends all attempts in flight and lets all deadlines pass, and checks that
+    /// each request had exactly one result.
     fn settle(&mut self) {
         for _ in 0..10_000 {
             let Some(attempt) = self.flight(0) else { break };
@@ -258,7 +258,11 @@
                 self.end(attempt, Outcome::Failed);
             }
         }
-        assert_eq!(self.decider.pending(), 0, "a request never ended");
+        assert_eq!(
+            self.decider.pending(),
+            0,
+            "requests are pending after their deadlines"
+        );
         for (request, seen) in &self.requests {
             let ends = u32::from(!seen.gone);
             assert_eq!(seen.finals, ends, "{request} {seen:?}");
@@ -345,15 +349,18 @@
         match action {
             Action::Dispatch(it) => self.check_dispatch(it),
             Action::Deliver(it) => {
-                assert!(self.answers.contains(&it.attempt), "no answer to deliver");
+                assert!(
+                    self.answers.contains(&it.attempt),
+                    "delivered an attempt without a response"
+                );
                 self.finish(it.request);
             }
             Action::Refuse { request, refusal } => {
                 let seen = &self.requests[request];
                 if refusal.run == Run::NotRun {
-                    assert_eq!(seen.run, None, "it may have run");
+                    assert_eq!(seen.run, None, "refused as not run, but may have run");
                     let flies = self.flights.values().any(|it| it.request == *request);
-                    assert!(!flies, "it may be running");
+                    assert!(!flies, "refused as not run with an attempt in flight");
                 }
                 self.finish(*request);
             }
@@ -378,18 +385,21 @@
 
     fn check_dispatch(&mut self, it: &Dispatch) {
         assert_eq!(it.revision, self.policy.revision);
-        assert!(self.live.contains(&it.endpoint), "endpoint isn't live");
+        assert!(
+            self.live.contains(&it.endpoint),
+            "dispatched to an endpoint that is not live"
+        );
         let most = self.decider.tuning().attempts;
         let seen = self.requests.get_mut(&it.request).unwrap();
         seen.attempts += 1;
         assert!(seen.attempts <= most, "too many attempts");
         assert_eq!(it.number, seen.attempts);
-        assert_eq!(seen.finals, 0, "it has ended");
-        assert!(!seen.gone, "its caller has gone");
+        assert_eq!(seen.finals, 0, "dispatched after its result");
+        assert!(!seen.gone, "dispatched after its caller cancelled");
         if seen.once {
-            assert_eq!(seen.run, None, "it may have run before");
+            assert_eq!(seen.run, None, "at-most-once request sent again");
             let flies = self.flights.values().any(|that| that.request == it.request);
-            assert!(!flies, "it may be running");
+            assert!(!flies, "at-most-once request sent twice at once");
         }
         if let Some(version) = it.version {
             let profile = key::Profile(u16::from(seen.once));
@@ -397,14 +407,14 @@
             assert!(self.policy.permits(profile, customer, version));
         }
         let earlier = self.flights.insert(it.attempt, *it);
-        assert!(earlier.is_none(), "attempt numbers repeat");
+        assert!(earlier.is_none(), "duplicate attempt id");
     }
 
     fn finish(&mut self, request: key::Request) {
         let seen = self.requests.get_mut(&request).unwrap();
         seen.finals += 1;
-        assert_eq!(seen.finals, 1, "a second end");
-        assert!(!seen.gone, "its caller has gone");
+        assert_eq!(seen.finals, 1, "more than one result");
+        assert!(!seen.gone, "result after its caller cancelled");
     }
 }
 
--- a/crates/decide/tests/decide/script.rs
+++ b/crates/decide/tests/decide/script.rs
@@ -1,4 +1,4 @@
-//! The small language of the scripts: one event a line.
+//! Parses and runs scripts, with one event per line.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::fleet::{Fleet, Load as Traffic};
 use crate::print::Names;
 
-/// A decider and what the script has told it.
+/// A decider with the configuration and endpoints that the script has set.
 pub(crate) struct Script {
     pub(crate) decider: Decider,
     pub(crate) now: Duration,
@@ -34,7 +34,8 @@
         }
     }
 
-    /// `policy` takes the whole policy, all else is one event a line.
+    /// Runs a directive: `policy` is followed by a whole policy, any other by one
+    /// event per line.
     pub(crate) fn run(&mut self, directive: &str, input: &str) -> String {
         let mut out = String::new();
         if directive == "policy" {
@@ -103,11 +104,11 @@
                 let text = crate::fleet::traffic(self, &load);
                 out.push_str(&text);
             }
-            other => panic!("no such event: {other}"),
+            other => panic!("unknown event: {other}"),
         }
     }
 
-    /// Passes an event and writes down the actions.
+    /// Passes an event to the decider and writes the resulting actions to `out`.
     pub(crate) fn pass(&mut self, event: Event, out: &mut String) {
         let mut actions = Vec::new();
         self.decider.handle(self.now, event, &mut actions);
@@ -231,7 +232,7 @@
         "overloaded" => Outcome::Denied(Denial::Overloaded),
         "leaving" => Outcome::Denied(Denial::Leaving),
         "wrong-incarnation" => Outcome::Denied(Denial::WrongIncarnation),
-        other => panic!("no such outcome: {other}"),
+        other => panic!("unknown outcome: {other}"),
     }
 }
 
@@ -262,7 +263,7 @@
     })
 }
 
-/// A time such as `200ms` or `3s`.
+/// Parses a duration like `200ms` or `3s`.
 pub(crate) fn span(word: &str) -> Duration {
     match word.strip_suffix("ms") {
         Some(millis) => Duration::from_millis(millis.parse().unwrap()),
@@ -278,7 +279,8 @@
     }
 }
 
-/// One entry a line, in any order but versions and customers first.
+/// Parses a policy with one entry per line. Versions and customers must precede
+/// the entries that use them.
 pub(crate) fn parse_policy(text: &str) -> Policy {
     let mut it = Policy::default();
     for line in text.lines() {
@@ -354,6 +356,6 @@
             replaces: words.get(3).and_then(|it| policy.version(&(*it).into())),
             pace: Pace::Running,
         }),
-        other => panic!("no such entry: {other}"),
+        other => panic!("unknown policy entry: {other}"),
     }
 }
--- a/crates/decide/tests/decide/scripts.rs
+++ b/crates/decide/tests/decide/scripts.rs
@@ -1,4 +1,4 @@
-//! Runs the scripts in `tests/scripts`; `REWRITE=1` writes what came out.
+//! Runs the scripts in `tests/scripts`; `REWRITE=1` updates their expected output.
 
 use crate::script::Script;
 
