--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -5,14 +5,14 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use decide::arrival::{Chat, Work};
-use decide::endpoint::{Distance, Id, Load, Role, State as Life, Update};
+use decide::endpoint::{Distance, Id, Load, Role, State as EndpointState, Update};
 use decide::outcome::Answer;
 use decide::policy::{Allowance, Customer, Priority, Profile, Repeat, State, Version};
 use decide::{Action, Arrival, Decider, Event, Outcome, Policy, Tuning, key};
 use kernel::{HostName, Incarnation, Money, Revision, VersionId};
 
 /// The size of a large deployment.
-const TARGET: Size = Size {
+const LARGE: Size = Size {
     versions: 34,
     replicas: 1200,
     customers: 10,
@@ -44,15 +44,15 @@
             delivered: 0,
             size,
         };
-        bench.pass(Event::Configure(Arc::new(policy(size))));
+        bench.handle(Event::Configure(Arc::new(policy(size))));
         for number in 0..size.replicas {
-            bench.pass(Event::Endpoint(endpoint(size, number)));
+            bench.handle(Event::Endpoint(endpoint(size, number)));
         }
         bench.now = Duration::from_mins(1);
         bench
     }
 
-    fn pass(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.actions.clear();
         self.decider.handle(self.now, event, &mut self.actions);
     }
@@ -76,7 +76,7 @@
             priority: None,
             deadline: None,
         };
-        self.pass(Event::Arrive(arrival));
+        self.handle(Event::Arrive(arrival));
         while let Some(attempt) = self.dispatched() {
             let confidence = if self.next.is_multiple_of(10) {
                 0.4
@@ -88,7 +88,7 @@
                 prompt_tokens: 500,
                 completion_tokens: 200,
             });
-            self.pass(Event::Ended { attempt, outcome });
+            self.handle(Event::Ended { attempt, outcome });
         }
         let ended = self.actions.iter();
         self.delivered += ended
@@ -164,7 +164,7 @@
             1..7 => Distance::Region,
             _ => Distance::Far,
         },
-        state: Life::Live,
+        state: EndpointState::Live,
         load: Some(Load {
             running: u32::from(number % 5),
             waiting: 0,
@@ -178,7 +178,7 @@
     format!("model-{at}@1").into()
 }
 
-fn decisions(c: &mut Criterion) {
+fn requests(c: &mut Criterion) {
     let mut group = c.benchmark_group("request");
     let mut measure = |name: &str, value: u16, size: Size| {
         let mut bench = Bench::new(size);
@@ -188,31 +188,24 @@
         });
     };
     for versions in [4, 16, 34] {
-        measure("versions", versions, Size { versions, ..TARGET });
+        measure("versions", versions, Size { versions, ..LARGE });
     }
     for replicas in [20, 300, 1200] {
-        measure("replicas", replicas, Size { replicas, ..TARGET });
+        measure("replicas", replicas, Size { replicas, ..LARGE });
     }
     for customers in [1, 10, 40] {
-        measure(
-            "customers",
-            customers,
-            Size {
-                customers,
-                ..TARGET
-            },
-        );
+        measure("customers", customers, Size { customers, ..LARGE });
     }
     group.finish();
 }
 
-fn others(c: &mut Criterion) {
-    let mut bench = Bench::new(TARGET);
+fn other_events(c: &mut Criterion) {
+    let mut bench = Bench::new(LARGE);
     bench.warm_up();
     c.bench_function("tick", |it| {
         it.iter(|| {
             bench.now += Duration::from_millis(100);
-            bench.pass(Event::Tick);
+            bench.handle(Event::Tick);
         });
     });
     c.bench_function("request with a new plan", |it| {
@@ -221,23 +214,21 @@
             bench.request();
         });
     });
-    let updates: Vec<Update> = (0..TARGET.replicas)
-        .map(|it| endpoint(TARGET, it))
-        .collect();
+    let updates: Vec<Update> = (0..LARGE.replicas).map(|it| endpoint(LARGE, it)).collect();
     let mut next = updates.iter().cycle();
     c.bench_function("load report", |it| {
-        it.iter(|| bench.pass(Event::Endpoint(next.next().unwrap().clone())));
+        it.iter(|| bench.handle(Event::Endpoint(next.next().unwrap().clone())));
     });
     let mut revision = 1;
     c.bench_function("configure", |it| {
         it.iter(|| {
             revision += 1;
-            let mut policy = policy(TARGET);
+            let mut policy = policy(LARGE);
             policy.revision = Revision(revision);
-            bench.pass(Event::Configure(Arc::new(policy)));
+            bench.handle(Event::Configure(Arc::new(policy)));
         });
     });
 }
 
-criterion_group!(benches, decisions, others);
+criterion_group!(benches, requests, other_events);
 criterion_main!(benches);
--- a/crates/decide/src/bucket.rs
+++ b/crates/decide/src/bucket.rs
@@ -7,18 +7,21 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bucket {
     tokens: f64,
-    at: Duration,
+    refilled_at: Duration,
 }
 
 impl Bucket {
     pub(crate) fn new(tokens: f64, now: Duration) -> Self {
-        Self { tokens, at: now }
+        Self {
+            tokens,
+            refilled_at: now,
+        }
     }
 
     pub(crate) fn refill(&mut self, now: Duration, rate: f64, depth: f64) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + passed * rate).min(depth);
-        self.at = now;
+        self.refilled_at = now;
     }
 
     pub(crate) fn earn(&mut self, amount: f64, depth: f64) {
@@ -41,8 +44,8 @@
 
     /// Returns the time until one token is available at `rate`.
     pub(crate) fn wait(&self, rate: f64) -> Duration {
-        const LONGEST: f64 = 3600.0;
+        const MAX_WAIT_SECONDS: f64 = 3600.0;
         let missing = (1.0 - self.tokens).max(0.0);
-        Duration::from_secs_f64((missing / rate.max(1e-9)).min(LONGEST))
+        Duration::from_secs_f64((missing / rate.max(1e-9)).min(MAX_WAIT_SECONDS))
     }
 }
--- a/crates/decide/src/class.rs
+++ b/crates/decide/src/class.rs
@@ -6,9 +6,9 @@
 use crate::meter::{Mean, Meter};
 
 /// The request counts are halved when their sum exceeds this.
-const TURN_MEMORY: f64 = 2000.0;
+const MAX_REQUEST_COUNT: f64 = 2000.0;
 /// The time constant of the average spending.
-const SPENDING_MEMORY: Duration = Duration::from_mins(5);
+const SPENDING_TIME_CONSTANT: Duration = Duration::from_mins(5);
 
 /// Traffic statistics of a request class.
 #[derive(Clone, Copy, Debug)]
@@ -44,7 +44,7 @@
             free: 0.0,
             pinned: 0.0,
             completion: Mean::default(),
-            spending: Meter::new(SPENDING_MEMORY),
+            spending: Meter::new(SPENDING_TIME_CONSTANT),
         }
     }
 
@@ -57,7 +57,7 @@
         }
         it.free += f64::from(free);
         it.pinned += f64::from(pinned);
-        if it.free + it.pinned > TURN_MEMORY {
+        if it.free + it.pinned > MAX_REQUEST_COUNT {
             it.free /= 2.0;
             it.pinned /= 2.0;
         }
@@ -75,18 +75,18 @@
     /// new class is assumed to have sessions until their second requests have had
     /// time to arrive.
     pub(crate) fn pinned(&self, now: Duration) -> f64 {
-        const UNKNOWN: f64 = 0.7;
-        const ENOUGH: f64 = 20.0;
-        const LONG: Duration = Duration::from_secs(100);
+        const DEFAULT_SHARE: f64 = 0.7;
+        const MIN_REQUESTS: f64 = 20.0;
+        const MIN_AGE: Duration = Duration::from_secs(100);
         let it = self;
         let seen = it.free + it.pinned;
-        let young = match it.age {
+        let is_new = match it.age {
             Age::Unseen => true,
-            Age::Since(first) => now.saturating_sub(first) < LONG,
+            Age::Since(first) => now.saturating_sub(first) < MIN_AGE,
             Age::Told => false,
         };
-        if young || seen < ENOUGH {
-            return UNKNOWN;
+        if is_new || seen < MIN_REQUESTS {
+            return DEFAULT_SHARE;
         }
         it.pinned / seen
     }
--- a/crates/decide/src/limiter.rs
+++ b/crates/decide/src/limiter.rs
@@ -9,10 +9,10 @@
 use crate::refusal::{Reason, Refusal, Run};
 
 /// The time constant of the average demand.
-const DEMAND_MEMORY: Duration = Duration::from_secs(2);
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(2);
 /// The part of a limit that is split evenly over the hosts, so that requests of
 /// a customer that switches hosts are admitted before its demand is reported.
-const EVEN_PART: f64 = 0.05;
+const EVEN_SHARE: f64 = 0.05;
 
 /// The limits of a customer at this host: its fleet-wide limits times this
 /// host's share of its demand.
@@ -30,7 +30,7 @@
     pub(crate) fn new(now: Duration, limits: &Customer, live: f64) -> Self {
         Self {
             bucket: Bucket::new((limits.burst / live).max(1.0), now),
-            arrivals: Meter::new(DEMAND_MEMORY),
+            arrivals: Meter::new(DEMAND_TIME_CONSTANT),
             in_flight: 0,
             rate_share: 1.0 / live,
             concurrency_share: 1.0 / live,
@@ -43,8 +43,8 @@
         let rate = limits.rate * self.rate_share;
         self.bucket
             .refill(now, rate, (limits.burst * self.rate_share).max(1.0));
-        let most = (f64::from(limits.concurrency) * self.concurrency_share).max(1.0);
-        if f64::from(self.in_flight) >= most {
+        let max_in_flight = (f64::from(limits.concurrency) * self.concurrency_share).max(1.0);
+        if f64::from(self.in_flight) >= max_in_flight {
             return Err(Refusal {
                 reason: Reason::ConcurrencyLimited,
                 run: Run::NotRun,
@@ -76,19 +76,19 @@
     /// Updates this host's shares of the limits from the demand at the other hosts.
     pub(crate) fn share(&mut self, now: Duration, live: f64, elsewhere: Flow) {
         let own = self.flow(now);
-        self.rate_share = share(own.rate, elsewhere.rate, live);
+        self.rate_share = share_of(own.rate, elsewhere.rate, live);
         // Uses the arrival rate if nothing is in flight.
-        let near = own.in_flight.max(own.rate);
-        let far = elsewhere.in_flight.max(elsewhere.rate);
-        self.concurrency_share = share(near, far, live);
+        let own_load = own.in_flight.max(own.rate);
+        let other_load = elsewhere.in_flight.max(elsewhere.rate);
+        self.concurrency_share = share_of(own_load, other_load, live);
     }
 }
 
-fn share(own: f64, elsewhere: f64, live: f64) -> f64 {
-    const IDLE: f64 = 0.01;
+fn share_of(own: f64, elsewhere: f64, live: f64) -> f64 {
+    const MIN_DEMAND: f64 = 0.01;
     let even = 1.0 / live;
-    if own + elsewhere < IDLE {
+    if own + elsewhere < MIN_DEMAND {
         return even;
     }
-    (1.0 - EVEN_PART) * own / (own + elsewhere) + EVEN_PART * even
+    (1.0 - EVEN_SHARE) * own / (own + elsewhere) + EVEN_SHARE * even
 }
--- a/crates/decide/src/meter.rs
+++ b/crates/decide/src/meter.rs
@@ -5,29 +5,29 @@
 /// An exponentially decaying average rate per second.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Meter {
-    memory: f64,
+    time_constant: f64,
     rate: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl Meter {
-    /// Creates a meter with the time constant `memory`.
-    pub(crate) fn new(memory: Duration) -> Self {
+    /// Creates a meter with this time constant.
+    pub(crate) fn new(time_constant: Duration) -> Self {
         Self {
-            memory: memory.as_secs_f64(),
+            time_constant: time_constant.as_secs_f64(),
             rate: 0.0,
-            at: Duration::ZERO,
+            updated_at: Duration::ZERO,
         }
     }
 
     pub(crate) fn add(&mut self, now: Duration, amount: f64) {
-        self.rate = self.rate(now) + amount / self.memory;
-        self.at = now;
+        self.rate = self.rate(now) + amount / self.time_constant;
+        self.updated_at = now;
     }
 
     pub(crate) fn rate(&self, now: Duration) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.rate * (-passed / self.memory).exp()
+        let passed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.rate * (-passed / self.time_constant).exp()
     }
 }
 
@@ -41,11 +41,11 @@
 
 impl Mean {
     /// The minimum weight of a new value.
-    const GAIN: f64 = 0.05;
+    const MIN_GAIN: f64 = 0.05;
 
     pub(crate) fn add(&mut self, value: f64) {
         self.count = self.count.saturating_add(1);
-        let gain = Self::GAIN.max(1.0 / f64::from(self.count));
+        let gain = Self::MIN_GAIN.max(1.0 / f64::from(self.count));
         let error = value - self.value;
         self.value += gain * error;
         self.deviation += gain * (error.abs() - self.deviation);
--- a/crates/decide/src/pilot.rs
+++ b/crates/decide/src/pilot.rs
@@ -11,33 +11,33 @@
 use crate::{Policy, key};
 
 /// The stages of a roll-out before the full share.
-const RUNGS: [Rung; 4] = [
-    Rung::new(0.01, 20.0, 8.0),
-    Rung::new(0.05, 60.0, 20.0),
-    Rung::new(0.2, 150.0, 40.0),
-    Rung::new(0.5, 300.0, 80.0),
+const STAGES: [Stage; 4] = [
+    Stage::new(0.01, 20.0, 8.0),
+    Stage::new(0.05, 60.0, 20.0),
+    Stage::new(0.2, 150.0, 40.0),
+    Stage::new(0.5, 300.0, 80.0),
 ];
 /// Minimum time at a share before the next, so that slow failures are detected.
-const DWELL: Duration = Duration::from_secs(30);
+const MIN_STAGE_TIME: Duration = Duration::from_secs(30);
 /// Interval at which a step is requested again until it is taken.
-const AGAIN: Duration = Duration::from_secs(5);
+const REQUEST_INTERVAL: Duration = Duration::from_secs(5);
 /// The quality that a version may lose against the one that it replaces.
-const SLACK: f64 = 0.02;
+const MAX_QUALITY_LOSS: f64 = 0.02;
 
 /// The evidence required at a share before the next one.
 #[derive(Clone, Copy, Debug)]
-struct Rung {
+struct Stage {
     share: f64,
-    answers: f64,
-    ratings: f64,
+    min_responses: f64,
+    min_ratings: f64,
 }
 
-impl Rung {
-    const fn new(share: f64, answers: f64, ratings: f64) -> Self {
+impl Stage {
+    const fn new(share: f64, min_responses: f64, min_ratings: f64) -> Self {
         Self {
             share,
-            answers,
-            ratings,
+            min_responses,
+            min_ratings,
         }
     }
 }
@@ -51,10 +51,10 @@
     replaces: Option<key::Version>,
     pace: Pace,
     share: Option<f64>,
-    since: Duration,
+    share_since: Duration,
     /// The totals when the current share was set.
-    before: Totals,
-    next: Duration,
+    initial_totals: Totals,
+    next_request: Duration,
 }
 
 impl Pilot {
@@ -79,9 +79,9 @@
             replaces: rollout.replaces,
             pace: rollout.pace,
             share,
-            since: same.map_or(now, |it| it.since),
-            before: same.map_or(totals, |it| it.before),
-            next: same.map_or(now, |it| it.next),
+            share_since: same.map_or(now, |it| it.share_since),
+            initial_totals: same.map_or(totals, |it| it.initial_totals),
+            next_request: same.map_or(now, |it| it.next_request),
         }
     }
 
@@ -98,11 +98,11 @@
         knowledge: &Knowledge,
     ) -> Option<Step> {
         let from = self.share?;
-        if now < self.next {
+        if now < self.next_request {
             return None;
         }
-        let to = self.judge(now, from, health, knowledge)?;
-        self.next = now + AGAIN;
+        let to = self.target_share(now, from, health, knowledge)?;
+        self.next_request = now + REQUEST_INTERVAL;
         Some(Step {
             rollout: Arc::clone(&self.id),
             version: self.version,
@@ -113,7 +113,7 @@
     }
 
     /// Returns the share to move to, or `None` to stay at `from`.
-    fn judge(
+    fn target_share(
         &self,
         now: Duration,
         from: f64,
@@ -129,22 +129,22 @@
             return Some(0.0);
         }
         let seen = monitor.totals();
-        let answers = seen.answers - self.before.answers;
-        let ratings = seen.ratings - self.before.ratings;
+        let responses = seen.answers - self.initial_totals.answers;
+        let ratings = seen.ratings - self.initial_totals.ratings;
         let compared = self.replaces.map(|it| knowledge.compare(self.version, it));
         if let Some(it) = compared
-            && it.difference + 2.5 * it.error < -SLACK
+            && it.difference + 2.5 * it.error < -MAX_QUALITY_LOSS
         {
-            return Some(previous(from));
+            return Some(previous_share(from));
         }
-        let rung = RUNGS.iter().rfind(|it| it.share <= from + 1e-9);
-        let rung = rung.unwrap_or(&RUNGS[0]);
-        let enough = answers >= rung.answers
-            && ratings >= rung.ratings
-            && now.saturating_sub(self.since) >= DWELL;
-        let as_good = compared.is_none_or(|it| it.difference + it.error >= -SLACK);
-        let calm = !monitor.is_suspect() && self.pace == Pace::Running;
-        (enough && as_good && calm).then(|| following(from))
+        let stage = STAGES.iter().rfind(|it| it.share <= from + 1e-9);
+        let stage = stage.unwrap_or(&STAGES[0]);
+        let enough = responses >= stage.min_responses
+            && ratings >= stage.min_ratings
+            && now.saturating_sub(self.share_since) >= MIN_STAGE_TIME;
+        let as_good = compared.is_none_or(|it| it.difference + it.error >= -MAX_QUALITY_LOSS);
+        let may_advance = !monitor.is_suspect() && self.pace == Pace::Running;
+        (enough && as_good && may_advance).then(|| next_share(from))
     }
 }
 
@@ -155,12 +155,12 @@
     pub(crate) error: f64,
 }
 
-fn following(share: f64) -> f64 {
-    let next = RUNGS.iter().find(|it| it.share > share + 1e-9);
+fn next_share(share: f64) -> f64 {
+    let next = STAGES.iter().find(|it| it.share > share + 1e-9);
     next.map_or(1.0, |it| it.share)
 }
 
-fn previous(share: f64) -> f64 {
-    let before = RUNGS.iter().rfind(|it| it.share < share - 1e-9);
+fn previous_share(share: f64) -> f64 {
+    let before = STAGES.iter().rfind(|it| it.share < share - 1e-9);
     before.map_or(0.0, |it| it.share)
 }
--- a/crates/decide/src/planner.rs
+++ b/crates/decide/src/planner.rs
@@ -6,14 +6,14 @@
 use crate::plan::{Plan, Step};
 
 /// Limits how many versions are combined into plans of several steps.
-const COMBINED: usize = 7;
+const MAX_COMBINED_VERSIONS: usize = 7;
 /// Intervals of quality; the cheapest plan of each is kept.
-const PLACES: usize = 128;
+const QUALITY_INTERVALS: usize = 128;
 /// Standard errors subtracted from the expected quality of a plan of one step.
-const DOUBT: f64 = 0.35;
+const SINGLE_STEP_MARGIN: f64 = 0.35;
 /// Standard errors subtracted for plans of several steps. The margin is larger
 /// because the best of many combinations is often the most overestimated one.
-const CHOICE_DOUBT: f64 = 0.6;
+const MULTI_STEP_MARGIN: f64 = 0.6;
 
 /// A random mix of two plans whose average quality meets the target without
 /// exceeding it.
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Offer {
+struct Candidate {
     plan: Plan,
     cost: f64,
     quality: f64,
@@ -55,18 +55,18 @@
 /// Returns the cheapest mix of plans that meets the goal, or the plan of highest
 /// quality within the cost cap if none does. Returns `None` if there is no version.
 pub(crate) fn plan(forecasts: &[Forecast], goal: &Goal) -> Option<Mix> {
-    let mut offers = Offers::new(goal);
+    let mut candidates = Candidates::new(goal);
     for it in forecasts {
-        offers.add(single(it));
+        candidates.add(single_step(it));
     }
     let useful = frontier(forecasts);
     if goal.steps >= 2 {
-        pairs(&useful, &mut offers);
+        add_pairs(&useful, &mut candidates);
     }
     if goal.steps >= 3 {
-        triples(&useful, &mut offers);
+        add_triples(&useful, &mut candidates);
     }
-    offers.mix()
+    candidates.mix()
 }
 
 /// Returns the versions whose quality plus one standard error exceeds that of
@@ -80,55 +80,61 @@
         best = f64::max(best, it.quality());
         keep
     });
-    if sorted.len() > COMBINED {
+    if sorted.len() > MAX_COMBINED_VERSIONS {
         // Keeps the cheapest and the best; those in between rarely combine well.
-        let best = sorted.split_off(sorted.len() - COMBINED / 2);
-        sorted.truncate(COMBINED - best.len());
+        let best = sorted.split_off(sorted.len() - MAX_COMBINED_VERSIONS / 2);
+        sorted.truncate(MAX_COMBINED_VERSIONS - best.len());
         sorted.extend(best);
     }
     sorted
 }
 
-fn single(it: &Forecast) -> Offer {
-    Offer {
+fn single_step(it: &Forecast) -> Candidate {
+    Candidate {
         plan: Plan::of(&[Step::last(it.version)]),
         cost: it.cost,
-        quality: it.quality() - DOUBT * it.error(),
+        quality: it.quality() - SINGLE_STEP_MARGIN * it.error(),
     }
 }
 
-fn pairs(useful: &[Forecast], offers: &mut Offers) {
+fn add_pairs(useful: &[Forecast], candidates: &mut Candidates) {
     for (at, first) in useful.iter().enumerate() {
         for second in &useful[at + 1..] {
             for threshold in 1..BUCKETS {
-                pair([first, second], threshold, offers);
+                add_pair([first, second], threshold, candidates);
             }
         }
     }
 }
 
-fn pair(versions: [&Forecast; 2], threshold: usize, offers: &mut Offers) {
+fn add_pair(versions: [&Forecast; 2], threshold: usize, candidates: &mut Candidates) {
     let [first, second] = versions;
     let pass = first.first.pass[threshold];
-    let left = 1.0 - pass;
-    let sum = Sum {
-        cost: first.cost + left * second.cost,
-        quality: first.first.good[threshold] + left * second.later.good[0],
-        variance: first.first.variance[threshold] + left * left * second.later.variance[0],
+    let escalated = 1.0 - pass;
+    let expected = Expectation {
+        cost: first.cost + escalated * second.cost,
+        quality: first.first.good[threshold] + escalated * second.later.good[0],
+        variance: first.first.variance[threshold]
+            + escalated * escalated * second.later.variance[0],
     };
-    let ends = [(first, pass), (second, left)];
-    offers.add_if(sum.with_sessions(&ends, offers.goal.pinned), || {
-        Plan::of(&[step(first, threshold), Step::last(second.version)])
-    });
+    let accepted = [(first, pass), (second, escalated)];
+    candidates.add_if_cheaper(
+        expected.with_sessions(&accepted, candidates.goal.pinned),
+        || Plan::of(&[checked_step(first, threshold), Step::last(second.version)]),
+    );
 }
 
-fn triples(useful: &[Forecast], offers: &mut Offers) {
+fn add_triples(useful: &[Forecast], candidates: &mut Candidates) {
     for (at, first) in useful.iter().enumerate() {
-        for (then, second) in useful.iter().enumerate().skip(at + 1) {
-            for third in &useful[then + 1..] {
-                for one in 1..BUCKETS {
-                    for two in 1..BUCKETS {
-                        triple([first, second, third], [one, two], offers);
+        for (second_at, second) in useful.iter().enumerate().skip(at + 1) {
+            for third in &useful[second_at + 1..] {
+                for first_threshold in 1..BUCKETS {
+                    for second_threshold in 1..BUCKETS {
+                        add_triple(
+                            [first, second, third],
+                            [first_threshold, second_threshold],
+                            candidates,
+                        );
                     }
                 }
             }
@@ -136,28 +142,41 @@
     }
 }
 
-fn triple(versions: [&Forecast; 3], thresholds: [usize; 2], offers: &mut Offers) {
+fn add_triple(versions: [&Forecast; 3], thresholds: [usize; 2], candidates: &mut Candidates) {
     let [first, second, third] = versions;
-    let [one, two] = thresholds;
-    let pass = first.first.pass[one];
-    let left = 1.0 - pass;
-    let then = left * second.later.pass[two];
-    let rest = left - then;
-    let sum = Sum {
-        cost: first.cost + left * second.cost + rest * third.cost,
-        quality: first.first.good[one] + left * second.later.good[two] + rest * third.later.good[0],
-        variance: first.first.variance[one]
-            + left * left * second.later.variance[two]
-            + rest * rest * third.later.variance[0],
+    let [first_threshold, second_threshold] = thresholds;
+    let pass = first.first.pass[first_threshold];
+    let escalated = 1.0 - pass;
+    let second_pass = escalated * second.later.pass[second_threshold];
+    let escalated_twice = escalated - second_pass;
+    let expected = Expectation {
+        cost: first.cost + escalated * second.cost + escalated_twice * third.cost,
+        quality: first.first.good[first_threshold]
+            + escalated * second.later.good[second_threshold]
+            + escalated_twice * third.later.good[0],
+        variance: first.first.variance[first_threshold]
+            + escalated * escalated * second.later.variance[second_threshold]
+            + escalated_twice * escalated_twice * third.later.variance[0],
     };
-    let ends = [(first, pass), (second, then), (third, rest)];
-    offers.add_if(sum.with_sessions(&ends, offers.goal.pinned), || {
-        let last = Step::last(third.version);
-        Plan::of(&[step(first, one), step(second, two), last])
-    });
+    let accepted = [
+        (first, pass),
+        (second, second_pass),
+        (third, escalated_twice),
+    ];
+    candidates.add_if_cheaper(
+        expected.with_sessions(&accepted, candidates.goal.pinned),
+        || {
+            let last = Step::last(third.version);
+            Plan::of(&[
+                checked_step(first, first_threshold),
+                checked_step(second, second_threshold),
+                last,
+            ])
+        },
+    );
 }
 
-fn step(it: &Forecast, threshold: usize) -> Step {
+fn checked_step(it: &Forecast, threshold: usize) -> Step {
     Step {
         version: it.version,
         threshold,
@@ -166,25 +185,25 @@
 
 /// The expected cost and quality of a plan.
 #[derive(Clone, Copy, Debug)]
-struct Sum {
+struct Expectation {
     cost: f64,
     quality: f64,
     variance: f64,
 }
 
-impl Sum {
+impl Expectation {
     /// Includes the later requests of the sessions that the plan starts, which use
-    /// the version that answered first, in a single step. `ends` lists the
+    /// the version that answered first, in a single step. `accepted` lists the
     /// versions with the share of requests for which each one's response is
     /// accepted; `pinned` is the share of later requests.
-    fn with_sessions(self, ends: &[(&Forecast, f64)], pinned: f64) -> Self {
+    fn with_sessions(self, accepted: &[(&Forecast, f64)], pinned: f64) -> Self {
         let free = 1.0 - pinned;
         let mut it = Self {
             cost: free * self.cost,
             quality: free * self.quality,
             variance: free * free * self.variance,
         };
-        for (version, share) in ends {
+        for (version, share) in accepted {
             let share = pinned * share;
             it.cost += share * version.cost;
             it.quality += share * version.quality();
@@ -195,30 +214,30 @@
 }
 
 /// The cheapest plan for each interval of quality.
-struct Offers {
+struct Candidates {
     goal: Goal,
-    places: [Option<Offer>; PLACES],
-    best: Option<Offer>,
-    cheapest: Option<Offer>,
+    cheapest_by_quality: [Option<Candidate>; QUALITY_INTERVALS],
+    best: Option<Candidate>,
+    cheapest: Option<Candidate>,
 }
 
-impl Offers {
+impl Candidates {
     fn new(goal: &Goal) -> Self {
         Self {
             goal: *goal,
-            places: [None; PLACES],
+            cheapest_by_quality: [None; QUALITY_INTERVALS],
             best: None,
             cheapest: None,
         }
     }
 
-    fn add_if(&mut self, sum: Sum, plan: impl FnOnce() -> Plan) {
-        let cost = sum.cost;
-        let quality = sum.quality - CHOICE_DOUBT * sum.variance.sqrt();
-        let place = place(quality);
-        if self.places[place].is_none_or(|it| cost < it.cost) {
+    fn add_if_cheaper(&mut self, expected: Expectation, plan: impl FnOnce() -> Plan) {
+        let cost = expected.cost;
+        let quality = expected.quality - MULTI_STEP_MARGIN * expected.variance.sqrt();
+        let interval = quality_interval(quality);
+        if self.cheapest_by_quality[interval].is_none_or(|it| cost < it.cost) {
             let plan = plan();
-            self.add(Offer {
+            self.add(Candidate {
                 plan,
                 cost,
                 quality,
@@ -226,33 +245,33 @@
         }
     }
 
-    fn add(&mut self, offer: Offer) {
-        if self.cheapest.is_none_or(|it| offer.cost < it.cost) {
-            self.cheapest = Some(offer);
+    fn add(&mut self, candidate: Candidate) {
+        if self.cheapest.is_none_or(|it| candidate.cost < it.cost) {
+            self.cheapest = Some(candidate);
         }
-        if offer.cost > self.goal.cap {
+        if candidate.cost > self.goal.cap {
             return;
         }
-        if self.best.is_none_or(|it| offer.quality > it.quality) {
-            self.best = Some(offer);
+        if self.best.is_none_or(|it| candidate.quality > it.quality) {
+            self.best = Some(candidate);
         }
-        let place = &mut self.places[place(offer.quality)];
-        if place.is_none_or(|it| offer.cost < it.cost) {
-            *place = Some(offer);
+        let interval = &mut self.cheapest_by_quality[quality_interval(candidate.quality)];
+        if interval.is_none_or(|it| candidate.cost < it.cost) {
+            *interval = Some(candidate);
         }
     }
 
     fn mix(&self) -> Option<Mix> {
         let best = self.best.or(self.cheapest)?;
-        let offers = || self.places.iter().flatten();
+        let candidates = || self.cheapest_by_quality.iter().flatten();
         let target = self.goal.target;
-        let enough = offers().filter(|it| it.quality >= target);
-        let Some(one) = enough.clone().min_by(|a, b| a.cost.total_cmp(&b.cost)) else {
-            return Some(Mix::one(&best));
+        let enough = candidates().filter(|it| it.quality >= target);
+        let Some(cheapest) = enough.clone().min_by(|a, b| a.cost.total_cmp(&b.cost)) else {
+            return Some(Mix::single(&best));
         };
-        let mut mix = Mix::one(one);
+        let mut mix = Mix::single(cheapest);
         for good in enough {
-            for cheap in offers().filter(|it| it.quality < target && it.cost < good.cost) {
+            for cheap in candidates().filter(|it| it.quality < target && it.cost < good.cost) {
                 let share = (good.quality - target) / (good.quality - cheap.quality);
                 let cost = share * cheap.cost + (1.0 - share) * good.cost;
                 if cost < mix.cost {
@@ -271,20 +290,20 @@
 }
 
 impl Mix {
-    fn one(offer: &Offer) -> Self {
+    fn single(candidate: &Candidate) -> Self {
         Self {
-            cheap: offer.plan,
-            good: offer.plan,
+            cheap: candidate.plan,
+            good: candidate.plan,
             share: 0.0,
-            cost: offer.cost,
-            quality: offer.quality,
+            cost: candidate.cost,
+            quality: candidate.quality,
         }
     }
 }
 
 /// Returns the interval of a quality. Intervals are narrower towards 1, where
 /// most targets are.
-fn place(quality: f64) -> usize {
+fn quality_interval(quality: f64) -> usize {
     const SCALE: [f64; 4] = [0.0, 0.5, 0.8, 1.0];
     let bands = [16.0, 48.0, 63.0];
     let quality = quality.clamp(0.0, 1.0);
@@ -296,5 +315,5 @@
         }
         start += width;
     }
-    PLACES - 1
+    QUALITY_INTERVALS - 1
 }
--- a/crates/decide/src/plans.rs
+++ b/crates/decide/src/plans.rs
@@ -8,9 +8,9 @@
 use crate::{Policy, key};
 
 /// A plan younger than this is reused whatever was learned since.
-const FRESH: Duration = Duration::from_secs(1);
+const MIN_REUSE: Duration = Duration::from_secs(1);
 /// The maximum age of a reused plan.
-const STALE: Duration = Duration::from_secs(10);
+const MAX_REUSE: Duration = Duration::from_secs(10);
 
 /// Identifies a set of allowed versions. Customers and profiles with the same
 /// set share plans.
@@ -20,9 +20,9 @@
 /// A cache of plans by profile, set of allowed versions, and class.
 #[derive(Debug, Default)]
 pub(crate) struct Plans {
-    menus: Vec<Vec<key::Version>>,
+    version_sets: Vec<Vec<key::Version>>,
     /// Indexed by profile, then by customer.
-    chosen: Vec<Vec<Option<Menu>>>,
+    set_ids: Vec<Vec<Option<Menu>>>,
     entries: HashMap<Name, Entry>,
 }
 
@@ -60,16 +60,16 @@
     /// Clears the cache and indexes the sets of allowed versions of `policy`.
     pub(crate) fn configure(&mut self, policy: &Policy) {
         self.entries.clear();
-        self.menus.clear();
-        self.chosen.clear();
+        self.version_sets.clear();
+        self.set_ids.clear();
         for profile in &policy.profiles {
-            let mut chosen = vec![None; policy.customers.len()];
+            let mut by_customer = vec![None; policy.customers.len()];
             for allowance in &profile.allowed {
-                if let Some(it) = chosen.get_mut(allowance.customer.index()) {
-                    *it = Some(menu(&mut self.menus, &allowance.versions));
+                if let Some(it) = by_customer.get_mut(allowance.customer.index()) {
+                    *it = Some(intern(&mut self.version_sets, &allowance.versions));
                 }
             }
-            self.chosen.push(chosen);
+            self.set_ids.push(by_customer);
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     pub(crate) fn menu(&self, profile: key::Profile, customer: key::Customer) -> Option<Menu> {
-        *self.chosen.get(profile.index())?.get(customer.index())?
+        *self.set_ids.get(profile.index())?.get(customer.index())?
     }
 
     /// Returns the cached plan unless it is too old or too much was learned since.
@@ -89,9 +89,9 @@
         let age = now.saturating_sub(it.made);
         let learned = changes.saturating_sub(it.changes);
         // A change matters less the more is known.
-        let enough = learned * 50 > it.changes;
-        let fresh = age < FRESH || (age < STALE && !enough);
-        fresh.then_some(*it)
+        let outdated = learned * 50 > it.changes;
+        let reusable = age < MIN_REUSE || (age < MAX_REUSE && !outdated);
+        reusable.then_some(*it)
     }
 
     pub(crate) fn insert(&mut self, name: Name, entry: Entry) {
@@ -99,13 +99,13 @@
     }
 }
 
-fn menu(menus: &mut Vec<Vec<key::Version>>, versions: &[key::Version]) -> Menu {
+fn intern(version_sets: &mut Vec<Vec<key::Version>>, versions: &[key::Version]) -> Menu {
     let mut versions = versions.to_vec();
     versions.sort_unstable();
     versions.dedup();
-    let known = menus.iter().position(|it| *it == versions);
+    let known = version_sets.iter().position(|it| *it == versions);
     Menu(known.unwrap_or_else(|| {
-        menus.push(versions);
-        menus.len() - 1
+        version_sets.push(versions);
+        version_sets.len() - 1
     }))
 }
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -11,7 +11,7 @@
 /// start-time fair queueing between the customers of the same priority.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
-    lanes: [Lane; Priority::ALL.len()],
+    levels: [PriorityLevel; Priority::ALL.len()],
 }
 
 /// A queued request.
@@ -23,10 +23,10 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Lane {
+struct PriorityLevel {
     backlogs: Vec<Backlog>,
     /// The virtual time: the start tag of the request served last.
-    clock: f64,
+    virtual_time: f64,
     len: usize,
 }
 
@@ -35,39 +35,39 @@
     requests: VecDeque<Key>,
     weight: f64,
     /// The start tag of this customer's next request.
-    tag: f64,
+    start_tag: f64,
 }
 
 impl Queue {
     pub(crate) fn len(&self) -> usize {
-        self.lanes.iter().map(|it| it.len).sum()
+        self.levels.iter().map(|it| it.len).sum()
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.lanes.iter().all(|it| it.len == 0)
+        self.levels.iter().all(|it| it.len == 0)
     }
 
     /// Returns whether a request of this or a higher priority is queued.
     pub(crate) fn is_ahead(&self, priority: Priority) -> bool {
-        let lanes = &self.lanes[..=priority.index()];
-        lanes.iter().any(|it| it.len > 0)
+        let levels = &self.levels[..=priority.index()];
+        levels.iter().any(|it| it.len > 0)
     }
 
     /// Returns the number of queued requests of the customer at this priority.
     pub(crate) fn own(&self, customer: key::Customer, priority: Priority) -> usize {
-        let lane = &self.lanes[priority.index()];
-        let backlog = lane.backlogs.get(customer.index());
+        let level = &self.levels[priority.index()];
+        let backlog = level.backlogs.get(customer.index());
         backlog.map_or(0, |it| it.requests.len())
     }
 
     /// Estimates how many requests are served before a new one of this customer.
     pub(crate) fn ahead(&self, customer: key::Customer, priority: Priority, weight: f64) -> f64 {
-        let before = &self.lanes[..priority.index()];
+        let before = &self.levels[..priority.index()];
         let before: usize = before.iter().map(|it| it.len).sum();
-        let lane = &self.lanes[priority.index()];
-        let own = lane.backlogs.get(customer.index());
+        let level = &self.levels[priority.index()];
+        let own = level.backlogs.get(customer.index());
         let own = own.map_or(0, |it| it.requests.len());
-        let others = lane.backlogs.iter().enumerate();
+        let others = level.backlogs.iter().enumerate();
         let others = others.filter(|(at, it)| *at != customer.index() && !it.requests.is_empty());
         // A customer with an empty backlog is behind at most one request of each other.
         let turns = count(own) / weight;
@@ -76,37 +76,37 @@
     }
 
     pub(crate) fn push(&mut self, entry: Entry, weight: f64) {
-        let lane = &mut self.lanes[entry.priority.index()];
-        let clock = lane.clock;
-        let backlog = lane.backlog(entry.customer, weight);
+        let level = &mut self.levels[entry.priority.index()];
+        let virtual_time = level.virtual_time;
+        let backlog = level.backlog(entry.customer, weight);
         if backlog.requests.is_empty() {
-            backlog.tag = backlog.tag.max(clock);
+            backlog.start_tag = backlog.start_tag.max(virtual_time);
         }
         backlog.requests.push_back(entry.request);
-        lane.len += 1;
+        level.len += 1;
     }
 
     /// Returns a request to the front of its customer's backlog.
     pub(crate) fn push_front(&mut self, entry: Entry, weight: f64) {
-        let lane = &mut self.lanes[entry.priority.index()];
-        let backlog = lane.backlog(entry.customer, weight);
+        let level = &mut self.levels[entry.priority.index()];
+        let backlog = level.backlog(entry.customer, weight);
         backlog.requests.push_front(entry.request);
-        lane.len += 1;
+        level.len += 1;
     }
 
     /// Returns the request to serve next.
     pub(crate) fn first(&self) -> Option<Key> {
-        let lane = self.lanes.iter().find(|it| it.len > 0)?;
-        let backlog = &lane.backlogs[lane.next()?];
+        let level = self.levels.iter().find(|it| it.len > 0)?;
+        let backlog = &level.backlogs[level.next()?];
         backlog.requests.front().copied()
     }
 
     /// Removes and returns the request that [`Self::first`] returns.
     pub(crate) fn pop(&mut self) -> Option<Key> {
-        let lane = self.lanes.iter_mut().find(|it| it.len > 0)?;
-        let next = lane.next()?;
-        lane.len -= 1;
-        lane.backlogs[next].requests.pop_front()
+        let level = self.levels.iter_mut().find(|it| it.len > 0)?;
+        let next = level.next()?;
+        level.len -= 1;
+        level.backlogs[next].requests.pop_front()
     }
 
     /// Accounts for work that was sent, whether it was queued or not, so that
@@ -118,32 +118,32 @@
         work: f64,
         weight: f64,
     ) {
-        let lane = &mut self.lanes[priority.index()];
-        let clock = lane.clock;
-        let backlog = lane.backlog(customer, weight);
-        let start = backlog.tag.max(clock);
-        backlog.tag = start + work / weight;
-        lane.clock = start;
+        let level = &mut self.levels[priority.index()];
+        let virtual_time = level.virtual_time;
+        let backlog = level.backlog(customer, weight);
+        let start = backlog.start_tag.max(virtual_time);
+        backlog.start_tag = start + work / weight;
+        level.virtual_time = start;
     }
 
     pub(crate) fn remove(&mut self, entry: Entry) {
-        let lane = &mut self.lanes[entry.priority.index()];
-        let Some(backlog) = lane.backlogs.get_mut(entry.customer.index()) else {
+        let level = &mut self.levels[entry.priority.index()];
+        let Some(backlog) = level.backlogs.get_mut(entry.customer.index()) else {
             return;
         };
         let before = backlog.requests.len();
         backlog.requests.retain(|it| *it != entry.request);
-        lane.len -= before - backlog.requests.len();
+        level.len -= before - backlog.requests.len();
     }
 
     /// Iterates over all queued requests, in no particular order between customers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = Key> {
-        let backlogs = self.lanes.iter().flat_map(|it| &it.backlogs);
+        let backlogs = self.levels.iter().flat_map(|it| &it.backlogs);
         backlogs.flat_map(|it| it.requests.iter().copied())
     }
 }
 
-impl Lane {
+impl PriorityLevel {
     fn backlog(&mut self, customer: key::Customer, weight: f64) -> &mut Backlog {
         if self.backlogs.len() <= customer.index() {
             self.backlogs
@@ -158,7 +158,7 @@
         let waiting = self.backlogs.iter().enumerate();
         let waiting = waiting.filter(|(_, it)| !it.requests.is_empty());
         waiting
-            .min_by(|a, b| a.1.tag.total_cmp(&b.1.tag))
+            .min_by(|a, b| a.1.start_tag.total_cmp(&b.1.start_tag))
             .map(|(at, _)| at)
     }
 }
--- a/crates/decide/src/shape.rs
+++ b/crates/decide/src/shape.rs
@@ -4,20 +4,20 @@
 use crate::tally::{Bucket, Tally};
 
 /// Iterations of the expectation-maximization fit.
-const STEPS: u32 = 12;
+const FIT_ITERATIONS: u32 = 12;
 /// Maximum number of unrated responses that count, since the distributions may
 /// differ in this class.
-const UNRATED: f64 = 1200.0;
+const MAX_UNRATED: f64 = 1200.0;
 /// The weight of an unrated response relative to a rating.
-const UNRATED_WORTH: f64 = 0.35;
+const UNRATED_WEIGHT: f64 = 0.35;
 /// The number of buckets with the highest confidence that noise is estimated from.
-const SUREST: usize = 2;
+const TOP_BUCKETS: usize = 2;
 /// The weight of the configured noise, in ratings.
-const NOISE_WEIGHT: f64 = 100.0;
+const NOISE_PRIOR_RATINGS: f64 = 100.0;
 /// The maximum estimated noise, unless the configured noise is higher.
-const MOST_NOISE: f64 = 0.1;
+const MAX_NOISE: f64 = 0.1;
 /// The number of ratings at which unrated responses have half their full weight.
-const SHAPE_RATINGS: f64 = 40.0;
+const HALF_TRUST_RATINGS: f64 = 40.0;
 
 /// The distributions of confidence over good and over bad responses.
 ///
@@ -61,14 +61,15 @@
     /// that weighs `weight` ratings.
     pub(crate) fn learned(&self, tally: &Tally, weight: f64) -> Self {
         let noise = self.noise;
-        let clear = 1.0 - 2.0 * noise;
+        let reliability = 1.0 - 2.0 * noise;
         let mut it = *self;
-        let truly = |seen: &[f64; BUCKETS], other: &[f64; BUCKETS]| {
-            let of = |at: usize| ((1.0 - noise) * seen[at] - noise * other[at]).max(0.0) / clear;
+        let denoise = |seen: &[f64; BUCKETS], other: &[f64; BUCKETS]| {
+            let of =
+                |at: usize| ((1.0 - noise) * seen[at] - noise * other[at]).max(0.0) / reliability;
             std::array::from_fn::<f64, BUCKETS, _>(of)
         };
-        it.good = blend(&truly(&tally.good, &tally.bad), &self.good, weight);
-        it.bad = blend(&truly(&tally.bad, &tally.good), &self.bad, weight);
+        it.good = blend(&denoise(&tally.good, &tally.bad), &self.good, weight);
+        it.bad = blend(&denoise(&tally.bad, &tally.good), &self.bad, weight);
         it.ratings = self.ratings.max(tally.ratings());
         it
     }
@@ -76,19 +77,19 @@
     /// Returns the same distributions with the noise estimated from `tally`.
     pub(crate) fn denoised(&self, tally: &Tally) -> Self {
         Self {
-            noise: self.noise_in(tally),
+            noise: self.estimate_noise(tally),
             ..*self
         }
     }
 
     /// Estimates the share of wrong ratings. Nearly all responses of the highest
     /// confidence are good, so that bad ratings among them are mostly wrong.
-    fn noise_in(&self, tally: &Tally) -> f64 {
-        let surest = BUCKETS - SUREST..;
-        let bad: f64 = tally.bad[surest.clone()].iter().sum();
-        let good: f64 = tally.good[surest].iter().sum();
-        let noise = (bad + NOISE_WEIGHT * self.noise) / (bad + good + NOISE_WEIGHT);
-        noise.min(MOST_NOISE.max(self.noise))
+    fn estimate_noise(&self, tally: &Tally) -> f64 {
+        let top = BUCKETS - TOP_BUCKETS..;
+        let bad: f64 = tally.bad[top.clone()].iter().sum();
+        let good: f64 = tally.good[top].iter().sum();
+        let noise = (bad + NOISE_PRIOR_RATINGS * self.noise) / (bad + good + NOISE_PRIOR_RATINGS);
+        noise.min(MAX_NOISE.max(self.noise))
     }
 
     /// Returns the distribution of confidence if `share` of the responses are good.
@@ -124,10 +125,10 @@
     /// Estimates the share of good responses by expectation maximization.
     pub(crate) fn fit(&self, tally: &Tally, prior: Fit) -> Fit {
         let unrated = (tally.answers() - tally.ratings()).max(0.0);
-        let scale = (UNRATED / unrated.max(1e-9)).min(1.0);
+        let scale = (MAX_UNRATED / unrated.max(1e-9)).min(1.0);
         let mut share = prior.share;
         let mut total = 1.0;
-        for _ in 0..STEPS {
+        for _ in 0..FIT_ITERATIONS {
             let mut good = prior.share * prior.weight;
             total = prior.weight;
             for at in 0..BUCKETS {
@@ -135,17 +136,17 @@
                 let rated = tally.good[at] + tally.bad[at];
                 let unrated = (tally.answered[at] - rated).max(0.0) * scale;
                 good += unrated * chance;
-                good += tally.good[at] * good_if(chance, 1.0 - self.noise);
-                good += tally.bad[at] * good_if(chance, self.noise);
+                good += tally.good[at] * posterior_good(chance, 1.0 - self.noise);
+                good += tally.bad[at] * posterior_good(chance, self.noise);
                 total += unrated + rated;
             }
             share = (good / total).clamp(0.005, 0.995);
         }
-        let trust = self.ratings / (self.ratings + SHAPE_RATINGS);
-        let clear = (1.0 - 2.0 * self.noise).powi(2);
+        let trust = self.ratings / (self.ratings + HALF_TRUST_RATINGS);
+        let reliability = (1.0 - 2.0 * self.noise).powi(2);
         let rated = tally.ratings();
         let unrated = (total - prior.weight - rated).max(0.0);
-        let weight = prior.weight + clear * rated + UNRATED_WORTH * trust * unrated;
+        let weight = prior.weight + reliability * rated + UNRATED_WEIGHT * trust * unrated;
         Fit { share, weight }
     }
 }
@@ -159,7 +160,7 @@
 
 /// Returns the posterior probability that a response is good after a rating that
 /// a good one gets with probability `rated`.
-fn good_if(chance: f64, rated: f64) -> f64 {
+fn posterior_good(chance: f64, rated: f64) -> f64 {
     let good = chance * rated;
     good / (good + (1.0 - chance) * (1.0 - rated)).max(1e-9)
 }
--- a/crates/decide/tests/decide/fleet.rs
+++ b/crates/decide/tests/decide/fleet.rs
@@ -17,13 +17,13 @@
 /// The simulated endpoints, by version; `calls` is all services.
 pub(crate) struct Fleet {
     random: Pcg64Mcg,
-    manners: BTreeMap<String, Manner>,
+    behaviours: BTreeMap<String, Behaviour>,
     next: u64,
 }
 
 /// The simulated behaviour of a version.
 #[derive(Clone, Copy, Debug)]
-struct Manner {
+struct Behaviour {
     good: f64,
     fail: f64,
     full: f64,
@@ -33,7 +33,7 @@
 /// Requests at a fixed interval.
 pub(crate) struct Load {
     number: u64,
-    every: Duration,
+    interval: Duration,
     words: Vec<String>,
 }
 
@@ -41,7 +41,7 @@
     pub(crate) fn new() -> Self {
         Self {
             random: Pcg64Mcg::seed_from_u64(3),
-            manners: BTreeMap::new(),
+            behaviours: BTreeMap::new(),
             next: 1000,
         }
     }
@@ -49,28 +49,34 @@
     /// `behave version [good=0.9] [fail=0] [full=0] [time=200ms]`
     pub(crate) fn behave(&mut self, words: &[&str]) {
         let option = |prefix: &str| words.iter().find_map(|it| it.strip_prefix(prefix));
-        let number = |prefix, usual: f64| option(prefix).map_or(usual, |it| it.parse().unwrap());
-        let manner = Manner {
+        let number =
+            |prefix, default: f64| option(prefix).map_or(default, |it| it.parse().unwrap());
+        let behaviour = Behaviour {
             good: number("good=", 0.9),
             fail: number("fail=", 0.0),
             full: number("full=", 0.0),
             time: span(option("time=").unwrap_or("200ms")),
         };
-        self.manners.insert(words[0].to_owned(), manner);
+        self.behaviours.insert(words[0].to_owned(), behaviour);
     }
 
-    fn end(&mut self, version: &str) -> (Duration, Outcome, Quality) {
-        let manner = self.manners[version];
-        let mut toss = || self.random.random::<f64>();
-        let [fail, full, good, draw] = [toss(), toss(), toss(), toss()];
-        if full < manner.full {
+    fn attempt(&mut self, version: &str) -> (Duration, Outcome, Quality) {
+        let behaviour = self.behaviours[version];
+        let mut draw_uniform = || self.random.random::<f64>();
+        let [fail, full, good, draw] = [
+            draw_uniform(),
+            draw_uniform(),
+            draw_uniform(),
+            draw_uniform(),
+        ];
+        if full < behaviour.full {
             let denied = Outcome::Denied(Denial::Overloaded);
             return (Duration::from_millis(1), denied, Quality::Bad);
         }
-        if fail < manner.fail {
-            return (manner.time, Outcome::Failed, Quality::Bad);
+        if fail < behaviour.fail {
+            return (behaviour.time, Outcome::Failed, Quality::Bad);
         }
-        let good = good < manner.good;
+        let good = good < behaviour.good;
         let power = 1.0 / 2.5;
         let confidence = if good {
             draw.powf(power)
@@ -87,24 +93,24 @@
             })
         };
         let quality = if good { Quality::Good } else { Quality::Bad };
-        (manner.time, outcome, quality)
+        (behaviour.time, outcome, quality)
     }
 }
 
 impl Load {
     /// `traffic 100 every=50ms chat customer profile …`
     pub(crate) fn parse(words: &[&str]) -> Self {
-        let every = words[1].strip_prefix("every=").unwrap();
+        let interval = words[1].strip_prefix("every=").unwrap();
         Self {
             number: words[0].parse().unwrap(),
-            every: span(every),
+            interval: span(interval),
             words: words[2..].iter().map(|it| (*it).to_owned()).collect(),
         }
     }
 }
 
 /// A scheduled event.
-enum Next {
+enum Scheduled {
     Arrive(u64),
     End(AttemptId, Outcome),
     Rate(Rating),
@@ -112,9 +118,9 @@
 }
 
 /// A simulation of requests, with the counts of its results.
-struct Run<'a> {
+struct Simulation<'a> {
     script: &'a mut Script,
-    agenda: BTreeMap<(Duration, u64), Next>,
+    schedule: BTreeMap<(Duration, u64), Scheduled>,
     order: u64,
     qualities: BTreeMap<AttemptId, (String, Quality)>,
     counts: BTreeMap<String, u64>,
@@ -126,9 +132,9 @@
     let first = script.fleet.next;
     script.fleet.next += load.number;
     let start = script.now;
-    let mut run = Run {
+    let mut simulation = Simulation {
         script,
-        agenda: BTreeMap::new(),
+        schedule: BTreeMap::new(),
         order: 0,
         qualities: BTreeMap::new(),
         counts: BTreeMap::new(),
@@ -136,40 +142,40 @@
     };
     let mut at = start;
     for number in first..first + load.number {
-        run.plan(at, Next::Arrive(number));
-        at += load.every;
+        simulation.schedule(at, Scheduled::Arrive(number));
+        at += load.interval;
     }
-    run.plan(start, Next::Tick);
-    run.all(load, at + Duration::from_mins(2));
-    let mut text = std::mem::take(&mut run.text);
-    for (what, number) in &run.counts {
+    simulation.schedule(start, Scheduled::Tick);
+    simulation.run(load, at + Duration::from_mins(2));
+    let mut text = std::mem::take(&mut simulation.text);
+    for (what, number) in &simulation.counts {
         writeln!(text, "{what}: {number}").unwrap();
     }
     text
 }
 
-impl Run<'_> {
-    fn plan(&mut self, at: Duration, next: Next) {
+impl Simulation<'_> {
+    fn schedule(&mut self, at: Duration, next: Scheduled) {
         self.order += 1;
-        self.agenda.insert((at, self.order), next);
+        self.schedule.insert((at, self.order), next);
     }
 
-    fn all(&mut self, load: &Load, end: Duration) {
-        while let Some(((at, _), next)) = self.agenda.pop_first() {
+    fn run(&mut self, load: &Load, end: Duration) {
+        while let Some(((at, _), next)) = self.schedule.pop_first() {
             self.script.now = at;
             let event = match next {
-                Next::Arrive(number) => {
+                Scheduled::Arrive(number) => {
                     let number = number.to_string();
                     let mut words: Vec<&str> = load.words.iter().map(String::as_str).collect();
                     words.insert(1, &number);
                     self.script.arrival(&words)
                 }
-                Next::End(attempt, outcome) => Event::Ended { attempt, outcome },
-                Next::Rate(rating) => Event::Rated(rating),
-                Next::Tick => {
+                Scheduled::End(attempt, outcome) => Event::Ended { attempt, outcome },
+                Scheduled::Rate(rating) => Event::Rated(rating),
+                Scheduled::Tick => {
                     if at < end {
                         let tick = self.script.decider.tuning().tick;
-                        self.plan(at + tick, Next::Tick);
+                        self.schedule(at + tick, Scheduled::Tick);
                     }
                     Event::Tick
                 }
@@ -177,12 +183,12 @@
             let mut actions = Vec::new();
             self.script.decider.handle(at, event, &mut actions);
             for action in actions {
-                self.carry_out(&action);
+                self.apply(&action);
             }
         }
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn apply(&mut self, action: &Action) {
         match action {
             Action::Dispatch(it) => self.dispatch(it),
             Action::Deliver(it) => {
@@ -207,7 +213,7 @@
                     verdict,
                 };
                 let at = self.script.now + Duration::from_secs(1);
-                self.plan(at, Next::Rate(rating));
+                self.schedule(at, Scheduled::Rate(rating));
             }
             Action::Step(_) | Action::Version { .. } | Action::LastResort { .. } => {
                 let mut line = String::new();
@@ -225,7 +231,7 @@
         self.count("dispatched");
         let version = it.version.map(|it| self.version(it));
         let version = version.unwrap_or_else(|| "calls".to_owned());
-        let (time, outcome, quality) = self.script.fleet.end(&version);
+        let (time, outcome, quality) = self.script.fleet.attempt(&version);
         self.qualities.insert(it.attempt, (version, quality));
         let at = self.script.now + time.min(it.timeout);
         let outcome = if time > it.timeout {
@@ -233,7 +239,7 @@
         } else {
             outcome
         };
-        self.plan(at, Next::End(it.attempt, outcome));
+        self.schedule(at, Scheduled::End(it.attempt, outcome));
     }
 
     fn version(&self, key: key::Version) -> String {
--- a/crates/decide/tests/decide/properties.rs
+++ b/crates/decide/tests/decide/properties.rs
@@ -6,7 +6,7 @@
 
 use decide::action::{Action, Dispatch};
 use decide::arrival::{Call, Chat, Pin, Work};
-use decide::endpoint::{Distance, Id, Load, Role, State as Life, Update};
+use decide::endpoint::{Distance, Id, Load, Role, State as EndpointState, Update};
 use decide::event::{Quality, Rating};
 use decide::outcome::{Answer, Denial};
 use decide::policy::{
@@ -22,7 +22,7 @@
 
 /// A random event.
 #[derive(Clone, Debug)]
-enum Step {
+enum Input {
     Chat {
         once: bool,
         pin: Option<u16>,
@@ -34,16 +34,16 @@
     },
     Start(usize),
     End(usize, Outcome),
-    Gone(usize),
+    Cancel(usize),
     Rate(usize, bool),
     Withdraw(usize, bool),
     Endpoint {
-        which: u64,
-        life: u64,
-        state: Life,
+        index: u64,
+        incarnation: u64,
+        state: EndpointState,
         running: u32,
     },
-    Pass(u64),
+    Advance(u64),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -64,22 +64,22 @@
     ]
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    let life = prop_oneof![4 => Just(Life::Live), 1 => Just(Life::Leaving), 1 => Just(Life::Gone)];
+fn input() -> impl Strategy<Value = Input> {
+    let state = prop_oneof![4 => Just(EndpointState::Live), 1 => Just(EndpointState::Leaving), 1 => Just(EndpointState::Gone)];
     prop_oneof![
         8 => (any::<bool>(), proptest::option::of(0..5u16), 0..3usize, 0..2u16).prop_map(
-            |(once, pin, priority, customer)| Step::Chat { once, pin, priority, customer }
+            |(once, pin, priority, customer)| Input::Chat { once, pin, priority, customer }
         ),
-        3 => any::<bool>().prop_map(|once| Step::Call { once }),
-        4 => (0..8usize).prop_map(Step::Start),
-        10 => (0..8usize, outcome()).prop_map(|(at, outcome)| Step::End(at, outcome)),
-        1 => (0..8usize).prop_map(Step::Gone),
-        3 => (0..8usize, any::<bool>()).prop_map(|(at, good)| Step::Rate(at, good)),
-        2 => (0..VERSIONS.len(), any::<bool>()).prop_map(|(at, out)| Step::Withdraw(at, out)),
-        3 => (0..ENDPOINTS, 1..3u64, life, 0..5u32).prop_map(
-            |(which, life, state, running)| Step::Endpoint { which, life, state, running }
+        3 => any::<bool>().prop_map(|once| Input::Call { once }),
+        4 => (0..8usize).prop_map(Input::Start),
+        10 => (0..8usize, outcome()).prop_map(|(at, outcome)| Input::End(at, outcome)),
+        1 => (0..8usize).prop_map(Input::Cancel),
+        3 => (0..8usize, any::<bool>()).prop_map(|(at, good)| Input::Rate(at, good)),
+        2 => (0..VERSIONS.len(), any::<bool>()).prop_map(|(at, out)| Input::Withdraw(at, out)),
+        3 => (0..ENDPOINTS, 1..3u64, state, 0..5u32).prop_map(
+            |(index, incarnation, state, running)| Input::Endpoint { index, incarnation, state, running }
         ),
-        6 => (1..2000u64).prop_map(Step::Pass),
+        6 => (1..2000u64).prop_map(Input::Advance),
     ]
 }
 
@@ -87,82 +87,82 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_happens_the_promises_hold(
+    fn invariants_hold_for_any_events(
         seed in any::<u64>(),
-        steps in proptest::collection::vec(step(), 1..150),
+        inputs in proptest::collection::vec(input(), 1..150),
     ) {
-        let mut world = World::new(seed);
-        for step in steps {
-            world.step(&step);
+        let mut simulation = Simulation::new(seed);
+        for input in inputs {
+            simulation.apply(&input);
         }
-        world.settle();
+        simulation.finish_all();
     }
 
     #[test]
-    fn the_same_events_lead_to_the_same_actions(
+    fn decisions_are_deterministic(
         seed in any::<u64>(),
-        steps in proptest::collection::vec(step(), 1..60),
+        inputs in proptest::collection::vec(input(), 1..60),
     ) {
-        let mut worlds = [World::new(seed), World::new(seed)];
-        for step in steps {
-            for world in &mut worlds {
-                world.step(&step);
+        let mut simulations = [Simulation::new(seed), Simulation::new(seed)];
+        for input in inputs {
+            for simulation in &mut simulations {
+                simulation.apply(&input);
             }
         }
-        let [one, other] = worlds;
+        let [one, other] = simulations;
         prop_assert_eq!(one.log, other.log);
     }
 }
 
 /// The state of a request as its caller and endpoints observe it.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct RequestState {
     once: bool,
     calls: bool,
     customer: u16,
     attempts: u32,
     run: Option<Run>,
-    gone: bool,
-    finals: u32,
+    cancelled: bool,
+    results: u32,
 }
 
-struct World {
+struct Simulation {
     decider: Decider,
     now: Duration,
     policy: Policy,
     live: BTreeSet<Id>,
     leaving: BTreeSet<Id>,
-    requests: BTreeMap<key::Request, Seen>,
-    flights: BTreeMap<AttemptId, Dispatch>,
-    answers: BTreeSet<AttemptId>,
+    requests: BTreeMap<key::Request, RequestState>,
+    in_flight: BTreeMap<AttemptId, Dispatch>,
+    answered: BTreeSet<AttemptId>,
     samples: Vec<(key::Request, VersionId)>,
     log: Vec<Action>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             decider: Decider::new(seed, Tuning::default()),
             now: Duration::ZERO,
             policy: policy(),
             live: BTreeSet::new(),
             leaving: BTreeSet::new(),
             requests: BTreeMap::new(),
-            flights: BTreeMap::new(),
-            answers: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
+            answered: BTreeSet::new(),
             samples: Vec::new(),
             log: Vec::new(),
         };
-        world.pass(Event::Configure(Arc::new(world.policy.clone())));
-        for which in 0..ENDPOINTS {
-            world.endpoint(which, 1, Life::Live, 0);
+        simulation.handle(Event::Configure(Arc::new(simulation.policy.clone())));
+        for index in 0..ENDPOINTS {
+            simulation.endpoint(index, 1, EndpointState::Live, 0);
         }
-        world
+        simulation
     }
 
-    fn step(&mut self, step: &Step) {
-        match step {
-            Step::Chat {
+    fn apply(&mut self, input: &Input) {
+        match input {
+            Input::Chat {
                 once,
                 pin,
                 priority,
@@ -185,7 +185,7 @@
                 });
                 self.arrive(work, *once, *customer, Some(Priority::ALL[*priority]));
             }
-            Step::Call { once } => {
+            Input::Call { once } => {
                 let service = key::Service(u16::from(*once));
                 let work = Work::Call(Call {
                     service,
@@ -193,28 +193,28 @@
                 });
                 self.arrive(work, *once, 0, None);
             }
-            Step::Start(at) => {
-                if let Some(attempt) = self.flight(*at) {
-                    self.pass(Event::Started { attempt });
+            Input::Start(at) => {
+                if let Some(attempt) = self.nth_in_flight(*at) {
+                    self.handle(Event::Started { attempt });
                 }
             }
-            Step::End(at, outcome) => {
-                if let Some(attempt) = self.flight(*at) {
+            Input::End(at, outcome) => {
+                if let Some(attempt) = self.nth_in_flight(*at) {
                     self.end(attempt, *outcome);
                 }
             }
-            Step::Gone(at) => {
-                let open = self.requests.iter().filter(|(_, it)| it.finals == 0);
+            Input::Cancel(at) => {
+                let open = self.requests.iter().filter(|(_, it)| it.results == 0);
                 let request = open.map(|it| *it.0).nth(*at);
                 if let Some(request) = request {
-                    self.requests.get_mut(&request).unwrap().gone = true;
-                    self.pass(Event::Cancelled { request });
+                    self.requests.get_mut(&request).unwrap().cancelled = true;
+                    self.handle(Event::Cancelled { request });
                 }
             }
-            Step::Rate(at, good) => {
+            Input::Rate(at, good) => {
                 if let Some((request, version)) = self.samples.get(*at).cloned() {
                     let verdict = if *good { Quality::Good } else { Quality::Bad };
-                    self.pass(Event::Rated(Rating {
+                    self.handle(Event::Rated(Rating {
                         request,
                         version,
                         class: key::Class::default(),
@@ -222,39 +222,41 @@
                     }));
                 }
             }
-            Step::Withdraw(at, out) => {
+            Input::Withdraw(at, out) => {
                 self.policy.revision = self.policy.revision.next();
                 self.policy.versions[*at].state = if *out {
                     State::Withdrawn
                 } else {
                     State::Active
                 };
-                self.pass(Event::Configure(Arc::new(self.policy.clone())));
+                self.handle(Event::Configure(Arc::new(self.policy.clone())));
             }
-            Step::Endpoint {
-                which,
-                life,
+            Input::Endpoint {
+                index,
+                incarnation,
                 state,
                 running,
-            } => self.endpoint(*which, *life, *state, *running),
-            Step::Pass(millis) => {
+            } => self.endpoint(*index, *incarnation, *state, *running),
+            Input::Advance(millis) => {
                 self.now += Duration::from_millis(*millis);
-                self.pass(Event::Tick);
+                self.handle(Event::Tick);
             }
         }
     }
 
     /// Ends all attempts in flight and lets all deadlines pass, and checks that
     /// each request had exactly one result.
-    fn settle(&mut self) {
+    fn finish_all(&mut self) {
         for _ in 0..10_000 {
-            let Some(attempt) = self.flight(0) else { break };
+            let Some(attempt) = self.nth_in_flight(0) else {
+                break;
+            };
             self.end(attempt, Outcome::Failed);
         }
         for _ in 0..100 {
             self.now += Duration::from_secs(1);
-            self.pass(Event::Tick);
-            while let Some(attempt) = self.flight(0) {
+            self.handle(Event::Tick);
+            while let Some(attempt) = self.nth_in_flight(0) {
                 self.end(attempt, Outcome::Failed);
             }
         }
@@ -264,26 +266,26 @@
             "requests are pending after their deadlines"
         );
         for (request, seen) in &self.requests {
-            let ends = u32::from(!seen.gone);
-            assert_eq!(seen.finals, ends, "{request} {seen:?}");
+            let ends = u32::from(!seen.cancelled);
+            assert_eq!(seen.results, ends, "{request} {seen:?}");
         }
     }
 
-    fn flight(&self, at: usize) -> Option<AttemptId> {
-        let at = at.min(self.flights.len().saturating_sub(1));
-        self.flights.keys().nth(at).copied()
+    fn nth_in_flight(&self, at: usize) -> Option<AttemptId> {
+        let at = at.min(self.in_flight.len().saturating_sub(1));
+        self.in_flight.keys().nth(at).copied()
     }
 
     fn arrive(&mut self, work: Work, once: bool, customer: u16, priority: Option<Priority>) {
         let request = key::Request(u64::try_from(self.requests.len()).unwrap());
-        let seen = Seen {
+        let seen = RequestState {
             once,
             calls: matches!(work, Work::Call(_)),
             customer,
-            ..Seen::default()
+            ..RequestState::default()
         };
         self.requests.insert(request, seen);
-        self.pass(Event::Arrive(Arrival {
+        self.handle(Event::Arrive(Arrival {
             request,
             customer: key::Customer(customer),
             work,
@@ -293,7 +295,7 @@
     }
 
     fn end(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let dispatch = self.flights.remove(&attempt).unwrap();
+        let dispatch = self.in_flight.remove(&attempt).unwrap();
         let seen = self.requests.get_mut(&dispatch.request).unwrap();
         let outcome = match outcome {
             Outcome::Answered(_) if seen.calls => Outcome::Served,
@@ -303,26 +305,26 @@
             seen.run = Some(Run::Unknown);
         }
         if matches!(outcome, Outcome::Answered(_) | Outcome::Served) {
-            self.answers.insert(attempt);
+            self.answered.insert(attempt);
         }
-        self.pass(Event::Ended { attempt, outcome });
+        self.handle(Event::Ended { attempt, outcome });
     }
 
-    fn endpoint(&mut self, which: u64, life: u64, state: Life, running: u32) {
-        let name = HostName::from(format!("e{which}"));
-        let id = Id::new(&name, Incarnation(life));
+    fn endpoint(&mut self, index: u64, incarnation: u64, state: EndpointState, running: u32) {
+        let name = HostName::from(format!("e{index}"));
+        let id = Id::new(&name, Incarnation(incarnation));
         self.live.retain(|it| it.host != id.host);
         self.leaving.remove(&id);
-        if state == Life::Live {
+        if state == EndpointState::Live {
             self.live.insert(id);
         }
         let versions = VERSIONS.map(VersionId::from);
-        let role = if which == ENDPOINTS - 1 {
+        let role = if index == ENDPOINTS - 1 {
             Role::Service("holds".into())
         } else {
             Role::Engine(versions.into())
         };
-        self.pass(Event::Endpoint(Update {
+        self.handle(Event::Endpoint(Update {
             id,
             role,
             distance: Distance::DataCentre,
@@ -336,7 +338,7 @@
         }));
     }
 
-    fn pass(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.decider.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -350,7 +352,7 @@
             Action::Dispatch(it) => self.check_dispatch(it),
             Action::Deliver(it) => {
                 assert!(
-                    self.answers.contains(&it.attempt),
+                    self.answered.contains(&it.attempt),
                     "delivered an attempt without a response"
                 );
                 self.finish(it.request);
@@ -359,13 +361,16 @@
                 let seen = &self.requests[request];
                 if refusal.run == Run::NotRun {
                     assert_eq!(seen.run, None, "refused as not run, but may have run");
-                    let flies = self.flights.values().any(|it| it.request == *request);
-                    assert!(!flies, "refused as not run with an attempt in flight");
+                    let is_in_flight = self.in_flight.values().any(|it| it.request == *request);
+                    assert!(
+                        !is_in_flight,
+                        "refused as not run with an attempt in flight"
+                    );
                 }
                 self.finish(*request);
             }
             Action::Cancel { attempt } => {
-                let dispatch = self.flights.remove(attempt).expect("unknown attempt");
+                let dispatch = self.in_flight.remove(attempt).expect("unknown attempt");
                 let seen = self.requests.get_mut(&dispatch.request).unwrap();
                 seen.run = Some(Run::Unknown);
             }
@@ -375,7 +380,7 @@
                 version,
                 ..
             } => {
-                assert!(self.answers.contains(attempt));
+                assert!(self.answered.contains(attempt));
                 let version = self.policy.versions[version.index()].id.clone();
                 self.samples.insert(0, (*request, version));
             }
@@ -389,32 +394,35 @@
             self.live.contains(&it.endpoint),
             "dispatched to an endpoint that is not live"
         );
-        let most = self.decider.tuning().attempts;
+        let max_attempts = self.decider.tuning().attempts;
         let seen = self.requests.get_mut(&it.request).unwrap();
         seen.attempts += 1;
-        assert!(seen.attempts <= most, "too many attempts");
+        assert!(seen.attempts <= max_attempts, "too many attempts");
         assert_eq!(it.number, seen.attempts);
-        assert_eq!(seen.finals, 0, "dispatched after its result");
-        assert!(!seen.gone, "dispatched after its caller cancelled");
+        assert_eq!(seen.results, 0, "dispatched after its result");
+        assert!(!seen.cancelled, "dispatched after its caller cancelled");
         if seen.once {
             assert_eq!(seen.run, None, "at-most-once request sent again");
-            let flies = self.flights.values().any(|that| that.request == it.request);
-            assert!(!flies, "at-most-once request sent twice at once");
+            let is_in_flight = self
+                .in_flight
+                .values()
+                .any(|that| that.request == it.request);
+            assert!(!is_in_flight, "at-most-once request sent twice at once");
         }
         if let Some(version) = it.version {
             let profile = key::Profile(u16::from(seen.once));
             let customer = key::Customer(seen.customer);
             assert!(self.policy.permits(profile, customer, version));
         }
-        let earlier = self.flights.insert(it.attempt, *it);
+        let earlier = self.in_flight.insert(it.attempt, *it);
         assert!(earlier.is_none(), "duplicate attempt id");
     }
 
     fn finish(&mut self, request: key::Request) {
         let seen = self.requests.get_mut(&request).unwrap();
-        seen.finals += 1;
-        assert_eq!(seen.finals, 1, "more than one result");
-        assert!(!seen.gone, "result after its caller cancelled");
+        seen.results += 1;
+        assert_eq!(seen.results, 1, "more than one result");
+        assert!(!seen.cancelled, "result after its caller cancelled");
     }
 }
 
--- a/crates/decide/tests/decide/script.rs
+++ b/crates/decide/tests/decide/script.rs
@@ -43,7 +43,7 @@
             if policy.revision >= self.policy.revision {
                 self.policy = Arc::clone(&policy);
             }
-            self.pass(Event::Configure(policy), &mut out);
+            self.handle(Event::Configure(policy), &mut out);
         } else {
             for line in input.lines() {
                 self.line(line, &mut out);
@@ -61,41 +61,41 @@
         match words[0] {
             "endpoint" => {
                 let event = self.endpoint(&words);
-                self.pass(event, out);
+                self.handle(event, out);
             }
             "chat" | "call" => {
                 let event = self.arrival(&words);
-                self.pass(event, out);
+                self.handle(event, out);
             }
             "started" => {
                 let attempt = attempt(words[1]);
-                self.pass(Event::Started { attempt }, out);
+                self.handle(Event::Started { attempt }, out);
             }
             "end" => {
                 let attempt = attempt(words[1]);
                 let outcome = outcome(&words[2..]);
-                self.pass(Event::Ended { attempt, outcome }, out);
+                self.handle(Event::Ended { attempt, outcome }, out);
             }
-            "gone" => self.pass(Event::Cancelled { request: id() }, out),
-            "rated" => self.pass(rated(&words), out),
+            "gone" => self.handle(Event::Cancelled { request: id() }, out),
+            "rated" => self.handle(rated(&words), out),
             "hosts" => {
                 let hosts = words[1].parse().unwrap();
-                self.pass(Event::Hosts { live: hosts }, out);
+                self.handle(Event::Hosts { live: hosts }, out);
             }
-            "demand" => self.pass(demand(&words), out),
+            "demand" => self.handle(demand(&words), out),
             "restart" => {
                 let digest = self.decider.digest();
                 self.decider = Decider::new(8, Tuning::default());
-                self.pass(Event::Configure(Arc::clone(&self.policy)), out);
+                self.handle(Event::Configure(Arc::clone(&self.policy)), out);
                 if words[1] == "told" {
-                    self.pass(Event::Digest(digest), out);
+                    self.handle(Event::Digest(digest), out);
                 }
             }
             "verdict" => {
                 let version = VersionId::from(words[1]);
                 let cause = decide::action::Cause::Errors;
                 let verdict = decide::action::Verdict::Quarantined(cause);
-                self.pass(Event::Verdict { version, verdict }, out);
+                self.handle(Event::Verdict { version, verdict }, out);
             }
             "wait" => self.wait(span(words[1]), out),
             "behave" => self.fleet.behave(&words[1..]),
@@ -109,7 +109,7 @@
     }
 
     /// Passes an event to the decider and writes the resulting actions to `out`.
-    pub(crate) fn pass(&mut self, event: Event, out: &mut String) {
+    pub(crate) fn handle(&mut self, event: Event, out: &mut String) {
         let mut actions = Vec::new();
         self.decider.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -132,7 +132,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now = end.min(self.now + self.decider.tuning().tick);
-            self.pass(Event::Tick, out);
+            self.handle(Event::Tick, out);
         }
     }
 
@@ -140,8 +140,8 @@
     fn endpoint(&mut self, words: &[&str]) -> Event {
         let option = |prefix: &str| words.iter().find_map(|it| it.strip_prefix(prefix));
         let name = HostName::from(words[1]);
-        let life = option("life=").map_or(1, |it| it.parse().unwrap());
-        let id = endpoint::Id::new(&name, Incarnation(life));
+        let incarnation = option("life=").map_or(1, |it| it.parse().unwrap());
+        let id = endpoint::Id::new(&name, Incarnation(incarnation));
         self.endpoints.retain(|it| it.1 != id);
         self.endpoints.push((words[1].to_owned(), id));
         let role = match words[2].strip_prefix("service:") {
@@ -292,13 +292,13 @@
 
 fn entry(policy: &mut Policy, words: &[&str]) {
     let option = |prefix: &str| words.iter().find_map(|it| it.strip_prefix(prefix));
-    let number = |prefix, usual: f64| option(prefix).map_or(usual, |it| it.parse().unwrap());
+    let number = |prefix, default: f64| option(prefix).map_or(default, |it| it.parse().unwrap());
     let repeat = if words.contains(&"once") {
         Repeat::AtMostOnce
     } else {
         Repeat::Idempotent
     };
-    let urgency = priority(option("priority=").unwrap_or(""));
+    let priority_or_default = priority(option("priority=").unwrap_or(""));
     let deadline = span(option("deadline=").unwrap_or("30s"));
     match words[0] {
         "revision" => policy.revision = Revision(words[1].parse().unwrap()),
@@ -338,14 +338,14 @@
                 target: number("target=", 0.9),
                 cap: option("cap=").map(|it| Money(it.parse().unwrap())),
                 repeat,
-                priority: urgency,
+                priority: priority_or_default,
                 deadline,
             });
         }
         "service" => policy.services.push(Service {
             name: words[1].into(),
             repeat,
-            priority: urgency,
+            priority: priority_or_default,
             deadline,
             concurrency: option("concurrency=").map_or(1000, |it| it.parse().unwrap()),
         }),
--- a/crates/decide/tests/decide/scripts.rs
+++ b/crates/decide/tests/decide/scripts.rs
@@ -3,7 +3,7 @@
 use crate::script::Script;
 
 #[test]
-fn scripts_of_events_lead_to_these_actions() {
+fn scripts_produce_expected_actions() {
     datadriven::walk("tests/scripts", |file| {
         let mut script = Script::new();
         file.run(|case| script.run(&case.directive, &case.input));
