--- a/crates/decide/src/class.rs
+++ b/crates/decide/src/class.rs
@@ -1,36 +1,37 @@
-//! What has been seen of one class.
+//! Traffic statistics of a request class.
 
 use std::time::Duration;
 
 use crate::key;
 use crate::meter::{Mean, Meter};
 
-/// Requests of a class after which old ones count half.
-const TURN_MEMORY: f64 = 2000.0;
-/// How far back a class's spending is looked at.
-const SPENDING_MEMORY: Duration = Duration::from_mins(5);
+/// The request counts are halved when their sum exceeds this.
+const MAX_REQUEST_COUNT: f64 = 2000.0;
+/// The time constant of the average spending.
+const SPENDING_TIME_CONSTANT: Duration = Duration::from_mins(5);
 
-/// What has been seen of one class.
+/// Traffic statistics of a request class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Class {
     pub(crate) key: key::Class,
     pub(crate) prompt: Mean,
     pub(crate) age: Age,
-    /// Requests without and with a version, as far as they are remembered.
+    /// Requests without and with a version set by their session, older ones
+    /// weighing less.
     pub(crate) free: f64,
     pub(crate) pinned: f64,
     pub(crate) completion: Mean,
-    /// Microcents a second.
+    /// Microcents per second.
     pub(crate) spending: Meter,
 }
 
-/// Since when a class is known.
+/// How long a class has been known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Age {
     Unseen,
-    /// This host's or another's first request came then.
+    /// The first request, at this or another host, came at this time.
     Since(Duration),
-    /// Another host told of its long past.
+    /// Another host sent its statistics of the class.
     Told,
 }
 
@@ -43,11 +44,12 @@
             free: 0.0,
             pinned: 0.0,
             completion: Mean::default(),
-            spending: Meter::new(SPENDING_MEMORY),
+            spending: Meter::new(SPENDING_TIME_CONSTANT),
         }
     }
 
-    /// Requests of the class came, here or elsewhere, with and without a version.
+    /// Records requests of the class at this or another host, without and with a
+    /// version.
     pub(crate) fn turned(&mut self, now: Duration, free: u32, pinned: u32) {
         let it = self;
         if it.age == Age::Unseen {
@@ -55,13 +57,13 @@
         }
         it.free += f64::from(free);
         it.pinned += f64::from(pinned);
-        if it.free + it.pinned > TURN_MEMORY {
+        if it.free + it.pinned > MAX_REQUEST_COUNT {
             it.free /= 2.0;
             it.pinned /= 2.0;
         }
     }
 
-    /// Another host tells of the class's past.
+    /// Adds another host's statistics of the class.
     pub(crate) fn told(&mut self, free: u32, pinned: u32) {
         let it = self;
         it.age = Age::Told;
@@ -69,22 +71,22 @@
         it.pinned += f64::from(pinned);
     }
 
-    /// The share of the class's requests that come in a session with a version.
-    /// A new class is taken for a conversation until its second turns have had
-    /// time to come.
+    /// Returns the share of requests that continue a session with a version. A
+    /// new class is assumed to have sessions until their second requests have had
+    /// time to arrive.
     pub(crate) fn pinned(&self, now: Duration) -> f64 {
-        const UNKNOWN: f64 = 0.7;
-        const ENOUGH: f64 = 20.0;
-        const LONG: Duration = Duration::from_secs(100);
+        const DEFAULT_SHARE: f64 = 0.7;
+        const MIN_REQUESTS: f64 = 20.0;
+        const MIN_AGE: Duration = Duration::from_secs(100);
         let it = self;
         let seen = it.free + it.pinned;
-        let young = match it.age {
+        let is_new = match it.age {
             Age::Unseen => true,
-            Age::Since(first) => now.saturating_sub(first) < LONG,
+            Age::Since(first) => now.saturating_sub(first) < MIN_AGE,
             Age::Told => false,
         };
-        if young || seen < ENOUGH {
-            return UNKNOWN;
+        if is_new || seen < MIN_REQUESTS {
+            return DEFAULT_SHARE;
         }
         it.pinned / seen
     }
--- a/crates/decide/src/limiter.rs
+++ b/crates/decide/src/limiter.rs
@@ -1,4 +1,4 @@
-//! A customer's limits at this host.
+//! Rate and concurrency limits of a customer at this host.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 use crate::policy::Customer;
 use crate::refusal::{Reason, Refusal, Run};
 
-/// How far back demand is looked at.
-const DEMAND_MEMORY: Duration = Duration::from_secs(2);
-/// The part of a limit that is split evenly over the hosts, so that a customer
-/// that turns to another host isn't refused until the hosts have heard of it.
-const EVEN_PART: f64 = 0.05;
+/// The time constant of the average demand.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(2);
+/// The part of a limit that is split evenly over the hosts, so that requests of
+/// a customer that switches hosts are admitted before its demand is reported.
+const EVEN_SHARE: f64 = 0.05;
 
-/// One customer's limits at this host: its fleet-wide limits times the share of
-/// its demand that arrives here.
+/// The limits of a customer at this host: its fleet-wide limits times this
+/// host's share of its demand.
 #[derive(Clone, Debug)]
 pub(crate) struct Limiter {
     bucket: Bucket,
     arrivals: Meter,
     in_flight: u32,
-    /// This host's share of the rate and of the concurrency.
+    /// This host's shares of the fleet-wide rate and concurrency.
     rate_share: f64,
     concurrency_share: f64,
 }
@@ -30,21 +30,21 @@
     pub(crate) fn new(now: Duration, limits: &Customer, live: f64) -> Self {
         Self {
             bucket: Bucket::new((limits.burst / live).max(1.0), now),
-            arrivals: Meter::new(DEMAND_MEMORY),
+            arrivals: Meter::new(DEMAND_TIME_CONSTANT),
             in_flight: 0,
             rate_share: 1.0 / live,
             concurrency_share: 1.0 / live,
         }
     }
 
-    /// Counts an arrival, and admits it or says when to come back.
+    /// Records an arrival, and admits it or returns the refusal.
     pub(crate) fn admit(&mut self, now: Duration, limits: &Customer) -> Result<(), Refusal> {
         self.arrivals.add(now, 1.0);
         let rate = limits.rate * self.rate_share;
         self.bucket
             .refill(now, rate, (limits.burst * self.rate_share).max(1.0));
-        let most = (f64::from(limits.concurrency) * self.concurrency_share).max(1.0);
-        if f64::from(self.in_flight) >= most {
+        let max_in_flight = (f64::from(limits.concurrency) * self.concurrency_share).max(1.0);
+        if f64::from(self.in_flight) >= max_in_flight {
             return Err(Refusal {
                 reason: Reason::ConcurrencyLimited,
                 run: Run::NotRun,
@@ -73,22 +73,22 @@
         }
     }
 
-    /// Takes its share of the limits after what the others say of theirs.
+    /// Updates this host's shares of the limits from the demand at the other hosts.
     pub(crate) fn share(&mut self, now: Duration, live: f64, elsewhere: Flow) {
         let own = self.flow(now);
-        self.rate_share = share(own.rate, elsewhere.rate, live);
-        // With nothing in flight here the arrivals tell whose turn it is.
-        let near = own.in_flight.max(own.rate);
-        let far = elsewhere.in_flight.max(elsewhere.rate);
-        self.concurrency_share = share(near, far, live);
+        self.rate_share = share_of(own.rate, elsewhere.rate, live);
+        // Uses the arrival rate if nothing is in flight.
+        let own_load = own.in_flight.max(own.rate);
+        let other_load = elsewhere.in_flight.max(elsewhere.rate);
+        self.concurrency_share = share_of(own_load, other_load, live);
     }
 }
 
-fn share(own: f64, elsewhere: f64, live: f64) -> f64 {
-    const IDLE: f64 = 0.01;
+fn share_of(own: f64, elsewhere: f64, live: f64) -> f64 {
+    const MIN_DEMAND: f64 = 0.01;
     let even = 1.0 / live;
-    if own + elsewhere < IDLE {
+    if own + elsewhere < MIN_DEMAND {
         return even;
     }
-    (1.0 - EVEN_PART) * own / (own + elsewhere) + EVEN_PART * even
+    (1.0 - EVEN_SHARE) * own / (own + elsewhere) + EVEN_SHARE * even
 }
