--- a/crates/decide/src/belief.rs
+++ b/crates/decide/src/belief.rs
@@ -1,33 +1,37 @@
-//! What has been seen of one version in one class.
+//! Statistics of one version in one class.
 
 use crate::meter::Mean;
 use crate::shape::{Fit, Shape};
 use crate::tally::{Bucket, Tally};
 
-/// Answers between two fits.
+/// The number of observed batches of responses after which a fit is outdated.
 const FIT_EVERY: u32 = 16;
 
-/// What has been seen of one version in one class, by turn: those that come
-/// after another version's answer was rejected are to the harder requests.
+/// Statistics of one version in one class.
+///
+/// The first and the later steps of a cascade are separate, because later steps
+/// get the harder requests, for which another version's response was rejected.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Belief {
     pub(crate) first: View,
     pub(crate) later: View,
-    /// Completion tokens an answer.
+    /// Completion tokens per response.
     pub(crate) completion: Mean,
-    /// Seconds an answer takes.
+    /// Seconds per response.
     pub(crate) latency: Mean,
 }
 
-/// What has been seen of the answers of one turn, and what follows from it.
+/// Counts of responses and ratings at one cascade position, with the cached fit.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct View {
     pub(crate) tally: Tally,
     fit: Option<Fit>,
+    /// Calls of [`Self::answered`] since the last fit.
     since: u32,
 }
 
-/// Whether an answer came first or after another was rejected.
+/// The position of a response in a cascade: the first, or one after another
+/// version's response was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Turn {
     First,
@@ -49,7 +53,7 @@
         }
     }
 
-    /// Tokens and seconds of an answer.
+    /// Records the completion tokens and latency of a response.
     pub(crate) fn measured(&mut self, completion: f64, seconds: f64) {
         self.completion.add(completion);
         self.latency.add(seconds);
@@ -70,7 +74,8 @@
         self.fit = None;
     }
 
-    /// The share of good answers, fitted anew where enough has been seen since.
+    /// Returns the estimated fraction of good responses, refitting it if it is
+    /// outdated.
     pub(crate) fn fit(&mut self, shape: &Shape, prior: Fit) -> Fit {
         if let Some(fit) = self.fit {
             return fit;
@@ -81,7 +86,7 @@
         fit
     }
 
-    /// The last fit, or the prior before there was any.
+    /// Returns the last fit, or `prior` if there is none.
     pub(crate) fn known(&self, prior: Fit) -> Fit {
         self.fit.unwrap_or(prior)
     }
--- a/crates/decide/src/cusum.rs
+++ b/crates/decide/src/cusum.rs
@@ -1,31 +1,32 @@
-//! A sequential test.
+//! A CUSUM change detector.
 
-/// The cumulative sum of log-likelihood ratios of "something went wrong at some
-/// time" against "all is as it was". It rests at 0 while all is well, so that a
-/// long good past doesn't hide a new fault.
+/// A cumulative sum of log-likelihood ratios of a fault against the baseline.
+///
+/// The sum is never negative, so a long healthy period doesn't delay the
+/// detection of a new fault.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Cusum {
     sum: f64,
 }
 
 impl Cusum {
-    /// Takes `count` equal observations of this log-likelihood ratio.
+    /// Adds `count` observations with this log-likelihood ratio.
     pub(crate) fn add(&mut self, ratio: f64, count: f64) {
         self.sum = (self.sum + ratio * count).max(0.0);
     }
 
-    /// The same for a part of a batch whose order isn't known: the sum may go
-    /// below zero until [`Self::settle`], so that the order doesn't matter.
+    /// Adds observations from a batch of unknown order. The sum may be negative
+    /// until [`Self::settle`], so the result doesn't depend on the order.
     pub(crate) fn add_unordered(&mut self, ratio: f64, count: f64) {
         self.sum += ratio * count;
     }
 
-    /// Ends a batch.
+    /// Ends a batch of [`Self::add_unordered`].
     pub(crate) fn settle(&mut self) {
         self.sum = self.sum.max(0.0);
     }
 
-    /// The same, without getting beyond `most` by it.
+    /// Adds observations like [`Self::add`], but doesn't raise the sum above `most`.
     pub(crate) fn add_up_to(&mut self, most: f64, ratio: f64, count: f64) {
         let before = self.sum;
         self.add(ratio, count);
--- a/crates/decide/src/demand.rs
+++ b/crates/decide/src/demand.rs
@@ -1,15 +1,15 @@
-//! What hosts tell each other of their customers' demand.
+//! Customer demand, as exchanged between hosts.
 
 use derive_more::AddAssign;
 use kernel::{Customer, HostName};
 use serde::{Deserialize, Serialize};
 
-/// The demand that one host sees. The newest of each host counts, for some seconds.
+/// The demand at one host. Other hosts use its last report for a few seconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// The host.
+    /// The reporting host.
     pub host: HostName,
-    /// Requests a second that arrive there, by customer.
+    /// The demand by customer.
     pub rates: Vec<Rate>,
 }
 
@@ -18,23 +18,23 @@
 pub struct Rate {
     /// The customer.
     pub customer: Customer,
-    /// Requests for answers.
+    /// Chat requests.
     pub chat: Flow,
-    /// Calls of plain services, which have limits of their own.
+    /// Calls of plain services, which have separate limits.
     pub calls: Flow,
 }
 
-/// How much of one kind of work arrives and is under way.
+/// The arrival rate and the outstanding requests of one kind.
 #[derive(Clone, Copy, Debug, Default, AddAssign, PartialEq, Serialize, Deserialize)]
 pub struct Flow {
-    /// Arrivals a second, refused ones included.
+    /// Arrivals per second, including refused requests.
     pub rate: f64,
-    /// Requests in flight or waiting.
+    /// Requests in flight or queued.
     pub in_flight: f64,
 }
 
 impl Flow {
-    /// Whether next to nothing comes and nothing is under way.
+    /// Returns whether the arrival rate and the outstanding requests are negligible.
     pub(crate) fn is_idle(&self) -> bool {
         const NOTHING: f64 = 0.001;
         self.rate < NOTHING && self.in_flight < NOTHING
--- a/crates/decide/src/digest.rs
+++ b/crates/decide/src/digest.rs
@@ -1,4 +1,4 @@
-//! What a host has learned, for one that starts.
+//! Snapshots of a host's statistics, which initialize those of a host that starts.
 
 use crate::belief::{Belief, Turn};
 use crate::evidence::{BUCKETS, Evidence, Item, Turns};
@@ -7,13 +7,13 @@
 use crate::tally::Bucket;
 use crate::{Policy, key};
 
-/// Answers after which a host trusts what it has seen itself.
+/// The number of own observations from which on a host ignores digests.
 const OWN: u64 = 200;
-/// As how many answers the mean tokens and latency of the past count.
+/// The number of responses that the means of a digest are recorded as.
 const WORTH: u32 = 10;
 
 impl Knowledge {
-    /// What is remembered, as the evidence that would teach it.
+    /// Returns the statistics as evidence that another host can apply.
     pub(crate) fn digest(&self, policy: &Policy) -> Evidence {
         let mut evidence = Evidence::default();
         for (class, key, free, pinned) in self.turns() {
@@ -31,8 +31,8 @@
         evidence
     }
 
-    /// Takes another host's digest, unless this host has learned enough itself:
-    /// what both have seen would count twice.
+    /// Applies another host's digest, unless this host has enough observations:
+    /// those that both hosts have would be counted twice.
     pub(crate) fn absorb(&mut self, policy: &Policy, digest: &Evidence) {
         if self.changes() >= OWN {
             return;
--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that this host knows, and the choice among them.
+//! The endpoints that this host knows, and endpoint selection.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -13,36 +13,37 @@
 use crate::replica::{Key, Replica};
 use crate::{Policy, key};
 
-/// Endpoints of a version or service that one host sends to; see
-/// `docs/design/decide-endpoints.md`.
+/// The maximum number of endpoints of a version or service that one host sends
+/// to; see `docs/design/decide-endpoints.md`.
 const SUBSET: usize = 24;
-/// Prompt prefixes whose endpoint is remembered.
+/// The number of slots in the table from prompt prefix to endpoint.
 const PREFIXES: usize = 4096;
-/// Above this an endpoint gets no work only because it has the prefix cached.
+/// The utilization from which on prefix affinity is ignored.
 const AFFINITY_FILL: f64 = 0.75;
 
-/// What a request needs an endpoint for.
+/// The version or service that an endpoint is needed for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Target {
     Version(key::Version),
     Service(key::Service),
 }
 
-/// What the choice of an endpoint depends on.
+/// The criteria for selecting an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Want {
     pub(crate) target: Target,
     pub(crate) priority: Priority,
+    /// The hash of the prompt prefix, or 0.
     pub(crate) prefix: u64,
-    /// The endpoint of the attempt before, which isn't tried again at once.
+    /// The endpoint of the previous attempt, which is excluded.
     pub(crate) avoid: Option<Key>,
 }
 
-/// The endpoints that this host knows.
+/// The endpoints that this host knows, indexed by version and service.
 #[derive(Debug)]
 pub(crate) struct Directory {
     host: u64,
-    /// Entry hosts that share the endpoints.
+    /// The number of live hosts that share the endpoints.
     pub(crate) live: u32,
     replicas: SlotMap<Key, Replica>,
     by_name: HashMap<Name, Key>,
@@ -51,12 +52,15 @@
     prefixes: Vec<Prefix>,
 }
 
+/// Identifies an endpoint across its incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Name {
     host: u64,
     service: u64,
 }
 
+/// An entry of an index, ordered by distance and then by a rank that differs
+/// between hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     distance: Distance,
@@ -91,7 +95,7 @@
         self.replicas.get_mut(key)
     }
 
-    /// Takes an update and returns the endpoint's key, if it still has one.
+    /// Applies an update and returns the endpoint's key, unless it is gone.
     pub(crate) fn update(
         &mut self,
         now: Duration,
@@ -130,7 +134,7 @@
         Some(key)
     }
 
-    /// Lists all endpoints anew under the keys of `policy`.
+    /// Rebuilds the indexes for the keys of `policy`.
     pub(crate) fn configure(&mut self, policy: &Policy) {
         self.by_version = vec![Vec::new(); policy.versions.len()];
         self.by_service = vec![Vec::new(); policy.services.len()];
@@ -140,7 +144,7 @@
         }
     }
 
-    /// The endpoint itself says that it takes no new work.
+    /// Stops new requests to an endpoint that reported that it is leaving.
     pub(crate) fn leave(&mut self, key: Key) {
         self.unlist(key);
         if let Some(it) = self.replicas.get_mut(key) {
@@ -148,8 +152,8 @@
         }
     }
 
-    /// The endpoint itself says that it doesn't have the version. It is listed
-    /// again when an update says otherwise.
+    /// Removes a version from an endpoint that reported that it hasn't loaded it. A
+    /// later update can add it again.
     pub(crate) fn unload(&mut self, key: Key, version: key::Version, id: &VersionId) {
         if let Some(list) = self.by_version.get_mut(version.index()) {
             list.retain(|it| it.key != key);
@@ -167,26 +171,25 @@
         self.candidates(target).is_empty()
     }
 
-    /// Live endpoints of `target` that this host knows.
+    /// Returns the number of live endpoints of `target` that this host knows.
     pub(crate) fn len(&self, target: Target) -> usize {
         self.candidates(target).len()
     }
 
-    /// Whether this very process lives on and takes work.
+    /// Returns whether this incarnation of the endpoint is live.
     pub(crate) fn is_live(&self, id: Id) -> bool {
         let mut known = self.replicas.values();
         known.any(|it| it.id == id && it.state == State::Live)
     }
 
-    /// A number that changes when some version or service gets its first
-    /// endpoint or loses its last.
+    /// Returns a hash of the set of versions and services that have an endpoint.
     pub(crate) fn outline(&self) -> u64 {
         let lists = self.by_version.iter().chain(&self.by_service);
         let filled = (1..).zip(lists).filter(|(_, list)| !list.is_empty());
         filled.fold(0, |outline, (at, _)| outline ^ key::mix(at, 1))
     }
 
-    /// The endpoints that this host sends to, whose load it has to know.
+    /// Returns the endpoints in this host's subsets, whose load it has to know.
     pub(crate) fn watched(&self) -> Vec<Id> {
         let lists = self.by_version.iter().chain(&self.by_service);
         let near = lists.flat_map(|it| it.iter().take(SUBSET));
@@ -194,21 +197,24 @@
         ids.into_iter().collect()
     }
 
-    /// This host's own work at the endpoints of `target`.
+    /// Returns the number of this host's attempts in flight at the endpoints of `target`.
     pub(crate) fn in_flight(&self, target: Target) -> u32 {
         let near = self.candidates(target).iter().take(SUBSET);
         near.map(|it| self.replicas[it.key].in_flight()).sum()
     }
 
-    /// This host's even share of the slots at the endpoints of `target`.
+    /// Returns this host's equal share of the slots at the endpoints of `target`.
     pub(crate) fn slot_share(&self, target: Target) -> f64 {
         let near = self.candidates(target).iter().take(SUBSET);
         let slots: u32 = near.map(|it| self.replicas[it.key].slots()).sum();
         f64::from(slots) / f64::from(self.live)
     }
 
-    /// Chooses an endpoint with room: the one with the prefix cached unless it
-    /// is rather full, else the less full of two random ones, nearer ones first.
+    /// Selects an endpoint with free capacity.
+    ///
+    /// Prefers the endpoint that has the prefix cached, then the less utilized of
+    /// two random endpoints at the nearest distance that has capacity. Ejected
+    /// endpoints are used only if no other has capacity.
     pub(crate) fn choose(&self, now: Duration, want: &Want, random: &mut Pcg64Mcg) -> Option<Key> {
         let list = self.candidates(want.target);
         let list = &list[..list.len().min(SUBSET)];
@@ -228,7 +234,7 @@
         })
     }
 
-    /// Remembers that the endpoint has the prefix cached now.
+    /// Records that the endpoint has the prefix cached.
     pub(crate) fn remember(&mut self, prefix: u64, key: Key) {
         if prefix != 0 {
             self.prefixes[slot(prefix)] = Prefix { hash: prefix, key };
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the decider is told of an endpoint.
+//! Endpoint updates passed to the decider.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 
 use crate::key;
 
-/// The identity of an endpoint: one life of one process. The same on every host.
+/// The identity of one run of an endpoint's process, the same on every host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
     /// A hash of the host's name.
     pub host: u64,
-    /// Its incarnation: a new process under an old name is another endpoint.
+    /// The incarnation, which tells a restarted process from the previous one.
     pub incarnation: Incarnation,
 }
 
 impl Id {
-    /// The identity of the process at `host` with this incarnation.
+    /// Returns the identity of the process on `host` with this incarnation.
     #[must_use]
     pub fn new(host: &HostName, incarnation: Incarnation) -> Self {
         Self {
@@ -28,33 +28,33 @@
     }
 }
 
-/// What is known of an endpoint. Each update replaces the one before; one with
-/// a new incarnation ends the one with the old.
+/// The current state of an endpoint. Each update replaces the previous one; an
+/// update with a new incarnation removes the endpoint with the old one.
 #[derive(Clone, Debug)]
 pub struct Update {
-    /// Which endpoint.
+    /// The endpoint.
     pub id: Id,
-    /// What it serves.
+    /// The versions or the service that it provides.
     pub role: Role,
-    /// How far away it is.
+    /// The distance from this host.
     pub distance: Distance,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: State,
-    /// Its newest load report, if there is one.
+    /// Its last load report, if any.
     pub load: Option<Load>,
 }
 
-/// What an endpoint serves.
+/// The versions or the service that an endpoint provides.
 #[derive(Clone, Debug)]
 pub enum Role {
-    /// A model engine with these versions loaded. Versions that the policy
-    /// doesn't know are kept for when it does.
+    /// A model engine with these versions loaded. Versions that aren't in the
+    /// policy are kept, in case a later policy contains them.
     Engine(Arc<[VersionId]>),
     /// A plain service.
     Service(ServiceName),
 }
 
-/// How far away an endpoint is, the nearest first.
+/// The distance to an endpoint, ordered from near to far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
     /// In the same data centre.
@@ -65,26 +65,26 @@
     Far,
 }
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// It does.
+    /// Accepts new requests.
     Live,
-    /// It finishes what it has.
+    /// Only finishes the requests that it has.
     Leaving,
-    /// It is gone; its attempts end as the driver finds them to.
+    /// The process has ended. The driver reports how its attempts end.
     Gone,
 }
 
-/// An endpoint's own report of its load; it lags.
+/// The load that an endpoint reported some time ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the endpoint.
     pub waiting: u32,
-    /// How many can run at once.
+    /// The maximum number of running requests.
     pub slots: u32,
-    /// How old the report was when it was passed in.
+    /// The age of the report when the update was passed to the decider.
     pub age: Duration,
 }
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of versions.
+//! Observations of versions, as exchanged between hosts.
 
 use kernel::VersionId;
 use serde::{Deserialize, Serialize};
@@ -8,43 +8,44 @@
 /// The number of confidence buckets.
 pub const BUCKETS: usize = 12;
 
-/// What one host has seen since it last published. Counts are differences: each
-/// is to be delivered to each other host at most once.
+/// The observations of one host since it last published. The counts are
+/// increments, so each message must be delivered to a host at most once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// One entry for each version and class that something happened to.
+    /// One entry for each version and class with observations.
     pub items: Vec<Item>,
-    /// One entry for each class that requests of came in.
+    /// One entry for each class with requests.
     pub turns: Vec<Turns>,
 }
 
-/// How many requests of a class came, and how many of them in a session with a
-/// version.
+/// The numbers of requests of a class, with and without a version pinned by the
+/// session.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Turns {
     /// The class.
     pub class: key::Class,
-    /// Requests without a version.
+    /// Requests without a pinned version.
     pub free: u32,
-    /// Requests that came with one.
+    /// Requests with a pinned version.
     pub pinned: u32,
 }
 
-/// What happened to one version in one class.
+/// Observations of one version in one class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item {
     /// The version.
     pub version: VersionId,
     /// The class.
     pub class: key::Class,
-    /// Whole answers of first steps by confidence bucket.
+    /// Complete responses of first steps by confidence bucket.
     pub answered: [u32; BUCKETS],
-    /// The same to requests for which another version's answer was rejected.
+    /// Complete responses of later steps, after another version's response was
+    /// rejected, by confidence bucket.
     pub later_answered: [u32; BUCKETS],
-    /// Failures that speak against the version.
+    /// Failures attributed to the version.
     pub failed: u32,
-    /// Of the failures, two endpoints where they happened, so that one broken
-    /// endpoint isn't taken for a broken version.
+    /// Up to two endpoints where the failures happened, to tell a broken endpoint
+    /// from a broken version.
     pub failed_at: [Option<endpoint::Id>; 2],
     /// Good ratings of first steps by confidence bucket.
     pub good: [u32; BUCKETS],
@@ -54,8 +55,8 @@
     pub later_good: [u32; BUCKETS],
     /// Bad ratings of later steps by confidence bucket.
     pub later_bad: [u32; BUCKETS],
-    /// The sum of the completion tokens of the answers.
+    /// The total completion tokens of the responses.
     pub completion_tokens: u64,
-    /// The sum of the answers' latencies in milliseconds.
+    /// The total latency of the responses in milliseconds.
     pub latency_ms: u64,
 }
--- a/crates/decide/src/forecast.rs
+++ b/crates/decide/src/forecast.rs
@@ -1,40 +1,40 @@
-//! What to expect of one version in one class.
+//! Predicted cost and quality of one version in one class.
 
 use crate::evidence::BUCKETS;
 use crate::key;
 
-/// What to expect of one version in one class.
+/// The predicted cost and quality of one version in one class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Forecast {
     pub(crate) version: key::Version,
-    /// The cost of an answer in microcents.
+    /// The cost of a response in microcents.
     pub(crate) cost: f64,
-    /// Of its answers to requests as they come.
+    /// The quality as the first step of a cascade.
     pub(crate) first: Curve,
-    /// Of its answers to requests for which another version's was rejected.
+    /// The quality as a later step, after another version's response was rejected.
     pub(crate) later: Curve,
-    /// Ratings that this rests on.
+    /// The number of ratings of the version in the class.
     pub(crate) ratings: f64,
 }
 
-/// What passes a threshold on confidence.
+/// The fractions of responses that pass each confidence threshold.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Curve {
-    /// By threshold: the share of answers that pass it.
+    /// By threshold: the fraction of responses that pass it.
     pub(crate) pass: [f64; BUCKETS + 1],
-    /// By threshold: the share of answers that pass it and are good.
+    /// By threshold: the fraction of responses that pass it and are good.
     pub(crate) good: [f64; BUCKETS + 1],
-    /// By threshold: the variance of `good`, from how few ratings there are.
+    /// By threshold: the variance of the estimate in `good`.
     pub(crate) variance: [f64; BUCKETS + 1],
 }
 
 impl Forecast {
-    /// The share of good answers to requests as they come.
+    /// Returns the fraction of good responses as the first step, without a threshold.
     pub(crate) fn quality(&self) -> f64 {
         self.first.good[0]
     }
 
-    /// The standard error of [`Self::quality`].
+    /// Returns the standard error of [`Self::quality`].
     pub(crate) fn error(&self) -> f64 {
         self.first.variance[0].sqrt()
     }
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -1,13 +1,15 @@
-//! The health of all versions.
+//! Fault detection across all versions.
 
 use crate::monitor::{Monitor, Normal, Scope};
 use crate::{Policy, key};
 
-/// Outcomes that a version must have had to be compared with.
+/// The number of outcomes that a version needs to serve as a reference for others.
 const COMPARABLE: f64 = 20.0;
 
-/// The health of all versions, each judged beside the others: what befalls
-/// many at once isn't a version's fault.
+/// The monitors of all versions.
+///
+/// Each version is compared with the others: a problem that affects many versions
+/// at once isn't attributed to one of them.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
     monitors: Vec<Monitor>,
@@ -15,7 +17,7 @@
 }
 
 impl Health {
-    /// Keeps the monitors under the new policy's keys.
+    /// Remaps the monitors to the keys of a new policy.
     pub(crate) fn configure(&mut self, policy: &Policy, moved: &[Option<key::Version>]) {
         let mut old = std::mem::take(&mut self.monitors);
         for was in moved.iter().take(policy.versions.len()) {
@@ -34,12 +36,12 @@
         self.monitors.get_mut(version.index())
     }
 
-    /// Whether any version is out of use.
+    /// Returns whether any version is quarantined.
     pub(crate) fn has_quarantined(&self) -> bool {
         self.quarantined > 0
     }
 
-    /// Counts anew, after a verdict changed.
+    /// Recounts the quarantined versions after a verdict changed.
     pub(crate) fn count_quarantined(&mut self) {
         let quarantined = self.monitors.iter().filter(|it| it.is_quarantined());
         self.quarantined = quarantined.count();
@@ -49,8 +51,8 @@
         self.get(version).is_some_and(Monitor::is_quarantined)
     }
 
-    /// How often `version` fails as things are: as often as it used to, or as
-    /// others do now.
+    /// Returns the expected failure rate of `version`: twice the mean rate of the
+    /// other versions, within fixed bounds.
     pub(crate) fn normal(&self, version: key::Version, endpoints: usize) -> Normal {
         let others = self.others(version);
         let (sum, number) = others.fold((0.0, 0.0), |(sum, number), it| {
@@ -63,13 +65,13 @@
         }
     }
 
-    /// Whether the answers of many other versions have become worse as well.
+    /// Returns whether many other versions are suspected of failures or bad quality too.
     pub(crate) fn quality_scope(&self, version: key::Version) -> Scope {
         self.scope(version, Monitor::is_suspect)
     }
 
-    /// Whether the answers of many other versions have become slow as well, as
-    /// they do under plain overload.
+    /// Returns whether many other versions have become slow too, as happens under
+    /// general overload.
     pub(crate) fn latency_scope(&self, version: key::Version) -> Scope {
         self.scope(version, Monitor::is_slow)
     }
--- a/crates/decide/src/knowledge.rs
+++ b/crates/decide/src/knowledge.rs
@@ -1,4 +1,4 @@
-//! What this host has learned of all versions in all classes.
+//! Statistics of all versions by request class, and forecasts from them.
 
 use std::time::Duration;
 
@@ -16,33 +16,34 @@
 use crate::tally::{Bucket, Tally};
 use crate::{Policy, key};
 
-/// Classes that are told apart; further ones count as the first.
+/// The maximum number of classes; further ones share the default class.
 const CLASSES: usize = 32;
-/// How many ratings the general shape of confidence is worth to a version.
+/// The weight, in ratings, of the overall confidence distribution as prior for a version's.
 const SHAPE_WEIGHT: f64 = 60.0;
-/// How many ratings the usual shape is worth before any came.
+/// The weight, in ratings, of the built-in prior for the overall distribution.
 const GENERAL_WEIGHT: f64 = 30.0;
-/// Completion and prompt tokens of a request, before any answer tells.
+/// The prompt and completion tokens to assume of a request before any were counted.
 const TOKENS: f64 = 256.0;
 
-/// What this host has learned of all versions in all classes.
+/// Statistics of all versions by request class.
 #[derive(Debug)]
 pub(crate) struct Knowledge {
     classes: Vec<Class>,
     versions: Vec<Record>,
-    /// Ratings of all versions together, and the shape that they show.
+    /// Ratings of all versions together.
     all: Tally,
     prior: Shape,
+    /// The confidence distributions estimated from `all`.
     general: Shape,
-    /// Rises with what is learned, so that old plans are known as such.
+    /// Increases with each observation, to detect outdated plans.
     changes: u64,
 }
 
-/// A class's place in the tables.
+/// The index of a class in the tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ClassIndex(pub(crate) usize);
 
-/// Which answers are spoken of.
+/// The version, class and cascade position that a response belongs to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Kind {
     pub(crate) version: key::Version,
@@ -51,7 +52,7 @@
 }
 
 impl Knowledge {
-    /// Nothing but priors; `noise` is the share of ratings that are wrong.
+    /// Creates an instance with priors only; `noise` is the fraction of wrong ratings.
     pub(crate) fn new(noise: f64) -> Self {
         let prior = Shape::prior(noise);
         Self {
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Keeps what is known under the new policy's keys; `moved` gives the old
-    /// key of each version that there was before.
+    /// Remaps the statistics to the keys of a new policy. `moved` has the previous
+    /// key of each version, if there was one.
     pub(crate) fn configure(&mut self, policy: &Policy, moved: &[Option<key::Version>]) {
         let mut old: Vec<_> = self.versions.drain(..).map(Some).collect();
         let price = |it: &crate::policy::Version| it.cost(1_000_000, 1_000_000);
@@ -82,7 +83,8 @@
         self.changes += 1;
     }
 
-    /// The class's place; a new one gets one as long as there is room.
+    /// Returns the index of a class, adding it if the table isn't full; otherwise
+    /// the default class.
     pub(crate) fn class(&mut self, key: key::Class) -> ClassIndex {
         if let Some(at) = self.classes.iter().position(|it| it.key == key) {
             return ClassIndex(at);
@@ -97,7 +99,7 @@
         ClassIndex(self.classes.len() - 1)
     }
 
-    /// The class that stands at a place.
+    /// Returns the key of the class at an index.
     pub(crate) fn class_key(&self, class: ClassIndex) -> key::Class {
         let it = self.classes.get(class.0);
         it.map_or_else(key::Class::default, |it| it.key)
@@ -111,29 +113,30 @@
         self.classes[class.0].prompt.add(f64::from(prompt_tokens));
     }
 
-    /// Each class with its requests without and with a version.
+    /// Returns each class with its numbers of requests without and with a version
+    /// pinned by the session.
     pub(crate) fn turns(&self) -> impl Iterator<Item = (ClassIndex, key::Class, f64, f64)> {
         let classes = self.classes.iter().enumerate();
         classes.map(|(at, it)| (ClassIndex(at), it.key, it.free, it.pinned))
     }
 
-    /// What is known of a class.
+    /// Returns the statistics of a class.
     pub(crate) fn class_of(&self, class: ClassIndex) -> &Class {
         &self.classes[class.0]
     }
 
-    /// The same, to be told more.
+    /// Returns the statistics of a class for update.
     pub(crate) fn class_of_mut(&mut self, class: ClassIndex) -> &mut Class {
         &mut self.classes[class.0]
     }
 
-    /// An answer to a request of the class was paid for.
+    /// Records the cost of a response.
     pub(crate) fn spent(&mut self, now: Duration, class: ClassIndex, cost: Money) {
         self.classes[class.0].spending.add(now, float(cost.0));
     }
 
-    /// How much a rating of such an answer would help, on a scale of its own:
-    /// more where more is spent and where less is known.
+    /// Returns the value of a rating of such a response, in arbitrary units. It
+    /// grows with the spending of the class and the uncertainty of the estimate.
     pub(crate) fn value_of_rating(&self, now: Duration, kind: Kind) -> f64 {
         let spending = self.classes[kind.class.0].spending.rate(now);
         let it = self.versions.get(kind.version.index());
@@ -142,7 +145,7 @@
         spending.sqrt() * doubt
     }
 
-    /// Whole answers came.
+    /// Records complete responses.
     pub(crate) fn answered(&mut self, kind: Kind, bucket: Bucket, answers: f64) {
         self.changes += 1;
         if let Some(it) = self.versions.get_mut(kind.version.index()) {
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Tokens and seconds of an answer.
+    /// Records the completion tokens and latency of a response.
     pub(crate) fn measured(
         &mut self,
         version: key::Version,
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Ratings came.
+    /// Records ratings and updates the confidence distributions.
     pub(crate) fn rated(&mut self, kind: Kind, bucket: Bucket, good: f64, bad: f64) {
         self.changes += 1;
         self.all.rated(bucket, good, bad);
@@ -184,8 +187,8 @@
         }
     }
 
-    /// Takes the seconds between two tokens of an answer and returns how long they
-    /// were before, as a rule.
+    /// Records the seconds per token of a response and returns the previous mean,
+    /// if it is based on enough responses.
     pub(crate) fn pace(&mut self, version: key::Version, seconds: f64) -> Option<f64> {
         let it = self.versions.get_mut(version.index())?;
         let usual = it.pace.value(20);
@@ -193,7 +196,8 @@
         usual
     }
 
-    /// How long an answer takes, in seconds.
+    /// Returns the response latency in seconds: that of the class if it has enough
+    /// samples, else that of the version.
     pub(crate) fn latency(&self, version: key::Version, class: ClassIndex) -> Option<Mean> {
         let it = self.versions.get(version.index())?;
         let own = it.classes.get(class.0).map(|it| it.latency);
@@ -201,7 +205,7 @@
             .or(Some(it.overall.latency))
     }
 
-    /// The completion tokens to expect, and a number that few answers exceed.
+    /// Returns the expected number of completion tokens and a high estimate.
     pub(crate) fn completion(&self, version: key::Version, class: ClassIndex) -> (f64, f64) {
         let own = self.belief(version, class).map(|it| it.completion);
         let shared = self.classes.get(class.0).map(|it| it.completion);
@@ -211,19 +215,19 @@
         (mean, high)
     }
 
-    /// How the confidence of such answers spreads over the buckets.
+    /// Returns the distribution of such responses over the confidence buckets.
     pub(crate) fn spread(&self, kind: Kind) -> [f64; BUCKETS] {
         let it = self.versions.get(kind.version.index());
         it.map_or([0.0; BUCKETS], |it| it.spread(kind))
     }
 
-    /// How the confidence of bad answers spreads over the buckets.
+    /// Returns the distribution of bad responses over the confidence buckets.
     pub(crate) fn bad_spread(&self, version: key::Version) -> [f64; BUCKETS] {
         let it = self.versions.get(version.index());
         *it.map_or(&self.general, |it| &it.shape).bad()
     }
 
-    /// The chance that such an answer is rated bad.
+    /// Returns the probability that such a response is rated bad.
     pub(crate) fn rated_bad(&self, kind: Kind, bucket: Bucket) -> f64 {
         let it = self.versions.get(kind.version.index());
         it.map_or(0.5, |it| {
@@ -232,19 +236,19 @@
         })
     }
 
-    /// Ratings of the version in the class, of first and later turns.
+    /// Returns the number of ratings of the version in the class, over all cascade steps.
     pub(crate) fn ratings(&self, version: key::Version, class: ClassIndex) -> f64 {
         let both = |it: &Belief| it.first.tally.ratings() + it.later.tally.ratings();
         self.belief(version, class).map_or(0.0, both)
     }
 
-    /// Answers of one kind.
+    /// Returns the number of such responses.
     pub(crate) fn answers(&self, kind: Kind) -> f64 {
         let belief = self.belief(kind.version, kind.class);
         belief.map_or(0.0, |it| it.view(kind.turn).tally.answers())
     }
 
-    /// How one version's ratings compare with another's over all classes.
+    /// Compares the quality of two versions over all classes.
     pub(crate) fn compare(&self, version: key::Version, with: key::Version) -> Comparison {
         let one = self.overall(version);
         let other = self.overall(with);
@@ -254,7 +258,7 @@
         }
     }
 
-    /// What to expect of a version in a class.
+    /// Forecasts the cost and quality of a version in a class.
     pub(crate) fn forecast(
         &mut self,
         policy: &Policy,
@@ -293,7 +297,7 @@
     }
 }
 
-/// Microcents a token.
+/// Returns the price in microcents per token.
 fn price(per_million: Money) -> f64 {
     float(per_million.0) / 1e6
 }
--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -1,4 +1,4 @@
-//! The health of one version.
+//! Fault detection and quarantine for one version.
 
 use std::time::Duration;
 
@@ -8,50 +8,55 @@
 use crate::evidence::BUCKETS;
 use crate::tally::Bucket;
 
-/// Shares of answers that a fault spoils, for which the test looks out.
+/// The fractions of responses made bad by the faults that are tested for: a
+/// partial fault and one of nearly all responses.
 const SHARES: [f64; 2] = [0.2, 0.9];
-/// The sum at which a version is quarantined. By Lorden's bound a healthy
-/// version is taken for bad less than once in `e^12` (160 thousand) observations.
+/// The CUSUM threshold for failures. By Lorden's bound the false alarm rate is
+/// below one in `e^12` observations.
 const LIMIT: f64 = 12.0;
-/// The sum for a partial fault, which confidence shows less clearly.
+/// The CUSUM threshold for a partial fault, which has a weaker effect on confidence.
 const PARTIAL_LIMIT: f64 = 18.0;
-/// The sum for a fault of nearly all answers.
+/// The CUSUM threshold for a fault of nearly all responses.
 const WHOLE_LIMIT: f64 = 16.0;
-/// Answers from which on the usual confidence is known well enough to see a
-/// fifth of the answers turn bad.
+/// Responses that the baseline confidence distribution needs before partial
+/// faults are tested for.
 const PARTIAL_ANSWERS: f64 = 200.0;
-/// One failure counts no more than this, so that it takes several.
+/// Caps the log-likelihood ratio of one failure, so that no single failure
+/// quarantines a version.
 const MOST_FOR_FAILURE: f64 = 2.5;
-/// The same for one answer's confidence: how rare the least sure ones are as a
-/// rule is only roughly known.
+/// Caps the log-likelihood ratio of one response's confidence, because the
+/// baseline frequency of the lowest buckets is only a rough estimate.
 const MOST_FOR_ANSWER: f64 = 1.8;
-/// The share of failures that is always taken as normal.
+/// The failure rate of the prior in [`Monitor::failure_share`].
 const FAILURE_FLOOR: f64 = 0.01;
-/// Answers that take so many times as long as usual speak for a fault.
+/// A time per token of more than this many times the usual one is evidence of a fault.
 const SLOW: f64 = 3.0;
-/// How much one answer can speak for it, and how much is needed.
+/// Bounds the contribution of one response to the latency statistic.
 const SLOW_MOST: f64 = 1.0;
+/// The CUSUM threshold for latency.
 const SLOW_LIMIT: f64 = 5.0;
-/// How long a version is left alone first, and at most.
+/// The time from the start of a quarantine to its first probe.
 const FIRST_HOLD: Duration = Duration::from_secs(10);
+/// The longest pause after failed probes.
 const LONGEST_HOLD: Duration = Duration::from_mins(10);
-/// Time between two probes of one host.
+/// The least time between two probes of a version by this host.
 const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// How sure probes have to be that it is well, or still bad.
+/// The log-likelihood ratio of the probes at which a quarantine ends.
 const PASS: f64 = 6.0;
+/// The ratio at which the pause before the next probe is doubled.
 const FAIL: f64 = -3.0;
 
-/// The health of one version, as this host sees it from its own outcomes and
-/// those that other hosts tell of. See `docs/design/decide-health.md`.
+/// Detects faults of one version from the outcomes of this host and those that
+/// other hosts publish. See `docs/design/decide-health.md`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Monitor {
     errors: Cusum,
     latency: Cusum,
     quality: [Cusum; SHARES.len()],
-    /// Two endpoints where it failed since it was last well.
+    /// The first two distinct endpoints with failures since the last reset.
     failed_at: [Option<endpoint::Id>; 2],
     last_failed: Option<endpoint::Id>,
-    /// Failures since the last answer.
+    /// Consecutive failures.
     streak: f64,
     outcomes: f64,
     failures: f64,
@@ -59,40 +64,41 @@
     quarantine: Option<Quarantine>,
 }
 
-/// What has been seen in all, with nothing forgotten.
+/// Counts of responses and ratings, without decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Totals {
     pub(crate) answers: f64,
     pub(crate) ratings: f64,
 }
 
-/// A version that is out of use.
+/// The state of a quarantine.
 #[derive(Clone, Copy, Debug)]
 struct Quarantine {
     cause: Cause,
-    /// The share of answers that its fault is taken to spoil.
+    /// The fraction of responses that the fault is assumed to make bad.
     share: f64,
     since: Duration,
     hold: Duration,
     next_probe: Duration,
-    /// The log-likelihood ratio of "it is well again" from the probes so far.
+    /// The log-likelihood ratio of recovery against a persisting fault, over the
+    /// probes so far.
     passed: f64,
 }
 
-/// How often answers are bad or missing as things are.
+/// The expected failure rate of a healthy version under current conditions.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Normal {
     pub(crate) errors: f64,
-    /// Endpoints that this host could see it fail at.
+    /// Live endpoints of the version that this host knows.
     pub(crate) endpoints: usize,
 }
 
-/// Whether a fault is a version's own.
+/// The extent of a suspected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scope {
-    /// Other versions are as ever.
+    /// Other versions are mostly unaffected.
     Own,
-    /// Many other versions have the same trouble, so that the cause is another.
+    /// Many other versions are affected, so the cause is probably external.
     Shared,
 }
 
@@ -106,23 +112,23 @@
         self.quarantine.is_some()
     }
 
-    /// Whether the tests already lean towards a fault.
+    /// Returns whether failures or quality already suggest a fault.
     pub(crate) fn is_suspect(&self) -> bool {
         self.suspicion() > LIMIT / 3.0
     }
 
-    /// The highest of the sums.
+    /// Returns the highest CUSUM statistic of failures and quality.
     pub(crate) fn suspicion(&self) -> f64 {
         let quality = self.quality.iter().map(|it| it.sum());
         quality.fold(self.errors.sum(), f64::max)
     }
 
-    /// Outcomes seen, as far as they are remembered.
+    /// Returns the decayed number of outcomes.
     pub(crate) fn outcomes(&self) -> f64 {
         self.outcomes
     }
 
-    /// The share of outcomes that failed.
+    /// Returns the smoothed failure rate.
     pub(crate) fn failure_share(&self) -> f64 {
         (self.failures + FAILURE_FLOOR * 20.0) / (self.outcomes + 20.0)
     }
@@ -131,7 +137,7 @@
         self.totals
     }
 
-    /// A quarantined version may be tried with one request now.
+    /// Returns whether a probe of a quarantined version is due, and schedules the next.
     pub(crate) fn take_probe(&mut self, now: Duration) -> bool {
         let Some(it) = self.quarantine.as_mut() else {
             return false;
@@ -143,7 +149,7 @@
         due
     }
 
-    /// Whole answers came.
+    /// Records complete responses.
     pub(crate) fn answered(&mut self, now: Duration, normal: Normal, count: f64) {
         self.remember(count, 0.0);
         self.totals.answers += count;
@@ -155,7 +161,7 @@
         }
     }
 
-    /// It failed, `count` times, at these endpoints.
+    /// Records `count` failures at these endpoints.
     pub(crate) fn failed(
         &mut self,
         now: Duration,
@@ -176,7 +182,8 @@
             return self.probed(now, -2.0 * count);
         }
         let ratio = (failing(normal.errors, SHARES[0]) / normal.errors).ln();
-        // One broken endpoint fails again and again; it may not stand for the version.
+        // Repeated failures of one broken endpoint mustn't quarantine the version,
+        // so they can't raise the statistic to the threshold on their own.
         let alone = normal.endpoints < 2;
         let most = if repeated && !alone {
             0.6 * LIMIT
@@ -192,7 +199,7 @@
         }
     }
 
-    /// Answers came with this confidence.
+    /// Records the confidence of `count` responses.
     pub(crate) fn confident(&mut self, now: Duration, seen: &Confidence, count: f64) {
         let at = seen.bucket.index();
         let normal = seen.normal[at].max(0.004);
@@ -216,8 +223,7 @@
         }
     }
 
-    /// An answer took `ratio` times as long as such answers do, from an endpoint
-    /// that was not full when it was sent.
+    /// Records a response whose time per token was `ratio` times the usual one.
     pub(crate) fn took(&mut self, now: Duration, scope: Scope, ratio: f64) {
         let doubt = (ratio / SLOW).ln();
         if self.cause() == Some(Cause::Latency) {
@@ -229,18 +235,18 @@
         }
     }
 
-    /// Whether its answers have become slow.
+    /// Returns whether latency already suggests a fault.
     pub(crate) fn is_slow(&self) -> bool {
         self.latency.sum() > SLOW_LIMIT / 2.0
     }
 
-    /// Ends a batch of answers whose order isn't known.
+    /// Ends a batch of unordered responses and tests for a quality fault.
     pub(crate) fn settle(&mut self, now: Duration, scope: Scope) {
         self.quality.iter_mut().for_each(Cusum::settle);
         self.judge(now, scope, Cause::Confidence);
     }
 
-    /// Answers were rated.
+    /// Records ratings.
     pub(crate) fn rated(&mut self, now: Duration, seen: &Ratings) {
         self.totals.ratings += seen.good + seen.bad;
         let normal = seen.normal.clamp(0.02, 0.98);
@@ -249,8 +255,8 @@
             seen.bad * (spoilt / normal).ln() + seen.good * ((1.0 - spoilt) / (1.0 - normal)).ln()
         };
         if let Some(it) = self.quarantine {
-            // Ratings come minutes late: those of answers from before the fault
-            // would make a bad version look well again.
+            // Ratings arrive minutes late. Ratings of responses from before the
+            // quarantine would end it although the fault persists.
             let probe = seen.answered.is_some_and(|at| at >= it.since);
             if probe && matches!(it.cause, Cause::Ratings | Cause::Confidence) {
                 self.probed(now, -ratio(it.share));
@@ -263,7 +269,7 @@
         self.judge(now, seen.scope, Cause::Ratings);
     }
 
-    /// Takes it out of use, unless it is already.
+    /// Quarantines the version, unless it is quarantined already.
     pub(crate) fn quarantine(&mut self, now: Duration, cause: Cause, share: f64, hold: Duration) {
         if self.quarantine.is_some() {
             return;
@@ -278,7 +284,7 @@
         });
     }
 
-    /// Takes over another host's verdict.
+    /// Applies another host's verdict.
     pub(crate) fn adopt(&mut self, now: Duration, verdict: Verdict) {
         match verdict {
             Verdict::Healthy => self.restore(),
@@ -302,7 +308,7 @@
         }
     }
 
-    /// A probe speaks for (positive) or against the version.
+    /// Adds the result of a probe; a positive `ratio` is evidence of recovery.
     fn probed(&mut self, now: Duration, ratio: f64) {
         let Some(it) = self.quarantine.as_mut() else {
             return;
@@ -355,38 +361,42 @@
     }
 }
 
-/// The confidence of an answer, beside what it is as a rule and when answers are bad.
+/// The confidence bucket of a response, with the distributions that it is tested against.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Confidence {
     pub(crate) bucket: Bucket,
+    /// The baseline distribution.
     pub(crate) normal: [f64; BUCKETS],
+    /// The distribution over bad responses.
     pub(crate) bad: [f64; BUCKETS],
-    /// Answers that `normal` rests on.
+    /// The number of responses that `normal` is estimated from.
     pub(crate) answers: f64,
     pub(crate) scope: Scope,
     pub(crate) order: Order,
 }
 
-/// Whether observations come in the order in which they were made.
+/// Whether the order of observations is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Order {
     Known,
-    /// They are part of another host's batch, which [`Monitor::settle`] ends.
+    /// Part of another host's batch, which [`Monitor::settle`] ends.
     Unknown,
 }
 
-/// Ratings, beside how often such answers are rated bad as a rule.
+/// Ratings, with the baseline that they are tested against.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ratings {
     pub(crate) good: f64,
     pub(crate) bad: f64,
+    /// The expected fraction of bad ratings.
     pub(crate) normal: f64,
     pub(crate) scope: Scope,
-    /// When the answers came, if that is known.
+    /// When the responses were received, if known.
     pub(crate) answered: Option<Duration>,
 }
 
-/// The share that goes wrong when a fault spoils `share` of what is well.
+/// Returns the failure rate when a fault affects a fraction `share` of the
+/// responses that would otherwise be good.
 fn failing(normal: f64, share: f64) -> f64 {
     normal + share * (1.0 - normal)
 }
--- a/crates/decide/src/peers.rs
+++ b/crates/decide/src/peers.rs
@@ -1,4 +1,4 @@
-//! What the other hosts say of their customers' demand.
+//! Customer demand reported by other hosts.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 use crate::demand::Flow;
 use crate::{Demand, Policy, key};
 
-/// How long a host's word counts.
+/// How long a host's report is used.
 const KEEP: Duration = Duration::from_secs(10);
 
-/// What the other hosts say of their customers' demand, with its sums.
+/// The last demand report of each other host, and the totals by customer.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     hosts: HashMap<HostName, Word>,
     sums: Vec<Elsewhere>,
 }
 
-/// The demand of a customer at other hosts.
+/// The demand of one customer at one or all other hosts.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Elsewhere {
     pub(crate) chat: Flow,
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct Word {
     at: Duration,
-    /// By customer of the present policy.
+    /// Indexed by customer of the current policy.
     demand: Vec<Elsewhere>,
 }
 
@@ -49,7 +49,7 @@
         self.hosts.insert(demand.host.clone(), word);
     }
 
-    /// Keeps what was heard under the new policy's keys.
+    /// Remaps the reports to the keys of a new policy.
     pub(crate) fn configure(&mut self, moved: &[Option<key::Customer>]) {
         for word in self.hosts.values_mut() {
             let old = std::mem::take(&mut word.demand);
@@ -62,11 +62,11 @@
         self.sums = vec![Elsewhere::default(); moved.len()];
     }
 
-    /// Forgets hosts that have been silent and sums up the others.
+    /// Removes expired reports and recomputes the totals.
     pub(crate) fn settle(&mut self, now: Duration) {
         self.hosts.retain(|_, it| now.saturating_sub(it.at) < KEEP);
         self.sums.fill(Elsewhere::default());
-        // Sorted, since the order of additions shows in the last digits.
+        // Sorted, because floating-point sums depend on the order of additions.
         let mut hosts: Vec<_> = self.hosts.iter().collect();
         hosts.sort_unstable_by_key(|it| it.0);
         for (_, word) in hosts {
--- a/crates/decide/src/pool.rs
+++ b/crates/decide/src/pool.rs
@@ -1,4 +1,4 @@
-//! What waits for, and what is known of, the endpoints of a version or service.
+//! The queue and the timing statistics of each version and service.
 
 use std::time::Duration;
 
@@ -8,17 +8,18 @@
 use crate::queue::Queue;
 use crate::{Policy, key};
 
-/// How far back departures are looked at.
+/// The averaging time of the departure rate.
 const DEPARTURE_MEMORY: Duration = Duration::from_secs(4);
 
-/// What waits for, and what is known of, the endpoints of a version or service.
+/// The queue and the timing statistics of a version or service.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     pub(crate) queue: Queue,
     departures: Meter,
-    /// Seconds that an attempt takes.
+    /// The duration of an attempt in seconds.
     seconds: Mean,
-    /// Seconds to the first byte, or to the end where no first byte is told.
+    /// The time to the first byte in seconds, or to the end of the response if the
+    /// first byte isn't reported.
     first_byte: Mean,
 }
 
@@ -46,20 +47,20 @@
         self.first_byte.add(seconds);
     }
 
-    /// Seconds that an attempt takes, as far as is known.
+    /// Returns the mean duration of an attempt in seconds, or 0 if unknown.
     pub(crate) fn seconds(&self) -> f64 {
         self.seconds.value(1).unwrap_or(0.0)
     }
 
-    /// How long to wait for a first byte before another endpoint is worth a try.
+    /// Returns how long to wait for the first byte before hedging.
     pub(crate) fn hedge_after(&self) -> Option<Duration> {
         const LEAST: u32 = 30;
         let high = self.first_byte.high(LEAST)?;
         Some(Duration::from_secs_f64(high.max(0.01)))
     }
 
-    /// How long a new request of this customer would wait, when `running` of
-    /// this host's requests can run there at once.
+    /// Estimates the queueing time of a new request of this customer, if `running`
+    /// of this host's requests can run concurrently.
     pub(crate) fn wait(
         &self,
         now: Duration,
@@ -71,14 +72,14 @@
         const LONGEST: f64 = 600.0;
         let ahead = self.queue.ahead(customer, priority, weight) + 1.0;
         let seconds = self.seconds().max(0.001);
-        // By Little's law, what runs there leaves at this rate.
+        // The departure rate by Little's law.
         let rate = running / seconds;
         let rate = rate.max(self.departures.rate(now)).max(0.2 / seconds);
         Duration::from_secs_f64((ahead / rate).min(LONGEST))
     }
 }
 
-/// The pools of all versions and services.
+/// The pools of all versions and services, indexed by key.
 #[derive(Debug, Default)]
 pub(crate) struct Pools {
     versions: Vec<Pool>,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// All targets for which something waits.
+    /// Returns all targets with queued requests, services first.
     pub(crate) fn waiting(&self) -> Vec<Target> {
         let versions = self.versions.iter().enumerate();
         let versions = versions.filter(|(_, it)| !it.queue.is_empty());
@@ -111,7 +112,7 @@
         services.chain(versions).collect()
     }
 
-    /// Keeps what is known under the new policy's keys; the queues start empty.
+    /// Remaps the statistics to the keys of a new policy. The queues start empty.
     pub(crate) fn configure(
         &mut self,
         policy: &Policy,
--- a/crates/decide/src/record.rs
+++ b/crates/decide/src/record.rs
@@ -1,4 +1,4 @@
-//! What has been seen of one version.
+//! Statistics of one version.
 
 use crate::belief::{Belief, Turn};
 use crate::evidence::BUCKETS;
@@ -8,26 +8,28 @@
 use crate::shape::{Fit, Shape, blend};
 use crate::tally::{Bucket, Tally};
 
-/// How many answers the fitted distribution of confidence is worth.
+/// The weight, in responses, of the fitted confidence distribution.
 const SPREAD_WEIGHT: f64 = 12.0;
-/// How many ratings in a bucket the shape's own prediction is worth.
+/// The weight, in ratings per bucket, of the probability predicted by the shape.
 const CURVE_WEIGHT: f64 = 25.0;
-/// How many ratings the prior for a version is worth.
+/// The weight, in ratings, of the prior quality of a version.
 const PRIOR_WEIGHT: f64 = 16.0;
-/// How much more often an answer is bad where another's was rejected, before
-/// any answer tells.
+/// The prior ratio of the fractions of bad responses at later steps and at the
+/// first step of a cascade.
 const LATER_ODDS: f64 = 1.8;
 
-/// What has been seen of one version.
+/// Statistics of one version.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
-    /// Where its price stands among all: 0 is the cheapest, 1 the dearest.
+    /// The rank of its price among all versions, from 0 (cheapest) to 1 (most
+    /// expensive).
     pub(crate) rank: f64,
-    /// Over all classes and turns.
+    /// Ratings over all classes and cascade positions.
     pub(crate) all: Tally,
     pub(crate) shape: Shape,
-    /// Seconds between two tokens.
+    /// Seconds per token.
     pub(crate) pace: Mean,
+    /// Statistics over all classes.
     pub(crate) overall: Belief,
     pub(crate) classes: Vec<Belief>,
 }
@@ -51,7 +53,7 @@
         &mut self.classes[class.0]
     }
 
-    /// How the confidence of such answers spreads over the buckets.
+    /// Returns the distribution of such responses over the confidence buckets.
     pub(crate) fn spread(&self, kind: Kind) -> [f64; BUCKETS] {
         let fitted = self.shape.spread(self.known(kind).share);
         match self.classes.get(kind.class.0) {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// The share of such answers that are good, by the last fit.
+    /// Returns the fraction of good responses from the last fit, or the prior.
     pub(crate) fn known(&self, kind: Kind) -> Fit {
         match self.classes.get(kind.class.0) {
             Some(it) => it.view(kind.turn).known(self.prior_in(it, kind.turn)),
@@ -68,7 +70,7 @@
         }
     }
 
-    /// What is expected of it before it has been seen: the dearer the better.
+    /// Returns the prior quality, which increases with the price.
     fn prior(&self, turn: Turn) -> Fit {
         let first = Fit {
             share: 0.8 + 0.15 * self.rank,
@@ -80,7 +82,8 @@
         }
     }
 
-    /// The same with what its first turns in the class have shown.
+    /// Returns the prior quality in a class. That of later steps is derived from the
+    /// estimate for the first step.
     fn prior_in(&self, belief: &Belief, turn: Turn) -> Fit {
         let first = self.prior(Turn::First);
         match turn {
@@ -89,7 +92,7 @@
         }
     }
 
-    /// What passes each threshold.
+    /// Computes the fractions of passing and of good responses for each threshold.
     pub(crate) fn curve(&mut self, class: ClassIndex, turn: Turn) -> Curve {
         let shape = self.shape;
         let prior = self.prior_in(&self.classes[class.0], turn);
@@ -116,7 +119,7 @@
     }
 }
 
-/// What is expected where another version's answer was rejected.
+/// Returns the prior quality of later steps, given that of the first step.
 fn later(first: Fit) -> Fit {
     Fit {
         share: (1.0 - LATER_ODDS * (1.0 - first.share)).max(0.05),
--- a/crates/decide/src/replica.rs
+++ b/crates/decide/src/replica.rs
@@ -1,4 +1,4 @@
-//! What this host knows of one endpoint.
+//! The load, health and admission state of one endpoint.
 
 use std::time::Duration;
 
@@ -7,48 +7,49 @@
 use crate::policy::Priority;
 
 slotmap::new_key_type! {
-    /// An endpoint that this host knows.
+    /// The key of an endpoint in the directory.
     pub(crate) struct Key;
 }
 
-/// Requests that an endpoint without a load report is trusted with at once.
+/// The number of slots assumed of an endpoint without a load report.
 const UNREPORTED_SLOTS: u32 = 4;
-/// How long a new endpoint gets less than its share, while its caches fill.
+/// How long a new endpoint gets reduced load while its caches fill.
 const SLOW_START: Duration = Duration::from_secs(10);
-/// The share that a new endpoint starts with.
+/// The fraction of its slots that a new endpoint starts with.
 const FIRST_SHARE: f64 = 0.2;
-/// How long an endpoint is left alone after it said that it is full.
+/// How long an endpoint is paused after it reports overload.
 const FULL_PAUSE: Duration = Duration::from_millis(200);
-/// How long a report or a refusal tells how full an endpoint is.
+/// How long a load report or an overload response remains relevant.
 const FRESH: Duration = Duration::from_secs(5);
-/// Failures in a row after which an endpoint is left alone.
+/// The number of consecutive failures that ejects an endpoint.
 const EJECT_AFTER: u32 = 3;
-/// How long it is left alone then.
+/// How long an endpoint stays ejected.
 const EJECT_FOR: Duration = Duration::from_secs(5);
 
-/// What this host knows of one endpoint.
+/// The state of one endpoint as this host knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct Replica {
     pub(crate) id: Id,
     pub(crate) role: Role,
     pub(crate) distance: Distance,
     pub(crate) state: State,
-    /// The versions of the present policy that it has loaded.
+    /// The loaded versions that the current policy contains.
     pub(crate) versions: Vec<key::Version>,
     pub(crate) service: Option<key::Service>,
     since: Duration,
     load: Option<Load>,
-    /// When the newest report was made.
+    /// When the last load report was made.
     reported: Duration,
-    /// Twice an even share of what was free at the newest report: between two
-    /// reports a host takes no more, or all hosts would fill it at once.
+    /// Twice an equal share of the slots that were free in the last load report.
+    /// Limits new requests between reports, so that hosts don't overload the
+    /// endpoint together.
     free_share: f64,
     in_flight: u32,
-    /// Own work that the newest report already counts.
+    /// This host's requests in flight at the time of the last load report.
     in_flight_at_report: u32,
-    /// Own work that it may have at once: halved when it says that it is full,
-    /// and regained answer by answer, so that hosts that don't see each other's
-    /// work share its slots.
+    /// The limit on this host's requests in flight. Decreases multiplicatively on
+    /// overload and increases additively on success, so that hosts share the
+    /// slots without seeing each other's requests.
     window: f64,
     paused_until: Duration,
     ejected_until: Duration,
@@ -79,14 +80,14 @@
         it
     }
 
-    /// Takes a load report; none leaves the last one.
+    /// Applies a load report. `None` keeps the last one.
     pub(crate) fn report(&mut self, now: Duration, live: u32, load: Option<Load>) {
         let Some(load) = load.filter(|it| it.slots > 0) else {
             return;
         };
         if self.load.is_none_or(|it| it.slots != load.slots) {
-            // Twice an even share: more is won answer by answer, so that hosts which
-            // all see a free endpoint don't fill it several times over.
+            // Starts at twice an equal share and grows with each success, so that
+            // hosts which all see a free endpoint don't overload it.
             let most = f64::from(load.slots) * Self::most(Priority::Urgent);
             self.window = (2.0 * most / f64::from(live)).clamp(2.0, most.max(2.0));
         }
@@ -97,7 +98,7 @@
         self.in_flight_at_report = self.in_flight;
     }
 
-    /// Whether one more request of this priority fits.
+    /// Returns whether the endpoint has capacity for a request of this priority.
     pub(crate) fn has_room(&self, now: Duration, priority: Priority) -> bool {
         if now < self.paused_until || f64::from(self.in_flight) >= self.window {
             return false;
@@ -111,13 +112,14 @@
         f64::from(self.busy()) < limit && f64::from(self.in_flight) < started.max(1.0)
     }
 
-    /// Whether it is left alone after failures, as long as others have room: where
-    /// all are, the fault isn't theirs.
+    /// Returns whether the endpoint is ejected after consecutive failures. Ejected
+    /// endpoints are still used if no other has capacity.
     pub(crate) fn is_ejected(&self, now: Duration) -> bool {
         now < self.ejected_until
     }
 
-    /// How full it is: 0 is idle, 1 has all slots taken.
+    /// Returns the utilization: 0 is idle, 1 means that all slots are in use. A new
+    /// endpoint counts only part of its slots.
     pub(crate) fn fill(&self, now: Duration) -> f64 {
         f64::from(self.busy()) / (f64::from(self.slots()) * self.ramp(now))
     }
@@ -126,8 +128,8 @@
         self.in_flight
     }
 
-    /// Whether work may have to wait there. An old report, or a refusal not long
-    /// ago, leaves that open.
+    /// Returns whether a new request may have to wait at the endpoint: all slots are
+    /// in use, the load report is stale, or the endpoint was recently overloaded.
     pub(crate) fn may_be_full(&self, now: Duration) -> bool {
         let stale = self.load.is_none() || now.saturating_sub(self.reported) > FRESH;
         let refused = now < self.paused_until + FRESH;
@@ -138,7 +140,7 @@
         self.in_flight += 1;
     }
 
-    /// An attempt is over, in whatever way.
+    /// Records the end of an attempt, whatever its outcome.
     pub(crate) fn freed(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
@@ -149,7 +151,7 @@
         self.window = (self.window + 1.0 / self.window).min(most);
     }
 
-    /// It failed; after some in a row it is left alone for a while.
+    /// Records a failure; ejects the endpoint after several in a row.
     pub(crate) fn failed(&mut self, now: Duration) {
         self.failures += 1;
         if self.failures >= EJECT_AFTER {
@@ -158,8 +160,8 @@
         }
     }
 
-    /// It said that it is full. Reports lag, so the pause holds until one that
-    /// was made after this can have come.
+    /// Records an overload response and pauses the endpoint. Load reports lag, so
+    /// the pause lasts until a report made after the overload can have arrived.
     pub(crate) fn overloaded(&mut self, now: Duration) {
         self.window = (self.window * 0.7).max(1.0);
         self.paused_until = self.paused_until.max(now + FULL_PAUSE);
@@ -169,8 +171,8 @@
         self.versions.contains(&version)
     }
 
-    /// What runs or waits there: the last report, corrected by what this host
-    /// has sent and seen end since.
+    /// Returns the number of running and waiting requests: the last load report,
+    /// corrected by the requests that this host started and finished since.
     fn busy(&self) -> u32 {
         let reported = self.load.map_or(0, |it| it.running + it.waiting);
         let since = self.in_flight.saturating_sub(self.in_flight_at_report);
@@ -187,9 +189,9 @@
         (age / SLOW_START.as_secs_f64()).clamp(FIRST_SHARE, 1.0)
     }
 
-    /// The share of the slots that a priority may fill. Batch work leaves some
-    /// free, so that urgent work finds one without waiting for a long answer to
-    /// end; urgent work may go beyond, since engines honour priorities.
+    /// Returns the fraction of the slots that a priority may use. Batch requests
+    /// leave some free for urgent ones; urgent requests may exceed the slots,
+    /// because engines schedule by priority.
     fn most(priority: Priority) -> f64 {
         match priority {
             Priority::Urgent => 1.25,
--- a/crates/decide/src/sampler.rs
+++ b/crates/decide/src/sampler.rs
@@ -1,4 +1,4 @@
-//! Which answers are worth a rating.
+//! Selects the responses to send to the rating service.
 
 use std::time::Duration;
 
@@ -8,26 +8,27 @@
 use crate::bucket::Bucket;
 use crate::meter::Meter;
 
-/// How far back ratings are counted to find out what the service can do.
+/// The averaging time of the rate of ratings received.
 const MEMORY: Duration = Duration::from_mins(2);
-/// Samples are sent at so many times the rate at which ratings come, so that
-/// the service has all it can do and is never flooded.
+/// The ratio of samples sent to ratings received. Above 1, so that the rate can
+/// grow up to the capacity of the rating service without overloading it.
 const HEADROOM: f64 = 1.5;
-/// Samples a second that are sent in any case.
+/// The minimum rate of samples per second.
 const LEAST: f64 = 0.05;
-/// Samples that may be sent at once.
+/// The maximum burst of samples.
 const DEPTH: f64 = 10.0;
 
-/// Chooses the answers that are sent to be rated.
+/// Selects the responses to send to the rating service.
 ///
-/// The rating service takes far fewer than there are. Sent at random, nearly
-/// all ratings would fall to the class with the most requests; what is spent
-/// and what is unknown elsewhere would stay so.
+/// The service can rate only a small part of the responses. With uniform
+/// sampling, the class with the most requests would get nearly all ratings, so
+/// samples are selected by the value of their rating.
 #[derive(Debug)]
 pub(crate) struct Sampler {
     bucket: Bucket,
     returned: Meter,
-    /// What the value of an answer is multiplied by to get its chance.
+    /// The factor from the value of a rating to the selection probability, adapted
+    /// to the permitted rate.
     eagerness: f64,
 }
 
@@ -40,12 +41,13 @@
         }
     }
 
-    /// A rating came.
+    /// Records the arrival of a rating.
     pub(crate) fn returned(&mut self, now: Duration) {
         self.returned.add(now, 1.0);
     }
 
-    /// Whether to send an answer of this value; `most` a second are allowed.
+    /// Returns whether to send a response with this rating value, at up to `most`
+    /// samples per second.
     pub(crate) fn wants(
         &mut self,
         now: Duration,
@@ -56,7 +58,7 @@
         let rate = (HEADROOM * self.returned.rate(now)).max(LEAST).min(most);
         self.bucket.refill(now, rate, DEPTH);
         if random.random::<f64>() >= self.eagerness * value {
-            // There is room for less valuable ones.
+            // Unused tokens permit samples of lower value.
             self.eagerness *= 1.0 + 0.02 * self.bucket.filled(DEPTH);
             return false;
         }
@@ -67,7 +69,7 @@
         sent
     }
 
-    /// Sends an answer whatever its value, as long as any may be sent.
+    /// Returns whether the rate limit permits a sample, whatever its value.
     pub(crate) fn insists(&mut self, now: Duration, most: f64) -> bool {
         let rate = (HEADROOM * self.returned.rate(now)).max(LEAST).min(most);
         self.bucket.refill(now, rate, DEPTH);
--- a/crates/decide/src/samples.rs
+++ b/crates/decide/src/samples.rs
@@ -1,4 +1,4 @@
-//! Answers that were sent to be rated.
+//! Responses that were sent to the rating service.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -7,23 +7,23 @@
 use crate::key;
 use crate::tally::Bucket;
 
-/// Answers whose rating is waited for.
+/// The maximum number of responses with an outstanding rating.
 const KEPT: usize = 8192;
 
-/// Answers that were sent to be rated, the oldest forgotten first: many
-/// ratings never come.
+/// Responses that wait for a rating. Many ratings never arrive, so the oldest
+/// entries are evicted when the table is full.
 #[derive(Debug, Default)]
 pub(crate) struct Samples {
     waiting: HashMap<Name, Sample>,
     order: VecDeque<Name>,
 }
 
-/// What has to be known of an answer when its rating comes.
+/// The data about a response that is needed when its rating arrives.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sample {
     pub(crate) bucket: Bucket,
     pub(crate) turn: Turn,
-    /// When the answer came; unknown for those of other hosts.
+    /// When the response was received; unknown for those of other hosts.
     pub(crate) at: Option<Duration>,
 }
 
@@ -50,7 +50,7 @@
         self.waiting.insert(name, sample);
     }
 
-    /// Each answer is rated once; a second rating finds nothing.
+    /// Removes and returns the sample, so a second rating of a response is ignored.
     pub(crate) fn take(
         &mut self,
         request: key::Request,
--- a/crates/decide/src/tally.rs
+++ b/crates/decide/src/tally.rs
@@ -1,23 +1,24 @@
-//! Counts of answers and ratings by confidence.
+//! Histograms of responses and ratings by confidence.
 
 use crate::evidence::BUCKETS;
 
-/// The upper ends of the confidence buckets. They are finer at the top, where
-/// engines that are mostly right spend their time.
+/// The upper bounds of the confidence buckets, finer at the top, where most
+/// responses of good engines are.
 const ENDS: [f64; BUCKETS - 1] = [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.78, 0.85, 0.91, 0.96];
-/// Ratings after which old ones are forgotten as fast as new ones come.
+/// The decayed number of ratings from which on old ones are discounted as new
+/// ones are added.
 const RATING_MEMORY: f64 = 1500.0;
-/// The same for answers.
+/// The corresponding number of responses.
 const ANSWER_MEMORY: f64 = 3000.0;
-/// No single count makes more than this part of the memory forgotten.
+/// Caps the count that determines the decay of one update.
 const MOST_AT_ONCE: f64 = 100.0;
 
-/// The confidence bucket of an answer, the least confident first.
+/// A confidence bucket, ordered from least to most confident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Bucket(usize);
 
 impl Bucket {
-    /// All buckets, the least confident first.
+    /// Returns all buckets, the least confident first.
     pub(crate) fn all() -> impl DoubleEndedIterator<Item = Self> {
         (0..BUCKETS).map(Self)
     }
@@ -26,17 +27,17 @@
         self.0
     }
 
-    /// Whether an answer in it passes a threshold; [`BUCKETS`] passes none.
+    /// Returns whether the bucket is at or above a threshold; none reaches [`BUCKETS`].
     pub(crate) fn passes(self, threshold: usize) -> bool {
         self.0 >= threshold
     }
 
-    /// The least confidence inside it.
+    /// Returns the inclusive lower bound.
     pub(crate) fn low(self) -> f64 {
         if self.0 == 0 { 0.0 } else { ENDS[self.0 - 1] }
     }
 
-    /// The confidence from which on the next one begins.
+    /// Returns the upper bound, which is exclusive except for the last bucket.
     pub(crate) fn high(self) -> f64 {
         ENDS.get(self.0).copied().unwrap_or(1.0)
     }
@@ -48,7 +49,7 @@
     }
 }
 
-/// Counts of answers and ratings by confidence, with old ones forgotten.
+/// Counts of responses and ratings by confidence bucket, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Tally {
     pub(crate) answered: [f64; BUCKETS],
@@ -75,22 +76,22 @@
         self.bad[bucket.index()] += bad;
     }
 
-    /// Answers, as far as they are remembered.
+    /// Returns the decayed number of responses.
     pub(crate) fn answers(&self) -> f64 {
         self.answered.iter().sum()
     }
 
-    /// Ratings, as far as they are remembered.
+    /// Returns the decayed number of ratings.
     pub(crate) fn ratings(&self) -> f64 {
         self.goods() + self.bads()
     }
 
-    /// Good ratings.
+    /// Returns the decayed number of good ratings.
     pub(crate) fn goods(&self) -> f64 {
         self.good.iter().sum()
     }
 
-    /// Bad ratings.
+    /// Returns the decayed number of bad ratings.
     pub(crate) fn bads(&self) -> f64 {
         self.bad.iter().sum()
     }
