--- a/crates/decide/src/belief.rs
+++ b/crates/decide/src/belief.rs
@@ -5,7 +5,7 @@
 use crate::tally::{Bucket, Tally};
 
 /// The number of observed batches of responses after which a fit is outdated.
-const FIT_EVERY: u32 = 16;
+const REFIT_INTERVAL: u32 = 16;
 
 /// Statistics of one version in one class.
 ///
@@ -27,7 +27,7 @@
     pub(crate) tally: Tally,
     fit: Option<Fit>,
     /// Calls of [`Self::answered`] since the last fit.
-    since: u32,
+    updates_since_fit: u32,
 }
 
 /// The position of a response in a cascade: the first, or one after another
@@ -63,8 +63,8 @@
 impl View {
     pub(crate) fn answered(&mut self, bucket: Bucket, count: f64) {
         self.tally.answered(bucket, count);
-        self.since += 1;
-        if self.since >= FIT_EVERY {
+        self.updates_since_fit += 1;
+        if self.updates_since_fit >= REFIT_INTERVAL {
             self.fit = None;
         }
     }
@@ -81,13 +81,13 @@
             return fit;
         }
         let fit = shape.fit(&self.tally, prior);
-        self.since = 0;
+        self.updates_since_fit = 0;
         self.fit = Some(fit);
         fit
     }
 
     /// Returns the last fit, or `prior` if there is none.
-    pub(crate) fn known(&self, prior: Fit) -> Fit {
+    pub(crate) fn last_fit(&self, prior: Fit) -> Fit {
         self.fit.unwrap_or(prior)
     }
 }
--- a/crates/decide/src/cusum.rs
+++ b/crates/decide/src/cusum.rs
@@ -26,12 +26,12 @@
         self.sum = self.sum.max(0.0);
     }
 
-    /// Adds observations like [`Self::add`], but doesn't raise the sum above `most`.
-    pub(crate) fn add_up_to(&mut self, most: f64, ratio: f64, count: f64) {
+    /// Adds observations like [`Self::add`], but doesn't raise the sum above `limit`.
+    pub(crate) fn add_capped(&mut self, limit: f64, ratio: f64, count: f64) {
         let before = self.sum;
         self.add(ratio, count);
         if ratio > 0.0 {
-            self.sum = self.sum.min(most.max(before));
+            self.sum = self.sum.min(limit.max(before));
         }
     }
 
--- a/crates/decide/src/demand.rs
+++ b/crates/decide/src/demand.rs
@@ -36,7 +36,7 @@
 impl Flow {
     /// Returns whether the arrival rate and the outstanding requests are negligible.
     pub(crate) fn is_idle(&self) -> bool {
-        const NOTHING: f64 = 0.001;
-        self.rate < NOTHING && self.in_flight < NOTHING
+        const NEGLIGIBLE: f64 = 0.001;
+        self.rate < NEGLIGIBLE && self.in_flight < NEGLIGIBLE
     }
 }
--- a/crates/decide/src/digest.rs
+++ b/crates/decide/src/digest.rs
@@ -8,9 +8,9 @@
 use crate::{Policy, key};
 
 /// The number of own observations from which on a host ignores digests.
-const OWN: u64 = 200;
+const MIN_OWN_OBSERVATIONS: u64 = 200;
 /// The number of responses that the means of a digest are recorded as.
-const WORTH: u32 = 10;
+const MEAN_WEIGHT: u32 = 10;
 
 impl Knowledge {
     /// Returns the statistics as evidence that another host can apply.
@@ -19,12 +19,12 @@
         for (class, key, free, pinned) in self.turns() {
             evidence.turns.push(Turns {
                 class: key,
-                free: count(free),
-                pinned: count(pinned),
+                free: rounded_count(free),
+                pinned: rounded_count(pinned),
             });
             for (at, entry) in policy.versions.iter().enumerate() {
                 let belief = self.belief(key::Version::at(at), class);
-                let item = belief.map(|it| item(it, entry.id.clone(), key));
+                let item = belief.map(|it| build_item(it, entry.id.clone(), key));
                 evidence.items.extend(item.filter(|it| !is_empty(it)));
             }
         }
@@ -34,7 +34,7 @@
     /// Applies another host's digest, unless this host has enough observations:
     /// those that both hosts have would be counted twice.
     pub(crate) fn absorb(&mut self, policy: &Policy, digest: &Evidence) {
-        if self.changes() >= OWN {
+        if self.changes() >= MIN_OWN_OBSERVATIONS {
             return;
         }
         for it in &digest.turns {
@@ -73,7 +73,7 @@
         }
         let answers = item.answered.iter().chain(&item.later_answered);
         let answers = f64::from(answers.sum::<u32>()).max(1.0);
-        for _ in 0..WORTH {
+        for _ in 0..MEAN_WEIGHT {
             let tokens = float(item.completion_tokens) / answers;
             let seconds = float(item.latency_ms) / 1000.0 / answers;
             self.measured(version, class, tokens, seconds);
@@ -81,12 +81,12 @@
     }
 }
 
-fn item(belief: &Belief, version: kernel::VersionId, class: key::Class) -> Item {
+fn build_item(belief: &Belief, version: kernel::VersionId, class: key::Class) -> Item {
     let (first, later) = (&belief.first.tally, &belief.later.tally);
-    let whole = |it: &[f64; BUCKETS]| it.map(count);
-    let (answered, later_answered) = (whole(&first.answered), whole(&later.answered));
+    let rounded = |it: &[f64; BUCKETS]| it.map(rounded_count);
+    let (answered, later_answered) = (rounded(&first.answered), rounded(&later.answered));
     let answers = answered.iter().chain(&later_answered).sum::<u32>();
-    let all = |mean: Option<f64>| floor(mean.unwrap_or(0.0) * f64::from(answers));
+    let total = |mean: Option<f64>| floor(mean.unwrap_or(0.0) * f64::from(answers));
     Item {
         version,
         class,
@@ -94,12 +94,12 @@
         later_answered,
         failed: 0,
         failed_at: [None; 2],
-        good: whole(&first.good),
-        bad: whole(&first.bad),
-        later_good: whole(&later.good),
-        later_bad: whole(&later.bad),
-        completion_tokens: all(belief.completion.value(1)),
-        latency_ms: all(belief.latency.value(1).map(|it| it * 1000.0)),
+        good: rounded(&first.good),
+        bad: rounded(&first.bad),
+        later_good: rounded(&later.good),
+        later_bad: rounded(&later.bad),
+        completion_tokens: total(belief.completion.value(1)),
+        latency_ms: total(belief.latency.value(1).map(|it| it * 1000.0)),
     }
 }
 
@@ -108,6 +108,6 @@
     answers.sum::<u32>() == 0
 }
 
-fn count(value: f64) -> u32 {
+fn rounded_count(value: f64) -> u32 {
     u32::try_from(floor(value + 0.5)).unwrap_or(u32::MAX)
 }
--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -15,11 +15,11 @@
 
 /// The maximum number of endpoints of a version or service that one host sends
 /// to; see `docs/design/decide-endpoints.md`.
-const SUBSET: usize = 24;
+const SUBSET_SIZE: usize = 24;
 /// The number of slots in the table from prompt prefix to endpoint.
-const PREFIXES: usize = 4096;
+const PREFIX_SLOTS: usize = 4096;
 /// The utilization from which on prefix affinity is ignored.
-const AFFINITY_FILL: f64 = 0.75;
+const MAX_AFFINITY_UTILIZATION: f64 = 0.75;
 
 /// The version or service that an endpoint is needed for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -46,15 +46,15 @@
     /// The number of live hosts that share the endpoints.
     pub(crate) live: u32,
     replicas: SlotMap<Key, Replica>,
-    by_name: HashMap<Name, Key>,
+    by_name: HashMap<EndpointName, Key>,
     by_version: Vec<Vec<Candidate>>,
     by_service: Vec<Vec<Candidate>>,
-    prefixes: Vec<Prefix>,
+    prefixes: Vec<PrefixEntry>,
 }
 
 /// Identifies an endpoint across its incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Name {
+struct EndpointName {
     host: u64,
     service: u64,
 }
@@ -69,7 +69,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Prefix {
+struct PrefixEntry {
     hash: u64,
     key: Key,
 }
@@ -83,7 +83,7 @@
             by_name: HashMap::new(),
             by_version: Vec::new(),
             by_service: Vec::new(),
-            prefixes: vec![Prefix::default(); PREFIXES],
+            prefixes: vec![PrefixEntry::default(); PREFIX_SLOTS],
         }
     }
 
@@ -102,7 +102,7 @@
         policy: &Policy,
         update: &Update,
     ) -> Option<Key> {
-        let name = Name::of(update);
+        let name = EndpointName::of(update);
         let known = self.by_name.get(&name).copied();
         let same = known.filter(|it| self.replicas[*it].id == update.id);
         if let (Some(old), None) = (known, same) {
@@ -117,19 +117,19 @@
         let Some(key) = same else {
             let key = self.replicas.insert(Replica::new(now, self.live, update));
             self.by_name.insert(name, key);
-            self.list(key, policy);
+            self.add_to_indexes(key, policy);
             return Some(key);
         };
         let it = &mut self.replicas[key];
         it.report(now, self.live, update.load);
         let moved = it.distance != update.distance || it.state != update.state;
         if moved || !same_role(&it.role, &update.role) {
-            self.unlist(key);
+            self.remove_from_indexes(key);
             let it = &mut self.replicas[key];
             it.role = update.role.clone();
             it.distance = update.distance;
             it.state = update.state;
-            self.list(key, policy);
+            self.add_to_indexes(key, policy);
         }
         Some(key)
     }
@@ -140,13 +140,13 @@
         self.by_service = vec![Vec::new(); policy.services.len()];
         let keys: Vec<Key> = self.replicas.keys().collect();
         for key in keys {
-            self.list(key, policy);
+            self.add_to_indexes(key, policy);
         }
     }
 
     /// Stops new requests to an endpoint that reported that it is leaving.
     pub(crate) fn leave(&mut self, key: Key) {
-        self.unlist(key);
+        self.remove_from_indexes(key);
         if let Some(it) = self.replicas.get_mut(key) {
             it.state = State::Leaving;
         }
@@ -192,20 +192,20 @@
     /// Returns the endpoints in this host's subsets, whose load it has to know.
     pub(crate) fn watched(&self) -> Vec<Id> {
         let lists = self.by_version.iter().chain(&self.by_service);
-        let near = lists.flat_map(|it| it.iter().take(SUBSET));
+        let near = lists.flat_map(|it| it.iter().take(SUBSET_SIZE));
         let ids: BTreeSet<Id> = near.map(|it| self.replicas[it.key].id).collect();
         ids.into_iter().collect()
     }
 
     /// Returns the number of this host's attempts in flight at the endpoints of `target`.
     pub(crate) fn in_flight(&self, target: Target) -> u32 {
-        let near = self.candidates(target).iter().take(SUBSET);
+        let near = self.candidates(target).iter().take(SUBSET_SIZE);
         near.map(|it| self.replicas[it.key].in_flight()).sum()
     }
 
     /// Returns this host's equal share of the slots at the endpoints of `target`.
     pub(crate) fn slot_share(&self, target: Target) -> f64 {
-        let near = self.candidates(target).iter().take(SUBSET);
+        let near = self.candidates(target).iter().take(SUBSET_SIZE);
         let slots: u32 = near.map(|it| self.replicas[it.key].slots()).sum();
         f64::from(slots) / f64::from(self.live)
     }
@@ -217,16 +217,16 @@
     /// endpoints are used only if no other has capacity.
     pub(crate) fn choose(&self, now: Duration, want: &Want, random: &mut Pcg64Mcg) -> Option<Key> {
         let list = self.candidates(want.target);
-        let list = &list[..list.len().min(SUBSET)];
-        if let Some(key) = self.cached(now, want) {
+        let list = &list[..list.len().min(SUBSET_SIZE)];
+        if let Some(key) = self.cached_endpoint(now, want) {
             return Some(key);
         }
-        let sound = list
+        let healthy = list
             .chunk_by(|a, b| a.distance == b.distance)
-            .find_map(|near| self.choose_among(now, want, near, random));
-        sound.or_else(|| {
+            .find_map(|near| self.choose_at_distance(now, want, near, random));
+        healthy.or_else(|| {
             let ejected = list.iter().map(|it| it.key);
-            self.emptiest(
+            self.least_utilized(
                 now,
                 want,
                 ejected.filter(|it| self.replicas[*it].is_ejected(now)),
@@ -237,21 +237,21 @@
     /// Records that the endpoint has the prefix cached.
     pub(crate) fn remember(&mut self, prefix: u64, key: Key) {
         if prefix != 0 {
-            self.prefixes[slot(prefix)] = Prefix { hash: prefix, key };
+            self.prefixes[prefix_slot(prefix)] = PrefixEntry { hash: prefix, key };
         }
     }
 
-    fn cached(&self, now: Duration, want: &Want) -> Option<Key> {
+    fn cached_endpoint(&self, now: Duration, want: &Want) -> Option<Key> {
         if want.prefix == 0 {
             return None;
         }
-        let entry = self.prefixes[slot(want.prefix)];
+        let entry = self.prefixes[prefix_slot(want.prefix)];
         let it = self.replicas.get(entry.key)?;
         let usable = entry.hash == want.prefix
             && it.state == State::Live
             && !it.is_ejected(now)
             && want.avoid != Some(entry.key)
-            && it.fill(now) < AFFINITY_FILL
+            && it.fill(now) < MAX_AFFINITY_UTILIZATION
             && it.has_room(now, want.priority);
         let serves = match want.target {
             Target::Version(version) => it.serves(version),
@@ -260,7 +260,7 @@
         (usable && serves).then_some(entry.key)
     }
 
-    fn choose_among(
+    fn choose_at_distance(
         &self,
         now: Duration,
         want: &Want,
@@ -269,14 +269,19 @@
     ) -> Option<Key> {
         let first = random.random_range(0..near.len());
         let second = random.random_range(0..near.len());
-        let sound = |it: &Key| !self.replicas[*it].is_ejected(now);
+        let healthy = |it: &Key| !self.replicas[*it].is_ejected(now);
         let two = [near[first].key, near[second].key];
         let all = near.iter().map(|it| it.key);
-        self.emptiest(now, want, two.into_iter().filter(sound))
-            .or_else(|| self.emptiest(now, want, all.filter(sound)))
+        self.least_utilized(now, want, two.into_iter().filter(healthy))
+            .or_else(|| self.least_utilized(now, want, all.filter(healthy)))
     }
 
-    fn emptiest(&self, now: Duration, want: &Want, keys: impl Iterator<Item = Key>) -> Option<Key> {
+    fn least_utilized(
+        &self,
+        now: Duration,
+        want: &Want,
+        keys: impl Iterator<Item = Key>,
+    ) -> Option<Key> {
         let usable = keys.filter(|it| {
             want.avoid != Some(*it) && self.replicas[*it].has_room(now, want.priority)
         });
@@ -292,13 +297,13 @@
         list.map_or(&[], Vec::as_slice)
     }
 
-    fn remove(&mut self, name: Name, key: Key) {
-        self.unlist(key);
+    fn remove(&mut self, name: EndpointName, key: Key) {
+        self.remove_from_indexes(key);
         self.replicas.remove(key);
         self.by_name.remove(&name);
     }
 
-    fn list(&mut self, key: Key, policy: &Policy) {
+    fn add_to_indexes(&mut self, key: Key, policy: &Policy) {
         let it = &mut self.replicas[key];
         it.versions.clear();
         it.service = None;
@@ -324,7 +329,7 @@
         }
     }
 
-    fn unlist(&mut self, key: Key) {
+    fn remove_from_indexes(&mut self, key: Key) {
         let Some(it) = self.replicas.get(key) else {
             return;
         };
@@ -337,7 +342,7 @@
     }
 }
 
-impl Name {
+impl EndpointName {
     fn of(update: &Update) -> Self {
         let service = match &update.role {
             Role::Engine(_) => 0,
@@ -365,7 +370,7 @@
     }
 }
 
-fn slot(prefix: u64) -> usize {
-    let size = u64::try_from(PREFIXES).unwrap_or(1);
+fn prefix_slot(prefix: u64) -> usize {
+    let size = u64::try_from(PREFIX_SLOTS).unwrap_or(1);
     usize::try_from(key::mix(prefix, 0) % size).unwrap_or(0)
 }
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -4,7 +4,7 @@
 use crate::{Policy, key};
 
 /// The number of outcomes that a version needs to serve as a reference for others.
-const COMPARABLE: f64 = 20.0;
+const MIN_REFERENCE_OUTCOMES: f64 = 20.0;
 
 /// The monitors of all versions.
 ///
@@ -56,7 +56,7 @@
     pub(crate) fn normal(&self, version: key::Version, endpoints: usize) -> Normal {
         let others = self.others(version);
         let (sum, number) = others.fold((0.0, 0.0), |(sum, number), it| {
-            (sum + it.failure_share(), number + 1.0)
+            (sum + it.failure_rate(), number + 1.0)
         });
         let others = if number > 0.0 { sum / number } else { 0.0 };
         Normal {
@@ -90,7 +90,9 @@
         let others = self.monitors.iter().enumerate();
         others
             .filter(move |(at, it)| {
-                *at != version.index() && !it.is_quarantined() && it.outcomes() >= COMPARABLE
+                *at != version.index()
+                    && !it.is_quarantined()
+                    && it.outcomes() >= MIN_REFERENCE_OUTCOMES
             })
             .map(|(_, it)| it)
     }
--- a/crates/decide/src/knowledge.rs
+++ b/crates/decide/src/knowledge.rs
@@ -17,13 +17,13 @@
 use crate::{Policy, key};
 
 /// The maximum number of classes; further ones share the default class.
-const CLASSES: usize = 32;
+const MAX_CLASSES: usize = 32;
 /// The weight, in ratings, of the overall confidence distribution as prior for a version's.
-const SHAPE_WEIGHT: f64 = 60.0;
+const VERSION_PRIOR_WEIGHT: f64 = 60.0;
 /// The weight, in ratings, of the built-in prior for the overall distribution.
-const GENERAL_WEIGHT: f64 = 30.0;
+const OVERALL_PRIOR_WEIGHT: f64 = 30.0;
 /// The prompt and completion tokens to assume of a request before any were counted.
-const TOKENS: f64 = 256.0;
+const DEFAULT_TOKENS: f64 = 256.0;
 
 /// Statistics of all versions by request class.
 #[derive(Debug)]
@@ -69,15 +69,15 @@
     /// key of each version, if there was one.
     pub(crate) fn configure(&mut self, policy: &Policy, moved: &[Option<key::Version>]) {
         let mut old: Vec<_> = self.versions.drain(..).map(Some).collect();
-        let price = |it: &crate::policy::Version| it.cost(1_000_000, 1_000_000);
-        let mut prices: Vec<Money> = policy.versions.iter().map(price).collect();
+        let reference_cost = |it: &crate::policy::Version| it.cost(1_000_000, 1_000_000);
+        let mut prices: Vec<Money> = policy.versions.iter().map(reference_cost).collect();
         prices.sort_unstable();
         prices.dedup();
         let top = count(prices.len().saturating_sub(1)).max(1.0);
         for (version, was) in policy.versions.iter().zip(moved) {
             let known = was.and_then(|it| old.get_mut(it.index())?.take());
             let mut it = known.unwrap_or_else(|| Record::new(self.general));
-            it.rank = count(prices.partition_point(|it| *it < price(version))) / top;
+            it.price_rank = count(prices.partition_point(|it| *it < reference_cost(version))) / top;
             self.versions.push(it);
         }
         self.changes += 1;
@@ -92,7 +92,7 @@
         if self.classes.is_empty() && key != key::Class::default() {
             self.class(key::Class::default());
         }
-        if self.classes.len() == CLASSES {
+        if self.classes.len() == MAX_CLASSES {
             return ClassIndex(0);
         }
         self.classes.push(Class::new(key));
@@ -140,9 +140,9 @@
     pub(crate) fn value_of_rating(&self, now: Duration, kind: Kind) -> f64 {
         let spending = self.classes[kind.class.0].spending.rate(now);
         let it = self.versions.get(kind.version.index());
-        let fit = it.map(|it| it.known(kind));
-        let doubt = fit.map_or(0.0, |it| it.variance() / (it.weight + 1.0));
-        spending.sqrt() * doubt
+        let fit = it.map(|it| it.last_fit(kind));
+        let uncertainty = fit.map_or(0.0, |it| it.variance() / (it.weight + 1.0));
+        spending.sqrt() * uncertainty
     }
 
     /// Records complete responses.
@@ -176,10 +176,10 @@
         self.changes += 1;
         self.all.rated(bucket, good, bad);
         let prior = self.prior.denoised(&self.all);
-        self.general = prior.learned(&self.all, GENERAL_WEIGHT);
+        self.general = prior.learned(&self.all, OVERALL_PRIOR_WEIGHT);
         if let Some(it) = self.versions.get_mut(kind.version.index()) {
             it.all.rated(bucket, good, bad);
-            it.shape = self.general.learned(&it.all, SHAPE_WEIGHT);
+            it.shape = self.general.learned(&it.all, VERSION_PRIOR_WEIGHT);
             it.overall.view_mut(kind.turn).rated(bucket, good, bad);
             it.class_mut(kind.class)
                 .view_mut(kind.turn)
@@ -210,7 +210,7 @@
         let own = self.belief(version, class).map(|it| it.completion);
         let shared = self.classes.get(class.0).map(|it| it.completion);
         let known = own.filter(|it| it.value(5).is_some()).or(shared);
-        let mean = known.and_then(|it| it.value(1)).unwrap_or(TOKENS);
+        let mean = known.and_then(|it| it.value(1)).unwrap_or(DEFAULT_TOKENS);
         let high = known.and_then(|it| it.high(5)).unwrap_or(2.0 * mean);
         (mean, high)
     }
@@ -231,7 +231,7 @@
     pub(crate) fn rated_bad(&self, kind: Kind, bucket: Bucket) -> f64 {
         let it = self.versions.get(kind.version.index());
         it.map_or(0.5, |it| {
-            let chance = it.shape.chance(it.known(kind).share, bucket.index());
+            let chance = it.shape.chance(it.last_fit(kind).share, bucket.index());
             it.shape.rated_bad(chance)
         })
     }
@@ -250,8 +250,8 @@
 
     /// Compares the quality of two versions over all classes.
     pub(crate) fn compare(&self, version: key::Version, with: key::Version) -> Comparison {
-        let one = self.overall(version);
-        let other = self.overall(with);
+        let one = self.overall_quality(version);
+        let other = self.overall_quality(with);
         Comparison {
             difference: one.share - other.share,
             error: (one.variance() + other.variance()).sqrt(),
@@ -268,8 +268,8 @@
         let entry = &policy.versions[version.index()];
         let prompt = self.classes.get(class.0).and_then(|it| it.prompt.value(1));
         let (completion, _) = self.completion(version, class);
-        let cost = price(entry.prompt_price) * prompt.unwrap_or(TOKENS)
-            + price(entry.completion_price) * completion;
+        let cost = price_per_token(entry.prompt_price) * prompt.unwrap_or(DEFAULT_TOKENS)
+            + price_per_token(entry.completion_price) * completion;
         let ratings = self.ratings(version, class);
         let it = &mut self.versions[version.index()];
         it.class_mut(class);
@@ -282,7 +282,7 @@
         }
     }
 
-    fn overall(&self, version: key::Version) -> Fit {
+    fn overall_quality(&self, version: key::Version) -> Fit {
         let it = &self.versions[version.index()];
         let tally = &it.overall.first.tally;
         let (good, bad) = (tally.goods(), tally.bads());
@@ -298,6 +298,6 @@
 }
 
 /// Returns the price in microcents per token.
-fn price(per_million: Money) -> f64 {
+fn price_per_token(per_million: Money) -> f64 {
     float(per_million.0) / 1e6
 }
--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -10,41 +10,41 @@
 
 /// The fractions of responses made bad by the faults that are tested for: a
 /// partial fault and one of nearly all responses.
-const SHARES: [f64; 2] = [0.2, 0.9];
+const FAULT_SHARES: [f64; 2] = [0.2, 0.9];
 /// The CUSUM threshold for failures. By Lorden's bound the false alarm rate is
 /// below one in `e^12` observations.
-const LIMIT: f64 = 12.0;
+const ERROR_THRESHOLD: f64 = 12.0;
 /// The CUSUM threshold for a partial fault, which has a weaker effect on confidence.
-const PARTIAL_LIMIT: f64 = 18.0;
+const PARTIAL_FAULT_THRESHOLD: f64 = 18.0;
 /// The CUSUM threshold for a fault of nearly all responses.
-const WHOLE_LIMIT: f64 = 16.0;
+const FULL_FAULT_THRESHOLD: f64 = 16.0;
 /// Responses that the baseline confidence distribution needs before partial
 /// faults are tested for.
-const PARTIAL_ANSWERS: f64 = 200.0;
+const PARTIAL_FAULT_MIN_RESPONSES: f64 = 200.0;
 /// Caps the log-likelihood ratio of one failure, so that no single failure
 /// quarantines a version.
-const MOST_FOR_FAILURE: f64 = 2.5;
+const MAX_FAILURE_LOG_RATIO: f64 = 2.5;
 /// Caps the log-likelihood ratio of one response's confidence, because the
 /// baseline frequency of the lowest buckets is only a rough estimate.
-const MOST_FOR_ANSWER: f64 = 1.8;
-/// The failure rate of the prior in [`Monitor::failure_share`].
-const FAILURE_FLOOR: f64 = 0.01;
+const MAX_CONFIDENCE_LOG_RATIO: f64 = 1.8;
+/// The failure rate of the prior in [`Monitor::failure_rate`].
+const PRIOR_FAILURE_RATE: f64 = 0.01;
 /// A time per token of more than this many times the usual one is evidence of a fault.
-const SLOW: f64 = 3.0;
+const SLOWDOWN_RATIO: f64 = 3.0;
 /// Bounds the contribution of one response to the latency statistic.
-const SLOW_MOST: f64 = 1.0;
+const MAX_LATENCY_LOG_RATIO: f64 = 1.0;
 /// The CUSUM threshold for latency.
-const SLOW_LIMIT: f64 = 5.0;
+const LATENCY_THRESHOLD: f64 = 5.0;
 /// The time from the start of a quarantine to its first probe.
-const FIRST_HOLD: Duration = Duration::from_secs(10);
+const INITIAL_PROBE_DELAY: Duration = Duration::from_secs(10);
 /// The longest pause after failed probes.
-const LONGEST_HOLD: Duration = Duration::from_mins(10);
+const MAX_PROBE_DELAY: Duration = Duration::from_mins(10);
 /// The least time between two probes of a version by this host.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// The log-likelihood ratio of the probes at which a quarantine ends.
-const PASS: f64 = 6.0;
+const RECOVERY_THRESHOLD: f64 = 6.0;
 /// The ratio at which the pause before the next probe is doubled.
-const FAIL: f64 = -3.0;
+const PROBE_FAILURE_THRESHOLD: f64 = -3.0;
 
 /// Detects faults of one version from the outcomes of this host and those that
 /// other hosts publish. See `docs/design/decide-health.md`.
@@ -52,12 +52,12 @@
 pub(crate) struct Monitor {
     errors: Cusum,
     latency: Cusum,
-    quality: [Cusum; SHARES.len()],
+    quality: [Cusum; FAULT_SHARES.len()],
     /// The first two distinct endpoints with failures since the last reset.
-    failed_at: [Option<endpoint::Id>; 2],
+    failed_endpoints: [Option<endpoint::Id>; 2],
     last_failed: Option<endpoint::Id>,
     /// Consecutive failures.
-    streak: f64,
+    consecutive_failures: f64,
     outcomes: f64,
     failures: f64,
     totals: Totals,
@@ -76,13 +76,13 @@
 struct Quarantine {
     cause: Cause,
     /// The fraction of responses that the fault is assumed to make bad.
-    share: f64,
-    since: Duration,
-    hold: Duration,
+    fault_share: f64,
+    started_at: Duration,
+    probe_delay: Duration,
     next_probe: Duration,
     /// The log-likelihood ratio of recovery against a persisting fault, over the
     /// probes so far.
-    passed: f64,
+    log_ratio: f64,
 }
 
 /// The expected failure rate of a healthy version under current conditions.
@@ -114,11 +114,11 @@
 
     /// Returns whether failures or quality already suggest a fault.
     pub(crate) fn is_suspect(&self) -> bool {
-        self.suspicion() > LIMIT / 3.0
+        self.max_statistic() > ERROR_THRESHOLD / 3.0
     }
 
     /// Returns the highest CUSUM statistic of failures and quality.
-    pub(crate) fn suspicion(&self) -> f64 {
+    pub(crate) fn max_statistic(&self) -> f64 {
         let quality = self.quality.iter().map(|it| it.sum());
         quality.fold(self.errors.sum(), f64::max)
     }
@@ -129,8 +129,8 @@
     }
 
     /// Returns the smoothed failure rate.
-    pub(crate) fn failure_share(&self) -> f64 {
-        (self.failures + FAILURE_FLOOR * 20.0) / (self.outcomes + 20.0)
+    pub(crate) fn failure_rate(&self) -> f64 {
+        (self.failures + PRIOR_FAILURE_RATE * 20.0) / (self.outcomes + 20.0)
     }
 
     pub(crate) fn totals(&self) -> Totals {
@@ -144,20 +144,23 @@
         };
         let due = now >= it.next_probe;
         if due {
-            it.next_probe = now + PROBE_EVERY;
+            it.next_probe = now + PROBE_INTERVAL;
         }
         due
     }
 
     /// Records complete responses.
     pub(crate) fn answered(&mut self, now: Duration, normal: Normal, count: f64) {
-        self.remember(count, 0.0);
+        self.count_outcomes(count, 0.0);
         self.totals.answers += count;
-        self.streak = 0.0;
-        let ratio = |share| (1.0 - failing(normal.errors, share)).ln() - (1.0 - normal.errors).ln();
-        self.errors.add(ratio(SHARES[0]), count);
+        self.consecutive_failures = 0.0;
+        let ratio = |fault_share| {
+            (1.0 - failure_rate_with_fault(normal.errors, fault_share)).ln()
+                - (1.0 - normal.errors).ln()
+        };
+        self.errors.add(ratio(FAULT_SHARES[0]), count);
         if self.cause() == Some(Cause::Errors) {
-            self.probed(now, -ratio(self.share()) * count);
+            self.record_probe(now, -ratio(self.fault_share()) * count);
         }
     }
 
@@ -167,35 +170,35 @@
         now: Duration,
         normal: Normal,
         count: f64,
-        places: &[Option<endpoint::Id>],
+        failed_at: &[Option<endpoint::Id>],
     ) {
-        self.remember(count, count);
-        self.streak += count;
-        let repeated = !places
+        self.count_outcomes(count, count);
+        self.consecutive_failures += count;
+        let repeated = !failed_at
             .iter()
             .flatten()
             .any(|it| self.last_failed != Some(*it));
-        for place in places.iter().flatten() {
-            self.failed_at(*place);
+        for id in failed_at.iter().flatten() {
+            self.record_failed_endpoint(*id);
         }
         if self.cause() == Some(Cause::Errors) {
-            return self.probed(now, -2.0 * count);
+            return self.record_probe(now, -2.0 * count);
         }
-        let ratio = (failing(normal.errors, SHARES[0]) / normal.errors).ln();
+        let ratio = (failure_rate_with_fault(normal.errors, FAULT_SHARES[0]) / normal.errors).ln();
         // Repeated failures of one broken endpoint mustn't quarantine the version,
         // so they can't raise the statistic to the threshold on their own.
         let alone = normal.endpoints < 2;
-        let most = if repeated && !alone {
-            0.6 * LIMIT
+        let limit = if repeated && !alone {
+            0.6 * ERROR_THRESHOLD
         } else {
             f64::MAX
         };
         self.errors
-            .add_up_to(most, ratio.min(MOST_FOR_FAILURE), count);
-        let spread = alone || self.failed_at[1].is_some();
-        if self.errors.sum() >= LIMIT && spread {
-            let share = SHARES[usize::from(self.streak >= 4.0)];
-            self.quarantine(now, Cause::Errors, share, FIRST_HOLD);
+            .add_capped(limit, ratio.min(MAX_FAILURE_LOG_RATIO), count);
+        let spread = alone || self.failed_endpoints[1].is_some();
+        if self.errors.sum() >= ERROR_THRESHOLD && spread {
+            let fault_share = FAULT_SHARES[usize::from(self.consecutive_failures >= 4.0)];
+            self.quarantine(now, Cause::Errors, fault_share, INITIAL_PROBE_DELAY);
         }
     }
 
@@ -203,21 +206,21 @@
     pub(crate) fn confident(&mut self, now: Duration, seen: &Confidence, count: f64) {
         let at = seen.bucket.index();
         let normal = seen.normal[at].max(0.004);
-        let ratio = |share: f64| {
-            let ratio = (1.0 - share) + share * seen.bad[at] / normal;
-            ratio.ln().min(MOST_FOR_ANSWER)
+        let ratio = |fault_share: f64| {
+            let ratio = (1.0 - fault_share) + fault_share * seen.bad[at] / normal;
+            ratio.ln().min(MAX_CONFIDENCE_LOG_RATIO)
         };
         if let Some(it) = self.quarantine {
             if matches!(it.cause, Cause::Ratings | Cause::Confidence) {
-                self.probed(now, -0.5 * ratio(it.share) * count);
+                self.record_probe(now, -0.5 * ratio(it.fault_share) * count);
             }
             return;
         }
-        let [partial, whole] = &mut self.quality;
-        if seen.answers >= PARTIAL_ANSWERS {
-            partial.add_unordered(ratio(SHARES[0]), count);
+        let [partial, full] = &mut self.quality;
+        if seen.answers >= PARTIAL_FAULT_MIN_RESPONSES {
+            partial.add_unordered(ratio(FAULT_SHARES[0]), count);
         }
-        whole.add_unordered(ratio(SHARES[1]), count);
+        full.add_unordered(ratio(FAULT_SHARES[1]), count);
         if seen.order == Order::Known {
             self.settle(now, seen.scope);
         }
@@ -225,74 +228,86 @@
 
     /// Records a response whose time per token was `ratio` times the usual one.
     pub(crate) fn took(&mut self, now: Duration, scope: Scope, ratio: f64) {
-        let doubt = (ratio / SLOW).ln();
+        let log_ratio = (ratio / SLOWDOWN_RATIO).ln();
         if self.cause() == Some(Cause::Latency) {
-            return self.probed(now, -doubt.clamp(-1.0, 1.0));
+            return self.record_probe(now, -log_ratio.clamp(-1.0, 1.0));
         }
-        self.latency.add(doubt.clamp(-SLOW_MOST, SLOW_MOST), 1.0);
-        if self.latency.sum() >= SLOW_LIMIT && scope == Scope::Own {
-            self.quarantine(now, Cause::Latency, SHARES[1], FIRST_HOLD);
+        self.latency.add(
+            log_ratio.clamp(-MAX_LATENCY_LOG_RATIO, MAX_LATENCY_LOG_RATIO),
+            1.0,
+        );
+        if self.latency.sum() >= LATENCY_THRESHOLD && scope == Scope::Own {
+            self.quarantine(now, Cause::Latency, FAULT_SHARES[1], INITIAL_PROBE_DELAY);
         }
     }
 
     /// Returns whether latency already suggests a fault.
     pub(crate) fn is_slow(&self) -> bool {
-        self.latency.sum() > SLOW_LIMIT / 2.0
+        self.latency.sum() > LATENCY_THRESHOLD / 2.0
     }
 
     /// Ends a batch of unordered responses and tests for a quality fault.
     pub(crate) fn settle(&mut self, now: Duration, scope: Scope) {
         self.quality.iter_mut().for_each(Cusum::settle);
-        self.judge(now, scope, Cause::Confidence);
+        self.test_quality(now, scope, Cause::Confidence);
     }
 
     /// Records ratings.
     pub(crate) fn rated(&mut self, now: Duration, seen: &Ratings) {
         self.totals.ratings += seen.good + seen.bad;
         let normal = seen.normal.clamp(0.02, 0.98);
-        let ratio = |share| {
-            let spoilt = failing(normal, share);
-            seen.bad * (spoilt / normal).ln() + seen.good * ((1.0 - spoilt) / (1.0 - normal)).ln()
+        let ratio = |fault_share| {
+            let failure_rate = failure_rate_with_fault(normal, fault_share);
+            seen.bad * (failure_rate / normal).ln()
+                + seen.good * ((1.0 - failure_rate) / (1.0 - normal)).ln()
         };
         if let Some(it) = self.quarantine {
             // Ratings arrive minutes late. Ratings of responses from before the
             // quarantine would end it although the fault persists.
-            let probe = seen.answered.is_some_and(|at| at >= it.since);
+            let probe = seen.answered.is_some_and(|at| at >= it.started_at);
             if probe && matches!(it.cause, Cause::Ratings | Cause::Confidence) {
-                self.probed(now, -ratio(it.share));
+                self.record_probe(now, -ratio(it.fault_share));
             }
             return;
         }
-        for (cusum, share) in self.quality.iter_mut().zip(SHARES) {
-            cusum.add(ratio(share), 1.0);
+        for (cusum, fault_share) in self.quality.iter_mut().zip(FAULT_SHARES) {
+            cusum.add(ratio(fault_share), 1.0);
         }
-        self.judge(now, seen.scope, Cause::Ratings);
+        self.test_quality(now, seen.scope, Cause::Ratings);
     }
 
     /// Quarantines the version, unless it is quarantined already.
-    pub(crate) fn quarantine(&mut self, now: Duration, cause: Cause, share: f64, hold: Duration) {
+    pub(crate) fn quarantine(
+        &mut self,
+        now: Duration,
+        cause: Cause,
+        fault_share: f64,
+        probe_delay: Duration,
+    ) {
         if self.quarantine.is_some() {
             return;
         }
         self.quarantine = Some(Quarantine {
             cause,
-            share,
-            since: now,
-            hold,
-            next_probe: now + hold,
-            passed: 0.0,
+            fault_share,
+            started_at: now,
+            probe_delay,
+            next_probe: now + probe_delay,
+            log_ratio: 0.0,
         });
     }
 
     /// Applies another host's verdict.
     pub(crate) fn adopt(&mut self, now: Duration, verdict: Verdict) {
         match verdict {
-            Verdict::Healthy => self.restore(),
-            Verdict::Quarantined(cause) => self.quarantine(now, cause, SHARES[1], FIRST_HOLD),
+            Verdict::Healthy => self.mark_healthy(),
+            Verdict::Quarantined(cause) => {
+                self.quarantine(now, cause, FAULT_SHARES[1], INITIAL_PROBE_DELAY);
+            }
         }
     }
 
-    fn judge(&mut self, now: Duration, scope: Scope, cause: Cause) {
+    fn test_quality(&mut self, now: Duration, scope: Scope, cause: Cause) {
         if self.is_quarantined() {
             return;
         }
@@ -300,32 +315,32 @@
             Scope::Own => 1.0,
             Scope::Shared => 4.0,
         };
-        let [partial, whole] = self.quality;
-        if whole.sum() >= scale * WHOLE_LIMIT {
-            self.quarantine(now, cause, SHARES[1], FIRST_HOLD);
-        } else if partial.sum() >= scale * PARTIAL_LIMIT {
-            self.quarantine(now, cause, SHARES[0], FIRST_HOLD);
+        let [partial, full] = self.quality;
+        if full.sum() >= scale * FULL_FAULT_THRESHOLD {
+            self.quarantine(now, cause, FAULT_SHARES[1], INITIAL_PROBE_DELAY);
+        } else if partial.sum() >= scale * PARTIAL_FAULT_THRESHOLD {
+            self.quarantine(now, cause, FAULT_SHARES[0], INITIAL_PROBE_DELAY);
         }
     }
 
     /// Adds the result of a probe; a positive `ratio` is evidence of recovery.
-    fn probed(&mut self, now: Duration, ratio: f64) {
+    fn record_probe(&mut self, now: Duration, ratio: f64) {
         let Some(it) = self.quarantine.as_mut() else {
             return;
         };
-        it.passed += ratio;
-        if it.passed >= PASS {
-            self.restore();
-        } else if it.passed <= FAIL {
-            it.passed = 0.0;
-            it.hold = (it.hold * 2).min(LONGEST_HOLD);
-            it.next_probe = now + it.hold;
+        it.log_ratio += ratio;
+        if it.log_ratio >= RECOVERY_THRESHOLD {
+            self.mark_healthy();
+        } else if it.log_ratio <= PROBE_FAILURE_THRESHOLD {
+            it.log_ratio = 0.0;
+            it.probe_delay = (it.probe_delay * 2).min(MAX_PROBE_DELAY);
+            it.next_probe = now + it.probe_delay;
         }
     }
 
-    fn restore(&mut self) {
+    fn mark_healthy(&mut self) {
         self.quarantine = None;
-        self.failed_at = [None; 2];
+        self.failed_endpoints = [None; 2];
         self.errors.reset();
         self.latency.reset();
         self.quality.iter_mut().for_each(Cusum::reset);
@@ -335,24 +350,24 @@
         self.quarantine.map(|it| it.cause)
     }
 
-    fn share(&self) -> f64 {
-        self.quarantine.map_or(SHARES[0], |it| it.share)
+    fn fault_share(&self) -> f64 {
+        self.quarantine.map_or(FAULT_SHARES[0], |it| it.fault_share)
     }
 
-    fn failed_at(&mut self, place: endpoint::Id) {
-        self.last_failed = Some(place);
-        let [first, second] = &mut self.failed_at;
+    fn record_failed_endpoint(&mut self, id: endpoint::Id) {
+        self.last_failed = Some(id);
+        let [first, second] = &mut self.failed_endpoints;
         match (*first, *second) {
-            (None, _) => *first = Some(place),
-            (Some(it), None) if it != place => *second = Some(place),
+            (None, _) => *first = Some(id),
+            (Some(it), None) if it != id => *second = Some(id),
             _ => {}
         }
     }
 
-    fn remember(&mut self, outcomes: f64, failures: f64) {
-        const MEMORY: f64 = 500.0;
-        if self.outcomes >= MEMORY {
-            let keep = 1.0 - outcomes.min(100.0) / MEMORY;
+    fn count_outcomes(&mut self, outcomes: f64, failures: f64) {
+        const DECAY_THRESHOLD: f64 = 500.0;
+        if self.outcomes >= DECAY_THRESHOLD {
+            let keep = 1.0 - outcomes.min(100.0) / DECAY_THRESHOLD;
             self.outcomes *= keep;
             self.failures *= keep;
         }
@@ -397,6 +412,6 @@
 
 /// Returns the failure rate when a fault affects a fraction `share` of the
 /// responses that would otherwise be good.
-fn failing(normal: f64, share: f64) -> f64 {
-    normal + share * (1.0 - normal)
+fn failure_rate_with_fault(normal: f64, fault_share: f64) -> f64 {
+    normal + fault_share * (1.0 - normal)
 }
--- a/crates/decide/src/number.rs
+++ b/crates/decide/src/number.rs
@@ -4,8 +4,8 @@
 
 /// Converts an integer to a float, exactly up to 2^53.
 pub(crate) fn float(value: u64) -> f64 {
-    let half = |it: u64| f64::from(u32::try_from(it & u64::from(u32::MAX)).unwrap_or(u32::MAX));
-    half(value >> 32) * 4_294_967_296.0 + half(value)
+    let low_half = |it: u64| f64::from(u32::try_from(it & u64::from(u32::MAX)).unwrap_or(u32::MAX));
+    low_half(value >> 32) * 4_294_967_296.0 + low_half(value)
 }
 
 /// Converts a length to a float.
--- a/crates/decide/src/peers.rs
+++ b/crates/decide/src/peers.rs
@@ -9,12 +9,12 @@
 use crate::{Demand, Policy, key};
 
 /// How long a host's report is used.
-const KEEP: Duration = Duration::from_secs(10);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 
 /// The last demand report of each other host, and the totals by customer.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
-    hosts: HashMap<HostName, Word>,
+    hosts: HashMap<HostName, DemandReport>,
     sums: Vec<Elsewhere>,
 }
 
@@ -26,37 +26,38 @@
 }
 
 #[derive(Debug)]
-struct Word {
-    at: Duration,
+struct DemandReport {
+    received_at: Duration,
     /// Indexed by customer of the current policy.
     demand: Vec<Elsewhere>,
 }
 
 impl Peers {
     pub(crate) fn heard(&mut self, now: Duration, policy: &Policy, demand: &Demand) {
-        let mut word = Word {
-            at: now,
+        let mut report = DemandReport {
+            received_at: now,
             demand: vec![Elsewhere::default(); policy.customers.len()],
         };
         for it in &demand.rates {
             if let Some(customer) = policy.customer(&it.customer) {
-                word.demand[customer.index()] = Elsewhere {
+                report.demand[customer.index()] = Elsewhere {
                     chat: it.chat,
                     calls: it.calls,
                 };
             }
         }
-        self.hosts.insert(demand.host.clone(), word);
+        self.hosts.insert(demand.host.clone(), report);
     }
 
     /// Remaps the reports to the keys of a new policy.
     pub(crate) fn configure(&mut self, moved: &[Option<key::Customer>]) {
-        for word in self.hosts.values_mut() {
-            let old = std::mem::take(&mut word.demand);
-            let known = |it: &Option<key::Customer>| it.and_then(|it| old.get(it.index()).copied());
-            word.demand = moved
+        for report in self.hosts.values_mut() {
+            let old = std::mem::take(&mut report.demand);
+            let previous =
+                |it: &Option<key::Customer>| it.and_then(|it| old.get(it.index()).copied());
+            report.demand = moved
                 .iter()
-                .map(|it| known(it).unwrap_or_default())
+                .map(|it| previous(it).unwrap_or_default())
                 .collect();
         }
         self.sums = vec![Elsewhere::default(); moved.len()];
@@ -64,13 +65,14 @@
 
     /// Removes expired reports and recomputes the totals.
     pub(crate) fn settle(&mut self, now: Duration) {
-        self.hosts.retain(|_, it| now.saturating_sub(it.at) < KEEP);
+        self.hosts
+            .retain(|_, it| now.saturating_sub(it.received_at) < MAX_REPORT_AGE);
         self.sums.fill(Elsewhere::default());
         // Sorted, because floating-point sums depend on the order of additions.
         let mut hosts: Vec<_> = self.hosts.iter().collect();
         hosts.sort_unstable_by_key(|it| it.0);
-        for (_, word) in hosts {
-            for (sum, it) in self.sums.iter_mut().zip(&word.demand) {
+        for (_, report) in hosts {
+            for (sum, it) in self.sums.iter_mut().zip(&report.demand) {
                 sum.chat += it.chat;
                 sum.calls += it.calls;
             }
--- a/crates/decide/src/pool.rs
+++ b/crates/decide/src/pool.rs
@@ -9,13 +9,13 @@
 use crate::{Policy, key};
 
 /// The averaging time of the departure rate.
-const DEPARTURE_MEMORY: Duration = Duration::from_secs(4);
+const DEPARTURE_AVERAGING_TIME: Duration = Duration::from_secs(4);
 
 /// The queue and the timing statistics of a version or service.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     pub(crate) queue: Queue,
-    departures: Meter,
+    departure_rate: Meter,
     /// The duration of an attempt in seconds.
     seconds: Mean,
     /// The time to the first byte in seconds, or to the end of the response if the
@@ -27,7 +27,7 @@
     fn default() -> Self {
         Self {
             queue: Queue::default(),
-            departures: Meter::new(DEPARTURE_MEMORY),
+            departure_rate: Meter::new(DEPARTURE_AVERAGING_TIME),
             seconds: Mean::default(),
             first_byte: Mean::default(),
         }
@@ -36,7 +36,7 @@
 
 impl Pool {
     pub(crate) fn departed(&mut self, now: Duration) {
-        self.departures.add(now, 1.0);
+        self.departure_rate.add(now, 1.0);
     }
 
     pub(crate) fn answered(&mut self, seconds: f64) {
@@ -54,8 +54,8 @@
 
     /// Returns how long to wait for the first byte before hedging.
     pub(crate) fn hedge_after(&self) -> Option<Duration> {
-        const LEAST: u32 = 30;
-        let high = self.first_byte.high(LEAST)?;
+        const MIN_SAMPLES: u32 = 30;
+        let high = self.first_byte.high(MIN_SAMPLES)?;
         Some(Duration::from_secs_f64(high.max(0.01)))
     }
 
@@ -69,13 +69,13 @@
         weight: f64,
         running: f64,
     ) -> Duration {
-        const LONGEST: f64 = 600.0;
+        const MAX_WAIT_SECONDS: f64 = 600.0;
         let ahead = self.queue.ahead(customer, priority, weight) + 1.0;
         let seconds = self.seconds().max(0.001);
         // The departure rate by Little's law.
         let rate = running / seconds;
-        let rate = rate.max(self.departures.rate(now)).max(0.2 / seconds);
-        Duration::from_secs_f64((ahead / rate).min(LONGEST))
+        let rate = rate.max(self.departure_rate.rate(now)).max(0.2 / seconds);
+        Duration::from_secs_f64((ahead / rate).min(MAX_WAIT_SECONDS))
     }
 }
 
@@ -121,14 +121,14 @@
     ) {
         let versions = versions.iter().take(policy.versions.len());
         let versions = versions.map(|it| it.map(key::Version::index));
-        self.versions = moved(&mut self.versions, versions);
+        self.versions = remapped(&mut self.versions, versions);
         let services = services.iter().take(policy.services.len());
         let services = services.map(|it| it.map(key::Service::index));
-        self.services = moved(&mut self.services, services);
+        self.services = remapped(&mut self.services, services);
     }
 }
 
-fn moved(old: &mut [Pool], from: impl Iterator<Item = Option<usize>>) -> Vec<Pool> {
+fn remapped(old: &mut [Pool], from: impl Iterator<Item = Option<usize>>) -> Vec<Pool> {
     let take = |it: Option<usize>| {
         let known = it.and_then(|it| old.get_mut(it)).map(std::mem::take);
         Pool {
--- a/crates/decide/src/record.rs
+++ b/crates/decide/src/record.rs
@@ -9,21 +9,21 @@
 use crate::tally::{Bucket, Tally};
 
 /// The weight, in responses, of the fitted confidence distribution.
-const SPREAD_WEIGHT: f64 = 12.0;
+const FITTED_DISTRIBUTION_WEIGHT: f64 = 12.0;
 /// The weight, in ratings per bucket, of the probability predicted by the shape.
-const CURVE_WEIGHT: f64 = 25.0;
+const PREDICTION_WEIGHT: f64 = 25.0;
 /// The weight, in ratings, of the prior quality of a version.
 const PRIOR_WEIGHT: f64 = 16.0;
 /// The prior ratio of the fractions of bad responses at later steps and at the
 /// first step of a cascade.
-const LATER_ODDS: f64 = 1.8;
+const LATER_STEP_BAD_RATIO: f64 = 1.8;
 
 /// Statistics of one version.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     /// The rank of its price among all versions, from 0 (cheapest) to 1 (most
     /// expensive).
-    pub(crate) rank: f64,
+    pub(crate) price_rank: f64,
     /// Ratings over all classes and cascade positions.
     pub(crate) all: Tally,
     pub(crate) shape: Shape,
@@ -37,7 +37,7 @@
 impl Record {
     pub(crate) fn new(shape: Shape) -> Self {
         Self {
-            rank: 0.0,
+            price_rank: 0.0,
             all: Tally::default(),
             shape,
             pace: Mean::default(),
@@ -55,17 +55,21 @@
 
     /// Returns the distribution of such responses over the confidence buckets.
     pub(crate) fn spread(&self, kind: Kind) -> [f64; BUCKETS] {
-        let fitted = self.shape.spread(self.known(kind).share);
+        let fitted = self.shape.spread(self.last_fit(kind).share);
         match self.classes.get(kind.class.0) {
-            Some(it) => blend(&it.view(kind.turn).tally.answered, &fitted, SPREAD_WEIGHT),
+            Some(it) => blend(
+                &it.view(kind.turn).tally.answered,
+                &fitted,
+                FITTED_DISTRIBUTION_WEIGHT,
+            ),
             None => fitted,
         }
     }
 
     /// Returns the fraction of good responses from the last fit, or the prior.
-    pub(crate) fn known(&self, kind: Kind) -> Fit {
+    pub(crate) fn last_fit(&self, kind: Kind) -> Fit {
         match self.classes.get(kind.class.0) {
-            Some(it) => it.view(kind.turn).known(self.prior_in(it, kind.turn)),
+            Some(it) => it.view(kind.turn).last_fit(self.class_prior(it, kind.turn)),
             None => self.prior(kind.turn),
         }
     }
@@ -73,39 +77,44 @@
     /// Returns the prior quality, which increases with the price.
     fn prior(&self, turn: Turn) -> Fit {
         let first = Fit {
-            share: 0.8 + 0.15 * self.rank,
+            share: 0.8 + 0.15 * self.price_rank,
             weight: PRIOR_WEIGHT,
         };
         match turn {
             Turn::First => first,
-            Turn::Later => later(first),
+            Turn::Later => later_step_prior(first),
         }
     }
 
     /// Returns the prior quality in a class. That of later steps is derived from the
     /// estimate for the first step.
-    fn prior_in(&self, belief: &Belief, turn: Turn) -> Fit {
+    fn class_prior(&self, belief: &Belief, turn: Turn) -> Fit {
         let first = self.prior(Turn::First);
         match turn {
             Turn::First => first,
-            Turn::Later => later(belief.first.known(first)),
+            Turn::Later => later_step_prior(belief.first.last_fit(first)),
         }
     }
 
     /// Computes the fractions of passing and of good responses for each threshold.
     pub(crate) fn curve(&mut self, class: ClassIndex, turn: Turn) -> Curve {
         let shape = self.shape;
-        let prior = self.prior_in(&self.classes[class.0], turn);
+        let prior = self.class_prior(&self.classes[class.0], turn);
         let view = self.classes[class.0].view_mut(turn);
         let fit = view.fit(&shape, prior);
         let tally = view.tally;
-        let spread = blend(&tally.answered, &shape.spread(fit.share), SPREAD_WEIGHT);
+        let spread = blend(
+            &tally.answered,
+            &shape.spread(fit.share),
+            FITTED_DISTRIBUTION_WEIGHT,
+        );
         let mut curve = Curve::default();
         for bucket in Bucket::all().rev() {
             let at = bucket.index();
             let (good, bad) = (tally.good[at], tally.bad[at]);
-            let seen = CURVE_WEIGHT * shape.chance(fit.share, at) + shape.truly_good(good, bad);
-            let chance = seen / (CURVE_WEIGHT + good + bad);
+            let weighted_good =
+                PREDICTION_WEIGHT * shape.chance(fit.share, at) + shape.truly_good(good, bad);
+            let chance = weighted_good / (PREDICTION_WEIGHT + good + bad);
             curve.pass[at] = curve.pass[at + 1] + spread[at];
             curve.good[at] = curve.good[at + 1] + spread[at] * chance;
             let pass = curve.pass[at].max(1e-9);
@@ -120,9 +129,9 @@
 }
 
 /// Returns the prior quality of later steps, given that of the first step.
-fn later(first: Fit) -> Fit {
+fn later_step_prior(first: Fit) -> Fit {
     Fit {
-        share: (1.0 - LATER_ODDS * (1.0 - first.share)).max(0.05),
+        share: (1.0 - LATER_STEP_BAD_RATIO * (1.0 - first.share)).max(0.05),
         weight: PRIOR_WEIGHT,
     }
 }
--- a/crates/decide/src/replica.rs
+++ b/crates/decide/src/replica.rs
@@ -12,19 +12,19 @@
 }
 
 /// The number of slots assumed of an endpoint without a load report.
-const UNREPORTED_SLOTS: u32 = 4;
+const DEFAULT_SLOTS: u32 = 4;
 /// How long a new endpoint gets reduced load while its caches fill.
-const SLOW_START: Duration = Duration::from_secs(10);
+const SLOW_START_TIME: Duration = Duration::from_secs(10);
 /// The fraction of its slots that a new endpoint starts with.
-const FIRST_SHARE: f64 = 0.2;
+const SLOW_START_FRACTION: f64 = 0.2;
 /// How long an endpoint is paused after it reports overload.
-const FULL_PAUSE: Duration = Duration::from_millis(200);
+const OVERLOAD_PAUSE: Duration = Duration::from_millis(200);
 /// How long a load report or an overload response remains relevant.
-const FRESH: Duration = Duration::from_secs(5);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 /// The number of consecutive failures that ejects an endpoint.
-const EJECT_AFTER: u32 = 3;
+const EJECT_AFTER_FAILURES: u32 = 3;
 /// How long an endpoint stays ejected.
-const EJECT_FOR: Duration = Duration::from_secs(5);
+const EJECTION_TIME: Duration = Duration::from_secs(5);
 
 /// The state of one endpoint as this host knows it.
 #[derive(Clone, Debug)]
@@ -36,10 +36,10 @@
     /// The loaded versions that the current policy contains.
     pub(crate) versions: Vec<key::Version>,
     pub(crate) service: Option<key::Service>,
-    since: Duration,
+    added_at: Duration,
     load: Option<Load>,
     /// When the last load report was made.
-    reported: Duration,
+    reported_at: Duration,
     /// Twice an equal share of the slots that were free in the last load report.
     /// Limits new requests between reports, so that hosts don't overload the
     /// endpoint together.
@@ -53,7 +53,7 @@
     window: f64,
     paused_until: Duration,
     ejected_until: Duration,
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl Replica {
@@ -65,16 +65,16 @@
             state: update.state,
             versions: Vec::new(),
             service: None,
-            since: now,
+            added_at: now,
             load: None,
-            reported: Duration::ZERO,
-            free_share: f64::from(UNREPORTED_SLOTS),
+            reported_at: Duration::ZERO,
+            free_share: f64::from(DEFAULT_SLOTS),
             in_flight: 0,
             in_flight_at_report: 0,
-            window: f64::from(UNREPORTED_SLOTS),
+            window: f64::from(DEFAULT_SLOTS),
             paused_until: Duration::ZERO,
             ejected_until: Duration::ZERO,
-            failures: 0,
+            consecutive_failures: 0,
         };
         it.report(now, live, update.load);
         it
@@ -88,13 +88,13 @@
         if self.load.is_none_or(|it| it.slots != load.slots) {
             // Starts at twice an equal share and grows with each success, so that
             // hosts which all see a free endpoint don't overload it.
-            let most = f64::from(load.slots) * Self::most(Priority::Urgent);
-            self.window = (2.0 * most / f64::from(live)).clamp(2.0, most.max(2.0));
+            let max_window = f64::from(load.slots) * Self::slot_fraction(Priority::Urgent);
+            self.window = (2.0 * max_window / f64::from(live)).clamp(2.0, max_window.max(2.0));
         }
         let free = f64::from(load.slots.saturating_sub(load.running + load.waiting));
         self.free_share = (2.0 * free / f64::from(live)).max(1.0);
         self.load = Some(load);
-        self.reported = now.saturating_sub(load.age);
+        self.reported_at = now.saturating_sub(load.age);
         self.in_flight_at_report = self.in_flight;
     }
 
@@ -104,12 +104,12 @@
             return false;
         }
         let new = self.in_flight.saturating_sub(self.in_flight_at_report);
-        if f64::from(new) >= self.free_share * Self::most(priority) {
+        if f64::from(new) >= self.free_share * Self::slot_fraction(priority) {
             return false;
         }
-        let limit = f64::from(self.slots()) * Self::most(priority);
-        let started = self.ramp(now) * limit;
-        f64::from(self.busy()) < limit && f64::from(self.in_flight) < started.max(1.0)
+        let limit = f64::from(self.slots()) * Self::slot_fraction(priority);
+        let started = self.slow_start_factor(now) * limit;
+        f64::from(self.used_slots()) < limit && f64::from(self.in_flight) < started.max(1.0)
     }
 
     /// Returns whether the endpoint is ejected after consecutive failures. Ejected
@@ -121,7 +121,7 @@
     /// Returns the utilization: 0 is idle, 1 means that all slots are in use. A new
     /// endpoint counts only part of its slots.
     pub(crate) fn fill(&self, now: Duration) -> f64 {
-        f64::from(self.busy()) / (f64::from(self.slots()) * self.ramp(now))
+        f64::from(self.used_slots()) / (f64::from(self.slots()) * self.slow_start_factor(now))
     }
 
     pub(crate) fn in_flight(&self) -> u32 {
@@ -131,9 +131,9 @@
     /// Returns whether a new request may have to wait at the endpoint: all slots are
     /// in use, the load report is stale, or the endpoint was recently overloaded.
     pub(crate) fn may_be_full(&self, now: Duration) -> bool {
-        let stale = self.load.is_none() || now.saturating_sub(self.reported) > FRESH;
-        let refused = now < self.paused_until + FRESH;
-        stale || refused || self.busy() >= self.slots()
+        let stale = self.load.is_none() || now.saturating_sub(self.reported_at) > MAX_REPORT_AGE;
+        let refused = now < self.paused_until + MAX_REPORT_AGE;
+        stale || refused || self.used_slots() >= self.slots()
     }
 
     pub(crate) fn sent(&mut self) {
@@ -146,17 +146,17 @@
     }
 
     pub(crate) fn succeeded(&mut self) {
-        self.failures = 0;
-        let most = f64::from(self.slots()) * Self::most(Priority::Urgent);
-        self.window = (self.window + 1.0 / self.window).min(most);
+        self.consecutive_failures = 0;
+        let max_window = f64::from(self.slots()) * Self::slot_fraction(Priority::Urgent);
+        self.window = (self.window + 1.0 / self.window).min(max_window);
     }
 
     /// Records a failure; ejects the endpoint after several in a row.
     pub(crate) fn failed(&mut self, now: Duration) {
-        self.failures += 1;
-        if self.failures >= EJECT_AFTER {
-            self.failures = 0;
-            self.ejected_until = now + EJECT_FOR;
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= EJECT_AFTER_FAILURES {
+            self.consecutive_failures = 0;
+            self.ejected_until = now + EJECTION_TIME;
         }
     }
 
@@ -164,7 +164,7 @@
     /// the pause lasts until a report made after the overload can have arrived.
     pub(crate) fn overloaded(&mut self, now: Duration) {
         self.window = (self.window * 0.7).max(1.0);
-        self.paused_until = self.paused_until.max(now + FULL_PAUSE);
+        self.paused_until = self.paused_until.max(now + OVERLOAD_PAUSE);
     }
 
     pub(crate) fn serves(&self, version: key::Version) -> bool {
@@ -173,7 +173,7 @@
 
     /// Returns the number of running and waiting requests: the last load report,
     /// corrected by the requests that this host started and finished since.
-    fn busy(&self) -> u32 {
+    fn used_slots(&self) -> u32 {
         let reported = self.load.map_or(0, |it| it.running + it.waiting);
         let since = self.in_flight.saturating_sub(self.in_flight_at_report);
         let ended = self.in_flight_at_report.saturating_sub(self.in_flight);
@@ -181,18 +181,18 @@
     }
 
     pub(crate) fn slots(&self) -> u32 {
-        self.load.map_or(UNREPORTED_SLOTS, |it| it.slots)
+        self.load.map_or(DEFAULT_SLOTS, |it| it.slots)
     }
 
-    fn ramp(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.since).as_secs_f64();
-        (age / SLOW_START.as_secs_f64()).clamp(FIRST_SHARE, 1.0)
+    fn slow_start_factor(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.added_at).as_secs_f64();
+        (age / SLOW_START_TIME.as_secs_f64()).clamp(SLOW_START_FRACTION, 1.0)
     }
 
     /// Returns the fraction of the slots that a priority may use. Batch requests
     /// leave some free for urgent ones; urgent requests may exceed the slots,
     /// because engines schedule by priority.
-    fn most(priority: Priority) -> f64 {
+    fn slot_fraction(priority: Priority) -> f64 {
         match priority {
             Priority::Urgent => 1.25,
             Priority::Interactive => 1.0,
--- a/crates/decide/src/sampler.rs
+++ b/crates/decide/src/sampler.rs
@@ -9,14 +9,14 @@
 use crate::meter::Meter;
 
 /// The averaging time of the rate of ratings received.
-const MEMORY: Duration = Duration::from_mins(2);
+const RATING_AVERAGING_TIME: Duration = Duration::from_mins(2);
 /// The ratio of samples sent to ratings received. Above 1, so that the rate can
 /// grow up to the capacity of the rating service without overloading it.
-const HEADROOM: f64 = 1.5;
+const SENT_TO_RATED_RATIO: f64 = 1.5;
 /// The minimum rate of samples per second.
-const LEAST: f64 = 0.05;
+const MIN_SAMPLES_PER_SECOND: f64 = 0.05;
 /// The maximum burst of samples.
-const DEPTH: f64 = 10.0;
+const MAX_BURST: f64 = 10.0;
 
 /// Selects the responses to send to the rating service.
 ///
@@ -26,53 +26,57 @@
 #[derive(Debug)]
 pub(crate) struct Sampler {
     bucket: Bucket,
-    returned: Meter,
+    ratings_received: Meter,
     /// The factor from the value of a rating to the selection probability, adapted
     /// to the permitted rate.
-    eagerness: f64,
+    probability_factor: f64,
 }
 
 impl Sampler {
     pub(crate) fn new() -> Self {
         Self {
-            bucket: Bucket::new(DEPTH, Duration::ZERO),
-            returned: Meter::new(MEMORY),
-            eagerness: 1.0,
+            bucket: Bucket::new(MAX_BURST, Duration::ZERO),
+            ratings_received: Meter::new(RATING_AVERAGING_TIME),
+            probability_factor: 1.0,
         }
     }
 
     /// Records the arrival of a rating.
     pub(crate) fn returned(&mut self, now: Duration) {
-        self.returned.add(now, 1.0);
+        self.ratings_received.add(now, 1.0);
     }
 
-    /// Returns whether to send a response with this rating value, at up to `most`
+    /// Returns whether to send a response with this rating value, at up to `max_rate`
     /// samples per second.
     pub(crate) fn wants(
         &mut self,
         now: Duration,
         value: f64,
-        most: f64,
+        max_rate: f64,
         random: &mut Pcg64Mcg,
     ) -> bool {
-        let rate = (HEADROOM * self.returned.rate(now)).max(LEAST).min(most);
-        self.bucket.refill(now, rate, DEPTH);
-        if random.random::<f64>() >= self.eagerness * value {
+        let rate = (SENT_TO_RATED_RATIO * self.ratings_received.rate(now))
+            .max(MIN_SAMPLES_PER_SECOND)
+            .min(max_rate);
+        self.bucket.refill(now, rate, MAX_BURST);
+        if random.random::<f64>() >= self.probability_factor * value {
             // Unused tokens permit samples of lower value.
-            self.eagerness *= 1.0 + 0.02 * self.bucket.filled(DEPTH);
+            self.probability_factor *= 1.0 + 0.02 * self.bucket.filled(MAX_BURST);
             return false;
         }
         let sent = self.bucket.take(1.0);
         if !sent {
-            self.eagerness *= 0.9;
+            self.probability_factor *= 0.9;
         }
         sent
     }
 
     /// Returns whether the rate limit permits a sample, whatever its value.
-    pub(crate) fn insists(&mut self, now: Duration, most: f64) -> bool {
-        let rate = (HEADROOM * self.returned.rate(now)).max(LEAST).min(most);
-        self.bucket.refill(now, rate, DEPTH);
+    pub(crate) fn insists(&mut self, now: Duration, max_rate: f64) -> bool {
+        let rate = (SENT_TO_RATED_RATIO * self.ratings_received.rate(now))
+            .max(MIN_SAMPLES_PER_SECOND)
+            .min(max_rate);
+        self.bucket.refill(now, rate, MAX_BURST);
         self.bucket.take(1.0)
     }
 }
--- a/crates/decide/src/samples.rs
+++ b/crates/decide/src/samples.rs
@@ -8,14 +8,14 @@
 use crate::tally::Bucket;
 
 /// The maximum number of responses with an outstanding rating.
-const KEPT: usize = 8192;
+const MAX_PENDING: usize = 8192;
 
 /// Responses that wait for a rating. Many ratings never arrive, so the oldest
 /// entries are evicted when the table is full.
 #[derive(Debug, Default)]
 pub(crate) struct Samples {
-    waiting: HashMap<Name, Sample>,
-    order: VecDeque<Name>,
+    pending: HashMap<SampleKey, Sample>,
+    order: VecDeque<SampleKey>,
 }
 
 /// The data about a response that is needed when its rating arrives.
@@ -28,7 +28,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Name {
+struct SampleKey {
     request: key::Request,
     version: u64,
 }
@@ -40,14 +40,14 @@
         version: &kernel::VersionId,
         sample: Sample,
     ) {
-        let name = Name::new(request, version);
-        if self.order.len() >= KEPT
+        let sample_key = SampleKey::new(request, version);
+        if self.order.len() >= MAX_PENDING
             && let Some(oldest) = self.order.pop_front()
         {
-            self.waiting.remove(&oldest);
+            self.pending.remove(&oldest);
         }
-        self.order.push_back(name);
-        self.waiting.insert(name, sample);
+        self.order.push_back(sample_key);
+        self.pending.insert(sample_key, sample);
     }
 
     /// Removes and returns the sample, so a second rating of a response is ignored.
@@ -56,11 +56,11 @@
         request: key::Request,
         version: &kernel::VersionId,
     ) -> Option<Sample> {
-        self.waiting.remove(&Name::new(request, version))
+        self.pending.remove(&SampleKey::new(request, version))
     }
 }
 
-impl Name {
+impl SampleKey {
     fn new(request: key::Request, version: &kernel::VersionId) -> Self {
         Self {
             request,
--- a/crates/decide/src/tally.rs
+++ b/crates/decide/src/tally.rs
@@ -4,14 +4,15 @@
 
 /// The upper bounds of the confidence buckets, finer at the top, where most
 /// responses of good engines are.
-const ENDS: [f64; BUCKETS - 1] = [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.78, 0.85, 0.91, 0.96];
+const UPPER_BOUNDS: [f64; BUCKETS - 1] =
+    [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.78, 0.85, 0.91, 0.96];
 /// The decayed number of ratings from which on old ones are discounted as new
 /// ones are added.
-const RATING_MEMORY: f64 = 1500.0;
+const RATING_DECAY_THRESHOLD: f64 = 1500.0;
 /// The corresponding number of responses.
-const ANSWER_MEMORY: f64 = 3000.0;
+const RESPONSE_DECAY_THRESHOLD: f64 = 3000.0;
 /// Caps the count that determines the decay of one update.
-const MOST_AT_ONCE: f64 = 100.0;
+const MAX_DECAY_COUNT: f64 = 100.0;
 
 /// A confidence bucket, ordered from least to most confident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,18 +35,22 @@
 
     /// Returns the inclusive lower bound.
     pub(crate) fn low(self) -> f64 {
-        if self.0 == 0 { 0.0 } else { ENDS[self.0 - 1] }
+        if self.0 == 0 {
+            0.0
+        } else {
+            UPPER_BOUNDS[self.0 - 1]
+        }
     }
 
     /// Returns the upper bound, which is exclusive except for the last bucket.
     pub(crate) fn high(self) -> f64 {
-        ENDS.get(self.0).copied().unwrap_or(1.0)
+        UPPER_BOUNDS.get(self.0).copied().unwrap_or(1.0)
     }
 }
 
 impl From<f64> for Bucket {
     fn from(confidence: f64) -> Self {
-        Self(ENDS.partition_point(|end| *end <= confidence))
+        Self(UPPER_BOUNDS.partition_point(|bound| *bound <= confidence))
     }
 }
 
@@ -59,18 +64,18 @@
 
 impl Tally {
     pub(crate) fn answered(&mut self, bucket: Bucket, count: f64) {
-        if self.answers() >= ANSWER_MEMORY {
-            let keep = 1.0 - count.min(MOST_AT_ONCE) / ANSWER_MEMORY;
-            scale(&mut self.answered, keep);
+        if self.answers() >= RESPONSE_DECAY_THRESHOLD {
+            let keep = 1.0 - count.min(MAX_DECAY_COUNT) / RESPONSE_DECAY_THRESHOLD;
+            decay(&mut self.answered, keep);
         }
         self.answered[bucket.index()] += count;
     }
 
     pub(crate) fn rated(&mut self, bucket: Bucket, good: f64, bad: f64) {
-        if self.ratings() >= RATING_MEMORY {
-            let keep = 1.0 - (good + bad).min(MOST_AT_ONCE) / RATING_MEMORY;
-            scale(&mut self.good, keep);
-            scale(&mut self.bad, keep);
+        if self.ratings() >= RATING_DECAY_THRESHOLD {
+            let keep = 1.0 - (good + bad).min(MAX_DECAY_COUNT) / RATING_DECAY_THRESHOLD;
+            decay(&mut self.good, keep);
+            decay(&mut self.bad, keep);
         }
         self.good[bucket.index()] += good;
         self.bad[bucket.index()] += bad;
@@ -97,7 +102,7 @@
     }
 }
 
-fn scale(counts: &mut [f64; BUCKETS], by: f64) {
+fn decay(counts: &mut [f64; BUCKETS], by: f64) {
     for count in counts {
         *count *= by;
     }
