--- a/crates/decide/src/digest.rs
+++ b/crates/decide/src/digest.rs
@@ -71,11 +71,11 @@
                 self.rated(kind, bucket, good, bad);
             }
         }
-        let answers = item.answered.iter().chain(&item.later_answered);
-        let answers = f64::from(answers.sum::<u32>()).max(1.0);
+        let responses = item.answered.iter().chain(&item.later_answered);
+        let responses = f64::from(responses.sum::<u32>()).max(1.0);
         for _ in 0..MEAN_WEIGHT {
-            let tokens = float(item.completion_tokens) / answers;
-            let seconds = float(item.latency_ms) / 1000.0 / answers;
+            let tokens = float(item.completion_tokens) / responses;
+            let seconds = float(item.latency_ms) / 1000.0 / responses;
             self.measured(version, class, tokens, seconds);
         }
     }
@@ -85,8 +85,8 @@
     let (first, later) = (&belief.first.tally, &belief.later.tally);
     let rounded = |it: &[f64; BUCKETS]| it.map(rounded_count);
     let (answered, later_answered) = (rounded(&first.answered), rounded(&later.answered));
-    let answers = answered.iter().chain(&later_answered).sum::<u32>();
-    let total = |mean: Option<f64>| floor(mean.unwrap_or(0.0) * f64::from(answers));
+    let responses = answered.iter().chain(&later_answered).sum::<u32>();
+    let total = |mean: Option<f64>| floor(mean.unwrap_or(0.0) * f64::from(responses));
     Item {
         version,
         class,
@@ -104,8 +104,8 @@
 }
 
 fn is_empty(item: &Item) -> bool {
-    let answers = item.answered.iter().chain(&item.later_answered);
-    answers.sum::<u32>() == 0
+    let responses = item.answered.iter().chain(&item.later_answered);
+    responses.sum::<u32>() == 0
 }
 
 fn rounded_count(value: f64) -> u32 {
--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -122,8 +122,8 @@
         };
         let it = &mut self.replicas[key];
         it.report(now, self.live, update.load);
-        let moved = it.distance != update.distance || it.state != update.state;
-        if moved || !same_role(&it.role, &update.role) {
+        let is_moved = it.distance != update.distance || it.state != update.state;
+        if is_moved || !same_role(&it.role, &update.role) {
             self.remove_from_indexes(key);
             let it = &mut self.replicas[key];
             it.role = update.role.clone();
@@ -215,7 +215,7 @@
     /// Prefers the endpoint that has the prefix cached, then the less utilized of
     /// two random endpoints at the nearest distance that has capacity. Ejected
     /// endpoints are used only if no other has capacity.
-    pub(crate) fn choose(&self, now: Duration, want: &Want, random: &mut Pcg64Mcg) -> Option<Key> {
+    pub(crate) fn choose(&self, now: Duration, want: &Want, rng: &mut Pcg64Mcg) -> Option<Key> {
         let list = self.candidates(want.target);
         let list = &list[..list.len().min(SUBSET_SIZE)];
         if let Some(key) = self.cached_endpoint(now, want) {
@@ -223,7 +223,7 @@
         }
         let healthy = list
             .chunk_by(|a, b| a.distance == b.distance)
-            .find_map(|near| self.choose_at_distance(now, want, near, random));
+            .find_map(|near| self.choose_at_distance(now, want, near, rng));
         healthy.or_else(|| {
             let ejected = list.iter().map(|it| it.key);
             self.least_utilized(
@@ -265,10 +265,10 @@
         now: Duration,
         want: &Want,
         near: &[Candidate],
-        random: &mut Pcg64Mcg,
+        rng: &mut Pcg64Mcg,
     ) -> Option<Key> {
-        let first = random.random_range(0..near.len());
-        let second = random.random_range(0..near.len());
+        let first = rng.random_range(0..near.len());
+        let second = rng.random_range(0..near.len());
         let healthy = |it: &Key| !self.replicas[*it].is_ejected(now);
         let two = [near[first].key, near[second].key];
         let all = near.iter().map(|it| it.key);
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -18,10 +18,10 @@
 
 impl Health {
     /// Remaps the monitors to the keys of a new policy.
-    pub(crate) fn configure(&mut self, policy: &Policy, moved: &[Option<key::Version>]) {
+    pub(crate) fn configure(&mut self, policy: &Policy, old_keys: &[Option<key::Version>]) {
         let mut old = std::mem::take(&mut self.monitors);
-        for was in moved.iter().take(policy.versions.len()) {
-            let known = was.and_then(|it| old.get_mut(it.index()));
+        for old_key in old_keys.iter().take(policy.versions.len()) {
+            let known = old_key.and_then(|it| old.get_mut(it.index()));
             self.monitors
                 .push(known.map(std::mem::take).unwrap_or_default());
         }
--- a/crates/decide/src/knowledge.rs
+++ b/crates/decide/src/knowledge.rs
@@ -65,17 +65,17 @@
         }
     }
 
-    /// Remaps the statistics to the keys of a new policy. `moved` has the previous
+    /// Remaps the statistics to the keys of a new policy. `old_keys` has the previous
     /// key of each version, if there was one.
-    pub(crate) fn configure(&mut self, policy: &Policy, moved: &[Option<key::Version>]) {
+    pub(crate) fn configure(&mut self, policy: &Policy, old_keys: &[Option<key::Version>]) {
         let mut old: Vec<_> = self.versions.drain(..).map(Some).collect();
         let reference_cost = |it: &crate::policy::Version| it.cost(1_000_000, 1_000_000);
         let mut prices: Vec<Money> = policy.versions.iter().map(reference_cost).collect();
         prices.sort_unstable();
         prices.dedup();
         let top = count(prices.len().saturating_sub(1)).max(1.0);
-        for (version, was) in policy.versions.iter().zip(moved) {
-            let known = was.and_then(|it| old.get_mut(it.index())?.take());
+        for (version, old_key) in policy.versions.iter().zip(old_keys) {
+            let known = old_key.and_then(|it| old.get_mut(it.index())?.take());
             let mut it = known.unwrap_or_else(|| Record::new(self.general));
             it.price_rank = count(prices.partition_point(|it| *it < reference_cost(version))) / top;
             self.versions.push(it);
@@ -146,13 +146,13 @@
     }
 
     /// Records complete responses.
-    pub(crate) fn answered(&mut self, kind: Kind, bucket: Bucket, answers: f64) {
+    pub(crate) fn answered(&mut self, kind: Kind, bucket: Bucket, responses: f64) {
         self.changes += 1;
         if let Some(it) = self.versions.get_mut(kind.version.index()) {
-            it.overall.view_mut(kind.turn).answered(bucket, answers);
+            it.overall.view_mut(kind.turn).answered(bucket, responses);
             it.class_mut(kind.class)
                 .view_mut(kind.turn)
-                .answered(bucket, answers);
+                .answered(bucket, responses);
         }
     }
 
--- a/crates/decide/src/peers.rs
+++ b/crates/decide/src/peers.rs
@@ -50,17 +50,17 @@
     }
 
     /// Remaps the reports to the keys of a new policy.
-    pub(crate) fn configure(&mut self, moved: &[Option<key::Customer>]) {
+    pub(crate) fn configure(&mut self, old_keys: &[Option<key::Customer>]) {
         for report in self.hosts.values_mut() {
             let old = std::mem::take(&mut report.demand);
             let previous =
                 |it: &Option<key::Customer>| it.and_then(|it| old.get(it.index()).copied());
-            report.demand = moved
+            report.demand = old_keys
                 .iter()
                 .map(|it| previous(it).unwrap_or_default())
                 .collect();
         }
-        self.sums = vec![Elsewhere::default(); moved.len()];
+        self.sums = vec![Elsewhere::default(); old_keys.len()];
     }
 
     /// Removes expired reports and recomputes the totals.
--- a/crates/decide/src/sampler.rs
+++ b/crates/decide/src/sampler.rs
@@ -53,13 +53,13 @@
         now: Duration,
         value: f64,
         max_rate: f64,
-        random: &mut Pcg64Mcg,
+        rng: &mut Pcg64Mcg,
     ) -> bool {
         let rate = (SENT_TO_RATED_RATIO * self.ratings_received.rate(now))
             .max(MIN_SAMPLES_PER_SECOND)
             .min(max_rate);
         self.bucket.refill(now, rate, MAX_BURST);
-        if random.random::<f64>() >= self.probability_factor * value {
+        if rng.random::<f64>() >= self.probability_factor * value {
             // Unused tokens permit samples of lower value.
             self.probability_factor *= 1.0 + 0.02 * self.bucket.filled(MAX_BURST);
             return false;
