--- a/crates/decide/src/pool.rs
+++ b/crates/decide/src/pool.rs
@@ -1,4 +1,4 @@
-//! What waits for, and what is known of, the endpoints of a version or service.
+//! The queue and the timing statistics of each version and service.
 
 use std::time::Duration;
 
@@ -8,17 +8,18 @@
 use crate::queue::Queue;
 use crate::{Policy, key};
 
-/// How far back departures are looked at.
-const DEPARTURE_MEMORY: Duration = Duration::from_secs(4);
+/// The averaging time of the departure rate.
+const DEPARTURE_AVERAGING_TIME: Duration = Duration::from_secs(4);
 
-/// What waits for, and what is known of, the endpoints of a version or service.
+/// The queue and the timing statistics of a version or service.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     pub(crate) queue: Queue,
-    departures: Meter,
-    /// Seconds that an attempt takes.
+    departure_rate: Meter,
+    /// The duration of an attempt in seconds.
     seconds: Mean,
-    /// Seconds to the first byte, or to the end where no first byte is told.
+    /// The time to the first byte in seconds, or to the end of the response if the
+    /// first byte isn't reported.
     first_byte: Mean,
 }
 
@@ -26,7 +27,7 @@
     fn default() -> Self {
         Self {
             queue: Queue::default(),
-            departures: Meter::new(DEPARTURE_MEMORY),
+            departure_rate: Meter::new(DEPARTURE_AVERAGING_TIME),
             seconds: Mean::default(),
             first_byte: Mean::default(),
         }
@@ -35,7 +36,7 @@
 
 impl Pool {
     pub(crate) fn departed(&mut self, now: Duration) {
-        self.departures.add(now, 1.0);
+        self.departure_rate.add(now, 1.0);
     }
 
     pub(crate) fn answered(&mut self, seconds: f64) {
@@ -46,20 +47,20 @@
         self.first_byte.add(seconds);
     }
 
-    /// Seconds that an attempt takes, as far as is known.
+    /// Returns the mean duration of an attempt in seconds, or 0 if unknown.
     pub(crate) fn seconds(&self) -> f64 {
         self.seconds.value(1).unwrap_or(0.0)
     }
 
-    /// How long to wait for a first byte before another endpoint is worth a try.
+    /// Returns how long to wait for the first byte before hedging.
     pub(crate) fn hedge_after(&self) -> Option<Duration> {
-        const LEAST: u32 = 30;
-        let high = self.first_byte.high(LEAST)?;
+        const MIN_SAMPLES: u32 = 30;
+        let high = self.first_byte.high(MIN_SAMPLES)?;
         Some(Duration::from_secs_f64(high.max(0.01)))
     }
 
-    /// How long a new request of this customer would wait, when `running` of
-    /// this host's requests can run there at once.
+    /// Estimates the queueing time of a new request of this customer, if `running`
+    /// of this host's requests can run concurrently.
     pub(crate) fn wait(
         &self,
         now: Duration,
@@ -68,17 +69,17 @@
         weight: f64,
         running: f64,
     ) -> Duration {
-        const LONGEST: f64 = 600.0;
+        const MAX_WAIT_SECONDS: f64 = 600.0;
         let ahead = self.queue.ahead(customer, priority, weight) + 1.0;
         let seconds = self.seconds().max(0.001);
-        // By Little's law, what runs there leaves at this rate.
+        // The departure rate by Little's law.
         let rate = running / seconds;
-        let rate = rate.max(self.departures.rate(now)).max(0.2 / seconds);
-        Duration::from_secs_f64((ahead / rate).min(LONGEST))
+        let rate = rate.max(self.departure_rate.rate(now)).max(0.2 / seconds);
+        Duration::from_secs_f64((ahead / rate).min(MAX_WAIT_SECONDS))
     }
 }
 
-/// The pools of all versions and services.
+/// The pools of all versions and services, indexed by key.
 #[derive(Debug, Default)]
 pub(crate) struct Pools {
     versions: Vec<Pool>,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// All targets for which something waits.
+    /// Returns all targets with queued requests, services first.
     pub(crate) fn waiting(&self) -> Vec<Target> {
         let versions = self.versions.iter().enumerate();
         let versions = versions.filter(|(_, it)| !it.queue.is_empty());
@@ -111,7 +112,7 @@
         services.chain(versions).collect()
     }
 
-    /// Keeps what is known under the new policy's keys; the queues start empty.
+    /// Remaps the statistics to the keys of a new policy. The queues start empty.
     pub(crate) fn configure(
         &mut self,
         policy: &Policy,
@@ -120,14 +121,14 @@
     ) {
         let versions = versions.iter().take(policy.versions.len());
         let versions = versions.map(|it| it.map(key::Version::index));
-        self.versions = moved(&mut self.versions, versions);
+        self.versions = remapped(&mut self.versions, versions);
         let services = services.iter().take(policy.services.len());
         let services = services.map(|it| it.map(key::Service::index));
-        self.services = moved(&mut self.services, services);
+        self.services = remapped(&mut self.services, services);
     }
 }
 
-fn moved(old: &mut [Pool], from: impl Iterator<Item = Option<usize>>) -> Vec<Pool> {
+fn remapped(old: &mut [Pool], from: impl Iterator<Item = Option<usize>>) -> Vec<Pool> {
     let take = |it: Option<usize>| {
         let known = it.and_then(|it| old.get_mut(it)).map(std::mem::take);
         Pool {
--- a/crates/decide/src/sampler.rs
+++ b/crates/decide/src/sampler.rs
@@ -1,4 +1,4 @@
-//! Which answers are worth a rating.
+//! Selects the responses to send to the rating service.
 
 use std::time::Duration;
 
@@ -8,69 +8,75 @@
 use crate::bucket::Bucket;
 use crate::meter::Meter;
 
-/// How far back ratings are counted to find out what the service can do.
-const MEMORY: Duration = Duration::from_mins(2);
-/// Samples are sent at so many times the rate at which ratings come, so that
-/// the service has all it can do and is never flooded.
-const HEADROOM: f64 = 1.5;
-/// Samples a second that are sent in any case.
-const LEAST: f64 = 0.05;
-/// Samples that may be sent at once.
-const DEPTH: f64 = 10.0;
+/// The averaging time of the rate of ratings received.
+const RATING_AVERAGING_TIME: Duration = Duration::from_mins(2);
+/// The ratio of samples sent to ratings received. Above 1, so that the rate can
+/// grow up to the capacity of the rating service without overloading it.
+const SENT_TO_RATED_RATIO: f64 = 1.5;
+/// The minimum rate of samples per second.
+const MIN_SAMPLES_PER_SECOND: f64 = 0.05;
+/// The maximum burst of samples.
+const MAX_BURST: f64 = 10.0;
 
-/// Chooses the answers that are sent to be rated.
+/// Selects the responses to send to the rating service.
 ///
-/// The rating service takes far fewer than there are. Sent at random, nearly
-/// all ratings would fall to the class with the most requests; what is spent
-/// and what is unknown elsewhere would stay so.
+/// The service can rate only a small part of the responses. With uniform
+/// sampling, the class with the most requests would get nearly all ratings, so
+/// samples are selected by the value of their rating.
 #[derive(Debug)]
 pub(crate) struct Sampler {
     bucket: Bucket,
-    returned: Meter,
-    /// What the value of an answer is multiplied by to get its chance.
-    eagerness: f64,
+    ratings_received: Meter,
+    /// The factor from the value of a rating to the selection probability, adapted
+    /// to the permitted rate.
+    probability_factor: f64,
 }
 
 impl Sampler {
     pub(crate) fn new() -> Self {
         Self {
-            bucket: Bucket::new(DEPTH, Duration::ZERO),
-            returned: Meter::new(MEMORY),
-            eagerness: 1.0,
+            bucket: Bucket::new(MAX_BURST, Duration::ZERO),
+            ratings_received: Meter::new(RATING_AVERAGING_TIME),
+            probability_factor: 1.0,
         }
     }
 
-    /// A rating came.
+    /// Records the arrival of a rating.
     pub(crate) fn returned(&mut self, now: Duration) {
-        self.returned.add(now, 1.0);
+        self.ratings_received.add(now, 1.0);
     }
 
-    /// Whether to send an answer of this value; `most` a second are allowed.
+    /// Returns whether to send a response with this rating value, at up to `max_rate`
+    /// samples per second.
     pub(crate) fn wants(
         &mut self,
         now: Duration,
         value: f64,
-        most: f64,
-        random: &mut Pcg64Mcg,
+        max_rate: f64,
+        rng: &mut Pcg64Mcg,
     ) -> bool {
-        let rate = (HEADROOM * self.returned.rate(now)).max(LEAST).min(most);
-        self.bucket.refill(now, rate, DEPTH);
-        if random.random::<f64>() >= self.eagerness * value {
-            // There is room for less valuable ones.
-            self.eagerness *= 1.0 + 0.02 * self.bucket.filled(DEPTH);
+        let rate = (SENT_TO_RATED_RATIO * self.ratings_received.rate(now))
+            .max(MIN_SAMPLES_PER_SECOND)
+            .min(max_rate);
+        self.bucket.refill(now, rate, MAX_BURST);
+        if rng.random::<f64>() >= self.probability_factor * value {
+            // Unused tokens permit samples of lower value.
+            self.probability_factor *= 1.0 + 0.02 * self.bucket.filled(MAX_BURST);
             return false;
         }
         let sent = self.bucket.take(1.0);
         if !sent {
-            self.eagerness *= 0.9;
+            self.probability_factor *= 0.9;
         }
         sent
     }
 
-    /// Sends an answer whatever its value, as long as any may be sent.
-    pub(crate) fn insists(&mut self, now: Duration, most: f64) -> bool {
-        let rate = (HEADROOM * self.returned.rate(now)).max(LEAST).min(most);
-        self.bucket.refill(now, rate, DEPTH);
+    /// Returns whether the rate limit permits a sample, whatever its value.
+    pub(crate) fn insists(&mut self, now: Duration, max_rate: f64) -> bool {
+        let rate = (SENT_TO_RATED_RATIO * self.ratings_received.rate(now))
+            .max(MIN_SAMPLES_PER_SECOND)
+            .min(max_rate);
+        self.bucket.refill(now, rate, MAX_BURST);
         self.bucket.take(1.0)
     }
 }
--- a/crates/decide/src/samples.rs
+++ b/crates/decide/src/samples.rs
@@ -1,4 +1,4 @@
-//! Answers that were sent to be rated.
+//! Responses that were sent to the rating service.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -7,28 +7,28 @@
 use crate::key;
 use crate::tally::Bucket;
 
-/// Answers whose rating is waited for.
-const KEPT: usize = 8192;
+/// The maximum number of responses with an outstanding rating.
+const MAX_PENDING: usize = 8192;
 
-/// Answers that were sent to be rated, the oldest forgotten first: many
-/// ratings never come.
+/// Responses that wait for a rating. Many ratings never arrive, so the oldest
+/// entries are evicted when the table is full.
 #[derive(Debug, Default)]
 pub(crate) struct Samples {
-    waiting: HashMap<Name, Sample>,
-    order: VecDeque<Name>,
+    pending: HashMap<SampleKey, Sample>,
+    order: VecDeque<SampleKey>,
 }
 
-/// What has to be known of an answer when its rating comes.
+/// The data about a response that is needed when its rating arrives.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sample {
     pub(crate) bucket: Bucket,
     pub(crate) turn: Turn,
-    /// When the answer came; unknown for those of other hosts.
+    /// When the response was received; unknown for those of other hosts.
     pub(crate) at: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Name {
+struct SampleKey {
     request: key::Request,
     version: u64,
 }
@@ -40,27 +40,27 @@
         version: &kernel::VersionId,
         sample: Sample,
     ) {
-        let name = Name::new(request, version);
-        if self.order.len() >= KEPT
+        let sample_key = SampleKey::new(request, version);
+        if self.order.len() >= MAX_PENDING
             && let Some(oldest) = self.order.pop_front()
         {
-            self.waiting.remove(&oldest);
+            self.pending.remove(&oldest);
         }
-        self.order.push_back(name);
-        self.waiting.insert(name, sample);
+        self.order.push_back(sample_key);
+        self.pending.insert(sample_key, sample);
     }
 
-    /// Each answer is rated once; a second rating finds nothing.
+    /// Removes and returns the sample, so a second rating of a response is ignored.
     pub(crate) fn take(
         &mut self,
         request: key::Request,
         version: &kernel::VersionId,
     ) -> Option<Sample> {
-        self.waiting.remove(&Name::new(request, version))
+        self.pending.remove(&SampleKey::new(request, version))
     }
 }
 
-impl Name {
+impl SampleKey {
     fn new(request: key::Request, version: &kernel::VersionId) -> Self {
         Self {
             request,
