--- a/crates/barleypind/src/service/rate.rs
+++ b/crates/barleypind/src/service/rate.rs
@@ -74,7 +74,7 @@
         request,
         version: rating.version,
         class: Class::named(&rating.class),
-        verdict: if rating.good {
+        quality: if rating.good {
             Quality::Good
         } else {
             Quality::Bad
--- a/crates/barleypind/src/tuning.rs
+++ b/crates/barleypind/src/tuning.rs
@@ -12,7 +12,7 @@
     decide::Tuning {
         host: settings.host.name.clone(),
         tick: it.tick,
-        attempts: it.max_attempts,
+        max_attempts: it.max_attempts,
         retry_share: it.retry_budget,
         sample_share: it.rating_share,
         explore_share: it.explore_share,
--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -12,7 +12,7 @@
 use crate::policy::{Priority, Repeat};
 use crate::refusal::Reason;
 use crate::request::Request;
-use crate::tuning::Pins;
+use crate::tuning::PinnedSessions;
 use crate::{Action, key, request};
 
 /// How far the expected quality of a version may be below the target if it replaces a version
@@ -162,9 +162,9 @@
 
     /// Returns whether a session must leave a quarantined version, see `docs/design/decide-sessions.md`.
     fn must_leave(&self, pin: key::Version) -> bool {
-        match self.tuning.pins {
-            Pins::Keep => false,
-            Pins::Move => self.health.is_quarantined(pin),
+        match self.tuning.pinned_sessions {
+            PinnedSessions::Keep => false,
+            PinnedSessions::Move => self.health.is_quarantined(pin),
         }
     }
 
--- a/crates/decide/src/decider/end.rs
+++ b/crates/decide/src/decider/end.rs
@@ -114,7 +114,7 @@
             return;
         }
         let next = request.plan.step(request.step + 1);
-        let exhausted = request.attempts >= self.tuning.attempts;
+        let exhausted = request.attempts >= self.tuning.max_attempts;
         let (deadline, has_fallback) = (request.deadline, request.fallback.is_some());
         let late = next.is_some_and(|it| {
             let needed = self.expected_latency(key, Target::Version(it.version));
@@ -164,7 +164,7 @@
         }
         let may_repeat = outcome.not_run() || request.repeat == Repeat::Idempotent;
         let late = now >= request.deadline;
-        let may_retry = request.attempts < self.tuning.attempts && !late;
+        let may_retry = request.attempts < self.tuning.max_attempts && !late;
         if !may_repeat || !may_retry || !self.retries.take(retry_cost(outcome)) {
             let retry_after = self.retry_after(attempt, outcome);
             let reason = reason(outcome, late);
--- a/crates/decide/src/decider/learn.rs
+++ b/crates/decide/src/decider/learn.rs
@@ -140,9 +140,9 @@
         };
         self.sampler.returned(now);
         self.outbox
-            .record_rating(&rating.version, rating.class, sample, rating.verdict);
+            .record_rating(&rating.version, rating.class, sample, rating.quality);
         let class = self.knowledge.class(rating.class);
-        let (good, bad) = match rating.verdict {
+        let (good, bad) = match rating.quality {
             Quality::Good => (1.0, 0.0),
             Quality::Bad => (0.0, 1.0),
         };
--- a/crates/decide/src/decider/tick.rs
+++ b/crates/decide/src/decider/tick.rs
@@ -97,7 +97,7 @@
             return false;
         };
         let single = request.in_flight.iter().flatten().count() == 1;
-        if !single || request.attempts >= self.tuning.attempts {
+        if !single || request.attempts >= self.tuning.max_attempts {
             return false;
         }
         request.avoided_replica = Some(attempt.replica);
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -33,7 +33,7 @@
         let running = running.max(self.directory.slot_share(next.target));
         let wait = pool.wait(now, request.customer, request.priority, weight, running);
         let own = pool.queue.own(request.customer, request.priority);
-        if own >= self.max_queued(weight) || pool.queue.len() >= 2 * self.tuning.queue {
+        if own >= self.max_queued(weight) || pool.queue.len() >= 2 * self.tuning.queue_length {
             return Err(WaitRefused::new(Reason::Overloaded, Some(wait)));
         }
         let seconds = self.expected_latency(key, next.target);
@@ -172,7 +172,7 @@
         const MIN_QUEUED: usize = 4;
         let customers = self.policy.customers.iter();
         let total: f64 = customers.map(|it| it.weight).sum();
-        let share = count(self.tuning.queue) * (2.0 * weight / total).min(1.0);
+        let share = count(self.tuning.queue_length) * (2.0 * weight / total).min(1.0);
         usize::try_from(floor(share))
             .unwrap_or(MIN_QUEUED)
             .max(MIN_QUEUED)
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -72,7 +72,7 @@
     /// The request class.
     pub class: key::Class,
     /// The result of the rating.
-    pub verdict: Quality,
+    pub quality: Quality,
 }
 
 /// The quality of a response as rated by the rating service.
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -57,4 +57,4 @@
 pub use outcome::Outcome;
 pub use policy::Policy;
 pub use refusal::Refusal;
-pub use tuning::{Pins, Tuning};
+pub use tuning::{PinnedSessions, Tuning};
--- a/crates/decide/src/tuning.rs
+++ b/crates/decide/src/tuning.rs
@@ -12,7 +12,7 @@
     /// The interval between `Tick` events.
     pub tick: Duration,
     /// The maximum number of attempts of a request, including all its steps, retries and hedges.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The retry budget earned per request, shared by retries and hedges.
     pub retry_share: f64,
     /// The share of ratings that are assumed to be wrong.
@@ -27,14 +27,14 @@
     pub explore_share: f64,
     /// The queue length for one version or service at this host. Customers' limits are shares of it,
     /// and the total may reach twice this length.
-    pub queue: usize,
+    pub queue_length: usize,
     /// The treatment of sessions whose version is quarantined.
-    pub pins: Pins,
+    pub pinned_sessions: PinnedSessions,
 }
 
 /// The treatment of sessions whose version is quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pins {
+pub enum PinnedSessions {
     /// A session keeps its version until the version is withdrawn.
     Keep,
     /// A session is moved to another version, as if its own were withdrawn.
@@ -46,14 +46,14 @@
         Self {
             host: HostName::from("host"),
             tick: Duration::from_millis(100),
-            attempts: 5,
+            max_attempts: 5,
             retry_share: 0.1,
             rating_noise: 0.05,
             sample_rate: 50.0,
             sample_share: 0.5,
             explore_share: 0.06,
-            queue: 256,
-            pins: Pins::Keep,
+            queue_length: 256,
+            pinned_sessions: PinnedSessions::Keep,
         }
     }
 }
--- a/crates/decide/tests/decide/fleet.rs
+++ b/crates/decide/tests/decide/fleet.rs
@@ -205,12 +205,12 @@
                 class,
                 ..
             } => {
-                let (version, verdict) = self.qualities[attempt].clone();
+                let (version, quality) = self.qualities[attempt].clone();
                 let rating = Rating {
                     request: *request,
                     version: version.as_str().into(),
                     class: *class,
-                    verdict,
+                    quality,
                 };
                 let at = self.script.now + Duration::from_secs(1);
                 self.schedule(at, Scheduled::Rate(rating));
--- a/crates/decide/tests/decide/properties.rs
+++ b/crates/decide/tests/decide/properties.rs
@@ -213,12 +213,12 @@
             }
             Input::Rate(at, good) => {
                 if let Some((request, version)) = self.samples.get(*at).cloned() {
-                    let verdict = if *good { Quality::Good } else { Quality::Bad };
+                    let quality = if *good { Quality::Good } else { Quality::Bad };
                     self.handle(Event::Rated(Rating {
                         request,
                         version,
                         class: key::Class::default(),
-                        verdict,
+                        quality,
                     }));
                 }
             }
@@ -394,7 +394,7 @@
             self.live.contains(&it.endpoint),
             "dispatched to an endpoint that is not live"
         );
-        let max_attempts = self.decider.tuning().attempts;
+        let max_attempts = self.decider.tuning().max_attempts;
         let seen = self.requests.get_mut(&it.request).unwrap();
         seen.attempts += 1;
         assert!(seen.attempts <= max_attempts, "too many attempts");
--- a/crates/decide/tests/decide/script.rs
+++ b/crates/decide/tests/decide/script.rs
@@ -241,7 +241,7 @@
         request: key::Request(words[1].parse().unwrap()),
         version: words[2].into(),
         class: key::Class::default(),
-        verdict: match words[3] {
+        quality: match words[3] {
             "good" => Quality::Good,
             _ => Quality::Bad,
         },
--- a/crates/experiment/src/router/core.rs
+++ b/crates/experiment/src/router/core.rs
@@ -148,7 +148,7 @@
                 request: key::Request(number(*request)),
                 version: names::version_id(*version),
                 class: self.names.class(*class),
-                verdict: if *good { Quality::Good } else { Quality::Bad },
+                quality: if *good { Quality::Good } else { Quality::Bad },
             }),
             Input::News(News::Evidence(it)) => Event::Evidence(it.clone()),
             Input::News(News::Demand(it)) => Event::Demand(it.clone()),
