--- a/crates/decide/src/cusum.rs
+++ b/crates/decide/src/cusum.rs
@@ -16,13 +16,13 @@
     }
 
     /// Adds observations from a batch of unknown order. The sum may be negative
-    /// until [`Self::settle`], so the result doesn't depend on the order.
+    /// until [`Self::end_batch`], so the result doesn't depend on the order.
     pub(crate) fn add_unordered(&mut self, ratio: f64, count: f64) {
         self.sum += ratio * count;
     }
 
     /// Ends a batch of [`Self::add_unordered`].
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn end_batch(&mut self) {
         self.sum = self.sum.max(0.0);
     }
 
--- a/crates/decide/src/decider.rs
+++ b/crates/decide/src/decider.rs
@@ -28,7 +28,7 @@
 use crate::knowledge::Knowledge;
 use crate::limiter::Limiter;
 use crate::outbox::Outbox;
-use crate::peers::Peers;
+use crate::peer_demand::PeerDemand;
 use crate::pilot::Pilot;
 use crate::plans::Plans;
 use crate::pool::Pools;
@@ -60,7 +60,7 @@
     health: Health,
     plans: Plans,
     limiters: Vec<Limits>,
-    peers: Peers,
+    peers: PeerDemand,
     samples: Samples,
     outbox: Outbox,
     /// Truncated responses. They count against the version only if the endpoint turns out to have
@@ -113,7 +113,7 @@
             health: Health::default(),
             plans: Plans::default(),
             limiters: Vec::new(),
-            peers: Peers::default(),
+            peers: PeerDemand::default(),
             samples: Samples::default(),
             outbox: Outbox::default(),
             cut_responses: VecDeque::new(),
@@ -179,7 +179,7 @@
             Event::Rated(rating) => self.apply_rating(now, &rating, actions),
             Event::Evidence(evidence) => self.apply_evidence(now, &evidence, actions),
             Event::Digest(digest) => {
-                self.knowledge.absorb(&self.policy, &digest);
+                self.knowledge.apply_digest(&self.policy, &digest);
                 self.plans.invalidate();
             }
             Event::Verdict { version, verdict } => {
@@ -187,9 +187,9 @@
             }
             Event::Hosts { live } => {
                 self.live_hosts = live.max(1);
-                self.directory.live = self.live_hosts;
+                self.directory.live_hosts = self.live_hosts;
             }
-            Event::Demand(demand) => self.peers.heard(now, &self.policy, &demand),
+            Event::Demand(demand) => self.peers.record(now, &self.policy, &demand),
             Event::Tick => self.tick(now, actions),
         }
     }
--- a/crates/decide/src/decider/arrive.rs
+++ b/crates/decide/src/decider/arrive.rs
@@ -131,10 +131,10 @@
     fn class(&mut self, now: Duration, work: &Work) -> ClassIndex {
         match work {
             Work::Chat(chat) => {
-                let class = self.knowledge.class(chat.class);
+                let class = self.knowledge.class_index(chat.class);
                 let pinned = u32::from(chat.pin.is_some());
-                self.knowledge.arrived(class, chat.prompt_tokens);
-                let known = self.knowledge.class_of_mut(class);
+                self.knowledge.record_arrival(class, chat.prompt_tokens);
+                let known = self.knowledge.traffic_mut(class);
                 known.turned(now, 1 - pinned, pinned);
                 self.outbox.record_arrival(chat.class, pinned);
                 class
--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -251,7 +251,7 @@
             customer: request.customer,
             class: request.class,
             max_steps: if single { 1 } else { STEPS },
-            pinned_share: knowledge.class_of(request.class).pinned(now),
+            pinned_share: knowledge.traffic(request.class).pinned(now),
         }
     }
 }
--- a/crates/decide/src/decider/configure.rs
+++ b/crates/decide/src/decider/configure.rs
@@ -68,9 +68,9 @@
 
     /// Applies an update of an endpoint and dispatches queued requests to it.
     pub(super) fn endpoint(&mut self, now: Duration, update: &Update, actions: &mut Vec<Action>) {
-        let before = self.directory.outline();
+        let before = self.directory.availability_hash();
         let key = self.directory.update(now, &self.policy, update);
-        if self.directory.outline() != before {
+        if self.directory.availability_hash() != before {
             // A version got its first endpoint or lost its last one.
             self.plans.invalidate();
         }
@@ -82,7 +82,7 @@
     /// Removes all requests from the queues and returns them, each queue in the order of service.
     fn take_waiting(&mut self) -> Vec<request::Key> {
         let mut waiting = Vec::new();
-        for target in self.pools.waiting() {
+        for target in self.pools.queued_targets() {
             let Some(pool) = self.pools.get_mut(target) else {
                 continue;
             };
--- a/crates/decide/src/decider/end.rs
+++ b/crates/decide/src/decider/end.rs
@@ -6,11 +6,11 @@
 use crate::action::{Deliver, Relay};
 use crate::attempt::{self, Attempt, Progress};
 use crate::directory::Target;
+use crate::histogram::Bucket;
 use crate::outcome::{Answer, Denial, Outcome};
 use crate::policy::Repeat;
 use crate::refusal::{Reason, Run};
 use crate::request::{self, Fallback};
-use crate::tally::Bucket;
 use crate::{Action, key};
 
 /// Cost of a retry after an endpoint reported that it isn't the right one: the version isn't loaded,
@@ -36,7 +36,7 @@
         attempt.progress = Progress::Started(now);
         let attempt = *attempt;
         if let Some(pool) = self.pools.get_mut(attempt.target) {
-            pool.first_byte(now.saturating_sub(attempt.sent_at).as_secs_f64());
+            pool.record_first_byte(now.saturating_sub(attempt.sent_at).as_secs_f64());
         }
         if attempt.relay == Relay::Now
             && let Some(request) = self.requests.get_mut(attempt.request)
@@ -58,7 +58,7 @@
             return;
         };
         if let Some(replica) = self.directory.get_mut(attempt.replica) {
-            replica.freed();
+            replica.end_attempt();
         }
         if let Some(request) = self.requests.get_mut(attempt.request) {
             request.remove_attempt(key);
@@ -198,7 +198,9 @@
             return None;
         }
         let pool = self.pools.get(attempt.target)?;
-        Some(Duration::from_secs_f64(pool.seconds().clamp(0.1, 60.0)))
+        Some(Duration::from_secs_f64(
+            pool.mean_seconds().clamp(0.1, 60.0),
+        ))
     }
 
     fn record_cost(&mut self, now: Duration, attempt: &Attempt, answer: Answer) {
@@ -210,7 +212,7 @@
         if let Some(request) = self.requests.get_mut(attempt.request) {
             let cost = cost.unwrap_or_default();
             request.spent += cost;
-            self.knowledge.spent(now, request.class, cost);
+            self.knowledge.record_cost(now, request.class, cost);
         }
     }
 
--- a/crates/decide/src/decider/evidence.rs
+++ b/crates/decide/src/decider/evidence.rs
@@ -7,14 +7,14 @@
 use super::Decider;
 use super::learn::{ObservedRatings, ObservedResponses};
 use crate::action::Verdict;
-use crate::belief::Turn;
 use crate::directory::Target;
 use crate::evidence::{Evidence, Item};
+use crate::histogram::Bucket;
 use crate::knowledge::ClassIndex;
 use crate::monitor::Order;
 use crate::number::float;
+use crate::response_stats::StepPosition;
 use crate::samples::Sample;
-use crate::tally::Bucket;
 use crate::{Action, key};
 
 /// Number of outcomes from which a host uses only its own verdict on a version.
@@ -29,8 +29,8 @@
         actions: &mut Vec<Action>,
     ) {
         for it in &evidence.turns {
-            let class = self.knowledge.class(it.class);
-            let known = self.knowledge.class_of_mut(class);
+            let class = self.knowledge.class_index(it.class);
+            let known = self.knowledge.traffic_mut(class);
             known.turned(now, it.free, it.pinned);
         }
         for item in &evidence.items {
@@ -66,7 +66,7 @@
         item: &Item,
         actions: &mut Vec<Action>,
     ) {
-        let class = self.knowledge.class(item.class);
+        let class = self.knowledge.class_index(item.class);
         for bucket in Bucket::all() {
             let at = bucket.index();
             let [first, later] = samples_by_turn(bucket);
@@ -83,7 +83,7 @@
             }
         }
         let scope = self.health.quality_scope(version);
-        self.observe_version(now, version, actions, |it| it.settle(now, scope));
+        self.observe_version(now, version, actions, |it| it.end_batch(now, scope));
         for bucket in Bucket::all() {
             let at = bucket.index();
             let [first, later] = samples_by_turn(bucket);
@@ -113,11 +113,11 @@
         actions: &mut Vec<Action>,
     ) {
         let endpoints = self.directory.len(Target::Version(version));
-        let normal = self.health.normal(version, endpoints);
+        let normal = self.health.failure_baseline(version, endpoints);
         let failed = f64::from(item.failed);
         self.observe_version(now, version, actions, |it| {
             if failed > 0.0 {
-                it.failed(now, normal, failed, &item.failed_at);
+                it.record_failures(now, normal, failed, &item.failed_at);
             }
         });
         let answers = item
@@ -129,16 +129,17 @@
             let answers = f64::from(answers);
             let tokens = float(item.completion_tokens) / answers;
             let seconds = float(item.latency_ms) / 1000.0 / answers;
-            self.knowledge.measured(version, class, tokens, seconds);
+            self.knowledge
+                .record_measurement(version, class, tokens, seconds);
         }
     }
 }
 
 /// Returns samples for another host's responses in a bucket, of first and of later turns.
 fn samples_by_turn(bucket: Bucket) -> [Sample; 2] {
-    [Turn::First, Turn::Later].map(|turn| Sample {
+    [StepPosition::First, StepPosition::Later].map(|position| Sample {
         bucket,
-        turn,
+        position,
         at: None,
     })
 }
--- a/crates/decide/src/decider/failures.rs
+++ b/crates/decide/src/decider/failures.rs
@@ -72,9 +72,9 @@
     ) {
         let version = failure.version;
         let endpoints = self.directory.len(Target::Version(version));
-        let normal = self.health.normal(version, endpoints);
+        let normal = self.health.failure_baseline(version, endpoints);
         self.observe_version(now, version, actions, |it| {
-            it.failed(now, normal, 1.0, &[Some(failure.endpoint)]);
+            it.record_failures(now, normal, 1.0, &[Some(failure.endpoint)]);
         });
         if let Some(entry) = self.policy.versions.get(version.index()) {
             self.outbox
--- a/crates/decide/src/decider/learn.rs
+++ b/crates/decide/src/decider/learn.rs
@@ -7,15 +7,15 @@
 
 use super::Decider;
 use crate::attempt::{Attempt, Progress};
-use crate::belief::Turn;
 use crate::directory::Target;
 use crate::event::{Quality, Rating};
-use crate::knowledge::{ClassIndex, Kind};
-use crate::monitor::{Confidence, Monitor, Order, Ratings};
+use crate::histogram::Bucket;
+use crate::knowledge::{ClassIndex, ResponseKind};
+use crate::monitor::{ConfidenceObservation, Monitor, Order, RatingObservation};
 use crate::outcome::{Answer, Denial, Outcome};
 use crate::policy::State;
+use crate::response_stats::StepPosition;
 use crate::samples::Sample;
-use crate::tally::Bucket;
 use crate::{Action, key};
 
 /// Number of responses from which the baseline of a version's confidence is known.
@@ -52,7 +52,7 @@
         actions: &mut Vec<Action>,
     ) {
         if let Some(pool) = self.pools.get_mut(attempt.target) {
-            pool.departed(now);
+            pool.record_departure(now);
         }
         self.update_replica(now, attempt, outcome);
         let Target::Version(version) = attempt.target else {
@@ -85,10 +85,10 @@
         let Some(request) = self.requests.get(attempt.request) else {
             return;
         };
-        let kind = Kind {
+        let kind = ResponseKind {
             version,
             class: request.class,
-            turn: turn(attempt, request.fallback.is_some()),
+            position: position(attempt, request.fallback.is_some()),
         };
         let class = self.knowledge.class_key(request.class);
         let Some(entry) = self.policy.versions.get(version.index()) else {
@@ -103,17 +103,17 @@
         let wanted = if skipped {
             false
         } else if has_priority {
-            self.sampler.insists(now, max_rate)
+            self.sampler.admits_any(now, max_rate)
         } else {
-            let value = self.knowledge.value_of_rating(now, kind);
-            self.sampler.wants(now, value, max_rate, &mut self.rng)
+            let value = self.knowledge.rating_value(now, kind);
+            self.sampler.admits(now, value, max_rate, &mut self.rng)
         };
         if !wanted {
             return;
         }
         let sample = Sample {
             bucket: Bucket::from(answer.confidence),
-            turn: kind.turn,
+            position: kind.position,
             at: Some(now),
         };
         self.samples.insert(request.id, &entry.id, sample);
@@ -138,10 +138,10 @@
         let Some(sample) = self.samples.take(rating.request, &rating.version) else {
             return;
         };
-        self.sampler.returned(now);
+        self.sampler.record_rating(now);
         self.outbox
             .record_rating(&rating.version, rating.class, sample, rating.quality);
-        let class = self.knowledge.class(rating.class);
+        let class = self.knowledge.class_index(rating.class);
         let (good, bad) = match rating.quality {
             Quality::Good => (1.0, 0.0),
             Quality::Bad => (0.0, 1.0),
@@ -170,10 +170,10 @@
             return;
         };
         match outcome {
-            Outcome::Answered(_) | Outcome::Served => replica.succeeded(),
-            Outcome::Denied(_) => replica.overloaded(now),
+            Outcome::Answered(_) | Outcome::Served => replica.record_success(),
+            Outcome::Denied(_) => replica.record_overload(now),
             Outcome::NotSent | Outcome::Failed | Outcome::TimedOut | Outcome::Cut => {
-                replica.failed(now);
+                replica.record_failure(now);
             }
         }
     }
@@ -181,9 +181,9 @@
     fn record_duration(&mut self, now: Duration, attempt: &Attempt) {
         let seconds = now.saturating_sub(attempt.sent_at).as_secs_f64();
         if let Some(pool) = self.pools.get_mut(attempt.target) {
-            pool.answered(seconds);
+            pool.record_duration(seconds);
             if attempt.progress == Progress::Sent {
-                pool.first_byte(seconds);
+                pool.record_first_byte(seconds);
             }
         }
     }
@@ -203,14 +203,14 @@
         let class = request.class;
         let sample = Sample {
             bucket: Bucket::from(answer.confidence),
-            turn: turn(attempt, request.fallback.is_some()),
+            position: position(attempt, request.fallback.is_some()),
             at: Some(now),
         };
         let took = now.saturating_sub(attempt.sent_at);
         self.learn_token_time(now, attempt, version, answer, actions);
         let tokens = answer.completion_tokens;
         self.knowledge
-            .measured(version, class, f64::from(tokens), took.as_secs_f64());
+            .record_measurement(version, class, f64::from(tokens), took.as_secs_f64());
         if let Some(entry) = self.policy.versions.get(version.index()) {
             let key = self.knowledge.class_key(class);
             self.outbox.record_response(&entry.id, key, sample);
@@ -239,11 +239,13 @@
         };
         let tokens = f64::from(answer.completion_tokens.max(1));
         let token_time = now.saturating_sub(first).as_secs_f64() / tokens;
-        let usual = self.knowledge.pace(version, token_time);
+        let usual = self.knowledge.record_token_time(version, token_time);
         if let Some(usual) = usual {
             let scope = self.health.latency_scope(version);
             let ratio = token_time.max(1e-6) / usual.max(1e-6);
-            self.observe_version(now, version, actions, |it| it.took(now, scope, ratio));
+            self.observe_version(now, version, actions, |it| {
+                it.record_token_time(now, scope, ratio);
+            });
         }
     }
 
@@ -257,28 +259,30 @@
     ) {
         let ObservedResponses { sample, count, .. } = seen;
         let endpoints = self.directory.len(Target::Version(version));
-        let normal = self.health.normal(version, endpoints);
-        self.observe_version(now, version, actions, |it| it.answered(now, normal, count));
-        let kind = Kind {
+        let normal = self.health.failure_baseline(version, endpoints);
+        self.observe_version(now, version, actions, |it| {
+            it.record_responses(now, normal, count);
+        });
+        let kind = ResponseKind {
             version,
             class,
-            turn: sample.turn,
+            position: sample.position,
         };
         if let Some(baseline) = self.baseline(kind) {
-            let confidence = Confidence {
+            let confidence = ConfidenceObservation {
                 bucket: sample.bucket,
-                normal: self.knowledge.spread(baseline),
-                bad: self.knowledge.bad_spread(baseline.version),
-                answers: self.knowledge.answers(baseline),
+                normal: self.knowledge.confidence_distribution(baseline),
+                bad: self.knowledge.bad_confidence_distribution(baseline.version),
+                responses: self.knowledge.responses(baseline),
                 scope: self.health.quality_scope(version),
                 order: seen.order,
             };
             self.observe_version(now, version, actions, |it| {
-                it.confident(now, &confidence, count);
+                it.record_confidence(now, &confidence, count);
             });
         }
         if self.feeds_baseline(version) {
-            self.knowledge.answered(kind, sample.bucket, count);
+            self.knowledge.record_responses(kind, sample.bucket, count);
         }
     }
 
@@ -293,21 +297,22 @@
         let ObservedRatings { sample, good, bad } = rated;
         let scope = self.health.quality_scope(version);
         let normal = self.expected_bad_rate(version, class, sample);
-        let seen = Ratings {
+        let seen = RatingObservation {
             good,
             bad,
             normal,
             scope,
             answered: sample.at,
         };
-        self.observe_version(now, version, actions, |it| it.rated(now, &seen));
-        let kind = Kind {
+        self.observe_version(now, version, actions, |it| it.record_ratings(now, &seen));
+        let kind = ResponseKind {
             version,
             class,
-            turn: sample.turn,
+            position: sample.position,
         };
         if self.feeds_baseline(version) {
-            self.knowledge.rated(kind, sample.bucket, good, bad);
+            self.knowledge
+                .record_ratings(kind, sample.bucket, good, bad);
         }
     }
 
@@ -319,13 +324,13 @@
 
     /// Returns the kind of responses to compare with: that of the version itself, or that of the
     /// version it replaces if it has too few responses.
-    fn baseline(&self, kind: Kind) -> Option<Kind> {
-        let known = |it: &Kind| self.knowledge.answers(*it) >= MIN_BASELINE_RESPONSES;
+    fn baseline(&self, kind: ResponseKind) -> Option<ResponseKind> {
+        let known = |it: &ResponseKind| self.knowledge.responses(*it) >= MIN_BASELINE_RESPONSES;
         if known(&kind) {
             return Some(kind);
         }
         let version = self.replaced(kind.version)?;
-        Some(Kind { version, ..kind }).filter(known)
+        Some(ResponseKind { version, ..kind }).filter(known)
     }
 
     fn replaced(&self, version: key::Version) -> Option<key::Version> {
@@ -335,16 +340,16 @@
 
     /// Returns the expected share of bad ratings for such a response.
     fn expected_bad_rate(&self, version: key::Version, class: ClassIndex, sample: Sample) -> f64 {
-        let kind = |version| Kind {
+        let kind = |version| ResponseKind {
             version,
             class,
-            turn: sample.turn,
+            position: sample.position,
         };
         let known = |it: &key::Version| self.knowledge.ratings(*it, class) >= MIN_BASELINE_RATINGS;
         let baseline = Some(version)
             .filter(known)
             .or_else(|| self.replaced(version).filter(known));
-        let of = |it| self.knowledge.rated_bad(kind(it), sample.bucket);
+        let of = |it| self.knowledge.bad_rating_chance(kind(it), sample.bucket);
         match baseline {
             Some(it) => of(it),
             None => of(version).max(MIN_UNKNOWN_BAD_RATE),
@@ -383,10 +388,10 @@
 
 /// Returns whether a response comes from the first version tried, or after the response of another
 /// version had too low confidence.
-fn turn(attempt: &Attempt, has_fallback: bool) -> Turn {
+fn position(attempt: &Attempt, has_fallback: bool) -> StepPosition {
     if has_fallback && !attempt.step.is_probe() {
-        Turn::Later
+        StepPosition::Later
     } else {
-        Turn::First
+        StepPosition::First
     }
 }
--- a/crates/decide/src/decider/place.rs
+++ b/crates/decide/src/decider/place.rs
@@ -6,7 +6,7 @@
 use crate::action::{Deliver, Dispatch, Relay};
 use crate::arrival::Work;
 use crate::attempt::{Attempt, Occupancy, Progress};
-use crate::directory::{Target, Want};
+use crate::directory::{SelectionCriteria, Target};
 use crate::plan::{Plan, Step};
 use crate::policy::{Priority, Repeat};
 use crate::refusal::{Reason, Refusal};
@@ -123,13 +123,13 @@
         if self.is_at_limit(next.target) {
             return false;
         }
-        let want = Want {
+        let criteria = SelectionCriteria {
             target: next.target,
             priority: request.priority,
             prefix: request.prefix(),
             avoid: request.avoided_replica,
         };
-        let Some(replica) = self.directory.choose(now, &want, &mut self.rng) else {
+        let Some(replica) = self.directory.choose(now, &criteria, &mut self.rng) else {
             return false;
         };
         self.dequeue(key);
@@ -162,7 +162,7 @@
         } else {
             Occupancy::Free
         };
-        endpoint.sent();
+        endpoint.begin_attempt();
         let endpoint = endpoint.id;
         let id = self.attempts.next_id();
         let attempt = self.attempts.insert(Attempt {
@@ -199,7 +199,7 @@
             self.hedgeable.push(attempt);
         }
         let prefix = request.prefix();
-        self.directory.remember(prefix, replica);
+        self.directory.record_prefix(prefix, replica);
     }
 
     /// Completes the request with its fallback response, or with a refusal if it has none.
@@ -260,7 +260,7 @@
             return;
         };
         if let Some(it) = self.directory.get_mut(attempt.replica) {
-            it.freed();
+            it.end_attempt();
         }
         actions.push(Action::Cancel {
             attempt: attempt.id,
--- a/crates/decide/src/decider/plan.rs
+++ b/crates/decide/src/decider/plan.rs
@@ -114,7 +114,7 @@
             class: input.class,
             steps: input.max_steps,
         };
-        if let Some(entry) = self.plans.get(now, self.knowledge.changes(), name) {
+        if let Some(entry) = self.plans.get(now, self.knowledge.revision(), name) {
             return Ok(entry);
         }
         let entry = self.build_cached_plan(now, input)?;
@@ -148,7 +148,7 @@
             explore: self.exploration(&usable, &mix, &goal),
             last_resort,
             made: now,
-            changes: self.knowledge.changes(),
+            changes: self.knowledge.revision(),
         })
     }
 
--- a/crates/decide/src/decider/tick.rs
+++ b/crates/decide/src/decider/tick.rs
@@ -5,7 +5,7 @@
 use super::Decider;
 use crate::attempt::{self, Progress};
 use crate::demand::{Demand, Rate};
-use crate::directory::{Target, Want};
+use crate::directory::{SelectionCriteria, Target};
 use crate::pool::Pool;
 use crate::refusal::Reason;
 use crate::{Action, key, request};
@@ -21,7 +21,7 @@
         self.settle_cut_responses(now, actions);
         self.share_limits(now);
         self.refuse_late(now, actions);
-        for target in self.pools.waiting() {
+        for target in self.pools.queued_targets() {
             self.drain(now, target, actions);
         }
         self.hedge(now, actions);
@@ -33,10 +33,10 @@
     }
 
     fn share_limits(&mut self, now: Duration) {
-        self.peers.settle(now);
+        self.peers.update_totals(now);
         let live = f64::from(self.live_hosts);
         for (at, limits) in self.limiters.iter_mut().enumerate() {
-            let elsewhere = self.peers.elsewhere(key::Customer::at(at));
+            let elsewhere = self.peers.total(key::Customer::at(at));
             limits.chat.share(now, live, elsewhere.chat);
             limits.calls.share(now, live, elsewhere.calls);
         }
@@ -46,7 +46,7 @@
     /// only at the deadline. Lets the other queued requests use the endpoint that they avoided.
     fn refuse_late(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let mut late = Vec::new();
-        for target in self.pools.waiting() {
+        for target in self.pools.queued_targets() {
             let Some(pool) = self.pools.get(target) else {
                 continue;
             };
@@ -101,7 +101,7 @@
             return false;
         }
         request.avoided_replica = Some(attempt.replica);
-        let want = Want {
+        let criteria = SelectionCriteria {
             target: attempt.target,
             priority: request.priority,
             prefix: 0,
@@ -114,7 +114,7 @@
         {
             return false;
         }
-        let Some(replica) = self.directory.choose(now, &want, &mut self.rng) else {
+        let Some(replica) = self.directory.choose(now, &criteria, &mut self.rng) else {
             return true;
         };
         if !self.retries.take(1.0) {
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -31,7 +31,7 @@
         let weight = self.weight(request.customer);
         let running = f64::from(self.directory.in_flight(next.target));
         let running = running.max(self.directory.slot_share(next.target));
-        let wait = pool.wait(now, request.customer, request.priority, weight, running);
+        let wait = pool.estimated_wait(now, request.customer, request.priority, weight, running);
         let own = pool.queue.own(request.customer, request.priority);
         if own >= self.max_queued(weight) || pool.queue.len() >= 2 * self.tuning.queue_length {
             return Err(WaitRefused::new(Reason::Overloaded, Some(wait)));
@@ -140,7 +140,7 @@
                 .and_then(|it| it.value(5)),
             _ => None,
         };
-        let pool = || self.pools.get(target).map_or(0.0, pool::Pool::seconds);
+        let pool = || self.pools.get(target).map_or(0.0, pool::Pool::mean_seconds);
         Duration::from_secs_f64(seconds.unwrap_or_else(pool))
     }
 
--- a/crates/decide/src/digest.rs
+++ b/crates/decide/src/digest.rs
@@ -1,10 +1,10 @@
 //! Snapshots of a host's statistics, which initialize those of a host that starts.
 
-use crate::belief::{Belief, Turn};
-use crate::evidence::{BUCKETS, Evidence, Item, Turns};
-use crate::knowledge::{ClassIndex, Kind, Knowledge};
+use crate::evidence::{BUCKETS, ClassRequests, Evidence, Item};
+use crate::histogram::Bucket;
+use crate::knowledge::{ClassIndex, Knowledge, ResponseKind};
 use crate::number::{float, floor};
-use crate::tally::Bucket;
+use crate::response_stats::{ResponseStats, StepPosition};
 use crate::{Policy, key};
 
 /// The number of own observations from which on a host ignores digests.
@@ -17,14 +17,14 @@
     pub(crate) fn digest(&self, policy: &Policy) -> Evidence {
         let mut evidence = Evidence::default();
         for (class, key, free, pinned) in self.turns() {
-            evidence.turns.push(Turns {
+            evidence.turns.push(ClassRequests {
                 class: key,
                 free: rounded_count(free),
                 pinned: rounded_count(pinned),
             });
             for (at, entry) in policy.versions.iter().enumerate() {
-                let belief = self.belief(key::Version::at(at), class);
-                let item = belief.map(|it| build_item(it, entry.id.clone(), key));
+                let stats = self.stats(key::Version::at(at), class);
+                let item = stats.map(|it| build_item(it, entry.id.clone(), key));
                 evidence.items.extend(item.filter(|it| !is_empty(it)));
             }
         }
@@ -33,42 +33,42 @@
 
     /// Applies another host's digest, unless this host has enough observations:
     /// those that both hosts have would be counted twice.
-    pub(crate) fn absorb(&mut self, policy: &Policy, digest: &Evidence) {
-        if self.changes() >= MIN_OWN_OBSERVATIONS {
+    pub(crate) fn apply_digest(&mut self, policy: &Policy, digest: &Evidence) {
+        if self.revision() >= MIN_OWN_OBSERVATIONS {
             return;
         }
         for it in &digest.turns {
-            let class = self.class(it.class);
-            self.class_of_mut(class).told(it.free, it.pinned);
+            let class = self.class_index(it.class);
+            self.traffic_mut(class).told(it.free, it.pinned);
         }
         for item in &digest.items {
             if let Some(version) = policy.version(&item.version) {
-                let class = self.class(item.class);
-                self.absorb_item(version, class, item);
+                let class = self.class_index(item.class);
+                self.apply_digest_item(version, class, item);
             }
         }
     }
 
-    fn absorb_item(&mut self, version: key::Version, class: ClassIndex, item: &Item) {
+    fn apply_digest_item(&mut self, version: key::Version, class: ClassIndex, item: &Item) {
         for bucket in Bucket::all() {
             let at = bucket.index();
-            for (turn, answered, good, bad) in [
-                (Turn::First, item.answered, item.good, item.bad),
+            for (position, answered, good, bad) in [
+                (StepPosition::First, item.answered, item.good, item.bad),
                 (
-                    Turn::Later,
+                    StepPosition::Later,
                     item.later_answered,
                     item.later_good,
                     item.later_bad,
                 ),
             ] {
-                let kind = Kind {
+                let kind = ResponseKind {
                     version,
                     class,
-                    turn,
+                    position,
                 };
                 let [answered, good, bad] = [answered, good, bad].map(|it| f64::from(it[at]));
-                self.answered(kind, bucket, answered);
-                self.rated(kind, bucket, good, bad);
+                self.record_responses(kind, bucket, answered);
+                self.record_ratings(kind, bucket, good, bad);
             }
         }
         let responses = item.answered.iter().chain(&item.later_answered);
@@ -76,13 +76,13 @@
         for _ in 0..MEAN_WEIGHT {
             let tokens = float(item.completion_tokens) / responses;
             let seconds = float(item.latency_ms) / 1000.0 / responses;
-            self.measured(version, class, tokens, seconds);
+            self.record_measurement(version, class, tokens, seconds);
         }
     }
 }
 
-fn build_item(belief: &Belief, version: kernel::VersionId, class: key::Class) -> Item {
-    let (first, later) = (&belief.first.tally, &belief.later.tally);
+fn build_item(stats: &ResponseStats, version: kernel::VersionId, class: key::Class) -> Item {
+    let (first, later) = (&stats.first.histogram, &stats.later.histogram);
     let rounded = |it: &[f64; BUCKETS]| it.map(rounded_count);
     let (answered, later_answered) = (rounded(&first.answered), rounded(&later.answered));
     let responses = answered.iter().chain(&later_answered).sum::<u32>();
@@ -98,8 +98,8 @@
         bad: rounded(&first.bad),
         later_good: rounded(&later.good),
         later_bad: rounded(&later.bad),
-        completion_tokens: total(belief.completion.value(1)),
-        latency_ms: total(belief.latency.value(1).map(|it| it * 1000.0)),
+        completion_tokens: total(stats.completion.value(1)),
+        latency_ms: total(stats.latency.value(1).map(|it| it * 1000.0)),
     }
 }
 
--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -30,7 +30,7 @@
 
 /// The criteria for selecting an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Want {
+pub(crate) struct SelectionCriteria {
     pub(crate) target: Target,
     pub(crate) priority: Priority,
     /// The hash of the prompt prefix, or 0.
@@ -44,7 +44,7 @@
 pub(crate) struct Directory {
     host: u64,
     /// The number of live hosts that share the endpoints.
-    pub(crate) live: u32,
+    pub(crate) live_hosts: u32,
     replicas: SlotMap<Key, Replica>,
     by_name: HashMap<EndpointName, Key>,
     by_version: Vec<Vec<Candidate>>,
@@ -78,7 +78,7 @@
     pub(crate) fn new(host: &kernel::HostName) -> Self {
         Self {
             host: key::hash(host.as_str().as_bytes()),
-            live: 1,
+            live_hosts: 1,
             replicas: SlotMap::with_key(),
             by_name: HashMap::new(),
             by_version: Vec::new(),
@@ -115,13 +115,15 @@
             return None;
         }
         let Some(key) = same else {
-            let key = self.replicas.insert(Replica::new(now, self.live, update));
+            let key = self
+                .replicas
+                .insert(Replica::new(now, self.live_hosts, update));
             self.by_name.insert(name, key);
             self.add_to_indexes(key, policy);
             return Some(key);
         };
         let it = &mut self.replicas[key];
-        it.report(now, self.live, update.load);
+        it.record_load(now, self.live_hosts, update.load);
         let is_moved = it.distance != update.distance || it.state != update.state;
         if is_moved || !same_role(&it.role, &update.role) {
             self.remove_from_indexes(key);
@@ -183,7 +185,7 @@
     }
 
     /// Returns a hash of the set of versions and services that have an endpoint.
-    pub(crate) fn outline(&self) -> u64 {
+    pub(crate) fn availability_hash(&self) -> u64 {
         let lists = self.by_version.iter().chain(&self.by_service);
         let filled = (1..).zip(lists).filter(|(_, list)| !list.is_empty());
         filled.fold(0, |outline, (at, _)| outline ^ key::mix(at, 1))
@@ -207,7 +209,7 @@
     pub(crate) fn slot_share(&self, target: Target) -> f64 {
         let near = self.candidates(target).iter().take(SUBSET_SIZE);
         let slots: u32 = near.map(|it| self.replicas[it.key].slots()).sum();
-        f64::from(slots) / f64::from(self.live)
+        f64::from(slots) / f64::from(self.live_hosts)
     }
 
     /// Selects an endpoint with free capacity.
@@ -215,45 +217,50 @@
     /// Prefers the endpoint that has the prefix cached, then the less utilized of
     /// two random endpoints at the nearest distance that has capacity. Ejected
     /// endpoints are used only if no other has capacity.
-    pub(crate) fn choose(&self, now: Duration, want: &Want, rng: &mut Pcg64Mcg) -> Option<Key> {
-        let list = self.candidates(want.target);
+    pub(crate) fn choose(
+        &self,
+        now: Duration,
+        criteria: &SelectionCriteria,
+        rng: &mut Pcg64Mcg,
+    ) -> Option<Key> {
+        let list = self.candidates(criteria.target);
         let list = &list[..list.len().min(SUBSET_SIZE)];
-        if let Some(key) = self.cached_endpoint(now, want) {
+        if let Some(key) = self.cached_endpoint(now, criteria) {
             return Some(key);
         }
         let healthy = list
             .chunk_by(|a, b| a.distance == b.distance)
-            .find_map(|near| self.choose_at_distance(now, want, near, rng));
+            .find_map(|near| self.choose_at_distance(now, criteria, near, rng));
         healthy.or_else(|| {
             let ejected = list.iter().map(|it| it.key);
             self.least_utilized(
                 now,
-                want,
+                criteria,
                 ejected.filter(|it| self.replicas[*it].is_ejected(now)),
             )
         })
     }
 
     /// Records that the endpoint has the prefix cached.
-    pub(crate) fn remember(&mut self, prefix: u64, key: Key) {
+    pub(crate) fn record_prefix(&mut self, prefix: u64, key: Key) {
         if prefix != 0 {
             self.prefixes[prefix_slot(prefix)] = PrefixEntry { hash: prefix, key };
         }
     }
 
-    fn cached_endpoint(&self, now: Duration, want: &Want) -> Option<Key> {
-        if want.prefix == 0 {
+    fn cached_endpoint(&self, now: Duration, criteria: &SelectionCriteria) -> Option<Key> {
+        if criteria.prefix == 0 {
             return None;
         }
-        let entry = self.prefixes[prefix_slot(want.prefix)];
+        let entry = self.prefixes[prefix_slot(criteria.prefix)];
         let it = self.replicas.get(entry.key)?;
-        let usable = entry.hash == want.prefix
+        let usable = entry.hash == criteria.prefix
             && it.state == State::Live
             && !it.is_ejected(now)
-            && want.avoid != Some(entry.key)
-            && it.fill(now) < MAX_AFFINITY_UTILIZATION
-            && it.has_room(now, want.priority);
-        let serves = match want.target {
+            && criteria.avoid != Some(entry.key)
+            && it.utilization(now) < MAX_AFFINITY_UTILIZATION
+            && it.has_room(now, criteria.priority);
+        let serves = match criteria.target {
             Target::Version(version) => it.serves(version),
             Target::Service(service) => it.service == Some(service),
         };
@@ -263,7 +270,7 @@
     fn choose_at_distance(
         &self,
         now: Duration,
-        want: &Want,
+        criteria: &SelectionCriteria,
         near: &[Candidate],
         rng: &mut Pcg64Mcg,
     ) -> Option<Key> {
@@ -272,21 +279,21 @@
         let healthy = |it: &Key| !self.replicas[*it].is_ejected(now);
         let two = [near[first].key, near[second].key];
         let all = near.iter().map(|it| it.key);
-        self.least_utilized(now, want, two.into_iter().filter(healthy))
-            .or_else(|| self.least_utilized(now, want, all.filter(healthy)))
+        self.least_utilized(now, criteria, two.into_iter().filter(healthy))
+            .or_else(|| self.least_utilized(now, criteria, all.filter(healthy)))
     }
 
     fn least_utilized(
         &self,
         now: Duration,
-        want: &Want,
+        criteria: &SelectionCriteria,
         keys: impl Iterator<Item = Key>,
     ) -> Option<Key> {
         let usable = keys.filter(|it| {
-            want.avoid != Some(*it) && self.replicas[*it].has_room(now, want.priority)
+            criteria.avoid != Some(*it) && self.replicas[*it].has_room(now, criteria.priority)
         });
-        let fill = |key: &Key| self.replicas[*key].fill(now);
-        usable.min_by(|a, b| fill(a).total_cmp(&fill(b)))
+        let utilization = |key: &Key| self.replicas[*key].utilization(now);
+        usable.min_by(|a, b| utilization(a).total_cmp(&utilization(b)))
     }
 
     fn candidates(&self, target: Target) -> &[Candidate] {
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -15,13 +15,13 @@
     /// One entry for each version and class with observations.
     pub items: Vec<Item>,
     /// One entry for each class with requests.
-    pub turns: Vec<Turns>,
+    pub turns: Vec<ClassRequests>,
 }
 
 /// The numbers of requests of a class, with and without a version pinned by the
 /// session.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Turns {
+pub struct ClassRequests {
     /// The class.
     pub class: key::Class,
     /// Requests without a pinned version.
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -1,6 +1,6 @@
 //! Fault detection across all versions.
 
-use crate::monitor::{Monitor, Normal, Scope};
+use crate::monitor::{FailureBaseline, FaultScope, Monitor};
 use crate::{Policy, key};
 
 /// The number of outcomes that a version needs to serve as a reference for others.
@@ -53,36 +53,40 @@
 
     /// Returns the expected failure rate of `version`: twice the mean rate of the
     /// other versions, within fixed bounds.
-    pub(crate) fn normal(&self, version: key::Version, endpoints: usize) -> Normal {
+    pub(crate) fn failure_baseline(
+        &self,
+        version: key::Version,
+        endpoints: usize,
+    ) -> FailureBaseline {
         let others = self.others(version);
         let (sum, number) = others.fold((0.0, 0.0), |(sum, number), it| {
             (sum + it.failure_rate(), number + 1.0)
         });
         let others = if number > 0.0 { sum / number } else { 0.0 };
-        Normal {
-            errors: (2.0 * others).clamp(0.01, 0.5),
+        FailureBaseline {
+            failure_rate: (2.0 * others).clamp(0.01, 0.5),
             endpoints,
         }
     }
 
     /// Returns whether many other versions are suspected of failures or bad quality too.
-    pub(crate) fn quality_scope(&self, version: key::Version) -> Scope {
+    pub(crate) fn quality_scope(&self, version: key::Version) -> FaultScope {
         self.scope(version, Monitor::is_suspect)
     }
 
     /// Returns whether many other versions have become slow too, as happens under
     /// general overload.
-    pub(crate) fn latency_scope(&self, version: key::Version) -> Scope {
+    pub(crate) fn latency_scope(&self, version: key::Version) -> FaultScope {
         self.scope(version, Monitor::is_slow)
     }
 
-    fn scope(&self, version: key::Version, suspect: impl Fn(&Monitor) -> bool) -> Scope {
+    fn scope(&self, version: key::Version, suspect: impl Fn(&Monitor) -> bool) -> FaultScope {
         let others = self.others(version).count();
         let suspects = self.others(version).filter(|it| suspect(it)).count();
         if suspects > 0 && 2 * suspects >= others {
-            Scope::Shared
+            FaultScope::Shared
         } else {
-            Scope::Own
+            FaultScope::OneVersion
         }
     }
 
--- a/crates/decide/src/tally.rs
+++ b/crates/decide/src/histogram.rs
@@ -56,22 +56,22 @@
 
 /// Counts of responses and ratings by confidence bucket, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct ConfidenceHistogram {
     pub(crate) answered: [f64; BUCKETS],
     pub(crate) good: [f64; BUCKETS],
     pub(crate) bad: [f64; BUCKETS],
 }
 
-impl Tally {
-    pub(crate) fn answered(&mut self, bucket: Bucket, count: f64) {
-        if self.answers() >= RESPONSE_DECAY_THRESHOLD {
+impl ConfidenceHistogram {
+    pub(crate) fn record_responses(&mut self, bucket: Bucket, count: f64) {
+        if self.responses() >= RESPONSE_DECAY_THRESHOLD {
             let keep = 1.0 - count.min(MAX_DECAY_COUNT) / RESPONSE_DECAY_THRESHOLD;
             decay(&mut self.answered, keep);
         }
         self.answered[bucket.index()] += count;
     }
 
-    pub(crate) fn rated(&mut self, bucket: Bucket, good: f64, bad: f64) {
+    pub(crate) fn record_ratings(&mut self, bucket: Bucket, good: f64, bad: f64) {
         if self.ratings() >= RATING_DECAY_THRESHOLD {
             let keep = 1.0 - (good + bad).min(MAX_DECAY_COUNT) / RATING_DECAY_THRESHOLD;
             decay(&mut self.good, keep);
@@ -82,22 +82,22 @@
     }
 
     /// Returns the decayed number of responses.
-    pub(crate) fn answers(&self) -> f64 {
+    pub(crate) fn responses(&self) -> f64 {
         self.answered.iter().sum()
     }
 
     /// Returns the decayed number of ratings.
     pub(crate) fn ratings(&self) -> f64 {
-        self.goods() + self.bads()
+        self.good_ratings() + self.bad_ratings()
     }
 
     /// Returns the decayed number of good ratings.
-    pub(crate) fn goods(&self) -> f64 {
+    pub(crate) fn good_ratings(&self) -> f64 {
         self.good.iter().sum()
     }
 
     /// Returns the decayed number of bad ratings.
-    pub(crate) fn bads(&self) -> f64 {
+    pub(crate) fn bad_ratings(&self) -> f64 {
         self.bad.iter().sum()
     }
 }
--- a/crates/decide/src/knowledge.rs
+++ b/crates/decide/src/knowledge.rs
@@ -4,16 +4,16 @@
 
 use kernel::Money;
 
-use crate::belief::{Belief, Turn};
 use crate::class::Class;
 use crate::evidence::BUCKETS;
 use crate::forecast::Forecast;
+use crate::histogram::{Bucket, ConfidenceHistogram};
 use crate::meter::Mean;
 use crate::number::{count, float};
 use crate::pilot::Comparison;
-use crate::record::Record;
+use crate::response_stats::{ResponseStats, StepPosition};
 use crate::shape::{Fit, Shape};
-use crate::tally::{Bucket, Tally};
+use crate::version_stats::VersionStats;
 use crate::{Policy, key};
 
 /// The maximum number of classes; further ones share the default class.
@@ -29,14 +29,14 @@
 #[derive(Debug)]
 pub(crate) struct Knowledge {
     classes: Vec<Class>,
-    versions: Vec<Record>,
+    versions: Vec<VersionStats>,
     /// Ratings of all versions together.
-    all: Tally,
+    all: ConfidenceHistogram,
     prior: Shape,
     /// The confidence distributions estimated from `all`.
     general: Shape,
     /// Increases with each observation, to detect outdated plans.
-    changes: u64,
+    revision: u64,
 }
 
 /// The index of a class in the tables.
@@ -45,10 +45,10 @@
 
 /// The version, class and cascade position that a response belongs to.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Kind {
+pub(crate) struct ResponseKind {
     pub(crate) version: key::Version,
     pub(crate) class: ClassIndex,
-    pub(crate) turn: Turn,
+    pub(crate) position: StepPosition,
 }
 
 impl Knowledge {
@@ -58,10 +58,10 @@
         Self {
             classes: Vec::new(),
             versions: Vec::new(),
-            all: Tally::default(),
+            all: ConfidenceHistogram::default(),
             prior,
             general: prior,
-            changes: 0,
+            revision: 0,
         }
     }
 
@@ -76,21 +76,21 @@
         let top = count(prices.len().saturating_sub(1)).max(1.0);
         for (version, old_key) in policy.versions.iter().zip(old_keys) {
             let known = old_key.and_then(|it| old.get_mut(it.index())?.take());
-            let mut it = known.unwrap_or_else(|| Record::new(self.general));
+            let mut it = known.unwrap_or_else(|| VersionStats::new(self.general));
             it.price_rank = count(prices.partition_point(|it| *it < reference_cost(version))) / top;
             self.versions.push(it);
         }
-        self.changes += 1;
+        self.revision += 1;
     }
 
     /// Returns the index of a class, adding it if the table isn't full; otherwise
     /// the default class.
-    pub(crate) fn class(&mut self, key: key::Class) -> ClassIndex {
+    pub(crate) fn class_index(&mut self, key: key::Class) -> ClassIndex {
         if let Some(at) = self.classes.iter().position(|it| it.key == key) {
             return ClassIndex(at);
         }
         if self.classes.is_empty() && key != key::Class::default() {
-            self.class(key::Class::default());
+            self.class_index(key::Class::default());
         }
         if self.classes.len() == MAX_CLASSES {
             return ClassIndex(0);
@@ -105,11 +105,11 @@
         it.map_or_else(key::Class::default, |it| it.key)
     }
 
-    pub(crate) fn changes(&self) -> u64 {
-        self.changes
+    pub(crate) fn revision(&self) -> u64 {
+        self.revision
     }
 
-    pub(crate) fn arrived(&mut self, class: ClassIndex, prompt_tokens: u32) {
+    pub(crate) fn record_arrival(&mut self, class: ClassIndex, prompt_tokens: u32) {
         self.classes[class.0].prompt.add(f64::from(prompt_tokens));
     }
 
@@ -121,23 +121,23 @@
     }
 
     /// Returns the statistics of a class.
-    pub(crate) fn class_of(&self, class: ClassIndex) -> &Class {
+    pub(crate) fn traffic(&self, class: ClassIndex) -> &Class {
         &self.classes[class.0]
     }
 
     /// Returns the statistics of a class for update.
-    pub(crate) fn class_of_mut(&mut self, class: ClassIndex) -> &mut Class {
+    pub(crate) fn traffic_mut(&mut self, class: ClassIndex) -> &mut Class {
         &mut self.classes[class.0]
     }
 
     /// Records the cost of a response.
-    pub(crate) fn spent(&mut self, now: Duration, class: ClassIndex, cost: Money) {
+    pub(crate) fn record_cost(&mut self, now: Duration, class: ClassIndex, cost: Money) {
         self.classes[class.0].spending.add(now, float(cost.0));
     }
 
     /// Returns the value of a rating of such a response, in arbitrary units. It
     /// grows with the spending of the class and the uncertainty of the estimate.
-    pub(crate) fn value_of_rating(&self, now: Duration, kind: Kind) -> f64 {
+    pub(crate) fn rating_value(&self, now: Duration, kind: ResponseKind) -> f64 {
         let spending = self.classes[kind.class.0].spending.rate(now);
         let it = self.versions.get(kind.version.index());
         let fit = it.map(|it| it.last_fit(kind));
@@ -146,18 +146,20 @@
     }
 
     /// Records complete responses.
-    pub(crate) fn answered(&mut self, kind: Kind, bucket: Bucket, responses: f64) {
-        self.changes += 1;
+    pub(crate) fn record_responses(&mut self, kind: ResponseKind, bucket: Bucket, responses: f64) {
+        self.revision += 1;
         if let Some(it) = self.versions.get_mut(kind.version.index()) {
-            it.overall.view_mut(kind.turn).answered(bucket, responses);
+            it.overall
+                .step_mut(kind.position)
+                .record_responses(bucket, responses);
             it.class_mut(kind.class)
-                .view_mut(kind.turn)
-                .answered(bucket, responses);
+                .step_mut(kind.position)
+                .record_responses(bucket, responses);
         }
     }
 
     /// Records the completion tokens and latency of a response.
-    pub(crate) fn measured(
+    pub(crate) fn record_measurement(
         &mut self,
         version: key::Version,
         class: ClassIndex,
@@ -166,33 +168,41 @@
     ) {
         self.classes[class.0].completion.add(completion);
         if let Some(it) = self.versions.get_mut(version.index()) {
-            it.overall.measured(completion, seconds);
-            it.class_mut(class).measured(completion, seconds);
+            it.overall.record_measurement(completion, seconds);
+            it.class_mut(class).record_measurement(completion, seconds);
         }
     }
 
     /// Records ratings and updates the confidence distributions.
-    pub(crate) fn rated(&mut self, kind: Kind, bucket: Bucket, good: f64, bad: f64) {
-        self.changes += 1;
-        self.all.rated(bucket, good, bad);
+    pub(crate) fn record_ratings(
+        &mut self,
+        kind: ResponseKind,
+        bucket: Bucket,
+        good: f64,
+        bad: f64,
+    ) {
+        self.revision += 1;
+        self.all.record_ratings(bucket, good, bad);
         let prior = self.prior.denoised(&self.all);
         self.general = prior.learned(&self.all, OVERALL_PRIOR_WEIGHT);
         if let Some(it) = self.versions.get_mut(kind.version.index()) {
-            it.all.rated(bucket, good, bad);
+            it.all.record_ratings(bucket, good, bad);
             it.shape = self.general.learned(&it.all, VERSION_PRIOR_WEIGHT);
-            it.overall.view_mut(kind.turn).rated(bucket, good, bad);
+            it.overall
+                .step_mut(kind.position)
+                .record_ratings(bucket, good, bad);
             it.class_mut(kind.class)
-                .view_mut(kind.turn)
-                .rated(bucket, good, bad);
+                .step_mut(kind.position)
+                .record_ratings(bucket, good, bad);
         }
     }
 
     /// Records the seconds per token of a response and returns the previous mean,
     /// if it is based on enough responses.
-    pub(crate) fn pace(&mut self, version: key::Version, seconds: f64) -> Option<f64> {
+    pub(crate) fn record_token_time(&mut self, version: key::Version, seconds: f64) -> Option<f64> {
         let it = self.versions.get_mut(version.index())?;
-        let usual = it.pace.value(20);
-        it.pace.add(seconds);
+        let usual = it.token_time.value(20);
+        it.token_time.add(seconds);
         usual
     }
 
@@ -207,7 +217,7 @@
 
     /// Returns the expected number of completion tokens and a high estimate.
     pub(crate) fn completion(&self, version: key::Version, class: ClassIndex) -> (f64, f64) {
-        let own = self.belief(version, class).map(|it| it.completion);
+        let own = self.stats(version, class).map(|it| it.completion);
         let shared = self.classes.get(class.0).map(|it| it.completion);
         let known = own.filter(|it| it.value(5).is_some()).or(shared);
         let mean = known.and_then(|it| it.value(1)).unwrap_or(DEFAULT_TOKENS);
@@ -216,19 +226,19 @@
     }
 
     /// Returns the distribution of such responses over the confidence buckets.
-    pub(crate) fn spread(&self, kind: Kind) -> [f64; BUCKETS] {
+    pub(crate) fn confidence_distribution(&self, kind: ResponseKind) -> [f64; BUCKETS] {
         let it = self.versions.get(kind.version.index());
-        it.map_or([0.0; BUCKETS], |it| it.spread(kind))
+        it.map_or([0.0; BUCKETS], |it| it.confidence_distribution(kind))
     }
 
     /// Returns the distribution of bad responses over the confidence buckets.
-    pub(crate) fn bad_spread(&self, version: key::Version) -> [f64; BUCKETS] {
+    pub(crate) fn bad_confidence_distribution(&self, version: key::Version) -> [f64; BUCKETS] {
         let it = self.versions.get(version.index());
         *it.map_or(&self.general, |it| &it.shape).bad()
     }
 
     /// Returns the probability that such a response is rated bad.
-    pub(crate) fn rated_bad(&self, kind: Kind, bucket: Bucket) -> f64 {
+    pub(crate) fn bad_rating_chance(&self, kind: ResponseKind, bucket: Bucket) -> f64 {
         let it = self.versions.get(kind.version.index());
         it.map_or(0.5, |it| {
             let chance = it.shape.chance(it.last_fit(kind).share, bucket.index());
@@ -238,14 +248,14 @@
 
     /// Returns the number of ratings of the version in the class, over all cascade steps.
     pub(crate) fn ratings(&self, version: key::Version, class: ClassIndex) -> f64 {
-        let both = |it: &Belief| it.first.tally.ratings() + it.later.tally.ratings();
-        self.belief(version, class).map_or(0.0, both)
+        let both = |it: &ResponseStats| it.first.histogram.ratings() + it.later.histogram.ratings();
+        self.stats(version, class).map_or(0.0, both)
     }
 
     /// Returns the number of such responses.
-    pub(crate) fn answers(&self, kind: Kind) -> f64 {
-        let belief = self.belief(kind.version, kind.class);
-        belief.map_or(0.0, |it| it.view(kind.turn).tally.answers())
+    pub(crate) fn responses(&self, kind: ResponseKind) -> f64 {
+        let stats = self.stats(kind.version, kind.class);
+        stats.map_or(0.0, |it| it.step(kind.position).histogram.responses())
     }
 
     /// Compares the quality of two versions over all classes.
@@ -276,23 +286,23 @@
         Forecast {
             version,
             cost,
-            first: it.curve(class, Turn::First),
-            later: it.curve(class, Turn::Later),
+            first: it.curve(class, StepPosition::First),
+            later: it.curve(class, StepPosition::Later),
             ratings,
         }
     }
 
     fn overall_quality(&self, version: key::Version) -> Fit {
         let it = &self.versions[version.index()];
-        let tally = &it.overall.first.tally;
-        let (good, bad) = (tally.goods(), tally.bads());
+        let histogram = &it.overall.first.histogram;
+        let (good, bad) = (histogram.good_ratings(), histogram.bad_ratings());
         Fit {
             share: (it.shape.truly_good(good, bad) + 1.0) / (good + bad + 2.0),
             weight: good + bad + 2.0,
         }
     }
 
-    pub(crate) fn belief(&self, version: key::Version, class: ClassIndex) -> Option<&Belief> {
+    pub(crate) fn stats(&self, version: key::Version, class: ClassIndex) -> Option<&ResponseStats> {
         self.versions.get(version.index())?.classes.get(class.0)
     }
 }
--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -6,7 +6,7 @@
 use crate::cusum::Cusum;
 use crate::endpoint;
 use crate::evidence::BUCKETS;
-use crate::tally::Bucket;
+use crate::histogram::Bucket;
 
 /// The fractions of responses made bad by the faults that are tested for: a
 /// partial fault and one of nearly all responses.
@@ -67,7 +67,7 @@
 /// Counts of responses and ratings, without decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Totals {
-    pub(crate) answers: f64,
+    pub(crate) responses: f64,
     pub(crate) ratings: f64,
 }
 
@@ -87,17 +87,17 @@
 
 /// The expected failure rate of a healthy version under current conditions.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Normal {
-    pub(crate) errors: f64,
+pub(crate) struct FailureBaseline {
+    pub(crate) failure_rate: f64,
     /// Live endpoints of the version that this host knows.
     pub(crate) endpoints: usize,
 }
 
 /// The extent of a suspected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Scope {
+pub(crate) enum FaultScope {
     /// Other versions are mostly unaffected.
-    Own,
+    OneVersion,
     /// Many other versions are affected, so the cause is probably external.
     Shared,
 }
@@ -150,13 +150,13 @@
     }
 
     /// Records complete responses.
-    pub(crate) fn answered(&mut self, now: Duration, normal: Normal, count: f64) {
+    pub(crate) fn record_responses(&mut self, now: Duration, normal: FailureBaseline, count: f64) {
         self.count_outcomes(count, 0.0);
-        self.totals.answers += count;
+        self.totals.responses += count;
         self.consecutive_failures = 0.0;
         let ratio = |fault_share| {
-            (1.0 - failure_rate_with_fault(normal.errors, fault_share)).ln()
-                - (1.0 - normal.errors).ln()
+            (1.0 - failure_rate_with_fault(normal.failure_rate, fault_share)).ln()
+                - (1.0 - normal.failure_rate).ln()
         };
         self.errors.add(ratio(FAULT_SHARES[0]), count);
         if self.cause() == Some(Cause::Errors) {
@@ -165,10 +165,10 @@
     }
 
     /// Records `count` failures at these endpoints.
-    pub(crate) fn failed(
+    pub(crate) fn record_failures(
         &mut self,
         now: Duration,
-        normal: Normal,
+        normal: FailureBaseline,
         count: f64,
         failed_at: &[Option<endpoint::Id>],
     ) {
@@ -184,7 +184,9 @@
         if self.cause() == Some(Cause::Errors) {
             return self.record_probe(now, -2.0 * count);
         }
-        let ratio = (failure_rate_with_fault(normal.errors, FAULT_SHARES[0]) / normal.errors).ln();
+        let ratio = (failure_rate_with_fault(normal.failure_rate, FAULT_SHARES[0])
+            / normal.failure_rate)
+            .ln();
         // Repeated failures of one broken endpoint mustn't quarantine the version,
         // so they can't raise the statistic to the threshold on their own.
         let alone = normal.endpoints < 2;
@@ -203,7 +205,12 @@
     }
 
     /// Records the confidence of `count` responses.
-    pub(crate) fn confident(&mut self, now: Duration, seen: &Confidence, count: f64) {
+    pub(crate) fn record_confidence(
+        &mut self,
+        now: Duration,
+        seen: &ConfidenceObservation,
+        count: f64,
+    ) {
         let at = seen.bucket.index();
         let normal = seen.normal[at].max(0.004);
         let ratio = |fault_share: f64| {
@@ -217,17 +224,17 @@
             return;
         }
         let [partial, full] = &mut self.quality;
-        if seen.answers >= PARTIAL_FAULT_MIN_RESPONSES {
+        if seen.responses >= PARTIAL_FAULT_MIN_RESPONSES {
             partial.add_unordered(ratio(FAULT_SHARES[0]), count);
         }
         full.add_unordered(ratio(FAULT_SHARES[1]), count);
         if seen.order == Order::Known {
-            self.settle(now, seen.scope);
+            self.end_batch(now, seen.scope);
         }
     }
 
     /// Records a response whose time per token was `ratio` times the usual one.
-    pub(crate) fn took(&mut self, now: Duration, scope: Scope, ratio: f64) {
+    pub(crate) fn record_token_time(&mut self, now: Duration, scope: FaultScope, ratio: f64) {
         let log_ratio = (ratio / SLOWDOWN_RATIO).ln();
         if self.cause() == Some(Cause::Latency) {
             return self.record_probe(now, -log_ratio.clamp(-1.0, 1.0));
@@ -236,7 +243,7 @@
             log_ratio.clamp(-MAX_LATENCY_LOG_RATIO, MAX_LATENCY_LOG_RATIO),
             1.0,
         );
-        if self.latency.sum() >= LATENCY_THRESHOLD && scope == Scope::Own {
+        if self.latency.sum() >= LATENCY_THRESHOLD && scope == FaultScope::OneVersion {
             self.quarantine(now, Cause::Latency, FAULT_SHARES[1], INITIAL_PROBE_DELAY);
         }
     }
@@ -247,13 +254,13 @@
     }
 
     /// Ends a batch of unordered responses and tests for a quality fault.
-    pub(crate) fn settle(&mut self, now: Duration, scope: Scope) {
-        self.quality.iter_mut().for_each(Cusum::settle);
+    pub(crate) fn end_batch(&mut self, now: Duration, scope: FaultScope) {
+        self.quality.iter_mut().for_each(Cusum::end_batch);
         self.test_quality(now, scope, Cause::Confidence);
     }
 
     /// Records ratings.
-    pub(crate) fn rated(&mut self, now: Duration, seen: &Ratings) {
+    pub(crate) fn record_ratings(&mut self, now: Duration, seen: &RatingObservation) {
         self.totals.ratings += seen.good + seen.bad;
         let normal = seen.normal.clamp(0.02, 0.98);
         let ratio = |fault_share| {
@@ -307,13 +314,13 @@
         }
     }
 
-    fn test_quality(&mut self, now: Duration, scope: Scope, cause: Cause) {
+    fn test_quality(&mut self, now: Duration, scope: FaultScope, cause: Cause) {
         if self.is_quarantined() {
             return;
         }
         let scale = match scope {
-            Scope::Own => 1.0,
-            Scope::Shared => 4.0,
+            FaultScope::OneVersion => 1.0,
+            FaultScope::Shared => 4.0,
         };
         let [partial, full] = self.quality;
         if full.sum() >= scale * FULL_FAULT_THRESHOLD {
@@ -378,15 +385,15 @@
 
 /// The confidence bucket of a response, with the distributions that it is tested against.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Confidence {
+pub(crate) struct ConfidenceObservation {
     pub(crate) bucket: Bucket,
     /// The baseline distribution.
     pub(crate) normal: [f64; BUCKETS],
     /// The distribution over bad responses.
     pub(crate) bad: [f64; BUCKETS],
     /// The number of responses that `normal` is estimated from.
-    pub(crate) answers: f64,
-    pub(crate) scope: Scope,
+    pub(crate) responses: f64,
+    pub(crate) scope: FaultScope,
     pub(crate) order: Order,
 }
 
@@ -394,18 +401,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Order {
     Known,
-    /// Part of another host's batch, which [`Monitor::settle`] ends.
+    /// Part of another host's batch, which [`Monitor::end_batch`] ends.
     Unknown,
 }
 
 /// Ratings, with the baseline that they are tested against.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ratings {
+pub(crate) struct RatingObservation {
     pub(crate) good: f64,
     pub(crate) bad: f64,
     /// The expected fraction of bad ratings.
     pub(crate) normal: f64,
-    pub(crate) scope: Scope,
+    pub(crate) scope: FaultScope,
     /// When the responses were received, if known.
     pub(crate) answered: Option<Duration>,
 }
--- a/crates/decide/src/outbox.rs
+++ b/crates/decide/src/outbox.rs
@@ -4,9 +4,9 @@
 
 use kernel::VersionId;
 
-use crate::belief::Turn;
 use crate::event::Quality;
-use crate::evidence::{BUCKETS, Evidence, Item, Turns};
+use crate::evidence::{BUCKETS, ClassRequests, Evidence, Item};
+use crate::response_stats::StepPosition;
 use crate::samples::Sample;
 use crate::{endpoint, key};
 
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     items: Vec<Item>,
-    turns: Vec<Turns>,
+    turns: Vec<ClassRequests>,
     urgency: Urgency,
     published: Duration,
 }
@@ -34,7 +34,7 @@
     pub(crate) fn record_arrival(&mut self, class: key::Class, pinned: u32) {
         let at = self.turns.iter().position(|it| it.class == class);
         let at = at.unwrap_or_else(|| {
-            self.turns.push(Turns {
+            self.turns.push(ClassRequests {
                 class,
                 free: 0,
                 pinned: 0,
@@ -52,9 +52,9 @@
         sample: Sample,
     ) {
         let it = self.item(version, class);
-        match sample.turn {
-            Turn::First => it.answered[sample.bucket.index()] += 1,
-            Turn::Later => it.later_answered[sample.bucket.index()] += 1,
+        match sample.position {
+            StepPosition::First => it.answered[sample.bucket.index()] += 1,
+            StepPosition::Later => it.later_answered[sample.bucket.index()] += 1,
         }
     }
 
@@ -95,11 +95,11 @@
         quality: Quality,
     ) {
         let it = self.item(version, class);
-        let counts = match (sample.turn, quality) {
-            (Turn::First, Quality::Good) => &mut it.good,
-            (Turn::First, Quality::Bad) => &mut it.bad,
-            (Turn::Later, Quality::Good) => &mut it.later_good,
-            (Turn::Later, Quality::Bad) => &mut it.later_bad,
+        let counts = match (sample.position, quality) {
+            (StepPosition::First, Quality::Good) => &mut it.good,
+            (StepPosition::First, Quality::Bad) => &mut it.bad,
+            (StepPosition::Later, Quality::Good) => &mut it.later_good,
+            (StepPosition::Later, Quality::Bad) => &mut it.later_bad,
         };
         counts[sample.bucket.index()] += 1;
         if quality == Quality::Bad {
--- a/crates/decide/src/peers.rs
+++ b/crates/decide/src/peer_demand.rs
@@ -13,14 +13,14 @@
 
 /// The last demand report of each other host, and the totals by customer.
 #[derive(Debug, Default)]
-pub(crate) struct Peers {
+pub(crate) struct PeerDemand {
     hosts: HashMap<HostName, DemandReport>,
-    sums: Vec<Elsewhere>,
+    totals: Vec<CustomerDemand>,
 }
 
 /// The demand of one customer at one or all other hosts.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Elsewhere {
+pub(crate) struct CustomerDemand {
     pub(crate) chat: Flow,
     pub(crate) calls: Flow,
 }
@@ -29,18 +29,18 @@
 struct DemandReport {
     received_at: Duration,
     /// Indexed by customer of the current policy.
-    demand: Vec<Elsewhere>,
+    demand: Vec<CustomerDemand>,
 }
 
-impl Peers {
-    pub(crate) fn heard(&mut self, now: Duration, policy: &Policy, demand: &Demand) {
+impl PeerDemand {
+    pub(crate) fn record(&mut self, now: Duration, policy: &Policy, demand: &Demand) {
         let mut report = DemandReport {
             received_at: now,
-            demand: vec![Elsewhere::default(); policy.customers.len()],
+            demand: vec![CustomerDemand::default(); policy.customers.len()],
         };
         for it in &demand.rates {
             if let Some(customer) = policy.customer(&it.customer) {
-                report.demand[customer.index()] = Elsewhere {
+                report.demand[customer.index()] = CustomerDemand {
                     chat: it.chat,
                     calls: it.calls,
                 };
@@ -60,26 +60,29 @@
                 .map(|it| previous(it).unwrap_or_default())
                 .collect();
         }
-        self.sums = vec![Elsewhere::default(); old_keys.len()];
+        self.totals = vec![CustomerDemand::default(); old_keys.len()];
     }
 
     /// Removes expired reports and recomputes the totals.
-    pub(crate) fn settle(&mut self, now: Duration) {
+    pub(crate) fn update_totals(&mut self, now: Duration) {
         self.hosts
             .retain(|_, it| now.saturating_sub(it.received_at) < MAX_REPORT_AGE);
-        self.sums.fill(Elsewhere::default());
+        self.totals.fill(CustomerDemand::default());
         // Sorted, because floating-point sums depend on the order of additions.
         let mut hosts: Vec<_> = self.hosts.iter().collect();
         hosts.sort_unstable_by_key(|it| it.0);
         for (_, report) in hosts {
-            for (sum, it) in self.sums.iter_mut().zip(&report.demand) {
+            for (sum, it) in self.totals.iter_mut().zip(&report.demand) {
                 sum.chat += it.chat;
                 sum.calls += it.calls;
             }
         }
     }
 
-    pub(crate) fn elsewhere(&self, customer: key::Customer) -> Elsewhere {
-        self.sums.get(customer.index()).copied().unwrap_or_default()
+    pub(crate) fn total(&self, customer: key::Customer) -> CustomerDemand {
+        self.totals
+            .get(customer.index())
+            .copied()
+            .unwrap_or_default()
     }
 }
--- a/crates/decide/src/pilot.rs
+++ b/crates/decide/src/pilot.rs
@@ -129,7 +129,7 @@
             return Some(0.0);
         }
         let seen = monitor.totals();
-        let responses = seen.answers - self.initial_totals.answers;
+        let responses = seen.responses - self.initial_totals.responses;
         let ratings = seen.ratings - self.initial_totals.ratings;
         let compared = self.replaces.map(|it| knowledge.compare(self.version, it));
         if let Some(it) = compared
--- a/crates/decide/src/pool.rs
+++ b/crates/decide/src/pool.rs
@@ -35,20 +35,20 @@
 }
 
 impl Pool {
-    pub(crate) fn departed(&mut self, now: Duration) {
+    pub(crate) fn record_departure(&mut self, now: Duration) {
         self.departure_rate.add(now, 1.0);
     }
 
-    pub(crate) fn answered(&mut self, seconds: f64) {
+    pub(crate) fn record_duration(&mut self, seconds: f64) {
         self.seconds.add(seconds);
     }
 
-    pub(crate) fn first_byte(&mut self, seconds: f64) {
+    pub(crate) fn record_first_byte(&mut self, seconds: f64) {
         self.first_byte.add(seconds);
     }
 
     /// Returns the mean duration of an attempt in seconds, or 0 if unknown.
-    pub(crate) fn seconds(&self) -> f64 {
+    pub(crate) fn mean_seconds(&self) -> f64 {
         self.seconds.value(1).unwrap_or(0.0)
     }
 
@@ -61,7 +61,7 @@
 
     /// Estimates the queueing time of a new request of this customer, if `running`
     /// of this host's requests can run concurrently.
-    pub(crate) fn wait(
+    pub(crate) fn estimated_wait(
         &self,
         now: Duration,
         customer: key::Customer,
@@ -71,7 +71,7 @@
     ) -> Duration {
         const MAX_WAIT_SECONDS: f64 = 600.0;
         let ahead = self.queue.ahead(customer, priority, weight) + 1.0;
-        let seconds = self.seconds().max(0.001);
+        let seconds = self.mean_seconds().max(0.001);
         // The departure rate by Little's law.
         let rate = running / seconds;
         let rate = rate.max(self.departure_rate.rate(now)).max(0.2 / seconds);
@@ -102,7 +102,7 @@
     }
 
     /// Returns all targets with queued requests, services first.
-    pub(crate) fn waiting(&self) -> Vec<Target> {
+    pub(crate) fn queued_targets(&self) -> Vec<Target> {
         let versions = self.versions.iter().enumerate();
         let versions = versions.filter(|(_, it)| !it.queue.is_empty());
         let versions = versions.map(|(at, _)| Target::Version(key::Version::at(at)));
--- a/crates/decide/src/replica.rs
+++ b/crates/decide/src/replica.rs
@@ -76,12 +76,12 @@
             ejected_until: Duration::ZERO,
             consecutive_failures: 0,
         };
-        it.report(now, live, update.load);
+        it.record_load(now, live, update.load);
         it
     }
 
     /// Applies a load report. `None` keeps the last one.
-    pub(crate) fn report(&mut self, now: Duration, live: u32, load: Option<Load>) {
+    pub(crate) fn record_load(&mut self, now: Duration, live: u32, load: Option<Load>) {
         let Some(load) = load.filter(|it| it.slots > 0) else {
             return;
         };
@@ -120,7 +120,7 @@
 
     /// Returns the utilization: 0 is idle, 1 means that all slots are in use. A new
     /// endpoint counts only part of its slots.
-    pub(crate) fn fill(&self, now: Duration) -> f64 {
+    pub(crate) fn utilization(&self, now: Duration) -> f64 {
         f64::from(self.used_slots()) / (f64::from(self.slots()) * self.slow_start_factor(now))
     }
 
@@ -136,23 +136,23 @@
         stale || refused || self.used_slots() >= self.slots()
     }
 
-    pub(crate) fn sent(&mut self) {
+    pub(crate) fn begin_attempt(&mut self) {
         self.in_flight += 1;
     }
 
     /// Records the end of an attempt, whatever its outcome.
-    pub(crate) fn freed(&mut self) {
+    pub(crate) fn end_attempt(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    pub(crate) fn succeeded(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.consecutive_failures = 0;
         let max_window = f64::from(self.slots()) * Self::slot_fraction(Priority::Urgent);
         self.window = (self.window + 1.0 / self.window).min(max_window);
     }
 
     /// Records a failure; ejects the endpoint after several in a row.
-    pub(crate) fn failed(&mut self, now: Duration) {
+    pub(crate) fn record_failure(&mut self, now: Duration) {
         self.consecutive_failures += 1;
         if self.consecutive_failures >= EJECT_AFTER_FAILURES {
             self.consecutive_failures = 0;
@@ -162,7 +162,7 @@
 
     /// Records an overload response and pauses the endpoint. Load reports lag, so
     /// the pause lasts until a report made after the overload can have arrived.
-    pub(crate) fn overloaded(&mut self, now: Duration) {
+    pub(crate) fn record_overload(&mut self, now: Duration) {
         self.window = (self.window * 0.7).max(1.0);
         self.paused_until = self.paused_until.max(now + OVERLOAD_PAUSE);
     }
--- a/crates/decide/src/belief.rs
+++ b/crates/decide/src/response_stats.rs
@@ -1,8 +1,8 @@
 //! Statistics of one version in one class.
 
+use crate::histogram::{Bucket, ConfidenceHistogram};
 use crate::meter::Mean;
 use crate::shape::{Fit, Shape};
-use crate::tally::{Bucket, Tally};
 
 /// The number of observed batches of responses after which a fit is outdated.
 const REFIT_INTERVAL: u32 = 16;
@@ -12,9 +12,9 @@
 /// The first and the later steps of a cascade are separate, because later steps
 /// get the harder requests, for which another version's response was rejected.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Belief {
-    pub(crate) first: View,
-    pub(crate) later: View,
+pub(crate) struct ResponseStats {
+    pub(crate) first: StepStats,
+    pub(crate) later: StepStats,
     /// Completion tokens per response.
     pub(crate) completion: Mean,
     /// Seconds per response.
@@ -23,54 +23,54 @@
 
 /// Counts of responses and ratings at one cascade position, with the cached fit.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct View {
-    pub(crate) tally: Tally,
+pub(crate) struct StepStats {
+    pub(crate) histogram: ConfidenceHistogram,
     fit: Option<Fit>,
-    /// Calls of [`Self::answered`] since the last fit.
+    /// Calls of [`Self::record_responses`] since the last fit.
     updates_since_fit: u32,
 }
 
 /// The position of a response in a cascade: the first, or one after another
 /// version's response was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum StepPosition {
     First,
     Later,
 }
 
-impl Belief {
-    pub(crate) fn view(&self, turn: Turn) -> &View {
-        match turn {
-            Turn::First => &self.first,
-            Turn::Later => &self.later,
+impl ResponseStats {
+    pub(crate) fn step(&self, position: StepPosition) -> &StepStats {
+        match position {
+            StepPosition::First => &self.first,
+            StepPosition::Later => &self.later,
         }
     }
 
-    pub(crate) fn view_mut(&mut self, turn: Turn) -> &mut View {
-        match turn {
-            Turn::First => &mut self.first,
-            Turn::Later => &mut self.later,
+    pub(crate) fn step_mut(&mut self, position: StepPosition) -> &mut StepStats {
+        match position {
+            StepPosition::First => &mut self.first,
+            StepPosition::Later => &mut self.later,
         }
     }
 
     /// Records the completion tokens and latency of a response.
-    pub(crate) fn measured(&mut self, completion: f64, seconds: f64) {
+    pub(crate) fn record_measurement(&mut self, completion: f64, seconds: f64) {
         self.completion.add(completion);
         self.latency.add(seconds);
     }
 }
 
-impl View {
-    pub(crate) fn answered(&mut self, bucket: Bucket, count: f64) {
-        self.tally.answered(bucket, count);
+impl StepStats {
+    pub(crate) fn record_responses(&mut self, bucket: Bucket, count: f64) {
+        self.histogram.record_responses(bucket, count);
         self.updates_since_fit += 1;
         if self.updates_since_fit >= REFIT_INTERVAL {
             self.fit = None;
         }
     }
 
-    pub(crate) fn rated(&mut self, bucket: Bucket, good: f64, bad: f64) {
-        self.tally.rated(bucket, good, bad);
+    pub(crate) fn record_ratings(&mut self, bucket: Bucket, good: f64, bad: f64) {
+        self.histogram.record_ratings(bucket, good, bad);
         self.fit = None;
     }
 
@@ -80,7 +80,7 @@
         if let Some(fit) = self.fit {
             return fit;
         }
-        let fit = shape.fit(&self.tally, prior);
+        let fit = shape.fit(&self.histogram, prior);
         self.updates_since_fit = 0;
         self.fit = Some(fit);
         fit
--- a/crates/decide/src/sampler.rs
+++ b/crates/decide/src/sampler.rs
@@ -42,13 +42,13 @@
     }
 
     /// Records the arrival of a rating.
-    pub(crate) fn returned(&mut self, now: Duration) {
+    pub(crate) fn record_rating(&mut self, now: Duration) {
         self.ratings_received.add(now, 1.0);
     }
 
     /// Returns whether to send a response with this rating value, at up to `max_rate`
     /// samples per second.
-    pub(crate) fn wants(
+    pub(crate) fn admits(
         &mut self,
         now: Duration,
         value: f64,
@@ -72,7 +72,7 @@
     }
 
     /// Returns whether the rate limit permits a sample, whatever its value.
-    pub(crate) fn insists(&mut self, now: Duration, max_rate: f64) -> bool {
+    pub(crate) fn admits_any(&mut self, now: Duration, max_rate: f64) -> bool {
         let rate = (SENT_TO_RATED_RATIO * self.ratings_received.rate(now))
             .max(MIN_SAMPLES_PER_SECOND)
             .min(max_rate);
--- a/crates/decide/src/samples.rs
+++ b/crates/decide/src/samples.rs
@@ -3,9 +3,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use crate::belief::Turn;
+use crate::histogram::Bucket;
 use crate::key;
-use crate::tally::Bucket;
+use crate::response_stats::StepPosition;
 
 /// The maximum number of responses with an outstanding rating.
 const MAX_PENDING: usize = 8192;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sample {
     pub(crate) bucket: Bucket,
-    pub(crate) turn: Turn,
+    pub(crate) position: StepPosition,
     /// When the response was received; unknown for those of other hosts.
     pub(crate) at: Option<Duration>,
 }
--- a/crates/decide/src/shape.rs
+++ b/crates/decide/src/shape.rs
@@ -1,7 +1,7 @@
 //! Estimates the share of good responses from their confidence.
 
 use crate::evidence::BUCKETS;
-use crate::tally::{Bucket, Tally};
+use crate::histogram::{Bucket, ConfidenceHistogram};
 
 /// Iterations of the expectation-maximization fit.
 const FIT_ITERATIONS: u32 = 12;
@@ -59,7 +59,7 @@
 
     /// Returns the distributions estimated from ratings, with `self` as a prior
     /// that weighs `weight` ratings.
-    pub(crate) fn learned(&self, tally: &Tally, weight: f64) -> Self {
+    pub(crate) fn learned(&self, histogram: &ConfidenceHistogram, weight: f64) -> Self {
         let noise = self.noise;
         let reliability = 1.0 - 2.0 * noise;
         let mut it = *self;
@@ -68,26 +68,30 @@
                 |at: usize| ((1.0 - noise) * seen[at] - noise * other[at]).max(0.0) / reliability;
             std::array::from_fn::<f64, BUCKETS, _>(of)
         };
-        it.good = blend(&denoise(&tally.good, &tally.bad), &self.good, weight);
-        it.bad = blend(&denoise(&tally.bad, &tally.good), &self.bad, weight);
-        it.ratings = self.ratings.max(tally.ratings());
+        it.good = blend(
+            &denoise(&histogram.good, &histogram.bad),
+            &self.good,
+            weight,
+        );
+        it.bad = blend(&denoise(&histogram.bad, &histogram.good), &self.bad, weight);
+        it.ratings = self.ratings.max(histogram.ratings());
         it
     }
 
-    /// Returns the same distributions with the noise estimated from `tally`.
-    pub(crate) fn denoised(&self, tally: &Tally) -> Self {
+    /// Returns the same distributions with the noise estimated from `histogram`.
+    pub(crate) fn denoised(&self, histogram: &ConfidenceHistogram) -> Self {
         Self {
-            noise: self.estimate_noise(tally),
+            noise: self.estimate_noise(histogram),
             ..*self
         }
     }
 
     /// Estimates the share of wrong ratings. Nearly all responses of the highest
     /// confidence are good, so that bad ratings among them are mostly wrong.
-    fn estimate_noise(&self, tally: &Tally) -> f64 {
+    fn estimate_noise(&self, histogram: &ConfidenceHistogram) -> f64 {
         let top = BUCKETS - TOP_BUCKETS..;
-        let bad: f64 = tally.bad[top.clone()].iter().sum();
-        let good: f64 = tally.good[top].iter().sum();
+        let bad: f64 = histogram.bad[top.clone()].iter().sum();
+        let good: f64 = histogram.good[top].iter().sum();
         let noise = (bad + NOISE_PRIOR_RATINGS * self.noise) / (bad + good + NOISE_PRIOR_RATINGS);
         noise.min(MAX_NOISE.max(self.noise))
     }
@@ -123,8 +127,8 @@
     }
 
     /// Estimates the share of good responses by expectation maximization.
-    pub(crate) fn fit(&self, tally: &Tally, prior: Fit) -> Fit {
-        let unrated = (tally.answers() - tally.ratings()).max(0.0);
+    pub(crate) fn fit(&self, histogram: &ConfidenceHistogram, prior: Fit) -> Fit {
+        let unrated = (histogram.responses() - histogram.ratings()).max(0.0);
         let scale = (MAX_UNRATED / unrated.max(1e-9)).min(1.0);
         let mut share = prior.share;
         let mut total = 1.0;
@@ -133,18 +137,18 @@
             total = prior.weight;
             for at in 0..BUCKETS {
                 let chance = self.chance(share, at);
-                let rated = tally.good[at] + tally.bad[at];
-                let unrated = (tally.answered[at] - rated).max(0.0) * scale;
+                let rated = histogram.good[at] + histogram.bad[at];
+                let unrated = (histogram.answered[at] - rated).max(0.0) * scale;
                 good += unrated * chance;
-                good += tally.good[at] * posterior_good(chance, 1.0 - self.noise);
-                good += tally.bad[at] * posterior_good(chance, self.noise);
+                good += histogram.good[at] * posterior_good(chance, 1.0 - self.noise);
+                good += histogram.bad[at] * posterior_good(chance, self.noise);
                 total += unrated + rated;
             }
             share = (good / total).clamp(0.005, 0.995);
         }
         let trust = self.ratings / (self.ratings + HALF_TRUST_RATINGS);
         let reliability = (1.0 - 2.0 * self.noise).powi(2);
-        let rated = tally.ratings();
+        let rated = histogram.ratings();
         let unrated = (total - prior.weight - rated).max(0.0);
         let weight = prior.weight + reliability * rated + UNRATED_WEIGHT * trust * unrated;
         Fit { share, weight }
--- a/crates/decide/src/record.rs
+++ b/crates/decide/src/version_stats.rs
@@ -1,12 +1,12 @@
 //! Statistics of one version.
 
-use crate::belief::{Belief, Turn};
 use crate::evidence::BUCKETS;
 use crate::forecast::Curve;
-use crate::knowledge::{ClassIndex, Kind};
+use crate::histogram::{Bucket, ConfidenceHistogram};
+use crate::knowledge::{ClassIndex, ResponseKind};
 use crate::meter::Mean;
+use crate::response_stats::{ResponseStats, StepPosition};
 use crate::shape::{Fit, Shape, blend};
-use crate::tally::{Bucket, Tally};
 
 /// The weight, in responses, of the fitted confidence distribution.
 const FITTED_DISTRIBUTION_WEIGHT: f64 = 12.0;
@@ -20,45 +20,46 @@
 
 /// Statistics of one version.
 #[derive(Clone, Debug)]
-pub(crate) struct Record {
+pub(crate) struct VersionStats {
     /// The rank of its price among all versions, from 0 (cheapest) to 1 (most
     /// expensive).
     pub(crate) price_rank: f64,
     /// Ratings over all classes and cascade positions.
-    pub(crate) all: Tally,
+    pub(crate) all: ConfidenceHistogram,
     pub(crate) shape: Shape,
     /// Seconds per token.
-    pub(crate) pace: Mean,
+    pub(crate) token_time: Mean,
     /// Statistics over all classes.
-    pub(crate) overall: Belief,
-    pub(crate) classes: Vec<Belief>,
+    pub(crate) overall: ResponseStats,
+    pub(crate) classes: Vec<ResponseStats>,
 }
 
-impl Record {
+impl VersionStats {
     pub(crate) fn new(shape: Shape) -> Self {
         Self {
             price_rank: 0.0,
-            all: Tally::default(),
+            all: ConfidenceHistogram::default(),
             shape,
-            pace: Mean::default(),
-            overall: Belief::default(),
+            token_time: Mean::default(),
+            overall: ResponseStats::default(),
             classes: Vec::new(),
         }
     }
 
-    pub(crate) fn class_mut(&mut self, class: ClassIndex) -> &mut Belief {
+    pub(crate) fn class_mut(&mut self, class: ClassIndex) -> &mut ResponseStats {
         if self.classes.len() <= class.0 {
-            self.classes.resize_with(class.0 + 1, Belief::default);
+            self.classes
+                .resize_with(class.0 + 1, ResponseStats::default);
         }
         &mut self.classes[class.0]
     }
 
     /// Returns the distribution of such responses over the confidence buckets.
-    pub(crate) fn spread(&self, kind: Kind) -> [f64; BUCKETS] {
+    pub(crate) fn confidence_distribution(&self, kind: ResponseKind) -> [f64; BUCKETS] {
         let fitted = self.shape.spread(self.last_fit(kind).share);
         match self.classes.get(kind.class.0) {
             Some(it) => blend(
-                &it.view(kind.turn).tally.answered,
+                &it.step(kind.position).histogram.answered,
                 &fitted,
                 FITTED_DISTRIBUTION_WEIGHT,
             ),
@@ -67,56 +68,58 @@
     }
 
     /// Returns the fraction of good responses from the last fit, or the prior.
-    pub(crate) fn last_fit(&self, kind: Kind) -> Fit {
+    pub(crate) fn last_fit(&self, kind: ResponseKind) -> Fit {
         match self.classes.get(kind.class.0) {
-            Some(it) => it.view(kind.turn).last_fit(self.class_prior(it, kind.turn)),
-            None => self.prior(kind.turn),
+            Some(it) => it
+                .step(kind.position)
+                .last_fit(self.class_prior(it, kind.position)),
+            None => self.prior(kind.position),
         }
     }
 
     /// Returns the prior quality, which increases with the price.
-    fn prior(&self, turn: Turn) -> Fit {
+    fn prior(&self, position: StepPosition) -> Fit {
         let first = Fit {
             share: 0.8 + 0.15 * self.price_rank,
             weight: PRIOR_WEIGHT,
         };
-        match turn {
-            Turn::First => first,
-            Turn::Later => later_step_prior(first),
+        match position {
+            StepPosition::First => first,
+            StepPosition::Later => later_step_prior(first),
         }
     }
 
     /// Returns the prior quality in a class. That of later steps is derived from the
     /// estimate for the first step.
-    fn class_prior(&self, belief: &Belief, turn: Turn) -> Fit {
-        let first = self.prior(Turn::First);
-        match turn {
-            Turn::First => first,
-            Turn::Later => later_step_prior(belief.first.last_fit(first)),
+    fn class_prior(&self, stats: &ResponseStats, position: StepPosition) -> Fit {
+        let first = self.prior(StepPosition::First);
+        match position {
+            StepPosition::First => first,
+            StepPosition::Later => later_step_prior(stats.first.last_fit(first)),
         }
     }
 
     /// Computes the fractions of passing and of good responses for each threshold.
-    pub(crate) fn curve(&mut self, class: ClassIndex, turn: Turn) -> Curve {
+    pub(crate) fn curve(&mut self, class: ClassIndex, position: StepPosition) -> Curve {
         let shape = self.shape;
-        let prior = self.class_prior(&self.classes[class.0], turn);
-        let view = self.classes[class.0].view_mut(turn);
-        let fit = view.fit(&shape, prior);
-        let tally = view.tally;
-        let spread = blend(
-            &tally.answered,
+        let prior = self.class_prior(&self.classes[class.0], position);
+        let step = self.classes[class.0].step_mut(position);
+        let fit = step.fit(&shape, prior);
+        let histogram = step.histogram;
+        let distribution = blend(
+            &histogram.answered,
             &shape.spread(fit.share),
             FITTED_DISTRIBUTION_WEIGHT,
         );
         let mut curve = Curve::default();
         for bucket in Bucket::all().rev() {
             let at = bucket.index();
-            let (good, bad) = (tally.good[at], tally.bad[at]);
+            let (good, bad) = (histogram.good[at], histogram.bad[at]);
             let weighted_good =
                 PREDICTION_WEIGHT * shape.chance(fit.share, at) + shape.truly_good(good, bad);
             let chance = weighted_good / (PREDICTION_WEIGHT + good + bad);
-            curve.pass[at] = curve.pass[at + 1] + spread[at];
-            curve.good[at] = curve.good[at + 1] + spread[at] * chance;
+            curve.pass[at] = curve.pass[at + 1] + distribution[at];
+            curve.good[at] = curve.good[at + 1] + distribution[at] * chance;
             let pass = curve.pass[at].max(1e-9);
             let passing = Fit {
                 share: curve.good[at] / pass,
