--- a/crates/barleypind/src/policy.rs
+++ b/crates/barleypind/src/policy.rs
@@ -6,7 +6,8 @@
 use config::{Document, RolloutState, VersionState};
 use decide::key;
 use decide::policy::{
-    Allowance, Customer, Pace, Policy, Priority, Profile, Repeat, Rollout, Service, State, Version,
+    Allowance, Customer, Policy, Priority, Profile, Repeat, Rollout, RolloutMode, Service, State,
+    Version,
 };
 use kernel::VersionId;
 
@@ -145,15 +146,15 @@
 }
 
 fn rollout(id: &VersionId, rollout: &config::Rollout, versions: &Index<'_>) -> Option<Rollout> {
-    let pace = match rollout.state {
-        RolloutState::Running => Pace::Running,
-        RolloutState::Paused => Pace::Paused,
+    let mode = match rollout.state {
+        RolloutState::Running => RolloutMode::Running,
+        RolloutState::Paused => RolloutMode::Paused,
         RolloutState::Aborted | RolloutState::Done => return None,
     };
     Some(Rollout {
         id: Arc::from(id.as_str()),
         version: versions.get(id)?,
         replaces: versions.get(&rollout.replaces),
-        pace,
+        mode,
     })
 }
--- a/crates/decide/src/class.rs
+++ b/crates/decide/src/class_traffic.rs
@@ -12,7 +12,7 @@
 
 /// Traffic statistics of a request class.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Class {
+pub(crate) struct ClassTraffic {
     pub(crate) key: key::Class,
     pub(crate) prompt: Mean,
     pub(crate) age: Age,
@@ -32,10 +32,10 @@
     /// The first request, at this or another host, came at this time.
     Since(Duration),
     /// Another host sent its statistics of the class.
-    Told,
+    Reported,
 }
 
-impl Class {
+impl ClassTraffic {
     pub(crate) fn new(key: key::Class) -> Self {
         Self {
             key,
@@ -50,7 +50,7 @@
 
     /// Records requests of the class at this or another host, without and with a
     /// version.
-    pub(crate) fn turned(&mut self, now: Duration, free: u32, pinned: u32) {
+    pub(crate) fn record_requests(&mut self, now: Duration, free: u32, pinned: u32) {
         let it = self;
         if it.age == Age::Unseen {
             it.age = Age::Since(now);
@@ -64,9 +64,9 @@
     }
 
     /// Adds another host's statistics of the class.
-    pub(crate) fn told(&mut self, free: u32, pinned: u32) {
+    pub(crate) fn add_report(&mut self, free: u32, pinned: u32) {
         let it = self;
-        it.age = Age::Told;
+        it.age = Age::Reported;
         it.free += f64::from(free);
         it.pinned += f64::from(pinned);
     }
@@ -83,7 +83,7 @@
         let is_new = match it.age {
             Age::Unseen => true,
             Age::Since(first) => now.saturating_sub(first) < MIN_AGE,
-            Age::Told => false,
+            Age::Reported => false,
         };
         if is_new || seen < MIN_REQUESTS {
             return DEFAULT_SHARE;
--- a/crates/decide/src/shape.rs
+++ b/crates/decide/src/confidence_model.rs
@@ -24,7 +24,7 @@
 /// The confidence of unrated responses follows a mixture of the two, from which
 /// the share of good ones is estimated with few ratings.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct ConfidenceModel {
     good: [f64; BUCKETS],
     bad: [f64; BUCKETS],
     /// The share of wrong ratings.
@@ -40,7 +40,7 @@
     pub(crate) weight: f64,
 }
 
-impl Shape {
+impl ConfidenceModel {
     /// Returns the prior: good responses tend to high confidence, bad ones to low.
     pub(crate) fn prior(noise: f64) -> Self {
         let mut it = Self {
@@ -59,7 +59,7 @@
 
     /// Returns the distributions estimated from ratings, with `self` as a prior
     /// that weighs `weight` ratings.
-    pub(crate) fn learned(&self, histogram: &ConfidenceHistogram, weight: f64) -> Self {
+    pub(crate) fn updated(&self, histogram: &ConfidenceHistogram, weight: f64) -> Self {
         let noise = self.noise;
         let reliability = 1.0 - 2.0 * noise;
         let mut it = *self;
@@ -79,7 +79,7 @@
     }
 
     /// Returns the same distributions with the noise estimated from `histogram`.
-    pub(crate) fn denoised(&self, histogram: &ConfidenceHistogram) -> Self {
+    pub(crate) fn with_noise_from(&self, histogram: &ConfidenceHistogram) -> Self {
         Self {
             noise: self.estimate_noise(histogram),
             ..*self
@@ -97,12 +97,12 @@
     }
 
     /// Returns the distribution of confidence if `share` of the responses are good.
-    pub(crate) fn spread(&self, share: f64) -> [f64; BUCKETS] {
+    pub(crate) fn distribution(&self, share: f64) -> [f64; BUCKETS] {
         std::array::from_fn(|at| share * self.good[at] + (1.0 - share) * self.bad[at])
     }
 
     /// Returns the distribution of confidence over bad responses.
-    pub(crate) fn bad(&self) -> &[f64; BUCKETS] {
+    pub(crate) fn bad_distribution(&self) -> &[f64; BUCKETS] {
         &self.bad
     }
 
@@ -115,7 +115,7 @@
 
     /// Returns the probability that a response is rated bad, given the probability
     /// that it is good.
-    pub(crate) fn rated_bad(&self, chance: f64) -> f64 {
+    pub(crate) fn bad_rating_chance(&self, chance: f64) -> f64 {
         chance * self.noise + (1.0 - chance) * (1.0 - self.noise)
     }
 
--- a/crates/decide/src/decider.rs
+++ b/crates/decide/src/decider.rs
@@ -21,7 +21,6 @@
 
 use crate::attempt;
 use crate::attempts::Attempts;
-use crate::bucket::Bucket;
 use crate::directory::Directory;
 use crate::event::Event;
 use crate::health::Health;
@@ -29,12 +28,13 @@
 use crate::limiter::Limiter;
 use crate::outbox::Outbox;
 use crate::peer_demand::PeerDemand;
-use crate::pilot::Pilot;
-use crate::plans::Plans;
+use crate::plan_cache::PlanCache;
 use crate::pool::Pools;
 use crate::request::{self, Request};
+use crate::rollout_controller::RolloutController;
 use crate::sampler::Sampler;
 use crate::samples::Samples;
+use crate::token_bucket::TokenBucket;
 use crate::{Action, Evidence, Policy, Tuning, endpoint, key};
 
 /// Initial balance of the retry budget.
@@ -58,7 +58,7 @@
     pools: Pools,
     knowledge: Knowledge,
     health: Health,
-    plans: Plans,
+    plans: PlanCache,
     limiters: Vec<Limits>,
     peers: PeerDemand,
     samples: Samples,
@@ -66,10 +66,10 @@
     /// Truncated responses. They count against the version only if the endpoint turns out to have
     /// survived.
     cut_responses: VecDeque<failures::Failure>,
-    pilots: Vec<Pilot>,
+    rollout_controllers: Vec<RolloutController>,
     /// Last resorts for which [`Action::LastResort`] has been emitted.
     reported_last_resorts: BTreeSet<LastResort>,
-    retries: Bucket,
+    retries: TokenBucket,
     sampler: Sampler,
     next_periodic: Duration,
 }
@@ -111,15 +111,15 @@
             pools: Pools::default(),
             knowledge: Knowledge::new(tuning.rating_noise),
             health: Health::default(),
-            plans: Plans::default(),
+            plans: PlanCache::default(),
             limiters: Vec::new(),
             peers: PeerDemand::default(),
             samples: Samples::default(),
             outbox: Outbox::default(),
             cut_responses: VecDeque::new(),
-            pilots: Vec::new(),
+            rollout_controllers: Vec::new(),
             reported_last_resorts: BTreeSet::new(),
-            retries: Bucket::new(INITIAL_RETRIES, Duration::ZERO),
+            retries: TokenBucket::new(INITIAL_RETRIES, Duration::ZERO),
             sampler: Sampler::new(),
             next_periodic: Duration::ZERO,
             tuning,
--- a/crates/decide/src/decider/arrive.rs
+++ b/crates/decide/src/decider/arrive.rs
@@ -81,7 +81,7 @@
         });
         self.by_id.insert(id, key);
         self.retries
-            .earn(self.tuning.retry_share, MAX_SAVED_RETRIES);
+            .deposit(self.tuning.retry_share, MAX_SAVED_RETRIES);
         Ok(key)
     }
 
@@ -135,7 +135,7 @@
                 let pinned = u32::from(chat.pin.is_some());
                 self.knowledge.record_arrival(class, chat.prompt_tokens);
                 let known = self.knowledge.traffic_mut(class);
-                known.turned(now, 1 - pinned, pinned);
+                known.record_requests(now, 1 - pinned, pinned);
                 self.outbox.record_arrival(chat.class, pinned);
                 class
             }
--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -107,7 +107,7 @@
         let best = enough
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
             .or_else(|| it.iter().max_by(|a, b| a.quality().total_cmp(&b.quality())))?;
-        Some(Plan::of(&[Step::last(best.version)]))
+        Some(Plan::new(&[Step::last(best.version)]))
     }
 
     /// Returns the current step if its version may still be used, or else the first step of a new
@@ -134,7 +134,7 @@
             let step = Step::last(pin);
             let request = &mut self.requests[key];
             request.session = Session::Kept;
-            request.plan = Plan::of(&[step]);
+            request.plan = Plan::new(&[step]);
             request.step = 0;
             self.require_endpoint(Target::Version(pin))?;
             return Ok(step);
@@ -153,7 +153,7 @@
             }
         }
         if let (Some(_), Some(last)) = (request.fallback, plan.last()) {
-            plan = Plan::of(&[Step::last(last.version)]);
+            plan = Plan::new(&[Step::last(last.version)]);
         }
         request.plan = plan;
         request.step = 0;
@@ -223,7 +223,7 @@
         let best = it.iter().max_by(|a, b| a.quality().total_cmp(&b.quality()));
         let step = Step::last(best.ok_or(Reason::CostCap)?.version);
         let request = &mut self.requests[key];
-        request.plan = Plan::of(&[step]);
+        request.plan = Plan::new(&[step]);
         request.step = 0;
         Ok(step)
     }
--- a/crates/decide/src/decider/configure.rs
+++ b/crates/decide/src/decider/configure.rs
@@ -9,9 +9,9 @@
 use crate::endpoint::Update;
 use crate::limiter::Limiter;
 use crate::monitor::Monitor;
-use crate::pilot::Pilot;
 use crate::plan::Plan;
 use crate::request::{self, Request};
+use crate::rollout_controller::RolloutController;
 use crate::{Action, Policy, key};
 
 /// Maps the keys of one policy to those of another, by index.
@@ -47,7 +47,7 @@
         self.plans.configure(&self.policy);
         self.directory.configure(&self.policy);
         self.remap_limits(now, &old, &to_old.customers);
-        self.renew_pilots(now);
+        self.renew_rollout_controllers(now);
         self.reported_last_resorts.clear();
         self.hedgeable.clear();
         for attempt in self.attempts.iter_mut() {
@@ -110,14 +110,19 @@
         self.peers.configure(from);
     }
 
-    fn renew_pilots(&mut self, now: Duration) {
-        let old = std::mem::take(&mut self.pilots);
+    fn renew_rollout_controllers(&mut self, now: Duration) {
+        let old = std::mem::take(&mut self.rollout_controllers);
         for rollout in &self.policy.rollouts {
             let known = old.iter().find(|it| it.is_of(rollout));
             let totals = self.health.get(rollout.version).map(Monitor::totals);
             let totals = totals.unwrap_or_default();
-            self.pilots
-                .push(Pilot::new(now, &self.policy, rollout, totals, known));
+            self.rollout_controllers.push(RolloutController::new(
+                now,
+                &self.policy,
+                rollout,
+                totals,
+                known,
+            ));
         }
     }
 }
@@ -177,7 +182,7 @@
         for step in &mut steps {
             step.version = self.version(step.version);
         }
-        request.plan = Plan::of(&steps);
+        request.plan = Plan::new(&steps);
         request.last_failed_version = request.last_failed_version.map(|it| self.version(it));
         if let Some(fallback) = &mut request.fallback {
             fallback.version = self.version(fallback.version);
--- a/crates/decide/src/decider/evidence.rs
+++ b/crates/decide/src/decider/evidence.rs
@@ -31,7 +31,7 @@
         for it in &evidence.turns {
             let class = self.knowledge.class_index(it.class);
             let known = self.knowledge.traffic_mut(class);
-            known.turned(now, it.free, it.pinned);
+            known.record_requests(now, it.free, it.pinned);
         }
         for item in &evidence.items {
             if let Some(version) = self.policy.version(&item.version) {
--- a/crates/decide/src/decider/place.rs
+++ b/crates/decide/src/decider/place.rs
@@ -31,7 +31,7 @@
         };
         let priority = request.priority;
         let pool = self.pools.get(next.target);
-        let free = pool.is_some_and(|it| !it.queue.is_ahead(priority));
+        let free = pool.is_some_and(|it| !it.queue.has_at_or_above(priority));
         if free && self.try_send(now, key, next, actions) {
             return;
         }
@@ -101,7 +101,7 @@
         // The queues with the most urgent requests come first.
         targets.sort_by_key(|it| {
             let queue = self.pools.get(*it).map(|it| &it.queue);
-            let ahead = |priority: &Priority| queue.is_some_and(|it| it.is_ahead(*priority));
+            let ahead = |priority: &Priority| queue.is_some_and(|it| it.has_at_or_above(*priority));
             Priority::ALL.iter().position(ahead)
         });
         for target in targets {
@@ -246,8 +246,8 @@
         self.by_id.remove(&request.id);
         if let Some(limits) = self.limiters.get_mut(request.customer.index()) {
             match request.work {
-                Work::Chat(_) => limits.chat.released(),
-                Work::Call(_) => limits.calls.released(),
+                Work::Chat(_) => limits.chat.release(),
+                Work::Call(_) => limits.calls.release(),
             }
         }
         for attempt in request.in_flight.into_iter().flatten() {
@@ -274,7 +274,7 @@
         for next in self.alternatives(now, key) {
             if self.try_send(now, key, next, actions) {
                 if let Some(request) = self.requests.get_mut(key) {
-                    request.plan = Plan::of(&[next.step]);
+                    request.plan = Plan::new(&[next.step]);
                     request.step = 0;
                 }
                 return true;
--- a/crates/decide/src/decider/plan.rs
+++ b/crates/decide/src/decider/plan.rs
@@ -14,8 +14,8 @@
 use crate::monitor::Monitor;
 use crate::number::float;
 use crate::plan::{Plan, STEPS, Step};
-use crate::planner::{Goal, Mix, plan};
-use crate::plans::{Entry, Explore, Name};
+use crate::plan_cache::{CachedPlan, Exploration, PlanKey};
+use crate::planner::{Goal, Mix, find_cheapest_mix};
 use crate::policy::State;
 use crate::refusal::Reason;
 use crate::{Action, key, request};
@@ -67,8 +67,8 @@
                 continue;
             }
             plan = match rollout.replaces {
-                Some(old) => plan.replaced(old, version),
-                None => Plan::of(&[Step::last(version)]),
+                Some(old) => plan.with_version_replaced(old, version),
+                None => Plan::new(&[Step::last(version)]),
             };
         }
         plan
@@ -80,7 +80,7 @@
         &mut self,
         now: Duration,
         input: &PlanInput,
-        entry: &Entry,
+        entry: &CachedPlan,
         plan: Plan,
     ) -> Plan {
         if self.health.has_quarantined() {
@@ -90,13 +90,13 @@
                     && !plan.uses(*version);
                 let monitor = self.health.get_mut(*version);
                 if free && monitor.is_some_and(|it| it.take_probe(now)) {
-                    return plan.after(*version);
+                    return plan.preceded_by_probe(*version);
                 }
             }
         }
         match entry.explore {
             Some(it) if self.rng.random::<f64>() < it.share && !plan.uses(it.version) => {
-                plan.after(it.version)
+                plan.preceded_by_probe(it.version)
             }
             _ => plan,
         }
@@ -106,11 +106,11 @@
         &mut self,
         now: Duration,
         input: &PlanInput,
-    ) -> Result<Entry, Reason> {
-        let menu = self.plans.menu(input.profile, input.customer);
-        let name = Name {
+    ) -> Result<CachedPlan, Reason> {
+        let version_set = self.plans.version_set(input.profile, input.customer);
+        let name = PlanKey {
             profile: input.profile,
-            menu: menu.ok_or(Reason::NotAllowed)?,
+            version_set: version_set.ok_or(Reason::NotAllowed)?,
             class: input.class,
             steps: input.max_steps,
         };
@@ -126,7 +126,7 @@
         &mut self,
         now: Duration,
         input: &PlanInput,
-    ) -> Result<Entry, Reason> {
+    ) -> Result<CachedPlan, Reason> {
         let healthy = self.forecasts(input);
         let (usable, last_resort) = if healthy.is_empty() {
             let it = self.fallback_forecast(input)?;
@@ -142,13 +142,13 @@
             steps: input.max_steps,
             pinned: input.pinned_share,
         };
-        let mix = plan(&usable, &goal).ok_or(Reason::NoVersion)?;
-        Ok(Entry {
+        let mix = find_cheapest_mix(&usable, &goal).ok_or(Reason::NoVersion)?;
+        Ok(CachedPlan {
             mix,
             explore: self.exploration(&usable, &mix, &goal),
             last_resort,
-            made: now,
-            changes: self.knowledge.revision(),
+            made_at: now,
+            knowledge_revision: self.knowledge.revision(),
         })
     }
 
@@ -159,7 +159,7 @@
         usable: &[Forecast],
         mix: &Mix,
         goal: &Goal,
-    ) -> Option<Explore> {
+    ) -> Option<Exploration> {
         let short = mix.quality < goal.target;
         let unused = usable
             .iter()
@@ -179,7 +179,7 @@
         };
         // A version that is cheap compared with the plan is explored more often.
         let cheapness = (mix.cost / least.cost.max(1.0)).clamp(1.0, 6.0);
-        Some(Explore {
+        Some(Exploration {
             version: least.version,
             share: part * cheapness * self.tuning.explore_share,
         })
--- a/crates/decide/src/decider/tick.rs
+++ b/crates/decide/src/decider/tick.rs
@@ -37,8 +37,8 @@
         let live = f64::from(self.live_hosts);
         for (at, limits) in self.limiters.iter_mut().enumerate() {
             let elsewhere = self.peers.total(key::Customer::at(at));
-            limits.chat.share(now, live, elsewhere.chat);
-            limits.calls.share(now, live, elsewhere.calls);
+            limits.chat.update_share(now, live, elsewhere.chat);
+            limits.calls.update_share(now, live, elsewhere.calls);
         }
     }
 
@@ -147,8 +147,8 @@
     }
 
     fn step_rollouts(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        for pilot in &mut self.pilots {
-            let step = pilot.step(now, &self.policy, &self.health, &self.knowledge);
+        for controller in &mut self.rollout_controllers {
+            let step = controller.due_step(now, &self.policy, &self.health, &self.knowledge);
             actions.extend(step.map(Action::Step));
         }
     }
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -32,7 +32,7 @@
         let running = f64::from(self.directory.in_flight(next.target));
         let running = running.max(self.directory.slot_share(next.target));
         let wait = pool.estimated_wait(now, request.customer, request.priority, weight, running);
-        let own = pool.queue.own(request.customer, request.priority);
+        let own = pool.queue.queued_for(request.customer, request.priority);
         if own >= self.max_queued(weight) || pool.queue.len() >= 2 * self.tuning.queue_length {
             return Err(WaitRefused::new(Reason::Overloaded, Some(wait)));
         }
--- a/crates/decide/src/digest.rs
+++ b/crates/decide/src/digest.rs
@@ -39,7 +39,7 @@
         }
         for it in &digest.turns {
             let class = self.class_index(it.class);
-            self.traffic_mut(class).told(it.free, it.pinned);
+            self.traffic_mut(class).add_report(it.free, it.pinned);
         }
         for item in &digest.items {
             if let Some(version) = policy.version(&item.version) {
--- a/crates/decide/src/knowledge.rs
+++ b/crates/decide/src/knowledge.rs
@@ -4,15 +4,15 @@
 
 use kernel::Money;
 
-use crate::class::Class;
+use crate::class_traffic::ClassTraffic;
+use crate::confidence_model::{ConfidenceModel, Fit};
 use crate::evidence::BUCKETS;
 use crate::forecast::Forecast;
 use crate::histogram::{Bucket, ConfidenceHistogram};
 use crate::meter::Mean;
 use crate::number::{count, float};
-use crate::pilot::Comparison;
 use crate::response_stats::{ResponseStats, StepPosition};
-use crate::shape::{Fit, Shape};
+use crate::rollout_controller::Comparison;
 use crate::version_stats::VersionStats;
 use crate::{Policy, key};
 
@@ -28,13 +28,13 @@
 /// Statistics of all versions by request class.
 #[derive(Debug)]
 pub(crate) struct Knowledge {
-    classes: Vec<Class>,
+    classes: Vec<ClassTraffic>,
     versions: Vec<VersionStats>,
     /// Ratings of all versions together.
     all: ConfidenceHistogram,
-    prior: Shape,
+    prior: ConfidenceModel,
     /// The confidence distributions estimated from `all`.
-    general: Shape,
+    general: ConfidenceModel,
     /// Increases with each observation, to detect outdated plans.
     revision: u64,
 }
@@ -54,7 +54,7 @@
 impl Knowledge {
     /// Creates an instance with priors only; `noise` is the fraction of wrong ratings.
     pub(crate) fn new(noise: f64) -> Self {
-        let prior = Shape::prior(noise);
+        let prior = ConfidenceModel::prior(noise);
         Self {
             classes: Vec::new(),
             versions: Vec::new(),
@@ -95,7 +95,7 @@
         if self.classes.len() == MAX_CLASSES {
             return ClassIndex(0);
         }
-        self.classes.push(Class::new(key));
+        self.classes.push(ClassTraffic::new(key));
         ClassIndex(self.classes.len() - 1)
     }
 
@@ -121,12 +121,12 @@
     }
 
     /// Returns the statistics of a class.
-    pub(crate) fn traffic(&self, class: ClassIndex) -> &Class {
+    pub(crate) fn traffic(&self, class: ClassIndex) -> &ClassTraffic {
         &self.classes[class.0]
     }
 
     /// Returns the statistics of a class for update.
-    pub(crate) fn traffic_mut(&mut self, class: ClassIndex) -> &mut Class {
+    pub(crate) fn traffic_mut(&mut self, class: ClassIndex) -> &mut ClassTraffic {
         &mut self.classes[class.0]
     }
 
@@ -183,11 +183,11 @@
     ) {
         self.revision += 1;
         self.all.record_ratings(bucket, good, bad);
-        let prior = self.prior.denoised(&self.all);
-        self.general = prior.learned(&self.all, OVERALL_PRIOR_WEIGHT);
+        let prior = self.prior.with_noise_from(&self.all);
+        self.general = prior.updated(&self.all, OVERALL_PRIOR_WEIGHT);
         if let Some(it) = self.versions.get_mut(kind.version.index()) {
             it.all.record_ratings(bucket, good, bad);
-            it.shape = self.general.learned(&it.all, VERSION_PRIOR_WEIGHT);
+            it.model = self.general.updated(&it.all, VERSION_PRIOR_WEIGHT);
             it.overall
                 .step_mut(kind.position)
                 .record_ratings(bucket, good, bad);
@@ -234,15 +234,15 @@
     /// Returns the distribution of bad responses over the confidence buckets.
     pub(crate) fn bad_confidence_distribution(&self, version: key::Version) -> [f64; BUCKETS] {
         let it = self.versions.get(version.index());
-        *it.map_or(&self.general, |it| &it.shape).bad()
+        *it.map_or(&self.general, |it| &it.model).bad_distribution()
     }
 
     /// Returns the probability that such a response is rated bad.
     pub(crate) fn bad_rating_chance(&self, kind: ResponseKind, bucket: Bucket) -> f64 {
         let it = self.versions.get(kind.version.index());
         it.map_or(0.5, |it| {
-            let chance = it.shape.chance(it.last_fit(kind).share, bucket.index());
-            it.shape.rated_bad(chance)
+            let chance = it.model.chance(it.last_fit(kind).share, bucket.index());
+            it.model.bad_rating_chance(chance)
         })
     }
 
@@ -297,7 +297,7 @@
         let histogram = &it.overall.first.histogram;
         let (good, bad) = (histogram.good_ratings(), histogram.bad_ratings());
         Fit {
-            share: (it.shape.truly_good(good, bad) + 1.0) / (good + bad + 2.0),
+            share: (it.model.truly_good(good, bad) + 1.0) / (good + bad + 2.0),
             weight: good + bad + 2.0,
         }
     }
--- a/crates/decide/src/limiter.rs
+++ b/crates/decide/src/limiter.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use crate::bucket::Bucket;
 use crate::demand::Flow;
 use crate::meter::Meter;
 use crate::policy::Customer;
 use crate::refusal::{Reason, Refusal, Run};
+use crate::token_bucket::TokenBucket;
 
 /// The time constant of the average demand.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(2);
@@ -18,7 +18,7 @@
 /// host's share of its demand.
 #[derive(Clone, Debug)]
 pub(crate) struct Limiter {
-    bucket: Bucket,
+    bucket: TokenBucket,
     arrivals: Meter,
     in_flight: u32,
     /// This host's shares of the fleet-wide rate and concurrency.
@@ -29,7 +29,7 @@
 impl Limiter {
     pub(crate) fn new(now: Duration, limits: &Customer, live: f64) -> Self {
         Self {
-            bucket: Bucket::new((limits.burst / live).max(1.0), now),
+            bucket: TokenBucket::new((limits.burst / live).max(1.0), now),
             arrivals: Meter::new(DEMAND_TIME_CONSTANT),
             in_flight: 0,
             rate_share: 1.0 / live,
@@ -55,14 +55,14 @@
             return Err(Refusal {
                 reason: Reason::RateLimited,
                 run: Run::NotRun,
-                retry_after: Some(self.bucket.wait(rate)),
+                retry_after: Some(self.bucket.time_to_token(rate)),
             });
         }
         self.in_flight += 1;
         Ok(())
     }
 
-    pub(crate) fn released(&mut self) {
+    pub(crate) fn release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Updates this host's shares of the limits from the demand at the other hosts.
-    pub(crate) fn share(&mut self, now: Duration, live: f64, elsewhere: Flow) {
+    pub(crate) fn update_share(&mut self, now: Duration, live: f64, elsewhere: Flow) {
         let own = self.flow(now);
         self.rate_share = share_of(own.rate, elsewhere.rate, live);
         // Uses the arrival rate if nothing is in flight.
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -45,7 +45,7 @@
 
 impl Plan {
     /// Creates a plan from the first [`STEPS`] of `steps`.
-    pub(crate) fn of(steps: &[Step]) -> Self {
+    pub(crate) fn new(steps: &[Step]) -> Self {
         let mut it = Self::default();
         for step in steps.iter().take(STEPS) {
             it.steps[it.len] = *step;
@@ -68,15 +68,15 @@
 
     /// Returns the plan with a probe before it. Drops the cheapest step if the
     /// plan is full.
-    pub(crate) fn after(&self, probe: key::Version) -> Self {
+    pub(crate) fn preceded_by_probe(&self, probe: key::Version) -> Self {
         let skip = self.len.saturating_sub(STEPS - 1);
         let mut steps = vec![Step::probe(probe)];
         steps.extend(self.steps().iter().skip(skip));
-        Self::of(&steps)
+        Self::new(&steps)
     }
 
     /// Returns the plan with version `old` replaced by `new`.
-    pub(crate) fn replaced(&self, old: key::Version, new: key::Version) -> Self {
+    pub(crate) fn with_version_replaced(&self, old: key::Version, new: key::Version) -> Self {
         let mut it = *self;
         for step in &mut it.steps[..it.len] {
             if step.version == old {
--- a/crates/decide/src/plans.rs
+++ b/crates/decide/src/plan_cache.rs
@@ -15,22 +15,22 @@
 /// Identifies a set of allowed versions. Customers and profiles with the same
 /// set share plans.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Menu(usize);
+pub(crate) struct VersionSetId(usize);
 
 /// A cache of plans by profile, set of allowed versions, and class.
 #[derive(Debug, Default)]
-pub(crate) struct Plans {
+pub(crate) struct PlanCache {
     version_sets: Vec<Vec<key::Version>>,
     /// Indexed by profile, then by customer.
-    set_ids: Vec<Vec<Option<Menu>>>,
-    entries: HashMap<Name, Entry>,
+    set_ids: Vec<Vec<Option<VersionSetId>>>,
+    entries: HashMap<PlanKey, CachedPlan>,
 }
 
 /// The key of a cached plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Name {
+pub(crate) struct PlanKey {
     pub(crate) profile: key::Profile,
-    pub(crate) menu: Menu,
+    pub(crate) version_set: VersionSetId,
     pub(crate) class: ClassIndex,
     /// The maximum number of steps.
     pub(crate) steps: usize,
@@ -38,25 +38,25 @@
 
 /// A cached plan.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Entry {
+pub(crate) struct CachedPlan {
     pub(crate) mix: Mix,
     /// The version to explore, if any.
-    pub(crate) explore: Option<Explore>,
+    pub(crate) explore: Option<Exploration>,
     /// The quarantined version that is used because there is no other.
     pub(crate) last_resort: Option<key::Version>,
-    pub(crate) made: Duration,
-    /// The number of knowledge changes when the plan was made.
-    pub(crate) changes: u64,
+    pub(crate) made_at: Duration,
+    /// The revision of the knowledge when the plan was made.
+    pub(crate) knowledge_revision: u64,
 }
 
 /// A version that is tried on a share of requests to learn more about it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Explore {
+pub(crate) struct Exploration {
     pub(crate) version: key::Version,
     pub(crate) share: f64,
 }
 
-impl Plans {
+impl PlanCache {
     /// Clears the cache and indexes the sets of allowed versions of `policy`.
     pub(crate) fn configure(&mut self, policy: &Policy) {
         self.entries.clear();
@@ -79,32 +79,41 @@
         self.entries.clear();
     }
 
-    pub(crate) fn menu(&self, profile: key::Profile, customer: key::Customer) -> Option<Menu> {
+    pub(crate) fn version_set(
+        &self,
+        profile: key::Profile,
+        customer: key::Customer,
+    ) -> Option<VersionSetId> {
         *self.set_ids.get(profile.index())?.get(customer.index())?
     }
 
     /// Returns the cached plan unless it is too old or too much was learned since.
-    pub(crate) fn get(&self, now: Duration, changes: u64, name: Name) -> Option<Entry> {
-        let it = self.entries.get(&name)?;
-        let age = now.saturating_sub(it.made);
-        let learned = changes.saturating_sub(it.changes);
+    pub(crate) fn get(
+        &self,
+        now: Duration,
+        knowledge_revision: u64,
+        key: PlanKey,
+    ) -> Option<CachedPlan> {
+        let it = self.entries.get(&key)?;
+        let age = now.saturating_sub(it.made_at);
+        let learned = knowledge_revision.saturating_sub(it.knowledge_revision);
         // A change matters less the more is known.
-        let outdated = learned * 50 > it.changes;
+        let outdated = learned * 50 > it.knowledge_revision;
         let reusable = age < MIN_REUSE || (age < MAX_REUSE && !outdated);
         reusable.then_some(*it)
     }
 
-    pub(crate) fn insert(&mut self, name: Name, entry: Entry) {
-        self.entries.insert(name, entry);
+    pub(crate) fn insert(&mut self, key: PlanKey, entry: CachedPlan) {
+        self.entries.insert(key, entry);
     }
 }
 
-fn intern(version_sets: &mut Vec<Vec<key::Version>>, versions: &[key::Version]) -> Menu {
+fn intern(version_sets: &mut Vec<Vec<key::Version>>, versions: &[key::Version]) -> VersionSetId {
     let mut versions = versions.to_vec();
     versions.sort_unstable();
     versions.dedup();
     let known = version_sets.iter().position(|it| *it == versions);
-    Menu(known.unwrap_or_else(|| {
+    VersionSetId(known.unwrap_or_else(|| {
         version_sets.push(versions);
         version_sets.len() - 1
     }))
--- a/crates/decide/src/planner.rs
+++ b/crates/decide/src/planner.rs
@@ -54,7 +54,7 @@
 
 /// Returns the cheapest mix of plans that meets the goal, or the plan of highest
 /// quality within the cost cap if none does. Returns `None` if there is no version.
-pub(crate) fn plan(forecasts: &[Forecast], goal: &Goal) -> Option<Mix> {
+pub(crate) fn find_cheapest_mix(forecasts: &[Forecast], goal: &Goal) -> Option<Mix> {
     let mut candidates = Candidates::new(goal);
     for it in forecasts {
         candidates.add(single_step(it));
@@ -91,7 +91,7 @@
 
 fn single_step(it: &Forecast) -> Candidate {
     Candidate {
-        plan: Plan::of(&[Step::last(it.version)]),
+        plan: Plan::new(&[Step::last(it.version)]),
         cost: it.cost,
         quality: it.quality() - SINGLE_STEP_MARGIN * it.error(),
     }
@@ -120,7 +120,7 @@
     let accepted = [(first, pass), (second, escalated)];
     candidates.add_if_cheaper(
         expected.with_sessions(&accepted, candidates.goal.pinned),
-        || Plan::of(&[checked_step(first, threshold), Step::last(second.version)]),
+        || Plan::new(&[checked_step(first, threshold), Step::last(second.version)]),
     );
 }
 
@@ -167,7 +167,7 @@
         expected.with_sessions(&accepted, candidates.goal.pinned),
         || {
             let last = Step::last(third.version);
-            Plan::of(&[
+            Plan::new(&[
                 checked_step(first, first_threshold),
                 checked_step(second, second_threshold),
                 last,
--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -12,7 +12,7 @@
 
 pub use customer::Customer;
 pub use profile::{Allowance, Priority, Profile, Repeat};
-pub use rollout::{Pace, Rollout};
+pub use rollout::{Rollout, RolloutMode};
 pub use service::Service;
 pub use version::{State, Version};
 
--- a/crates/decide/src/policy/rollout.rs
+++ b/crates/decide/src/policy/rollout.rs
@@ -15,12 +15,12 @@
     /// The version that it replaces and is compared with.
     pub replaces: Option<key::Version>,
     /// Whether it advances automatically.
-    pub pace: Pace,
+    pub mode: RolloutMode,
 }
 
 /// Whether a roll-out advances automatically.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pace {
+pub enum RolloutMode {
     /// It advances or steps back depending on the evidence.
     Running,
     /// It does not advance, but still steps back if the version degrades.
--- a/crates/decide/src/pool.rs
+++ b/crates/decide/src/pool.rs
@@ -70,7 +70,7 @@
         running: f64,
     ) -> Duration {
         const MAX_WAIT_SECONDS: f64 = 600.0;
-        let ahead = self.queue.ahead(customer, priority, weight) + 1.0;
+        let ahead = self.queue.estimate_ahead(customer, priority, weight) + 1.0;
         let seconds = self.mean_seconds().max(0.001);
         // The departure rate by Little's law.
         let rate = running / seconds;
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -48,20 +48,25 @@
     }
 
     /// Returns whether a request of this or a higher priority is queued.
-    pub(crate) fn is_ahead(&self, priority: Priority) -> bool {
+    pub(crate) fn has_at_or_above(&self, priority: Priority) -> bool {
         let levels = &self.levels[..=priority.index()];
         levels.iter().any(|it| it.len > 0)
     }
 
     /// Returns the number of queued requests of the customer at this priority.
-    pub(crate) fn own(&self, customer: key::Customer, priority: Priority) -> usize {
+    pub(crate) fn queued_for(&self, customer: key::Customer, priority: Priority) -> usize {
         let level = &self.levels[priority.index()];
         let backlog = level.backlogs.get(customer.index());
         backlog.map_or(0, |it| it.requests.len())
     }
 
     /// Estimates how many requests are served before a new one of this customer.
-    pub(crate) fn ahead(&self, customer: key::Customer, priority: Priority, weight: f64) -> f64 {
+    pub(crate) fn estimate_ahead(
+        &self,
+        customer: key::Customer,
+        priority: Priority,
+        weight: f64,
+    ) -> f64 {
         let before = &self.levels[..priority.index()];
         let before: usize = before.iter().map(|it| it.len).sum();
         let level = &self.levels[priority.index()];
--- a/crates/decide/src/response_stats.rs
+++ b/crates/decide/src/response_stats.rs
@@ -1,8 +1,8 @@
 //! Statistics of one version in one class.
 
+use crate::confidence_model::{ConfidenceModel, Fit};
 use crate::histogram::{Bucket, ConfidenceHistogram};
 use crate::meter::Mean;
-use crate::shape::{Fit, Shape};
 
 /// The number of observed batches of responses after which a fit is outdated.
 const REFIT_INTERVAL: u32 = 16;
@@ -76,11 +76,11 @@
 
     /// Returns the estimated fraction of good responses, refitting it if it is
     /// outdated.
-    pub(crate) fn fit(&mut self, shape: &Shape, prior: Fit) -> Fit {
+    pub(crate) fn fit(&mut self, model: &ConfidenceModel, prior: Fit) -> Fit {
         if let Some(fit) = self.fit {
             return fit;
         }
-        let fit = shape.fit(&self.histogram, prior);
+        let fit = model.fit(&self.histogram, prior);
         self.updates_since_fit = 0;
         self.fit = Some(fit);
         fit
--- a/crates/decide/src/pilot.rs
+++ b/crates/decide/src/rollout_controller.rs
@@ -7,7 +7,7 @@
 use crate::health::Health;
 use crate::knowledge::Knowledge;
 use crate::monitor::Totals;
-use crate::policy::{Pace, Rollout, State};
+use crate::policy::{Rollout, RolloutMode, State};
 use crate::{Policy, key};
 
 /// The stages of a roll-out before the full share.
@@ -45,11 +45,11 @@
 /// This host's view of a roll-out. The persistent state is in the policy, so
 /// that any host that holds the lease can take the next step.
 #[derive(Clone, Debug)]
-pub(crate) struct Pilot {
+pub(crate) struct RolloutController {
     id: Arc<str>,
     version: key::Version,
     replaces: Option<key::Version>,
-    pace: Pace,
+    mode: RolloutMode,
     share: Option<f64>,
     share_since: Duration,
     /// The totals when the current share was set.
@@ -57,7 +57,7 @@
     next_request: Duration,
 }
 
-impl Pilot {
+impl RolloutController {
     /// Starts following a roll-out. Only evidence since the last change of the
     /// share counts; `known` is the previous state of the same roll-out.
     pub(crate) fn new(
@@ -77,7 +77,7 @@
             id: Arc::clone(&rollout.id),
             version: rollout.version,
             replaces: rollout.replaces,
-            pace: rollout.pace,
+            mode: rollout.mode,
             share,
             share_since: same.map_or(now, |it| it.share_since),
             initial_totals: same.map_or(totals, |it| it.initial_totals),
@@ -90,7 +90,7 @@
     }
 
     /// Returns the step that is due, if any.
-    pub(crate) fn step(
+    pub(crate) fn due_step(
         &mut self,
         now: Duration,
         policy: &Policy,
@@ -143,7 +143,7 @@
             && ratings >= stage.min_ratings
             && now.saturating_sub(self.share_since) >= MIN_STAGE_TIME;
         let as_good = compared.is_none_or(|it| it.difference + it.error >= -MAX_QUALITY_LOSS);
-        let may_advance = !monitor.is_suspect() && self.pace == Pace::Running;
+        let may_advance = !monitor.is_suspect() && self.mode == RolloutMode::Running;
         (enough && as_good && may_advance).then(|| next_share(from))
     }
 }
--- a/crates/decide/src/sampler.rs
+++ b/crates/decide/src/sampler.rs
@@ -5,8 +5,8 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-use crate::bucket::Bucket;
 use crate::meter::Meter;
+use crate::token_bucket::TokenBucket;
 
 /// The averaging time of the rate of ratings received.
 const RATING_AVERAGING_TIME: Duration = Duration::from_mins(2);
@@ -25,7 +25,7 @@
 /// samples are selected by the value of their rating.
 #[derive(Debug)]
 pub(crate) struct Sampler {
-    bucket: Bucket,
+    bucket: TokenBucket,
     ratings_received: Meter,
     /// The factor from the value of a rating to the selection probability, adapted
     /// to the permitted rate.
@@ -35,7 +35,7 @@
 impl Sampler {
     pub(crate) fn new() -> Self {
         Self {
-            bucket: Bucket::new(MAX_BURST, Duration::ZERO),
+            bucket: TokenBucket::new(MAX_BURST, Duration::ZERO),
             ratings_received: Meter::new(RATING_AVERAGING_TIME),
             probability_factor: 1.0,
         }
@@ -61,7 +61,7 @@
         self.bucket.refill(now, rate, MAX_BURST);
         if rng.random::<f64>() >= self.probability_factor * value {
             // Unused tokens permit samples of lower value.
-            self.probability_factor *= 1.0 + 0.02 * self.bucket.filled(MAX_BURST);
+            self.probability_factor *= 1.0 + 0.02 * self.bucket.fill_level(MAX_BURST);
             return false;
         }
         let sent = self.bucket.take(1.0);
--- a/crates/decide/src/bucket.rs
+++ b/crates/decide/src/token_bucket.rs
@@ -5,12 +5,12 @@
 /// A token bucket whose rate and depth are passed to each call, since they
 /// change with the demand at other hosts.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     tokens: f64,
     refilled_at: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub(crate) fn new(tokens: f64, now: Duration) -> Self {
         Self {
             tokens,
@@ -24,7 +24,7 @@
         self.refilled_at = now;
     }
 
-    pub(crate) fn earn(&mut self, amount: f64, depth: f64) {
+    pub(crate) fn deposit(&mut self, amount: f64, depth: f64) {
         self.tokens = (self.tokens + amount).min(depth);
     }
 
@@ -38,12 +38,12 @@
     }
 
     /// Returns the fill level, from 0 to 1.
-    pub(crate) fn filled(&self, depth: f64) -> f64 {
+    pub(crate) fn fill_level(&self, depth: f64) -> f64 {
         (self.tokens / depth).clamp(0.0, 1.0)
     }
 
     /// Returns the time until one token is available at `rate`.
-    pub(crate) fn wait(&self, rate: f64) -> Duration {
+    pub(crate) fn time_to_token(&self, rate: f64) -> Duration {
         const MAX_WAIT_SECONDS: f64 = 3600.0;
         let missing = (1.0 - self.tokens).max(0.0);
         Duration::from_secs_f64((missing / rate.max(1e-9)).min(MAX_WAIT_SECONDS))
--- a/crates/decide/src/version_stats.rs
+++ b/crates/decide/src/version_stats.rs
@@ -1,16 +1,16 @@
 //! Statistics of one version.
 
+use crate::confidence_model::{ConfidenceModel, Fit, blend};
 use crate::evidence::BUCKETS;
 use crate::forecast::Curve;
 use crate::histogram::{Bucket, ConfidenceHistogram};
 use crate::knowledge::{ClassIndex, ResponseKind};
 use crate::meter::Mean;
 use crate::response_stats::{ResponseStats, StepPosition};
-use crate::shape::{Fit, Shape, blend};
 
 /// The weight, in responses, of the fitted confidence distribution.
 const FITTED_DISTRIBUTION_WEIGHT: f64 = 12.0;
-/// The weight, in ratings per bucket, of the probability predicted by the shape.
+/// The weight, in ratings per bucket, of the probability predicted by the model.
 const PREDICTION_WEIGHT: f64 = 25.0;
 /// The weight, in ratings, of the prior quality of a version.
 const PRIOR_WEIGHT: f64 = 16.0;
@@ -26,7 +26,7 @@
     pub(crate) price_rank: f64,
     /// Ratings over all classes and cascade positions.
     pub(crate) all: ConfidenceHistogram,
-    pub(crate) shape: Shape,
+    pub(crate) model: ConfidenceModel,
     /// Seconds per token.
     pub(crate) token_time: Mean,
     /// Statistics over all classes.
@@ -35,11 +35,11 @@
 }
 
 impl VersionStats {
-    pub(crate) fn new(shape: Shape) -> Self {
+    pub(crate) fn new(model: ConfidenceModel) -> Self {
         Self {
             price_rank: 0.0,
             all: ConfidenceHistogram::default(),
-            shape,
+            model,
             token_time: Mean::default(),
             overall: ResponseStats::default(),
             classes: Vec::new(),
@@ -56,7 +56,7 @@
 
     /// Returns the distribution of such responses over the confidence buckets.
     pub(crate) fn confidence_distribution(&self, kind: ResponseKind) -> [f64; BUCKETS] {
-        let fitted = self.shape.spread(self.last_fit(kind).share);
+        let fitted = self.model.distribution(self.last_fit(kind).share);
         match self.classes.get(kind.class.0) {
             Some(it) => blend(
                 &it.step(kind.position).histogram.answered,
@@ -101,14 +101,14 @@
 
     /// Computes the fractions of passing and of good responses for each threshold.
     pub(crate) fn curve(&mut self, class: ClassIndex, position: StepPosition) -> Curve {
-        let shape = self.shape;
+        let model = self.model;
         let prior = self.class_prior(&self.classes[class.0], position);
         let step = self.classes[class.0].step_mut(position);
-        let fit = step.fit(&shape, prior);
+        let fit = step.fit(&model, prior);
         let histogram = step.histogram;
         let distribution = blend(
             &histogram.answered,
-            &shape.spread(fit.share),
+            &model.distribution(fit.share),
             FITTED_DISTRIBUTION_WEIGHT,
         );
         let mut curve = Curve::default();
@@ -116,7 +116,7 @@
             let at = bucket.index();
             let (good, bad) = (histogram.good[at], histogram.bad[at]);
             let weighted_good =
-                PREDICTION_WEIGHT * shape.chance(fit.share, at) + shape.truly_good(good, bad);
+                PREDICTION_WEIGHT * model.chance(fit.share, at) + model.truly_good(good, bad);
             let chance = weighted_good / (PREDICTION_WEIGHT + good + bad);
             curve.pass[at] = curve.pass[at + 1] + distribution[at];
             curve.good[at] = curve.good[at + 1] + distribution[at] * chance;
--- a/crates/decide/tests/decide/properties.rs
+++ b/crates/decide/tests/decide/properties.rs
@@ -10,7 +10,7 @@
 use decide::event::{Quality, Rating};
 use decide::outcome::{Answer, Denial};
 use decide::policy::{
-    Allowance, Customer, Pace, Priority, Profile, Repeat, Rollout, Service, State, Version,
+    Allowance, Customer, Priority, Profile, Repeat, Rollout, RolloutMode, Service, State, Version,
 };
 use decide::refusal::Run;
 use decide::{Arrival, Decider, Event, Outcome, Policy, Tuning, key};
@@ -481,7 +481,7 @@
             id: "next".into(),
             version: key::Version(2),
             replaces: Some(key::Version(1)),
-            pace: Pace::Running,
+            mode: RolloutMode::Running,
         }],
     }
 }
--- a/crates/decide/tests/decide/script.rs
+++ b/crates/decide/tests/decide/script.rs
@@ -7,7 +7,9 @@
 use decide::endpoint::{self, Distance, Load, Role, Update};
 use decide::event::{Quality, Rating};
 use decide::outcome::{Answer, Denial};
-use decide::policy::{self, Allowance, Pace, Priority, Profile, Repeat, Rollout, Service, State};
+use decide::policy::{
+    self, Allowance, Priority, Profile, Repeat, Rollout, RolloutMode, Service, State,
+};
 use decide::{Action, Arrival, Decider, Demand, Event, Flow, Outcome, Policy, Rate, Tuning, key};
 use kernel::{AttemptId, HostName, Incarnation, Money, Revision, VersionId};
 
@@ -354,7 +356,7 @@
             id: words[1].into(),
             version: policy.version(&words[2].into()).unwrap(),
             replaces: words.get(3).and_then(|it| policy.version(&(*it).into())),
-            pace: Pace::Running,
+            mode: RolloutMode::Running,
         }),
         other => panic!("unknown policy entry: {other}"),
     }
--- a/crates/experiment/src/router/core/policy.rs
+++ b/crates/experiment/src/router/core/policy.rs
@@ -1,8 +1,8 @@
 use decide::{
     Policy, key,
     policy::{
-        Allowance, Customer, Pace, Priority as CorePriority, Profile, Repeat, Rollout, Service,
-        State as CoreState, Version,
+        Allowance, Customer, Priority as CorePriority, Profile, Repeat, Rollout, RolloutMode,
+        Service, State as CoreState, Version,
     },
 };
 use kernel::{ProfileName, ServiceName};
@@ -140,7 +140,7 @@
         id: version.name().into(),
         version: names::version_key(version),
         replaces: Some(names::version_key(replaces)),
-        pace: Pace::Running,
+        mode: RolloutMode::Running,
     });
     rollout.into_iter().collect()
 }
