--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -55,7 +55,8 @@
         verdict: Verdict,
     },
     /// Reports that a quarantined version stays in use because a customer has no healthy one.
-    /// Emitted once per profile and customer until the verdict on the version or the policy changes.
+    /// Emitted once per profile and customer until the verdict on the version or the policy
+    /// changes.
     LastResort {
         /// The version.
         version: key::Version,
--- a/crates/decide/src/arrival.rs
+++ b/crates/decide/src/arrival.rs
@@ -41,8 +41,8 @@
     pub prompt_tokens: u32,
     /// The maximum number of completion tokens; zero for no limit.
     pub max_tokens: u32,
-    /// A hash of the start of the prompt, used to select an endpoint that has the prefix cached; zero
-    /// for none.
+    /// A hash of the start of the prompt, used to select an endpoint that has the prefix cached;
+    /// zero for none.
     pub prefix: u64,
     /// The version that the session is pinned to, if any.
     pub pin: Option<Pin>,
--- a/crates/decide/src/decider.rs
+++ b/crates/decide/src/decider.rs
@@ -68,7 +68,7 @@
     cut_responses: VecDeque<failures::Failure>,
     rollout_controllers: Vec<RolloutController>,
     /// Last resorts for which [`Action::LastResort`] has been emitted.
-    reported_last_resorts: BTreeSet<LastResort>,
+    reported_last_resorts: BTreeSet<LastResortKey>,
     retries: TokenBucket,
     sampler: Sampler,
     next_periodic: Duration,
@@ -88,7 +88,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct LastResort {
+struct LastResortKey {
     version: key::Version,
     profile: key::Profile,
     customer: key::Customer,
@@ -138,8 +138,8 @@
         &self.policy
     }
 
-    /// Returns the endpoints that this host sends requests to, which are the only ones whose load it
-    /// needs. The list changes with `Configure` and `Endpoint` events.
+    /// Returns the endpoints that this host sends requests to, which are the only ones whose load
+    /// it needs. The list changes with `Configure` and `Endpoint` events.
     #[must_use]
     pub fn watched(&self) -> Vec<endpoint::Id> {
         self.directory.watched()
--- a/crates/decide/src/decider/arrive.rs
+++ b/crates/decide/src/decider/arrive.rs
@@ -16,7 +16,7 @@
 use crate::{Action, Arrival, key};
 
 /// The policy's settings for a request.
-struct Terms {
+struct RequestSettings {
     repeat: Repeat,
     priority: Priority,
     deadline: Duration,
@@ -50,21 +50,21 @@
         if self.readiness == Readiness::Unconfigured {
             return Err(not_run(Reason::NotReady));
         }
-        let terms = self.terms(&arrival).map_err(not_run)?;
-        let deadline = arrival.deadline.unwrap_or(now + terms.deadline);
+        let settings = self.settings(&arrival).map_err(not_run)?;
+        let deadline = arrival.deadline.unwrap_or(now + settings.deadline);
         if deadline <= now {
             return Err(not_run(Reason::Deadline));
         }
         self.admit_customer(now, &arrival)?;
-        let class = self.class(now, &arrival.work);
+        let class = self.record_arrival(now, &arrival.work);
         let id = arrival.request;
         let key = self.requests.insert(Request {
             id,
             customer: arrival.customer,
             work: arrival.work,
             class,
-            priority: arrival.priority.unwrap_or(terms.priority),
-            repeat: terms.repeat,
+            priority: arrival.priority.unwrap_or(settings.priority),
+            repeat: settings.repeat,
             deadline,
             plan: Plan::default(),
             step: 0,
@@ -85,30 +85,34 @@
         Ok(key)
     }
 
-    fn terms(&self, arrival: &Arrival) -> Result<Terms, Reason> {
+    fn settings(&self, arrival: &Arrival) -> Result<RequestSettings, Reason> {
         match &arrival.work {
-            Work::Chat(chat) => self.chat_terms(arrival.customer, chat),
-            Work::Call(call) => self.call_terms(call),
+            Work::Chat(chat) => self.chat_settings(arrival.customer, chat),
+            Work::Call(call) => self.call_settings(call),
         }
     }
 
-    fn chat_terms(&self, customer: key::Customer, chat: &Chat) -> Result<Terms, Reason> {
+    fn chat_settings(
+        &self,
+        customer: key::Customer,
+        chat: &Chat,
+    ) -> Result<RequestSettings, Reason> {
         let profile = self.policy.profiles.get(chat.profile.index());
         let profile = profile.ok_or(Reason::UnknownProfile)?;
         if self.policy.allowed(chat.profile, customer).is_empty() {
             return Err(Reason::NotAllowed);
         }
-        Ok(Terms {
+        Ok(RequestSettings {
             repeat: profile.repeat,
             priority: profile.priority,
             deadline: profile.deadline,
         })
     }
 
-    fn call_terms(&self, call: &Call) -> Result<Terms, Reason> {
+    fn call_settings(&self, call: &Call) -> Result<RequestSettings, Reason> {
         let service = self.policy.services.get(call.service.index());
         let service = service.ok_or(Reason::UnknownService)?;
-        Ok(Terms {
+        Ok(RequestSettings {
             repeat: call.repeat.unwrap_or(service.repeat),
             priority: service.priority,
             deadline: service.deadline,
@@ -128,7 +132,7 @@
         }
     }
 
-    fn class(&mut self, now: Duration, work: &Work) -> ClassIndex {
+    fn record_arrival(&mut self, now: Duration, work: &Work) -> ClassIndex {
         match work {
             Work::Chat(chat) => {
                 let class = self.knowledge.class_index(chat.class);
--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::place::NextStep;
-use super::{Decider, LastResort};
+use super::{Decider, LastResortKey};
 use crate::action::Session;
 use crate::arrival::{Chat, Pin, Work};
 use crate::directory::Target;
@@ -160,7 +160,8 @@
         plan.step(0).ok_or(Reason::NoVersion)
     }
 
-    /// Returns whether a session must leave a quarantined version, see `docs/design/decide-sessions.md`.
+    /// Returns whether a session must leave a quarantined version, see
+    /// `docs/design/decide-sessions.md`.
     fn must_leave(&self, pin: key::Version) -> bool {
         match self.tuning.pinned_sessions {
             PinnedSessions::Keep => false,
@@ -188,7 +189,7 @@
         customer: key::Customer,
         version: key::Version,
     ) -> bool {
-        self.reported_last_resorts.contains(&LastResort {
+        self.reported_last_resorts.contains(&LastResortKey {
             version,
             profile,
             customer,
--- a/crates/decide/src/decider/end.rs
+++ b/crates/decide/src/decider/end.rs
@@ -13,9 +13,9 @@
 use crate::request::{self, Fallback};
 use crate::{Action, key};
 
-/// Cost of a retry after an endpoint reported that it isn't the right one: the version isn't loaded,
-/// the endpoint is leaving, or another process has its address. Cheaper than other retries, since the
-/// endpoint is taken out of use and such retries can't amplify an overload.
+/// Cost of a retry after an endpoint reported that it isn't the right one: the version isn't
+/// loaded, the endpoint is leaving, or another process has its address. Cheaper than other retries,
+/// since the endpoint is taken out of use and such retries can't amplify an overload.
 const REDIRECT_RETRY_COST: f64 = 0.25;
 
 impl Decider {
@@ -166,7 +166,7 @@
         let late = now >= request.deadline;
         let may_retry = request.attempts < self.tuning.max_attempts && !late;
         if !may_repeat || !may_retry || !self.retries.take(retry_cost(outcome)) {
-            let retry_after = self.retry_after(attempt, outcome);
+            let retry_after = self.overload_retry_after(attempt, outcome);
             let reason = reason(outcome, late);
             return self.give_up(now, key, reason, retry_after, actions);
         }
@@ -193,7 +193,7 @@
         }
     }
 
-    fn retry_after(&self, attempt: &Attempt, outcome: Outcome) -> Option<Duration> {
+    fn overload_retry_after(&self, attempt: &Attempt, outcome: Outcome) -> Option<Duration> {
         if outcome != Outcome::Denied(Denial::Overloaded) {
             return None;
         }
--- a/crates/decide/src/decider/failures.rs
+++ b/crates/decide/src/decider/failures.rs
@@ -14,7 +14,7 @@
     at: Duration,
     pub(super) version: key::Version,
     class: key::Class,
-    endpoint: endpoint::Id,
+    endpoint_id: endpoint::Id,
 }
 
 impl Decider {
@@ -29,7 +29,7 @@
         if outcome == Outcome::TimedOut && !self.had_ample_time(attempt) {
             return;
         }
-        let Some(endpoint) = self.directory.get(attempt.replica).map(|it| it.id) else {
+        let Some(endpoint_id) = self.directory.get(attempt.replica).map(|it| it.id) else {
             return;
         };
         let Some(class) = self.requests.get(attempt.request).map(|it| it.class) else {
@@ -39,11 +39,11 @@
             at: now,
             version,
             class: self.knowledge.class_key(class),
-            endpoint,
+            endpoint_id,
         };
         if outcome == Outcome::Cut {
-            // An endpoint that crashes truncates all its responses, which isn't the version's fault.
-            // The crash becomes known only later.
+            // An endpoint that crashes truncates all its responses, which isn't the version's
+            // fault. The crash becomes known only later.
             self.cut_responses.push_back(failure);
         } else {
             self.record_version_failure(now, &failure, actions);
@@ -58,7 +58,7 @@
             && now >= cut.at + ENDPOINT_LOSS_DELAY
         {
             self.cut_responses.pop_front();
-            if self.directory.is_live(cut.endpoint) {
+            if self.directory.is_live(cut.endpoint_id) {
                 self.record_version_failure(now, &cut, actions);
             }
         }
@@ -74,17 +74,17 @@
         let endpoints = self.directory.len(Target::Version(version));
         let normal = self.health.failure_baseline(version, endpoints);
         self.observe_version(now, version, actions, |it| {
-            it.record_failures(now, normal, 1.0, &[Some(failure.endpoint)]);
+            it.record_failures(now, normal, 1.0, &[Some(failure.endpoint_id)]);
         });
         if let Some(entry) = self.policy.versions.get(version.index()) {
             self.outbox
-                .record_failure(&entry.id, failure.class, failure.endpoint);
+                .record_failure(&entry.id, failure.class, failure.endpoint_id);
         }
     }
 
-    /// Returns whether an attempt had an endpoint with free capacity and far more time than usual. A
-    /// timeout at a full endpoint, or shortly before the deadline, is caused by overload and not by
-    /// the version.
+    /// Returns whether an attempt had an endpoint with free capacity and far more time than usual.
+    /// A timeout at a full endpoint, or shortly before the deadline, is caused by overload and not
+    /// by the version.
     fn had_ample_time(&self, attempt: &Attempt) -> bool {
         const AMPLE_TIME_FACTOR: u32 = 4;
         let usual = self.expected_latency(attempt.request, attempt.target);
--- a/crates/decide/src/decider/learn.rs
+++ b/crates/decide/src/decider/learn.rs
@@ -317,7 +317,8 @@
     }
 
     /// Returns whether observations of the version become part of its baseline. Those of a
-    /// quarantined version don't: its probes would make bad results the norm and end the quarantine.
+    /// quarantined version don't: its probes would make bad results the norm and end the
+    /// quarantine.
     fn feeds_baseline(&self, version: key::Version) -> bool {
         !self.health.is_quarantined(version)
     }
--- a/crates/decide/src/decider/plan.rs
+++ b/crates/decide/src/decider/plan.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 use super::choose::PlanInput;
-use super::{Decider, LastResort};
+use super::{Decider, LastResortKey};
 use crate::action::{Cause, Verdict};
 use crate::arrival::Chat;
 use crate::directory::Target;
@@ -74,8 +74,8 @@
         plan
     }
 
-    /// Prepends a probe of a quarantined version if one is due, or else possibly an exploration of a
-    /// version with few ratings. The caller doesn't get the responses of either.
+    /// Prepends a probe of a quarantined version if one is due, or else possibly an exploration of
+    /// a version with few ratings. The caller doesn't get the responses of either.
     pub(super) fn with_probe(
         &mut self,
         now: Duration,
@@ -246,7 +246,7 @@
         version: key::Version,
         actions: &mut Vec<Action>,
     ) {
-        let last_resort = LastResort {
+        let last_resort = LastResortKey {
             version,
             profile: input.profile,
             customer: input.customer,
--- a/crates/decide/src/decider/tick.rs
+++ b/crates/decide/src/decider/tick.rs
@@ -42,8 +42,9 @@
         }
     }
 
-    /// Refuses queued requests that can no longer meet their deadline, so that callers aren't refused
-    /// only at the deadline. Lets the other queued requests use the endpoint that they avoided.
+    /// Refuses queued requests that can no longer meet their deadline, so that callers aren't
+    /// refused only at the deadline. Lets the other queued requests use the endpoint that they
+    /// avoided.
     fn refuse_late(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let mut late = Vec::new();
         for target in self.pools.queued_targets() {
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -108,9 +108,9 @@
     }
 
     /// Returns the time limit of an attempt. If another attempt could follow, the limit is half of
-    /// the remaining time, or a multiple of the usual latency if that is longer, so that an endpoint
-    /// that hangs leaves time for a retry. A model response that is relayed while it is received gets
-    /// all of the remaining time, since it can't be replaced once it has started.
+    /// the remaining time, or a multiple of the usual latency if that is longer, so that an
+    /// endpoint that hangs leaves time for a retry. A model response that is relayed while it is
+    /// received gets all of the remaining time, since it can't be replaced once it has started.
     pub(super) fn timeout(&self, now: Duration, key: request::Key, next: NextStep) -> Duration {
         const TIMEOUT_LATENCY_FACTOR: u32 = 5;
         let Some(request) = self.requests.get(key) else {
@@ -152,13 +152,15 @@
         ) else {
             return Money::ZERO;
         };
-        let (_, most) = self.knowledge.completion(step.version, request.class);
-        let most = floor(most) + 1;
-        let most = match &request.work {
-            Work::Chat(chat) if chat.max_tokens > 0 => most.min(u64::from(chat.max_tokens)),
-            _ => most,
+        let (_, max_completion) = self.knowledge.completion(step.version, request.class);
+        let max_completion = floor(max_completion) + 1;
+        let max_completion = match &request.work {
+            Work::Chat(chat) if chat.max_tokens > 0 => {
+                max_completion.min(u64::from(chat.max_tokens))
+            }
+            _ => max_completion,
         };
-        version.cost(u64::from(request.prompt_tokens()), most)
+        version.cost(u64::from(request.prompt_tokens()), max_completion)
     }
 
     pub(super) fn weight(&self, customer: key::Customer) -> f64 {
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -23,15 +23,16 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// An attempt ended. Reported once for each dispatched attempt that wasn't cancelled; the end of
-    /// a cancelled attempt is ignored.
+    /// An attempt ended. Reported once for each dispatched attempt that wasn't cancelled; the end
+    /// of a cancelled attempt is ignored.
     Ended {
         /// The attempt.
         attempt: AttemptId,
         /// The outcome.
         outcome: Outcome,
     },
-    /// The caller disconnected. The request's attempts get `Cancel`; no `Deliver` or `Refuse` follows.
+    /// The caller disconnected. The request's attempts get `Cancel`; no `Deliver` or `Refuse`
+    /// follows.
     Cancelled {
         /// The request.
         request: key::Request,
--- a/crates/decide/src/tuning.rs
+++ b/crates/decide/src/tuning.rs
@@ -25,8 +25,8 @@
     /// The base share of requests on which a version outside the plan that has few ratings is also
     /// tried.
     pub explore_share: f64,
-    /// The queue length for one version or service at this host. Customers' limits are shares of it,
-    /// and the total may reach twice this length.
+    /// The queue length for one version or service at this host. Customers' limits are shares of
+    /// it, and the total may reach twice this length.
     pub queue_length: usize,
     /// The treatment of sessions whose version is quarantined.
     pub pinned_sessions: PinnedSessions,
