--- a/crates/decide/src/digest.rs
+++ b/crates/decide/src/digest.rs
@@ -16,7 +16,7 @@
     /// Returns the statistics as evidence that another host can apply.
     pub(crate) fn digest(&self, policy: &Policy) -> Evidence {
         let mut evidence = Evidence::default();
-        for (class, key, free, pinned) in self.turns() {
+        for (class, key, free, pinned) in self.request_counts() {
             evidence.turns.push(ClassRequests {
                 class: key,
                 free: rounded_count(free),
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -69,13 +69,14 @@
         }
     }
 
-    /// Returns whether many other versions are suspected of failures or bad quality too.
+    /// Returns the scope of a suspected quality fault of `version`: shared if many
+    /// other versions are suspected of failures or bad quality too.
     pub(crate) fn quality_scope(&self, version: key::Version) -> FaultScope {
         self.scope(version, Monitor::is_suspect)
     }
 
-    /// Returns whether many other versions have become slow too, as happens under
-    /// general overload.
+    /// Returns the scope of a suspected latency fault of `version`: shared if many
+    /// other versions have become slow too, as happens under general overload.
     pub(crate) fn latency_scope(&self, version: key::Version) -> FaultScope {
         self.scope(version, Monitor::is_slow)
     }
--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -417,7 +417,7 @@
     pub(crate) answered: Option<Duration>,
 }
 
-/// Returns the failure rate when a fault affects a fraction `share` of the
+/// Returns the failure rate when a fault affects a fraction `fault_share` of the
 /// responses that would otherwise be good.
 fn failure_rate_with_fault(normal: f64, fault_share: f64) -> f64 {
     normal + fault_share * (1.0 - normal)
