--- a/crates/decide/src/knowledge.rs
+++ b/crates/decide/src/knowledge.rs
@@ -115,7 +115,9 @@
 
     /// Returns each class with its numbers of requests without and with a version
     /// pinned by the session.
-    pub(crate) fn request_counts(&self) -> impl Iterator<Item = (ClassIndex, key::Class, f64, f64)> {
+    pub(crate) fn request_counts(
+        &self,
+    ) -> impl Iterator<Item = (ClassIndex, key::Class, f64, f64)> {
         let classes = self.classes.iter().enumerate();
         classes.map(|(at, it)| (ClassIndex(at), it.key, it.free, it.pinned))
     }
