--- a/crates/host/src/backoff.rs
+++ b/crates/host/src/backoff.rs
@@ -2,21 +2,22 @@
 
 use std::time::Duration;
 
-/// Delay after the first failure. Refused calls are billed like others.
+/// Delay after the first failure. Calls that the store rejects are billed, too.
 const INITIAL_DELAY: Duration = Duration::from_millis(150);
-/// Longest delay of a single host: a configuration must be in force two seconds after the
-/// store is back.
+/// Longest delay before it is multiplied for the size of the fleet. A host that is alone must
+/// have a configuration in force two seconds after the store is back.
 const MAX_DELAY: Duration = Duration::from_millis(800);
-/// Number of other hosts per multiple of the delay.
+/// The delay is multiplied by the number of other hosts divided by this.
 const HOSTS_PER_MULTIPLE: usize = 8;
 /// Largest multiple of the delay, so that a fleet soon finds a store that serves only some
 /// hosts.
 const MAX_MULTIPLE: usize = 4;
 
-/// Exponential backoff between failed calls to the store, longer in a larger fleet.
+/// Exponential backoff between failed calls to the store, longer in a fleet with 16 or more
+/// other hosts.
 ///
-/// The first host that gets an answer informs all others within milliseconds, so the hosts
-/// share the retries. If each retried as if it were alone, an outage of seconds would cost
+/// The first host that gets an answer informs all others within a fraction of a second, so the
+/// hosts share the retries. If each retried as if it were alone, an outage of seconds would cost
 /// more calls than a day of normal operation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
@@ -25,7 +26,8 @@
 
 impl Backoff {
     /// Returns the delay after one more failure, in a fleet with `others` other live hosts.
-    /// `jitter`, from 0 to 1, spreads the retries of hosts that began to fail simultaneously.
+    /// `jitter`, from 0 to 1, spreads the retries of hosts that began to fail simultaneously;
+    /// it is ignored with fewer than 16 other hosts, when the delay isn't multiplied.
     pub fn next_delay(&mut self, others: usize, jitter: f64) -> Duration {
         /// Fraction of the delay that is random.
         const JITTER_FRACTION: f64 = 0.25;
--- a/crates/host/src/documents.rs
+++ b/crates/host/src/documents.rs
@@ -11,7 +11,7 @@
 /// revision.
 #[derive(Clone, Debug, Default)]
 pub struct Documents {
-    /// The store's revision of this snapshot.
+    /// The store's revision that this reflects.
     pub revision: Revision,
     /// The configuration, and its source text.
     pub config: Option<(Arc<Config>, Arc<[u8]>)>,
@@ -25,7 +25,7 @@
     pub verdicts: Vec<RolloutVerdict>,
 }
 
-/// A verdict on a roll-out, as the store has it.
+/// A verdict on a roll-out, read from the store or to be written to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutVerdict {
     /// The service.
@@ -34,6 +34,7 @@
     pub release: Release,
     /// The verdict.
     pub verdict: Verdict,
-    /// The revision at which it was written; `None` if it wasn't yet.
+    /// In a verdict read from the store, the revision at which it was written. In a verdict to
+    /// write, the revision of the stored verdict that it replaces; `None` if there is none.
     pub revision: Option<Revision>,
 }
--- a/crates/host/src/follow.rs
+++ b/crates/host/src/follow.rs
@@ -26,8 +26,8 @@
 /// Timeout of a long poll. Each poll is billed. Before it times out, keep-alive detects a
 /// dead connection, see `http`, and other calls detect a store that stops responding.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The same while no configuration is known and no other calls are made: readers must
-/// confirm their state often enough that the other hosts don't read the store.
+/// The same while no configuration is known. It is shorter so that the readers'
+/// confirmations arrive before the other hosts start to read the store.
 const STARTUP_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval at which a host that doesn't read the store checks whether it should.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -41,8 +41,8 @@
 
 /// Waits until a configuration is known, from the store or from another host.
 ///
-/// Nothing else is useful until then. While the store refuses calls, one kind of call is
-/// enough to detect its return; five kinds at a time would each be billed.
+/// Nothing else is useful until then. While the store refuses calls, fewer kinds of call
+/// are enough to detect its return, and each call is billed.
 pub(crate) async fn wait_for_config<S: Store, D: Dialect>(host: &Host<S, D>) {
     while host.node.router().version().is_none() {
         sleep(STARTUP_POLL_INTERVAL).await;
--- a/crates/host/src/follow/endpoints.rs
+++ b/crates/host/src/follow/endpoints.rs
@@ -14,7 +14,7 @@
 use crate::{Backoff, Outage, Store, report};
 
 /// Interval at which the listing of endpoints is read. Each reading is billed, and an
-/// endpoint that leaves must get no new requests two seconds after it announced that.
+/// endpoint that leaves must stop getting new requests within two seconds of announcing it.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(crate) async fn follow<S: Store, D: Dialect>(host: Rc<Host<S, D>>) {
--- a/crates/host/src/follow/members.rs
+++ b/crates/host/src/follow/members.rs
@@ -11,10 +11,10 @@
 use crate::host::Host;
 use crate::{Member, Store, report};
 
-/// Interval at which the first of the readers reads the listing.
+/// Longest interval at which the first of the readers reads the listing.
 const READ_INTERVAL: Duration = Duration::from_secs(10);
-/// Interval between the first two readings. It doubles with each reading up to the full
-/// interval: hosts that start at the same time aren't in the listing at first.
+/// Initial interval. It doubles up to the longest one with each round in which this host is
+/// registered: hosts that start at the same time aren't in the listing at first.
 const FIRST_READ_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which a host checks whether it has to read or write the listing.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
@@ -33,7 +33,8 @@
     while !host.is_leaving() {
         let poll_interval = match host.hosts_found.get() {
             Some(_) => POLL_INTERVAL,
-            // Hosts that start at the same time should find this one.
+            // Registers soon after the join, so that hosts that start at the same time find
+            // this one.
             None => JOINING_POLL_INTERVAL,
         };
         sleep(poll_interval).await;
@@ -58,7 +59,7 @@
 }
 
 /// Reads the listing, adds live hosts that are missing from it, and removes hosts that
-/// have been silent for long.
+/// have been silent or gone for long.
 async fn reconcile<S: Store, D: Dialect>(host: &Host<S, D>) {
     let began = host.node.now();
     let listed = host.store.members().await;
--- a/crates/host/src/follow/quarantine.rs
+++ b/crates/host/src/follow/quarantine.rs
@@ -11,8 +11,8 @@
 use crate::host::Host;
 use crate::{Backoff, Store, report};
 
-/// Interval of checks for new quarantined requests. Such a request ends an endpoint within
-/// a tenth of a second, and goes on to end others until all hosts know it.
+/// Interval of checks for new quarantined requests. Such a request makes an endpoint's
+/// process exit within a tenth of a second, and then those of others until all hosts know it.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval of checks for entries to write to the store or to delete there.
 const PERSIST_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/host/src/gossip.rs
+++ b/crates/host/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Host membership and failure detection by gossip.
 //!
 //! Does no input or output and takes the time from its caller, so that a test can simulate
-//! hundreds of hosts. [`crate::messaging`] sends and receives the messages. See
+//! hundreds of hosts. `crate::messaging` sends and receives the messages. See
 //! `docs/design/gossip.md`.
 
 mod compare;
@@ -24,7 +24,7 @@
 pub use record::{Record, State};
 pub use roster::Roster;
 
-/// The interval between routine updates to the neighbours.
+/// The approximate interval between routine updates to the neighbours.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
 /// The delay before a change is sent to the neighbours, in which further changes are added
 /// to the same update. When many hosts start or fail together, their changes travel in a
@@ -38,7 +38,8 @@
 /// How long another host's fingerprint may differ before the two views are compared.
 /// Fingerprints differ briefly while an update is propagating.
 const MISMATCH_TOLERANCE: Duration = Duration::from_millis(1_200);
-/// The least time between two comparisons that this host starts.
+/// The least time between two comparisons that this host starts because of differing
+/// fingerprints.
 const MIN_COMPARISON_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The membership changes that a host sends to its neighbours.
@@ -273,7 +274,7 @@
     /// Keeps sending updates to former successors for a while.
     ///
     /// A host that was wrongly marked silent is removed from the graph of all hosts. Without these
-    /// updates it would never learn of the claim and couldn't refute it.
+    /// updates it would learn of the claim, and refute it, only later through a comparison.
     fn keep_former_successors(&mut self, now: Duration, before: Vec<HostName>) {
         const GRACE_PERIOD: Duration = Duration::from_secs(1);
         let known = std::mem::take(&mut self.former_successors);
@@ -308,8 +309,8 @@
 /// Whether this host has recently reached the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// The store answered recently.
+    /// A call to the store succeeded recently.
     Store,
-    /// The store has not answered recently.
+    /// No call to the store succeeded recently.
     Lost,
 }
--- a/crates/host/src/gossip/failure_detector.rs
+++ b/crates/host/src/gossip/failure_detector.rs
@@ -8,8 +8,9 @@
 /// How long a host may be silent before it is probed. Longer than two update intervals, so that
 /// one lost datagram doesn't trigger a probe.
 const SUSPECT_AFTER: Duration = Duration::from_millis(1_200);
-/// How long a host is not suspected again after this host marked it silent. If it refuted
-/// the claim, only the path between the two is broken, and other hosts monitor it.
+/// How long a host is not suspected again after this host marked it silent, if it refutes the
+/// claim before the graph is recomputed without it. Only the path between the two is broken
+/// then, and other hosts monitor it.
 const SUSPENSION: Duration = Duration::from_secs(10);
 
 /// Tracks when each predecessor in the graph was last heard from.
@@ -20,7 +21,8 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Monitored {
-    /// When the host was last heard from, or monitoring began.
+    /// When the host was last heard from; initially half of [`SUSPECT_AFTER`] before monitoring
+    /// began.
     last_heard: Duration,
     /// When the host was probed, if the result is outstanding.
     probed_at: Option<Duration>,
@@ -34,7 +36,8 @@
         let mut monitored = HashMap::new();
         for it in hosts {
             let known = self.monitored.get(it).copied();
-            // The host also learns of the change, and sends an update within one interval.
+            // Suspected after only half the time: it also learns of the change and sends an
+            // update within one interval.
             let fresh = Monitored {
                 last_heard: now.saturating_sub(SUSPECT_AFTER / 2),
                 probed_at: None,
--- a/crates/host/src/gossip/graph.rs
+++ b/crates/host/src/gossip/graph.rs
@@ -1,4 +1,4 @@
-//! The graph along which updates travel; each host computes the same one.
+//! The graph along which updates travel; hosts with the same view compute the same one.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,9 +7,9 @@
 use super::Roster;
 use super::roster::name_hash;
 
-/// The number of successors of each host, if there are more hosts than that. Keeps a host's
-/// work independent of the number of hosts, while updates still reach all when messages are
-/// lost or many hosts are down.
+/// The number of successors of each host, if there are more than `DEGREE + 2` hosts; otherwise
+/// all others are successors. Keeps a host's work independent of the number of hosts, while
+/// updates still reach all when messages are lost or many hosts are down.
 pub const DEGREE: usize = 6;
 /// The number of successors in the same data centre, on two rings of its hosts. Traffic between
 /// data centres is charged for; the remaining successors connect the data centres.
--- a/crates/host/src/gossip/record.rs
+++ b/crates/host/src/gossip/record.rs
@@ -21,7 +21,8 @@
 /// State of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// The store lists the host; no host has heard from it yet.
+    /// The store lists the host; this host has no record that the host reported itself, or the
+    /// host was silent and the store lists other addresses.
     Listed,
     /// The host is running and can't serve callers yet.
     Starting,
@@ -45,7 +46,7 @@
         self.precedence() > other.precedence()
     }
 
-    /// Returns whether callers and updates may be sent to the host.
+    /// Returns whether the host is assumed to be running, so that updates are sent to it.
     #[must_use]
     pub fn is_live(&self) -> bool {
         !matches!(self.state, State::Silent | State::Gone)
--- a/crates/host/src/gossip/roster.rs
+++ b/crates/host/src/gossip/roster.rs
@@ -10,8 +10,8 @@
 use crate::Member;
 use crate::addresses::Address;
 
-/// How long a silent host is kept, so that outdated records don't revive it. After that, the
-/// store's listing is the way back.
+/// How long a silent or gone host is kept at least, so that outdated records don't revive it.
+/// After that, the host is found again through the store's listing.
 const SILENT_RETENTION: Duration = Duration::from_mins(10);
 /// How long a host has been silent or gone before its entry is withdrawn from the store;
 /// longer than most restarts and network partitions.
@@ -26,8 +26,8 @@
 /// Without this delay, callers would see only a fraction of the hosts until the refutations
 /// arrive.
 const SILENT_GRACE_PER_HOP: Duration = Duration::from_millis(150);
-/// The most hosts that are known at a time. Bounds the memory that records with invented
-/// names can take.
+/// Number of known hosts from which on no records of other hosts are merged. Bounds the memory
+/// that records with invented names can take.
 const MAX_HOSTS: usize = 1_024;
 
 /// The hosts that this host knows, with their latest records.
@@ -35,7 +35,7 @@
 pub struct Roster {
     own: HostName,
     hosts: BTreeMap<HostName, KnownHost>,
-    /// Incremented when a host appears, becomes silent or live, or changes its addresses.
+    /// Incremented when a host appears, becomes live or no longer live, or its `Member` changes.
     epoch: u64,
     fingerprint: u64,
 }
@@ -47,7 +47,7 @@
     record_hash: u64,
     /// When this record was stored.
     stored_at: Duration,
-    /// The host's last state in which it was live.
+    /// The last live state before this record; the record's own state if the host was unknown.
     last_live_state: State,
 }
 
@@ -116,7 +116,8 @@
         known.map(|it| it.record.member.address()).collect()
     }
 
-    /// Returns the live hosts that are missing from these store entries or have moved.
+    /// Returns the live hosts that are missing from these store entries or have moved, except
+    /// those only listed in the store.
     #[must_use]
     pub fn missing(&self, listed: &[Member]) -> Vec<Member> {
         let listed: HashSet<&Member> = listed.iter().collect();
@@ -138,7 +139,7 @@
 
     /// Returns this host's position among the ready hosts or, if none is ready, among those
     /// that are listed or starting. All hosts with the same view agree on the order. It is by
-    /// hash because hosts with similar names would otherwise be adjacent.
+    /// hash because hosts with similar names would otherwise have adjacent ranks.
     #[must_use]
     pub fn rank(&self) -> usize {
         let own = name_hash(&self.own);
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -30,7 +30,7 @@
 
 pub(crate) use listing_meta::{ListingMeta, is_much_later};
 
-/// Interval at which old connections are closed.
+/// Interval at which idle connections to endpoints that are too old for reuse are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which a host that shuts down checks for remaining requests.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -39,13 +39,13 @@
 /// first time. Without the spread, each host would find an empty listing and try to
 /// write the authority: three store calls per host instead of one.
 const FIRST_START_SPREAD: Duration = Duration::from_millis(500);
-/// Time after the last answer of the store at which it counts as unreachable.
+/// Time after the last successful call to the store at which it counts as unreachable.
 const STORE_CONTACT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Name of the certificate authority that the hosts share.
 const AUTHORITY_NAME: &str = "barleypin";
 /// Idle timeout of a connection between hosts. Updates are sent twice a second, so
-/// only connections to hosts that are gone reach it.
+/// connections between neighbours don't reach it.
 const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const LINK_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
@@ -80,22 +80,24 @@
     pub(crate) is_watching_documents: Cell<bool>,
     /// Whether an attempt to join the fleet has ended, successful or not.
     pub(crate) join_attempted: Cell<bool>,
-    /// Whether an attempt to fetch the neighbours' state has ended, successful or not.
+    /// Whether this host no longer waits for the neighbours' state before it may read the
+    /// store: a neighbour has sent it, all attempts have ended, or joining has failed.
     pub(crate) bootstrap_attempted: Cell<bool>,
     /// Number of hosts that the store listed when this host joined.
     pub(crate) hosts_found: Cell<Option<usize>>,
     /// When the join call to the store succeeded.
     pub(crate) joined_at: Cell<Option<Duration>>,
-    /// The roster's epoch whose hosts the router last received.
+    /// The epoch of the roster that the router received last.
     peers_epoch: Cell<Option<u64>>,
-    /// Whether this host is in the store's listing.
+    /// Whether the store's listing had this host at the join, or this host has written its
+    /// entry.
     pub(crate) is_registered: Cell<bool>,
     /// The links to the other hosts, once this host has joined the fleet.
     pub(crate) link: RefCell<Option<Link>>,
     /// Number of times that the store was restored from a copy; unknown before the
     /// first call to it.
     pub(crate) era: Cell<Option<u64>>,
-    /// When the store last answered a call.
+    /// When a call to the store last succeeded.
     pub(crate) store_reached: Cell<Option<Duration>>,
     start: Start,
     pub(crate) started: Duration,
@@ -118,8 +120,8 @@
 pub struct ShutdownSchedule {
     /// How long the host accepts every request.
     pub accept_until: Duration,
-    /// How long callers may still use its address. Until then it keeps its port open,
-    /// accepts requests that can end in time and refuses the others immediately. A
+    /// How long callers may still use its address. At least until then it keeps its port
+    /// open, accepts requests that can end in time and refuses the others immediately. A
     /// closed port would cost each caller a failed connection.
     pub listen_until: Duration,
     /// When the process ends at the latest.
@@ -286,7 +288,7 @@
         joined_at.is_some_and(|it| self.node.now() >= it + SETTLING_TIME)
     }
 
-    /// Returns whether the store answered a call recently.
+    /// Returns [`Contact::Store`] if a call to the store succeeded recently.
     pub(crate) fn contact(&self) -> Contact {
         let now = self.node.now();
         match self.store_reached.get() {
@@ -295,8 +297,8 @@
         }
     }
 
-    /// Records that the store had the configuration in force at `at`. Returns whether
-    /// that is later than was known by enough to be sent on.
+    /// Records that at `at`, the store still had the configuration that is in force. Returns
+    /// whether `at` is enough later than the last known time to inform other hosts.
     pub(crate) fn confirm_config(&self, at: Duration) -> bool {
         let known = self.config_confirmed.get();
         self.config_confirmed.set(known.max(Some(at)));
--- a/crates/host/src/host/listing_meta.rs
+++ b/crates/host/src/host/listing_meta.rs
@@ -17,8 +17,8 @@
 impl ListingMeta {
     /// Returns whether a later listing with this fingerprint adds nothing to this one.
     ///
-    /// The same entries do add something where an absent entry now means that its
-    /// endpoint is gone. After an outage of the store, endpoints stay in use whose entries
+    /// Equal entries still matter if an absent entry meant `Lapsed` before and means `Gone`
+    /// now. After an outage of the store, endpoints stay in use whose entries
     /// may only have lapsed. If the later listing counted as equal, it wouldn't reach the
     /// directory, and an endpoint that was lost in the outage would get requests until
     /// some other entry changes.
@@ -28,8 +28,8 @@
     }
 }
 
-/// Returns whether something read at `at` is newer than what is known by enough to be
-/// sent on immediately.
+/// Returns whether something read at `at` is enough newer than `known` to be sent on
+/// immediately.
 pub(crate) fn is_much_later(at: Duration, known: Option<Duration>) -> bool {
     /// Less than the interval between readings, so that each reading is sent on once,
     /// and more than the gap between two readings that happen to coincide.
--- a/crates/host/src/host/readers.rs
+++ b/crates/host/src/host/readers.rs
@@ -17,24 +17,23 @@
 /// force. Rank delays, the reading, and requests on their way to an endpoint use part of
 /// the margin.
 const READ_MARGIN: Duration = Duration::from_millis(750);
-/// Least age at which it does so: readers send what they read once a second.
+/// Least age of the known state at which a host that isn't a reader reads the store: readers
+/// send what they read once a second.
 const MIN_READ_AGE: Duration = Duration::from_millis(1_250);
-/// Delay added to that age for each rank in the order of hosts.
+/// Delay added to that age, or to [`STARTUP_WAIT`], for each rank in the order of hosts.
 const RANK_DELAY: Duration = Duration::from_millis(10);
 /// Rank from which on the delay no longer grows.
 const MAX_DELAYED_RANKS: usize = 25;
 /// How long a host that has just started waits for state from other hosts, plus the
-/// delay of its rank. Running hosts send theirs within about 50 ms. When all hosts start
-/// at once, a few read the store; a listing of thousands takes most of a second to read
-/// and as long to spread. After a shorter wait, hundreds of hosts would read what is
-/// already on its way to them.
+/// delay of its rank. Long enough for a few hosts to read a large listing and for it to
+/// spread; otherwise hundreds of hosts that start at once would read it themselves.
 const STARTUP_WAIT: Duration = Duration::from_millis(1_500);
 /// Rank from which on that delay no longer grows.
 const MAX_DELAYED_STARTUP_RANKS: usize = 100;
 /// How long after its start a host begins to read on behalf of others. By then its own
-/// record, and those of hosts that started with it, have spread. After a longer time,
-/// the state of all hosts would expire before a reader confirms it, and each would read
-/// the store.
+/// record, and those of hosts that started with it, have spread. Must be shorter than the
+/// time after which hosts read the store themselves, or each would do so before a reader
+/// confirms its state.
 const ANNOUNCE_TIME: Duration = Duration::from_millis(300);
 /// Number of hosts that read the store after bootstrapping from other hosts gave them no
 /// state. When all hosts start at once, the others get their state from these.
@@ -44,9 +43,13 @@
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl<S: Store, D: Dialect> Host<S, D> {
-    /// Returns whether this host should read the store itself: it is one of the readers,
-    /// or what it knows, as of `known_at`, is too old. Hosts of a higher rank wait a little
-    /// longer, and most get an update from lower ranks in the meantime.
+    /// Returns whether this host should read the store itself, given that its state is as of
+    /// `known_at`.
+    ///
+    /// It should if it is a reader that all others know, if it has no state after its
+    /// bootstrap and is one of the startup readers, or if it has attempted to join and its
+    /// state is too old or hasn't arrived in time. In the last case, hosts of a higher rank
+    /// wait a little longer, and most get an update from lower ranks in the meantime.
     pub(crate) fn should_read_store(&self, known_at: Option<Duration>) -> bool {
         let rank = self.rank();
         let is_startup_reader =
@@ -82,8 +85,9 @@
         self.node.now() >= self.started + ANNOUNCE_TIME
     }
 
-    /// Returns whether this host reads the store on behalf of all. Before it has heard
-    /// from other hosts, its roster is incomplete, and it doesn't count itself as one.
+    /// Returns whether this host reads the store on behalf of all. Until its
+    /// bootstrap has ended or timed out, its roster is incomplete, and it doesn't count itself
+    /// as one.
     pub(crate) fn is_reader(&self) -> bool {
         self.is_bootstrapped() && self.rank() < READER_COUNT
     }
--- a/crates/host/src/listing.rs
+++ b/crates/host/src/listing.rs
@@ -83,8 +83,8 @@
         self.fingerprint
     }
 
-    /// Returns the combined change since the listing with fingerprint `from`, if the changes
-    /// since then are still kept.
+    /// Returns the combined change since the listing with fingerprint `from`; `None` if no kept
+    /// change starts from that listing.
     #[must_use]
     pub fn changes_since(&self, from: u64) -> Option<Change> {
         let to = self.fingerprint?;
@@ -127,7 +127,8 @@
     }
 }
 
-/// Hashes those fields of all entries by which hosts decide.
+/// Hashes the fields of all entries by which hosts compare listings. Listings that differ only
+/// in other fields count as equal.
 #[must_use]
 pub fn fingerprint(entries: &[Entry]) -> u64 {
     let mut fields: Vec<_> = entries.iter().map(compared_fields).collect();
@@ -135,7 +136,7 @@
     hash::of(&fields)
 }
 
-/// Returns the fields of an entry by which hosts decide.
+/// Returns the fields of an entry that the fingerprint covers.
 fn compared_fields(it: &Entry) -> impl Ord + Hash {
     let is_ready = it.state == State::Ready;
     let who = (&it.id, it.incarnation, &it.service, it.address, &it.release);
--- a/crates/host/src/listing/patch.rs
+++ b/crates/host/src/listing/patch.rs
@@ -10,8 +10,8 @@
 
 /// A short hash of each bucket of a listing's entries.
 ///
-/// Hosts that follow different readers, or miss some listings, have listings from which no
-/// kept change leads. Sending each of them a whole listing would make up most of the traffic
+/// Hosts that follow different readers, or miss some listings, may have a listing for which no
+/// change is kept. Sending each of them a whole listing would make up most of the traffic
 /// among hundreds of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sketch {
--- a/crates/host/src/message.rs
+++ b/crates/host/src/message.rs
@@ -16,9 +16,9 @@
 /// The order of the variants is part of the binary encoding: add new ones at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// A host's state, sent several times a second.
+    /// A host's state, sent twice a second and when something changes.
     StateUpdate(Box<StateUpdate>),
-    /// A request for a response.
+    /// A request, which gets one response.
     Request(Request),
     /// The configuration in the operators' original text.
     Config(Vec<u8>),
@@ -30,7 +30,7 @@
     Comparison(Comparison),
     /// The records that a comparison asked for.
     Records(Vec<Record>),
-    /// Confirms that the host is alive, without further content.
+    /// A response without content: to a ping, or if the host doesn't have what was requested.
     Empty,
     /// Process exits of endpoints, and the quarantined requests that caused them.
     Quarantine(quarantine::Update),
@@ -97,7 +97,7 @@
     pub(crate) absence: Absence,
 }
 
-/// The listing of endpoints, as read from the store.
+/// The listing of endpoints that the sender uses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Listing {
     pub(crate) entries: Vec<Entry>,
@@ -124,9 +124,10 @@
     pub(crate) age: Duration,
 }
 
-/// The full state of a host. It is sent as a whole because a host that had only the
-/// configuration would serve requests without knowing which release is on trial, which
-/// sessions are kept off it, and which data centres are emptied.
+/// The full state of a host, except quarantined requests, which are requested separately. It
+/// is sent as a whole because a host that had only the configuration would serve requests
+/// without knowing which release is on trial, which sessions are kept off it, and which data
+/// centres are emptied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FullState {
     pub(crate) update: StateUpdate,
--- a/crates/host/src/messaging.rs
+++ b/crates/host/src/messaging.rs
@@ -26,7 +26,8 @@
 use crate::message::{ListingStatus, ListingVersion, Message, StateUpdate};
 use crate::{Backoff, Member, Store, follow};
 
-/// Connects to the other hosts, with certificates from the store, and receives their messages.
+/// Connects to the other hosts, with a certificate that it issues with the authority from the
+/// store, and receives their messages.
 pub(crate) async fn join<S: Store, D: Dialect>(host: Rc<Host<S, D>>) {
     host.delay_first_join().await;
     let mut backoff = Backoff::default();
@@ -110,7 +111,8 @@
     host.node.router().quarantine().build_update(now, scope)
 }
 
-/// Returns this host's state, where `scope` tells whether it includes what was sent before.
+/// Updates and returns this host's state. With [`Scope::Delta`], takes the membership changes
+/// that haven't been sent yet.
 pub(crate) fn state_update<S: Store, D: Dialect>(host: &Host<S, D>, scope: Scope) -> StateUpdate {
     let now = host.node.now();
     host.refresh_state();
--- a/crates/host/src/messaging/apply.rs
+++ b/crates/host/src/messaging/apply.rs
@@ -61,8 +61,8 @@
     }
 }
 
-/// Applies what a host reports of roll-outs. Returns whether it is new to the neighbours as
-/// well.
+/// Applies what a host reports of roll-outs. Returns whether it must be passed on to the
+/// neighbours.
 fn rollouts<S: Store, D: Dialect>(
     host: &Host<S, D>,
     from: &HostName,
@@ -210,8 +210,8 @@
 
 /// Returns the local time at which something was read, given its age as sent by another host.
 fn read_at(now: Duration, age: Duration) -> Duration {
-    /// Lower bound of the transfer time. Without it, the age would grow too slowly while it
-    /// travels between hosts.
+    /// Allowance for the transfer time, added to each age. Without it, the age would grow too
+    /// slowly while it travels between hosts.
     const MIN_TRANSFER_TIME: Duration = Duration::from_millis(20);
     now.saturating_sub(age.saturating_add(MIN_TRANSFER_TIME))
 }
--- a/crates/host/src/messaging/request.rs
+++ b/crates/host/src/messaging/request.rs
@@ -12,11 +12,11 @@
 use crate::host::Host;
 use crate::message::{Message, Request};
 
-/// The timeout of a response.
+/// The timeout of other responses.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// The timeout of a response with a whole listing, which can be hundreds of kilobytes on a
-/// slow link that callers use too. With a shorter timeout the transfer would be restarted
-/// again and again and never complete.
+/// The timeout of a response to [`Request::Listing`] or [`Request::ListingPatch`], which can
+/// be hundreds of kilobytes on a slow link that callers use too. With a shorter timeout the
+/// transfer would be restarted again and again and never complete.
 const LISTING_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sends a request in the background, unless one of the same kind is in flight.
--- a/crates/host/src/outage.rs
+++ b/crates/host/src/outage.rs
@@ -7,8 +7,8 @@
 /// How long after an outage entries of live endpoints may be missing.
 const RENEWAL_TIME: Duration = Duration::from_millis(2_200);
 /// Shortest outage of the store in which entries can lapse. An endpoint's entry is removed
-/// after three missed heartbeats, and the last heartbeat may have been written up to one
-/// heartbeat interval before the outage.
+/// after three missed heartbeats, which are 1.2 s apart, and the last heartbeat may have been
+/// written up to one interval before the outage.
 const MIN_OUTAGE: Duration = Duration::from_secs(2);
 
 /// The outages of the store that this host's own readings indicate.
@@ -39,8 +39,9 @@
     ///
     /// Failed readings of this host alone don't prove an outage: it may have been cut off
     /// while the others read the store. If it took missing entries for lapsed, the others
-    /// would follow, and keep sending requests to endpoints that are gone. A reliable listing
-    /// younger than `MIN_OUTAGE` shows that nothing has lapsed since.
+    /// would follow, and keep sending requests to endpoints that are gone. A listing in
+    /// use in which a missing entry means `Gone`, and which is younger than `MIN_OUTAGE`, shows
+    /// that nothing has lapsed since.
     ///
     /// Nor does a lack of recent failures prove that there was no outage: this host may have
     /// started during it, or waited long between two calls. It then relies on what the
--- a/crates/host/src/report.rs
+++ b/crates/host/src/report.rs
@@ -37,7 +37,7 @@
     }
     let mut failing_calls = host.failing_calls.borrow_mut();
     match result {
-        // The store responded, so it is reachable.
+        // The store responded, so this isn't logged as a failure.
         Err(StoreError::Conflict | StoreError::HistoryGone) => {}
         Err(error) if failing_calls.insert(call) => host.recorder().log_event(
             Event::StoreLost,
--- a/crates/host/src/store.rs
+++ b/crates/host/src/store.rs
@@ -33,8 +33,8 @@
     /// Returns [`StoreError::Unreadable`] if the text isn't a valid configuration.
     fn parse_config(&self, text: &[u8]) -> Result<Arc<Config>, StoreError>;
 
-    /// Reads what a host needs to find and authenticate the others. If the store has no
-    /// certificate authority yet, it writes `candidate`.
+    /// Reads what a host needs to find and authenticate the others, and the quarantined
+    /// requests. If the store has no certificate authority yet, it writes `candidate`.
     fn join(&self, candidate: Authority) -> impl Future<Output = Result<JoinInfo, StoreError>>;
 
     /// Reads the verdicts on roll-outs; with `since`, waits up to `wait` for those that
@@ -77,7 +77,7 @@
     ) -> impl Future<Output = Result<(), StoreError>>;
 }
 
-/// What a host needs to find and authenticate the others.
+/// What a host needs to find and authenticate the others, and the quarantined requests.
 #[derive(Clone, Debug)]
 pub struct JoinInfo {
     /// The authority that issues the hosts' certificates.
--- a/crates/host/tests/backoff.rs
+++ b/crates/host/tests/backoff.rs
@@ -27,8 +27,8 @@
     check(1, &expect!["8"]);
 }
 
-/// Guards against each host retrying as if it were alone: the billed calls of a short
-/// outage would exceed those of a day of normal operation.
+/// Guards against each host of a large fleet retrying as if it were alone: the billed calls of
+/// a short outage would exceed those of a day of normal operation.
 #[test]
 fn retry_rate_is_bounded_in_large_fleets() {
     check(9, &expect!["72"]);
--- a/crates/host/tests/gossip.rs
+++ b/crates/host/tests/gossip.rs
@@ -11,7 +11,8 @@
 const HOSTS: usize = 295;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Returns whether `host` sends callers to exactly `expected` hosts.
+/// Returns whether `host` sends callers to exactly `expected` hosts. `now` may be later than
+/// the time of the network, when hosts that are only listed or silent no longer count.
 fn has_ready_hosts(host: &Host, now: Duration, expected: usize) -> bool {
     host.gossip.roster().addresses(now).len() == expected
 }
--- a/crates/host/tests/gossip/network.rs
+++ b/crates/host/tests/gossip/network.rs
@@ -121,7 +121,7 @@
         let count = self.hosts.len();
         let pause = Duration::from_millis(300).div_f64(f64::from(u32::try_from(count).unwrap()));
         for nr in 0..count {
-            // A new entry takes about 8 ms to become visible.
+            // The last eight entries aren't visible yet.
             let listed: Vec<usize> = (0..nr.saturating_sub(8)).collect();
             self.start(nr, &listed);
             self.run(pause);
@@ -158,7 +158,8 @@
         self.now = end;
     }
 
-    /// Runs until `check` is true of all running hosts, and returns the time taken.
+    /// Runs until `check` is true of all running hosts, and returns the time taken. Panics
+    /// after `limit`.
     pub(crate) fn run_until(
         &mut self,
         condition: &str,
--- a/crates/host/tests/listing.rs
+++ b/crates/host/tests/listing.rs
@@ -138,7 +138,7 @@
             "seed {seed}: {}",
             patch.entries.len()
         );
-        // Applied to a third listing, the patch would keep or lose endpoints.
+        // A patch for another listing is rejected, unless it has all entries.
         other.replace(&[entry(9_999)]);
         assert_eq!(
             other.with_patch(&patch).is_some(),
--- a/crates/host/tests/outage.rs
+++ b/crates/host/tests/outage.rs
@@ -21,8 +21,9 @@
     assert_eq!(outage.absence(millis(now), known), expect);
 }
 
-/// Checks a series of readings by one host after an outage since `last`. Each reading is
-/// the listing in use at the next.
+/// Checks a series of readings by one host. At first, the listing in use is one that was read
+/// at `last`, and the host's last failure was at `failed`; then, each reading is the listing in
+/// use at the next. All times in milliseconds.
 fn check_series(last: u64, failed: u64, readings: &[(u64, Absence)]) {
     let mut outage = Outage::default();
     outage.record_failure(millis(failed));
