--- a/crates/host/src/follow/members.rs
+++ b/crates/host/src/follow/members.rs
@@ -23,7 +23,7 @@
 /// Number of entries from which a host doesn't register itself but leaves it to the
 /// readers, which write many entries per call. With fewer entries, each listed host would
 /// get requests from dozens of others when the whole fleet starts.
-const MIN_ENTRIES: usize = 24;
+const SELF_REGISTRATION_LIMIT: usize = 24;
 /// Largest number of entries in one write.
 const MAX_BATCH: usize = 100;
 
@@ -44,7 +44,7 @@
         let Some(hosts_found) = hosts_found.filter(|_| is_due) else {
             continue;
         };
-        if !host.is_registered.get() && hosts_found < MIN_ENTRIES {
+        if !host.is_registered.get() && hosts_found < SELF_REGISTRATION_LIMIT {
             let is_done = register(&host, &[host.own().clone()]).await;
             host.is_registered.set(is_done);
         }
--- a/crates/host/src/gossip/failure_detector.rs
+++ b/crates/host/src/gossip/failure_detector.rs
@@ -81,7 +81,7 @@
     pub(super) fn probe_failed(&mut self, now: Duration, host: &HostName) -> ProbeResult {
         /// Neighbours send an update twice a second, so a reachable one was heard within
         /// this time before the probe, or while the probe was outstanding.
-        const RECENT: Duration = Duration::from_millis(200);
+        const MAX_SILENCE_BEFORE_PROBE: Duration = Duration::from_millis(200);
         let Some(it) = self.monitored.get_mut(host) else {
             return ProbeResult::Alive;
         };
@@ -91,7 +91,7 @@
         if now < it.last_heard + SUSPECT_AFTER {
             return ProbeResult::Alive;
         }
-        let is_heard = |it: &Monitored| it.last_heard + RECENT > probed_at;
+        let is_heard = |it: &Monitored| it.last_heard + MAX_SILENCE_BEFORE_PROBE > probed_at;
         if !self.monitored.values().any(is_heard) {
             return ProbeResult::AllSilent;
         }
--- a/crates/host/src/gossip/roster.rs
+++ b/crates/host/src/gossip/roster.rs
@@ -275,8 +275,8 @@
         const ATTEMPTS_PER_INTERVAL: f64 = 4.0;
         let is_silent = |it: &&KnownHost| it.record.state == State::Silent;
         let silent: Vec<_> = self.hosts.values().filter(is_silent).collect();
-        let live = u32::try_from(self.hosts.len() - silent.len()).unwrap_or(u32::MAX);
-        if silent.is_empty() || random * f64::from(live) >= ATTEMPTS_PER_INTERVAL {
+        let not_silent = u32::try_from(self.hosts.len() - silent.len()).unwrap_or(u32::MAX);
+        if silent.is_empty() || random * f64::from(not_silent) >= ATTEMPTS_PER_INTERVAL {
             return None;
         }
         let index = hash::of(&random.to_bits()) % silent.len() as u64;
--- a/crates/host/src/host/readers.rs
+++ b/crates/host/src/host/readers.rs
@@ -53,7 +53,7 @@
     pub(crate) fn should_read_store(&self, known_at: Option<Duration>) -> bool {
         let rank = self.rank();
         let is_startup_reader =
-            known_at.is_none() && self.is_bootstrapped() && rank < STARTUP_READER_COUNT;
+            known_at.is_none() && self.has_bootstrap_ended() && rank < STARTUP_READER_COUNT;
         if is_startup_reader || (self.is_reader() && self.is_known_to_all()) {
             return true;
         }
@@ -74,7 +74,7 @@
     }
 
     /// Returns whether the attempt to get state from other hosts has ended or timed out.
-    fn is_bootstrapped(&self) -> bool {
+    fn has_bootstrap_ended(&self) -> bool {
         let has_waited = self.node.now() >= self.started + BOOTSTRAP_TIMEOUT;
         self.join_attempted.get() && (self.bootstrap_attempted.get() || has_waited)
     }
@@ -89,7 +89,7 @@
     /// bootstrap has ended or timed out, its roster is incomplete, and it doesn't count itself
     /// as one.
     pub(crate) fn is_reader(&self) -> bool {
-        self.is_bootstrapped() && self.rank() < READER_COUNT
+        self.has_bootstrap_ended() && self.rank() < READER_COUNT
     }
 
     /// Returns this host's rank in the order of hosts, from 0.
--- a/crates/host/src/messaging/apply.rs
+++ b/crates/host/src/messaging/apply.rs
@@ -212,8 +212,8 @@
 fn read_at(now: Duration, age: Duration) -> Duration {
     /// Allowance for the transfer time, added to each age. Without it, the age would grow too
     /// slowly while it travels between hosts.
-    const MIN_TRANSFER_TIME: Duration = Duration::from_millis(20);
-    now.saturating_sub(age.saturating_add(MIN_TRANSFER_TIME))
+    const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(20);
+    now.saturating_sub(age.saturating_add(TRANSFER_ALLOWANCE))
 }
 
 /// Takes over the read time of another host's listing if it equals this host's, and requests
--- a/crates/host/src/report.rs
+++ b/crates/host/src/report.rs
@@ -140,7 +140,7 @@
             .map(|it| it.front)
             .collect();
         if now != hosts {
-            hosts_changed(&host, &hosts, &now);
+            log_hosts_changed(&host, &hosts, &now);
             hosts = now;
         }
         let gauges = collect_gauges(&host, hosts.len());
@@ -150,7 +150,7 @@
 
 /// Logs which hosts callers are now sent to and no longer sent to. When many hosts change at
 /// once, the first few suffice to identify the data centre.
-fn hosts_changed<S: Store, D: Dialect>(
+fn log_hosts_changed<S: Store, D: Dialect>(
     host: &Host<S, D>,
     before: &HashSet<SocketAddr>,
     now: &HashSet<SocketAddr>,
--- a/crates/host/tests/backoff.rs
+++ b/crates/host/tests/backoff.rs
@@ -30,7 +30,7 @@
 /// Guards against each host of a large fleet retrying as if it were alone: the billed calls of
 /// a short outage would exceed those of a day of normal operation.
 #[test]
-fn retry_rate_is_bounded_in_large_fleets() {
+fn hosts_of_large_fleets_retry_less_often() {
     check(9, &expect!["72"]);
     check(30, &expect!["120"]);
     check(76, &expect!["304"]);
