--- a/crates/host/src/gossip/failure_detector.rs
+++ b/crates/host/src/gossip/failure_detector.rs
@@ -8,8 +8,9 @@
 /// How long a host may be silent before it is probed. Longer than two update intervals, so that
 /// one lost datagram doesn't trigger a probe.
 const SUSPECT_AFTER: Duration = Duration::from_millis(1_200);
-/// How long a host is not suspected again after this host marked it silent. If it refuted
-/// the claim, only the path between the two is broken, and other hosts monitor it.
+/// How long a host is not suspected again after this host marked it silent, if it refutes the
+/// claim before the graph is recomputed without it. Only the path between the two is broken
+/// then, and other hosts monitor it.
 const SUSPENSION: Duration = Duration::from_secs(10);
 
 /// Tracks when each predecessor in the graph was last heard from.
@@ -20,7 +21,8 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Monitored {
-    /// When the host was last heard from, or monitoring began.
+    /// When the host was last heard from; initially half of [`SUSPECT_AFTER`] before monitoring
+    /// began.
     last_heard: Duration,
     /// When the host was probed, if the result is outstanding.
     probed_at: Option<Duration>,
@@ -34,7 +36,8 @@
         let mut monitored = HashMap::new();
         for it in hosts {
             let known = self.monitored.get(it).copied();
-            // The host also learns of the change, and sends an update within one interval.
+            // Suspected after only half the time: it also learns of the change and sends an
+            // update within one interval.
             let fresh = Monitored {
                 last_heard: now.saturating_sub(SUSPECT_AFTER / 2),
                 probed_at: None,
@@ -78,7 +81,7 @@
     pub(super) fn probe_failed(&mut self, now: Duration, host: &HostName) -> ProbeResult {
         /// Neighbours send an update twice a second, so a reachable one was heard within
         /// this time before the probe, or while the probe was outstanding.
-        const RECENT: Duration = Duration::from_millis(200);
+        const MAX_SILENCE_BEFORE_PROBE: Duration = Duration::from_millis(200);
         let Some(it) = self.monitored.get_mut(host) else {
             return ProbeResult::Alive;
         };
@@ -88,7 +91,7 @@
         if now < it.last_heard + SUSPECT_AFTER {
             return ProbeResult::Alive;
         }
-        let is_heard = |it: &Monitored| it.last_heard + RECENT > probed_at;
+        let is_heard = |it: &Monitored| it.last_heard + MAX_SILENCE_BEFORE_PROBE > probed_at;
         if !self.monitored.values().any(is_heard) {
             return ProbeResult::AllSilent;
         }
