--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -54,13 +54,13 @@
         /// The verdict.
         verdict: Verdict,
     },
-    /// Reports that a quarantined version stays in use because a customer has no healthy one.
-    /// Emitted once per profile and customer until the verdict on the version or the policy
-    /// changes.
+    /// Reports that a quarantined version stays in use because the customer has no healthy version
+    /// with an endpoint. Emitted once per version, profile and customer until the verdict on the
+    /// version or the policy changes.
     LastResort {
         /// The version.
         version: key::Version,
-        /// The profile for which the customer has no healthy version.
+        /// The profile for which the customer has no healthy version with an endpoint.
         profile: key::Profile,
         /// The customer.
         customer: key::Customer,
@@ -105,7 +105,7 @@
     pub attempt: AttemptId,
     /// The version that produced the response; `None` for a plain service.
     pub version: Option<key::Version>,
-    /// The total cost of all attempts of the request.
+    /// The total cost of the complete responses to the request.
     pub cost: Money,
     /// The number of attempts.
     pub attempts: u32,
@@ -136,18 +136,20 @@
 pub enum Verdict {
     /// The version is in normal use.
     Healthy,
-    /// The version gets only probes, unless it is a last resort.
+    /// The version gets probes, and requests of sessions pinned to it if
+    /// [`PinnedSessions::Keep`](crate::PinnedSessions::Keep) is set; other requests only as a last
+    /// resort.
     Quarantined(Cause),
 }
 
 /// Why a version is quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Cause {
-    /// Its error rate is above its baseline and above that of other versions.
+    /// Its error rate is well above the baseline, which is derived from the other versions.
     Errors,
-    /// Its share of responses rated bad is above its baseline.
+    /// Its quality is below its baseline; the last evidence was a rating.
     Ratings,
-    /// The confidence reported for its responses is below its baseline.
+    /// Its quality is below its baseline; the last evidence was the confidence of a response.
     Confidence,
     /// Its latency is far above its baseline.
     Latency,
--- a/crates/decide/src/arrival.rs
+++ b/crates/decide/src/arrival.rs
@@ -16,8 +16,8 @@
     pub work: Work,
     /// The priority; by default that of the profile or service.
     pub priority: Option<Priority>,
-    /// The time at which the caller stops waiting, on the clock of `now`; by default that of the
-    /// profile or service.
+    /// The time at which the caller stops waiting, on the clock of the `now` passed to
+    /// [`Decider::handle`](crate::Decider::handle); by default that of the profile or service.
     pub deadline: Option<Duration>,
 }
 
--- a/crates/decide/src/attempt.rs
+++ b/crates/decide/src/attempt.rs
@@ -27,7 +27,7 @@
     pub(crate) sent_at: Duration,
     pub(crate) timeout: Duration,
     pub(crate) progress: Progress,
-    /// Whether the endpoint had free capacity at dispatch.
+    /// Whether the endpoint was known to have free capacity at dispatch.
     pub(crate) occupancy: Occupancy,
 }
 
@@ -39,7 +39,7 @@
     Started(Duration),
 }
 
-/// Whether an endpoint had free capacity.
+/// Whether an endpoint was known to have free capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Occupancy {
     Free,
--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -9,7 +9,7 @@
 
 /// The attempts in flight, by key and by the id that the driver uses.
 ///
-/// Ids increase from 1, so that drivers may pack them into fewer bits.
+/// Ids are consecutive from 1; drivers may rely on their being small.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
     by_key: SlotMap<Key, Attempt>,
@@ -44,7 +44,7 @@
         self.by_key.get_mut(key)
     }
 
-    /// Returns the attempt with this id, or `None` if it has ended or was cancelled.
+    /// Returns the key of the attempt with this id, or `None` if it has ended or was cancelled.
     pub(crate) fn find(&self, id: AttemptId) -> Option<Key> {
         self.by_id.get(&id).copied()
     }
--- a/crates/decide/src/class_traffic.rs
+++ b/crates/decide/src/class_traffic.rs
@@ -14,12 +14,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassTraffic {
     pub(crate) key: key::Class,
+    /// Prompt tokens per request.
     pub(crate) prompt: Mean,
     pub(crate) age: Age,
-    /// Requests without and with a version set by their session, older ones
-    /// weighing less.
+    /// Requests not pinned to a version. Halved, like `pinned`, when the sum of both
+    /// exceeds [`MAX_REQUEST_COUNT`].
     pub(crate) free: f64,
+    /// Requests pinned to a version by their session.
     pub(crate) pinned: f64,
+    /// Completion tokens per response.
     pub(crate) completion: Mean,
     /// Microcents per second.
     pub(crate) spending: Meter,
@@ -48,8 +51,8 @@
         }
     }
 
-    /// Records requests of the class at this or another host, without and with a
-    /// version.
+    /// Records requests of the class at this or another host: `free` ones that
+    /// aren't pinned to a version, and `pinned` ones.
     pub(crate) fn record_requests(&mut self, now: Duration, free: u32, pinned: u32) {
         let it = self;
         if it.age == Age::Unseen {
@@ -71,9 +74,11 @@
         it.pinned += f64::from(pinned);
     }
 
-    /// Returns the share of requests that continue a session with a version. A
-    /// new class is assumed to have sessions until their second requests have had
-    /// time to arrive.
+    /// Returns the share of requests that are pinned to a version by their session.
+    ///
+    /// Returns `DEFAULT_SHARE` for a class with fewer than `MIN_REQUESTS` requests
+    /// or first seen less than `MIN_AGE` ago: later requests of its sessions may
+    /// not have arrived yet.
     pub(crate) fn pinned(&self, now: Duration) -> f64 {
         const DEFAULT_SHARE: f64 = 0.7;
         const MIN_REQUESTS: f64 = 20.0;
--- a/crates/decide/src/confidence_model.rs
+++ b/crates/decide/src/confidence_model.rs
@@ -29,7 +29,8 @@
     bad: [f64; BUCKETS],
     /// The share of wrong ratings.
     noise: f64,
-    /// The number of ratings that the distributions are based on.
+    /// The number of ratings behind the distributions or behind their prior,
+    /// whichever is larger.
     ratings: f64,
 }
 
@@ -126,7 +127,9 @@
         ((good - self.noise * all) / (1.0 - 2.0 * self.noise)).clamp(0.0, all)
     }
 
-    /// Estimates the share of good responses by expectation maximization.
+    /// Estimates the share of good responses by expectation maximization. `prior`
+    /// counts as `prior.weight` responses. Unrated responses add less to the
+    /// returned weight, the fewer ratings the distributions are based on.
     pub(crate) fn fit(&self, histogram: &ConfidenceHistogram, prior: Fit) -> Fit {
         let unrated = (histogram.responses() - histogram.ratings()).max(0.0);
         let scale = (MAX_UNRATED / unrated.max(1e-9)).min(1.0);
--- a/crates/decide/src/decider.rs
+++ b/crates/decide/src/decider.rs
@@ -139,7 +139,8 @@
     }
 
     /// Returns the endpoints that this host sends requests to, which are the only ones whose load
-    /// it needs. The list changes with `Configure` and `Endpoint` events.
+    /// it needs. The list changes with `Configure` and `Endpoint` events, and with `Ended` events
+    /// that report a `Denied` outcome other than `Overloaded`.
     #[must_use]
     pub fn watched(&self) -> Vec<endpoint::Id> {
         self.directory.watched()
--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -86,7 +86,8 @@
             .collect()
     }
 
-    /// Returns a plan that doesn't use `failed`, or `None` if the request must keep its version.
+    /// Returns a plan that doesn't use `failed`, or `None` if the request must keep its version or
+    /// there is no other.
     pub(super) fn replacement_plan(
         &mut self,
         now: Duration,
@@ -110,8 +111,9 @@
         Some(Plan::new(&[Step::last(best.version)]))
     }
 
-    /// Returns the current step if its version may still be used, or else the first step of a new
-    /// plan.
+    /// Returns the step of the pinned version if the session keeps it; else the current step if its
+    /// version may still be used; else the first step of a new plan. Updates the request's plan and
+    /// session.
     fn version_step(
         &mut self,
         now: Duration,
@@ -204,7 +206,8 @@
     }
 
     /// Returns `step`, or if it would exceed the cost cap, a step with the version of the highest
-    /// expected quality within the cap.
+    /// expected quality within the cap. Fails with `CostCap` if `step` would exceed the cap and an
+    /// attempt was already made, the session keeps its version, or no version fits.
     fn within_cost_cap(
         &mut self,
         now: Duration,
--- a/crates/decide/src/decider/configure.rs
+++ b/crates/decide/src/decider/configure.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Removes all requests from the queues and returns them, each queue in the order of service.
+    /// Removes all requests from the queues and returns them. Those of one queue are in order of
+    /// priority; within a priority, customer by customer, each in the order of its backlog.
     fn take_waiting(&mut self) -> Vec<request::Key> {
         let mut waiting = Vec::new();
         for target in self.pools.queued_targets() {
--- a/crates/decide/src/decider/end.rs
+++ b/crates/decide/src/decider/end.rs
@@ -15,7 +15,8 @@
 
 /// Cost of a retry after an endpoint reported that it isn't the right one: the version isn't
 /// loaded, the endpoint is leaving, or another process has its address. Cheaper than other retries,
-/// since the endpoint is taken out of use and such retries can't amplify an overload.
+/// since the endpoint is no longer used for that version or service and such retries can't amplify
+/// an overload.
 const REDIRECT_RETRY_COST: f64 = 0.25;
 
 impl Decider {
@@ -174,8 +175,8 @@
         self.place(now, key, actions);
     }
 
-    /// Makes the retry avoid the endpoint, and if the version failed twice in succession, also the
-    /// version.
+    /// Makes the retry avoid the endpoint, and also the version if the last two failures after which
+    /// the request may have run were both with it.
     fn prepare_retry(&mut self, now: Duration, attempt: &Attempt, outcome: Outcome) {
         let key = attempt.request;
         let Some(request) = self.requests.get_mut(key) else {
--- a/crates/decide/src/decider/evidence.rs
+++ b/crates/decide/src/decider/evidence.rs
@@ -17,7 +17,8 @@
 use crate::samples::Sample;
 use crate::{Action, key};
 
-/// Number of outcomes from which a host uses only its own verdict on a version.
+/// Number of outcomes, here or published by other hosts, from which a host uses only its own verdict
+/// on a version.
 const MIN_OWN_OUTCOMES: f64 = 50.0;
 
 impl Decider {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Adopts another host's verdict if this host has too few outcomes of the version to judge it,
+    /// Adopts another host's verdict if this host knows too few outcomes of the version to judge it,
     /// so that a new host doesn't send callers' requests to a version known to be bad.
     pub(super) fn apply_verdict(
         &mut self,
@@ -135,7 +136,7 @@
     }
 }
 
-/// Returns samples for another host's responses in a bucket, of first and of later turns.
+/// Returns samples for another host's responses in a bucket, of first and of later steps.
 fn samples_by_turn(bucket: Bucket) -> [Sample; 2] {
     [StepPosition::First, StepPosition::Later].map(|position| Sample {
         bucket,
--- a/crates/decide/src/decider/failures.rs
+++ b/crates/decide/src/decider/failures.rs
@@ -82,9 +82,10 @@
         }
     }
 
-    /// Returns whether an attempt had an endpoint with free capacity and far more time than usual.
-    /// A timeout at a full endpoint, or shortly before the deadline, is caused by overload and not
-    /// by the version.
+    /// Returns whether an attempt had an endpoint known to have free capacity and far more time than
+    /// usual.
+    /// If the usual time is unknown, any time is enough. A timeout at a full endpoint, or shortly
+    /// before the deadline, is caused by overload and not by the version.
     fn had_ample_time(&self, attempt: &Attempt) -> bool {
         const AMPLE_TIME_FACTOR: u32 = 4;
         let usual = self.expected_latency(attempt.request, attempt.target);
--- a/crates/decide/src/decider/learn.rs
+++ b/crates/decide/src/decider/learn.rs
@@ -316,9 +316,9 @@
         }
     }
 
-    /// Returns whether observations of the version become part of its baseline. Those of a
-    /// quarantined version don't: its probes would make bad results the norm and end the
-    /// quarantine.
+    /// Returns whether the confidence and ratings of the version's responses become part of its
+    /// baseline. Those of a quarantined version don't: its probes would make bad results the norm
+    /// and end the quarantine. Its latencies and token counts are recorded regardless.
     fn feeds_baseline(&self, version: key::Version) -> bool {
         !self.health.is_quarantined(version)
     }
@@ -387,8 +387,8 @@
     }
 }
 
-/// Returns whether a response comes from the first version tried, or after the response of another
-/// version had too low confidence.
+/// Returns `Later` if another response was kept as fallback before this one, unless this is the
+/// response of a probe or exploration.
 fn position(attempt: &Attempt, has_fallback: bool) -> StepPosition {
     if has_fallback && !attempt.step.is_probe() {
         StepPosition::Later
--- a/crates/decide/src/decider/place.rs
+++ b/crates/decide/src/decider/place.rs
@@ -202,7 +202,8 @@
         self.directory.record_prefix(prefix, replica);
     }
 
-    /// Completes the request with its fallback response, or with a refusal if it has none.
+    /// Completes the request with its fallback response, or with a refusal if it has none or if part
+    /// of another response has been relayed.
     pub(super) fn give_up(
         &mut self,
         now: Duration,
--- a/crates/decide/src/decider/plan.rs
+++ b/crates/decide/src/decider/plan.rs
@@ -75,7 +75,8 @@
     }
 
     /// Prepends a probe of a quarantined version if one is due, or else possibly an exploration of
-    /// a version with few ratings. The caller doesn't get the responses of either.
+    /// a version outside the plan. The response doesn't end the plan. The caller gets it only if the
+    /// version isn't quarantined when it responds, and no later step responds.
     pub(super) fn with_probe(
         &mut self,
         now: Duration,
@@ -152,8 +153,8 @@
         })
     }
 
-    /// Returns the version to explore: among those that could improve the plan, the one with the
-    /// fewest ratings.
+    /// Returns the version to explore: the one with the fewest ratings of the versions outside the
+    /// plan that cost less than the plan, or of all outside it if the plan misses the target.
     pub(super) fn exploration(
         &self,
         usable: &[Forecast],
--- a/crates/decide/src/decider/tick.rs
+++ b/crates/decide/src/decider/tick.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Refuses queued requests that can no longer meet their deadline, so that callers aren't
-    /// refused only at the deadline. Lets the other queued requests use the endpoint that they
+    /// Gives up queued requests with at most half the expected latency left, so that their callers
+    /// learn of it before the deadline. Lets the other queued requests use the endpoint that they
     /// avoided.
     fn refuse_late(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let mut late = Vec::new();
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -130,7 +130,7 @@
         left.min((usual * TIMEOUT_LATENCY_FACTOR).max(left / 2))
     }
 
-    /// Returns the usual duration of an attempt.
+    /// Returns the usual duration of an attempt, or zero if it is unknown.
     pub(super) fn expected_latency(&self, key: request::Key, target: Target) -> Duration {
         let class = self.requests.get(key).map(|it| it.class);
         let seconds = match (target, class) {
@@ -169,7 +169,8 @@
         weight.filter(|it| *it > 0.0).unwrap_or(1.0)
     }
 
-    /// Returns the number of requests that a customer of this weight may have queued for a target.
+    /// Returns the number of requests that a customer of this weight may have queued for a target at
+    /// each priority.
     pub(super) fn max_queued(&self, weight: f64) -> usize {
         const MIN_QUEUED: usize = 4;
         let customers = self.policy.customers.iter();
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -10,7 +10,8 @@
 /// An event that the driver reports to the decider.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A policy came into force. Keys in later arrivals refer to this policy.
+    /// A policy was received. It is ignored if its revision is lower than that of the policy in
+    /// force. Keys in later arrivals refer to the policy in force.
     Configure(Arc<Policy>),
     /// An endpoint was added, changed, removed, or reported its load.
     Endpoint(endpoint::Update),
@@ -41,8 +42,9 @@
     Rated(Rating),
     /// Evidence from another host.
     Evidence(Evidence),
-    /// Another host's verdict on a version. Applied only while this host has too few outcomes to
-    /// judge the version itself, for example after it started.
+    /// Another host's verdict on a version. Applied only while this host knows too few outcomes,
+    /// its own and those that other hosts published, to judge the version itself, for example after
+    /// it started.
     Verdict {
         /// The version.
         version: VersionId,
@@ -50,7 +52,7 @@
         verdict: Verdict,
     },
     /// A summary of what another host has learned, see [`Decider::digest`](crate::Decider::digest).
-    /// Requested once, by a starting host; ignored by a host that has learned enough itself.
+    /// Requested once, by a starting host; ignored by a host that already has enough observations.
     Digest(Evidence),
     /// The number of live entry hosts changed.
     Hosts {
--- a/crates/decide/src/key.rs
+++ b/crates/decide/src/key.rs
@@ -1,4 +1,4 @@
-//! Small `Copy` keys, which spare the hot path comparisons of strings.
+//! Small `Copy` keys, so that decisions don't compare strings.
 //!
 //! [`Version`], [`Profile`], [`Customer`] and [`Service`] index the lists of the
 //! [`Policy`](crate::Policy) in the last
--- a/crates/decide/src/limiter.rs
+++ b/crates/decide/src/limiter.rs
@@ -15,7 +15,8 @@
 const EVEN_SHARE: f64 = 0.05;
 
 /// The limits of a customer at this host: its fleet-wide limits times this
-/// host's share of its demand.
+/// host's share of its demand, but at least one request in flight and a burst of
+/// one request.
 #[derive(Clone, Debug)]
 pub(crate) struct Limiter {
     bucket: TokenBucket,
@@ -77,7 +78,7 @@
     pub(crate) fn update_share(&mut self, now: Duration, live: f64, elsewhere: Flow) {
         let own = self.flow(now);
         self.rate_share = share_of(own.rate, elsewhere.rate, live);
-        // Uses the arrival rate if nothing is in flight.
+        // Uses the arrival rate if it is higher, for example when nothing is in flight.
         let own_load = own.in_flight.max(own.rate);
         let other_load = elsewhere.in_flight.max(elsewhere.rate);
         self.concurrency_share = share_of(own_load, other_load, live);
--- a/crates/decide/src/meter.rs
+++ b/crates/decide/src/meter.rs
@@ -31,7 +31,8 @@
     }
 }
 
-/// An exponentially weighted mean and mean absolute deviation.
+/// A mean and mean absolute deviation, exponentially weighted after the first 20
+/// values.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Mean {
     value: f64,
--- a/crates/decide/src/plan.rs
+++ b/crates/decide/src/plan.rs
@@ -6,8 +6,8 @@
 /// The maximum number of steps of a plan.
 pub(crate) const STEPS: usize = 3;
 
-/// The versions that a request is sent to in turn, the cheapest first, until a
-/// response is confident enough.
+/// The versions that a request is sent to in turn, usually the cheapest first,
+/// until a response is confident enough.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub(crate) struct Plan {
     steps: [Step; STEPS],
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns a step whose response is rated but never accepted.
+    /// Returns a step whose response never ends the plan, and is preferred for rating.
     pub(crate) fn probe(version: key::Version) -> Self {
         Self {
             version,
--- a/crates/decide/src/plan_cache.rs
+++ b/crates/decide/src/plan_cache.rs
@@ -7,7 +7,7 @@
 use crate::planner::Mix;
 use crate::{Policy, key};
 
-/// A plan younger than this is reused whatever was learned since.
+/// A plan below this age is reused even if much was learned since.
 const MIN_REUSE: Duration = Duration::from_secs(1);
 /// The maximum age of a reused plan.
 const MAX_REUSE: Duration = Duration::from_secs(10);
@@ -17,7 +17,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct VersionSetId(usize);
 
-/// A cache of plans by profile, set of allowed versions, and class.
+/// A cache of plans by profile, set of allowed versions, class and maximum number
+/// of steps.
 #[derive(Debug, Default)]
 pub(crate) struct PlanCache {
     version_sets: Vec<Vec<key::Version>>,
@@ -73,8 +74,9 @@
         }
     }
 
-    /// Drops all plans. Must be called when the health or the endpoints of a
-    /// version change.
+    /// Drops all plans. Called when a version's verdict changes, when an endpoint
+    /// update gives a version or service its first endpoint or removes its last
+    /// one, and when a digest arrives.
     pub(crate) fn invalidate(&mut self) {
         self.entries.clear();
     }
@@ -97,7 +99,7 @@
         let it = self.entries.get(&key)?;
         let age = now.saturating_sub(it.made_at);
         let learned = knowledge_revision.saturating_sub(it.knowledge_revision);
-        // A change matters less the more is known.
+        // Outdated if the observations since then exceed 2 % of those before.
         let outdated = learned * 50 > it.knowledge_revision;
         let reusable = age < MIN_REUSE || (age < MAX_REUSE && !outdated);
         reusable.then_some(*it)
--- a/crates/decide/src/planner.rs
+++ b/crates/decide/src/planner.rs
@@ -15,8 +15,8 @@
 /// because the best of many combinations is often the most overestimated one.
 const MULTI_STEP_MARGIN: f64 = 0.6;
 
-/// A random mix of two plans whose average quality meets the target without
-/// exceeding it.
+/// One plan, or a random mix of two plans whose average quality is just the
+/// target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Mix {
     /// The cheaper plan.
@@ -52,8 +52,9 @@
     quality: f64,
 }
 
-/// Returns the cheapest mix of plans that meets the goal, or the plan of highest
-/// quality within the cost cap if none does. Returns `None` if there is no version.
+/// Returns the cheapest mix of plans that meets the goal. If none does, returns the
+/// plan of highest quality within the cost cap, or the cheapest plan if all exceed
+/// the cap. Returns `None` if there is no version.
 pub(crate) fn find_cheapest_mix(forecasts: &[Forecast], goal: &Goal) -> Option<Mix> {
     let mut candidates = Candidates::new(goal);
     for it in forecasts {
@@ -70,7 +71,7 @@
 }
 
 /// Returns the versions whose quality plus one standard error exceeds that of
-/// every cheaper version, in order of cost.
+/// every cheaper version, at most [`MAX_COMBINED_VERSIONS`], in order of cost.
 fn frontier(forecasts: &[Forecast]) -> Vec<Forecast> {
     let mut sorted = forecasts.to_vec();
     sorted.sort_by(|a, b| a.cost.total_cmp(&b.cost));
--- a/crates/decide/src/policy/customer.rs
+++ b/crates/decide/src/policy/customer.rs
@@ -1,6 +1,7 @@
 //! Limits of a customer.
 
-/// The fleet-wide limits of a customer.
+/// The fleet-wide limits of a customer. They apply to its model requests and,
+/// separately, to its calls of plain services.
 #[derive(Clone, Debug)]
 pub struct Customer {
     /// The name, which identifies it across revisions.
@@ -11,6 +12,7 @@
     pub burst: f64,
     /// Maximum number of requests in flight or queued, over all hosts.
     pub concurrency: u32,
-    /// Weight in fair queueing when endpoints are full.
+    /// Weight in fair queueing when endpoints are full, and in the customer's share
+    /// of the queues. Counts as 1 if it isn't positive.
     pub weight: f64,
 }
--- a/crates/decide/src/policy/profile.rs
+++ b/crates/decide/src/policy/profile.rs
@@ -16,7 +16,8 @@
     pub allowed: Vec<Allowance>,
     /// The share of responses (0 to 1) that must be good.
     pub target: f64,
-    /// The maximum cost of one request over all its attempts.
+    /// The maximum cost of one request over its complete responses. Before each
+    /// attempt, an upper estimate of its cost is added to the cost so far.
     pub cap: Option<Money>,
     /// Whether requests may run more than once.
     pub repeat: Repeat,
@@ -41,14 +42,14 @@
     /// Running it more than once is harmless.
     #[default]
     Idempotent,
-    /// It is not sent again once any of its bytes may have been sent.
+    /// It is not sent again once it may have run.
     AtMostOnce,
 }
 
 /// The precedence of requests that wait for the same endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Holds, gate scans and requests for a person waiting at a counter.
+    /// Someone is waiting on the spot, for example at a ticket gate or a counter.
     Urgent,
     /// A person is waiting for the response.
     #[default]
--- a/crates/decide/src/policy/version.rs
+++ b/crates/decide/src/policy/version.rs
@@ -20,7 +20,9 @@
 pub enum State {
     /// It accepts all requests that the profiles allow.
     Active,
-    /// It accepts this share (0 to 1) of the requests that it is eligible for.
+    /// It accepts this share (0 to 1) of the requests that it is eligible for, or
+    /// all of them if there is no usable active version. It also accepts the
+    /// requests of sessions pinned to it.
     Trial(f64),
     /// It accepts no new attempts, including retries and later requests of a session.
     Withdrawn,
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -74,7 +74,8 @@
         let own = own.map_or(0, |it| it.requests.len());
         let others = level.backlogs.iter().enumerate();
         let others = others.filter(|(at, it)| *at != customer.index() && !it.requests.is_empty());
-        // A customer with an empty backlog is behind at most one request of each other.
+        // A customer with an empty backlog waits for at most one request of each other
+        // customer.
         let turns = count(own) / weight;
         let others = others.map(|(_, it)| count(it.requests.len()).min(1.0 + turns * it.weight));
         count(before + own) + others.sum::<f64>()
@@ -114,8 +115,9 @@
         level.backlogs[next].requests.pop_front()
     }
 
-    /// Accounts for work that was sent, whether it was queued or not, so that
-    /// recent use counts against a customer once the pool is full.
+    /// Adds `work`, the expected seconds of a dispatched request, to the customer's
+    /// use, whether the request was queued or not, so that recent use counts against
+    /// the customer once the pool is full.
     pub(crate) fn charge(
         &mut self,
         customer: key::Customer,
--- a/crates/decide/src/refusal.rs
+++ b/crates/decide/src/refusal.rs
@@ -20,7 +20,7 @@
     UnknownProfile,
     /// The policy doesn't have the service, or no longer has it.
     UnknownService,
-    /// The customer may not use the profile.
+    /// The customer may not use the profile, or isn't in the policy.
     NotAllowed,
     /// The customer has exceeded its request rate.
     RateLimited,
@@ -38,7 +38,7 @@
     CostCap,
     /// The attempts failed, and the request can't be retried.
     UpstreamFailed,
-    /// The response ended prematurely after part of it had been relayed.
+    /// The attempt failed after part of its response may have been relayed.
     AnswerCut,
     /// The host has no policy yet.
     NotReady,
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -33,7 +33,7 @@
     pub(crate) step: usize,
     pub(crate) session: Session,
     pub(crate) attempts: u32,
-    /// The total cost of its attempts so far.
+    /// The total cost of its complete responses so far.
     pub(crate) spent: Money,
     /// Whether an endpoint may have run the request.
     pub(crate) run: Run,
--- a/crates/decide/src/rollout_controller.rs
+++ b/crates/decide/src/rollout_controller.rs
@@ -21,7 +21,8 @@
 const MIN_STAGE_TIME: Duration = Duration::from_secs(30);
 /// Interval at which a step is requested again until it is taken.
 const REQUEST_INTERVAL: Duration = Duration::from_secs(5);
-/// The quality that a version may lose against the one that it replaces.
+/// How far a version's share of good responses may be below that of the version
+/// that it replaces.
 const MAX_QUALITY_LOSS: f64 = 0.02;
 
 /// The evidence required at a share before the next one.
@@ -58,8 +59,9 @@
 }
 
 impl RolloutController {
-    /// Starts following a roll-out. Only evidence since the last change of the
-    /// share counts; `known` is the previous state of the same roll-out.
+    /// Starts following a roll-out; `known` is the previous state of the same
+    /// roll-out. Only responses and ratings since the last change of the share
+    /// count towards a stage, but quality is compared over all ratings.
     pub(crate) fn new(
         now: Duration,
         policy: &Policy,
--- a/crates/decide/src/token_bucket.rs
+++ b/crates/decide/src/token_bucket.rs
@@ -42,7 +42,7 @@
         (self.tokens / depth).clamp(0.0, 1.0)
     }
 
-    /// Returns the time until one token is available at `rate`.
+    /// Returns the time until one token is available at `rate`, at most one hour.
     pub(crate) fn time_to_token(&self, rate: f64) -> Duration {
         const MAX_WAIT_SECONDS: f64 = 3600.0;
         let missing = (1.0 - self.tokens).max(0.0);
--- a/crates/decide/src/tuning.rs
+++ b/crates/decide/src/tuning.rs
@@ -22,11 +22,12 @@
     /// The maximum share of responses sent to the rating service once a version and class have
     /// enough ratings.
     pub sample_share: f64,
-    /// The base share of requests on which a version outside the plan that has few ratings is also
-    /// tried.
+    /// The share of requests that explore a version outside the plan, before the factors for its
+    /// ratings and cost.
     pub explore_share: f64,
-    /// The queue length for one version or service at this host. Customers' limits are shares of
-    /// it, and the total may reach twice this length.
+    /// The queue length for one version or service at this host. At each priority, a customer may
+    /// queue twice its weight's share of this length, at least 4 requests and at most this length.
+    /// All customers together may queue at most twice this length.
     pub queue_length: usize,
     /// The treatment of sessions whose version is quarantined.
     pub pinned_sessions: PinnedSessions,
