--- a/crates/decide/src/attempt.rs
+++ b/crates/decide/src/attempt.rs
@@ -43,5 +43,5 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Occupancy {
     Free,
-    Full,
+    MayBeFull,
 }
--- a/crates/decide/src/class_traffic.rs
+++ b/crates/decide/src/class_traffic.rs
@@ -16,7 +16,7 @@
     pub(crate) key: key::Class,
     /// Prompt tokens per request.
     pub(crate) prompt: Mean,
-    pub(crate) age: Age,
+    pub(crate) first_seen: FirstSeen,
     /// Requests not pinned to a version. Halved, like `pinned`, when the sum of both
     /// exceeds [`MAX_REQUEST_COUNT`].
     pub(crate) free: f64,
@@ -28,14 +28,14 @@
     pub(crate) spending: Meter,
 }
 
-/// How long a class has been known.
+/// The first known occurrence of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Age {
-    Unseen,
+pub(crate) enum FirstSeen {
+    Never,
     /// The first request, at this or another host, came at this time.
-    Since(Duration),
-    /// Another host sent its statistics of the class.
-    Reported,
+    At(Duration),
+    /// Another host has sent its statistics of the class.
+    ByPeer,
 }
 
 impl ClassTraffic {
@@ -43,7 +43,7 @@
         Self {
             key,
             prompt: Mean::default(),
-            age: Age::Unseen,
+            first_seen: FirstSeen::Never,
             free: 0.0,
             pinned: 0.0,
             completion: Mean::default(),
@@ -55,8 +55,8 @@
     /// aren't pinned to a version, and `pinned` ones.
     pub(crate) fn record_requests(&mut self, now: Duration, free: u32, pinned: u32) {
         let it = self;
-        if it.age == Age::Unseen {
-            it.age = Age::Since(now);
+        if it.first_seen == FirstSeen::Never {
+            it.first_seen = FirstSeen::At(now);
         }
         it.free += f64::from(free);
         it.pinned += f64::from(pinned);
@@ -69,7 +69,7 @@
     /// Adds another host's statistics of the class.
     pub(crate) fn add_report(&mut self, free: u32, pinned: u32) {
         let it = self;
-        it.age = Age::Reported;
+        it.first_seen = FirstSeen::ByPeer;
         it.free += f64::from(free);
         it.pinned += f64::from(pinned);
     }
@@ -85,10 +85,10 @@
         const MIN_AGE: Duration = Duration::from_secs(100);
         let it = self;
         let seen = it.free + it.pinned;
-        let is_new = match it.age {
-            Age::Unseen => true,
-            Age::Since(first) => now.saturating_sub(first) < MIN_AGE,
-            Age::Reported => false,
+        let is_new = match it.first_seen {
+            FirstSeen::Never => true,
+            FirstSeen::At(first) => now.saturating_sub(first) < MIN_AGE,
+            FirstSeen::ByPeer => false,
         };
         if is_new || seen < MIN_REQUESTS {
             return DEFAULT_SHARE;
--- a/crates/decide/src/confidence_model.rs
+++ b/crates/decide/src/confidence_model.rs
@@ -165,11 +165,12 @@
     }
 }
 
-/// Returns the posterior probability that a response is good after a rating that
-/// a good one gets with probability `rated`.
-fn posterior_good(chance: f64, rated: f64) -> f64 {
-    let good = chance * rated;
-    good / (good + (1.0 - chance) * (1.0 - rated)).max(1e-9)
+/// Returns the posterior probability that a response is good after a rating. A good
+/// response gets this rating with probability `likelihood`, and a bad one with
+/// `1 - likelihood`.
+fn posterior_good(chance: f64, likelihood: f64) -> f64 {
+    let good = chance * likelihood;
+    good / (good + (1.0 - chance) * (1.0 - likelihood)).max(1e-9)
 }
 
 /// Returns the shares of `counts`, smoothed by `prior` with a weight of `weight`
--- a/crates/decide/src/decider/evidence.rs
+++ b/crates/decide/src/decider/evidence.rs
@@ -19,7 +19,7 @@
 
 /// Number of outcomes, here or published by other hosts, from which a host uses only its own verdict
 /// on a version.
-const MIN_OWN_OUTCOMES: f64 = 50.0;
+const MIN_VERDICT_OUTCOMES: f64 = 50.0;
 
 impl Decider {
     /// Applies evidence from another host.
@@ -54,7 +54,7 @@
             return;
         };
         self.observe_version(now, version, actions, |it| {
-            if it.outcomes() < MIN_OWN_OUTCOMES {
+            if it.outcomes() < MIN_VERDICT_OUTCOMES {
                 it.adopt(now, verdict);
             }
         });
@@ -70,7 +70,7 @@
         let class = self.knowledge.class_index(item.class);
         for bucket in Bucket::all() {
             let at = bucket.index();
-            let [first, later] = samples_by_turn(bucket);
+            let [first, later] = samples_by_position(bucket);
             for (sample, count) in [(first, item.answered[at]), (later, item.later_answered[at])] {
                 if count > 0 {
                     let count = f64::from(count);
@@ -87,7 +87,7 @@
         self.observe_version(now, version, actions, |it| it.end_batch(now, scope));
         for bucket in Bucket::all() {
             let at = bucket.index();
-            let [first, later] = samples_by_turn(bucket);
+            let [first, later] = samples_by_position(bucket);
             for (sample, good, bad) in [
                 (first, item.good[at], item.bad[at]),
                 (later, item.later_good[at], item.later_bad[at]),
@@ -137,7 +137,7 @@
 }
 
 /// Returns samples for another host's responses in a bucket, of first and of later steps.
-fn samples_by_turn(bucket: Bucket) -> [Sample; 2] {
+fn samples_by_position(bucket: Bucket) -> [Sample; 2] {
     [StepPosition::First, StepPosition::Later].map(|position| Sample {
         bucket,
         position,
--- a/crates/decide/src/decider/learn.rs
+++ b/crates/decide/src/decider/learn.rs
@@ -24,7 +24,7 @@
 const MIN_BASELINE_RATINGS: f64 = 40.0;
 /// Lowest expected share of bad ratings for a version without a quality baseline, so that it is
 /// quarantined only if most of its responses are bad.
-const MIN_UNKNOWN_BAD_RATE: f64 = 0.5;
+const MIN_BAD_RATE_WITHOUT_BASELINE: f64 = 0.5;
 
 /// A number of responses with the same properties.
 #[derive(Clone, Copy, Debug)]
@@ -353,7 +353,7 @@
         let of = |it| self.knowledge.bad_rating_chance(kind(it), sample.bucket);
         match baseline {
             Some(it) => of(it),
-            None => of(version).max(MIN_UNKNOWN_BAD_RATE),
+            None => of(version).max(MIN_BAD_RATE_WITHOUT_BASELINE),
         }
     }
 
--- a/crates/decide/src/decider/place.rs
+++ b/crates/decide/src/decider/place.rs
@@ -158,7 +158,7 @@
             Relay::AfterCheck
         };
         let occupancy = if endpoint.may_be_full(now) {
-            Occupancy::Full
+            Occupancy::MayBeFull
         } else {
             Occupancy::Free
         };
--- a/crates/decide/src/decider/plan.rs
+++ b/crates/decide/src/decider/plan.rs
@@ -109,17 +109,17 @@
         input: &PlanInput,
     ) -> Result<CachedPlan, Reason> {
         let version_set = self.plans.version_set(input.profile, input.customer);
-        let name = PlanKey {
+        let key = PlanKey {
             profile: input.profile,
             version_set: version_set.ok_or(Reason::NotAllowed)?,
             class: input.class,
             steps: input.max_steps,
         };
-        if let Some(entry) = self.plans.get(now, self.knowledge.revision(), name) {
+        if let Some(entry) = self.plans.get(now, self.knowledge.revision(), key) {
             return Ok(entry);
         }
         let entry = self.build_cached_plan(now, input)?;
-        self.plans.insert(name, entry);
+        self.plans.insert(key, entry);
         Ok(entry)
     }
 
@@ -227,15 +227,14 @@
             .into_iter()
             .max_by(|a, b| {
                 let order = self
-                    .is_responding(a.version)
-                    .cmp(&self.is_responding(b.version));
+                    .is_not_quarantined_for_errors(a.version)
+                    .cmp(&self.is_not_quarantined_for_errors(b.version));
                 order.then(a.quality().total_cmp(&b.quality()))
             })
             .ok_or(Reason::NoEndpoint)
     }
 
-    /// Returns whether the version isn't quarantined for errors.
-    pub(super) fn is_responding(&self, version: key::Version) -> bool {
+    pub(super) fn is_not_quarantined_for_errors(&self, version: key::Version) -> bool {
         let verdict = self.health.get(version).map(Monitor::verdict);
         verdict != Some(Verdict::Quarantined(Cause::Errors))
     }
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -36,8 +36,8 @@
         if own >= self.max_queued(weight) || pool.queue.len() >= 2 * self.tuning.queue_length {
             return Err(WaitRefused::new(Reason::Overloaded, Some(wait)));
         }
-        let seconds = self.expected_latency(key, next.target);
-        if now + wait + seconds > request.deadline {
+        let latency = self.expected_latency(key, next.target);
+        if now + wait + latency > request.deadline {
             return Err(WaitRefused::new(Reason::Deadline, Some(wait)));
         }
         if wait > max_wait(request.priority) {
--- a/crates/decide/src/plan_cache.rs
+++ b/crates/decide/src/plan_cache.rs
@@ -8,9 +8,9 @@
 use crate::{Policy, key};
 
 /// A plan below this age is reused even if much was learned since.
-const MIN_REUSE: Duration = Duration::from_secs(1);
+const ALWAYS_REUSED_AGE: Duration = Duration::from_secs(1);
 /// The maximum age of a reused plan.
-const MAX_REUSE: Duration = Duration::from_secs(10);
+const MAX_AGE: Duration = Duration::from_secs(10);
 
 /// Identifies a set of allowed versions. Customers and profiles with the same
 /// set share plans.
@@ -101,7 +101,7 @@
         let learned = knowledge_revision.saturating_sub(it.knowledge_revision);
         // Outdated if the observations since then exceed 2 % of those before.
         let outdated = learned * 50 > it.knowledge_revision;
-        let reusable = age < MIN_REUSE || (age < MAX_REUSE && !outdated);
+        let reusable = age < ALWAYS_REUSED_AGE || (age < MAX_AGE && !outdated);
         reusable.then_some(*it)
     }
 
