--- a/crates/decide/src/rollout_controller.rs
+++ b/crates/decide/src/rollout_controller.rs
@@ -12,10 +12,26 @@
 
 /// The stages of a roll-out before the full share.
 const STAGES: [Stage; 4] = [
-    Stage::new(0.01, 20.0, 8.0),
-    Stage::new(0.05, 60.0, 20.0),
-    Stage::new(0.2, 150.0, 40.0),
-    Stage::new(0.5, 300.0, 80.0),
+    Stage {
+        share: 0.01,
+        min_responses: 20.0,
+        min_ratings: 8.0,
+    },
+    Stage {
+        share: 0.05,
+        min_responses: 60.0,
+        min_ratings: 20.0,
+    },
+    Stage {
+        share: 0.2,
+        min_responses: 150.0,
+        min_ratings: 40.0,
+    },
+    Stage {
+        share: 0.5,
+        min_responses: 300.0,
+        min_ratings: 80.0,
+    },
 ];
 /// Minimum time at a share before the next, so that slow failures are detected.
 const MIN_STAGE_TIME: Duration = Duration::from_secs(30);
@@ -33,16 +49,6 @@
     min_ratings: f64,
 }
 
-impl Stage {
-    const fn new(share: f64, min_responses: f64, min_ratings: f64) -> Self {
-        Self {
-            share,
-            min_responses,
-            min_ratings,
-        }
-    }
-}
-
 /// This host's view of a roll-out. The persistent state is in the policy, so
 /// that any host that holds the lease can take the next step.
 #[derive(Clone, Debug)]
