--- a/crates/decide/src/class_traffic.rs
+++ b/crates/decide/src/class_traffic.rs
@@ -14,25 +14,28 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassTraffic {
     pub(crate) key: key::Class,
+    /// Prompt tokens per request.
     pub(crate) prompt: Mean,
-    pub(crate) age: Age,
-    /// Requests without and with a version set by their session, older ones
-    /// weighing less.
+    pub(crate) first_seen: FirstSeen,
+    /// Requests not pinned to a version. Halved, like `pinned`, when the sum of both
+    /// exceeds [`MAX_REQUEST_COUNT`].
     pub(crate) free: f64,
+    /// Requests pinned to a version by their session.
     pub(crate) pinned: f64,
+    /// Completion tokens per response.
     pub(crate) completion: Mean,
     /// Microcents per second.
     pub(crate) spending: Meter,
 }
 
-/// How long a class has been known.
+/// The first known occurrence of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Age {
-    Unseen,
+pub(crate) enum FirstSeen {
+    Never,
     /// The first request, at this or another host, came at this time.
-    Since(Duration),
-    /// Another host sent its statistics of the class.
-    Reported,
+    At(Duration),
+    /// Another host has sent its statistics of the class.
+    ByPeer,
 }
 
 impl ClassTraffic {
@@ -40,7 +43,7 @@
         Self {
             key,
             prompt: Mean::default(),
-            age: Age::Unseen,
+            first_seen: FirstSeen::Never,
             free: 0.0,
             pinned: 0.0,
             completion: Mean::default(),
@@ -48,12 +51,12 @@
         }
     }
 
-    /// Records requests of the class at this or another host, without and with a
-    /// version.
+    /// Records requests of the class at this or another host: `free` ones that
+    /// aren't pinned to a version, and `pinned` ones.
     pub(crate) fn record_requests(&mut self, now: Duration, free: u32, pinned: u32) {
         let it = self;
-        if it.age == Age::Unseen {
-            it.age = Age::Since(now);
+        if it.first_seen == FirstSeen::Never {
+            it.first_seen = FirstSeen::At(now);
         }
         it.free += f64::from(free);
         it.pinned += f64::from(pinned);
@@ -66,24 +69,26 @@
     /// Adds another host's statistics of the class.
     pub(crate) fn add_report(&mut self, free: u32, pinned: u32) {
         let it = self;
-        it.age = Age::Reported;
+        it.first_seen = FirstSeen::ByPeer;
         it.free += f64::from(free);
         it.pinned += f64::from(pinned);
     }
 
-    /// Returns the share of requests that continue a session with a version. A
-    /// new class is assumed to have sessions until their second requests have had
-    /// time to arrive.
+    /// Returns the share of requests that are pinned to a version by their session.
+    ///
+    /// Returns `DEFAULT_SHARE` for a class with fewer than `MIN_REQUESTS` requests
+    /// or first seen less than `MIN_AGE` ago: later requests of its sessions may
+    /// not have arrived yet.
     pub(crate) fn pinned(&self, now: Duration) -> f64 {
         const DEFAULT_SHARE: f64 = 0.7;
         const MIN_REQUESTS: f64 = 20.0;
         const MIN_AGE: Duration = Duration::from_secs(100);
         let it = self;
         let seen = it.free + it.pinned;
-        let is_new = match it.age {
-            Age::Unseen => true,
-            Age::Since(first) => now.saturating_sub(first) < MIN_AGE,
-            Age::Reported => false,
+        let is_new = match it.first_seen {
+            FirstSeen::Never => true,
+            FirstSeen::At(first) => now.saturating_sub(first) < MIN_AGE,
+            FirstSeen::ByPeer => false,
         };
         if is_new || seen < MIN_REQUESTS {
             return DEFAULT_SHARE;
--- a/crates/decide/src/decider/learn.rs
+++ b/crates/decide/src/decider/learn.rs
@@ -24,7 +24,7 @@
 const MIN_BASELINE_RATINGS: f64 = 40.0;
 /// Lowest expected share of bad ratings for a version without a quality baseline, so that it is
 /// quarantined only if most of its responses are bad.
-const MIN_UNKNOWN_BAD_RATE: f64 = 0.5;
+const MIN_BAD_RATE_WITHOUT_BASELINE: f64 = 0.5;
 
 /// A number of responses with the same properties.
 #[derive(Clone, Copy, Debug)]
@@ -316,9 +316,9 @@
         }
     }
 
-    /// Returns whether observations of the version become part of its baseline. Those of a
-    /// quarantined version don't: its probes would make bad results the norm and end the
-    /// quarantine.
+    /// Returns whether the confidence and ratings of the version's responses become part of its
+    /// baseline. Those of a quarantined version don't: its probes would make bad results the norm
+    /// and end the quarantine. Its latencies and token counts are recorded regardless.
     fn feeds_baseline(&self, version: key::Version) -> bool {
         !self.health.is_quarantined(version)
     }
@@ -353,7 +353,7 @@
         let of = |it| self.knowledge.bad_rating_chance(kind(it), sample.bucket);
         match baseline {
             Some(it) => of(it),
-            None => of(version).max(MIN_UNKNOWN_BAD_RATE),
+            None => of(version).max(MIN_BAD_RATE_WITHOUT_BASELINE),
         }
     }
 
@@ -387,8 +387,8 @@
     }
 }
 
-/// Returns whether a response comes from the first version tried, or after the response of another
-/// version had too low confidence.
+/// Returns `Later` if another response was kept as fallback before this one, unless this is the
+/// response of a probe or exploration.
 fn position(attempt: &Attempt, has_fallback: bool) -> StepPosition {
     if has_fallback && !attempt.step.is_probe() {
         StepPosition::Later
--- a/crates/decide/src/decider/plan.rs
+++ b/crates/decide/src/decider/plan.rs
@@ -75,7 +75,8 @@
     }
 
     /// Prepends a probe of a quarantined version if one is due, or else possibly an exploration of
-    /// a version with few ratings. The caller doesn't get the responses of either.
+    /// a version outside the plan. The response doesn't end the plan. The caller gets it only if the
+    /// version isn't quarantined when it responds, and no later step responds.
     pub(super) fn with_probe(
         &mut self,
         now: Duration,
@@ -108,17 +109,17 @@
         input: &PlanInput,
     ) -> Result<CachedPlan, Reason> {
         let version_set = self.plans.version_set(input.profile, input.customer);
-        let name = PlanKey {
+        let key = PlanKey {
             profile: input.profile,
             version_set: version_set.ok_or(Reason::NotAllowed)?,
             class: input.class,
             steps: input.max_steps,
         };
-        if let Some(entry) = self.plans.get(now, self.knowledge.revision(), name) {
+        if let Some(entry) = self.plans.get(now, self.knowledge.revision(), key) {
             return Ok(entry);
         }
         let entry = self.build_cached_plan(now, input)?;
-        self.plans.insert(name, entry);
+        self.plans.insert(key, entry);
         Ok(entry)
     }
 
@@ -152,8 +153,8 @@
         })
     }
 
-    /// Returns the version to explore: among those that could improve the plan, the one with the
-    /// fewest ratings.
+    /// Returns the version to explore: the one with the fewest ratings of the versions outside the
+    /// plan that cost less than the plan, or of all outside it if the plan misses the target.
     pub(super) fn exploration(
         &self,
         usable: &[Forecast],
@@ -226,15 +227,14 @@
             .into_iter()
             .max_by(|a, b| {
                 let order = self
-                    .is_responding(a.version)
-                    .cmp(&self.is_responding(b.version));
+                    .is_not_quarantined_for_errors(a.version)
+                    .cmp(&self.is_not_quarantined_for_errors(b.version));
                 order.then(a.quality().total_cmp(&b.quality()))
             })
             .ok_or(Reason::NoEndpoint)
     }
 
-    /// Returns whether the version isn't quarantined for errors.
-    pub(super) fn is_responding(&self, version: key::Version) -> bool {
+    pub(super) fn is_not_quarantined_for_errors(&self, version: key::Version) -> bool {
         let verdict = self.health.get(version).map(Monitor::verdict);
         verdict != Some(Verdict::Quarantined(Cause::Errors))
     }
--- a/crates/decide/src/rollout_controller.rs
+++ b/crates/decide/src/rollout_controller.rs
@@ -12,16 +12,33 @@
 
 /// The stages of a roll-out before the full share.
 const STAGES: [Stage; 4] = [
-    Stage::new(0.01, 20.0, 8.0),
-    Stage::new(0.05, 60.0, 20.0),
-    Stage::new(0.2, 150.0, 40.0),
-    Stage::new(0.5, 300.0, 80.0),
+    Stage {
+        share: 0.01,
+        min_responses: 20.0,
+        min_ratings: 8.0,
+    },
+    Stage {
+        share: 0.05,
+        min_responses: 60.0,
+        min_ratings: 20.0,
+    },
+    Stage {
+        share: 0.2,
+        min_responses: 150.0,
+        min_ratings: 40.0,
+    },
+    Stage {
+        share: 0.5,
+        min_responses: 300.0,
+        min_ratings: 80.0,
+    },
 ];
 /// Minimum time at a share before the next, so that slow failures are detected.
 const MIN_STAGE_TIME: Duration = Duration::from_secs(30);
 /// Interval at which a step is requested again until it is taken.
 const REQUEST_INTERVAL: Duration = Duration::from_secs(5);
-/// The quality that a version may lose against the one that it replaces.
+/// How far a version's share of good responses may be below that of the version
+/// that it replaces.
 const MAX_QUALITY_LOSS: f64 = 0.02;
 
 /// The evidence required at a share before the next one.
@@ -32,16 +49,6 @@
     min_ratings: f64,
 }
 
-impl Stage {
-    const fn new(share: f64, min_responses: f64, min_ratings: f64) -> Self {
-        Self {
-            share,
-            min_responses,
-            min_ratings,
-        }
-    }
-}
-
 /// This host's view of a roll-out. The persistent state is in the policy, so
 /// that any host that holds the lease can take the next step.
 #[derive(Clone, Debug)]
@@ -58,8 +65,9 @@
 }
 
 impl RolloutController {
-    /// Starts following a roll-out. Only evidence since the last change of the
-    /// share counts; `known` is the previous state of the same roll-out.
+    /// Starts following a roll-out; `known` is the previous state of the same
+    /// roll-out. Only responses and ratings since the last change of the share
+    /// count towards a stage, but quality is compared over all ratings.
     pub(crate) fn new(
         now: Duration,
         policy: &Policy,
