--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -1,4 +1,5 @@
-//! Measures the time of routing decisions for a request from arrival to response.
+//! Measures the time to handle events: a request from arrival to response, ticks,
+//! load reports and policies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -151,7 +152,7 @@
     }
 }
 
-/// Returns a replica with two versions loaded; a twentieth of the replicas are in
+/// Returns an endpoint with two versions loaded; a twentieth of the endpoints are in
 /// this data centre.
 fn endpoint(size: Size, number: u16) -> Update {
     let name = HostName::from(format!("replica-{number}"));
@@ -210,6 +211,7 @@
     });
     c.bench_function("request with a new plan", |it| {
         it.iter(|| {
+            // Longer than a plan is reused.
             bench.now += Duration::from_secs(11);
             bench.request();
         });
--- a/crates/decide/src/cusum.rs
+++ b/crates/decide/src/cusum.rs
@@ -2,8 +2,8 @@
 
 /// A cumulative sum of log-likelihood ratios of a fault against the baseline.
 ///
-/// The sum is never negative, so a long healthy period doesn't delay the
-/// detection of a new fault.
+/// Outside a batch the sum is never negative, so a long healthy period doesn't
+/// delay the detection of a new fault.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Cusum {
     sum: f64,
--- a/crates/decide/src/digest.rs
+++ b/crates/decide/src/digest.rs
@@ -7,9 +7,10 @@
 use crate::response_stats::{ResponseStats, StepPosition};
 use crate::{Policy, key};
 
-/// The number of own observations from which on a host ignores digests.
+/// The [`Knowledge::revision`] from which a host ignores digests.
 const MIN_OWN_OBSERVATIONS: u64 = 200;
-/// The number of responses that the means of a digest are recorded as.
+/// How many times the means of a digest item are recorded, that is, their weight
+/// in responses.
 const MEAN_WEIGHT: u32 = 10;
 
 impl Knowledge {
@@ -31,8 +32,9 @@
         evidence
     }
 
-    /// Applies another host's digest, unless this host has enough observations:
-    /// those that both hosts have would be counted twice.
+    /// Applies another host's digest. Ignored once this host has learned enough (see
+    /// [`MIN_OWN_OBSERVATIONS`]): observations that the other host already sent as
+    /// evidence would be counted twice.
     pub(crate) fn apply_digest(&mut self, policy: &Policy, digest: &Evidence) {
         if self.revision() >= MIN_OWN_OBSERVATIONS {
             return;
--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -13,8 +13,9 @@
 use crate::replica::{Key, Replica};
 use crate::{Policy, key};
 
-/// The maximum number of endpoints of a version or service that one host sends
-/// to; see `docs/design/decide-endpoints.md`.
+/// The maximum number of endpoints of a version or service that one host selects
+/// from; see `docs/design/decide-endpoints.md`. A prompt prefix may still lead to
+/// an endpoint that is no longer among them.
 const SUBSET_SIZE: usize = 24;
 /// The number of slots in the table from prompt prefix to endpoint.
 const PREFIX_SLOTS: usize = 4096;
@@ -56,6 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct EndpointName {
     host: u64,
+    /// The hash of the service's name, or 0 for an engine.
     service: u64,
 }
 
@@ -95,7 +97,9 @@
         self.replicas.get_mut(key)
     }
 
-    /// Applies an update and returns the endpoint's key, unless it is gone.
+    /// Applies an update and returns the endpoint's key, unless it is gone. An update
+    /// with another incarnation removes the known endpoint, even if the update is
+    /// older or says [`State::Gone`].
     pub(crate) fn update(
         &mut self,
         now: Duration,
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Stops new requests to an endpoint that reported that it is leaving.
+    /// Stops new requests to an endpoint that is leaving or whose process was replaced.
     pub(crate) fn leave(&mut self, key: Key) {
         self.remove_from_indexes(key);
         if let Some(it) = self.replicas.get_mut(key) {
@@ -199,13 +203,15 @@
         ids.into_iter().collect()
     }
 
-    /// Returns the number of this host's attempts in flight at the endpoints of `target`.
+    /// Returns the number of this host's attempts in flight, for any version, at its
+    /// subset of the endpoints of `target`.
     pub(crate) fn in_flight(&self, target: Target) -> u32 {
         let near = self.candidates(target).iter().take(SUBSET_SIZE);
         near.map(|it| self.replicas[it.key].in_flight()).sum()
     }
 
-    /// Returns this host's equal share of the slots at the endpoints of `target`.
+    /// Returns this host's equal share of the slots at its subset of the endpoints of
+    /// `target`.
     pub(crate) fn slot_share(&self, target: Target) -> f64 {
         let near = self.candidates(target).iter().take(SUBSET_SIZE);
         let slots: u32 = near.map(|it| self.replicas[it.key].slots()).sum();
@@ -214,9 +220,11 @@
 
     /// Selects an endpoint with free capacity.
     ///
-    /// Prefers the endpoint that has the prefix cached, then the less utilized of
-    /// two random endpoints at the nearest distance that has capacity. Ejected
-    /// endpoints are used only if no other has capacity.
+    /// Prefers the endpoint that has the prefix cached if its utilization is below
+    /// [`MAX_AFFINITY_UTILIZATION`]. Otherwise takes, at the nearest distance that has
+    /// capacity, the less utilized of two random endpoints, or the least utilized of
+    /// all if neither has capacity. Ejected endpoints are used only if no other has
+    /// capacity.
     pub(crate) fn choose(
         &self,
         now: Duration,
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -29,7 +29,7 @@
 }
 
 /// The current state of an endpoint. Each update replaces the previous one; an
-/// update with a new incarnation removes the endpoint with the old one.
+/// update with a different incarnation, even a lower one, removes the known endpoint.
 #[derive(Clone, Debug)]
 pub struct Update {
     /// The endpoint.
@@ -72,7 +72,8 @@
     Live,
     /// Only finishes the requests that it has.
     Leaving,
-    /// The process has ended. The driver reports how its attempts end.
+    /// The process has ended. Its attempts stay in flight until the driver reports
+    /// their outcomes.
     Gone,
 }
 
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -8,8 +8,9 @@
 /// The number of confidence buckets.
 pub const BUCKETS: usize = 12;
 
-/// The observations of one host since it last published. The counts are
-/// increments, so each message must be delivered to a host at most once.
+/// The observations of one host. The counts are increments since it last
+/// published, so each message must be delivered to a host at most once; in a
+/// [digest](crate::Decider::digest) they are decayed totals.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// One entry for each version and class with observations.
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -8,8 +8,9 @@
 
 /// The monitors of all versions.
 ///
-/// Each version is compared with the others: a problem that affects many versions
-/// at once isn't attributed to one of them.
+/// Each version is compared with the others: failures or bad quality that affect
+/// many versions at once need stronger evidence to be attributed to one of them,
+/// and slowness of many versions isn't attributed to any.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
     monitors: Vec<Monitor>,
@@ -69,18 +70,21 @@
         }
     }
 
-    /// Returns the scope of a suspected quality fault of `version`: shared if many
-    /// other versions are suspected of failures or bad quality too.
+    /// Returns the scope of a suspected quality fault of `version`: shared if at
+    /// least half of the other versions are suspected of failures or bad quality too.
     pub(crate) fn quality_scope(&self, version: key::Version) -> FaultScope {
         self.scope(version, Monitor::is_suspect)
     }
 
-    /// Returns the scope of a suspected latency fault of `version`: shared if many
-    /// other versions have become slow too, as happens under general overload.
+    /// Returns the scope of a suspected latency fault of `version`: shared if at
+    /// least half of the other versions have become slow too, as happens under general
+    /// overload.
     pub(crate) fn latency_scope(&self, version: key::Version) -> FaultScope {
         self.scope(version, Monitor::is_slow)
     }
 
+    /// Returns the scope of a fault by the number of other versions for which `suspect`
+    /// is true. Quarantined versions and those with few outcomes don't count.
     fn scope(&self, version: key::Version, suspect: impl Fn(&Monitor) -> bool) -> FaultScope {
         let others = self.others(version).count();
         let suspects = self.others(version).filter(|it| suspect(it)).count();
--- a/crates/decide/src/histogram.rs
+++ b/crates/decide/src/histogram.rs
@@ -6,12 +6,12 @@
 /// responses of good engines are.
 const UPPER_BOUNDS: [f64; BUCKETS - 1] =
     [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.78, 0.85, 0.91, 0.96];
-/// The decayed number of ratings from which on old ones are discounted as new
-/// ones are added.
+/// The decayed number of ratings from which each update discounts the old ones.
 const RATING_DECAY_THRESHOLD: f64 = 1500.0;
-/// The corresponding number of responses.
+/// The decayed number of responses from which each update discounts the old ones.
 const RESPONSE_DECAY_THRESHOLD: f64 = 3000.0;
-/// Caps the count that determines the decay of one update.
+/// The maximum count that the decay of one update is computed from, so that a large
+/// batch doesn't erase the history.
 const MAX_DECAY_COUNT: f64 = 100.0;
 
 /// A confidence bucket, ordered from least to most confident.
@@ -28,7 +28,8 @@
         self.0
     }
 
-    /// Returns whether the bucket is at or above a threshold; none reaches [`BUCKETS`].
+    /// Returns whether the bucket is at or above a threshold. No bucket passes the
+    /// threshold [`BUCKETS`].
     pub(crate) fn passes(self, threshold: usize) -> bool {
         self.0 >= threshold
     }
--- a/crates/decide/src/knowledge.rs
+++ b/crates/decide/src/knowledge.rs
@@ -18,11 +18,14 @@
 
 /// The maximum number of classes; further ones share the default class.
 const MAX_CLASSES: usize = 32;
-/// The weight, in ratings, of the overall confidence distribution as prior for a version's.
+/// The weight, in ratings, of the distributions over all versions as the prior of
+/// one version's distributions.
 const VERSION_PRIOR_WEIGHT: f64 = 60.0;
-/// The weight, in ratings, of the built-in prior for the overall distribution.
+/// The weight, in ratings, of the built-in prior for the distributions over all
+/// versions.
 const OVERALL_PRIOR_WEIGHT: f64 = 30.0;
-/// The prompt and completion tokens to assume of a request before any were counted.
+/// The number of prompt tokens, and of completion tokens, to assume of a request
+/// before any were counted.
 const DEFAULT_TOKENS: f64 = 256.0;
 
 /// Statistics of all versions by request class.
@@ -33,13 +36,14 @@
     /// Ratings of all versions together.
     all: ConfidenceHistogram,
     prior: ConfidenceModel,
-    /// The confidence distributions estimated from `all`.
+    /// The confidence distributions estimated from `all_ratings`.
     general: ConfidenceModel,
-    /// Increases with each observation, to detect outdated plans.
+    /// Increases with each record of responses or ratings and each policy, to detect
+    /// outdated plans.
     revision: u64,
 }
 
-/// The index of a class in the tables.
+/// The index of a class in `Knowledge::classes` and `VersionStats::classes`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ClassIndex(pub(crate) usize);
 
@@ -248,19 +252,21 @@
         })
     }
 
-    /// Returns the number of ratings of the version in the class, over all cascade steps.
+    /// Returns the decayed number of ratings of the version in the class, over all
+    /// cascade steps.
     pub(crate) fn ratings(&self, version: key::Version, class: ClassIndex) -> f64 {
         let both = |it: &ResponseStats| it.first.histogram.ratings() + it.later.histogram.ratings();
         self.stats(version, class).map_or(0.0, both)
     }
 
-    /// Returns the number of such responses.
+    /// Returns the decayed number of such responses.
     pub(crate) fn responses(&self, kind: ResponseKind) -> f64 {
         let stats = self.stats(kind.version, kind.class);
         stats.map_or(0.0, |it| it.step(kind.position).histogram.responses())
     }
 
-    /// Compares the quality of two versions over all classes.
+    /// Compares the quality of two versions over all classes, at the first step of a
+    /// cascade.
     pub(crate) fn compare(&self, version: key::Version, with: key::Version) -> Comparison {
         let one = self.overall_quality(version);
         let other = self.overall_quality(with);
--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -11,18 +11,17 @@
 /// The fractions of responses made bad by the faults that are tested for: a
 /// partial fault and one of nearly all responses.
 const FAULT_SHARES: [f64; 2] = [0.2, 0.9];
-/// The CUSUM threshold for failures. By Lorden's bound the false alarm rate is
-/// below one in `e^12` observations.
+/// The CUSUM threshold for failures.
 const ERROR_THRESHOLD: f64 = 12.0;
-/// The CUSUM threshold for a partial fault, which has a weaker effect on confidence.
+/// The CUSUM threshold of confidence and ratings for a partial fault.
 const PARTIAL_FAULT_THRESHOLD: f64 = 18.0;
-/// The CUSUM threshold for a fault of nearly all responses.
+/// The CUSUM threshold of confidence and ratings for a fault of nearly all responses.
 const FULL_FAULT_THRESHOLD: f64 = 16.0;
-/// Responses that the baseline confidence distribution needs before partial
-/// faults are tested for.
+/// Responses that the baseline confidence distribution needs before confidence is
+/// tested for partial faults.
 const PARTIAL_FAULT_MIN_RESPONSES: f64 = 200.0;
-/// Caps the log-likelihood ratio of one failure, so that no single failure
-/// quarantines a version.
+/// Caps the log-likelihood ratio of one failure, so that a quarantine takes at least
+/// five failures.
 const MAX_FAILURE_LOG_RATIO: f64 = 2.5;
 /// Caps the log-likelihood ratio of one response's confidence, because the
 /// baseline frequency of the lowest buckets is only a rough estimate.
@@ -35,15 +34,16 @@
 const MAX_LATENCY_LOG_RATIO: f64 = 1.0;
 /// The CUSUM threshold for latency.
 const LATENCY_THRESHOLD: f64 = 5.0;
-/// The time from the start of a quarantine to its first probe.
+/// The pause before the first probe of a quarantine; doubled after failed probes.
 const INITIAL_PROBE_DELAY: Duration = Duration::from_secs(10);
 /// The longest pause after failed probes.
 const MAX_PROBE_DELAY: Duration = Duration::from_mins(10);
 /// The least time between two probes of a version by this host.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// The log-likelihood ratio of the probes at which a quarantine ends.
+/// The log-likelihood ratio of recovery at which a quarantine ends.
 const RECOVERY_THRESHOLD: f64 = 6.0;
-/// The ratio at which the pause before the next probe is doubled.
+/// The log-likelihood ratio of recovery at which the pause before the next probe is
+/// doubled.
 const PROBE_FAILURE_THRESHOLD: f64 = -3.0;
 
 /// Detects faults of one version from the outcomes of this host and those that
@@ -53,10 +53,11 @@
     errors: Cusum,
     latency: Cusum,
     quality: [Cusum; FAULT_SHARES.len()],
-    /// The first two distinct endpoints with failures since the last reset.
+    /// The first two distinct endpoints with failures since the version was last marked
+    /// healthy.
     failed_endpoints: [Option<endpoint::Id>; 2],
     last_failed: Option<endpoint::Id>,
-    /// Consecutive failures.
+    /// Failures since the last complete response, including those at other hosts.
     consecutive_failures: f64,
     outcomes: f64,
     failures: f64,
@@ -81,7 +82,7 @@
     probe_delay: Duration,
     next_probe: Duration,
     /// The log-likelihood ratio of recovery against a persisting fault, over the
-    /// probes so far.
+    /// outcomes and ratings since the quarantine began or the pause was last doubled.
     log_ratio: f64,
 }
 
@@ -96,9 +97,11 @@
 /// The extent of a suspected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultScope {
-    /// Other versions are mostly unaffected.
+    /// Fewer than half of the other versions are affected, or there is no other to
+    /// compare with.
     OneVersion,
-    /// Many other versions are affected, so the cause is probably external.
+    /// At least half of the other versions are affected, so the cause is probably
+    /// external.
     Shared,
 }
 
@@ -187,8 +190,9 @@
         let ratio = (failure_rate_with_fault(normal.failure_rate, FAULT_SHARES[0])
             / normal.failure_rate)
             .ln();
-        // Repeated failures of one broken endpoint mustn't quarantine the version,
-        // so they can't raise the statistic to the threshold on their own.
+        // Failures at the endpoint that failed last, or at an unknown one, can't raise
+        // the statistic to the threshold on their own, so that one broken endpoint
+        // doesn't quarantine the version.
         let alone = normal.endpoints < 2;
         let limit = if repeated && !alone {
             0.6 * ERROR_THRESHOLD
@@ -330,7 +334,8 @@
         }
     }
 
-    /// Adds the result of a probe; a positive `ratio` is evidence of recovery.
+    /// Adds evidence seen during a quarantine, from probes and all other requests; a
+    /// positive `ratio` is evidence of recovery.
     fn record_probe(&mut self, now: Duration, ratio: f64) {
         let Some(it) = self.quarantine.as_mut() else {
             return;
@@ -417,8 +422,8 @@
     pub(crate) answered: Option<Duration>,
 }
 
-/// Returns the failure rate when a fault affects a fraction `fault_share` of the
-/// responses that would otherwise be good.
+/// Returns the rate of failures or bad ratings when a fault affects a fraction
+/// `fault_share` of the responses that would otherwise be good.
 fn failure_rate_with_fault(normal: f64, fault_share: f64) -> f64 {
     normal + fault_share * (1.0 - normal)
 }
--- a/crates/decide/src/number.rs
+++ b/crates/decide/src/number.rs
@@ -16,5 +16,6 @@
 /// Returns the integer part of a number, or 0 if it is negative, NaN or too
 /// large for a `u64`.
 pub(crate) fn floor(value: f64) -> u64 {
+    // `Duration` converts without a lossy cast. It rounds to nanoseconds.
     Duration::try_from_secs_f64(value).map_or(0, |it| it.as_secs())
 }
--- a/crates/decide/src/peer_demand.rs
+++ b/crates/decide/src/peer_demand.rs
@@ -18,7 +18,7 @@
     totals: Vec<CustomerDemand>,
 }
 
-/// The demand of one customer at one or all other hosts.
+/// The demand of one customer, at one other host or summed over all.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CustomerDemand {
     pub(crate) chat: Flow,
--- a/crates/decide/src/pool.rs
+++ b/crates/decide/src/pool.rs
@@ -16,7 +16,7 @@
 pub(crate) struct Pool {
     pub(crate) queue: Queue,
     departure_rate: Meter,
-    /// The duration of an attempt in seconds.
+    /// The duration of a successful attempt in seconds.
     seconds: Mean,
     /// The time to the first byte in seconds, or to the end of the response if the
     /// first byte isn't reported.
@@ -47,7 +47,7 @@
         self.first_byte.add(seconds);
     }
 
-    /// Returns the mean duration of an attempt in seconds, or 0 if unknown.
+    /// Returns the mean duration of a successful attempt in seconds, or 0 if unknown.
     pub(crate) fn mean_seconds(&self) -> f64 {
         self.seconds.value(1).unwrap_or(0.0)
     }
@@ -72,7 +72,8 @@
         const MAX_WAIT_SECONDS: f64 = 600.0;
         let ahead = self.queue.estimate_ahead(customer, priority, weight) + 1.0;
         let seconds = self.mean_seconds().max(0.001);
-        // The departure rate by Little's law.
+        // The departure rate by Little's law, with a lower bound, because `running` may
+        // be close to 0.
         let rate = running / seconds;
         let rate = rate.max(self.departure_rate.rate(now)).max(0.2 / seconds);
         Duration::from_secs_f64((ahead / rate).min(MAX_WAIT_SECONDS))
--- a/crates/decide/src/replica.rs
+++ b/crates/decide/src/replica.rs
@@ -1,4 +1,5 @@
-//! The load, health and admission state of one endpoint.
+//! The load, health and admission state of one endpoint, called a replica in this
+//! crate's code.
 
 use std::time::Duration;
 
@@ -19,7 +20,8 @@
 const SLOW_START_FRACTION: f64 = 0.2;
 /// How long an endpoint is paused after it reports overload.
 const OVERLOAD_PAUSE: Duration = Duration::from_millis(200);
-/// How long a load report or an overload response remains relevant.
+/// How old a load report may be, and how long ago an overload pause may have ended,
+/// for [`Replica::may_be_full`].
 const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 /// The number of consecutive failures that ejects an endpoint.
 const EJECT_AFTER_FAILURES: u32 = 3;
@@ -40,12 +42,13 @@
     load: Option<Load>,
     /// When the last load report was made.
     reported_at: Duration,
-    /// Twice an equal share of the slots that were free in the last load report.
-    /// Limits new requests between reports, so that hosts don't overload the
-    /// endpoint together.
+    /// The limit on this host's new requests between load reports, so that hosts don't
+    /// overload the endpoint together: twice an equal share of the slots that were
+    /// free in the last report, but at least 1, and [`DEFAULT_SLOTS`] before the first.
+    /// [`Self::has_room`] scales it by priority.
     free_share: f64,
     in_flight: u32,
-    /// This host's requests in flight at the time of the last load report.
+    /// This host's requests in flight when the last load report was received.
     in_flight_at_report: u32,
     /// The limit on this host's requests in flight. Decreases multiplicatively on
     /// overload and increases additively on success, so that hosts share the
@@ -80,7 +83,7 @@
         it
     }
 
-    /// Applies a load report. `None` keeps the last one.
+    /// Applies a load report. `None`, or a report of no slots, keeps the last one.
     pub(crate) fn record_load(&mut self, now: Duration, live: u32, load: Option<Load>) {
         let Some(load) = load.filter(|it| it.slots > 0) else {
             return;
@@ -130,6 +133,8 @@
 
     /// Returns whether a new request may have to wait at the endpoint: all slots are
     /// in use, the load report is stale, or the endpoint was recently overloaded.
+    /// Within [`MAX_REPORT_AGE`] of the clock's zero, every endpoint counts as recently
+    /// overloaded.
     pub(crate) fn may_be_full(&self, now: Duration) -> bool {
         let stale = self.load.is_none() || now.saturating_sub(self.reported_at) > MAX_REPORT_AGE;
         let refused = now < self.paused_until + MAX_REPORT_AGE;
@@ -160,8 +165,8 @@
         }
     }
 
-    /// Records an overload response and pauses the endpoint. Load reports lag, so
-    /// the pause lasts until a report made after the overload can have arrived.
+    /// Records an overload response: lowers the window and, because load reports lag,
+    /// pauses the endpoint for [`OVERLOAD_PAUSE`].
     pub(crate) fn record_overload(&mut self, now: Duration) {
         self.window = (self.window * 0.7).max(1.0);
         self.paused_until = self.paused_until.max(now + OVERLOAD_PAUSE);
@@ -171,8 +176,9 @@
         self.versions.contains(&version)
     }
 
-    /// Returns the number of running and waiting requests: the last load report,
-    /// corrected by the requests that this host started and finished since.
+    /// Estimates the number of running and waiting requests, which may exceed the
+    /// slots: the last load report, corrected by the requests that this host started
+    /// and finished since.
     fn used_slots(&self) -> u32 {
         let reported = self.load.map_or(0, |it| it.running + it.waiting);
         let since = self.in_flight.saturating_sub(self.in_flight_at_report);
@@ -190,7 +196,7 @@
     }
 
     /// Returns the fraction of the slots that a priority may use. Batch requests
-    /// leave some free for urgent ones; urgent requests may exceed the slots,
+    /// leave some free for the others; urgent requests may exceed the slots,
     /// because engines schedule by priority.
     fn slot_fraction(priority: Priority) -> f64 {
         match priority {
--- a/crates/decide/src/response_stats.rs
+++ b/crates/decide/src/response_stats.rs
@@ -1,13 +1,14 @@
-//! Statistics of one version in one class.
+//! Statistics of the responses of one version, in one class or over all classes.
 
 use crate::confidence_model::{ConfidenceModel, Fit};
 use crate::histogram::{Bucket, ConfidenceHistogram};
 use crate::meter::Mean;
 
-/// The number of observed batches of responses after which a fit is outdated.
+/// The number of calls of [`StepStats::record_responses`] after which a fit is
+/// discarded. A rating discards it at once.
 const REFIT_INTERVAL: u32 = 16;
 
-/// Statistics of one version in one class.
+/// Statistics of the responses of one version, in one class or over all classes.
 ///
 /// The first and the later steps of a cascade are separate, because later steps
 /// get the harder requests, for which another version's response was rejected.
@@ -74,8 +75,8 @@
         self.fit = None;
     }
 
-    /// Returns the estimated fraction of good responses, refitting it if it is
-    /// outdated.
+    /// Returns the estimated fraction of good responses, refitting it if it
+    /// was discarded.
     pub(crate) fn fit(&mut self, model: &ConfidenceModel, prior: Fit) -> Fit {
         if let Some(fit) = self.fit {
             return fit;
@@ -86,7 +87,7 @@
         fit
     }
 
-    /// Returns the last fit, or `prior` if there is none.
+    /// Returns the cached fit, or `prior` if there is none or it was discarded.
     pub(crate) fn last_fit(&self, prior: Fit) -> Fit {
         self.fit.unwrap_or(prior)
     }
--- a/crates/decide/src/sampler.rs
+++ b/crates/decide/src/sampler.rs
@@ -13,7 +13,7 @@
 /// The ratio of samples sent to ratings received. Above 1, so that the rate can
 /// grow up to the capacity of the rating service without overloading it.
 const SENT_TO_RATED_RATIO: f64 = 1.5;
-/// The minimum rate of samples per second.
+/// The minimum rate of samples per second, unless the permitted rate is lower.
 const MIN_SAMPLES_PER_SECOND: f64 = 0.05;
 /// The maximum burst of samples.
 const MAX_BURST: f64 = 10.0;
--- a/crates/decide/src/samples.rs
+++ b/crates/decide/src/samples.rs
@@ -7,11 +7,11 @@
 use crate::key;
 use crate::response_stats::StepPosition;
 
-/// The maximum number of responses with an outstanding rating.
+/// The number of most recent samples whose rating is accepted.
 const MAX_PENDING: usize = 8192;
 
-/// Responses that wait for a rating. Many ratings never arrive, so the oldest
-/// entries are evicted when the table is full.
+/// Responses that wait for a rating. Only the last [`MAX_PENDING`] samples are kept,
+/// rated or not, because many ratings never arrive.
 #[derive(Debug, Default)]
 pub(crate) struct Samples {
     pending: HashMap<SampleKey, Sample>,
--- a/crates/decide/src/version_stats.rs
+++ b/crates/decide/src/version_stats.rs
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Returns the fraction of good responses from the last fit, or the prior.
+    /// Returns the estimated fraction of good responses and its weight: the cached fit,
+    /// or the prior if there is none or it was discarded.
     pub(crate) fn last_fit(&self, kind: ResponseKind) -> Fit {
         match self.classes.get(kind.class.0) {
             Some(it) => it
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Computes the fractions of passing and of good responses for each threshold.
+    /// Computes, for each threshold, the fraction of responses that passes, the fraction
+    /// that passes and is good, and the variance of the latter.
     pub(crate) fn curve(&mut self, class: ClassIndex, position: StepPosition) -> Curve {
         let model = self.model;
         let prior = self.class_prior(&self.classes[class.0], position);
--- a/crates/decide/tests/decide/fleet.rs
+++ b/crates/decide/tests/decide/fleet.rs
@@ -14,7 +14,7 @@
 
 use crate::script::{Script, span};
 
-/// The simulated endpoints, by version; `calls` is all services.
+/// The simulated behaviour of each version; the key `calls` stands for all services.
 pub(crate) struct Fleet {
     random: Pcg64Mcg,
     behaviours: BTreeMap<String, Behaviour>,
@@ -24,9 +24,13 @@
 /// The simulated behaviour of a version.
 #[derive(Clone, Copy, Debug)]
 struct Behaviour {
+    /// The probability that a response is good.
     good: f64,
+    /// The probability of a failure.
     fail: f64,
+    /// The probability that the endpoint refuses the request as overloaded.
     full: f64,
+    /// The response time.
     time: Duration,
 }
 
@@ -77,6 +81,7 @@
             return (behaviour.time, Outcome::Failed, Quality::Bad);
         }
         let good = good < behaviour.good;
+        // Good responses tend to high confidence, bad ones to low.
         let power = 1.0 / 2.5;
         let confidence = if good {
             draw.powf(power)
@@ -127,7 +132,8 @@
     text: String,
 }
 
-/// Sends the requests and returns the counts of their results.
+/// Sends the requests and returns the lines of steps, verdicts and last resorts,
+/// followed by the counts of results.
 pub(crate) fn traffic(script: &mut Script, load: &Load) -> String {
     let first = script.fleet.next;
     script.fleet.next += load.number;
@@ -218,7 +224,8 @@
             Action::Step(_) | Action::Version { .. } | Action::LastResort { .. } => {
                 let mut line = String::new();
                 self.script.write(action, &mut line);
-                // Steps are requested repeatedly until they are taken.
+                // Drops a line equal to the previous one: steps are requested until they
+                // are taken.
                 if !self.text.ends_with(&line) {
                     self.text.push_str(&line);
                 }
--- a/crates/decide/tests/decide/properties.rs
+++ b/crates/decide/tests/decide/properties.rs
@@ -36,6 +36,7 @@
     End(usize, Outcome),
     Cancel(usize),
     Rate(usize, bool),
+    /// Withdraws the version at this index, or with `false` makes it active.
     Withdraw(usize, bool),
     Endpoint {
         index: u64,
@@ -245,7 +246,7 @@
     }
 
     /// Ends all attempts in flight and lets all deadlines pass, and checks that
-    /// each request had exactly one result.
+    /// each request had exactly one result, or none if it was cancelled.
     fn finish_all(&mut self) {
         for _ in 0..10_000 {
             let Some(attempt) = self.nth_in_flight(0) else {
@@ -271,6 +272,7 @@
         }
     }
 
+    /// Returns the attempt in flight at this index, or the last one.
     fn nth_in_flight(&self, at: usize) -> Option<AttemptId> {
         let at = at.min(self.in_flight.len().saturating_sub(1));
         self.in_flight.keys().nth(at).copied()
--- a/crates/decide/tests/decide/script.rs
+++ b/crates/decide/tests/decide/script.rs
@@ -138,7 +138,9 @@
         }
     }
 
-    /// `endpoint e1 [versions|service:name] [same|region|far] [live|leaving|gone] [running/slots] [life]`
+    /// `endpoint e1 versions|service:name [at=region|far] [load=running/slots] [life=1] [leaving|gone]`
+    ///
+    /// The state is read from the last word only.
     fn endpoint(&mut self, words: &[&str]) -> Event {
         let option = |prefix: &str| words.iter().find_map(|it| it.strip_prefix(prefix));
         let name = HostName::from(words[1]);
@@ -178,8 +180,8 @@
         })
     }
 
-    /// `chat 1 customer profile [class=] [pin=] [prefix=] [priority=] [deadline=] [prompt=]`,
-    /// `call 1 customer service …`
+    /// `chat 1 customer profile [class=] [pin=] [prefix=] [priority=] [deadline=] [prompt=] [max=]`,
+    /// `call 1 customer service [priority=] [deadline=]`
     pub(crate) fn arrival(&self, words: &[&str]) -> Event {
         let option = |prefix: &str| words.iter().find_map(|it| it.strip_prefix(prefix));
         let customer = self.policy.customer(&words[2].into());
@@ -322,7 +324,8 @@
             concurrency: option("concurrency=").map_or(1000, |it| it.parse().unwrap()),
             weight: number("weight=", 1.0),
         }),
-        // `profile name version,version [target=] [cap=] [once] …`, for all customers
+        // `profile name version,version [target=] [cap=] [priority=] [deadline=] [once] [only=customer]`,
+        // for all customers without `only=`
         "profile" => {
             let versions = words[2].split(',').map(|it| policy.version(&it.into()));
             let versions: Vec<_> = versions.flatten().collect();
@@ -351,7 +354,7 @@
             deadline,
             concurrency: option("concurrency=").map_or(1000, |it| it.parse().unwrap()),
         }),
-        // `rollout name new old`
+        // `rollout name new [old]`
         "rollout" => policy.rollouts.push(Rollout {
             id: words[1].into(),
             version: policy.version(&words[2].into()).unwrap(),
