--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -15,14 +15,14 @@
 /// The size of a large deployment.
 const LARGE: Size = Size {
     versions: 34,
-    replicas: 1200,
+    endpoints: 1200,
     customers: 10,
 };
 
 #[derive(Clone, Copy)]
 struct Size {
     versions: u16,
-    replicas: u16,
+    endpoints: u16,
     customers: u16,
 }
 
@@ -46,7 +46,7 @@
             size,
         };
         bench.handle(Event::Configure(Arc::new(policy(size))));
-        for number in 0..size.replicas {
+        for number in 0..size.endpoints {
             bench.handle(Event::Endpoint(endpoint(size, number)));
         }
         bench.now = Duration::from_mins(1);
@@ -191,8 +191,8 @@
     for versions in [4, 16, 34] {
         measure("versions", versions, Size { versions, ..LARGE });
     }
-    for replicas in [20, 300, 1200] {
-        measure("replicas", replicas, Size { replicas, ..LARGE });
+    for endpoints in [20, 300, 1200] {
+        measure("replicas", endpoints, Size { endpoints, ..LARGE });
     }
     for customers in [1, 10, 40] {
         measure("customers", customers, Size { customers, ..LARGE });
@@ -216,7 +216,7 @@
             bench.request();
         });
     });
-    let updates: Vec<Update> = (0..LARGE.replicas).map(|it| endpoint(LARGE, it)).collect();
+    let updates: Vec<Update> = (0..LARGE.endpoints).map(|it| endpoint(LARGE, it)).collect();
     let mut next = updates.iter().cycle();
     c.bench_function("load report", |it| {
         it.iter(|| bench.handle(Event::Endpoint(next.next().unwrap().clone())));
--- a/crates/decide/src/digest.rs
+++ b/crates/decide/src/digest.rs
@@ -8,7 +8,7 @@
 use crate::{Policy, key};
 
 /// The [`Knowledge::revision`] from which a host ignores digests.
-const MIN_OWN_OBSERVATIONS: u64 = 200;
+const DIGEST_REVISION_LIMIT: u64 = 200;
 /// How many times the means of a digest item are recorded, that is, their weight
 /// in responses.
 const MEAN_WEIGHT: u32 = 10;
@@ -33,10 +33,10 @@
     }
 
     /// Applies another host's digest. Ignored once this host has learned enough (see
-    /// [`MIN_OWN_OBSERVATIONS`]): observations that the other host already sent as
+    /// [`DIGEST_REVISION_LIMIT`]): observations that the other host already sent as
     /// evidence would be counted twice.
     pub(crate) fn apply_digest(&mut self, policy: &Policy, digest: &Evidence) {
-        if self.revision() >= MIN_OWN_OBSERVATIONS {
+        if self.revision() >= DIGEST_REVISION_LIMIT {
             return;
         }
         for it in &digest.turns {
--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -192,7 +192,7 @@
     pub(crate) fn availability_hash(&self) -> u64 {
         let lists = self.by_version.iter().chain(&self.by_service);
         let filled = (1..).zip(lists).filter(|(_, list)| !list.is_empty());
-        filled.fold(0, |outline, (at, _)| outline ^ key::mix(at, 1))
+        filled.fold(0, |hash, (at, _)| hash ^ key::mix(at, 1))
     }
 
     /// Returns the endpoints in this host's subsets, whose load it has to know.
--- a/crates/decide/src/histogram.rs
+++ b/crates/decide/src/histogram.rs
@@ -12,7 +12,7 @@
 const RESPONSE_DECAY_THRESHOLD: f64 = 3000.0;
 /// The maximum count that the decay of one update is computed from, so that a large
 /// batch doesn't erase the history.
-const MAX_DECAY_COUNT: f64 = 100.0;
+const MAX_COUNT_FOR_DECAY: f64 = 100.0;
 
 /// A confidence bucket, ordered from least to most confident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -66,7 +66,7 @@
 impl ConfidenceHistogram {
     pub(crate) fn record_responses(&mut self, bucket: Bucket, count: f64) {
         if self.responses() >= RESPONSE_DECAY_THRESHOLD {
-            let keep = 1.0 - count.min(MAX_DECAY_COUNT) / RESPONSE_DECAY_THRESHOLD;
+            let keep = 1.0 - count.min(MAX_COUNT_FOR_DECAY) / RESPONSE_DECAY_THRESHOLD;
             decay(&mut self.answered, keep);
         }
         self.answered[bucket.index()] += count;
@@ -74,7 +74,7 @@
 
     pub(crate) fn record_ratings(&mut self, bucket: Bucket, good: f64, bad: f64) {
         if self.ratings() >= RATING_DECAY_THRESHOLD {
-            let keep = 1.0 - (good + bad).min(MAX_DECAY_COUNT) / RATING_DECAY_THRESHOLD;
+            let keep = 1.0 - (good + bad).min(MAX_COUNT_FOR_DECAY) / RATING_DECAY_THRESHOLD;
             decay(&mut self.good, keep);
             decay(&mut self.bad, keep);
         }
@@ -103,8 +103,8 @@
     }
 }
 
-fn decay(counts: &mut [f64; BUCKETS], by: f64) {
+fn decay(counts: &mut [f64; BUCKETS], keep: f64) {
     for count in counts {
-        *count *= by;
+        *count *= keep;
     }
 }
--- a/crates/decide/src/knowledge.rs
+++ b/crates/decide/src/knowledge.rs
@@ -34,7 +34,7 @@
     classes: Vec<ClassTraffic>,
     versions: Vec<VersionStats>,
     /// Ratings of all versions together.
-    all: ConfidenceHistogram,
+    all_ratings: ConfidenceHistogram,
     prior: ConfidenceModel,
     /// The confidence distributions estimated from `all_ratings`.
     general: ConfidenceModel,
@@ -62,7 +62,7 @@
         Self {
             classes: Vec::new(),
             versions: Vec::new(),
-            all: ConfidenceHistogram::default(),
+            all_ratings: ConfidenceHistogram::default(),
             prior,
             general: prior,
             revision: 0,
@@ -146,7 +146,7 @@
     pub(crate) fn rating_value(&self, now: Duration, kind: ResponseKind) -> f64 {
         let spending = self.classes[kind.class.0].spending.rate(now);
         let it = self.versions.get(kind.version.index());
-        let fit = it.map(|it| it.last_fit(kind));
+        let fit = it.map(|it| it.cached_fit(kind));
         let uncertainty = fit.map_or(0.0, |it| it.variance() / (it.weight + 1.0));
         spending.sqrt() * uncertainty
     }
@@ -188,12 +188,12 @@
         bad: f64,
     ) {
         self.revision += 1;
-        self.all.record_ratings(bucket, good, bad);
-        let prior = self.prior.with_noise_from(&self.all);
-        self.general = prior.updated(&self.all, OVERALL_PRIOR_WEIGHT);
+        self.all_ratings.record_ratings(bucket, good, bad);
+        let prior = self.prior.with_noise_from(&self.all_ratings);
+        self.general = prior.updated(&self.all_ratings, OVERALL_PRIOR_WEIGHT);
         if let Some(it) = self.versions.get_mut(kind.version.index()) {
-            it.all.record_ratings(bucket, good, bad);
-            it.model = self.general.updated(&it.all, VERSION_PRIOR_WEIGHT);
+            it.all_ratings.record_ratings(bucket, good, bad);
+            it.model = self.general.updated(&it.all_ratings, VERSION_PRIOR_WEIGHT);
             it.overall
                 .step_mut(kind.position)
                 .record_ratings(bucket, good, bad);
@@ -247,7 +247,7 @@
     pub(crate) fn bad_rating_chance(&self, kind: ResponseKind, bucket: Bucket) -> f64 {
         let it = self.versions.get(kind.version.index());
         it.map_or(0.5, |it| {
-            let chance = it.model.chance(it.last_fit(kind).share, bucket.index());
+            let chance = it.model.chance(it.cached_fit(kind).share, bucket.index());
             it.model.bad_rating_chance(chance)
         })
     }
--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -19,7 +19,7 @@
 const FULL_FAULT_THRESHOLD: f64 = 16.0;
 /// Responses that the baseline confidence distribution needs before confidence is
 /// tested for partial faults.
-const PARTIAL_FAULT_MIN_RESPONSES: f64 = 200.0;
+const MIN_BASELINE_FOR_PARTIAL_FAULT: f64 = 200.0;
 /// Caps the log-likelihood ratio of one failure, so that a quarantine takes at least
 /// five failures.
 const MAX_FAILURE_LOG_RATIO: f64 = 2.5;
@@ -158,12 +158,12 @@
         self.totals.responses += count;
         self.consecutive_failures = 0.0;
         let ratio = |fault_share| {
-            (1.0 - failure_rate_with_fault(normal.failure_rate, fault_share)).ln()
+            (1.0 - rate_with_fault(normal.failure_rate, fault_share)).ln()
                 - (1.0 - normal.failure_rate).ln()
         };
         self.errors.add(ratio(FAULT_SHARES[0]), count);
         if self.cause() == Some(Cause::Errors) {
-            self.record_probe(now, -ratio(self.fault_share()) * count);
+            self.record_in_quarantine(now, -ratio(self.fault_share()) * count);
         }
     }
 
@@ -185,24 +185,23 @@
             self.record_failed_endpoint(*id);
         }
         if self.cause() == Some(Cause::Errors) {
-            return self.record_probe(now, -2.0 * count);
+            return self.record_in_quarantine(now, -2.0 * count);
         }
-        let ratio = (failure_rate_with_fault(normal.failure_rate, FAULT_SHARES[0])
-            / normal.failure_rate)
-            .ln();
+        let ratio =
+            (rate_with_fault(normal.failure_rate, FAULT_SHARES[0]) / normal.failure_rate).ln();
         // Failures at the endpoint that failed last, or at an unknown one, can't raise
         // the statistic to the threshold on their own, so that one broken endpoint
         // doesn't quarantine the version.
-        let alone = normal.endpoints < 2;
-        let limit = if repeated && !alone {
+        let is_single_endpoint = normal.endpoints < 2;
+        let limit = if repeated && !is_single_endpoint {
             0.6 * ERROR_THRESHOLD
         } else {
             f64::MAX
         };
         self.errors
             .add_capped(limit, ratio.min(MAX_FAILURE_LOG_RATIO), count);
-        let spread = alone || self.failed_endpoints[1].is_some();
-        if self.errors.sum() >= ERROR_THRESHOLD && spread {
+        let at_several_endpoints = is_single_endpoint || self.failed_endpoints[1].is_some();
+        if self.errors.sum() >= ERROR_THRESHOLD && at_several_endpoints {
             let fault_share = FAULT_SHARES[usize::from(self.consecutive_failures >= 4.0)];
             self.quarantine(now, Cause::Errors, fault_share, INITIAL_PROBE_DELAY);
         }
@@ -223,12 +222,12 @@
         };
         if let Some(it) = self.quarantine {
             if matches!(it.cause, Cause::Ratings | Cause::Confidence) {
-                self.record_probe(now, -0.5 * ratio(it.fault_share) * count);
+                self.record_in_quarantine(now, -0.5 * ratio(it.fault_share) * count);
             }
             return;
         }
         let [partial, full] = &mut self.quality;
-        if seen.responses >= PARTIAL_FAULT_MIN_RESPONSES {
+        if seen.responses >= MIN_BASELINE_FOR_PARTIAL_FAULT {
             partial.add_unordered(ratio(FAULT_SHARES[0]), count);
         }
         full.add_unordered(ratio(FAULT_SHARES[1]), count);
@@ -241,7 +240,7 @@
     pub(crate) fn record_token_time(&mut self, now: Duration, scope: FaultScope, ratio: f64) {
         let log_ratio = (ratio / SLOWDOWN_RATIO).ln();
         if self.cause() == Some(Cause::Latency) {
-            return self.record_probe(now, -log_ratio.clamp(-1.0, 1.0));
+            return self.record_in_quarantine(now, -log_ratio.clamp(-1.0, 1.0));
         }
         self.latency.add(
             log_ratio.clamp(-MAX_LATENCY_LOG_RATIO, MAX_LATENCY_LOG_RATIO),
@@ -268,16 +267,16 @@
         self.totals.ratings += seen.good + seen.bad;
         let normal = seen.normal.clamp(0.02, 0.98);
         let ratio = |fault_share| {
-            let failure_rate = failure_rate_with_fault(normal, fault_share);
-            seen.bad * (failure_rate / normal).ln()
-                + seen.good * ((1.0 - failure_rate) / (1.0 - normal)).ln()
+            let bad_rate = rate_with_fault(normal, fault_share);
+            seen.bad * (bad_rate / normal).ln()
+                + seen.good * ((1.0 - bad_rate) / (1.0 - normal)).ln()
         };
         if let Some(it) = self.quarantine {
             // Ratings arrive minutes late. Ratings of responses from before the
             // quarantine would end it although the fault persists.
             let probe = seen.answered.is_some_and(|at| at >= it.started_at);
             if probe && matches!(it.cause, Cause::Ratings | Cause::Confidence) {
-                self.record_probe(now, -ratio(it.fault_share));
+                self.record_in_quarantine(now, -ratio(it.fault_share));
             }
             return;
         }
@@ -336,7 +335,7 @@
 
     /// Adds evidence seen during a quarantine, from probes and all other requests; a
     /// positive `ratio` is evidence of recovery.
-    fn record_probe(&mut self, now: Duration, ratio: f64) {
+    fn record_in_quarantine(&mut self, now: Duration, ratio: f64) {
         let Some(it) = self.quarantine.as_mut() else {
             return;
         };
@@ -377,9 +376,9 @@
     }
 
     fn count_outcomes(&mut self, outcomes: f64, failures: f64) {
-        const DECAY_THRESHOLD: f64 = 500.0;
-        if self.outcomes >= DECAY_THRESHOLD {
-            let keep = 1.0 - outcomes.min(100.0) / DECAY_THRESHOLD;
+        const OUTCOME_DECAY_THRESHOLD: f64 = 500.0;
+        if self.outcomes >= OUTCOME_DECAY_THRESHOLD {
+            let keep = 1.0 - outcomes.min(100.0) / OUTCOME_DECAY_THRESHOLD;
             self.outcomes *= keep;
             self.failures *= keep;
         }
@@ -424,6 +423,6 @@
 
 /// Returns the rate of failures or bad ratings when a fault affects a fraction
 /// `fault_share` of the responses that would otherwise be good.
-fn failure_rate_with_fault(normal: f64, fault_share: f64) -> f64 {
+fn rate_with_fault(normal: f64, fault_share: f64) -> f64 {
     normal + fault_share * (1.0 - normal)
 }
--- a/crates/decide/src/replica.rs
+++ b/crates/decide/src/replica.rs
@@ -22,7 +22,7 @@
 const OVERLOAD_PAUSE: Duration = Duration::from_millis(200);
 /// How old a load report may be, and how long ago an overload pause may have ended,
 /// for [`Replica::may_be_full`].
-const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
+const RECENT_LOAD_TIME: Duration = Duration::from_secs(5);
 /// The number of consecutive failures that ejects an endpoint.
 const EJECT_AFTER_FAILURES: u32 = 3;
 /// How long an endpoint stays ejected.
@@ -46,7 +46,7 @@
     /// overload the endpoint together: twice an equal share of the slots that were
     /// free in the last report, but at least 1, and [`DEFAULT_SLOTS`] before the first.
     /// [`Self::has_room`] scales it by priority.
-    free_share: f64,
+    max_new_requests: f64,
     in_flight: u32,
     /// This host's requests in flight when the last load report was received.
     in_flight_at_report: u32,
@@ -60,7 +60,7 @@
 }
 
 impl Replica {
-    pub(crate) fn new(now: Duration, live: u32, update: &Update) -> Self {
+    pub(crate) fn new(now: Duration, live_hosts: u32, update: &Update) -> Self {
         let mut it = Self {
             id: update.id,
             role: update.role.clone(),
@@ -71,7 +71,7 @@
             added_at: now,
             load: None,
             reported_at: Duration::ZERO,
-            free_share: f64::from(DEFAULT_SLOTS),
+            max_new_requests: f64::from(DEFAULT_SLOTS),
             in_flight: 0,
             in_flight_at_report: 0,
             window: f64::from(DEFAULT_SLOTS),
@@ -79,12 +79,12 @@
             ejected_until: Duration::ZERO,
             consecutive_failures: 0,
         };
-        it.record_load(now, live, update.load);
+        it.record_load(now, live_hosts, update.load);
         it
     }
 
     /// Applies a load report. `None`, or a report of no slots, keeps the last one.
-    pub(crate) fn record_load(&mut self, now: Duration, live: u32, load: Option<Load>) {
+    pub(crate) fn record_load(&mut self, now: Duration, live_hosts: u32, load: Option<Load>) {
         let Some(load) = load.filter(|it| it.slots > 0) else {
             return;
         };
@@ -92,10 +92,11 @@
             // Starts at twice an equal share and grows with each success, so that
             // hosts which all see a free endpoint don't overload it.
             let max_window = f64::from(load.slots) * Self::slot_fraction(Priority::Urgent);
-            self.window = (2.0 * max_window / f64::from(live)).clamp(2.0, max_window.max(2.0));
+            self.window =
+                (2.0 * max_window / f64::from(live_hosts)).clamp(2.0, max_window.max(2.0));
         }
         let free = f64::from(load.slots.saturating_sub(load.running + load.waiting));
-        self.free_share = (2.0 * free / f64::from(live)).max(1.0);
+        self.max_new_requests = (2.0 * free / f64::from(live_hosts)).max(1.0);
         self.load = Some(load);
         self.reported_at = now.saturating_sub(load.age);
         self.in_flight_at_report = self.in_flight;
@@ -107,12 +108,13 @@
             return false;
         }
         let new = self.in_flight.saturating_sub(self.in_flight_at_report);
-        if f64::from(new) >= self.free_share * Self::slot_fraction(priority) {
+        if f64::from(new) >= self.max_new_requests * Self::slot_fraction(priority) {
             return false;
         }
         let limit = f64::from(self.slots()) * Self::slot_fraction(priority);
         let started = self.slow_start_factor(now) * limit;
-        f64::from(self.used_slots()) < limit && f64::from(self.in_flight) < started.max(1.0)
+        f64::from(self.requests_at_endpoint()) < limit
+            && f64::from(self.in_flight) < started.max(1.0)
     }
 
     /// Returns whether the endpoint is ejected after consecutive failures. Ejected
@@ -124,7 +126,8 @@
     /// Returns the utilization: 0 is idle, 1 means that all slots are in use. A new
     /// endpoint counts only part of its slots.
     pub(crate) fn utilization(&self, now: Duration) -> f64 {
-        f64::from(self.used_slots()) / (f64::from(self.slots()) * self.slow_start_factor(now))
+        f64::from(self.requests_at_endpoint())
+            / (f64::from(self.slots()) * self.slow_start_factor(now))
     }
 
     pub(crate) fn in_flight(&self) -> u32 {
@@ -133,12 +136,12 @@
 
     /// Returns whether a new request may have to wait at the endpoint: all slots are
     /// in use, the load report is stale, or the endpoint was recently overloaded.
-    /// Within [`MAX_REPORT_AGE`] of the clock's zero, every endpoint counts as recently
+    /// Within [`RECENT_LOAD_TIME`] of the clock's zero, every endpoint counts as recently
     /// overloaded.
     pub(crate) fn may_be_full(&self, now: Duration) -> bool {
-        let stale = self.load.is_none() || now.saturating_sub(self.reported_at) > MAX_REPORT_AGE;
-        let refused = now < self.paused_until + MAX_REPORT_AGE;
-        stale || refused || self.used_slots() >= self.slots()
+        let stale = self.load.is_none() || now.saturating_sub(self.reported_at) > RECENT_LOAD_TIME;
+        let refused = now < self.paused_until + RECENT_LOAD_TIME;
+        stale || refused || self.requests_at_endpoint() >= self.slots()
     }
 
     pub(crate) fn begin_attempt(&mut self) {
@@ -179,7 +182,7 @@
     /// Estimates the number of running and waiting requests, which may exceed the
     /// slots: the last load report, corrected by the requests that this host started
     /// and finished since.
-    fn used_slots(&self) -> u32 {
+    fn requests_at_endpoint(&self) -> u32 {
         let reported = self.load.map_or(0, |it| it.running + it.waiting);
         let since = self.in_flight.saturating_sub(self.in_flight_at_report);
         let ended = self.in_flight_at_report.saturating_sub(self.in_flight);
--- a/crates/decide/src/response_stats.rs
+++ b/crates/decide/src/response_stats.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns the cached fit, or `prior` if there is none or it was discarded.
-    pub(crate) fn last_fit(&self, prior: Fit) -> Fit {
+    pub(crate) fn cached_fit(&self, prior: Fit) -> Fit {
         self.fit.unwrap_or(prior)
     }
 }
--- a/crates/decide/src/samples.rs
+++ b/crates/decide/src/samples.rs
@@ -8,9 +8,9 @@
 use crate::response_stats::StepPosition;
 
 /// The number of most recent samples whose rating is accepted.
-const MAX_PENDING: usize = 8192;
+const MAX_REMEMBERED: usize = 8192;
 
-/// Responses that wait for a rating. Only the last [`MAX_PENDING`] samples are kept,
+/// Responses that wait for a rating. Only the last [`MAX_REMEMBERED`] samples are kept,
 /// rated or not, because many ratings never arrive.
 #[derive(Debug, Default)]
 pub(crate) struct Samples {
@@ -41,7 +41,7 @@
         sample: Sample,
     ) {
         let sample_key = SampleKey::new(request, version);
-        if self.order.len() >= MAX_PENDING
+        if self.order.len() >= MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
             self.pending.remove(&oldest);
--- a/crates/decide/src/version_stats.rs
+++ b/crates/decide/src/version_stats.rs
@@ -25,7 +25,7 @@
     /// expensive).
     pub(crate) price_rank: f64,
     /// Ratings over all classes and cascade positions.
-    pub(crate) all: ConfidenceHistogram,
+    pub(crate) all_ratings: ConfidenceHistogram,
     pub(crate) model: ConfidenceModel,
     /// Seconds per token.
     pub(crate) token_time: Mean,
@@ -38,7 +38,7 @@
     pub(crate) fn new(model: ConfidenceModel) -> Self {
         Self {
             price_rank: 0.0,
-            all: ConfidenceHistogram::default(),
+            all_ratings: ConfidenceHistogram::default(),
             model,
             token_time: Mean::default(),
             overall: ResponseStats::default(),
@@ -56,7 +56,7 @@
 
     /// Returns the distribution of such responses over the confidence buckets.
     pub(crate) fn confidence_distribution(&self, kind: ResponseKind) -> [f64; BUCKETS] {
-        let fitted = self.model.distribution(self.last_fit(kind).share);
+        let fitted = self.model.distribution(self.cached_fit(kind).share);
         match self.classes.get(kind.class.0) {
             Some(it) => blend(
                 &it.step(kind.position).histogram.answered,
@@ -69,11 +69,11 @@
 
     /// Returns the estimated fraction of good responses and its weight: the cached fit,
     /// or the prior if there is none or it was discarded.
-    pub(crate) fn last_fit(&self, kind: ResponseKind) -> Fit {
+    pub(crate) fn cached_fit(&self, kind: ResponseKind) -> Fit {
         match self.classes.get(kind.class.0) {
             Some(it) => it
                 .step(kind.position)
-                .last_fit(self.class_prior(it, kind.position)),
+                .cached_fit(self.class_prior(it, kind.position)),
             None => self.prior(kind.position),
         }
     }
@@ -96,7 +96,7 @@
         let first = self.prior(StepPosition::First);
         match position {
             StepPosition::First => first,
-            StepPosition::Later => later_step_prior(stats.first.last_fit(first)),
+            StepPosition::Later => later_step_prior(stats.first.cached_fit(first)),
         }
     }
 
--- a/crates/decide/tests/decide/fleet.rs
+++ b/crates/decide/tests/decide/fleet.rs
@@ -18,7 +18,7 @@
 pub(crate) struct Fleet {
     random: Pcg64Mcg,
     behaviours: BTreeMap<String, Behaviour>,
-    next: u64,
+    next_request: u64,
 }
 
 /// The simulated behaviour of a version.
@@ -46,7 +46,7 @@
         Self {
             random: Pcg64Mcg::seed_from_u64(3),
             behaviours: BTreeMap::new(),
-            next: 1000,
+            next_request: 1000,
         }
     }
 
@@ -135,8 +135,8 @@
 /// Sends the requests and returns the lines of steps, verdicts and last resorts,
 /// followed by the counts of results.
 pub(crate) fn traffic(script: &mut Script, load: &Load) -> String {
-    let first = script.fleet.next;
-    script.fleet.next += load.number;
+    let first = script.fleet.next_request;
+    script.fleet.next_request += load.number;
     let start = script.now;
     let mut simulation = Simulation {
         script,
--- a/crates/decide/tests/decide/properties.rs
+++ b/crates/decide/tests/decide/properties.rs
@@ -37,7 +37,7 @@
     Cancel(usize),
     Rate(usize, bool),
     /// Withdraws the version at this index, or with `false` makes it active.
-    Withdraw(usize, bool),
+    SetWithdrawn(usize, bool),
     Endpoint {
         index: u64,
         incarnation: u64,
@@ -76,7 +76,7 @@
         10 => (0..8usize, outcome()).prop_map(|(at, outcome)| Input::End(at, outcome)),
         1 => (0..8usize).prop_map(Input::Cancel),
         3 => (0..8usize, any::<bool>()).prop_map(|(at, good)| Input::Rate(at, good)),
-        2 => (0..VERSIONS.len(), any::<bool>()).prop_map(|(at, out)| Input::Withdraw(at, out)),
+        2 => (0..VERSIONS.len(), any::<bool>()).prop_map(|(at, withdrawn)| Input::SetWithdrawn(at, withdrawn)),
         3 => (0..ENDPOINTS, 1..3u64, state, 0..5u32).prop_map(
             |(index, incarnation, state, running)| Input::Endpoint { index, incarnation, state, running }
         ),
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, Default)]
 struct RequestState {
     once: bool,
-    calls: bool,
+    is_call: bool,
     customer: u16,
     attempts: u32,
     run: Option<Run>,
@@ -223,9 +223,9 @@
                     }));
                 }
             }
-            Input::Withdraw(at, out) => {
+            Input::SetWithdrawn(at, withdrawn) => {
                 self.policy.revision = self.policy.revision.next();
-                self.policy.versions[*at].state = if *out {
+                self.policy.versions[*at].state = if *withdrawn {
                     State::Withdrawn
                 } else {
                     State::Active
@@ -282,7 +282,7 @@
         let request = key::Request(u64::try_from(self.requests.len()).unwrap());
         let seen = RequestState {
             once,
-            calls: matches!(work, Work::Call(_)),
+            is_call: matches!(work, Work::Call(_)),
             customer,
             ..RequestState::default()
         };
@@ -300,7 +300,7 @@
         let dispatch = self.in_flight.remove(&attempt).unwrap();
         let seen = self.requests.get_mut(&dispatch.request).unwrap();
         let outcome = match outcome {
-            Outcome::Answered(_) if seen.calls => Outcome::Served,
+            Outcome::Answered(_) if seen.is_call => Outcome::Served,
             other => other,
         };
         if !outcome.not_run() {
