--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -131,7 +131,7 @@
         self.outcomes
     }
 
-    /// Returns the smoothed failure rate.
+    /// Returns the failure rate, smoothed by a prior worth 20 outcomes.
     pub(crate) fn failure_rate(&self) -> f64 {
         (self.failures + PRIOR_FAILURE_RATE * 20.0) / (self.outcomes + 20.0)
     }
@@ -200,8 +200,10 @@
         };
         self.errors
             .add_capped(limit, ratio.min(MAX_FAILURE_LOG_RATIO), count);
+        // A version with a single endpoint can't fail at several.
         let at_several_endpoints = is_single_endpoint || self.failed_endpoints[1].is_some();
         if self.errors.sum() >= ERROR_THRESHOLD && at_several_endpoints {
+            // Several failures in a row suggest a fault of nearly all responses.
             let fault_share = FAULT_SHARES[usize::from(self.consecutive_failures >= 4.0)];
             self.quarantine(now, Cause::Errors, fault_share, INITIAL_PROBE_DELAY);
         }
@@ -215,6 +217,7 @@
         count: f64,
     ) {
         let at = seen.bucket.index();
+        // Bounded below, because the ratio divides by it.
         let normal = seen.normal[at].max(0.004);
         let ratio = |fault_share: f64| {
             let ratio = (1.0 - fault_share) + fault_share * seen.bad[at] / normal;
@@ -378,6 +381,7 @@
     fn count_outcomes(&mut self, outcomes: f64, failures: f64) {
         const OUTCOME_DECAY_THRESHOLD: f64 = 500.0;
         if self.outcomes >= OUTCOME_DECAY_THRESHOLD {
+            // Bounded, so that a large batch doesn't erase the history.
             let keep = 1.0 - outcomes.min(100.0) / OUTCOME_DECAY_THRESHOLD;
             self.outcomes *= keep;
             self.failures *= keep;
