--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -1,4 +1,5 @@
-//! Measures the time of routing decisions for a request from arrival to response.
+//! Measures the time to handle events: a request from arrival to response, ticks,
+//! load reports and policies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +15,14 @@
 /// The size of a large deployment.
 const LARGE: Size = Size {
     versions: 34,
-    replicas: 1200,
+    endpoints: 1200,
     customers: 10,
 };
 
 #[derive(Clone, Copy)]
 struct Size {
     versions: u16,
-    replicas: u16,
+    endpoints: u16,
     customers: u16,
 }
 
@@ -45,7 +46,7 @@
             size,
         };
         bench.handle(Event::Configure(Arc::new(policy(size))));
-        for number in 0..size.replicas {
+        for number in 0..size.endpoints {
             bench.handle(Event::Endpoint(endpoint(size, number)));
         }
         bench.now = Duration::from_mins(1);
@@ -151,7 +152,7 @@
     }
 }
 
-/// Returns a replica with two versions loaded; a twentieth of the replicas are in
+/// Returns an endpoint with two versions loaded; a twentieth of the endpoints are in
 /// this data centre.
 fn endpoint(size: Size, number: u16) -> Update {
     let name = HostName::from(format!("replica-{number}"));
@@ -190,8 +191,8 @@
     for versions in [4, 16, 34] {
         measure("versions", versions, Size { versions, ..LARGE });
     }
-    for replicas in [20, 300, 1200] {
-        measure("replicas", replicas, Size { replicas, ..LARGE });
+    for endpoints in [20, 300, 1200] {
+        measure("replicas", endpoints, Size { endpoints, ..LARGE });
     }
     for customers in [1, 10, 40] {
         measure("customers", customers, Size { customers, ..LARGE });
@@ -210,11 +211,12 @@
     });
     c.bench_function("request with a new plan", |it| {
         it.iter(|| {
+            // Longer than a plan is reused.
             bench.now += Duration::from_secs(11);
             bench.request();
         });
     });
-    let updates: Vec<Update> = (0..LARGE.replicas).map(|it| endpoint(LARGE, it)).collect();
+    let updates: Vec<Update> = (0..LARGE.endpoints).map(|it| endpoint(LARGE, it)).collect();
     let mut next = updates.iter().cycle();
     c.bench_function("load report", |it| {
         it.iter(|| bench.handle(Event::Endpoint(next.next().unwrap().clone())));
--- a/crates/decide/src/histogram.rs
+++ b/crates/decide/src/histogram.rs
@@ -6,13 +6,13 @@
 /// responses of good engines are.
 const UPPER_BOUNDS: [f64; BUCKETS - 1] =
     [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.78, 0.85, 0.91, 0.96];
-/// The decayed number of ratings from which on old ones are discounted as new
-/// ones are added.
+/// The decayed number of ratings from which each update discounts the old ones.
 const RATING_DECAY_THRESHOLD: f64 = 1500.0;
-/// The corresponding number of responses.
+/// The decayed number of responses from which each update discounts the old ones.
 const RESPONSE_DECAY_THRESHOLD: f64 = 3000.0;
-/// Caps the count that determines the decay of one update.
-const MAX_DECAY_COUNT: f64 = 100.0;
+/// The maximum count that the decay of one update is computed from, so that a large
+/// batch doesn't erase the history.
+const MAX_COUNT_FOR_DECAY: f64 = 100.0;
 
 /// A confidence bucket, ordered from least to most confident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -28,7 +28,8 @@
         self.0
     }
 
-    /// Returns whether the bucket is at or above a threshold; none reaches [`BUCKETS`].
+    /// Returns whether the bucket is at or above a threshold. No bucket passes the
+    /// threshold [`BUCKETS`].
     pub(crate) fn passes(self, threshold: usize) -> bool {
         self.0 >= threshold
     }
@@ -65,7 +66,7 @@
 impl ConfidenceHistogram {
     pub(crate) fn record_responses(&mut self, bucket: Bucket, count: f64) {
         if self.responses() >= RESPONSE_DECAY_THRESHOLD {
-            let keep = 1.0 - count.min(MAX_DECAY_COUNT) / RESPONSE_DECAY_THRESHOLD;
+            let keep = 1.0 - count.min(MAX_COUNT_FOR_DECAY) / RESPONSE_DECAY_THRESHOLD;
             decay(&mut self.answered, keep);
         }
         self.answered[bucket.index()] += count;
@@ -73,7 +74,7 @@
 
     pub(crate) fn record_ratings(&mut self, bucket: Bucket, good: f64, bad: f64) {
         if self.ratings() >= RATING_DECAY_THRESHOLD {
-            let keep = 1.0 - (good + bad).min(MAX_DECAY_COUNT) / RATING_DECAY_THRESHOLD;
+            let keep = 1.0 - (good + bad).min(MAX_COUNT_FOR_DECAY) / RATING_DECAY_THRESHOLD;
             decay(&mut self.good, keep);
             decay(&mut self.bad, keep);
         }
@@ -102,8 +103,8 @@
     }
 }
 
-fn decay(counts: &mut [f64; BUCKETS], by: f64) {
+fn decay(counts: &mut [f64; BUCKETS], keep: f64) {
     for count in counts {
-        *count *= by;
+        *count *= keep;
     }
 }
--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -11,18 +11,17 @@
 /// The fractions of responses made bad by the faults that are tested for: a
 /// partial fault and one of nearly all responses.
 const FAULT_SHARES: [f64; 2] = [0.2, 0.9];
-/// The CUSUM threshold for failures. By Lorden's bound the false alarm rate is
-/// below one in `e^12` observations.
+/// The CUSUM threshold for failures.
 const ERROR_THRESHOLD: f64 = 12.0;
-/// The CUSUM threshold for a partial fault, which has a weaker effect on confidence.
+/// The CUSUM threshold of confidence and ratings for a partial fault.
 const PARTIAL_FAULT_THRESHOLD: f64 = 18.0;
-/// The CUSUM threshold for a fault of nearly all responses.
+/// The CUSUM threshold of confidence and ratings for a fault of nearly all responses.
 const FULL_FAULT_THRESHOLD: f64 = 16.0;
-/// Responses that the baseline confidence distribution needs before partial
-/// faults are tested for.
-const PARTIAL_FAULT_MIN_RESPONSES: f64 = 200.0;
-/// Caps the log-likelihood ratio of one failure, so that no single failure
-/// quarantines a version.
+/// Responses that the baseline confidence distribution needs before confidence is
+/// tested for partial faults.
+const MIN_BASELINE_FOR_PARTIAL_FAULT: f64 = 200.0;
+/// Caps the log-likelihood ratio of one failure, so that a quarantine takes at least
+/// five failures.
 const MAX_FAILURE_LOG_RATIO: f64 = 2.5;
 /// Caps the log-likelihood ratio of one response's confidence, because the
 /// baseline frequency of the lowest buckets is only a rough estimate.
@@ -35,15 +34,16 @@
 const MAX_LATENCY_LOG_RATIO: f64 = 1.0;
 /// The CUSUM threshold for latency.
 const LATENCY_THRESHOLD: f64 = 5.0;
-/// The time from the start of a quarantine to its first probe.
+/// The pause before the first probe of a quarantine; doubled after failed probes.
 const INITIAL_PROBE_DELAY: Duration = Duration::from_secs(10);
 /// The longest pause after failed probes.
 const MAX_PROBE_DELAY: Duration = Duration::from_mins(10);
 /// The least time between two probes of a version by this host.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// The log-likelihood ratio of the probes at which a quarantine ends.
+/// The log-likelihood ratio of recovery at which a quarantine ends.
 const RECOVERY_THRESHOLD: f64 = 6.0;
-/// The ratio at which the pause before the next probe is doubled.
+/// The log-likelihood ratio of recovery at which the pause before the next probe is
+/// doubled.
 const PROBE_FAILURE_THRESHOLD: f64 = -3.0;
 
 /// Detects faults of one version from the outcomes of this host and those that
@@ -53,10 +53,11 @@
     errors: Cusum,
     latency: Cusum,
     quality: [Cusum; FAULT_SHARES.len()],
-    /// The first two distinct endpoints with failures since the last reset.
+    /// The first two distinct endpoints with failures since the version was last marked
+    /// healthy.
     failed_endpoints: [Option<endpoint::Id>; 2],
     last_failed: Option<endpoint::Id>,
-    /// Consecutive failures.
+    /// Failures since the last complete response, including those at other hosts.
     consecutive_failures: f64,
     outcomes: f64,
     failures: f64,
@@ -81,7 +82,7 @@
     probe_delay: Duration,
     next_probe: Duration,
     /// The log-likelihood ratio of recovery against a persisting fault, over the
-    /// probes so far.
+    /// outcomes and ratings since the quarantine began or the pause was last doubled.
     log_ratio: f64,
 }
 
@@ -96,9 +97,11 @@
 /// The extent of a suspected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultScope {
-    /// Other versions are mostly unaffected.
+    /// Fewer than half of the other versions are affected, or there is no other to
+    /// compare with.
     OneVersion,
-    /// Many other versions are affected, so the cause is probably external.
+    /// At least half of the other versions are affected, so the cause is probably
+    /// external.
     Shared,
 }
 
@@ -128,7 +131,7 @@
         self.outcomes
     }
 
-    /// Returns the smoothed failure rate.
+    /// Returns the failure rate, smoothed by a prior worth 20 outcomes.
     pub(crate) fn failure_rate(&self) -> f64 {
         (self.failures + PRIOR_FAILURE_RATE * 20.0) / (self.outcomes + 20.0)
     }
@@ -155,12 +158,12 @@
         self.totals.responses += count;
         self.consecutive_failures = 0.0;
         let ratio = |fault_share| {
-            (1.0 - failure_rate_with_fault(normal.failure_rate, fault_share)).ln()
+            (1.0 - rate_with_fault(normal.failure_rate, fault_share)).ln()
                 - (1.0 - normal.failure_rate).ln()
         };
         self.errors.add(ratio(FAULT_SHARES[0]), count);
         if self.cause() == Some(Cause::Errors) {
-            self.record_probe(now, -ratio(self.fault_share()) * count);
+            self.record_in_quarantine(now, -ratio(self.fault_share()) * count);
         }
     }
 
@@ -182,23 +185,25 @@
             self.record_failed_endpoint(*id);
         }
         if self.cause() == Some(Cause::Errors) {
-            return self.record_probe(now, -2.0 * count);
+            return self.record_in_quarantine(now, -2.0 * count);
         }
-        let ratio = (failure_rate_with_fault(normal.failure_rate, FAULT_SHARES[0])
-            / normal.failure_rate)
-            .ln();
-        // Repeated failures of one broken endpoint mustn't quarantine the version,
-        // so they can't raise the statistic to the threshold on their own.
-        let alone = normal.endpoints < 2;
-        let limit = if repeated && !alone {
+        let ratio =
+            (rate_with_fault(normal.failure_rate, FAULT_SHARES[0]) / normal.failure_rate).ln();
+        // Failures at the endpoint that failed last, or at an unknown one, can't raise
+        // the statistic to the threshold on their own, so that one broken endpoint
+        // doesn't quarantine the version.
+        let is_single_endpoint = normal.endpoints < 2;
+        let limit = if repeated && !is_single_endpoint {
             0.6 * ERROR_THRESHOLD
         } else {
             f64::MAX
         };
         self.errors
             .add_capped(limit, ratio.min(MAX_FAILURE_LOG_RATIO), count);
-        let spread = alone || self.failed_endpoints[1].is_some();
-        if self.errors.sum() >= ERROR_THRESHOLD && spread {
+        // A version with a single endpoint can't fail at several.
+        let at_several_endpoints = is_single_endpoint || self.failed_endpoints[1].is_some();
+        if self.errors.sum() >= ERROR_THRESHOLD && at_several_endpoints {
+            // Several failures in a row suggest a fault of nearly all responses.
             let fault_share = FAULT_SHARES[usize::from(self.consecutive_failures >= 4.0)];
             self.quarantine(now, Cause::Errors, fault_share, INITIAL_PROBE_DELAY);
         }
@@ -212,6 +217,7 @@
         count: f64,
     ) {
         let at = seen.bucket.index();
+        // Bounded below, because the ratio divides by it.
         let normal = seen.normal[at].max(0.004);
         let ratio = |fault_share: f64| {
             let ratio = (1.0 - fault_share) + fault_share * seen.bad[at] / normal;
@@ -219,12 +225,12 @@
         };
         if let Some(it) = self.quarantine {
             if matches!(it.cause, Cause::Ratings | Cause::Confidence) {
-                self.record_probe(now, -0.5 * ratio(it.fault_share) * count);
+                self.record_in_quarantine(now, -0.5 * ratio(it.fault_share) * count);
             }
             return;
         }
         let [partial, full] = &mut self.quality;
-        if seen.responses >= PARTIAL_FAULT_MIN_RESPONSES {
+        if seen.responses >= MIN_BASELINE_FOR_PARTIAL_FAULT {
             partial.add_unordered(ratio(FAULT_SHARES[0]), count);
         }
         full.add_unordered(ratio(FAULT_SHARES[1]), count);
@@ -237,7 +243,7 @@
     pub(crate) fn record_token_time(&mut self, now: Duration, scope: FaultScope, ratio: f64) {
         let log_ratio = (ratio / SLOWDOWN_RATIO).ln();
         if self.cause() == Some(Cause::Latency) {
-            return self.record_probe(now, -log_ratio.clamp(-1.0, 1.0));
+            return self.record_in_quarantine(now, -log_ratio.clamp(-1.0, 1.0));
         }
         self.latency.add(
             log_ratio.clamp(-MAX_LATENCY_LOG_RATIO, MAX_LATENCY_LOG_RATIO),
@@ -264,16 +270,16 @@
         self.totals.ratings += seen.good + seen.bad;
         let normal = seen.normal.clamp(0.02, 0.98);
         let ratio = |fault_share| {
-            let failure_rate = failure_rate_with_fault(normal, fault_share);
-            seen.bad * (failure_rate / normal).ln()
-                + seen.good * ((1.0 - failure_rate) / (1.0 - normal)).ln()
+            let bad_rate = rate_with_fault(normal, fault_share);
+            seen.bad * (bad_rate / normal).ln()
+                + seen.good * ((1.0 - bad_rate) / (1.0 - normal)).ln()
         };
         if let Some(it) = self.quarantine {
             // Ratings arrive minutes late. Ratings of responses from before the
             // quarantine would end it although the fault persists.
             let probe = seen.answered.is_some_and(|at| at >= it.started_at);
             if probe && matches!(it.cause, Cause::Ratings | Cause::Confidence) {
-                self.record_probe(now, -ratio(it.fault_share));
+                self.record_in_quarantine(now, -ratio(it.fault_share));
             }
             return;
         }
@@ -330,8 +336,9 @@
         }
     }
 
-    /// Adds the result of a probe; a positive `ratio` is evidence of recovery.
-    fn record_probe(&mut self, now: Duration, ratio: f64) {
+    /// Adds evidence seen during a quarantine, from probes and all other requests; a
+    /// positive `ratio` is evidence of recovery.
+    fn record_in_quarantine(&mut self, now: Duration, ratio: f64) {
         let Some(it) = self.quarantine.as_mut() else {
             return;
         };
@@ -372,9 +379,10 @@
     }
 
     fn count_outcomes(&mut self, outcomes: f64, failures: f64) {
-        const DECAY_THRESHOLD: f64 = 500.0;
-        if self.outcomes >= DECAY_THRESHOLD {
-            let keep = 1.0 - outcomes.min(100.0) / DECAY_THRESHOLD;
+        const OUTCOME_DECAY_THRESHOLD: f64 = 500.0;
+        if self.outcomes >= OUTCOME_DECAY_THRESHOLD {
+            // Bounded, so that a large batch doesn't erase the history.
+            let keep = 1.0 - outcomes.min(100.0) / OUTCOME_DECAY_THRESHOLD;
             self.outcomes *= keep;
             self.failures *= keep;
         }
@@ -417,8 +425,8 @@
     pub(crate) answered: Option<Duration>,
 }
 
-/// Returns the failure rate when a fault affects a fraction `fault_share` of the
-/// responses that would otherwise be good.
-fn failure_rate_with_fault(normal: f64, fault_share: f64) -> f64 {
+/// Returns the rate of failures or bad ratings when a fault affects a fraction
+/// `fault_share` of the responses that would otherwise be good.
+fn rate_with_fault(normal: f64, fault_share: f64) -> f64 {
     normal + fault_share * (1.0 - normal)
 }
--- a/crates/decide/src/replica.rs
+++ b/crates/decide/src/replica.rs
@@ -1,4 +1,5 @@
-//! The load, health and admission state of one endpoint.
+//! The load, health and admission state of one endpoint, called a replica in this
+//! crate's code.
 
 use std::time::Duration;
 
@@ -19,8 +20,9 @@
 const SLOW_START_FRACTION: f64 = 0.2;
 /// How long an endpoint is paused after it reports overload.
 const OVERLOAD_PAUSE: Duration = Duration::from_millis(200);
-/// How long a load report or an overload response remains relevant.
-const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
+/// How old a load report may be, and how long ago an overload pause may have ended,
+/// for [`Replica::may_be_full`].
+const RECENT_LOAD_TIME: Duration = Duration::from_secs(5);
 /// The number of consecutive failures that ejects an endpoint.
 const EJECT_AFTER_FAILURES: u32 = 3;
 /// How long an endpoint stays ejected.
@@ -40,12 +42,13 @@
     load: Option<Load>,
     /// When the last load report was made.
     reported_at: Duration,
-    /// Twice an equal share of the slots that were free in the last load report.
-    /// Limits new requests between reports, so that hosts don't overload the
-    /// endpoint together.
-    free_share: f64,
+    /// The limit on this host's new requests between load reports, so that hosts don't
+    /// overload the endpoint together: twice an equal share of the slots that were
+    /// free in the last report, but at least 1, and [`DEFAULT_SLOTS`] before the first.
+    /// [`Self::has_room`] scales it by priority.
+    max_new_requests: f64,
     in_flight: u32,
-    /// This host's requests in flight at the time of the last load report.
+    /// This host's requests in flight when the last load report was received.
     in_flight_at_report: u32,
     /// The limit on this host's requests in flight. Decreases multiplicatively on
     /// overload and increases additively on success, so that hosts share the
@@ -57,7 +60,7 @@
 }
 
 impl Replica {
-    pub(crate) fn new(now: Duration, live: u32, update: &Update) -> Self {
+    pub(crate) fn new(now: Duration, live_hosts: u32, update: &Update) -> Self {
         let mut it = Self {
             id: update.id,
             role: update.role.clone(),
@@ -68,7 +71,7 @@
             added_at: now,
             load: None,
             reported_at: Duration::ZERO,
-            free_share: f64::from(DEFAULT_SLOTS),
+            max_new_requests: f64::from(DEFAULT_SLOTS),
             in_flight: 0,
             in_flight_at_report: 0,
             window: f64::from(DEFAULT_SLOTS),
@@ -76,12 +79,12 @@
             ejected_until: Duration::ZERO,
             consecutive_failures: 0,
         };
-        it.record_load(now, live, update.load);
+        it.record_load(now, live_hosts, update.load);
         it
     }
 
-    /// Applies a load report. `None` keeps the last one.
-    pub(crate) fn record_load(&mut self, now: Duration, live: u32, load: Option<Load>) {
+    /// Applies a load report. `None`, or a report of no slots, keeps the last one.
+    pub(crate) fn record_load(&mut self, now: Duration, live_hosts: u32, load: Option<Load>) {
         let Some(load) = load.filter(|it| it.slots > 0) else {
             return;
         };
@@ -89,10 +92,11 @@
             // Starts at twice an equal share and grows with each success, so that
             // hosts which all see a free endpoint don't overload it.
             let max_window = f64::from(load.slots) * Self::slot_fraction(Priority::Urgent);
-            self.window = (2.0 * max_window / f64::from(live)).clamp(2.0, max_window.max(2.0));
+            self.window =
+                (2.0 * max_window / f64::from(live_hosts)).clamp(2.0, max_window.max(2.0));
         }
         let free = f64::from(load.slots.saturating_sub(load.running + load.waiting));
-        self.free_share = (2.0 * free / f64::from(live)).max(1.0);
+        self.max_new_requests = (2.0 * free / f64::from(live_hosts)).max(1.0);
         self.load = Some(load);
         self.reported_at = now.saturating_sub(load.age);
         self.in_flight_at_report = self.in_flight;
@@ -104,12 +108,13 @@
             return false;
         }
         let new = self.in_flight.saturating_sub(self.in_flight_at_report);
-        if f64::from(new) >= self.free_share * Self::slot_fraction(priority) {
+        if f64::from(new) >= self.max_new_requests * Self::slot_fraction(priority) {
             return false;
         }
         let limit = f64::from(self.slots()) * Self::slot_fraction(priority);
         let started = self.slow_start_factor(now) * limit;
-        f64::from(self.used_slots()) < limit && f64::from(self.in_flight) < started.max(1.0)
+        f64::from(self.requests_at_endpoint()) < limit
+            && f64::from(self.in_flight) < started.max(1.0)
     }
 
     /// Returns whether the endpoint is ejected after consecutive failures. Ejected
@@ -121,7 +126,8 @@
     /// Returns the utilization: 0 is idle, 1 means that all slots are in use. A new
     /// endpoint counts only part of its slots.
     pub(crate) fn utilization(&self, now: Duration) -> f64 {
-        f64::from(self.used_slots()) / (f64::from(self.slots()) * self.slow_start_factor(now))
+        f64::from(self.requests_at_endpoint())
+            / (f64::from(self.slots()) * self.slow_start_factor(now))
     }
 
     pub(crate) fn in_flight(&self) -> u32 {
@@ -130,10 +136,12 @@
 
     /// Returns whether a new request may have to wait at the endpoint: all slots are
     /// in use, the load report is stale, or the endpoint was recently overloaded.
+    /// Within [`RECENT_LOAD_TIME`] of the clock's zero, every endpoint counts as recently
+    /// overloaded.
     pub(crate) fn may_be_full(&self, now: Duration) -> bool {
-        let stale = self.load.is_none() || now.saturating_sub(self.reported_at) > MAX_REPORT_AGE;
-        let refused = now < self.paused_until + MAX_REPORT_AGE;
-        stale || refused || self.used_slots() >= self.slots()
+        let stale = self.load.is_none() || now.saturating_sub(self.reported_at) > RECENT_LOAD_TIME;
+        let refused = now < self.paused_until + RECENT_LOAD_TIME;
+        stale || refused || self.requests_at_endpoint() >= self.slots()
     }
 
     pub(crate) fn begin_attempt(&mut self) {
@@ -160,8 +168,8 @@
         }
     }
 
-    /// Records an overload response and pauses the endpoint. Load reports lag, so
-    /// the pause lasts until a report made after the overload can have arrived.
+    /// Records an overload response: lowers the window and, because load reports lag,
+    /// pauses the endpoint for [`OVERLOAD_PAUSE`].
     pub(crate) fn record_overload(&mut self, now: Duration) {
         self.window = (self.window * 0.7).max(1.0);
         self.paused_until = self.paused_until.max(now + OVERLOAD_PAUSE);
@@ -171,9 +179,10 @@
         self.versions.contains(&version)
     }
 
-    /// Returns the number of running and waiting requests: the last load report,
-    /// corrected by the requests that this host started and finished since.
-    fn used_slots(&self) -> u32 {
+    /// Estimates the number of running and waiting requests, which may exceed the
+    /// slots: the last load report, corrected by the requests that this host started
+    /// and finished since.
+    fn requests_at_endpoint(&self) -> u32 {
         let reported = self.load.map_or(0, |it| it.running + it.waiting);
         let since = self.in_flight.saturating_sub(self.in_flight_at_report);
         let ended = self.in_flight_at_report.saturating_sub(self.in_flight);
@@ -190,7 +199,7 @@
     }
 
     /// Returns the fraction of the slots that a priority may use. Batch requests
-    /// leave some free for urgent ones; urgent requests may exceed the slots,
+    /// leave some free for the others; urgent requests may exceed the slots,
     /// because engines schedule by priority.
     fn slot_fraction(priority: Priority) -> f64 {
         match priority {
--- a/crates/decide/src/samples.rs
+++ b/crates/decide/src/samples.rs
@@ -7,11 +7,11 @@
 use crate::key;
 use crate::response_stats::StepPosition;
 
-/// The maximum number of responses with an outstanding rating.
-const MAX_PENDING: usize = 8192;
+/// The number of most recent samples whose rating is accepted.
+const MAX_REMEMBERED: usize = 8192;
 
-/// Responses that wait for a rating. Many ratings never arrive, so the oldest
-/// entries are evicted when the table is full.
+/// Responses that wait for a rating. Only the last [`MAX_REMEMBERED`] samples are kept,
+/// rated or not, because many ratings never arrive.
 #[derive(Debug, Default)]
 pub(crate) struct Samples {
     pending: HashMap<SampleKey, Sample>,
@@ -41,7 +41,7 @@
         sample: Sample,
     ) {
         let sample_key = SampleKey::new(request, version);
-        if self.order.len() >= MAX_PENDING
+        if self.order.len() >= MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
             self.pending.remove(&oldest);
