--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The core itself: what it holds, and which part handles which event.
+//! The state machine: its state, and the dispatch of events to its parts.
 
 mod choosing;
 mod comparing;
@@ -27,7 +27,7 @@
 
 use self::pooling::Pooling;
 
-/// This host's view of the fleet.
+/// This host's view of the fleet, and the protocol that keeps it up to date.
 pub struct Fleet {
     me: Member,
     load: u8,
@@ -41,13 +41,13 @@
     prober: Prober,
     configuration: Configuration,
     pooling: Pooling,
-    /// The platform's list of hosts, to find members by.
+    /// The hosts in the platform's list, used to discover members.
     listed: BTreeMap<HostName, Member>,
     timers: Timers,
     is_deposed: bool,
 }
 
-/// When what is due next.
+/// Times at which periodic work is next due.
 #[derive(Default)]
 struct Timers {
     probe: Duration,
@@ -55,14 +55,14 @@
     reconnect: Duration,
     poll: Duration,
     housekeeping: Duration,
-    /// When time last passed here.
+    /// Time of the previous event.
     ticked: Duration,
-    /// Since when whose view differs.
+    /// For each host whose view differs, the time since when it does.
     differs: BTreeMap<HostName, Duration>,
 }
 
 impl Fleet {
-    /// A host that knows nobody but itself.
+    /// Creates the state of a host that knows no other member.
     #[must_use]
     pub fn new(me: Member, seed: u64, tuning: Tuning) -> Self {
         let mut view = View::default();
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes in what happened and appends what to do.
+    /// Processes an event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let cx = &mut Cx { now, actions };
         self.wake(cx);
@@ -110,7 +110,7 @@
         self.push_news(cx);
     }
 
-    /// When the next [`Event::Tick`] is due.
+    /// Returns the time at which the next [`Event::Tick`] is due.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         let timers = &self.timers;
@@ -131,18 +131,18 @@
         all.min().unwrap_or_default()
     }
 
-    /// This host's own record.
+    /// Returns this host's own membership record.
     #[must_use]
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// All other members, whatever their state.
+    /// Returns all other members, in any state.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().map(|it| &it.member)
     }
 
-    /// The last known load of a member, from 0 (idle) to 255 (full).
+    /// Returns the last known load of a member, from 0 (idle) to 255 (full).
     #[must_use]
     pub fn load(&self, host: &HostName) -> Option<u8> {
         if self.me.identity.host == *host {
@@ -151,33 +151,34 @@
         self.members.find(host)?.load.map(|it| it.level)
     }
 
-    /// The revision in force; zero when there is none.
+    /// Returns the configuration revision in force, or zero if there is none.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.configuration.revision()
     }
 
-    /// How old the last proof is that no newer revision was committed; nothing
-    /// when there never was one.
+    /// Returns the age of the latest proof that no newer revision was committed,
+    /// or `None` if there has been no proof.
     #[must_use]
     pub fn proof_age(&self, now: Duration) -> Option<Duration> {
         self.configuration.proof_age(now)
     }
 
-    /// Whether a configuration is in force; without one no request is taken.
+    /// Returns whether this host may accept requests: a configuration is in force
+    /// and this incarnation isn't deposed.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.configuration.json().is_some() && !self.is_deposed
     }
 
-    /// Whether the fleet knows this incarnation as dead for good.
+    /// Returns whether this incarnation has been declared dead permanently.
     #[must_use]
     pub fn is_deposed(&self) -> bool {
         self.is_deposed
     }
 
-    /// An estimate of the memory that this view takes, in bytes, without the
-    /// configuration's document.
+    /// Returns an estimate of the memory used by this view in bytes, excluding
+    /// the configuration document.
     #[must_use]
     pub fn bytes(&self) -> usize {
         size_of::<Self>() + self.members.bytes() + self.board.bytes()
@@ -195,11 +196,12 @@
         self.keep_house(cx);
     }
 
-    /// Failure: the process is frozen (a paused machine, SIGSTOP) and woken. All
-    /// its probes look unanswered and all suspicions expired, so it would
-    /// declare live hosts unreachable. The guard sees the gap between two steps
-    /// and starts the waits anew. A gap that lasts longer than others remember
-    /// the dead ends this incarnation, as nobody could tell it that it is over.
+    /// Restarts probe and suspicion timeouts after the process was frozen, for
+    /// example by SIGSTOP. Otherwise all of them would have expired, and this
+    /// host would declare live hosts unreachable.
+    ///
+    /// After a gap longer than dead members are remembered, no other host could
+    /// report this incarnation's death to it, so it is deposed.
     fn wake(&mut self, cx: &mut Cx) {
         let gap = cx.now.saturating_sub(self.timers.ticked);
         let is_first = self.timers.ticked.is_zero();
@@ -225,7 +227,7 @@
             Frame::Document(document) => self.fetched(cx, document),
             Frame::Evidence(evidence) => self.pool(cx, evidence),
             Frame::Drain(identity) => self.order_drain(cx, identity),
-            // These are for others, who take them from the link.
+            // Handled outside this crate, by the code that reads the connection.
             Frame::Done | Frame::Ledger(_) | Frame::Decide(_) => {}
         }
     }
@@ -261,7 +263,7 @@
         self.pooling.forget();
     }
 
-    /// Up to `max` chosen at random.
+    /// Returns up to `max` elements, chosen at random.
     fn sample<T>(&mut self, mut from: Vec<T>, max: usize) -> Vec<T> {
         let mut chosen = Vec::new();
         while chosen.len() < max && !from.is_empty() {
--- a/crates/fleet/src/fleet/choosing.rs
+++ b/crates/fleet/src/fleet/choosing.rs
@@ -1,4 +1,4 @@
-//! Whom others should use: partners for records, addresses for callers.
+//! Selection of hosts: for the copies of records, and for callers to connect to.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 use crate::Fleet;
 use crate::rendezvous::weight;
 
-/// Into how many bands loads fall. Hosts in one band count as equally loaded,
-/// so that callers don't all run to the one that was idle a moment ago.
+/// Number of bands that loads are divided into. Hosts in the same band rank as
+/// equally loaded, so that callers don't all choose the least loaded host.
 const LOAD_BANDS: u8 = 8;
 
-/// The band of a host whose load isn't known.
+/// Band of a host whose load is unknown.
 const UNKNOWN_BAND: u8 = LOAD_BANDS / 2;
 
 impl Fleet {
-    /// The member that holds copies of the records of `of`.
+    /// Returns the member that stores copies of the records of `of`, or `None`
+    /// if no other member is alive.
     ///
-    /// It stands in another data centre if there is one, in the same region if
-    /// that has one, because a caller waits for the copy. Among equals
-    /// rendezvous hashing chooses, so that a change of one member moves only
-    /// the copies that it held. Nothing when no other member is alive.
+    /// Prefers a member in another data centre, and then one in the same region,
+    /// because the caller waits for the copy. Rendezvous hashing breaks ties, so
+    /// that a change of one member moves only the copies stored there.
     #[must_use]
     pub fn partner(&self, of: &Identity) -> Option<&Member> {
         let owner = self.find_member(&of.host)?;
@@ -38,10 +38,12 @@
             })
     }
 
-    /// The hosts that a caller in `data_centre` should use, in the order to
-    /// try: near first, then lightly loaded, and this host first among equals:
-    /// the caller gets its ticket, and whoever else is called with that asks
-    /// this host. Hosts that leave or may be dead are omitted.
+    /// Returns the hosts that a caller in `data_centre` should use, in the order
+    /// to try them: by distance, then by load band.
+    ///
+    /// Among equals this host comes first: the caller gets a ticket issued by
+    /// this host, and any other host that receives the ticket has to ask this
+    /// one. Only alive hosts are included.
     #[must_use]
     pub fn handout(&mut self, now: Duration, data_centre: &DataCentre) -> Vec<Member> {
         let region = self.region_of(data_centre);
--- a/crates/fleet/src/fleet/comparing.rs
+++ b/crates/fleet/src/fleet/comparing.rs
@@ -1,5 +1,5 @@
-//! Views are compared, so that what got lost is repaired and hosts find each
-//! other.
+//! Anti-entropy: hosts compare their views, which repairs lost gossip updates
+//! and lets hosts discover each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,14 +11,16 @@
 use crate::view::bucket_of;
 use crate::{Action, Fleet};
 
-/// Among so many hosts the pause between attempts to reach lost ones is as tuned.
+/// The reconnect interval grows by its configured value for each group of this
+/// many hosts.
 const SHARED_AMONG: usize = 16;
 
-/// How many hosts are asked at once while no member is known.
+/// Number of hosts contacted at once while no other member is reachable.
 const JOIN_FANOUT: usize = 3;
 
 impl Fleet {
-    /// Takes in the platform's list. It lags, so it only says whom to ask.
+    /// Stores the platform's host list. It may be out of date, so it only provides
+    /// hosts to contact.
     pub(super) fn listed(&mut self, cx: &mut Cx, hosts: Vec<Member>) {
         let others = hosts
             .into_iter()
@@ -30,8 +32,8 @@
         }
     }
 
-    /// Tries to reach hosts that are listed and unknown, or out of reach: one
-    /// at a time, as all members do the same.
+    /// Contacts a host that is unreachable, or listed but unknown. Only one at a
+    /// time unless this host is joining, because all members do the same.
     pub(super) fn reconnect_when_due(&mut self, cx: &mut Cx) {
         if cx.now < self.timers.reconnect {
             return;
@@ -58,14 +60,16 @@
         }
     }
 
-    /// All members try the same lost hosts, so each waits the longer the more
-    /// they are: the fleet as a whole tries about as often at any size.
+    /// Returns the delay between reconnect attempts. It grows with the fleet,
+    /// because all members try the same unreachable hosts: the total rate of
+    /// attempts stays about constant.
     fn reconnect_pause(&self) -> Duration {
         let share = self.size().div_ceil(SHARED_AMONG);
         self.tuning.reconnect_every * u32::try_from(share).unwrap_or(u32::MAX)
     }
 
-    /// Compares with a random member now and then, whatever the neighbours say.
+    /// Periodically compares views with a random member, even if no neighbour
+    /// reports a difference.
     pub(super) fn compare_when_due(&mut self, cx: &mut Cx) {
         if cx.now < self.timers.compare {
             return;
@@ -83,7 +87,8 @@
         }
     }
 
-    /// Shows this host's view to another, which answers with what differs.
+    /// Sends a digest of this host's view to another host, which responds with
+    /// the differences.
     pub(super) fn introduce(&mut self, cx: &mut Cx, host: &HostName, address: SocketAddr) {
         let digest = Digest {
             from: self.me.identity.clone(),
@@ -98,8 +103,9 @@
         });
     }
 
-    /// Looks at a neighbour's fingerprint. News under way make views differ
-    /// for a moment, so only a lasting difference is worth a comparison.
+    /// Compares a host's view fingerprint with this host's. Gossip updates in
+    /// flight make views differ briefly, so only a lasting difference leads to a
+    /// full comparison.
     pub(super) fn see_view(&mut self, cx: &mut Cx, host: &HostName, theirs: u64) {
         if theirs == self.view.fingerprint() {
             self.timers.differs.remove(host);
@@ -160,15 +166,16 @@
         }
     }
 
-    /// What a joining host learns from the first answer is news to nobody but
-    /// itself; only its own record has to be spread.
+    /// Replaces the queued gossip updates with this host's own record. The other
+    /// members already know what a joining host learns from its first response.
     fn gossip_only_me(&mut self) {
         self.gossip = crate::gossip::Gossip::default();
         let news = News::Member(self.me.clone());
         self.gossip.add(news, None, self.tuning.carries);
     }
 
-    /// The buckets of the other's answer that differ from this host's.
+    /// Returns the buckets in the other host's response that differ from this
+    /// host's.
     fn still_differing(&self, theirs: &[Bucket]) -> Vec<Bucket> {
         let mut differing = self.view.differing(theirs);
         differing.retain(|it| theirs.iter().any(|other| other.index == it.index));
--- a/crates/fleet/src/fleet/configuring.rs
+++ b/crates/fleet/src/fleet/configuring.rs
@@ -1,4 +1,5 @@
-//! The configuration: who polls the table, and how a newer one is fetched.
+//! Distribution of the configuration: polling the table, and fetching newer
+//! revisions from other hosts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +13,8 @@
 use crate::{Action, Fleet, Polled};
 
 impl Fleet {
-    /// Whether this host is among those of its data centre that poll the table.
+    /// Returns whether this host is one of those in its data centre that poll the
+    /// table.
     #[must_use]
     pub fn polls(&self) -> bool {
         let weight_of = |host: &HostName| weight("poll", 0_u8, host.as_str());
@@ -93,11 +95,10 @@
         self.apply(cx, applied);
     }
 
-    /// Failure: all pollers of a data centre are cut from the table, or hang,
-    /// while the others could read it. Proofs age, and requests are refused
-    /// without need. The guard lets a host whose proof is old ask for itself,
-    /// seldom enough that an outage of the table doesn't make all hosts poll it
-    /// every second.
+    /// Polls the table if this host's proof is old. Otherwise requests would be
+    /// refused needlessly if all pollers of the data centre hang or lose their
+    /// connection to the table. The interval is long, so that an outage of the
+    /// table doesn't make all hosts poll it every second.
     fn poll_without_proof(&mut self, cx: &mut Cx) {
         let old = self.tuning.poll_when_older;
         if self.proof_age(cx.now).is_none_or(|it| it > old) {
--- a/crates/fleet/src/fleet/pooling.rs
+++ b/crates/fleet/src/fleet/pooling.rs
@@ -1,5 +1,7 @@
-//! Evidence: in a small fleet it goes to all; in a larger one through a relay
-//! in the data centre to the topics' homes, and from the first home back to all.
+//! Distribution of evidence. In a small fleet each host sends its counts to all
+//! others. In a larger one a relay in the data centre collects them and sends
+//! them to the homes of each group of topics, the hosts that aggregate the
+//! group's counts; the first home returns the totals to all hosts via the relays.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,29 +14,29 @@
 use crate::rendezvous::weight;
 use crate::{Action, Fleet};
 
-/// A relay passes on at once what a home has batched, but for what comes from
-/// several homes at the same moment.
+/// Delay at a relay before it forwards counts returned by homes. It only combines
+/// counts that arrive from several homes at the same time.
 const RETURN_PACE: Pace = Pace {
     urgent: Duration::from_millis(100),
     usual: Duration::from_millis(100),
 };
 
-/// Evidence on its way through this host.
+/// Evidence that waits on this host to be sent.
 #[derive(Default)]
 pub(super) struct Pooling {
-    /// Of this host.
+    /// Counts by this host.
     own: Pool,
-    /// Of the hosts of the data centre, at a relay.
+    /// As a relay: counts from the hosts of the data centre.
     relayed: Pool,
-    /// Of all data centres, at a group's first home.
+    /// As a group's first home: counts from all data centres.
     home: Pool,
-    /// Of all, at a relay on the way back.
+    /// As a relay: counts returned by homes.
     returned: Pool,
     returning: Returning,
     routes: Routes,
 }
 
-/// Who relays and who is home, as long as the members stay the same.
+/// The relay and homes of each group, cached until the members change.
 #[derive(Default)]
 struct Routes {
     epoch: Option<u64>,
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Sends what is bundled; what is for this host takes the short way.
+    /// Sends one frame to each host. Evidence for this host is handled directly.
     fn dispatch(&mut self, cx: &mut Cx, frames: Bundles, reach: Reach) {
         for (host, (member, deltas)) in frames.by_host {
             let evidence = self.evidence(reach, deltas);
@@ -181,8 +183,8 @@
         }
     }
 
-    /// A home's own decision core gets the counts at once, so that a bad
-    /// version is judged without the way back.
+    /// Handles counts as a home. This host's decision core gets them at once, so
+    /// that a bad version is detected before the totals are returned.
     fn pool_at_home(&mut self, cx: &mut Cx, deltas: Vec<Delta>, reach: Reach) {
         if reach == Reach::DataCentre {
             self.pooling.home.add(cx.now, &deltas);
@@ -191,8 +193,8 @@
         report(cx, others);
     }
 
-    /// Takes in the counts of all, but for the groups whose counts come here
-    /// anyway because this host is a home of them.
+    /// Reports returned counts to the decision core. Skips groups that this host
+    /// is a home of, because it has already received their counts.
     fn take_returned(&mut self, cx: &mut Cx, mut deltas: Vec<Delta>) {
         self.route();
         deltas.retain(|it| {
@@ -223,9 +225,10 @@
         }
     }
 
-    /// On the way back nothing is urgent: what is bad was judged at the home,
-    /// and the verdict travels as news. In a large fleet there is always some
-    /// error, so that urgency here would defeat the batches.
+    /// Returns the pace at which a home returns counts. None are urgent: the home
+    /// has judged failures itself, and verdicts spread as gossip updates. A large
+    /// fleet nearly always has some error, so urgent sending would defeat
+    /// batching.
     fn home_pace(&self) -> Pace {
         let usual = self.tuning.evidence_to_all;
         Pace {
@@ -243,7 +246,7 @@
         &self.pooling.routes.groups[group]
     }
 
-    /// Chooses relays and homes anew when the members have changed.
+    /// Recomputes relays and homes if the members have changed.
     fn route(&mut self) {
         let epoch = Some(self.members.epoch());
         if self.pooling.routes.epoch == epoch {
@@ -259,9 +262,9 @@
         self.pooling.routes = Routes { epoch, groups };
     }
 
-    /// A group's relay in a data centre. The groups are dealt out one by one,
-    /// because a relay holds nothing that would have to move, and a host that
-    /// got several by chance would spend a multiple of the others.
+    /// Returns a group's relay in a data centre. Groups are assigned round-robin,
+    /// which spreads the load evenly. Consistent hashing isn't needed, because a
+    /// relay has no state that would have to move.
     fn relay(&self, group: usize, data_centre: &DataCentre) -> Member {
         let local = self
             .candidates()
@@ -269,7 +272,7 @@
         deal(local.collect(), group).unwrap_or(&self.me).clone()
     }
 
-    /// The relays of a group in all data centres.
+    /// Returns the relays of a group in all data centres.
     fn relays(&self, group: usize) -> Vec<Member> {
         let mut by_data_centre: BTreeMap<&DataCentre, Vec<&Member>> = BTreeMap::new();
         for member in self.candidates() {
@@ -282,8 +285,8 @@
             .collect()
     }
 
-    /// The homes of all groups: each takes the host with the highest weight
-    /// that no earlier one took, so that no host carries several by chance.
+    /// Returns the homes of all groups. Each group in turn takes the host with
+    /// the highest weight among those not yet taken, which spreads the load.
     fn homes(&self) -> Vec<Vec<Member>> {
         let mut free: Vec<_> = self.candidates().collect();
         let mut homes = vec![Vec::new(); GROUPS];
@@ -301,22 +304,23 @@
         homes
     }
 
-    /// This host and those that are alive; one that drains or may be dead
-    /// would take counts with it.
+    /// Returns the alive hosts, including this one. Hosts that drain or may be
+    /// dead are excluded, because counts sent there could be lost.
     fn candidates(&self) -> impl Iterator<Item = &Member> {
         let me = Some(&self.me).filter(|it| it.state == State::Alive);
         self.members.alive().chain(me)
     }
 }
 
-/// The member whose turn it is, in an order that all hosts agree on.
+/// Returns the member that `group` is assigned to, round-robin in an order that
+/// all hosts compute alike.
 fn deal(mut local: Vec<&Member>, group: usize) -> Option<&Member> {
     local.sort_by_key(|it| weight("relay", 0_u8, it.identity.host.as_str()));
     let turn = group.checked_rem(local.len())?;
     local.get(turn).copied()
 }
 
-/// Deltas by the host that they go to, so that each gets one frame.
+/// Deltas grouped by destination, so that each host gets one frame.
 #[derive(Default)]
 struct Bundles {
     by_host: BTreeMap<HostName, (Member, Vec<Delta>)>,
--- a/crates/fleet/src/fleet/probing.rs
+++ b/crates/fleet/src/fleet/probing.rs
@@ -1,4 +1,4 @@
-//! Who lives: probes, help with them, suspicion, and the way back.
+//! Failure detection: direct and indirect probes, suspicion and refutation.
 
 use std::time::Duration;
 
@@ -11,17 +11,18 @@
 use crate::members::{Level, MemberKey};
 use crate::prober::{Helping, Waiting};
 
-/// Up to this many hosts a host that nobody answers may still judge others
-/// after a while: their contradictions, if it was wrong, cost little.
+/// With fewer other hosts than this, an isolated host may still suspect members:
+/// if it is wrong, their refutations cost little.
 const SMALL: usize = 16;
 
-/// After so many probes without an answer any member is probed.
+/// Number of probe intervals without any response after which random members
+/// are probed instead of neighbours.
 const SILENT_PROBES: u32 = 4;
 
 impl Fleet {
-    /// Whether nobody has answered this host for long although others are
-    /// known, so that it is rather itself cut off. What it knows of the others
-    /// is then old, and what it says reaches nobody.
+    /// Returns whether this host is probably isolated: it reaches no member, or
+    /// hasn't received a response for a long time. Its view is then out of date,
+    /// and its updates reach no other host.
     #[must_use]
     pub fn is_alone(&self, now: Duration) -> bool {
         let silence = now.saturating_sub(self.prober.answered);
@@ -50,8 +51,9 @@
         self.send_probe(cx, &member, sequence);
     }
 
-    /// The next neighbour, or, after some silence, anyone: all neighbours may
-    /// have died together, and somebody must tell that from a cut of this host.
+    /// Returns the next neighbour, or a random member after some time without a
+    /// response: that distinguishes the simultaneous failure of all neighbours
+    /// from the isolation of this host.
     fn next_target(&mut self, now: Duration) -> Option<MemberKey> {
         let silence = now.saturating_sub(self.prober.answered);
         if silence <= self.tuning.probe_every * SILENT_PROBES {
@@ -61,7 +63,7 @@
         self.sample(all, 1).pop()
     }
 
-    /// Looks at the probes that weren't answered in time.
+    /// Handles probes that timed out: first by indirect probes, then by suspicion.
     pub(super) fn judge_probes(&mut self, cx: &mut Cx) {
         let overdue: Vec<_> = self
             .prober
@@ -177,7 +179,8 @@
         self.send_probe(cx, &target, sequence);
     }
 
-    /// A random part of `of`, so that hosts that start together don't act together.
+    /// Returns a random fraction of `of`, so that hosts that start together don't
+    /// act in step.
     pub(super) fn jitter(&mut self, of: Duration) -> Duration {
         of.mul_f64(self.rng.random_range(0.05..1.0))
     }
@@ -196,8 +199,8 @@
         cx.send(to, probe);
     }
 
-    /// One broken path or one lost frame mustn't pass for a dead host: others
-    /// are asked to probe it, and it is probed once more.
+    /// Probes the target again, directly and through other hosts, so that a
+    /// broken path or a lost frame isn't mistaken for a dead host.
     fn ask_for_help(&mut self, cx: &mut Cx, sequence: u32, target: &Member) {
         self.prober.set_helped(sequence);
         self.send_probe(cx, target, sequence);
@@ -220,11 +223,13 @@
         }
     }
 
-    /// Failure: this host's own line is cut or deaf. All its probes stay
-    /// unanswered, and it would accuse everybody. The guard asks for an answer
-    /// from anybody since the probe was sent, for which the next probe leaves
-    /// time: without one the silence proves nothing about the target, which is
-    /// probed again in its turn.
+    /// Returns whether a timed-out probe justifies suspecting its target: some
+    /// host must have responded since the probe was sent.
+    ///
+    /// Otherwise a host that lost its own connection would suspect all others.
+    /// The timeout leaves time for a response to the next probe, and the target
+    /// is probed again in its turn. Without other members, and in a small fleet
+    /// after a long time without a response, no such response is required.
     fn may_judge(&self, now: Duration, waiting: &Waiting) -> bool {
         let witnesses = self
             .members
@@ -238,8 +243,9 @@
         is_small && self.is_alone(now)
     }
 
-    /// Somebody answers. After a long silence this host was cut off itself, and
-    /// nobody has believed what it said meanwhile, so it takes that back.
+    /// Records that a host responded. If this host was isolated until now, no
+    /// other host believed its accusations, so it retracts those
+    /// made in the meantime.
     fn hear_answer(&mut self, cx: &mut Cx) {
         let last = std::mem::replace(&mut self.prober.answered, cx.now);
         if cx.now.saturating_sub(last) <= self.tuning.alone_after {
@@ -262,7 +268,7 @@
         }
     }
 
-    /// The accused must hear it first of all, to contradict.
+    /// Sends an accusation to the accused host first, so that it can refute it.
     fn tell_of_accusation(&self, cx: &mut Cx, accused: &Member) {
         let bulletin = Bulletin {
             reach: self.stated_reach(cx.now),
@@ -314,7 +320,7 @@
         }
     }
 
-    /// Passes on what a helper's probe found out, under the asker's number.
+    /// Forwards the ack of an indirect probe with the requester's sequence number.
     fn relay_ack(cx: &mut Cx, helping: Helping, mut ack: Ack) {
         ack.sequence = helping.sequence;
         ack.bulletin.news.clear();
@@ -326,8 +332,8 @@
         });
     }
 
-    /// Another life answers at the target's address, so the probed one is over;
-    /// the host tells its new record itself.
+    /// Compares views with a host that responded as another incarnation than the
+    /// probed one. The host sends its new record itself.
     fn meet_successor_life(&mut self, cx: &mut Cx, target: &Identity) {
         let Some(entry) = self.members.find(&target.host) else {
             return;
@@ -338,7 +344,7 @@
 }
 
 impl Waiting {
-    /// When the next step with the probe is due.
+    /// Returns when the probe next times out.
     fn due(&self, timeout: Duration) -> Duration {
         self.sent + if self.is_helped { timeout * 3 } else { timeout }
     }
--- a/crates/fleet/src/fleet/spreading.rs
+++ b/crates/fleet/src/fleet/spreading.rs
@@ -1,4 +1,4 @@
-//! News: what this host learns, says and passes on.
+//! Gossip updates: applying, creating and forwarding them.
 
 use std::time::Duration;
 
@@ -10,14 +10,13 @@
 use crate::{Action, Change, Fleet, Ruled};
 
 impl Fleet {
-    /// Takes in what another host tells.
+    /// Applies the gossip updates from another host.
     ///
-    /// Failure: a data centre was cut off and finds all others out of reach.
-    /// When it is back, its word would make everybody pass for unreachable
-    /// until each has contradicted. The guard has two sides: a host doesn't
-    /// believe accusations by one that reaches far fewer, and takes its own back
-    /// when it hears from one that reaches far more. Among hosts of one side of
-    /// a cut, whose views are nearly the same, neither holds.
+    /// A data centre that was partitioned reports all other hosts as unreachable
+    /// once the partition heals, and each of them would have to refute that. So
+    /// a host ignores accusations by a host that reaches far fewer members, and
+    /// retracts its own when a host reaches far more. Neither applies between
+    /// hosts on the same side of a partition, whose views are nearly the same.
     pub(super) fn learn(&mut self, cx: &mut Cx, bulletin: Bulletin, from: &HostName) {
         let reach = self.stated_reach(cx.now);
         if is_far_fewer(reach, bulletin.reach) {
@@ -56,8 +55,8 @@
         self.spread(News::Member(news.clone()), from);
     }
 
-    /// Takes back all accusations; those that are true come back with the
-    /// others' views.
+    /// Retracts all accusations. Correct ones return when views are compared
+    /// with other hosts.
     fn rejoin(&mut self, cx: &mut Cx) {
         let accused = self.accused_since(Duration::ZERO);
         for host in accused {
@@ -65,7 +64,7 @@
         }
     }
 
-    /// Those who were accused since then.
+    /// Returns the hosts that have been accused at or after `since`.
     pub(super) fn accused_since(&self, since: Duration) -> Vec<HostName> {
         let accused = self.members.iter().filter(|it| is_accused(it.member.state));
         accused
@@ -107,15 +106,15 @@
         self.learn_verdict(cx, &verdict, None);
     }
 
-    /// Changes this host's own state and says so; the higher refutation makes
-    /// it override whatever others say.
+    /// Changes this host's own state and gossips it. The higher refutation number
+    /// overrides what other hosts report.
     pub(super) fn say_of_me(&mut self, state: State) {
         if self.me.state < state {
             self.refute(self.me.refutation, state);
         }
     }
 
-    /// Changes another member's state by this host's own judgement.
+    /// Changes another member's state on this host's own initiative and gossips it.
     pub(super) fn judge(&mut self, cx: &mut Cx, mut member: Member, state: State) {
         member.state = state;
         self.learn_member(cx, &member, None);
@@ -132,10 +131,10 @@
         self.judge(cx, member, State::Dead);
     }
 
-    /// Declares those dead that have been out of reach since `before`.
+    /// Declares members dead that became unreachable before `before`.
     ///
-    /// Where they are more than half of the fleet, it is rather this host that
-    /// was cut off, and the others have buried it: its own incarnation is over.
+    /// If they outnumber the reachable hosts, this host was probably the isolated
+    /// one and the others have declared it dead, so it is deposed.
     pub(super) fn bury(&mut self, cx: &mut Cx, before: Duration) {
         let over: Vec<_> = self
             .members
@@ -151,7 +150,7 @@
         }
     }
 
-    /// Says that this host holds the revision in force.
+    /// Gossips that this host has the document of the revision in force.
     pub(super) fn announce_revision(&mut self) {
         let news = News::Revision(Newest {
             revision: self.configuration.revision(),
@@ -181,24 +180,27 @@
         }
     }
 
-    /// When news are pushed next; without neighbours they wait.
+    /// Returns when updates are next pushed, or `None` if none are queued or there
+    /// are no neighbours.
     pub(super) fn push_deadline(&self) -> Option<Duration> {
         let deadline = self.gossip.deadline(&self.tuning);
         deadline.filter(|_| !self.neighbours.all().is_empty())
     }
 
-    /// How many hosts take part, this one included.
+    /// Returns the number of reachable hosts, including this one.
     pub(super) fn size(&self) -> usize {
         1 + self.members.reachable().count()
     }
 
-    /// How many hosts this one tells others to reach, itself included.
+    /// Returns the number of hosts that this one reports as reachable, including
+    /// itself.
     pub(super) fn stated_reach(&self, now: Duration) -> u32 {
         let reach = if self.is_alone(now) { 1 } else { self.size() };
         u32::try_from(reach).unwrap_or(u32::MAX)
     }
 
-    /// The logarithm by which waits and repeats grow with the fleet, at least one.
+    /// Returns the binary logarithm of the fleet's size, rounded up and at least
+    /// one. The suspicion timeout is proportional to it.
     pub(super) fn log_size(&self) -> u32 {
         self.size().next_power_of_two().ilog2().max(1)
     }
@@ -207,9 +209,9 @@
         self.gossip.add(news, from, self.tuning.carries);
     }
 
-    /// Somebody says something of this host. What isn't true is contradicted;
-    /// death is final, so this incarnation ends when it hears of its own, or
-    /// of a later life under its name.
+    /// Handles another host's record of this host, and refutes it if it is wrong.
+    /// Death is final: this incarnation is deposed when it learns of its own
+    /// death, or of a later incarnation of this host.
     fn learn_of_me(&mut self, cx: &mut Cx, news: &Member) {
         let theirs = news.identity.incarnation;
         let mine = self.me.identity.incarnation;
@@ -235,7 +237,7 @@
         self.spread(News::Member(self.me.clone()), None);
     }
 
-    /// Tells a host that passes on old news what is known since.
+    /// Sends the newer record to a host that forwarded an outdated one.
     fn correct(&mut self, cx: &mut Cx, about: &HostName, from: Option<&HostName>) {
         let Some(entry) = self.members.find(about) else {
             return;
@@ -251,8 +253,8 @@
     }
 }
 
-/// Whether a host that reaches `few` is rather cut off itself than one that
-/// reaches `many`: at most two thirds of it.
+/// Returns whether `few` is at most two thirds of `many`. A host that reaches so
+/// few is more likely to be isolated than one that reaches `many`.
 fn is_far_fewer(few: u32, many: u32) -> bool {
     u64::from(few) * 3 <= u64::from(many) * 2
 }
@@ -262,7 +264,7 @@
     cx.push(Action::Member(Change { member, before }));
 }
 
-/// Reports the end of a life that a later one replaces.
+/// Reports the death of an incarnation that a later one replaces.
 fn report_end(cx: &mut Cx, mut old: Member) {
     let before = old.state;
     if before != State::Dead {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! Membership, news, configuration spread and evidence between hosts, as a
-//! pure core: it is told the time and what happened, and answers with what to
-//! do. It knows no network and no clock.
+//! Membership, gossip, configuration distribution and evidence exchange between
+//! hosts, as a state machine without I/O: its input is events and the current
+//! time, its output is a list of actions.
 //!
-//! `docs/design/membership.md` tells how it works and what was weighed.
+//! `docs/design/membership.md` describes the protocol and its design.
 
 mod action;
 mod board;
