--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -25,7 +25,7 @@
 use crate::view::View;
 use crate::{Action, Event, Tuning};
 
-use self::pooling::Pooling;
+use self::pooling::EvidenceQueues;
 
 /// This host's view of the fleet, and the protocol that keeps it up to date.
 pub struct Fleet {
@@ -40,9 +40,9 @@
     gossip: Gossip,
     prober: Prober,
     configuration: Configuration,
-    pooling: Pooling,
+    evidence: EvidenceQueues,
     /// The hosts in the platform's list, used to discover members.
-    listed: BTreeMap<HostName, Member>,
+    listed_hosts: BTreeMap<HostName, Member>,
     timers: Timers,
     is_deposed: bool,
 }
@@ -56,9 +56,9 @@
     poll: Duration,
     housekeeping: Duration,
     /// Time of the previous event.
-    ticked: Duration,
+    last_event: Duration,
     /// For each host whose view differs, the time since when it does.
-    differs: BTreeMap<HostName, Duration>,
+    differing_since: BTreeMap<HostName, Duration>,
 }
 
 impl Fleet {
@@ -79,8 +79,8 @@
             gossip: Gossip::default(),
             prober: Prober::default(),
             configuration: Configuration::default(),
-            pooling: Pooling::default(),
-            listed: BTreeMap::new(),
+            evidence: EvidenceQueues::default(),
+            listed_hosts: BTreeMap::new(),
             timers: Timers::default(),
             is_deposed: false,
         }
@@ -89,45 +89,45 @@
     /// Processes an event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let cx = &mut Cx { now, actions };
-        self.wake(cx);
+        self.recover_from_freeze(cx);
         match event {
             Event::Tick => self.tick(cx),
-            Event::Hosts(hosts) => self.listed(cx, hosts),
-            Event::Frame { from, frame } => self.receive(cx, &from, frame),
-            Event::Polled(polled) => self.polled(cx, polled),
+            Event::Hosts(hosts) => self.handle_hosts(cx, hosts),
+            Event::Frame { from, frame } => self.handle_frame(cx, &from, frame),
+            Event::Polled(polled) => self.handle_polled(cx, polled),
             Event::PollFailed => {}
-            Event::Evidence(deltas) => self.pool_own(cx, &deltas),
-            Event::Ruled(ruled) => self.rule(cx, ruled),
-            Event::Endpoint(endpoint) => self.learn_endpoint(cx, &endpoint, None),
+            Event::Evidence(deltas) => self.add_evidence(cx, &deltas),
+            Event::Ruled(ruled) => self.publish_verdict(cx, ruled),
+            Event::Endpoint(endpoint) => self.apply_endpoint(cx, &endpoint, None),
             Event::Load(load) => self.load = load,
-            Event::Leave => self.say_of_me(State::Leaving),
-            Event::Goodbye => self.say_of_me(State::Dead),
-            Event::Fenced(identity) => self.fenced(cx, &identity),
-            Event::Drain(identity) => self.order_drain(cx, identity),
+            Event::Leave => self.set_own_state(State::Leaving),
+            Event::Goodbye => self.set_own_state(State::Dead),
+            Event::Fenced(identity) => self.handle_fence(cx, &identity),
+            Event::Drain(identity) => self.handle_drain(cx, identity),
         }
         self.neighbours
             .refresh(&self.me, &self.members, self.tuning.rings);
-        self.push_news(cx);
+        self.push_updates(cx);
     }
 
     /// Returns the time at which the next [`Event::Tick`] is due.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         let timers = &self.timers;
-        let fixed = [
+        let periodic = [
             timers.probe,
             timers.compare,
             timers.reconnect,
             timers.poll,
             timers.housekeeping,
         ];
-        let moving = [
-            self.probing_deadline(),
+        let dynamic = [
+            self.probe_deadline(),
             self.push_deadline(),
             self.fetch_deadline(),
-            self.pooling_deadline(),
+            self.evidence_deadline(),
         ];
-        let all = fixed.into_iter().chain(moving.into_iter().flatten());
+        let all = periodic.into_iter().chain(dynamic.into_iter().flatten());
         all.min().unwrap_or_default()
     }
 
@@ -186,14 +186,14 @@
 
     fn tick(&mut self, cx: &mut Cx) {
         self.probe_when_due(cx);
-        self.judge_probes(cx);
-        self.judge_suspects(cx);
+        self.check_probe_timeouts(cx);
+        self.check_suspicion_timeouts(cx);
         self.poll_when_due(cx);
         self.fetch_when_due(cx);
-        self.pool_when_due(cx);
+        self.send_evidence_when_due(cx);
         self.compare_when_due(cx);
         self.reconnect_when_due(cx);
-        self.keep_house(cx);
+        self.run_housekeeping(cx);
     }
 
     /// Restarts probe and suspicion timeouts after the process was frozen, for
@@ -202,10 +202,10 @@
     ///
     /// After a gap longer than dead members are remembered, no other host could
     /// report this incarnation's death to it, so it is deposed.
-    fn wake(&mut self, cx: &mut Cx) {
-        let gap = cx.now.saturating_sub(self.timers.ticked);
-        let is_first = self.timers.ticked.is_zero();
-        self.timers.ticked = cx.now;
+    fn recover_from_freeze(&mut self, cx: &mut Cx) {
+        let gap = cx.now.saturating_sub(self.timers.last_event);
+        let is_first = self.timers.last_event.is_zero();
+        self.timers.last_event = cx.now;
         if is_first || gap <= self.tuning.probe_every * 2 {
             return;
         }
@@ -216,23 +216,23 @@
         }
     }
 
-    fn receive(&mut self, cx: &mut Cx, from: &HostName, frame: Frame) {
+    fn handle_frame(&mut self, cx: &mut Cx, from: &HostName, frame: Frame) {
         match frame {
-            Frame::Probe(probe) => self.probed(cx, from, probe),
-            Frame::Ack(ack) => self.acked(cx, from, ack),
-            Frame::ProbeRequest(request) => self.asked_to_probe(cx, from, request),
-            Frame::News(news) => self.learn(cx, news, from),
-            Frame::Digest(digest) => self.compared(cx, from, digest),
-            Frame::Fetch(fetch) => self.asked_for_document(cx, from, &fetch),
-            Frame::Document(document) => self.fetched(cx, document),
-            Frame::Evidence(evidence) => self.pool(cx, evidence),
-            Frame::Drain(identity) => self.order_drain(cx, identity),
+            Frame::Probe(probe) => self.handle_probe(cx, from, probe),
+            Frame::Ack(ack) => self.handle_ack(cx, from, ack),
+            Frame::ProbeRequest(request) => self.handle_probe_request(cx, from, request),
+            Frame::News(news) => self.apply_bulletin(cx, news, from),
+            Frame::Digest(digest) => self.handle_digest(cx, from, digest),
+            Frame::Fetch(fetch) => self.handle_fetch(cx, from, &fetch),
+            Frame::Document(document) => self.handle_document(cx, document),
+            Frame::Evidence(evidence) => self.handle_evidence(cx, evidence),
+            Frame::Drain(identity) => self.handle_drain(cx, identity),
             // Handled outside this crate, by the code that reads the connection.
             Frame::Done | Frame::Ledger(_) | Frame::Decide(_) => {}
         }
     }
 
-    fn order_drain(&mut self, cx: &mut Cx, identity: Identity) {
+    fn handle_drain(&mut self, cx: &mut Cx, identity: Identity) {
         if identity == self.me.identity {
             return cx.push(Action::Drain);
         }
@@ -248,19 +248,20 @@
         }
     }
 
-    fn keep_house(&mut self, cx: &mut Cx) {
+    fn run_housekeeping(&mut self, cx: &mut Cx) {
         if cx.now < self.timers.housekeeping {
             return;
         }
         self.timers.housekeeping = cx.now + self.tuning.housekeeping_every;
-        let forget = cx.now.saturating_sub(self.tuning.forget_after);
-        self.bury(cx, forget);
-        self.members.forget(forget);
-        let compared = cx.now.saturating_sub(self.tuning.endpoint_age);
-        self.board.age(&mut self.view, compared, forget);
+        let forget_before = cx.now.saturating_sub(self.tuning.forget_after);
+        self.declare_dead(cx, forget_before);
+        self.members.forget(forget_before);
+        let compared_before = cx.now.saturating_sub(self.tuning.endpoint_age);
+        self.board
+            .age(&mut self.view, compared_before, forget_before);
         self.prober
             .forget(cx.now.saturating_sub(self.tuning.probe_timeout * 2));
-        self.pooling.forget();
+        self.evidence.forget();
     }
 
     /// Returns up to `max` elements, chosen at random.
--- a/crates/fleet/src/fleet/comparing.rs
+++ b/crates/fleet/src/fleet/comparing.rs
@@ -13,7 +13,7 @@
 
 /// The reconnect interval grows by its configured value for each group of this
 /// many hosts.
-const SHARED_AMONG: usize = 16;
+const HOSTS_PER_RECONNECT_INTERVAL: usize = 16;
 
 /// Number of hosts contacted at once while no other member is reachable.
 const JOIN_FANOUT: usize = 3;
@@ -21,11 +21,11 @@
 impl Fleet {
     /// Stores the platform's host list. It may be out of date, so it only provides
     /// hosts to contact.
-    pub(super) fn listed(&mut self, cx: &mut Cx, hosts: Vec<Member>) {
+    pub(super) fn handle_hosts(&mut self, cx: &mut Cx, hosts: Vec<Member>) {
         let others = hosts
             .into_iter()
             .filter(|it| it.identity.host != self.me.identity.host);
-        self.listed = others.map(|it| (it.identity.host.clone(), it)).collect();
+        self.listed_hosts = others.map(|it| (it.identity.host.clone(), it)).collect();
         if self.members.reachable().next().is_none() {
             self.timers.reconnect = cx.now;
             self.reconnect_when_due(cx);
@@ -39,33 +39,33 @@
             return;
         }
         let is_joining = self.members.reachable().next().is_none();
-        let (pause, max) = if is_joining {
+        let (delay, max) = if is_joining {
             (self.tuning.join_every, JOIN_FANOUT)
         } else {
-            (self.reconnect_pause(), 1)
+            (self.reconnect_delay(), 1)
         };
-        self.timers.reconnect = cx.now + pause;
-        let lost = self
+        self.timers.reconnect = cx.now + delay;
+        let unreachable = self
             .members
             .iter()
             .map(|it| &it.member)
             .filter(|it| it.state == State::Unreachable);
-        let unknown = self.listed.values().filter(|it| self.is_unknown(it));
-        let candidates: Vec<_> = lost
+        let unknown = self.listed_hosts.values().filter(|it| self.is_unknown(it));
+        let candidates: Vec<_> = unreachable
             .chain(unknown)
             .map(|it| (it.identity.host.clone(), it.fleet_address))
             .collect();
         for (host, address) in self.sample(candidates, max) {
-            self.introduce(cx, &host, address);
+            self.send_digest(cx, &host, address);
         }
     }
 
     /// Returns the delay between reconnect attempts. It grows with the fleet,
     /// because all members try the same unreachable hosts: the total rate of
     /// attempts stays about constant.
-    fn reconnect_pause(&self) -> Duration {
-        let share = self.size().div_ceil(SHARED_AMONG);
-        self.tuning.reconnect_every * u32::try_from(share).unwrap_or(u32::MAX)
+    fn reconnect_delay(&self) -> Duration {
+        let factor = self.size().div_ceil(HOSTS_PER_RECONNECT_INTERVAL);
+        self.tuning.reconnect_every * u32::try_from(factor).unwrap_or(u32::MAX)
     }
 
     /// Periodically compares views with a random member, even if no neighbour
@@ -83,13 +83,13 @@
         let members = self.members.reachable();
         let members = members.map(|(_, it)| it.member.clone()).collect();
         for member in self.sample(members, 1) {
-            self.introduce(cx, &member.identity.host, member.fleet_address);
+            self.send_digest(cx, &member.identity.host, member.fleet_address);
         }
     }
 
     /// Sends a digest of this host's view to another host, which responds with
     /// the differences.
-    pub(super) fn introduce(&mut self, cx: &mut Cx, host: &HostName, address: SocketAddr) {
+    pub(super) fn send_digest(&mut self, cx: &mut Cx, host: &HostName, address: SocketAddr) {
         let digest = Digest {
             from: self.me.identity.clone(),
             buckets: self.view.listing(),
@@ -106,12 +106,16 @@
     /// Compares a host's view fingerprint with this host's. Gossip updates in
     /// flight make views differ briefly, so only a lasting difference leads to a
     /// full comparison.
-    pub(super) fn see_view(&mut self, cx: &mut Cx, host: &HostName, theirs: u64) {
+    pub(super) fn check_fingerprint(&mut self, cx: &mut Cx, host: &HostName, theirs: u64) {
         if theirs == self.view.fingerprint() {
-            self.timers.differs.remove(host);
+            self.timers.differing_since.remove(host);
             return;
         }
-        let since = self.timers.differs.entry(host.clone()).or_insert(cx.now);
+        let since = self
+            .timers
+            .differing_since
+            .entry(host.clone())
+            .or_insert(cx.now);
         if cx.now.saturating_sub(*since) < self.tuning.view_patience {
             return;
         }
@@ -120,10 +124,10 @@
             return;
         };
         let address = entry.member.fleet_address;
-        self.introduce(cx, host, address);
+        self.send_digest(cx, host, address);
     }
 
-    pub(super) fn compared(&mut self, cx: &mut Cx, from: &HostName, digest: Digest) {
+    pub(super) fn handle_digest(&mut self, cx: &mut Cx, from: &HostName, digest: Digest) {
         if digest.from.host != *from {
             return;
         }
@@ -134,25 +138,25 @@
             self.still_differing(&digest.buckets)
         };
         let theirs = digest.bulletin.news.clone();
-        self.learn(cx, digest.bulletin, from);
+        self.apply_bulletin(cx, digest.bulletin, from);
         if is_joining && !digest.reply {
-            self.gossip_only_me();
+            self.queue_only_own_record();
         }
         let Some(entry) = self.members.find(from) else {
             return;
         };
         let to = entry.member.clone();
-        let mut news = self.news_of(&differing);
+        let mut news = self.updates_in(&differing);
         news.retain(|it| !theirs.contains(it));
         if digest.reply {
-            news.extend(self.newest());
-            let answer = Digest {
+            news.extend(self.revision_update());
+            let response = Digest {
                 from: self.me.identity.clone(),
                 buckets: differing,
                 bulletin: self.bulletin(cx, news),
                 reply: false,
             };
-            cx.send(&to, answer);
+            cx.send(&to, response);
         } else if !news.is_empty() {
             let bulletin = self.bulletin(cx, news);
             cx.send(&to, bulletin);
@@ -161,14 +165,14 @@
 
     fn bulletin(&self, cx: &Cx, news: Vec<News>) -> Bulletin {
         Bulletin {
-            reach: self.stated_reach(cx.now),
+            reach: self.reported_reach(cx.now),
             news,
         }
     }
 
     /// Replaces the queued gossip updates with this host's own record. The other
     /// members already know what a joining host learns from its first response.
-    fn gossip_only_me(&mut self) {
+    fn queue_only_own_record(&mut self) {
         self.gossip = crate::gossip::Gossip::default();
         let news = News::Member(self.me.clone());
         self.gossip.add(news, None, self.tuning.carries);
@@ -182,7 +186,7 @@
         differing
     }
 
-    fn news_of(&self, buckets: &[Bucket]) -> Vec<News> {
+    fn updates_in(&self, buckets: &[Bucket]) -> Vec<News> {
         let wanted = |index: u8| buckets.iter().any(|it| it.index == index);
         let members = self
             .members
@@ -194,7 +198,7 @@
         members.chain(self.board.news(wanted)).collect()
     }
 
-    fn newest(&self) -> Option<News> {
+    fn revision_update(&self) -> Option<News> {
         self.configuration.json()?;
         Some(News::Revision(Newest {
             revision: self.configuration.revision(),
--- a/crates/fleet/src/fleet/configuring.rs
+++ b/crates/fleet/src/fleet/configuring.rs
@@ -41,22 +41,27 @@
         if self.polls() || self.is_alone(cx.now) {
             return cx.push(Action::Poll);
         }
-        self.poll_without_proof(cx);
+        self.poll_if_proof_is_old(cx);
     }
 
-    pub(super) fn polled(&mut self, cx: &mut Cx, polled: Polled) {
+    pub(super) fn handle_polled(&mut self, cx: &mut Cx, polled: Polled) {
         let applied = self.configuration.polled(polled);
-        self.apply(cx, applied);
+        self.put_in_force(cx, applied);
     }
 
-    pub(super) fn hear_revision(&mut self, cx: &mut Cx, host: &HostName, revision: Revision) {
+    pub(super) fn record_revision_holder(
+        &mut self,
+        cx: &mut Cx,
+        host: &HostName,
+        revision: Revision,
+    ) {
         if self.configuration.heard(host, revision) {
-            self.fetch(cx);
+            self.start_fetch(cx);
         }
     }
 
-    pub(super) fn learn_revision(&mut self, cx: &mut Cx, newest: &Newest) {
-        self.hear_revision(cx, &newest.holder.host, newest.revision);
+    pub(super) fn apply_revision(&mut self, cx: &mut Cx, newest: &Newest) {
+        self.record_revision_holder(cx, &newest.holder.host, newest.revision);
     }
 
     pub(super) fn fetch_deadline(&self) -> Option<Duration> {
@@ -67,15 +72,15 @@
     pub(super) fn fetch_when_due(&mut self, cx: &mut Cx) {
         if self.fetch_deadline().is_some_and(|it| it <= cx.now) {
             self.configuration.fetching = None;
-            self.fetch(cx);
+            self.start_fetch(cx);
         }
     }
 
-    pub(super) fn asked_for_document(&mut self, cx: &mut Cx, from: &HostName, fetch: &Fetch) {
+    pub(super) fn handle_fetch(&mut self, cx: &mut Cx, from: &HostName, fetch: &Fetch) {
         let Some(json) = self.configuration.json() else {
             return;
         };
-        let Some(asker) = self.members.find(from) else {
+        let Some(requester) = self.members.find(from) else {
             return;
         };
         if fetch.newer_than >= self.configuration.revision() {
@@ -87,19 +92,19 @@
             age: self.configuration.proof_age(cx.now).map(Age),
             json: json.to_vec(),
         };
-        cx.send(&asker.member, document);
+        cx.send(&requester.member, document);
     }
 
-    pub(super) fn fetched(&mut self, cx: &mut Cx, document: Document) {
+    pub(super) fn handle_document(&mut self, cx: &mut Cx, document: Document) {
         let applied = self.configuration.fetched(document);
-        self.apply(cx, applied);
+        self.put_in_force(cx, applied);
     }
 
     /// Polls the table if this host's proof is old. Otherwise requests would be
     /// refused needlessly if all pollers of the data centre hang or lose their
     /// connection to the table. The interval is long, so that an outage of the
     /// table doesn't make all hosts poll it every second.
-    fn poll_without_proof(&mut self, cx: &mut Cx) {
+    fn poll_if_proof_is_old(&mut self, cx: &mut Cx) {
         let old = self.tuning.poll_when_older;
         if self.proof_age(cx.now).is_none_or(|it| it > old) {
             self.timers.poll = cx.now + old / 2 + self.jitter(old);
@@ -107,7 +112,7 @@
         }
     }
 
-    fn fetch(&mut self, cx: &mut Cx) {
+    fn start_fetch(&mut self, cx: &mut Cx) {
         if self.configuration.fetching.is_some() {
             return;
         }
@@ -129,11 +134,11 @@
         cx.send(&holder, fetch);
     }
 
-    fn apply(&mut self, cx: &mut Cx, applied: Option<Arc<[u8]>>) {
+    fn put_in_force(&mut self, cx: &mut Cx, applied: Option<Arc<[u8]>>) {
         let Some(json) = applied else { return };
         let revision = self.configuration.revision();
         cx.push(Action::Apply { revision, json });
         self.announce_revision();
-        self.fetch(cx);
+        self.start_fetch(cx);
     }
 }
--- a/crates/fleet/src/fleet/pooling.rs
+++ b/crates/fleet/src/fleet/pooling.rs
@@ -23,7 +23,7 @@
 
 /// Evidence that waits on this host to be sent.
 #[derive(Default)]
-pub(super) struct Pooling {
+pub(super) struct EvidenceQueues {
     /// Counts by this host.
     own: Pool,
     /// As a relay: counts from the hosts of the data centre.
@@ -49,46 +49,46 @@
     homes: Vec<Member>,
 }
 
-impl Pooling {
+impl EvidenceQueues {
     pub(super) fn forget(&mut self) {
         self.returning.forget();
     }
 }
 
 impl Fleet {
-    pub(super) fn pool_own(&mut self, cx: &mut Cx, deltas: &[Delta]) {
-        self.pooling.own.add(cx.now, deltas);
+    pub(super) fn add_evidence(&mut self, cx: &mut Cx, deltas: &[Delta]) {
+        self.evidence.own.add(cx.now, deltas);
     }
 
-    pub(super) fn pool(&mut self, cx: &mut Cx, evidence: Evidence) {
+    pub(super) fn handle_evidence(&mut self, cx: &mut Cx, evidence: Evidence) {
         let deltas = evidence.deltas;
         match evidence.reach {
-            Reach::Direct => report(cx, deltas),
-            Reach::Host => self.pooling.relayed.add(cx.now, &deltas),
-            Reach::DataCentre => self.pool_at_home(cx, deltas, Reach::DataCentre),
-            Reach::Standby => self.pool_at_home(cx, deltas, Reach::Standby),
+            Reach::Direct => report_evidence(cx, deltas),
+            Reach::Host => self.evidence.relayed.add(cx.now, &deltas),
+            Reach::DataCentre => self.aggregate_at_home(cx, deltas, Reach::DataCentre),
+            Reach::Standby => self.aggregate_at_home(cx, deltas, Reach::Standby),
             Reach::Fleet => {
-                self.pooling.returned.add(cx.now, &deltas);
-                self.take_returned(cx, deltas);
+                self.evidence.returned.add(cx.now, &deltas);
+                self.report_returned(cx, deltas);
             }
-            Reach::Final => self.take_returned(cx, deltas),
+            Reach::Final => self.report_returned(cx, deltas),
         }
     }
 
-    pub(super) fn pooling_deadline(&self) -> Option<Duration> {
-        let pooling = &self.pooling;
+    pub(super) fn evidence_deadline(&self) -> Option<Duration> {
+        let queues = &self.evidence;
         let stages = [
-            pooling.own.deadline(self.own_pace()),
-            pooling
+            queues.own.deadline(self.own_pace()),
+            queues
                 .relayed
                 .deadline(self.pace(self.tuning.evidence_to_home)),
-            pooling.home.deadline(self.home_pace()),
-            pooling.returned.deadline(RETURN_PACE),
+            queues.home.deadline(self.home_pace()),
+            queues.returned.deadline(RETURN_PACE),
         ];
         stages.into_iter().flatten().min()
     }
 
-    pub(super) fn pool_when_due(&mut self, cx: &mut Cx) {
+    pub(super) fn send_evidence_when_due(&mut self, cx: &mut Cx) {
         self.send_own(cx);
         self.send_relayed(cx);
         self.send_home(cx);
@@ -98,41 +98,41 @@
     fn send_own(&mut self, cx: &mut Cx) {
         let pace = self.own_pace();
         if self.is_direct() {
-            let deltas = self.pooling.own.take_all_if_due(cx.now, pace);
+            let deltas = self.evidence.own.take_all_if_due(cx.now, pace);
             if deltas.is_empty() {
                 return;
             }
             let members: Vec<_> = self.members.reachable().map(|it| it.1).collect();
             for entry in members {
-                let frame = self.evidence(Reach::Direct, deltas.clone());
+                let frame = self.build_evidence(Reach::Direct, deltas.clone());
                 cx.send(&entry.member, frame);
             }
             return;
         }
-        let due = self.pooling.own.take_due(cx.now, pace);
+        let due = self.evidence.own.take_due(cx.now, pace);
         if due.is_empty() {
             return;
         }
-        self.route();
-        let mut frames = Bundles::default();
+        self.refresh_routes();
+        let mut frames = OutgoingFrames::default();
         for (group, deltas) in due {
-            self.pooling.returning.add(&deltas);
-            frames.add(&self.routes(group).relay, deltas);
+            self.evidence.returning.add(&deltas);
+            frames.add(&self.route_of(group).relay, deltas);
         }
         self.dispatch(cx, frames, Reach::Host);
     }
 
     fn send_relayed(&mut self, cx: &mut Cx) {
         let pace = self.pace(self.tuning.evidence_to_home);
-        let due = self.pooling.relayed.take_due(cx.now, pace);
+        let due = self.evidence.relayed.take_due(cx.now, pace);
         if due.is_empty() {
             return;
         }
-        self.route();
-        let mut first = Bundles::default();
-        let mut others = Bundles::default();
+        self.refresh_routes();
+        let mut first = OutgoingFrames::default();
+        let mut others = OutgoingFrames::default();
         for (group, deltas) in due {
-            for (index, home) in self.routes(group).homes.iter().enumerate() {
+            for (index, home) in self.route_of(group).homes.iter().enumerate() {
                 let frames = if index == 0 { &mut first } else { &mut others };
                 frames.add(home, deltas.clone());
             }
@@ -143,8 +143,8 @@
 
     fn send_home(&mut self, cx: &mut Cx) {
         let pace = self.home_pace();
-        let due = self.pooling.home.take_due(cx.now, pace);
-        let mut frames = Bundles::default();
+        let due = self.evidence.home.take_due(cx.now, pace);
+        let mut frames = OutgoingFrames::default();
         for (group, deltas) in due {
             for relay in self.relays(group) {
                 frames.add(&relay, deltas.clone());
@@ -154,7 +154,7 @@
     }
 
     fn send_returned(&mut self, cx: &mut Cx) {
-        let due = self.pooling.returned.take_due(cx.now, RETURN_PACE);
+        let due = self.evidence.returned.take_due(cx.now, RETURN_PACE);
         let deltas: Vec<_> = due.into_iter().flat_map(|it| it.1).collect();
         if deltas.is_empty() {
             return;
@@ -167,16 +167,16 @@
             .cloned()
             .collect();
         for member in local {
-            cx.send(&member, self.evidence(Reach::Final, deltas.clone()));
+            cx.send(&member, self.build_evidence(Reach::Final, deltas.clone()));
         }
     }
 
     /// Sends one frame to each host. Evidence for this host is handled directly.
-    fn dispatch(&mut self, cx: &mut Cx, frames: Bundles, reach: Reach) {
+    fn dispatch(&mut self, cx: &mut Cx, frames: OutgoingFrames, reach: Reach) {
         for (host, (member, deltas)) in frames.by_host {
-            let evidence = self.evidence(reach, deltas);
+            let evidence = self.build_evidence(reach, deltas);
             if host == self.me.identity.host {
-                self.pool(cx, evidence);
+                self.handle_evidence(cx, evidence);
             } else {
                 cx.send(&member, evidence);
             }
@@ -185,27 +185,27 @@
 
     /// Handles counts as a home. This host's decision core gets them at once, so
     /// that a bad version is detected before the totals are returned.
-    fn pool_at_home(&mut self, cx: &mut Cx, deltas: Vec<Delta>, reach: Reach) {
+    fn aggregate_at_home(&mut self, cx: &mut Cx, deltas: Vec<Delta>, reach: Reach) {
         if reach == Reach::DataCentre {
-            self.pooling.home.add(cx.now, &deltas);
+            self.evidence.home.add(cx.now, &deltas);
         }
-        let others = self.pooling.returning.without_own(deltas);
-        report(cx, others);
+        let others = self.evidence.returning.without_own(deltas);
+        report_evidence(cx, others);
     }
 
     /// Reports returned counts to the decision core. Skips groups that this host
     /// is a home of, because it has already received their counts.
-    fn take_returned(&mut self, cx: &mut Cx, mut deltas: Vec<Delta>) {
-        self.route();
+    fn report_returned(&mut self, cx: &mut Cx, mut deltas: Vec<Delta>) {
+        self.refresh_routes();
         deltas.retain(|it| {
-            let homes = &self.routes(group_of(&it.topic)).homes;
+            let homes = &self.route_of(group_of(&it.topic)).homes;
             homes.iter().all(|it| it.identity != self.me.identity)
         });
-        let others = self.pooling.returning.without_own(deltas);
-        report(cx, others);
+        let others = self.evidence.returning.without_own(deltas);
+        report_evidence(cx, others);
     }
 
-    fn evidence(&self, reach: Reach, deltas: Vec<Delta>) -> Evidence {
+    fn build_evidence(&self, reach: Reach, deltas: Vec<Delta>) -> Evidence {
         Evidence {
             from: self.me.identity.clone(),
             reach,
@@ -242,14 +242,14 @@
         Pace { urgent, usual }
     }
 
-    fn routes(&self, group: usize) -> &Route {
-        &self.pooling.routes.groups[group]
+    fn route_of(&self, group: usize) -> &Route {
+        &self.evidence.routes.groups[group]
     }
 
     /// Recomputes relays and homes if the members have changed.
-    fn route(&mut self) {
+    fn refresh_routes(&mut self) {
         let epoch = Some(self.members.epoch());
-        if self.pooling.routes.epoch == epoch {
+        if self.evidence.routes.epoch == epoch {
             return;
         }
         let groups = (0..)
@@ -259,7 +259,7 @@
                 homes,
             })
             .collect();
-        self.pooling.routes = Routes { epoch, groups };
+        self.evidence.routes = Routes { epoch, groups };
     }
 
     /// Returns a group's relay in a data centre. Groups are assigned round-robin,
@@ -269,7 +269,9 @@
         let local = self
             .candidates()
             .filter(|it| it.data_centre == *data_centre);
-        deal(local.collect(), group).unwrap_or(&self.me).clone()
+        assign_round_robin(local.collect(), group)
+            .unwrap_or(&self.me)
+            .clone()
     }
 
     /// Returns the relays of a group in all data centres.
@@ -281,7 +283,7 @@
         }
         let relays = by_data_centre.into_values();
         relays
-            .filter_map(|local| deal(local, group).cloned())
+            .filter_map(|local| assign_round_robin(local, group).cloned())
             .collect()
     }
 
@@ -314,30 +316,30 @@
 
 /// Returns the member that `group` is assigned to, round-robin in an order that
 /// all hosts compute alike.
-fn deal(mut local: Vec<&Member>, group: usize) -> Option<&Member> {
+fn assign_round_robin(mut local: Vec<&Member>, group: usize) -> Option<&Member> {
     local.sort_by_key(|it| weight("relay", 0_u8, it.identity.host.as_str()));
-    let turn = group.checked_rem(local.len())?;
-    local.get(turn).copied()
+    let position = group.checked_rem(local.len())?;
+    local.get(position).copied()
 }
 
 /// Deltas grouped by destination, so that each host gets one frame.
 #[derive(Default)]
-struct Bundles {
+struct OutgoingFrames {
     by_host: BTreeMap<HostName, (Member, Vec<Delta>)>,
 }
 
-impl Bundles {
+impl OutgoingFrames {
     fn add(&mut self, to: &Member, deltas: Vec<Delta>) {
         let host = to.identity.host.clone();
-        let bundle = self
+        let entry = self
             .by_host
             .entry(host)
             .or_insert_with(|| (to.clone(), Vec::new()));
-        bundle.1.extend(deltas);
+        entry.1.extend(deltas);
     }
 }
 
-fn report(cx: &mut Cx, deltas: Vec<Delta>) {
+fn report_evidence(cx: &mut Cx, deltas: Vec<Delta>) {
     if !deltas.is_empty() {
         cx.push(Action::Evidence(deltas));
     }
--- a/crates/fleet/src/fleet/probing.rs
+++ b/crates/fleet/src/fleet/probing.rs
@@ -13,11 +13,11 @@
 
 /// With fewer other hosts than this, an isolated host may still suspect members:
 /// if it is wrong, their refutations cost little.
-const SMALL: usize = 16;
+const SMALL_FLEET_HOSTS: usize = 16;
 
 /// Number of probe intervals without any response after which random members
 /// are probed instead of neighbours.
-const SILENT_PROBES: u32 = 4;
+const MAX_SILENT_INTERVALS: u32 = 4;
 
 impl Fleet {
     /// Returns whether this host is probably isolated: it reaches no member, or
@@ -56,7 +56,7 @@
     /// from the isolation of this host.
     fn next_target(&mut self, now: Duration) -> Option<MemberKey> {
         let silence = now.saturating_sub(self.prober.answered);
-        if silence <= self.tuning.probe_every * SILENT_PROBES {
+        if silence <= self.tuning.probe_every * MAX_SILENT_INTERVALS {
             return self.prober.next_target(self.neighbours.successors());
         }
         let all = self.members.reachable().map(|it| it.0).collect();
@@ -64,7 +64,7 @@
     }
 
     /// Handles probes that timed out: first by indirect probes, then by suspicion.
-    pub(super) fn judge_probes(&mut self, cx: &mut Cx) {
+    pub(super) fn check_probe_timeouts(&mut self, cx: &mut Cx) {
         let overdue: Vec<_> = self
             .prober
             .iter()
@@ -78,95 +78,103 @@
             };
             let member = entry.member.clone();
             if !waiting.is_helped {
-                self.ask_for_help(cx, sequence, &member);
+                self.probe_indirectly(cx, sequence, &member);
                 continue;
             }
             self.prober.give_up(sequence);
-            if self.may_judge(cx.now, &waiting) {
+            if self.may_suspect(cx.now, &waiting) {
                 self.suspect(cx, member);
             }
         }
     }
 
-    pub(super) fn judge_suspects(&mut self, cx: &mut Cx) {
-        let patience = self.suspicion_time();
+    pub(super) fn check_suspicion_timeouts(&mut self, cx: &mut Cx) {
+        let timeout = self.suspicion_timeout();
         let expired: Vec<_> = self
             .members
             .suspects()
-            .filter(|it| it.since + patience <= cx.now)
+            .filter(|it| it.since + timeout <= cx.now)
             .map(|it| it.member.clone())
             .collect();
         for member in expired {
-            self.judge(cx, member, State::Unreachable);
+            self.set_member_state(cx, member, State::Unreachable);
         }
     }
 
-    pub(super) fn probing_deadline(&self) -> Option<Duration> {
-        let timeout = self.tuning.probe_timeout;
-        let probes = self.prober.iter().map(|(_, it)| it.due(timeout));
-        let patience = self.suspicion_time();
-        let suspects = self.members.suspects().map(|it| it.since + patience);
+    pub(super) fn probe_deadline(&self) -> Option<Duration> {
+        let probe_timeout = self.tuning.probe_timeout;
+        let probes = self.prober.iter().map(|(_, it)| it.due(probe_timeout));
+        let suspicion_timeout = self.suspicion_timeout();
+        let suspects = self
+            .members
+            .suspects()
+            .map(|it| it.since + suspicion_timeout);
         probes.chain(suspects).min()
     }
 
-    pub(super) fn probed(&mut self, cx: &mut Cx, from: &HostName, probe: Probe) {
+    pub(super) fn handle_probe(&mut self, cx: &mut Cx, from: &HostName, probe: Probe) {
         if probe.from.host != *from {
             return;
         }
-        let asker = self.members.find_life(&probe.from);
-        let known = asker.map(|it| it.member.clone());
+        let requester = self.members.find_life(&probe.from);
+        let known = requester.map(|it| it.member.clone());
         let accusation = known.clone().filter(|it| it.state >= State::Suspect);
         let ack = Ack {
             sequence: probe.sequence,
             from: self.me.identity.clone(),
             proof: self.configuration.proof(cx.now),
             view: self.view.fingerprint(),
-            bulletin: self.carry(cx.now, accusation),
-            loads: self.carry_loads(cx.now),
+            bulletin: self.piggyback_updates(cx.now, accusation),
+            loads: self.piggyback_loads(cx.now),
         };
         cx.push(crate::Action::Send {
             host: from.clone(),
             address: probe.address,
             frame: ack.into(),
         });
-        self.note_loads(cx.now, &probe.loads);
-        self.learn(cx, probe.bulletin, from);
-        self.hear_revision(cx, from, probe.proof.revision);
+        self.record_loads(cx.now, &probe.loads);
+        self.apply_bulletin(cx, probe.bulletin, from);
+        self.record_revision_holder(cx, from, probe.proof.revision);
         if known.is_some() {
-            self.see_view(cx, from, probe.view);
+            self.check_fingerprint(cx, from, probe.view);
         } else {
-            self.introduce(cx, from, probe.address);
+            self.send_digest(cx, from, probe.address);
         }
     }
 
-    pub(super) fn acked(&mut self, cx: &mut Cx, from: &HostName, ack: Ack) {
+    pub(super) fn handle_ack(&mut self, cx: &mut Cx, from: &HostName, ack: Ack) {
         if let Some(helping) = self.prober.helped(ack.sequence, &ack.from) {
             return Self::relay_ack(cx, helping, ack);
         }
         let Some(waiting) = self.prober.answer(ack.sequence, &ack.from) else {
             return;
         };
-        self.hear_answer(cx);
+        self.record_response(cx);
         let host = &ack.from.host;
-        self.note_loads(cx.now, &ack.loads);
-        self.learn(cx, ack.bulletin, from);
-        self.hear_revision(cx, host, ack.proof.revision);
+        self.record_loads(cx.now, &ack.loads);
+        self.apply_bulletin(cx, ack.bulletin, from);
+        self.record_revision_holder(cx, host, ack.proof.revision);
         self.configuration.witness(waiting.sent, ack.proof);
         let Some(entry) = self.members.find_life(&ack.from) else {
-            return self.meet_successor_life(cx, &waiting.target);
+            return self.compare_with_successor(cx, &waiting.target);
         };
         let member = entry.member.clone();
         if member.state >= State::Suspect {
-            self.tell_of_accusation(cx, &member);
+            self.notify_accused(cx, &member);
         }
-        self.see_view(cx, host, ack.view);
+        self.check_fingerprint(cx, host, ack.view);
     }
 
-    pub(super) fn asked_to_probe(&mut self, cx: &mut Cx, from: &HostName, request: ProbeRequest) {
-        let Some(asker) = self.members.find(from) else {
+    pub(super) fn handle_probe_request(
+        &mut self,
+        cx: &mut Cx,
+        from: &HostName,
+        request: ProbeRequest,
+    ) {
+        let Some(requester) = self.members.find(from) else {
             return;
         };
-        let asker = (from.clone(), asker.member.fleet_address);
+        let requester = (from.clone(), requester.member.fleet_address);
         if request.target == self.me.identity {
             return;
         }
@@ -174,7 +182,7 @@
         target.identity = request.target.clone();
         target.fleet_address = request.address;
         let sequence = self.prober.next_sequence();
-        let helping = Helping::new(cx.now, asker, request.sequence, request.target);
+        let helping = Helping::new(cx.now, requester, request.sequence, request.target);
         self.prober.help(sequence, helping);
         self.send_probe(cx, &target, sequence);
     }
@@ -193,15 +201,15 @@
             address: self.me.fleet_address,
             proof: self.configuration.proof(cx.now),
             view: self.view.fingerprint(),
-            bulletin: self.carry(cx.now, accusation),
-            loads: self.carry_loads(cx.now),
+            bulletin: self.piggyback_updates(cx.now, accusation),
+            loads: self.piggyback_loads(cx.now),
         };
         cx.send(to, probe);
     }
 
     /// Probes the target again, directly and through other hosts, so that a
     /// broken path or a lost frame isn't mistaken for a dead host.
-    fn ask_for_help(&mut self, cx: &mut Cx, sequence: u32, target: &Member) {
+    fn probe_indirectly(&mut self, cx: &mut Cx, sequence: u32, target: &Member) {
         self.prober.set_helped(sequence);
         self.send_probe(cx, target, sequence);
         let neighbours: Vec<_> = self
@@ -230,7 +238,7 @@
     /// The timeout leaves time for a response to the next probe, and the target
     /// is probed again in its turn. Without other members, and in a small fleet
     /// after a long time without a response, no such response is required.
-    fn may_judge(&self, now: Duration, waiting: &Waiting) -> bool {
+    fn may_suspect(&self, now: Duration, waiting: &Waiting) -> bool {
         let witnesses = self
             .members
             .reachable()
@@ -239,20 +247,20 @@
         if witnesses == 0 || self.prober.answered > waiting.sent {
             return true;
         }
-        let is_small = witnesses < SMALL;
+        let is_small = witnesses < SMALL_FLEET_HOSTS;
         is_small && self.is_alone(now)
     }
 
     /// Records that a host responded. If this host was isolated until now, no
     /// other host believed its accusations, so it retracts those
     /// made in the meantime.
-    fn hear_answer(&mut self, cx: &mut Cx) {
+    fn record_response(&mut self, cx: &mut Cx) {
         let last = std::mem::replace(&mut self.prober.answered, cx.now);
         if cx.now.saturating_sub(last) <= self.tuning.alone_after {
             return;
         }
         for host in self.accused_since(last) {
-            self.acquit(cx, &host);
+            self.retract_accusation(cx, &host);
         }
     }
 
@@ -261,34 +269,34 @@
             return;
         }
         let identity = member.identity.clone();
-        self.judge(cx, member, State::Suspect);
+        self.set_member_state(cx, member, State::Suspect);
         if let Some(entry) = self.members.find_life(&identity) {
             let member = entry.member.clone();
-            self.tell_of_accusation(cx, &member);
+            self.notify_accused(cx, &member);
         }
     }
 
     /// Sends an accusation to the accused host first, so that it can refute it.
-    fn tell_of_accusation(&self, cx: &mut Cx, accused: &Member) {
+    fn notify_accused(&self, cx: &mut Cx, accused: &Member) {
         let bulletin = Bulletin {
-            reach: self.stated_reach(cx.now),
+            reach: self.reported_reach(cx.now),
             news: vec![News::Member(accused.clone())],
         };
         cx.send(accused, bulletin);
     }
 
-    fn suspicion_time(&self) -> Duration {
+    fn suspicion_timeout(&self) -> Duration {
         self.tuning.suspicion * self.log_size()
     }
 
-    fn carry(&mut self, now: Duration, first: Option<Member>) -> Bulletin {
-        let reach = self.stated_reach(now);
+    fn piggyback_updates(&mut self, now: Duration, accusation: Option<Member>) -> Bulletin {
+        let reach = self.reported_reach(now);
         let mut news = self.gossip.take_carried(self.tuning.news_bytes);
-        news.extend(first.map(News::Member));
+        news.extend(accusation.map(News::Member));
         Bulletin { reach, news }
     }
 
-    fn carry_loads(&mut self, now: Duration) -> Vec<Load> {
+    fn piggyback_loads(&mut self, now: Duration) -> Vec<Load> {
         let fresh: Vec<_> = self
             .members
             .iter()
@@ -312,7 +320,7 @@
         loads
     }
 
-    fn note_loads(&mut self, now: Duration, loads: &[Load]) {
+    fn record_loads(&mut self, now: Duration, loads: &[Load]) {
         for load in loads {
             let at = now.saturating_sub(load.age);
             let level = load.level;
@@ -334,12 +342,12 @@
 
     /// Compares views with a host that responded as another incarnation than the
     /// probed one. The host sends its new record itself.
-    fn meet_successor_life(&mut self, cx: &mut Cx, target: &Identity) {
+    fn compare_with_successor(&mut self, cx: &mut Cx, target: &Identity) {
         let Some(entry) = self.members.find(&target.host) else {
             return;
         };
         let (host, address) = (target.host.clone(), entry.member.fleet_address);
-        self.introduce(cx, &host, address);
+        self.send_digest(cx, &host, address);
     }
 }
 
--- a/crates/fleet/src/fleet/spreading.rs
+++ b/crates/fleet/src/fleet/spreading.rs
@@ -17,50 +17,50 @@
     /// a host ignores accusations by a host that reaches far fewer members, and
     /// retracts its own when a host reaches far more. Neither applies between
     /// hosts on the same side of a partition, whose views are nearly the same.
-    pub(super) fn learn(&mut self, cx: &mut Cx, bulletin: Bulletin, from: &HostName) {
-        let reach = self.stated_reach(cx.now);
+    pub(super) fn apply_bulletin(&mut self, cx: &mut Cx, bulletin: Bulletin, from: &HostName) {
+        let reach = self.reported_reach(cx.now);
         if is_far_fewer(reach, bulletin.reach) {
-            self.rejoin(cx);
+            self.retract_accusations(cx);
         }
-        let is_moot = is_far_fewer(bulletin.reach, reach);
-        for piece in bulletin.news {
-            match piece {
-                News::Member(member) if is_moot && is_accused(member.state) => {}
-                News::Member(member) => self.learn_member(cx, &member, Some(from)),
-                News::Revision(newest) => self.learn_revision(cx, &newest),
-                News::Verdict(verdict) => self.learn_verdict(cx, &verdict, Some(from)),
-                News::Endpoint(endpoint) => self.learn_endpoint(cx, &endpoint, Some(from)),
+        let is_sender_isolated = is_far_fewer(bulletin.reach, reach);
+        for update in bulletin.news {
+            match update {
+                News::Member(member) if is_sender_isolated && is_accused(member.state) => {}
+                News::Member(member) => self.apply_member(cx, &member, Some(from)),
+                News::Revision(newest) => self.apply_revision(cx, &newest),
+                News::Verdict(verdict) => self.apply_verdict(cx, &verdict, Some(from)),
+                News::Endpoint(endpoint) => self.apply_endpoint(cx, &endpoint, Some(from)),
             }
         }
     }
 
-    pub(super) fn learn_member(&mut self, cx: &mut Cx, news: &Member, from: Option<&HostName>) {
-        if news.identity.host == self.me.identity.host {
-            return self.learn_of_me(cx, news);
+    pub(super) fn apply_member(&mut self, cx: &mut Cx, record: &Member, from: Option<&HostName>) {
+        if record.identity.host == self.me.identity.host {
+            return self.handle_own_record(cx, record);
         }
-        match self.members.merge(cx.now, &mut self.view, news) {
+        match self.members.merge(cx.now, &mut self.view, record) {
             Merge::Known => return,
-            Merge::Stale => return self.correct(cx, &news.identity.host, from),
-            Merge::New => report(cx, news, None),
-            Merge::Changed(before) if before == news.state => {}
-            Merge::Changed(before) => report(cx, news, Some(before)),
+            Merge::Stale => return self.send_newer_record(cx, &record.identity.host, from),
+            Merge::New => report_change(cx, record, None),
+            Merge::Changed(before) if before == record.state => {}
+            Merge::Changed(before) => report_change(cx, record, Some(before)),
             Merge::Replaced(old) => {
-                report_end(cx, old);
-                report(cx, news, None);
+                report_death(cx, old);
+                report_change(cx, record, None);
             }
         }
-        if news.state > State::Suspect {
-            self.configuration.forget_holder(&news.identity.host);
+        if record.state > State::Suspect {
+            self.configuration.forget_holder(&record.identity.host);
         }
-        self.spread(News::Member(news.clone()), from);
+        self.queue_update(News::Member(record.clone()), from);
     }
 
     /// Retracts all accusations. Correct ones return when views are compared
     /// with other hosts.
-    fn rejoin(&mut self, cx: &mut Cx) {
+    fn retract_accusations(&mut self, cx: &mut Cx) {
         let accused = self.accused_since(Duration::ZERO);
         for host in accused {
-            self.acquit(cx, &host);
+            self.retract_accusation(cx, &host);
         }
     }
 
@@ -73,29 +73,39 @@
             .collect()
     }
 
-    pub(super) fn acquit(&mut self, cx: &mut Cx, host: &HostName) {
+    pub(super) fn retract_accusation(&mut self, cx: &mut Cx, host: &HostName) {
         let acquitted = self.members.acquit(cx.now, &mut self.view, host);
         if let Some((member, before)) = acquitted {
             self.gossip.retract(host);
-            report(cx, &member, Some(before));
+            report_change(cx, &member, Some(before));
         }
     }
 
-    pub(super) fn learn_verdict(&mut self, cx: &mut Cx, news: &Verdict, from: Option<&HostName>) {
-        if self.board.merge_verdict(&mut self.view, news) {
-            cx.push(Action::Verdict(news.clone()));
-            self.spread(News::Verdict(news.clone()), from);
+    pub(super) fn apply_verdict(
+        &mut self,
+        cx: &mut Cx,
+        verdict: &Verdict,
+        from: Option<&HostName>,
+    ) {
+        if self.board.merge_verdict(&mut self.view, verdict) {
+            cx.push(Action::Verdict(verdict.clone()));
+            self.queue_update(News::Verdict(verdict.clone()), from);
         }
     }
 
-    pub(super) fn learn_endpoint(&mut self, cx: &mut Cx, news: &Endpoint, from: Option<&HostName>) {
-        if self.board.merge_endpoint(cx.now, &mut self.view, news) {
-            cx.push(Action::Endpoint(news.clone()));
-            self.spread(News::Endpoint(news.clone()), from);
+    pub(super) fn apply_endpoint(
+        &mut self,
+        cx: &mut Cx,
+        endpoint: &Endpoint,
+        from: Option<&HostName>,
+    ) {
+        if self.board.merge_endpoint(cx.now, &mut self.view, endpoint) {
+            cx.push(Action::Endpoint(endpoint.clone()));
+            self.queue_update(News::Endpoint(endpoint.clone()), from);
         }
     }
 
-    pub(super) fn rule(&mut self, cx: &mut Cx, ruled: Ruled) {
+    pub(super) fn publish_verdict(&mut self, cx: &mut Cx, ruled: Ruled) {
         let verdict = Verdict {
             round: self.board.next_round(&ruled.version),
             version: ruled.version,
@@ -103,24 +113,24 @@
             by: self.me.identity.clone(),
             evidence: ruled.evidence,
         };
-        self.learn_verdict(cx, &verdict, None);
+        self.apply_verdict(cx, &verdict, None);
     }
 
     /// Changes this host's own state and gossips it. The higher refutation number
     /// overrides what other hosts report.
-    pub(super) fn say_of_me(&mut self, state: State) {
+    pub(super) fn set_own_state(&mut self, state: State) {
         if self.me.state < state {
             self.refute(self.me.refutation, state);
         }
     }
 
     /// Changes another member's state on this host's own initiative and gossips it.
-    pub(super) fn judge(&mut self, cx: &mut Cx, mut member: Member, state: State) {
+    pub(super) fn set_member_state(&mut self, cx: &mut Cx, mut member: Member, state: State) {
         member.state = state;
-        self.learn_member(cx, &member, None);
+        self.apply_member(cx, &member, None);
     }
 
-    pub(super) fn fenced(&mut self, cx: &mut Cx, identity: &Identity) {
+    pub(super) fn handle_fence(&mut self, cx: &mut Cx, identity: &Identity) {
         if *identity == self.me.identity {
             return self.depose(cx);
         }
@@ -128,25 +138,25 @@
             return;
         };
         let member = entry.member.clone();
-        self.judge(cx, member, State::Dead);
+        self.set_member_state(cx, member, State::Dead);
     }
 
     /// Declares members dead that became unreachable before `before`.
     ///
     /// If they outnumber the reachable hosts, this host was probably the isolated
     /// one and the others have declared it dead, so it is deposed.
-    pub(super) fn bury(&mut self, cx: &mut Cx, before: Duration) {
-        let over: Vec<_> = self
+    pub(super) fn declare_dead(&mut self, cx: &mut Cx, before: Duration) {
+        let expired: Vec<_> = self
             .members
             .iter()
             .filter(|it| it.member.state == State::Unreachable && it.since < before)
             .map(|it| it.member.clone())
             .collect();
-        if over.len() > self.size() {
+        if expired.len() > self.size() {
             return self.depose(cx);
         }
-        for member in over {
-            self.judge(cx, member, State::Dead);
+        for member in expired {
+            self.set_member_state(cx, member, State::Dead);
         }
     }
 
@@ -156,18 +166,18 @@
             revision: self.configuration.revision(),
             holder: self.me.identity.clone(),
         });
-        self.spread(news, None);
+        self.queue_update(news, None);
     }
 
-    pub(super) fn push_news(&mut self, cx: &mut Cx) {
+    pub(super) fn push_updates(&mut self, cx: &mut Cx) {
         let Some(due) = self.push_deadline() else {
             return;
         };
-        let is_last_word = self.me.state == State::Dead;
-        if cx.now < due && !is_last_word {
+        let is_final = self.me.state == State::Dead;
+        if cx.now < due && !is_final {
             return;
         }
-        let reach = self.stated_reach(cx.now);
+        let reach = self.reported_reach(cx.now);
         let push = self.gossip.take_push(cx.now, self.tuning.news_bytes);
         for key in self.neighbours.all() {
             let Some(entry) = self.members.get(*key) else {
@@ -194,7 +204,7 @@
 
     /// Returns the number of hosts that this one reports as reachable, including
     /// itself.
-    pub(super) fn stated_reach(&self, now: Duration) -> u32 {
+    pub(super) fn reported_reach(&self, now: Duration) -> u32 {
         let reach = if self.is_alone(now) { 1 } else { self.size() };
         u32::try_from(reach).unwrap_or(u32::MAX)
     }
@@ -205,27 +215,27 @@
         self.size().next_power_of_two().ilog2().max(1)
     }
 
-    fn spread(&mut self, news: News, from: Option<&HostName>) {
+    fn queue_update(&mut self, news: News, from: Option<&HostName>) {
         self.gossip.add(news, from, self.tuning.carries);
     }
 
     /// Handles another host's record of this host, and refutes it if it is wrong.
     /// Death is final: this incarnation is deposed when it learns of its own
     /// death, or of a later incarnation of this host.
-    fn learn_of_me(&mut self, cx: &mut Cx, news: &Member) {
-        let theirs = news.identity.incarnation;
+    fn handle_own_record(&mut self, cx: &mut Cx, record: &Member) {
+        let theirs = record.identity.incarnation;
         let mine = self.me.identity.incarnation;
-        if theirs > mine || (theirs == mine && news.state == State::Dead) {
+        if theirs > mine || (theirs == mine && record.state == State::Dead) {
             if self.me.state != State::Dead {
                 self.depose(cx);
             }
             return;
         }
-        let is_later = theirs == mine && news.refutation >= self.me.refutation;
-        if is_later && news != &self.me {
-            self.refute(news.refutation, self.me.state);
+        let is_later = theirs == mine && record.refutation >= self.me.refutation;
+        if is_later && record != &self.me {
+            self.refute(record.refutation, self.me.state);
         } else if theirs < mine {
-            self.spread(News::Member(self.me.clone()), None);
+            self.queue_update(News::Member(self.me.clone()), None);
         }
     }
 
@@ -234,11 +244,11 @@
         self.me.state = state;
         self.me.refutation = self.me.refutation.max(refutation.saturating_add(1));
         self.view.toggle_member(&self.me);
-        self.spread(News::Member(self.me.clone()), None);
+        self.queue_update(News::Member(self.me.clone()), None);
     }
 
     /// Sends the newer record to a host that forwarded an outdated one.
-    fn correct(&mut self, cx: &mut Cx, about: &HostName, from: Option<&HostName>) {
+    fn send_newer_record(&mut self, cx: &mut Cx, about: &HostName, from: Option<&HostName>) {
         let Some(entry) = self.members.find(about) else {
             return;
         };
@@ -246,7 +256,7 @@
             return;
         };
         let bulletin = Bulletin {
-            reach: self.stated_reach(cx.now),
+            reach: self.reported_reach(cx.now),
             news: vec![News::Member(entry.member.clone())],
         };
         cx.send(&to.member, bulletin);
@@ -259,16 +269,16 @@
     u64::from(few) * 3 <= u64::from(many) * 2
 }
 
-fn report(cx: &mut Cx, member: &Member, before: Option<State>) {
+fn report_change(cx: &mut Cx, member: &Member, before: Option<State>) {
     let member = member.clone();
     cx.push(Action::Member(Change { member, before }));
 }
 
 /// Reports the death of an incarnation that a later one replaces.
-fn report_end(cx: &mut Cx, mut old: Member) {
+fn report_death(cx: &mut Cx, mut old: Member) {
     let before = old.state;
     if before != State::Dead {
         old.state = State::Dead;
-        report(cx, &old, Some(before));
+        report_change(cx, &old, Some(before));
     }
 }
