--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,11 +1,11 @@
 //! The state machine: its state, and the dispatch of events to its parts.
 
-mod choosing;
-mod comparing;
-mod configuring;
-mod pooling;
-mod probing;
-mod spreading;
+mod anti_entropy;
+mod config_sync;
+mod dissemination;
+mod evidence;
+mod failure_detection;
+mod selection;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 use crate::view::View;
 use crate::{Action, Event, Tuning};
 
-use self::pooling::EvidenceQueues;
+use self::evidence::EvidenceQueues;
 
 /// This host's view of the fleet, and the protocol that keeps it up to date.
 pub struct Fleet {
