--- a/crates/fleet/src/measure.rs
+++ b/crates/fleet/src/measure.rs
@@ -1,5 +1,5 @@
-//! What the core costs as a function of fleet size, measured on many cores in
-//! one process.
+//! Measures the cost of the membership core as a function of fleet size, by
+//! simulating a whole fleet in one process.
 //!
 //! `cargo xtask capacity` prints the slopes; `docs/design/membership.md`
 //! records them.
@@ -21,13 +21,13 @@
 
 use self::workload::Workload;
 
-/// Measures a fleet of `hosts` for `seconds` of virtual time, after it has
-/// come together.
+/// Measures a fleet of `hosts` for `seconds` of virtual time, after a warm-up
+/// in which its hosts discover each other.
 ///
-/// Meanwhile the configuration changes now and then, one host in a hundred (at
-/// least one) is killed and later replaced, one frame in two hundred is lost,
-/// and each host counts evidence of its share of the target's requests. Equal
-/// arguments give equal figures but for the processor time.
+/// During the measurement the configuration changes a few times, one host in a
+/// hundred (at least one) is killed, frames are lost at random, and each host
+/// produces evidence for its share of the requests. Equal arguments give equal
+/// figures except for the processor time.
 #[must_use]
 pub fn measure(hosts: usize, seconds: u64, seed: u64) -> Figures {
     Workload::new(hosts, seed).run(Duration::from_secs(seconds))
--- a/crates/fleet/src/measure/fakes.rs
+++ b/crates/fleet/src/measure/fakes.rs
@@ -1,4 +1,4 @@
-//! The platform's table as far as the configuration goes.
+//! An in-memory stand-in for the platform's table, limited to the configuration.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,23 +8,22 @@
 
 use crate::{Event, Polled};
 
-/// A table that holds the configuration's head.
+/// A table that stores the newest revision of the configuration.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// The newest revision.
     pub revision: Revision,
-    /// Its document.
+    /// The configuration document at `revision`.
     pub json: Arc<[u8]>,
-    /// Whether all reads fail.
+    /// If set, all reads fail.
     pub is_out: bool,
-    /// Hosts that can't reach it.
+    /// Hosts whose reads fail.
     pub cut: BTreeSet<HostName>,
-    /// How often it was read.
+    /// The number of reads, failed ones included.
     pub reads: u64,
 }
 
 impl Table {
-    /// Commits a new document of the same size.
+    /// Commits a new revision with the same document.
     pub fn commit(&mut self) -> Revision {
         self.revision = self.revision.next();
         self.revision
--- a/crates/fleet/src/measure/figures.rs
+++ b/crates/fleet/src/measure/figures.rs
@@ -1,11 +1,13 @@
-//! What a measurement found.
+//! The results of a measurement.
 
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// The figures of one fleet size. Bytes count frames with what the transport
-/// adds, sent and received together unless said otherwise.
+/// The results for one fleet size.
+///
+/// Byte counts include the overhead of the transport, and cover sent and
+/// received frames together unless stated otherwise.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq)]
 #[display(
     "{hosts:>4} hosts  {bytes_mean:>6.0} B/s mean {bytes_max:>6.0} max \
@@ -17,44 +19,45 @@
     proof_age_max.as_secs_f64(), suspicion_max.as_secs_f64(), detection_max.as_secs_f64()
 )]
 pub struct Figures {
-    /// The fleet's size.
+    /// The number of hosts.
     pub hosts: usize,
-    /// Bytes a second of the mean host, without configuration documents.
+    /// Mean bytes per second and host, without configuration documents.
     pub bytes_mean: f64,
-    /// Bytes a second of the busiest host.
+    /// Bytes per second of the busiest host, without configuration documents.
     pub bytes_max: f64,
-    /// Of the mean, what probes and their answers take.
+    /// The part of `bytes_mean` used by probes and their responses.
     pub probe_bytes: f64,
-    /// What news and comparisons take.
+    /// The part of `bytes_mean` used by gossip updates and view comparisons.
     pub news_bytes: f64,
-    /// What evidence takes.
+    /// The part of `bytes_mean` used by evidence.
     pub evidence_bytes: f64,
-    /// Bytes that a change of the configuration costs the mean host for its document.
+    /// Mean bytes per host used to distribute the document of one configuration change.
     pub document_mean: f64,
-    /// Frames a second that the mean host sends.
+    /// Mean frames sent per second and host.
     pub frames: f64,
-    /// With how many others the busiest host spoke, so how many connections it had.
+    /// The largest number of peers of a host, which is its number of connections.
     pub peers_max: usize,
-    /// The share of a core that the mean host takes, core and codec only.
+    /// Mean share of a processor core used per host by the membership core and the
+    /// codec.
     pub processor: f64,
-    /// The memory of a host's view, without the configuration's document.
+    /// The largest memory use of a host's state, without the configuration document.
     pub state_bytes: usize,
-    /// From a commit until the revision is in force everywhere, on average.
+    /// Mean time from a commit until the revision is in force on all hosts.
     pub revision_mean: Duration,
-    /// The same at worst.
+    /// Longest time from a commit until the revision is in force on all hosts.
     pub revision_max: Duration,
-    /// The oldest proof that any host had while the table was well, sampled
-    /// once a second.
+    /// The highest age of a host's proof that its revision is the newest.
     pub proof_age_max: Duration,
-    /// From a kill until all others at least suspect the host, at worst; from
-    /// then on it is omitted from hand-outs.
+    /// Longest time from a kill until a host suspects the killed one, and so
+    /// omits it from hand-outs.
     pub suspicion_max: Duration,
-    /// From a kill until all others know that the host is out of reach, at worst.
+    /// Longest time from a kill until a host considers the killed one unreachable or dead.
     pub detection_max: Duration,
-    /// How often a live host was suspected, by whichever host first.
+    /// How often a live host was suspected. Suspicions by several hosts at the
+    /// same time count once.
     pub false_suspicions: usize,
-    /// How often a live host was declared unreachable or dead, by whichever host first.
+    /// How often a live host was declared unreachable or dead, counted likewise.
     pub false_deaths: usize,
-    /// Reads of the table a second, of all hosts.
+    /// Reads of the table per second by all hosts together.
     pub table_reads: f64,
 }
--- a/crates/fleet/src/measure/incident.rs
+++ b/crates/fleet/src/measure/incident.rs
@@ -1,4 +1,4 @@
-//! What one failure costs a fleet, from its start until all know the same again.
+//! Measures the traffic and the recovery time that one failure causes in a fleet.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,28 +11,27 @@
 use crate::measure::{Network, Traffic};
 use crate::{Action, Event};
 
-/// How long a cut lasts.
 const CUT: Duration = Duration::from_mins(5);
 
-/// How long the fleet is watched after the last change.
+/// How long the fleet is observed after the failure, or after its end.
 const WATCH: Duration = Duration::from_mins(5);
 
 /// A kind of failure.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Incident {
-    /// One host dies and stays away.
+    /// One host dies and isn't replaced.
     Death,
     /// One host is replaced by a new incarnation ten seconds after its death.
     Restart,
-    /// A data centre dies and stays away.
+    /// All hosts of a data centre die and aren't replaced.
     DataCentreLost,
-    /// A data centre is cut off for five minutes and comes back.
+    /// A network partition isolates a data centre for five minutes.
     DataCentreCut,
-    /// A region is cut off for five minutes and comes back.
+    /// A network partition isolates a region for five minutes.
     RegionCut,
 }
 
-/// What it cost, beyond what the quiet fleet spends.
+/// The cost of an incident compared with the same fleet without failures.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
 #[display(
     "{incident:>15} of {hosts} hosts: {bytes_mean:>7.0} B a host, {peak_mean:>6.0} B/s in the \
@@ -41,22 +40,22 @@
     if *incident == Incident::Death || *incident == Incident::DataCentreLost { "start" } else { "end" },
 )]
 pub struct Cost {
-    /// The failure.
     pub incident: Incident,
-    /// The fleet's size.
+    /// The number of hosts.
     pub hosts: usize,
-    /// Bytes that the mean host sent and received beyond the usual.
+    /// Mean bytes that a host sent and received in excess of the baseline.
     pub bytes_mean: f64,
-    /// Bytes of the mean host in its worst second, the usual ones included.
+    /// Mean bytes per host in the busiest second, baseline included.
     pub peak_mean: f64,
-    /// From the last change until all views were right, seen once a second.
+    /// Time from the last change until the views of all hosts were correct, with a
+    /// resolution of one second.
     pub settled: Duration,
-    /// Hosts that somebody outside of the failure declared unreachable although
-    /// they could be reached.
+    /// Number of unaffected hosts that another unaffected host declared
+    /// unreachable.
     pub wrong: usize,
 }
 
-/// Measures one failure in a fleet that counts no evidence.
+/// Measures one failure in a fleet without evidence traffic.
 #[must_use]
 pub fn incident(hosts: usize, seed: u64, incident: Incident) -> Cost {
     Course::new(hosts, seed, incident).run()
@@ -66,7 +65,7 @@
     network: Network,
     members: Vec<Member>,
     incident: Incident,
-    /// Those to whom it happens.
+    /// The hosts that the failure affects directly.
     hit: BTreeSet<HostName>,
     usual: f64,
     sum: f64,
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Brings the failure about, up to its last change.
+    /// Injects the failure, up to the replacement or reconnection that ends it.
     fn begin(&mut self) {
         match self.incident {
             Incident::Death | Incident::DataCentreLost => self.kill(),
@@ -167,7 +166,8 @@
         }
     }
 
-    /// Counts second by second; gives when the views were last wrong.
+    /// Samples the fleet once per second for `time`. Returns the offset of the last
+    /// sample in which a view was wrong.
     fn watch(&mut self, time: Duration) -> Duration {
         let begin = self.network.now();
         let mut wrong_until = Duration::ZERO;
@@ -192,7 +192,7 @@
         self.peak = self.peak.max(mean);
     }
 
-    /// Whether each host sees exactly those alive that are there.
+    /// Returns whether each host sees as many live hosts as are running.
     fn is_settled(&self) -> bool {
         let there = self.network.fleets().count();
         self.network.fleets().all(|fleet| {
@@ -202,8 +202,7 @@
         })
     }
 
-    /// Notes hosts outside of the failure that others outside of it declared
-    /// unreachable.
+    /// Records unaffected hosts that another unaffected host declared unreachable.
     fn note_wrong(&mut self) {
         for observed in self.network.observed.drain(..) {
             let Action::Member(change) = observed.action else {
--- a/crates/fleet/src/measure/network.rs
+++ b/crates/fleet/src/measure/network.rs
@@ -1,4 +1,5 @@
-//! Many cores in one process, joined by a queue of frames on a virtual clock.
+//! A simulated network: the cores of many hosts in one process, with an event
+//! queue and a virtual clock.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -14,19 +15,19 @@
 use crate::measure::{Table, Traffic};
 use crate::{Action, Event, Fleet, Tuning};
 
-/// One way between two hosts of a data centre.
+/// One-way delay within a data centre.
 const SAME_DATA_CENTRE: Duration = Duration::from_micros(500);
 
-/// One way between two data centres of a region.
+/// One-way delay between two data centres of a region.
 const SAME_REGION: Duration = Duration::from_millis(2);
 
-/// One way between two regions.
+/// One-way delay between two regions.
 const OTHER_REGION: Duration = Duration::from_millis(60);
 
-/// A read of the table, there and back.
+/// Round-trip time of a read of the table.
 const TABLE_READ: Duration = Duration::from_millis(6);
 
-/// A fleet on a virtual clock.
+/// A simulated fleet on a virtual clock.
 pub struct Network {
     now: Duration,
     tuning: Tuning,
@@ -36,33 +37,33 @@
     hosts: BTreeMap<HostName, Host>,
     addresses: BTreeMap<SocketAddr, HostName>,
     cuts: BTreeSet<(HostName, HostName)>,
-    /// How likely a frame is lost.
+    /// The probability that a frame is lost.
     pub loss: f64,
-    /// The platform's table.
+    /// The table from which hosts poll the configuration.
     pub table: Table,
-    /// What happened, but for frames and polls, since it was last cleared.
+    /// The actions of all hosts except frames and polls, in the order they occurred.
+    /// The user of the network clears them.
     pub observed: Vec<Observed>,
 }
 
-/// An action that a host asked for.
+/// An action that a host requested.
 #[derive(Debug)]
 pub struct Observed {
-    /// When.
+    /// The virtual time of the action.
     pub at: Duration,
-    /// Which host.
+    /// The host that requested it.
     pub host: HostName,
-    /// What.
     pub action: Action,
 }
 
 struct Host {
     fleet: Fleet,
     traffic: Traffic,
-    /// With whom it spoke since counting began.
+    /// Hosts to or from which frames went since counting began.
     peers: BTreeSet<HostName>,
-    /// What waits while the process is frozen.
+    /// Events queued while the process is frozen; `None` if it runs.
     frozen: Option<Vec<Event>>,
-    /// When it is woken next; an earlier entry in the queue is out of date.
+    /// Time of the next tick. Queued ticks with another time are stale and skipped.
     wake: Duration,
 }
 
@@ -80,7 +81,7 @@
 }
 
 impl Network {
-    /// An empty fleet.
+    /// Creates a network without hosts.
     #[must_use]
     pub fn new(seed: u64, tuning: Tuning) -> Self {
         Self {
@@ -104,7 +105,7 @@
         self.now
     }
 
-    /// Starts a host, in place of an earlier one of the same name.
+    /// Starts a host. It replaces a running host of the same name.
     pub fn start(&mut self, me: Member) {
         let name = me.identity.host.clone();
         let seed = self.rng.random();
@@ -121,19 +122,19 @@
         self.schedule(self.now, name, What::Tick);
     }
 
-    /// Ends a host without a word.
+    /// Kills a host without notifying its peers.
     pub fn kill(&mut self, host: &HostName) {
         self.hosts.remove(host);
     }
 
-    /// Stops a host's process; what comes meanwhile waits.
+    /// Freezes a host's process. Events that arrive meanwhile are queued.
     pub fn freeze(&mut self, host: &HostName) {
         if let Some(host) = self.hosts.get_mut(host) {
             host.frozen.get_or_insert_default();
         }
     }
 
-    /// Lets a frozen host go on.
+    /// Resumes a frozen host and delivers its queued events.
     pub fn wake(&mut self, name: &HostName) {
         let Some(host) = self.hosts.get_mut(name) else {
             return;
@@ -144,17 +145,17 @@
         self.tell(name, Event::Tick);
     }
 
-    /// Loses all frames from one host to another.
+    /// Drops all frames from one host to another, until [`Self::heal`].
     pub fn cut(&mut self, from: &HostName, to: &HostName) {
         self.cuts.insert((from.clone(), to.clone()));
     }
 
-    /// Mends all cuts.
+    /// Removes all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
-    /// Tells a host something.
+    /// Delivers an event to a host and performs the resulting actions.
     pub fn tell(&mut self, name: &HostName, event: Event) {
         let Some(host) = self.hosts.get_mut(name) else {
             return;
@@ -172,7 +173,7 @@
         self.schedule_tick(name);
     }
 
-    /// Lets time pass.
+    /// Advances the virtual clock to `end` and runs all tasks due until then.
     pub fn run_until(&mut self, end: Duration) {
         while self.queue.peek().is_some_and(|it| it.0.at <= end) {
             let Some(Reverse(due)) = self.queue.pop() else {
@@ -184,33 +185,33 @@
         self.now = end;
     }
 
-    /// The hosts that run, frozen ones too.
+    /// The cores of all running hosts, including frozen ones.
     pub fn fleets(&self) -> impl Iterator<Item = &Fleet> {
         self.hosts.values().map(|it| &it.fleet)
     }
 
-    /// One host's core.
+    /// Returns the core of a running host.
     #[must_use]
     pub fn fleet(&self, host: &HostName) -> Option<&Fleet> {
         self.hosts.get(host).map(|it| &it.fleet)
     }
 
-    /// One host's core, to ask what needs random numbers.
+    /// Returns the core of a running host, for queries that draw random numbers.
     pub fn fleet_mut(&mut self, host: &HostName) -> Option<&mut Fleet> {
         self.hosts.get_mut(host).map(|it| &mut it.fleet)
     }
 
-    /// What each host sent and received.
+    /// The traffic of each running host since counting began.
     pub fn traffic(&self) -> impl Iterator<Item = &Traffic> {
         self.hosts.values().map(|it| &it.traffic)
     }
 
-    /// With how many others each host spoke, so how many connections it had.
+    /// The number of peers of each host, which is its number of connections.
     pub fn peers(&self) -> impl Iterator<Item = usize> {
         self.hosts.values().map(|it| it.peers.len())
     }
 
-    /// Starts counting anew.
+    /// Resets the counts of traffic and peers.
     pub fn reset_traffic(&mut self) {
         for host in self.hosts.values_mut() {
             host.traffic = Traffic::default();
@@ -286,7 +287,7 @@
         sender.traffic.bytes_sent += len;
         sender.peers.insert(to.clone());
         sender.traffic.count(frame, len);
-        // A host that proves another name at the address is not spoken to.
+        // The connection fails if the host at the address has another name.
         let is_there = self.addresses.get(&address) == Some(&to);
         let is_cut = self.cuts.contains(&(from.clone(), to.clone()));
         if !is_there || is_cut || self.rng.random_bool(self.loss) {
--- a/crates/fleet/src/measure/traffic.rs
+++ b/crates/fleet/src/measure/traffic.rs
@@ -1,42 +1,39 @@
-//! What a host's frames cost, with what the transport adds.
+//! Counts a host's traffic, including the overhead of the transport.
 
 use std::time::Duration;
 
 use wire::Frame;
 
-/// What IP, UDP and QUIC add to a frame; measured on a link, see
-/// `docs/design/membership.md`.
+/// Bytes that IP, UDP and QUIC add to a frame, see `docs/design/membership.md`.
 pub(super) const OVERHEAD: u64 = 68;
 
-/// What QUIC's acknowledgement takes in the other direction, where no answer
-/// carries it; measured likewise.
+/// Bytes of a QUIC acknowledgement in the opposite direction, if no response
+/// carries it.
 const ACKNOWLEDGEMENT: u64 = 64;
 
-/// What one host sent and received, and what it took.
+/// One host's traffic and processor time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Frames sent.
     pub frames_sent: u64,
-    /// Frames received.
     pub frames_received: u64,
-    /// Bytes sent, with what the transport adds.
+    /// Bytes sent, including transport overhead.
     pub bytes_sent: u64,
-    /// Bytes received, with what the transport adds.
+    /// Bytes received, including transport overhead.
     pub bytes_received: u64,
-    /// Those of the bytes, sent or received, that carried configuration documents.
+    /// Bytes sent or received for configuration documents.
     pub document_bytes: u64,
-    /// Those that carried probes and their answers.
+    /// Bytes sent or received for probes and their responses.
     pub probe_bytes: u64,
-    /// Those that carried news and comparisons.
+    /// Bytes sent or received for gossip updates and view comparisons.
     pub news_bytes: u64,
-    /// Those that carried evidence.
+    /// Bytes sent or received for evidence.
     pub evidence_bytes: u64,
-    /// Time spent in the core and the codec.
+    /// Time spent in the membership core and the codec.
     pub processor: Duration,
 }
 
 impl Traffic {
-    /// Bytes sent and received, but for configuration documents.
+    /// Bytes sent and received, without configuration documents.
     #[must_use]
     pub fn steady_bytes(&self) -> u64 {
         (self.bytes_sent + self.bytes_received).saturating_sub(self.document_bytes)
@@ -54,7 +51,8 @@
     }
 }
 
-/// An answer that follows at once carries the acknowledgement of the frame.
+/// Returns the bytes of the acknowledgement for a frame; 0 if the frame gets an
+/// immediate response, which carries the acknowledgement.
 pub(super) fn acknowledgement(frame: &Frame) -> u64 {
     match frame {
         Frame::Probe(_) | Frame::Fetch(_) => 0,
--- a/crates/fleet/src/measure/workload.rs
+++ b/crates/fleet/src/measure/workload.rs
@@ -1,4 +1,4 @@
-//! The fleet that is measured, and what it is given to do.
+//! The simulated fleet of a measurement, and its workload.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,39 +11,38 @@
 use crate::measure::{Figures, Network, Traffic};
 use crate::{Action, Event, Fleet, Tuning};
 
-/// The target's data centres and regions.
+/// The numbers of data centres and regions of the target fleet.
 const DATA_CENTRES: usize = 18;
 const REGIONS: usize = 6;
 
-/// The target's requests a second over its hosts: each host's share.
+/// Requests per second and host of the target fleet.
 const REQUESTS_A_SECOND: f64 = 1_800.0 / 330.0;
 
-/// The target's versions, with as many request classes and customers as are
-/// thought usual.
+/// The numbers of model versions, request classes and customers.
 const VERSIONS: usize = 34;
 const CLASSES: usize = 4;
 const CUSTOMERS: usize = 30;
 
-/// The counters that the evidence uses, as many as a usual request moves.
+/// Indices of the evidence counters that a request increments.
 const ANSWER: u8 = 0;
 const ERROR: u8 = 1;
 const GOOD: u8 = 2;
 const MILLIS: u8 = 3;
 const TOKENS: u8 = 4;
 
-/// How often a request fails, and how often one is rated.
+/// The fractions of requests that fail, and that receive a rating.
 const ERRORS: f64 = 0.01;
 const RATINGS: f64 = 0.05;
 
-/// The configuration's size, and how often it changes in a measurement. That
-/// is more often than in service, so documents are counted apart.
+/// The size of the configuration, and the number of its changes per measurement.
+/// Changes are more frequent than in production, so documents are counted separately.
 const DOCUMENT_BYTES: usize = 48 * 1024;
 const CHANGES: u64 = 3;
 
-/// How likely a frame is lost.
+/// The probability that a frame is lost.
 const LOSS: f64 = 0.005;
 
-/// How long the fleet has to come together.
+/// Time in which the hosts discover each other before a measurement.
 pub(super) const WARM_UP: Duration = Duration::from_mins(1);
 
 pub(super) struct Workload {
@@ -56,11 +55,11 @@
 struct Commit {
     at: Duration,
     revision: Revision,
-    /// How long it took until it was in force everywhere.
+    /// Time from the commit until the revision was in force on all hosts.
     in_force: Option<Duration>,
 }
 
-/// What is seen second by second.
+/// Observations gathered during a measurement.
 #[derive(Default)]
 struct Watch {
     commits: Vec<Commit>,
@@ -73,7 +72,7 @@
 }
 
 impl Watch {
-    /// How long a host had been dead, if it was killed.
+    /// Returns the time since the host was killed, or `None` if it wasn't.
     fn since_killed(&self, host: &HostName, at: Duration) -> Option<Duration> {
         let (killed_at, killed) = self.killed.as_ref()?;
         killed.contains(host).then(|| at.saturating_sub(*killed_at))
@@ -103,7 +102,8 @@
         self.figures(seconds, &watch)
     }
 
-    /// One second: changes and failures at their times, evidence all along.
+    /// Simulates one second: evidence throughout, configuration changes and kills
+    /// when they are due.
     fn step(&mut self, second: u64, seconds: u64, watch: &mut Watch) {
         let third = (seconds / CHANGES).max(1);
         if second % third == third / 4 {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A quarter of a second's evidence of one host.
+    /// Returns one host's evidence for a quarter of a second.
     fn deltas(&mut self) -> Vec<Delta> {
         let mut deltas = Vec::new();
         let requests = REQUESTS_A_SECOND / 4.0;
@@ -201,7 +201,7 @@
         delta
     }
 
-    /// A number below `count`, low ones more often.
+    /// Draws a number below `count`; lower numbers are more likely.
     fn skewed(&mut self, count: usize) -> usize {
         let a = self.rng.random_range(0..count);
         let b = self.rng.random_range(0..count);
@@ -222,7 +222,8 @@
         self.count_deaths(watch);
     }
 
-    /// Sorts what hosts said of others' states into true and false.
+    /// Records the detection times of killed hosts, and false suspicions and deaths
+    /// of live ones.
     fn count_deaths(&mut self, watch: &mut Watch) {
         let mut suspected = BTreeSet::new();
         let mut buried = BTreeSet::new();
@@ -296,17 +297,17 @@
     }
 }
 
-/// A count as a real number; counts of a measurement stay far below the bound.
+/// Converts a count to `f64`, saturating at `u32::MAX`.
 pub(super) fn real(count: u64) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
-/// The hosts of a fleet of that size.
+/// Returns the membership records of a fleet of `hosts`.
 pub(super) fn members(hosts: usize) -> Vec<Member> {
     (0..hosts).map(|it| member(it, hosts)).collect()
 }
 
-/// Starts the hosts all at once, with nothing but the platform's list.
+/// Starts all hosts at once; each knows the others only from the platform's list.
 pub(super) fn start(members: &[Member], seed: u64) -> Network {
     let mut network = Network::new(seed, Tuning::default());
     network.loss = LOSS;
@@ -322,7 +323,8 @@
     network
 }
 
-/// Host `index` of `hosts`, spread over as many data centres as make sense.
+/// Returns the record of host `index` of `hosts`, with at least two hosts per data
+/// centre where the fleet is large enough.
 fn member(index: usize, hosts: usize) -> Member {
     let data_centres = (hosts / 2).clamp(1, DATA_CENTRES);
     let data_centre = index % data_centres;
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -1,5 +1,5 @@
-//! What a host spends must not grow with the fleet; the measurement at the
-//! target's size stands in docs/design/membership.md.
+//! Guards against traffic per host that grows with the fleet. The measurement at
+//! the target size is in docs/design/membership.md.
 
 use std::time::Duration;
 
--- a/crates/fleet/tests/convergence.rs
+++ b/crates/fleet/tests/convergence.rs
@@ -1,9 +1,7 @@
-//! Whatever happened, once it is over all hosts know the same.
+//! Randomized tests: the views of all hosts agree after any sequence of failures.
 //!
-//! What a user would see otherwise: some hosts send callers to addresses that
-//! others know as dead, or a withdrawn version is served by a few for ever.
-//! Each case draws cuts, freezes, kills, restarts and changes by a seed, mends
-//! everything, and compares all views. A failure prints the seed and the steps.
+//! Guards against hosts that keep sending callers to dead addresses or serving a
+//! withdrawn version. A failed case prints its seed and steps.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +15,8 @@
 
 const STEPS: usize = 12;
 
-/// The slowest repair: a lost host is looked for every ten seconds, one at a time.
+/// Covers the slowest repair: every ten seconds a host tries to reach one of the
+/// hosts that are unreachable to it.
 const SETTLE: Duration = Duration::from_mins(2);
 
 struct Case {
@@ -72,7 +71,7 @@
         };
         let host = member.identity.host.clone();
         self.highest.remove(&host);
-        // What only its earlier life knew is lost with it.
+        // A verdict known only to the earlier incarnation is lost with it.
         self.network.observed.retain(|it| it.host != host);
         self.members.insert(host, member.clone());
         self.network.start(member);
@@ -191,7 +190,7 @@
         }
     }
 
-    /// Mends everything and gives the views time.
+    /// Reverts all failures that can end, and waits until the views can agree.
     fn settle(&mut self) {
         self.wake();
         self.network.heal();
@@ -200,7 +199,7 @@
         self.run(SETTLE);
     }
 
-    /// Each host's view in one line, and the hosts that are really there.
+    /// Compares each host's view with the running hosts and the newest revision.
     fn check(&self) {
         let running: Vec<_> = self.network.fleets().map(Fleet::me).cloned().collect();
         let mut expected: Vec<_> = running.iter().map(|it| it.identity.to_string()).collect();
@@ -218,7 +217,7 @@
         }
     }
 
-    /// All hosts end with the same verdict.
+    /// Compares the last verdicts of all hosts.
     fn check_verdicts(&self) {
         let mut last = BTreeMap::new();
         for observed in &self.network.observed {
@@ -251,7 +250,7 @@
     case.check_verdicts();
 }
 
-/// Cases in each of the tests below, which run side by side.
+/// Cases per test; there are several tests so that they run in parallel.
 const PART: u64 = 50;
 
 fn check_part(part: u64) {
--- a/crates/fleet/tests/cut_off.rs
+++ b/crates/fleet/tests/cut_off.rs
@@ -1,5 +1,6 @@
-//! Whose word counts after a cut: a host that reaches far fewer isn't believed
-//! when it accuses, and one that reached few takes back what it said.
+//! A host weighs reports of unreachable hosts by how many hosts the reporter
+//! reaches: it ignores reports from a far smaller partition, and discards its own
+//! findings once it learns that it was in one.
 
 use std::time::Duration;
 
@@ -34,10 +35,10 @@
     fleet.handle(Duration::ZERO, event, &mut Vec::new());
 }
 
-/// Host a, which knows all others and finds `lost` of them out of reach.
+/// Returns host a, which knows all others and considers `lost` of them unreachable.
 fn host(lost: usize) -> Fleet {
     let News::Member(me) = member("a", State::Alive) else {
-        unreachable!("it is a member");
+        unreachable!("`member` returns a member record");
     };
     let mut fleet = Fleet::new(me, 1, Tuning::default());
     let all = HOSTS[1..].iter().map(|it| member(it, State::Alive));
@@ -48,8 +49,8 @@
     fleet
 }
 
-/// Lets a host that lost `lost` others hear from one that reaches `reach` and
-/// has lost c, and compares how many are lost then.
+/// Sends a host that considers `lost` others unreachable an update from a host
+/// that reaches `reach` hosts and not c, and checks how many are unreachable then.
 fn check(lost: usize, reach: u32, expected: usize) {
     let mut fleet = host(lost);
     hear(&mut fleet, reach, vec![member("c", State::Unreachable)]);
@@ -57,7 +58,10 @@
         .members()
         .filter(|it| it.state == State::Unreachable)
         .count();
-    assert_eq!(lost_now, expected, "{lost} lost, hears from {reach}");
+    assert_eq!(
+        lost_now, expected,
+        "{lost} unreachable, update from a host that reaches {reach}"
+    );
 }
 
 #[test]
@@ -70,18 +74,17 @@
 
 #[test]
 fn one_that_reaches_far_more_ends_the_cut() {
-    // What the other says itself is taken in afterwards.
+    // The records in the update itself are applied afterwards, so c is unreachable.
     check(7, 9, 1);
     check(4, 9, 1);
 }
 
 #[test]
 fn hosts_of_one_side_keep_what_they_found() {
-    // A region is cut off, and its hosts find the others one by one. A host
-    // that was a few further than its neighbours took back all it had found
-    // when it heard from them, so the region never came to an end, and when it
-    // was back 8 of 275 hosts that nothing had happened to were declared
-    // unreachable by all.
+    // Guards against a host of a cut-off region that discards its findings because
+    // its neighbours have found fewer unreachable hosts so far. The region's views
+    // would never converge, and after the cut unaffected hosts would be declared
+    // unreachable.
     check(5, 6, 6);
     check(5, 5, 6);
     check(8, 2, 8);
--- a/crates/fleet/tests/freshness.rs
+++ b/crates/fleet/tests/freshness.rs
@@ -1,6 +1,5 @@
-//! The age of the proof that a host's revision is the newest may be stated too
-//! high, never too low: a host that takes an old proof for a fresh one serves
-//! a withdrawn version.
+//! The age of a host's proof that its revision is the newest is never
+//! underestimated, since the host would otherwise serve a withdrawn version.
 
 use std::time::Duration;
 
@@ -32,7 +31,7 @@
     }
 }
 
-/// Host a with revision 1 in force since the start, which knows b.
+/// Host a, which has revision 1 in force since the start and knows host b.
 struct Case {
     fleet: Fleet,
 }
@@ -70,8 +69,8 @@
         self.tell(answered, Event::Polled(polled));
     }
 
-    /// Lets time pass in small steps until a frame of the wanted kind is sent;
-    /// gives when, and the frame.
+    /// Advances time in small steps until a frame of the given kind is sent.
+    /// Returns the time and the frame.
     fn wait_for(&mut self, mut at: f64, kind: &str) -> (f64, Frame) {
         loop {
             for action in self.tell(at, Event::Tick) {
@@ -114,7 +113,7 @@
     match frame {
         Frame::Probe(probe) => probe.sequence,
         Frame::Fetch(fetch) => fetch.sequence,
-        other => panic!("{} has no sequence", other.kind()),
+        other => panic!("{} frame has no sequence number", other.kind()),
     }
 }
 
@@ -143,9 +142,8 @@
 
 #[test]
 fn an_answer_that_waited_while_the_host_was_frozen_proves_nothing() {
-    // A host sends a probe and is frozen for a minute, in which the answer
-    // waits in its socket and a version is withdrawn. Awake, it reads an answer
-    // that says "my proof is 0 s old".
+    // A response with a proof age of 0 s that waited in the socket for a minute
+    // says nothing about changes in that minute.
     let mut case = Case::new();
     let (sent, probe) = case.wait_for(0.1, "probe");
     case.ack(sent + 60.0, sequence_of(&probe), 1, 0.0);
--- a/crates/fleet/tests/merge.rs
+++ b/crates/fleet/tests/merge.rs
@@ -1,5 +1,5 @@
-//! News of members may come in any order and any number of times; all hosts
-//! end with the same records.
+//! Membership records merge to the same result in any order and with any number of
+//! repetitions.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use proptest::prelude::*;
 use wire::{Bulletin, Frame, Identity, Member, News, State};
 
-/// Enough that the loss of two doesn't make anybody's word count less.
+/// Enough hosts that reports stay credible while two of them are unreachable.
 const OTHERS: [&str; 9] = ["b", "c", "d", "e", "f", "g", "h", "i", "j"];
 
-/// What the teller reaches.
+/// The number of hosts that the sender reaches.
 const REACH: u32 = 9;
 
 fn member(host: &str, incarnation: u64, refutation: u32, state: State) -> Member {
@@ -47,7 +47,8 @@
     vec(one, 0..12)
 }
 
-/// What a host that knew the others' first lives knows after the news.
+/// Returns the records of a host that knew the first incarnations of the others and
+/// then received `news`.
 fn hear(news: &[Member]) -> Vec<Member> {
     let me = member("a", 1, 0, State::Alive);
     let mut fleet = Fleet::new(me, 1, Tuning::default());
--- a/crates/fleet/tests/scripts.rs
+++ b/crates/fleet/tests/scripts.rs
@@ -1,7 +1,8 @@
-//! Scripts of whole fleets on a virtual clock; `REWRITE=1` writes what they show.
+//! Runs datadriven scripts against simulated fleets; `REWRITE=1` updates their
+//! expected outputs.
 //!
-//! The commands stand in [`Script::perform`]. What a run shows is told once a
-//! host and change: how many others saw it, and how long after the command.
+//! [`Script::perform`] defines the commands. A run prints each change once, with
+//! the hosts that saw it and the times of the first and the last.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -24,13 +25,13 @@
     });
 }
 
-/// The counters that the scripts use.
+/// Indices of the evidence counters that the scripts use.
 const OK: u8 = 0;
 const ERRORS: u8 = 1;
 
 struct Script {
     network: Network,
-    /// The platform's list: all that were ever started, as last started.
+    /// The platform's list: each host that was ever started, as last started.
     listed: BTreeMap<HostName, Member>,
     ports: u16,
 }
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Lets a host hear something of another that was true once.
+    /// Delivers an outdated membership record of another host.
     fn tell_old_news(&mut self, case: &mut TestCase) {
         let about: String = case.take_arg("about").unwrap();
         let mut member = self.listed[&HostName::from(about)].clone();
@@ -309,7 +310,7 @@
         }
     }
 
-    /// What the hosts were told of a version in the runs that were kept.
+    /// Shows each host's counts for a version, summed over the runs marked `keep`.
     fn show_evidence(&mut self, case: &mut TestCase, text: &mut String) {
         let wanted: String = case.take_arg("version").unwrap();
         let mut told: BTreeMap<HostName, (u64, u64)> = BTreeMap::new();
@@ -351,7 +352,7 @@
     }
 }
 
-/// Tells each change once: who saw it first and last.
+/// Writes one line per change: the hosts that saw it, and the first and last time.
 fn summarise(started: Duration, observed: &[Observed], text: &mut String) {
     let mut lines: Vec<(String, Vec<&Observed>)> = Vec::new();
     for it in observed {
