--- a/crates/fleet/src/measure/fakes.rs
+++ b/crates/fleet/src/measure/fakes.rs
@@ -11,6 +11,7 @@
 /// A table that stores the newest revision of the configuration.
 #[derive(Debug, Default)]
 pub struct Table {
+    /// The newest revision.
     pub revision: Revision,
     /// The configuration document at `revision`.
     pub json: Arc<[u8]>,
--- a/crates/fleet/src/measure/incident.rs
+++ b/crates/fleet/src/measure/incident.rs
@@ -40,6 +40,7 @@
     if *incident == Incident::Death || *incident == Incident::DataCentreLost { "start" } else { "end" },
 )]
 pub struct Cost {
+    /// The kind of failure.
     pub incident: Incident,
     /// The number of hosts.
     pub hosts: usize,
--- a/crates/fleet/src/measure/network.rs
+++ b/crates/fleet/src/measure/network.rs
@@ -53,6 +53,7 @@
     pub at: Duration,
     /// The host that requested it.
     pub host: HostName,
+    /// The action.
     pub action: Action,
 }
 
--- a/crates/fleet/src/measure/traffic.rs
+++ b/crates/fleet/src/measure/traffic.rs
@@ -14,7 +14,9 @@
 /// One host's traffic and processor time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
+    /// Frames sent.
     pub frames_sent: u64,
+    /// Frames received.
     pub frames_received: u64,
     /// Bytes sent, including transport overhead.
     pub bytes_sent: u64,
