--- a/crates/fleet/src/measure/fakes.rs
+++ b/crates/fleet/src/measure/fakes.rs
@@ -16,9 +16,9 @@
     /// The configuration document at `revision`.
     pub json: Arc<[u8]>,
     /// If set, all reads fail.
-    pub is_out: bool,
+    pub is_unavailable: bool,
     /// Hosts whose reads fail.
-    pub cut: BTreeSet<HostName>,
+    pub cut_off: BTreeSet<HostName>,
     /// The number of reads, failed ones included.
     pub reads: u64,
 }
@@ -30,9 +30,9 @@
         self.revision
     }
 
-    pub(crate) fn read(&mut self, by: &HostName, asked: Duration) -> Event {
+    pub(crate) fn read(&mut self, reader: &HostName, asked: Duration) -> Event {
         self.reads += 1;
-        if self.is_out || self.cut.contains(by) {
+        if self.is_unavailable || self.cut_off.contains(reader) {
             return Event::PollFailed;
         }
         Event::Polled(Polled {
--- a/crates/fleet/src/measure/incident.rs
+++ b/crates/fleet/src/measure/incident.rs
@@ -7,14 +7,14 @@
 use kernel::{HostName, Incarnation};
 use wire::{Member, State};
 
-use crate::measure::workload::{WARM_UP, members, real, start};
+use crate::measure::workload::{WARM_UP, members, start_hosts, to_f64};
 use crate::measure::{Network, Traffic};
 use crate::{Action, Event};
 
-const CUT: Duration = Duration::from_mins(5);
+const CUT_DURATION: Duration = Duration::from_mins(5);
 
 /// How long the fleet is observed after the failure, or after its end.
-const WATCH: Duration = Duration::from_mins(5);
+const OBSERVATION_TIME: Duration = Duration::from_mins(5);
 
 /// A kind of failure.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -59,43 +59,43 @@
 /// Measures one failure in a fleet without evidence traffic.
 #[must_use]
 pub fn incident(hosts: usize, seed: u64, incident: Incident) -> Cost {
-    Course::new(hosts, seed, incident).run()
+    IncidentRun::new(hosts, seed, incident).run()
 }
 
-struct Course {
+struct IncidentRun {
     network: Network,
     members: Vec<Member>,
     incident: Incident,
     /// The hosts that the failure affects directly.
-    hit: BTreeSet<HostName>,
-    usual: f64,
-    sum: f64,
+    affected: BTreeSet<HostName>,
+    baseline: f64,
+    bytes_sum: f64,
     peak: f64,
     seconds: f64,
     wrong: BTreeSet<HostName>,
 }
 
-impl Course {
+impl IncidentRun {
     fn new(hosts: usize, seed: u64, incident: Incident) -> Self {
         let members = members(hosts);
-        let network = start(&members, seed);
+        let network = start_hosts(&members, seed);
         let first = &members[0];
-        let is_hit = |it: &Member| match incident {
+        let is_affected = |it: &Member| match incident {
             Incident::Death | Incident::Restart => it.identity == first.identity,
             Incident::DataCentreLost | Incident::DataCentreCut => {
                 it.data_centre == first.data_centre
             }
             Incident::RegionCut => it.region == first.region,
         };
-        let hit = members.iter().filter(|it| is_hit(it));
-        let hit = hit.map(|it| it.identity.host.clone()).collect();
+        let affected = members.iter().filter(|it| is_affected(it));
+        let affected = affected.map(|it| it.identity.host.clone()).collect();
         Self {
             network,
             members,
             incident,
-            hit,
-            usual: 0.0,
-            sum: 0.0,
+            affected,
+            baseline: 0.0,
+            bytes_sum: 0.0,
             peak: 0.0,
             seconds: 0.0,
             wrong: BTreeSet::new(),
@@ -104,15 +104,15 @@
 
     fn run(mut self) -> Cost {
         self.network.run_until(WARM_UP * 2);
-        self.watch(Duration::from_secs(30));
-        self.usual = self.sum / self.seconds;
-        (self.sum, self.seconds, self.peak) = (0.0, 0.0, 0.0);
-        self.begin();
-        let settled = self.watch(WATCH);
+        self.observe(Duration::from_secs(30));
+        self.baseline = self.bytes_sum / self.seconds;
+        (self.bytes_sum, self.seconds, self.peak) = (0.0, 0.0, 0.0);
+        self.inject();
+        let settled = self.observe(OBSERVATION_TIME);
         Cost {
             incident: self.incident,
             hosts: self.members.len(),
-            bytes_mean: self.sum - self.usual * self.seconds,
+            bytes_mean: self.bytes_sum - self.baseline * self.seconds,
             peak_mean: self.peak,
             settled,
             wrong: self.wrong.len(),
@@ -120,45 +120,45 @@
     }
 
     /// Injects the failure, up to the replacement or reconnection that ends it.
-    fn begin(&mut self) {
+    fn inject(&mut self) {
         match self.incident {
             Incident::Death | Incident::DataCentreLost => self.kill(),
             Incident::Restart => {
                 self.kill();
-                self.watch(Duration::from_secs(10));
+                self.observe(Duration::from_secs(10));
                 self.replace();
             }
             Incident::DataCentreCut | Incident::RegionCut => {
                 self.cut();
-                self.watch(CUT);
+                self.observe(CUT_DURATION);
                 self.network.heal();
             }
         }
     }
 
     fn kill(&mut self) {
-        for host in &self.hit {
+        for host in &self.affected {
             self.network.kill(host);
         }
     }
 
     fn replace(&mut self) {
-        let hit = &self.hit;
+        let affected = &self.affected;
         for member in &mut self.members {
-            if hit.contains(&member.identity.host) {
+            if affected.contains(&member.identity.host) {
                 member.identity.incarnation = Incarnation(member.identity.incarnation.0 + 1);
                 self.network.start(member.clone());
             }
         }
         let list = Event::Hosts(self.members.clone());
-        for host in &self.hit {
-            self.network.tell(host, list.clone());
+        for host in &self.affected {
+            self.network.deliver(host, list.clone());
         }
     }
 
     fn cut(&mut self) {
         let names = self.members.iter().map(|it| &it.identity.host);
-        let (inside, outside): (Vec<_>, Vec<_>) = names.partition(|it| self.hit.contains(*it));
+        let (inside, outside): (Vec<_>, Vec<_>) = names.partition(|it| self.affected.contains(*it));
         for a in &inside {
             for b in &outside {
                 self.network.cut(a, b);
@@ -169,48 +169,49 @@
 
     /// Samples the fleet once per second for `time`. Returns the offset of the last
     /// sample in which a view was wrong.
-    fn watch(&mut self, time: Duration) -> Duration {
+    fn observe(&mut self, time: Duration) -> Duration {
         let begin = self.network.now();
         let mut wrong_until = Duration::ZERO;
         for second in 1..=time.as_secs() {
             self.network.reset_traffic();
             self.network.run_until(begin + Duration::from_secs(second));
-            self.count();
-            self.note_wrong();
-            if !self.is_settled() {
+            self.record_traffic();
+            self.record_false_unreachable();
+            if !self.has_converged() {
                 wrong_until = Duration::from_secs(second);
             }
         }
         wrong_until
     }
 
-    fn count(&mut self) {
-        let hosts = real(self.network.traffic().count() as u64);
+    fn record_traffic(&mut self) {
+        let hosts = to_f64(self.network.traffic().count() as u64);
         let bytes = self.network.traffic().map(Traffic::steady_bytes).sum();
-        let mean = real(bytes) / hosts;
-        self.sum += mean;
+        let mean = to_f64(bytes) / hosts;
+        self.bytes_sum += mean;
         self.seconds += 1.0;
         self.peak = self.peak.max(mean);
     }
 
     /// Returns whether each host sees as many live hosts as are running.
-    fn is_settled(&self) -> bool {
-        let there = self.network.fleets().count();
+    fn has_converged(&self) -> bool {
+        let running = self.network.fleets().count();
         self.network.fleets().all(|fleet| {
             let others = fleet.members();
             let alive = others.filter(|it| it.state == State::Alive).count();
-            alive + 1 == there
+            alive + 1 == running
         })
     }
 
     /// Records unaffected hosts that another unaffected host declared unreachable.
-    fn note_wrong(&mut self) {
+    fn record_false_unreachable(&mut self) {
         for observed in self.network.observed.drain(..) {
             let Action::Member(change) = observed.action else {
                 continue;
             };
             let about = &change.member.identity.host;
-            let is_concerned = self.hit.contains(about) || self.hit.contains(&observed.host);
+            let is_concerned =
+                self.affected.contains(about) || self.affected.contains(&observed.host);
             if change.member.state == State::Unreachable && !is_concerned {
                 self.wrong.insert(about.clone());
             }
--- a/crates/fleet/src/measure/network.rs
+++ b/crates/fleet/src/measure/network.rs
@@ -11,21 +11,21 @@
 use rand_pcg::Pcg64;
 use wire::{Frame, Member};
 
-use crate::measure::traffic::{OVERHEAD, acknowledgement};
+use crate::measure::traffic::{FRAME_OVERHEAD_BYTES, acknowledgement_bytes};
 use crate::measure::{Table, Traffic};
 use crate::{Action, Event, Fleet, Tuning};
 
 /// One-way delay within a data centre.
-const SAME_DATA_CENTRE: Duration = Duration::from_micros(500);
+const SAME_DATA_CENTRE_DELAY: Duration = Duration::from_micros(500);
 
 /// One-way delay between two data centres of a region.
-const SAME_REGION: Duration = Duration::from_millis(2);
+const SAME_REGION_DELAY: Duration = Duration::from_millis(2);
 
 /// One-way delay between two regions.
-const OTHER_REGION: Duration = Duration::from_millis(60);
+const OTHER_REGION_DELAY: Duration = Duration::from_millis(60);
 
 /// Round-trip time of a read of the table.
-const TABLE_READ: Duration = Duration::from_millis(6);
+const TABLE_READ_TIME: Duration = Duration::from_millis(6);
 
 /// A simulated fleet on a virtual clock.
 pub struct Network {
@@ -33,7 +33,7 @@
     tuning: Tuning,
     rng: Pcg64,
     order: u64,
-    queue: BinaryHeap<Reverse<Due>>,
+    queue: BinaryHeap<Reverse<Scheduled>>,
     hosts: BTreeMap<HostName, Host>,
     addresses: BTreeMap<SocketAddr, HostName>,
     cuts: BTreeSet<(HostName, HostName)>,
@@ -65,17 +65,17 @@
     /// Events queued while the process is frozen; `None` if it runs.
     frozen: Option<Vec<Event>>,
     /// Time of the next tick. Queued ticks with another time are stale and skipped.
-    wake: Duration,
+    next_tick: Duration,
 }
 
-struct Due {
+struct Scheduled {
     at: Duration,
     order: u64,
     host: HostName,
-    what: What,
+    task: Task,
 }
 
-enum What {
+enum Task {
     Tick,
     Arrive { from: HostName, bytes: Vec<u8> },
     Read { asked: Duration },
@@ -117,10 +117,10 @@
             traffic: Traffic::default(),
             peers: BTreeSet::new(),
             frozen: None,
-            wake: self.now,
+            next_tick: self.now,
         };
         self.hosts.insert(name.clone(), host);
-        self.schedule(self.now, name, What::Tick);
+        self.schedule(self.now, name, Task::Tick);
     }
 
     /// Kills a host without notifying its peers.
@@ -141,9 +141,9 @@
             return;
         };
         for event in host.frozen.take().unwrap_or_default() {
-            self.tell(name, event);
+            self.deliver(name, event);
         }
-        self.tell(name, Event::Tick);
+        self.deliver(name, Event::Tick);
     }
 
     /// Drops all frames from one host to another, until [`Self::heal`].
@@ -157,12 +157,12 @@
     }
 
     /// Delivers an event to a host and performs the resulting actions.
-    pub fn tell(&mut self, name: &HostName, event: Event) {
+    pub fn deliver(&mut self, name: &HostName, event: Event) {
         let Some(host) = self.hosts.get_mut(name) else {
             return;
         };
-        if let Some(waiting) = &mut host.frozen {
-            return waiting.push(event);
+        if let Some(queued) = &mut host.frozen {
+            return queued.push(event);
         }
         let started = Instant::now();
         let mut actions = Vec::new();
@@ -177,11 +177,11 @@
     /// Advances the virtual clock to `end` and runs all tasks due until then.
     pub fn run_until(&mut self, end: Duration) {
         while self.queue.peek().is_some_and(|it| it.0.at <= end) {
-            let Some(Reverse(due)) = self.queue.pop() else {
+            let Some(Reverse(scheduled)) = self.queue.pop() else {
                 break;
             };
-            self.now = due.at;
-            self.happen(due);
+            self.now = scheduled.at;
+            self.run_task(scheduled);
         }
         self.now = end;
     }
@@ -220,19 +220,19 @@
         }
     }
 
-    fn happen(&mut self, due: Due) {
-        let name = due.host;
-        match due.what {
-            What::Tick => {
+    fn run_task(&mut self, scheduled: Scheduled) {
+        let name = scheduled.host;
+        match scheduled.task {
+            Task::Tick => {
                 let host = self.hosts.get(&name);
-                if host.is_some_and(|it| it.wake == due.at && it.frozen.is_none()) {
-                    self.tell(&name, Event::Tick);
+                if host.is_some_and(|it| it.next_tick == scheduled.at && it.frozen.is_none()) {
+                    self.deliver(&name, Event::Tick);
                 }
             }
-            What::Arrive { from, bytes } => self.arrive(&name, from, &bytes),
-            What::Read { asked } => {
+            Task::Arrive { from, bytes } => self.arrive(&name, from, &bytes),
+            Task::Read { asked } => {
                 let event = self.table.read(&name, asked);
-                self.tell(&name, event);
+                self.deliver(&name, event);
             }
         }
     }
@@ -247,12 +247,13 @@
         host.peers.insert(from.clone());
         if let Ok(frame) = decoded {
             host.traffic.frames_received += 1;
-            let acknowledgement = acknowledgement(&frame);
-            let len = bytes.len() as u64 + OVERHEAD;
+            let acknowledgement_bytes = acknowledgement_bytes(&frame);
+            let len = bytes.len() as u64 + FRAME_OVERHEAD_BYTES;
             host.traffic.bytes_received += len;
-            host.traffic.bytes_sent += acknowledgement;
-            host.traffic.count(&frame, len + acknowledgement);
-            self.tell(to, Event::Frame { from, frame });
+            host.traffic.bytes_sent += acknowledgement_bytes;
+            host.traffic
+                .add_frame_bytes(&frame, len + acknowledgement_bytes);
+            self.deliver(to, Event::Frame { from, frame });
         }
     }
 
@@ -265,7 +266,7 @@
             } => self.send(name, host, address, &frame),
             Action::Poll => {
                 let asked = self.now;
-                self.schedule(asked + TABLE_READ, name.clone(), What::Read { asked });
+                self.schedule(asked + TABLE_READ_TIME, name.clone(), Task::Read { asked });
             }
             action => self.observed.push(Observed {
                 at: self.now,
@@ -284,10 +285,10 @@
         sender.traffic.processor += started.elapsed();
         let Ok(bytes) = encoded else { return };
         sender.traffic.frames_sent += 1;
-        let len = bytes.len() as u64 + OVERHEAD;
+        let len = bytes.len() as u64 + FRAME_OVERHEAD_BYTES;
         sender.traffic.bytes_sent += len;
         sender.peers.insert(to.clone());
-        sender.traffic.count(frame, len);
+        sender.traffic.add_frame_bytes(frame, len);
         // The connection fails if the host at the address has another name.
         let is_there = self.addresses.get(&address) == Some(&to);
         let is_cut = self.cuts.contains(&(from.clone(), to.clone()));
@@ -298,23 +299,23 @@
             return;
         };
         if let Some(sender) = self.hosts.get_mut(from) {
-            let acknowledgement = acknowledgement(frame);
-            sender.traffic.bytes_received += acknowledgement;
-            sender.traffic.count(frame, acknowledgement);
+            let acknowledgement_bytes = acknowledgement_bytes(frame);
+            sender.traffic.bytes_received += acknowledgement_bytes;
+            sender.traffic.add_frame_bytes(frame, acknowledgement_bytes);
         }
         let from = from.clone();
-        self.schedule(self.now + delay, to, What::Arrive { from, bytes });
+        self.schedule(self.now + delay, to, Task::Arrive { from, bytes });
     }
 
     fn delay(&self, from: &HostName, to: &HostName) -> Option<Duration> {
         let from = self.hosts.get(from)?.fleet.me();
         let to = self.hosts.get(to)?.fleet.me();
         let delay = if from.data_centre == to.data_centre {
-            SAME_DATA_CENTRE
+            SAME_DATA_CENTRE_DELAY
         } else if from.region == to.region {
-            SAME_REGION
+            SAME_REGION_DELAY
         } else {
-            OTHER_REGION
+            OTHER_REGION_DELAY
         };
         Some(delay)
     }
@@ -324,40 +325,40 @@
             return;
         };
         let at = host.fleet.deadline().max(self.now);
-        if at != host.wake || at == self.now {
-            host.wake = at;
-            self.schedule(at, name.clone(), What::Tick);
+        if at != host.next_tick || at == self.now {
+            host.next_tick = at;
+            self.schedule(at, name.clone(), Task::Tick);
         }
     }
 
-    fn schedule(&mut self, at: Duration, host: HostName, what: What) {
+    fn schedule(&mut self, at: Duration, host: HostName, task: Task) {
         self.order += 1;
         let order = self.order;
-        self.queue.push(Reverse(Due {
+        self.queue.push(Reverse(Scheduled {
             at,
             order,
             host,
-            what,
+            task,
         }));
     }
 }
 
-impl Ord for Due {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
-impl PartialOrd for Due {
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Due {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.order == other.order
     }
 }
 
-impl Eq for Due {}
+impl Eq for Scheduled {}
--- a/crates/fleet/src/measure/traffic.rs
+++ b/crates/fleet/src/measure/traffic.rs
@@ -5,11 +5,11 @@
 use wire::Frame;
 
 /// Bytes that IP, UDP and QUIC add to a frame, see `docs/design/membership.md`.
-pub(super) const OVERHEAD: u64 = 68;
+pub(super) const FRAME_OVERHEAD_BYTES: u64 = 68;
 
 /// Bytes of a QUIC acknowledgement in the opposite direction, if no response
 /// carries it.
-const ACKNOWLEDGEMENT: u64 = 64;
+const ACKNOWLEDGEMENT_BYTES: u64 = 64;
 
 /// One host's traffic and processor time.
 #[derive(Clone, Copy, Debug, Default)]
@@ -41,7 +41,7 @@
         (self.bytes_sent + self.bytes_received).saturating_sub(self.document_bytes)
     }
 
-    pub(super) fn count(&mut self, frame: &Frame, bytes: u64) {
+    pub(super) fn add_frame_bytes(&mut self, frame: &Frame, bytes: u64) {
         let sum = match frame {
             Frame::Probe(_) | Frame::Ack(_) | Frame::ProbeRequest(_) => &mut self.probe_bytes,
             Frame::News(_) | Frame::Digest(_) => &mut self.news_bytes,
@@ -55,10 +55,10 @@
 
 /// Returns the bytes of the acknowledgement for a frame; 0 if the frame gets an
 /// immediate response, which carries the acknowledgement.
-pub(super) fn acknowledgement(frame: &Frame) -> u64 {
+pub(super) fn acknowledgement_bytes(frame: &Frame) -> u64 {
     match frame {
         Frame::Probe(_) | Frame::Fetch(_) => 0,
         Frame::Digest(digest) if digest.reply => 0,
-        _ => ACKNOWLEDGEMENT,
+        _ => ACKNOWLEDGEMENT_BYTES,
     }
 }
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_data_centre_that_comes_back_harms_no_other() {
+fn reconnected_data_centre_causes_no_false_unreachable() {
     let cost = incident(24, 1, Incident::DataCentreCut);
     assert_eq!(cost.wrong, 0, "{cost}");
     assert!(cost.settled < Duration::from_secs(5), "{cost}");
--- a/crates/fleet/tests/convergence.rs
+++ b/crates/fleet/tests/convergence.rs
@@ -13,11 +13,11 @@
 use rand_pcg::Pcg64;
 use wire::{Identity, Member, Ruling, State};
 
-const STEPS: usize = 12;
+const STEPS_PER_CASE: usize = 12;
 
 /// Covers the slowest repair: every ten seconds a host tries to reach one of the
 /// hosts that are unreachable to it.
-const SETTLE: Duration = Duration::from_mins(2);
+const SETTLE_TIME: Duration = Duration::from_mins(2);
 
 struct Case {
     network: Network,
@@ -26,7 +26,7 @@
     frozen: Vec<HostName>,
     incarnation: u64,
     steps: Vec<String>,
-    highest: BTreeMap<HostName, Revision>,
+    highest_revisions: BTreeMap<HostName, Revision>,
 }
 
 impl Case {
@@ -43,12 +43,12 @@
             frozen: Vec::new(),
             incarnation: 0,
             steps: vec![format!("{count} hosts")],
-            highest: BTreeMap::new(),
+            highest_revisions: BTreeMap::new(),
         };
         for index in 0..count {
             case.start(index);
         }
-        case.list();
+        case.deliver_host_list();
         case
     }
 
@@ -70,28 +70,28 @@
             region: format!("r{}", data_centre / 2).as_str().into(),
         };
         let host = member.identity.host.clone();
-        self.highest.remove(&host);
+        self.highest_revisions.remove(&host);
         // A verdict known only to the earlier incarnation is lost with it.
         self.network.observed.retain(|it| it.host != host);
         self.members.insert(host, member.clone());
         self.network.start(member);
     }
 
-    fn list(&mut self) {
+    fn deliver_host_list(&mut self) {
         let list: Vec<_> = self.members.values().cloned().collect();
         for host in self.members.keys().cloned().collect::<Vec<_>>() {
-            self.network.tell(&host, Event::Hosts(list.clone()));
+            self.network.deliver(&host, Event::Hosts(list.clone()));
         }
     }
 
-    fn any(&mut self) -> HostName {
+    fn random_host(&mut self) -> HostName {
         let at = self.rng.random_range(0..self.members.len());
         self.members.keys().nth(at).unwrap().clone()
     }
 
     fn step(&mut self) {
-        let a = self.any();
-        let b = self.any();
+        let a = self.random_host();
+        let b = self.random_host();
         let step = match self.rng.random_range(0..10) {
             0 => {
                 self.network.cut(&a, &b);
@@ -107,7 +107,7 @@
                 format!("freeze {a}")
             }
             3 => {
-                self.wake();
+                self.wake_all();
                 "wake".to_owned()
             }
             4 => {
@@ -131,7 +131,7 @@
                 format!("rule by {a}")
             }
             _ => {
-                self.network.table.is_out = !self.network.table.is_out;
+                self.network.table.is_unavailable = !self.network.table.is_unavailable;
                 "table out or back".to_owned()
             }
         };
@@ -152,7 +152,7 @@
         }
     }
 
-    fn wake(&mut self) {
+    fn wake_all(&mut self) {
         for host in std::mem::take(&mut self.frozen) {
             self.network.wake(&host);
         }
@@ -162,7 +162,7 @@
         let index = host.as_str()[1..].parse().unwrap();
         self.frozen.retain(|it| it != host);
         self.start(index);
-        self.list();
+        self.deliver_host_list();
     }
 
     fn rule(&mut self, by: &HostName) {
@@ -176,7 +176,7 @@
             ruling,
             evidence: vec![],
         };
-        self.network.tell(by, Event::Ruled(ruled));
+        self.network.deliver(by, Event::Ruled(ruled));
     }
 
     fn run(&mut self, time: Duration) {
@@ -184,23 +184,23 @@
         self.network.run_until(end);
         for fleet in self.network.fleets() {
             let host = fleet.me().identity.host.clone();
-            let highest = self.highest.entry(host).or_default();
+            let highest = self.highest_revisions.entry(host).or_default();
             assert!(*highest <= fleet.revision(), "reverted: {:#?}", self.steps);
             *highest = fleet.revision();
         }
     }
 
     /// Reverts all failures that can end, and waits until the views can agree.
-    fn settle(&mut self) {
-        self.wake();
+    fn heal_and_settle(&mut self) {
+        self.wake_all();
         self.network.heal();
-        self.network.table.is_out = false;
-        self.list();
-        self.run(SETTLE);
+        self.network.table.is_unavailable = false;
+        self.deliver_host_list();
+        self.run(SETTLE_TIME);
     }
 
     /// Compares each host's view with the running hosts and the newest revision.
-    fn check(&self) {
+    fn check_views(&self) {
         let running: Vec<_> = self.network.fleets().map(Fleet::me).cloned().collect();
         let mut expected: Vec<_> = running.iter().map(|it| it.identity.to_string()).collect();
         expected.sort();
@@ -238,43 +238,43 @@
     }
 }
 
-fn check(seed: u64) {
+fn check_seed(seed: u64) {
     let mut case = Case::new(seed);
     case.steps.push(format!("seed {seed}"));
     case.run(Duration::from_secs(5));
-    for _ in 0..STEPS {
+    for _ in 0..STEPS_PER_CASE {
         case.step();
     }
-    case.settle();
-    case.check();
+    case.heal_and_settle();
+    case.check_views();
     case.check_verdicts();
 }
 
 /// Cases per test; there are several tests so that they run in parallel.
-const PART: u64 = 50;
+const CASES_PER_TEST: u64 = 50;
 
-fn check_part(part: u64) {
-    for seed in part * PART..(part + 1) * PART {
-        check(seed);
+fn check_cases(part: u64) {
+    for seed in part * CASES_PER_TEST..(part + 1) * CASES_PER_TEST {
+        check_seed(seed);
     }
 }
 
 #[test]
 fn all_views_agree_after_any_failures_1() {
-    check_part(0);
+    check_cases(0);
 }
 
 #[test]
 fn all_views_agree_after_any_failures_2() {
-    check_part(1);
+    check_cases(1);
 }
 
 #[test]
 fn all_views_agree_after_any_failures_3() {
-    check_part(2);
+    check_cases(2);
 }
 
 #[test]
 fn all_views_agree_after_any_failures_4() {
-    check_part(3);
+    check_cases(3);
 }
--- a/crates/fleet/tests/cut_off.rs
+++ b/crates/fleet/tests/cut_off.rs
@@ -26,7 +26,7 @@
     })
 }
 
-fn hear(fleet: &mut Fleet, reach: u32, news: Vec<News>) {
+fn receive(fleet: &mut Fleet, reach: u32, news: Vec<News>) {
     let bulletin = Bulletin { reach, news };
     let event = Event::Frame {
         from: "b".into(),
@@ -36,24 +36,24 @@
 }
 
 /// Returns host a, which knows all others and considers `lost` of them unreachable.
-fn host(lost: usize) -> Fleet {
+fn host_with_lost(lost: usize) -> Fleet {
     let News::Member(me) = member("a", State::Alive) else {
         unreachable!("`member` returns a member record");
     };
     let mut fleet = Fleet::new(me, 1, Tuning::default());
     let all = HOSTS[1..].iter().map(|it| member(it, State::Alive));
-    hear(&mut fleet, 10, all.collect());
+    receive(&mut fleet, 10, all.collect());
     let lost = HOSTS.iter().rev().take(lost);
     let lost = lost.map(|it| member(it, State::Unreachable));
-    hear(&mut fleet, 10, lost.collect());
+    receive(&mut fleet, 10, lost.collect());
     fleet
 }
 
 /// Sends a host that considers `lost` others unreachable an update from a host
 /// that reaches `reach` hosts and not c, and checks how many are unreachable then.
 fn check(lost: usize, reach: u32, expected: usize) {
-    let mut fleet = host(lost);
-    hear(&mut fleet, reach, vec![member("c", State::Unreachable)]);
+    let mut fleet = host_with_lost(lost);
+    receive(&mut fleet, reach, vec![member("c", State::Unreachable)]);
     let lost_now = fleet
         .members()
         .filter(|it| it.state == State::Unreachable)
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn one_that_reaches_far_fewer_is_not_believed() {
+fn reports_of_a_host_that_reaches_far_fewer_are_ignored() {
     check(0, 1, 0);
     check(0, 6, 0);
     check(0, 7, 1);
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn one_that_reaches_far_more_ends_the_cut() {
+fn update_of_a_host_that_reaches_far_more_clears_own_findings() {
     // The records in the update itself are applied afterwards, so c is unreachable.
     check(7, 9, 1);
     check(4, 9, 1);
 }
 
 #[test]
-fn hosts_of_one_side_keep_what_they_found() {
+fn hosts_on_the_same_side_of_a_cut_keep_their_findings() {
     // Guards against a host of a cut-off region that discards its findings because
     // its neighbours have found fewer unreachable hosts so far. The region's views
     // would never converge, and after the cut unaffected hosts would be declared
--- a/crates/fleet/tests/freshness.rs
+++ b/crates/fleet/tests/freshness.rs
@@ -49,7 +49,7 @@
         case
     }
 
-    fn tell(&mut self, at: f64, event: Event) -> Vec<Action> {
+    fn deliver(&mut self, at: f64, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.fleet.handle(secs(at), event, &mut actions);
         actions
@@ -57,7 +57,7 @@
 
     fn receive(&mut self, at: f64, frame: Frame) -> Vec<Action> {
         let from = "b".into();
-        self.tell(at, Event::Frame { from, frame })
+        self.deliver(at, Event::Frame { from, frame })
     }
 
     fn poll(&mut self, asked: f64, answered: f64, revision: u64) {
@@ -66,14 +66,14 @@
             revision: Revision(revision),
             json: Some(b"{}".as_slice().into()),
         };
-        self.tell(answered, Event::Polled(polled));
+        self.deliver(answered, Event::Polled(polled));
     }
 
     /// Advances time in small steps until a frame of the given kind is sent.
     /// Returns the time and the frame.
     fn wait_for(&mut self, mut at: f64, kind: &str) -> (f64, Frame) {
         loop {
-            for action in self.tell(at, Event::Tick) {
+            for action in self.deliver(at, Event::Tick) {
                 if let Action::Send { frame, .. } = action
                     && frame.kind() == kind
                 {
@@ -102,7 +102,7 @@
         self.receive(at, Frame::Ack(ack))
     }
 
-    fn check(&self, at: f64, expected: f64) {
+    fn check_proof_age(&self, at: f64, expected: f64) {
         let age = self.fleet.proof_age(secs(at)).unwrap();
         let difference = (age.as_secs_f64() - expected).abs();
         assert!(difference < 0.001, "{age:?}, expected {expected} s");
@@ -118,55 +118,55 @@
 }
 
 #[test]
-fn a_slow_read_counts_from_its_question() {
+fn age_after_a_slow_read_counts_from_the_request() {
     let mut case = Case::new();
     case.poll(1.0, 5.0, 1);
-    case.check(5.0, 4.0);
+    case.check_proof_age(5.0, 4.0);
 }
 
 #[test]
-fn an_older_proof_does_not_replace_a_newer_one() {
+fn older_proof_does_not_replace_newer() {
     let mut case = Case::new();
     case.poll(3.0, 3.1, 1);
     case.poll(1.0, 5.0, 1);
-    case.check(5.0, 2.0);
+    case.check_proof_age(5.0, 2.0);
 }
 
 #[test]
-fn a_peers_proof_counts_from_the_probe() {
+fn age_of_a_peers_proof_counts_from_the_probe() {
     let mut case = Case::new();
     let (sent, probe) = case.wait_for(0.1, "probe");
     case.ack(sent + 0.4, sequence_of(&probe), 1, 0.05);
-    case.check(sent + 0.4, 0.45);
+    case.check_proof_age(sent + 0.4, 0.45);
 }
 
 #[test]
-fn an_answer_that_waited_while_the_host_was_frozen_proves_nothing() {
+fn response_queued_while_frozen_is_no_proof() {
     // A response with a proof age of 0 s that waited in the socket for a minute
     // says nothing about changes in that minute.
     let mut case = Case::new();
     let (sent, probe) = case.wait_for(0.1, "probe");
     case.ack(sent + 60.0, sequence_of(&probe), 1, 0.0);
-    case.check(sent + 60.0, sent + 60.0);
+    case.check_proof_age(sent + 60.0, sent + 60.0);
 }
 
 #[test]
-fn a_proof_of_another_revision_proves_nothing() {
+fn proof_of_another_revision_is_ignored() {
     let mut case = Case::new();
     let (sent, probe) = case.wait_for(0.1, "probe");
     case.ack(sent + 0.1, sequence_of(&probe), 0, 0.0);
-    case.check(sent + 0.1, sent + 0.1);
+    case.check_proof_age(sent + 0.1, sent + 0.1);
 }
 
 #[test]
-fn a_proof_that_nobody_asked_for_proves_nothing() {
+fn unsolicited_proof_is_ignored() {
     let mut case = Case::new();
     case.ack(1.5, 77, 1, 0.0);
-    case.check(1.5, 1.5);
+    case.check_proof_age(1.5, 1.5);
 }
 
 #[test]
-fn a_fetched_document_brings_the_age_of_its_proof() {
+fn fetched_document_carries_the_age_of_its_proof() {
     let mut case = Case::new();
     let (sent, probe) = case.wait_for(0.1, "probe");
     let actions = case.ack(sent + 0.1, sequence_of(&probe), 2, 0.0);
@@ -182,5 +182,5 @@
     };
     case.receive(sent + 0.3, Frame::Document(document));
     assert_eq!(case.fleet.revision(), Revision(2));
-    case.check(sent + 0.3, 300.2);
+    case.check_proof_age(sent + 0.3, 300.2);
 }
--- a/crates/fleet/tests/merge.rs
+++ b/crates/fleet/tests/merge.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn news() -> impl Strategy<Value = Vec<Member>> {
+fn member_records() -> impl Strategy<Value = Vec<Member>> {
     let state = prop_oneof![
         Just(State::Alive),
         Just(State::Leaving),
@@ -48,12 +48,12 @@
 }
 
 /// Returns the records of a host that knew the first incarnations of the others and
-/// then received `news`.
-fn hear(news: &[Member]) -> Vec<Member> {
+/// then received `records`.
+fn apply_updates(records: &[Member]) -> Vec<Member> {
     let me = member("a", 1, 0, State::Alive);
     let mut fleet = Fleet::new(me, 1, Tuning::default());
     let first = OTHERS.map(|it| member(it, 1, 0, State::Alive));
-    for it in first.iter().chain(news) {
+    for it in first.iter().chain(records) {
         let bulletin = Bulletin {
             reach: REACH,
             news: vec![News::Member(it.clone())],
@@ -69,22 +69,23 @@
 
 proptest! {
     #[test]
-    fn the_order_of_news_does_not_matter(
-        (there, back) in news().prop_flat_map(|it| (Just(it.clone()), Just(it).prop_shuffle())),
+    fn update_order_does_not_matter(
+        (original, shuffled) in member_records()
+            .prop_flat_map(|it| (Just(it.clone()), Just(it).prop_shuffle())),
     ) {
-        prop_assert_eq!(hear(&there), hear(&back));
+        prop_assert_eq!(apply_updates(&original), apply_updates(&shuffled));
     }
 
     #[test]
-    fn news_heard_twice_change_nothing(it in news()) {
+    fn repeated_updates_change_nothing(it in member_records()) {
         let twice = [it.clone(), it.clone()].concat();
-        prop_assert_eq!(hear(&twice), hear(&it));
+        prop_assert_eq!(apply_updates(&twice), apply_updates(&it));
     }
 
     #[test]
-    fn a_dead_life_stays_dead(it in news()) {
+    fn dead_incarnation_stays_dead(it in member_records()) {
         let all = [vec![member("b", 3, 0, State::Dead)], it].concat();
-        let b = hear(&all).into_iter().find(|it| it.identity.host.as_str() == "b");
+        let b = apply_updates(&all).into_iter().find(|it| it.identity.host.as_str() == "b");
         let b = b.unwrap();
         prop_assert_eq!((b.identity.incarnation.0, b.state), (3, State::Dead));
     }
--- a/crates/fleet/tests/scripts.rs
+++ b/crates/fleet/tests/scripts.rs
@@ -18,7 +18,7 @@
 };
 
 #[test]
-fn scripts_show_what_they_say() {
+fn scripts_produce_the_expected_output() {
     datadriven::walk("tests/scripts", |file| {
         let mut script = Script::new();
         file.run(|case| script.perform(case));
@@ -51,20 +51,20 @@
         let mut text = String::new();
         match case.directive.as_str() {
             "start" => self.start(case),
-            "list" => self.list(),
-            "kill" => self.each(case, Network::kill),
-            "freeze" => self.each(case, Network::freeze),
-            "wake" => self.each(case, Network::wake),
-            "leave" => self.each(case, |it, host| it.tell(host, Event::Leave)),
-            "goodbye" => self.each(case, |it, host| it.tell(host, Event::Goodbye)),
+            "list" => self.deliver_host_list(),
+            "kill" => self.for_each_host(case, Network::kill),
+            "freeze" => self.for_each_host(case, Network::freeze),
+            "wake" => self.for_each_host(case, Network::wake),
+            "leave" => self.for_each_host(case, |it, host| it.deliver(host, Event::Leave)),
+            "goodbye" => self.for_each_host(case, |it, host| it.deliver(host, Event::Goodbye)),
             "cut" => self.cut(case),
             "heal" => self.network.heal(),
             "commit" => _ = self.network.table.commit(),
             "table" => self.set_table(case),
             "fence" => self.fence(case),
-            "news" => self.tell_old_news(case),
+            "news" => self.deliver_outdated_record(case),
             "rule" => self.rule(case),
-            "endpoint" => self.tell_endpoint(case),
+            "endpoint" => self.deliver_endpoint(case),
             "count" => self.count(case),
             "load" => self.load(case),
             "run" => self.run(case, &mut text),
@@ -82,8 +82,8 @@
     fn start(&mut self, case: &mut TestCase) {
         let names: Vec<String> = case.take_args("hosts").unwrap();
         let data_centre: String = case.take_arg("at").unwrap();
-        let region: String = or(case, "region", "r1".into());
-        let incarnation = or(case, "incarnation", 1);
+        let region: String = arg_or(case, "region", "r1".into());
+        let incarnation = arg_or(case, "incarnation", 1);
         let port: Option<u16> = case.try_take_arg("port").unwrap();
         for name in names {
             self.ports += 1;
@@ -103,14 +103,14 @@
         }
     }
 
-    fn list(&mut self) {
+    fn deliver_host_list(&mut self) {
         let list: Vec<_> = self.listed.values().cloned().collect();
-        for host in self.running() {
-            self.network.tell(&host, Event::Hosts(list.clone()));
+        for host in self.running_hosts() {
+            self.network.deliver(&host, Event::Hosts(list.clone()));
         }
     }
 
-    fn each(&mut self, case: &mut TestCase, act: fn(&mut Network, &HostName)) {
+    fn for_each_host(&mut self, case: &mut TestCase, act: fn(&mut Network, &HostName)) {
         for host in hosts(case, "hosts") {
             act(&mut self.network, &host);
         }
@@ -132,9 +132,9 @@
     }
 
     fn set_table(&mut self, case: &mut TestCase) {
-        self.network.table.is_out = case.take_flag("out").unwrap();
+        self.network.table.is_unavailable = case.take_flag("out").unwrap();
         let cut: Vec<String> = case.try_take_args("cut").unwrap().unwrap_or_default();
-        self.network.table.cut = names(&cut).into_iter().collect();
+        self.network.table.cut_off = names(&cut).into_iter().collect();
         if let Some(revision) = case.try_take_arg::<u64>("restored").unwrap() {
             self.network.table.revision = revision.into();
         }
@@ -142,21 +142,21 @@
 
     fn fence(&mut self, case: &mut TestCase) {
         let host: String = case.take_arg("host").unwrap();
-        let incarnation = or(case, "incarnation", 1);
+        let incarnation = arg_or(case, "incarnation", 1);
         let to = hosts(case, "to");
         for to in to {
             let event = Event::Fenced(identity(&host, incarnation));
-            self.network.tell(&to, event);
+            self.network.deliver(&to, event);
         }
     }
 
     /// Delivers an outdated membership record of another host.
-    fn tell_old_news(&mut self, case: &mut TestCase) {
+    fn deliver_outdated_record(&mut self, case: &mut TestCase) {
         let about: String = case.take_arg("about").unwrap();
         let mut member = self.listed[&HostName::from(about)].clone();
-        member.identity.incarnation = Incarnation(or(case, "incarnation", 1));
-        member.refutation = or(case, "refutation", 0);
-        member.state = match or(case, "state", String::from("alive")).as_str() {
+        member.identity.incarnation = Incarnation(arg_or(case, "incarnation", 1));
+        member.refutation = arg_or(case, "refutation", 0);
+        member.state = match arg_or(case, "state", String::from("alive")).as_str() {
             "alive" => State::Alive,
             "suspect" => State::Suspect,
             "unreachable" => State::Unreachable,
@@ -166,11 +166,11 @@
         let from: String = case.take_arg("from").unwrap();
         for to in hosts(case, "to") {
             let frame = Frame::News(Bulletin {
-                reach: u32::try_from(self.running().len()).unwrap(),
+                reach: u32::try_from(self.running_hosts().len()).unwrap(),
                 news: vec![News::Member(member.clone())],
             });
             let from = from.as_str().into();
-            self.network.tell(&to, Event::Frame { from, frame });
+            self.network.deliver(&to, Event::Frame { from, frame });
         }
     }
 
@@ -187,13 +187,13 @@
                 },
                 evidence: vec![],
             };
-            self.network.tell(&host, Event::Ruled(ruled));
+            self.network.deliver(&host, Event::Ruled(ruled));
         }
     }
 
-    fn tell_endpoint(&mut self, case: &mut TestCase) {
+    fn deliver_endpoint(&mut self, case: &mut TestCase) {
         let name: String = case.take_arg("name").unwrap();
-        let incarnation = or(case, "incarnation", 1);
+        let incarnation = arg_or(case, "incarnation", 1);
         let state = match case.take_arg::<String>("state").unwrap().as_str() {
             "live" => EndpointState::Live,
             "leaving" => EndpointState::Leaving,
@@ -206,13 +206,13 @@
                 incarnation: Incarnation(incarnation),
                 state,
             };
-            self.network.tell(&host, Event::Endpoint(endpoint));
+            self.network.deliver(&host, Event::Endpoint(endpoint));
         }
     }
 
     fn count(&mut self, case: &mut TestCase) {
         let version: String = case.take_arg("version").unwrap();
-        let (ok, errors) = (or(case, "ok", 0), or(case, "errors", 0));
+        let (ok, errors) = (arg_or(case, "ok", 0), arg_or(case, "errors", 0));
         for host in hosts(case, "by") {
             let mut delta = Delta::new(Topic::Version {
                 version: version.as_str().into(),
@@ -221,14 +221,14 @@
             delta.counts.add(OK, ok);
             delta.counts.add(ERRORS, errors);
             delta.is_urgent = errors > 0;
-            self.network.tell(&host, Event::Evidence(vec![delta]));
+            self.network.deliver(&host, Event::Evidence(vec![delta]));
         }
     }
 
     fn load(&mut self, case: &mut TestCase) {
         let level = case.take_arg("level").unwrap();
         for host in hosts(case, "hosts") {
-            self.network.tell(&host, Event::Load(level));
+            self.network.deliver(&host, Event::Load(level));
         }
     }
 
@@ -313,15 +313,15 @@
     /// Shows each host's counts for a version, summed over the runs marked `keep`.
     fn show_evidence(&mut self, case: &mut TestCase, text: &mut String) {
         let wanted: String = case.take_arg("version").unwrap();
-        let mut told: BTreeMap<HostName, (u64, u64)> = BTreeMap::new();
-        for host in self.running() {
-            told.insert(host, (0, 0));
+        let mut totals: BTreeMap<HostName, (u64, u64)> = BTreeMap::new();
+        for host in self.running_hosts() {
+            totals.insert(host, (0, 0));
         }
         for Observed { host, action, .. } in self.network.observed.drain(..) {
             let Action::Evidence(deltas) = action else {
                 continue;
             };
-            let sums = told.get_mut(&host).unwrap();
+            let sums = totals.get_mut(&host).unwrap();
             for delta in deltas {
                 let Topic::Version { version, .. } = delta.topic else {
                     continue;
@@ -333,7 +333,7 @@
             }
         }
         let mut hosts_by_sum: BTreeMap<_, Vec<_>> = BTreeMap::new();
-        for (host, sums) in told {
+        for (host, sums) in totals {
             hosts_by_sum.entry(sums).or_default().push(host.to_string());
         }
         for ((ok, errors), hosts) in hosts_by_sum {
@@ -341,7 +341,7 @@
         }
     }
 
-    fn running(&self) -> Vec<HostName> {
+    fn running_hosts(&self) -> Vec<HostName> {
         let names = self.network.fleets().map(Fleet::me);
         names.map(|it| it.identity.host.clone()).collect()
     }
@@ -417,7 +417,7 @@
     texts.iter().map(|it| it.as_str().into()).collect()
 }
 
-fn or<T: FromStr>(case: &mut TestCase, arg: &str, default: T) -> T
+fn arg_or<T: FromStr>(case: &mut TestCase, arg: &str, default: T) -> T
 where
     T::Err: std::fmt::Debug + std::error::Error + Send + Sync + 'static,
 {
