--- a/crates/fleet/tests/convergence.rs
+++ b/crates/fleet/tests/convergence.rs
@@ -132,7 +132,7 @@
             }
             _ => {
                 self.network.table.is_unavailable = !self.network.table.is_unavailable;
-                "table out or back".to_owned()
+                "toggle the availability of the table".to_owned()
             }
         };
         let seconds = self.rng.random_range(0..40);
@@ -185,7 +185,11 @@
         for fleet in self.network.fleets() {
             let host = fleet.me().identity.host.clone();
             let highest = self.highest_revisions.entry(host).or_default();
-            assert!(*highest <= fleet.revision(), "reverted: {:#?}", self.steps);
+            assert!(
+                *highest <= fleet.revision(),
+                "revision reverted: {:#?}",
+                self.steps
+            );
             *highest = fleet.revision();
         }
     }
