--- a/crates/fleet/src/measure/fakes.rs
+++ b/crates/fleet/src/measure/fakes.rs
@@ -1,4 +1,4 @@
-//! The platform's table as far as the configuration goes.
+//! An in-memory stand-in for the platform's table, limited to the configuration.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,31 +8,31 @@
 
 use crate::{Event, Polled};
 
-/// A table that holds the configuration's head.
+/// A table that stores the newest revision of the configuration.
 #[derive(Debug, Default)]
 pub struct Table {
     /// The newest revision.
     pub revision: Revision,
-    /// Its document.
+    /// The configuration document at `revision`.
     pub json: Arc<[u8]>,
-    /// Whether all reads fail.
-    pub is_out: bool,
-    /// Hosts that can't reach it.
-    pub cut: BTreeSet<HostName>,
-    /// How often it was read.
+    /// If set, all reads fail.
+    pub is_unavailable: bool,
+    /// Hosts whose reads fail.
+    pub cut_off: BTreeSet<HostName>,
+    /// The number of reads, failed ones included.
     pub reads: u64,
 }
 
 impl Table {
-    /// Commits a new document of the same size.
+    /// Commits a new revision with the same document.
     pub fn commit(&mut self) -> Revision {
         self.revision = self.revision.next();
         self.revision
     }
 
-    pub(crate) fn read(&mut self, by: &HostName, asked: Duration) -> Event {
+    pub(crate) fn read(&mut self, reader: &HostName, asked: Duration) -> Event {
         self.reads += 1;
-        if self.is_out || self.cut.contains(by) {
+        if self.is_unavailable || self.cut_off.contains(reader) {
             return Event::PollFailed;
         }
         Event::Polled(Polled {
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -1,5 +1,5 @@
-//! What a host spends must not grow with the fleet; the measurement at the
-//! target's size stands in docs/design/membership.md.
+//! Guards against traffic per host that grows with the fleet. The measurement at
+//! the target size is in docs/design/membership.md.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_data_centre_that_comes_back_harms_no_other() {
+fn reconnected_data_centre_causes_no_false_unreachable() {
     let cost = incident(24, 1, Incident::DataCentreCut);
     assert_eq!(cost.wrong, 0, "{cost}");
     assert!(cost.settled < Duration::from_secs(5), "{cost}");
