--- a/crates/fleet/src/action.rs
+++ b/crates/fleet/src/action.rs
@@ -1,4 +1,4 @@
-//! What the core asks for.
+//! Output actions of the core.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,22 +6,22 @@
 use kernel::{HostName, Revision};
 use wire::{Delta, Endpoint, Frame, Member, State, Verdict};
 
-/// Something to be done by the host's outer layers.
+/// An action for the code around the core to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a frame. Nobody waits for it; a lost one is made up for.
+    /// Send a frame. Delivery needn't be reliable: the core recovers from lost frames.
     Send {
-        /// The host that must prove to be at the address.
+        /// The host that must authenticate at the address.
         host: HostName,
-        /// Where it takes frames.
+        /// The address at which the host accepts frames.
         address: SocketAddr,
-        /// What to send.
+        /// The frame.
         frame: Frame,
     },
-    /// Read the configuration's head from the table and answer with
+    /// Read the configuration's head from the table and report the result with
     /// [`crate::Event::Polled`] or [`crate::Event::PollFailed`].
     Poll,
-    /// Put a newer configuration in force. A lower revision never follows.
+    /// Put a newer configuration in force. Revisions never decrease.
     Apply {
         /// The revision.
         revision: Revision,
@@ -30,24 +30,24 @@
     },
     /// A member joined or changed its state.
     Member(Change),
-    /// A verdict that wasn't known before, also of this host's own making.
+    /// A new verdict, from this host or another one.
     Verdict(Verdict),
-    /// News of an endpoint that wasn't known before.
+    /// A new update on an endpoint.
     Endpoint(Endpoint),
     /// Counts of other hosts.
     Evidence(Vec<Delta>),
-    /// An operator asked this host to drain.
+    /// An operator requested that this host drain.
     Drain,
-    /// The fleet knows this incarnation as dead for good: take no new request,
-    /// and start again as a new incarnation.
+    /// This incarnation is permanently dead to the fleet: accept no new requests
+    /// and restart as a new incarnation.
     Deposed,
 }
 
 /// A member's change of state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The member as it is now.
+    /// The member's present record.
     pub member: Member,
-    /// Its state before; nothing when it is new.
+    /// The previous state, or `None` for a new member.
     pub before: Option<State>,
 }
--- a/crates/fleet/src/board.rs
+++ b/crates/fleet/src/board.rs
@@ -1,4 +1,4 @@
-//! The verdicts and the news of endpoints that count at present.
+//! The current verdicts on versions and states of endpoints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,29 +8,31 @@
 
 use crate::view::{View, bucket_of};
 
-/// What is known of versions and endpoints.
+/// The latest verdict on each version and the latest state of each endpoint.
 #[derive(Default)]
 pub(crate) struct Board {
     verdicts: BTreeMap<VersionId, Verdict>,
     endpoints: BTreeMap<HostName, Noted>,
 }
 
-/// An endpoint's latest news.
+/// The latest update on an endpoint.
 struct Noted {
     endpoint: Endpoint,
     at: Duration,
-    /// Whether hosts still compare it; later the host list shows it anyway.
+    /// Whether it is part of view comparisons. Older updates aren't, as the host
+    /// list covers them.
     is_compared: bool,
 }
 
 impl Board {
-    /// The round that a new verdict on the version gets.
+    /// Returns the round for a new verdict on the version.
     pub(crate) fn next_round(&self, version: &VersionId) -> u64 {
         self.verdicts.get(version).map_or(1, |it| it.round + 1)
     }
 
-    /// Whether the verdict is later than the known one. Of two that were made
-    /// at once the stricter counts, so that a bad version stays away from callers.
+    /// Stores the verdict if it supersedes the known one; returns whether it did.
+    /// Of two verdicts of the same round the stricter wins, so that callers don't
+    /// reach a bad version.
     pub(crate) fn merge_verdict(&mut self, view: &mut View, news: &Verdict) -> bool {
         let rank = |it: &Verdict| (it.round, it.ruling, it.by.clone());
         let known = self.verdicts.get(&news.version);
@@ -45,7 +47,8 @@
         true
     }
 
-    /// Whether the news of the endpoint is later than what is known.
+    /// Stores the endpoint update if it is later than the known one; returns whether
+    /// it was.
     pub(crate) fn merge_endpoint(
         &mut self,
         now: Duration,
@@ -70,8 +73,8 @@
         true
     }
 
-    /// Stops comparing endpoints that were heard of long ago, and forgets
-    /// those that ended before `gone_before`.
+    /// Excludes endpoint updates received before `before` from view comparisons, and
+    /// removes endpoints that have been gone since before `gone_before`.
     pub(crate) fn age(&mut self, view: &mut View, before: Duration, gone_before: Duration) {
         for noted in self.endpoints.values_mut() {
             if noted.is_compared && noted.at < before {
@@ -84,7 +87,7 @@
         });
     }
 
-    /// What hosts compare of the buckets that `wanted` names.
+    /// Returns the compared records of the buckets for which `wanted` returns true.
     pub(crate) fn news(&self, wanted: impl Fn(u8) -> bool) -> Vec<News> {
         let verdicts = self
             .verdicts
@@ -99,7 +102,7 @@
         verdicts.chain(endpoints).collect()
     }
 
-    /// An estimate of the memory that it takes.
+    /// Estimates the memory that the records take, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         let verdict = size_of::<(VersionId, Verdict)>();
         let endpoint = size_of::<(HostName, Noted)>();
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -1,4 +1,5 @@
-//! The revision in force, its proof, and the way to a newer one.
+//! The configuration revision in force, the proof that it is current, and the
+//! hosts from which a newer one can be fetched.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,22 +9,22 @@
 
 use crate::Polled;
 
-/// The zero of proof times, far enough back that a proof may be older than
-/// this process.
+/// An offset added to proof times, so that the time of a proof that is older
+/// than this process isn't negative.
 const ORIGIN: Duration = Duration::from_hours(24 * 365 * 100);
 
-/// How many hosts that hold a newer revision are remembered.
+/// The maximum number of remembered hosts that hold a newer revision.
 const MAX_HOLDERS: usize = 4;
 
-/// This host's configuration.
+/// The configuration of this host.
 #[derive(Default)]
 pub(crate) struct Configuration {
     revision: Revision,
     json: Option<Arc<[u8]>>,
-    /// When the table was asked for the newest proof of the revision in force,
-    /// counted from [`ORIGIN`].
+    /// The time of the table read that gave the latest proof of the revision in
+    /// force, offset by [`ORIGIN`].
     proven: Option<Duration>,
-    /// Hosts that said that they hold a newer one, the latest first.
+    /// Hosts that announced a newer revision, in the order to try.
     holders: Vec<Holder>,
     pub(crate) fetching: Option<Fetching>,
 }
@@ -33,7 +34,7 @@
     revision: Revision,
 }
 
-/// A fetch under way.
+/// A document fetch in progress.
 pub(crate) struct Fetching {
     pub(crate) sequence: u32,
     pub(crate) asked: Duration,
@@ -52,7 +53,7 @@
         self.proven.map(|it| (ORIGIN + now).saturating_sub(it))
     }
 
-    /// What this host tells others.
+    /// Returns the proof that this host sends to others.
     pub(crate) fn proof(&self, now: Duration) -> Proof {
         Proof {
             revision: self.revision,
@@ -60,13 +61,12 @@
         }
     }
 
-    /// Takes in another host's proof that came in answer to a question asked at
-    /// `asked`.
+    /// Applies another host's proof from the response to a request sent at `asked`.
     ///
-    /// Failure: an answer waits in a buffer while this host is frozen, and on
-    /// waking passes for a fresh proof, so a withdrawn version is served as if
-    /// it were allowed. The guard counts from this host's own question, before
-    /// which the answer can't have been written.
+    /// The age counts from the request rather than the response's arrival: a
+    /// response that waited in a buffer while this host was frozen would otherwise
+    /// pass as a fresh proof, and this host would keep serving a withdrawn version.
+    /// The response can't have been written before the request.
     pub(crate) fn witness(&mut self, asked: Duration, proof: Proof) {
         let Some(Age(age)) = proof.age else { return };
         if proof.revision == self.revision {
@@ -74,8 +74,10 @@
         }
     }
 
-    /// Takes in what the table said. A lower revision is neither a proof nor
-    /// put in force: a table restored from a copy must not revert a host.
+    /// Applies the result of a table read and returns the document if it is newer.
+    ///
+    /// A lower revision is ignored, so that a table restored from a backup doesn't
+    /// revert a host.
     pub(crate) fn polled(&mut self, polled: Polled) -> Option<Arc<[u8]>> {
         if polled.revision < self.revision {
             return None;
@@ -90,7 +92,7 @@
         None
     }
 
-    /// Takes in a document from another host, and gives it back when it is newer.
+    /// Applies a document received from another host and returns it if it is newer.
     pub(crate) fn fetched(&mut self, document: Document) -> Option<Arc<[u8]>> {
         let asked = self
             .fetching
@@ -108,7 +110,8 @@
         applied
     }
 
-    /// Notes that a host holds a revision; tells whether it is newer.
+    /// Records that a host holds a revision; returns whether the revision is newer
+    /// than the one in force.
     pub(crate) fn heard(&mut self, host: &HostName, revision: Revision) -> bool {
         if revision <= self.revision {
             return false;
@@ -120,7 +123,7 @@
         true
     }
 
-    /// The host to fetch from next; one that doesn't answer goes to the end.
+    /// Returns the host to fetch from next and moves it to the end of the list.
     pub(crate) fn next_holder(&mut self) -> Option<HostName> {
         self.holders.retain(|it| it.revision > self.revision);
         if self.holders.is_empty() {
@@ -132,7 +135,7 @@
         Some(host)
     }
 
-    /// Stops asking a host that is gone.
+    /// Stops fetching from a host.
     pub(crate) fn forget_holder(&mut self, host: &HostName) {
         self.holders.retain(|it| it.host != *host);
     }
--- a/crates/fleet/src/cx.rs
+++ b/crates/fleet/src/cx.rs
@@ -1,4 +1,4 @@
-//! What every step of the core is given first.
+//! The context that is passed to each step of the core.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::Action;
 
-/// The time of the step, and where its actions go.
+/// The current time and the list that collects actions.
 pub(crate) struct Cx<'a> {
     pub(crate) now: Duration,
     pub(crate) actions: &'a mut Vec<Action>,
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,4 +1,4 @@
-//! What the core is told.
+//! Input events of the core.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,53 +6,53 @@
 use kernel::{HostName, Revision, VersionId};
 use wire::{Delta, Endpoint, Frame, Identity, Member, Ruling};
 
-/// Something that happened, or the passing of time.
+/// An input of the core.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed; due at [`crate::Fleet::deadline`] or a little later.
+    /// Time has passed; sent at [`crate::Fleet::deadline`] or a little later.
     Tick,
-    /// The platform's list of entry hosts. It lags, so it only says whom to
-    /// ask; nobody is taken for alive or dead because of it.
+    /// The platform's list of entry hosts. It lags, so it only provides addresses
+    /// to contact and never marks a host as alive or dead.
     Hosts(Vec<Member>),
-    /// A frame came from the host that the certificate names.
+    /// A frame arrived from the host named in the peer's certificate.
     Frame {
-        /// The proven sender.
+        /// The authenticated sender.
         from: HostName,
-        /// What it sent.
+        /// The frame.
         frame: Frame,
     },
-    /// The table was read, or a change was committed by this host.
+    /// The table was read, or this host committed a change to it.
     Polled(Polled),
-    /// A read of the table failed or took too long.
+    /// A table read failed or timed out.
     PollFailed,
-    /// What this host counted since it last said so.
+    /// The counts of this host since its last evidence event.
     Evidence(Vec<Delta>),
-    /// This host's decision core made a verdict.
+    /// The decision core of this host reached a verdict.
     Ruled(Ruled),
-    /// This host learned something of an endpoint, from the endpoint itself or
-    /// from the host list.
+    /// The state of an endpoint, from the endpoint itself or the host list.
     Endpoint(Endpoint),
     /// This host's load, from 0 (idle) to 255 (full).
     Load(u8),
-    /// This host drains from now on.
+    /// This host starts to drain.
     Leave,
-    /// This host ends; what follows is its last word.
+    /// This host shuts down; the core announces it as dead.
     Goodbye,
-    /// The table holds a fence for the incarnation, so it is over for good.
+    /// The incarnation is fenced in the table, so it is permanently dead.
     Fenced(Identity),
-    /// An operator asks for a host to drain.
+    /// An operator requested that a host drain.
     Drain(Identity),
 }
 
-/// What the table said of the configuration.
+/// The result of reading the configuration from the table.
 #[derive(Clone, Debug)]
 pub struct Polled {
-    /// When the table was asked. Proofs count from here, because the answer
-    /// may be older than its arrival.
+    /// The time at which the read was sent. The age of the proof counts from here,
+    /// because the response may have been written well before it arrived.
     pub asked: Duration,
     /// The newest revision.
     pub revision: Revision,
-    /// Its document as JSON; may be absent when the revision is already in force.
+    /// The revision's document as JSON; may be absent if the revision is already in
+    /// force.
     pub json: Option<Arc<[u8]>>,
 }
 
@@ -61,8 +61,8 @@
 pub struct Ruled {
     /// The version.
     pub version: VersionId,
-    /// What was decided.
+    /// The ruling.
     pub ruling: Ruling,
-    /// What it was decided on, in the form of the decision core.
+    /// The evidence for the ruling, in the decision core's encoding.
     pub evidence: Vec<u8>,
 }
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -1,14 +1,14 @@
-//! News that still has to be spread.
+//! The queue of updates to spread to other hosts.
 
 use std::time::Duration;
 
 use kernel::HostName;
 use wire::News;
 
-/// What this host still has to pass on.
+/// Updates that this host still has to send.
 ///
-/// Each piece is pushed once to all neighbours, and carried by the next probes
-/// a bounded number of times, so that one lost frame doesn't stop it.
+/// Each update is pushed once to all neighbours and piggybacked on a limited
+/// number of later probes and acks, so that a lost frame doesn't stop it.
 #[derive(Default)]
 pub(crate) struct Gossip {
     items: Vec<Item>,
@@ -17,15 +17,15 @@
 
 struct Item {
     news: News,
-    /// Whom it needn't be pushed to.
+    /// The neighbour that sent the update, to which it isn't pushed.
     from: Option<HostName>,
     is_pushed: bool,
-    /// How many more probes carry it.
+    /// The number of further probes or acks that carry it.
     left: u32,
 }
 
 impl Gossip {
-    /// Adds a piece, which takes the place of an older one about the same.
+    /// Adds an update, replacing an older one on the same subject.
     pub(crate) fn add(&mut self, news: News, from: Option<&HostName>, carries: u32) {
         self.items.retain(|it| !is_about_same(&it.news, &news));
         self.items.push(Item {
@@ -36,7 +36,7 @@
         });
     }
 
-    /// Stops telling of a member what was taken back.
+    /// Removes the update on a member.
     pub(crate) fn retract(&mut self, host: &HostName) {
         self.items.retain(|it| match &it.news {
             News::Member(member) => member.identity.host != *host,
@@ -44,7 +44,7 @@
         });
     }
 
-    /// When the next push is due.
+    /// Returns the time of the next push.
     pub(crate) fn deadline(&self, tuning: &crate::Tuning) -> Option<Duration> {
         let unpushed = self.items.iter().filter(|it| !it.is_pushed);
         let bytes: usize = unpushed.map(|it| size(&it.news)).sum();
@@ -56,8 +56,9 @@
         Some(self.pushed + pause)
     }
 
-    /// Takes what one push carries, most urgent first: a verdict or revision
-    /// must not wait behind the refutations after a healed cut.
+    /// Takes the updates for one push. Those that aren't membership records go
+    /// first, so that a verdict or revision doesn't wait behind the many refutations
+    /// after a network partition heals.
     pub(crate) fn take_push(&mut self, now: Duration, max_bytes: usize) -> Push {
         self.pushed = now;
         let mut unpushed: Vec<_> = self.items.iter_mut().filter(|it| !it.is_pushed).collect();
@@ -76,7 +77,8 @@
         push
     }
 
-    /// Takes what one probe carries; pieces that were carried least go first.
+    /// Takes the updates for one probe or ack, starting with those that were
+    /// carried least often.
     pub(crate) fn take_carried(&mut self, max_bytes: usize) -> Vec<News> {
         self.items.sort_by_key(|it| std::cmp::Reverse(it.left));
         let mut carried = Vec::new();
@@ -94,7 +96,7 @@
     }
 }
 
-/// News to push, and for each piece the neighbour that it came from.
+/// Updates to push, and for each the neighbour that sent it.
 #[derive(Default)]
 pub(crate) struct Push {
     pub(crate) news: Vec<News>,
@@ -102,7 +104,7 @@
 }
 
 impl Push {
-    /// What is news to `host`.
+    /// Returns the updates that `host` didn't send itself.
     pub(crate) fn news_to(&self, host: &HostName) -> Vec<News> {
         let pieces = self.news.iter().zip(&self.sources);
         pieces
@@ -122,7 +124,7 @@
     }
 }
 
-/// About how many bytes a piece takes in a frame.
+/// Estimates the encoded size of an update in bytes.
 fn size(news: &News) -> usize {
     const FIXED: usize = 24;
     let text = match news {
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -1,4 +1,4 @@
-//! The other members, and which news of them counts.
+//! Membership records of the other hosts, and the rules for merging updates.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,44 +11,45 @@
 use crate::view::View;
 
 new_key_type! {
-    /// A member in the arena.
+    /// The key of a member's entry in the arena.
     pub(crate) struct MemberKey;
 }
 
-/// What is known of one other member.
+/// A membership record with this host's local data on the member.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) member: Member,
-    /// Since when it has its state here.
+    /// The time at which this host recorded the present state.
     pub(crate) since: Duration,
     pub(crate) load: Option<Level>,
-    /// What it last said of itself, [`State::Alive`] or [`State::Leaving`].
+    /// The state that the member last declared itself: [`State::Alive`] or
+    /// [`State::Leaving`].
     own_word: State,
 }
 
-/// A load and when the member said so.
+/// A reported load and the time of the report.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Level {
     pub(crate) level: u8,
     pub(crate) at: Duration,
 }
 
-/// What a piece of news of a member did.
+/// The result of merging a membership record.
 #[derive(Debug)]
 pub(crate) enum Merge {
-    /// The host wasn't known.
+    /// The host was unknown and has been added.
     New,
-    /// Its state was another before.
+    /// The record was updated; holds the previous state, which may be the same.
     Changed(State),
-    /// It is a new life of a host; the old life's record is handed back.
+    /// A newer incarnation replaced the given record.
     Replaced(Member),
-    /// It was known.
+    /// Nothing changed.
     Known,
-    /// Something newer is known.
+    /// A newer record is already known.
     Stale,
 }
 
-/// All other members by host name.
+/// All other members, indexed by host name.
 #[derive(Default)]
 pub(crate) struct Members {
     arena: SlotMap<MemberKey, Entry>,
@@ -58,7 +59,8 @@
 }
 
 impl Members {
-    /// Changes whenever a member joins, goes or changes its state.
+    /// A counter that increases when a member is added, or changes its state or
+    /// incarnation.
     pub(crate) fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -71,7 +73,7 @@
         self.arena.get(key)
     }
 
-    /// The life that is known, if it is exactly this one.
+    /// Returns the host's entry if its known incarnation is this one.
     pub(crate) fn find_life(&self, identity: &Identity) -> Option<&Entry> {
         self.find(&identity.host)
             .filter(|it| it.member.identity == *identity)
@@ -81,7 +83,7 @@
         self.keys.values().map(|it| &self.arena[*it])
     }
 
-    /// Those that take part: all but the unreachable and the dead.
+    /// Returns all members except the unreachable and the dead.
     pub(crate) fn reachable(&self) -> impl Iterator<Item = (MemberKey, &Entry)> {
         self.keys
             .values()
@@ -99,12 +101,12 @@
         self.suspects.iter().map(|it| &self.arena[*it])
     }
 
-    /// Takes in news of another host.
+    /// Merges a membership record of another host.
     ///
-    /// Of two lives of a host the one with the higher incarnation counts,
-    /// whatever else is said; of one life death counts, and otherwise what the
-    /// host itself contradicted last. So news may come in any order and any
-    /// number of times, and all hosts end with the same record.
+    /// The higher incarnation wins. Within an incarnation [`State::Dead`] wins,
+    /// then the higher refutation, then the later state. Updates may therefore
+    /// arrive repeatedly and in any order, and all hosts converge on the same
+    /// record.
     pub(crate) fn merge(&mut self, now: Duration, view: &mut View, news: &Member) -> Merge {
         let Some(&key) = self.keys.get(&news.identity.host) else {
             return self.insert(now, view, news);
@@ -137,8 +139,8 @@
         }
     }
 
-    /// Takes back an accusation of the life that is known, and gives its record
-    /// and its state before.
+    /// Restores a suspect or unreachable member to the state that it last
+    /// declared itself. Returns the record and its previous state.
     pub(crate) fn acquit(
         &mut self,
         now: Duration,
@@ -161,7 +163,7 @@
         Some((member, before))
     }
 
-    /// Notes what a member said of its load, if that is the latest.
+    /// Records a member's load unless a report at least as recent is known.
     pub(crate) fn note_load(&mut self, host: &HostName, level: Level) {
         let Some(entry) = self.keys.get(host).and_then(|it| self.arena.get_mut(*it)) else {
             return;
@@ -171,14 +173,14 @@
         }
     }
 
-    /// Grants all suspects more time.
+    /// Extends the suspicion of all suspects.
     pub(crate) fn postpone(&mut self, by: Duration) {
         for key in &self.suspects {
             self.arena[*key].since += by;
         }
     }
 
-    /// Forgets the dead of long ago.
+    /// Removes members that have been dead since before the given time.
     pub(crate) fn forget(&mut self, before: Duration) {
         let arena = &mut self.arena;
         self.keys.retain(|_, key| {
@@ -191,7 +193,7 @@
         });
     }
 
-    /// An estimate of the memory that the records take.
+    /// Estimates the memory that the records take, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         let entry = size_of::<Entry>() + size_of::<(MemberKey, HostName)>();
         let text = |it: &Member| {
@@ -229,8 +231,9 @@
     }
 }
 
-/// What a host says of itself as far as a record shows it. Under an accusation
-/// that is unknown, and [`State::Alive`] gives way to whatever it says later.
+/// Returns the state that the host declared itself, as far as a record shows it.
+/// A record that others marked doesn't; [`State::Alive`] is assumed, as any state
+/// that the host declares later overrides it.
 fn own_word(state: State) -> State {
     if state < State::Suspect {
         state
@@ -239,12 +242,12 @@
     }
 }
 
-/// Whether others say so of a host, which may contradict.
+/// Returns whether other hosts assign this state and the host itself can refute it.
 pub(crate) fn is_accused(state: State) -> bool {
     matches!(state, State::Suspect | State::Unreachable)
 }
 
-/// Which of two records of a host is the later one.
+/// Compares two records of a host by precedence; the greater one wins.
 fn order(a: &Member, b: &Member) -> Ordering {
     let rank = |it: &Member| {
         (
--- a/crates/fleet/src/neighbours.rs
+++ b/crates/fleet/src/neighbours.rs
@@ -1,4 +1,4 @@
-//! The few members with which this host speaks regularly.
+//! The members that this host probes and sends updates to.
 
 use wire::Member;
 
@@ -7,11 +7,11 @@
 
 /// This host's neighbours on several hash rings.
 ///
-/// The first ring holds the hosts of the data centre, the others all hosts,
-/// each in another order. Every host probes its successors, so each is probed
-/// by as many as there are rings. Together the rings are a random graph of
-/// constant degree: news reach all in about log n hops, and the cost of a host
-/// doesn't grow with the fleet.
+/// The first ring contains the hosts of this data centre, the others all hosts,
+/// each in a different order. Each host probes its successor on every ring.
+/// Together the rings approximate a random graph of constant degree: updates reach
+/// all hosts in about log n hops, and the cost per host doesn't grow with the
+/// fleet.
 #[derive(Default)]
 pub(crate) struct Neighbours {
     epoch: Option<u64>,
@@ -20,7 +20,7 @@
 }
 
 impl Neighbours {
-    /// Chooses anew when the members have changed.
+    /// Recomputes the neighbours if the members have changed.
     pub(crate) fn refresh(&mut self, me: &Member, members: &Members, rings: usize) {
         if self.epoch == Some(members.epoch()) {
             return;
@@ -36,18 +36,18 @@
         }
     }
 
-    /// Those whom this host probes.
+    /// Returns the members that this host probes.
     pub(crate) fn successors(&self) -> &[MemberKey] {
         &self.successors
     }
 
-    /// Those to whom it pushes news.
+    /// Returns the members that this host pushes updates to.
     pub(crate) fn all(&self) -> &[MemberKey] {
         &self.all
     }
 }
 
-/// The other hosts of one ring, in the order in which they follow this one.
+/// The other reachable hosts of one ring, ordered by distance after this host.
 struct Ring {
     ahead: Vec<MemberKey>,
 }
@@ -68,9 +68,9 @@
     }
 }
 
-/// Adds the first that isn't chosen yet. In a small fleet the rings would
-/// otherwise name the same host several times, and a host whose only neighbour
-/// died would hear nobody.
+/// Adds the first member of `ring` that isn't chosen yet. In a small fleet the rings
+/// would otherwise give the same host several times, and a host whose only neighbour
+/// died would receive no updates.
 fn add<'a>(chosen: &mut Vec<MemberKey>, ring: impl Iterator<Item = &'a MemberKey>) {
     let mut free = ring.filter(|it| !chosen.contains(it));
     if let Some(key) = free.next().copied() {
--- a/crates/fleet/src/pool.rs
+++ b/crates/fleet/src/pool.rs
@@ -1,4 +1,4 @@
-//! Evidence that waits to be sent on.
+//! Batches of evidence that wait to be sent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use crate::rendezvous::weight;
 
-/// Into how many groups the topics fall. A group has one relay in each data
-/// centre and its homes, so the groups share the work out among the hosts,
-/// while one frame carries all topics of a group.
+/// The number of groups into which topics are hashed. Each group has one relay
+/// per data centre and its own home hosts, which spreads the work over the hosts;
+/// one frame carries all topics of a group.
 pub(crate) const GROUPS: usize = 24;
 
-/// The group of a topic; all request classes of a version share one.
+/// Returns the group of a topic; all request classes of a version share one.
 pub(crate) fn group_of(topic: &Topic) -> usize {
     let key = match topic {
         Topic::Version { version, .. } => version.as_str(),
@@ -22,7 +22,7 @@
     usize::from(byte) % GROUPS
 }
 
-/// Counts on their way, by group.
+/// Evidence to be sent, batched by topic group.
 #[derive(Default)]
 pub(crate) struct Pool {
     batches: BTreeMap<usize, Batch>,
@@ -34,7 +34,7 @@
     deltas: BTreeMap<Topic, Delta>,
 }
 
-/// How long a batch waits.
+/// The delays after which a batch is sent.
 #[derive(Clone, Copy)]
 pub(crate) struct Pace {
     pub(crate) urgent: Duration,
@@ -65,7 +65,7 @@
         self.batches.values().map(|it| it.due(pace)).min()
     }
 
-    /// Takes everything once some batch has waited long enough.
+    /// Takes all batches as soon as one of them is due.
     pub(crate) fn take_all_if_due(&mut self, now: Duration, pace: Pace) -> Vec<Delta> {
         if self.deadline(pace).is_none_or(|it| it > now) {
             return Vec::new();
@@ -74,7 +74,7 @@
         batches.flat_map(|it| it.deltas.into_values()).collect()
     }
 
-    /// Takes the batches that have waited long enough.
+    /// Takes the batches that are due.
     pub(crate) fn take_due(&mut self, now: Duration, pace: Pace) -> Vec<(usize, Vec<Delta>)> {
         let due: Vec<_> = self
             .batches
@@ -100,14 +100,15 @@
     }
 }
 
-/// What this host has sent and not yet got back in the counts of all.
+/// Evidence that this host sent and has not yet received back in the fleet's
+/// totals.
 ///
-/// Without it a host would count its own evidence twice: when it saw it, and
-/// when the fleet's counts bring it back.
+/// It is subtracted from those totals, so that this host doesn't count its own
+/// evidence twice.
 #[derive(Default)]
 pub(crate) struct Returning {
     sent: BTreeMap<Topic, Delta>,
-    /// What was sent before counting began anew.
+    /// Evidence sent before the last call of [`Self::forget`].
     sent_before: BTreeMap<Topic, Delta>,
 }
 
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Leaves what others counted.
+    /// Subtracts this host's own evidence and returns what other hosts counted.
     pub(crate) fn without_own(&mut self, mut deltas: Vec<Delta>) -> Vec<Delta> {
         for delta in &mut deltas {
             take_out(&mut self.sent_before, delta);
@@ -131,15 +132,15 @@
         deltas
     }
 
-    /// Forgets what hasn't come back since this was last called, as it got lost
-    /// on the way.
+    /// Drops evidence that was sent before the previous call and hasn't come
+    /// back; it was lost on the way.
     pub(crate) fn forget(&mut self) {
         self.sent_before = std::mem::take(&mut self.sent);
     }
 }
 
-/// Takes what was sent out of `delta`, and what `delta` brings back out of
-/// what was sent.
+/// Subtracts the sent counts from `delta` and the counts of `delta` from those
+/// sent.
 fn take_out(sent: &mut BTreeMap<Topic, Delta>, delta: &mut Delta) {
     let Some(own) = sent.get_mut(&delta.topic) else {
         return;
--- a/crates/fleet/src/prober.rs
+++ b/crates/fleet/src/prober.rs
@@ -1,4 +1,4 @@
-//! Probes under way.
+//! Tracks the probes in flight.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,18 +9,18 @@
 
 use crate::members::MemberKey;
 
-/// The probes that this host waits for, its own and those it sent for others.
+/// The probes in flight: this host's own and those sent on behalf of others.
 #[derive(Default)]
 pub(crate) struct Prober {
     sequence: u32,
     turn: usize,
     waiting: BTreeMap<u32, Waiting>,
     helping: BTreeMap<u32, Helping>,
-    /// When somebody last answered.
+    /// The time at which this host's own probe was last acknowledged.
     pub(crate) answered: Duration,
 }
 
-/// A probe of this host's own.
+/// A probe that this host started itself.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
     pub(crate) target: Identity,
@@ -28,12 +28,12 @@
     pub(crate) is_helped: bool,
 }
 
-/// A probe that was sent because another host asked for it.
+/// An indirect probe, sent at another host's request.
 #[derive(Clone, Debug)]
 pub(crate) struct Helping {
     pub(crate) host: HostName,
     pub(crate) address: SocketAddr,
-    /// The asker's own number for it.
+    /// The requesting host's sequence number.
     pub(crate) sequence: u32,
     pub(crate) target: Identity,
     sent: Duration,
@@ -63,7 +63,7 @@
         self.sequence
     }
 
-    /// The next of `targets` in turn.
+    /// Returns the next of `targets` in round-robin order.
     pub(crate) fn next_target(&mut self, targets: &[MemberKey]) -> Option<MemberKey> {
         self.turn = self.turn.wrapping_add(1);
         targets.get(self.turn.checked_rem(targets.len())?).copied()
@@ -80,7 +80,7 @@
         self.waiting.insert(sequence, waiting);
     }
 
-    /// Ends the wait for the life that answers.
+    /// Completes a probe that any incarnation of the probed host acknowledged.
     pub(crate) fn answer(&mut self, sequence: u32, from: &Identity) -> Option<Waiting> {
         if self.waiting.get(&sequence)?.target.host != from.host {
             return None;
@@ -103,7 +103,7 @@
         self.waiting.iter().map(|(sequence, it)| (*sequence, it))
     }
 
-    /// Marks that others were asked to probe the target.
+    /// Marks that indirect probes of the target were requested.
     pub(crate) fn set_helped(&mut self, sequence: u32) {
         if let Some(it) = self.waiting.get_mut(&sequence) {
             it.is_helped = true;
@@ -114,17 +114,17 @@
         self.waiting.remove(&sequence);
     }
 
-    /// Whether a probe of the host is under way.
+    /// Returns whether a probe of the host is in flight.
     pub(crate) fn is_waiting_for(&self, host: &HostName) -> bool {
         self.waiting.values().any(|it| it.target.host == *host)
     }
 
-    /// Forgets probes for others that were never answered.
+    /// Drops indirect probes that were sent before the given time.
     pub(crate) fn forget(&mut self, before: Duration) {
         self.helping.retain(|_, it| it.sent >= before);
     }
 
-    /// Forgets all own probes.
+    /// Drops all of this host's own probes and counts silence from `now`.
     pub(crate) fn reset(&mut self, now: Duration) {
         self.waiting.clear();
         self.answered = now;
--- a/crates/fleet/src/rendezvous.rs
+++ b/crates/fleet/src/rendezvous.rs
@@ -1,9 +1,10 @@
-//! Rendezvous hashing: all hosts that know the same members choose alike, and
-//! a change of one member moves only what that member was chosen for.
+//! Rendezvous hashing: hosts with the same view of the members make the same
+//! choice, and the change of one member reassigns only what it was chosen for.
 
 use std::hash::{Hash, Hasher};
 
-/// A member's weight for a purpose. Equal on all hosts and across builds.
+/// Returns a host's weight for a purpose and key. It is the same on all hosts and
+/// in all builds.
 pub(crate) fn weight(purpose: &str, key: impl Hash, host: &str) -> u64 {
     let mut hasher = Fnv::default();
     purpose.hash(&mut hasher);
@@ -12,7 +13,7 @@
     mix(hasher.finish())
 }
 
-/// The finaliser of `MurmurHash3`, because FNV alone spreads short keys badly.
+/// The finaliser of `MurmurHash3`; FNV alone distributes short keys poorly.
 pub(crate) fn mix(mut it: u64) -> u64 {
     it ^= it >> 33;
     it = it.wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -21,7 +22,7 @@
     it ^ (it >> 33)
 }
 
-/// FNV-1a, which unlike the standard library's hasher is fixed for all time.
+/// FNV-1a, whose algorithm is fixed, unlike that of the standard library's hasher.
 pub(crate) struct Fnv(u64);
 
 impl Default for Fnv {
--- a/crates/fleet/src/tuning.rs
+++ b/crates/fleet/src/tuning.rs
@@ -1,75 +1,80 @@
-//! The core's constants, in one place so that tests and measurements can vary them.
+//! Parameters of the core, which tests and measurements can vary.
 
 use std::time::Duration;
 
-/// Intervals, bounds and counts of the core.
+/// Intervals, limits and counts used by the core.
 #[derive(Clone, Debug)]
 pub struct Tuning {
-    /// Between two probes of this host.
+    /// The interval between probes.
     pub probe_every: Duration,
-    /// From a probe to the request for help, and as long again to the suspicion.
+    /// The timeout after which indirect probes are requested; the target becomes
+    /// suspect at three times this after the probe.
     pub probe_timeout: Duration,
-    /// How many members are asked to probe a silent one.
+    /// The number of members asked to probe an unresponsive one.
     pub helpers: usize,
-    /// A suspicion lasts this long times log2 of the fleet's size.
+    /// The duration of a suspicion, multiplied by log2 of the fleet's size.
     pub suspicion: Duration,
-    /// How many hash rings give this host its neighbours.
+    /// The number of hash rings from which neighbours are chosen.
     pub rings: usize,
-    /// A host that nobody answers for this long counts as cut off itself; see
+    /// A host that receives no ack for this long counts as isolated; see
     /// [`crate::Fleet::is_alone`].
     pub alone_after: Duration,
-    /// Between two comparisons of views with a random member.
+    /// The interval between comparisons of views with a random member.
     pub compare_every: Duration,
-    /// For this long a neighbour's view may differ before it is compared,
-    /// because news under way makes views differ for a moment.
+    /// How long a neighbour's view may differ before it is compared. Updates in
+    /// flight make views differ briefly.
     pub view_patience: Duration,
-    /// Between two attempts to reach members that are out of reach.
+    /// The interval between attempts to reconnect to unreachable members.
     pub reconnect_every: Duration,
-    /// The same while no other member is known.
+    /// The interval between join attempts while no other member is reachable.
     pub join_every: Duration,
-    /// How many probes carry a piece of news after it was pushed.
+    /// The number of probes and acks that carry an update in addition to its push.
     pub carries: u32,
-    /// Between two pushes of news.
+    /// The interval between pushes of updates.
     pub push_every: Duration,
-    /// The same while more news wait than one push carries, as after a healed cut.
+    /// The same while more updates wait than one push carries, as after a network
+    /// partition heals.
     pub push_every_when_full: Duration,
-    /// How many bytes of news one push or probe carries, about.
+    /// The approximate limit on the bytes of updates in a push or probe.
     pub news_bytes: usize,
-    /// Between two reads of the table by a host that polls.
+    /// The interval between table reads of a polling host.
     pub poll_every: Duration,
-    /// Between two reads by another host whose proof is older than this.
+    /// A host that isn't a poller reads the table itself once its proof is older
+    /// than this.
     pub poll_when_older: Duration,
-    /// How many hosts of a data centre poll the table.
+    /// The number of hosts per data centre that poll the table.
     pub pollers: usize,
-    /// From a fetch of the configuration to the next try with another host.
+    /// The timeout of a configuration fetch, after which another host is tried.
     pub fetch_timeout: Duration,
-    /// Between two batches of evidence that tells of something bad, on the way
-    /// to where it is judged.
+    /// The batching delay for urgent evidence, which reports faults, on the way to
+    /// the hosts that evaluate it.
     pub evidence_urgent: Duration,
-    /// Between two batches of other evidence to all members of a small fleet.
+    /// The batching delay for other evidence to all members of a small fleet.
     pub evidence_to_members: Duration,
-    /// The same to a relay in a larger one.
+    /// The same to a relay in a larger fleet.
     pub evidence_to_relay: Duration,
-    /// The same from a relay to a home.
+    /// The same from a relay to a home host.
     pub evidence_to_home: Duration,
-    /// The same from a home back to all.
+    /// The same from a home host back to all members.
     pub evidence_to_all: Duration,
-    /// Up to this many members evidence goes to all of them directly.
+    /// The largest fleet size, this host included, at which evidence goes directly
+    /// to all members.
     pub evidence_direct: usize,
-    /// How many homes a group of topics has above that size.
+    /// The number of home hosts of a topic group in larger fleets.
     pub evidence_homes: usize,
-    /// How many loads of other hosts a probe carries.
+    /// The number of other hosts' loads that a probe carries.
     pub loads: usize,
-    /// A load older than this counts as unknown.
+    /// The age above which a load counts as unknown.
     pub load_age: Duration,
-    /// How many hosts a hand-out names at most.
+    /// The maximum number of hosts in a hand-out to a caller.
     pub handout: usize,
-    /// Between two rounds of forgetting.
+    /// The interval between removals of expired state.
     pub housekeeping_every: Duration,
-    /// For this long news of endpoints are compared; later the host list shows them.
+    /// How long an endpoint update is part of view comparisons; after that the host
+    /// list covers it.
     pub endpoint_age: Duration,
-    /// An unreachable incarnation is dead after this long, and forgotten after
-    /// as long again.
+    /// The time after which an unreachable incarnation is declared dead, and a dead
+    /// one removed.
     pub forget_after: Duration,
 }
 
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! A fingerprint of what this host knows, kept up to date record by record.
+//! An incrementally updated fingerprint of this host's records.
 
 use std::hash::{Hash, Hasher};
 
@@ -6,22 +6,21 @@
 
 use crate::rendezvous::{Fnv, mix};
 
-/// How many parts the fingerprint has; a difference costs the exchange of one
-/// part's records, so at the target size about ten members.
+/// The number of buckets. A difference costs the exchange of one bucket's records.
 pub(crate) const BUCKETS: u8 = 32;
 
 /// The fingerprints of all buckets.
 ///
-/// Each is the exclusive or of its records' hashes, so that adding a record and
-/// taking it out are the same operation and cost the same at any fleet size.
+/// A bucket's fingerprint is the XOR of its records' hashes, so adding and removing
+/// a record are the same operation, at a cost independent of the fleet's size.
 #[derive(Clone, Default)]
 pub(crate) struct View {
     buckets: [u32; BUCKETS as usize],
 }
 
 impl View {
-    /// Adds the member's record, or takes it out. Dead ones don't count: each
-    /// host forgets them at its own time.
+    /// Adds or removes the member's record. Dead members are left out because each
+    /// host removes them at a different time.
     pub(crate) fn toggle_member(&mut self, it: &Member) {
         if it.state != State::Dead {
             let key = it.identity.host.as_str();
@@ -37,12 +36,12 @@
         self.toggle(it.host.as_str(), (it.incarnation, it.state));
     }
 
-    /// All in one number.
+    /// Returns a single fingerprint of all buckets.
     pub(crate) fn fingerprint(&self) -> u64 {
         hash_of(self.buckets)
     }
 
-    /// The buckets that hold something.
+    /// Returns the buckets with a nonzero fingerprint.
     pub(crate) fn listing(&self) -> Vec<Bucket> {
         (0..BUCKETS)
             .map(|index| self.bucket(index))
@@ -50,7 +49,7 @@
             .collect()
     }
 
-    /// The buckets in which the other's full listing differs.
+    /// Returns this host's buckets that differ from another host's full listing.
     pub(crate) fn differing(&self, theirs: &[Bucket]) -> Vec<Bucket> {
         let mut hashes = [0; BUCKETS as usize];
         for bucket in theirs {
@@ -76,7 +75,7 @@
     }
 }
 
-/// The bucket into which a record's key falls.
+/// Returns the bucket of a record's key.
 pub(crate) fn bucket_of(key: &str) -> u8 {
     hash_of(key).to_le_bytes()[0] % BUCKETS
 }
