--- a/crates/fleet/src/board.rs
+++ b/crates/fleet/src/board.rs
@@ -12,11 +12,11 @@
 #[derive(Default)]
 pub(crate) struct Board {
     verdicts: BTreeMap<VersionId, Verdict>,
-    endpoints: BTreeMap<HostName, Noted>,
+    endpoints: BTreeMap<HostName, EndpointEntry>,
 }
 
 /// The latest update on an endpoint.
-struct Noted {
+struct EndpointEntry {
     endpoint: Endpoint,
     at: Duration,
     /// Whether it is part of view comparisons. Older updates aren't, as the host
@@ -64,22 +64,22 @@
             view.toggle_endpoint(&known.endpoint);
         }
         view.toggle_endpoint(news);
-        let noted = Noted {
+        let entry = EndpointEntry {
             endpoint: news.clone(),
             at: now,
             is_compared: true,
         };
-        self.endpoints.insert(news.host.clone(), noted);
+        self.endpoints.insert(news.host.clone(), entry);
         true
     }
 
     /// Excludes endpoint updates received before `before` from view comparisons, and
     /// removes endpoints that have been gone since before `gone_before`.
     pub(crate) fn age(&mut self, view: &mut View, before: Duration, gone_before: Duration) {
-        for noted in self.endpoints.values_mut() {
-            if noted.is_compared && noted.at < before {
-                noted.is_compared = false;
-                view.toggle_endpoint(&noted.endpoint);
+        for entry in self.endpoints.values_mut() {
+            if entry.is_compared && entry.at < before {
+                entry.is_compared = false;
+                view.toggle_endpoint(&entry.endpoint);
             }
         }
         self.endpoints.retain(|_, it| {
@@ -105,7 +105,7 @@
     /// Estimates the memory that the records take, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         let verdict = size_of::<(VersionId, Verdict)>();
-        let endpoint = size_of::<(HostName, Noted)>();
+        let endpoint = size_of::<(HostName, EndpointEntry)>();
         let opaque: usize = self.verdicts.values().map(|it| it.evidence.len()).sum();
         self.verdicts.len() * verdict + self.endpoints.len() * endpoint + opaque
     }
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -11,7 +11,7 @@
 
 /// An offset added to proof times, so that the time of a proof that is older
 /// than this process isn't negative.
-const ORIGIN: Duration = Duration::from_hours(24 * 365 * 100);
+const PROOF_ORIGIN: Duration = Duration::from_hours(24 * 365 * 100);
 
 /// The maximum number of remembered hosts that hold a newer revision.
 const MAX_HOLDERS: usize = 4;
@@ -22,8 +22,8 @@
     revision: Revision,
     json: Option<Arc<[u8]>>,
     /// The time of the table read that gave the latest proof of the revision in
-    /// force, offset by [`ORIGIN`].
-    proven: Option<Duration>,
+    /// force, offset by [`PROOF_ORIGIN`].
+    proven_at: Option<Duration>,
     /// Hosts that announced a newer revision, in the order to try.
     holders: Vec<Holder>,
     pub(crate) fetching: Option<Fetching>,
@@ -50,7 +50,8 @@
     }
 
     pub(crate) fn proof_age(&self, now: Duration) -> Option<Duration> {
-        self.proven.map(|it| (ORIGIN + now).saturating_sub(it))
+        self.proven_at
+            .map(|it| (PROOF_ORIGIN + now).saturating_sub(it))
     }
 
     /// Returns the proof that this host sends to others.
@@ -70,7 +71,7 @@
     pub(crate) fn witness(&mut self, asked: Duration, proof: Proof) {
         let Some(Age(age)) = proof.age else { return };
         if proof.revision == self.revision {
-            self.prove(asked, age);
+            self.record_proof(asked, age);
         }
     }
 
@@ -84,11 +85,11 @@
         }
         if polled.revision > self.revision {
             let json = polled.json?;
-            self.put_in_force(polled.revision, json.clone());
-            self.prove(polled.asked, Duration::ZERO);
+            self.set_current(polled.revision, json.clone());
+            self.record_proof(polled.asked, Duration::ZERO);
             return Some(json);
         }
-        self.prove(polled.asked, Duration::ZERO);
+        self.record_proof(polled.asked, Duration::ZERO);
         None
     }
 
@@ -100,7 +101,7 @@
             .map(|it| it.asked);
         let applied = (document.revision > self.revision).then(|| {
             let json: Arc<[u8]> = document.json.into();
-            self.put_in_force(document.revision, json.clone());
+            self.set_current(document.revision, json.clone());
             json
         });
         if let Some(asked) = asked {
@@ -140,14 +141,14 @@
         self.holders.retain(|it| it.host != *host);
     }
 
-    fn put_in_force(&mut self, revision: Revision, json: Arc<[u8]>) {
+    fn set_current(&mut self, revision: Revision, json: Arc<[u8]>) {
         self.revision = revision;
         self.json = Some(json);
-        self.proven = None;
+        self.proven_at = None;
     }
 
-    fn prove(&mut self, asked: Duration, age: Duration) {
-        let at = (ORIGIN + asked).saturating_sub(age);
-        self.proven = self.proven.max(Some(at));
+    fn record_proof(&mut self, asked: Duration, age: Duration) {
+        let at = (PROOF_ORIGIN + asked).saturating_sub(age);
+        self.proven_at = self.proven_at.max(Some(at));
     }
 }
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -12,27 +12,27 @@
 #[derive(Default)]
 pub(crate) struct Gossip {
     items: Vec<Item>,
-    pushed: Duration,
+    last_push: Duration,
 }
 
 struct Item {
     news: News,
     /// The neighbour that sent the update, to which it isn't pushed.
-    from: Option<HostName>,
+    source: Option<HostName>,
     is_pushed: bool,
     /// The number of further probes or acks that carry it.
-    left: u32,
+    remaining_probes: u32,
 }
 
 impl Gossip {
     /// Adds an update, replacing an older one on the same subject.
     pub(crate) fn add(&mut self, news: News, from: Option<&HostName>, carries: u32) {
-        self.items.retain(|it| !is_about_same(&it.news, &news));
+        self.items.retain(|it| !has_same_subject(&it.news, &news));
         self.items.push(Item {
             news,
-            from: from.cloned(),
+            source: from.cloned(),
             is_pushed: false,
-            left: carries,
+            remaining_probes: carries,
         });
     }
 
@@ -47,32 +47,32 @@
     /// Returns the time of the next push.
     pub(crate) fn deadline(&self, tuning: &crate::Tuning) -> Option<Duration> {
         let unpushed = self.items.iter().filter(|it| !it.is_pushed);
-        let bytes: usize = unpushed.map(|it| size(&it.news)).sum();
+        let bytes: usize = unpushed.map(|it| estimated_bytes(&it.news)).sum();
         let pause = match bytes {
             0 => return None,
             it if it <= tuning.news_bytes => tuning.push_every,
             _ => tuning.push_every_when_full,
         };
-        Some(self.pushed + pause)
+        Some(self.last_push + pause)
     }
 
     /// Takes the updates for one push. Those that aren't membership records go
     /// first, so that a verdict or revision doesn't wait behind the many refutations
     /// after a network partition heals.
     pub(crate) fn take_push(&mut self, now: Duration, max_bytes: usize) -> Push {
-        self.pushed = now;
+        self.last_push = now;
         let mut unpushed: Vec<_> = self.items.iter_mut().filter(|it| !it.is_pushed).collect();
         unpushed.sort_by_key(|it| matches!(it.news, News::Member(_)));
         let mut push = Push::default();
         let mut bytes = 0;
         for item in unpushed {
-            bytes += size(&item.news);
-            if bytes > max_bytes && !push.news.is_empty() {
+            bytes += estimated_bytes(&item.news);
+            if bytes > max_bytes && !push.updates.is_empty() {
                 break;
             }
             item.is_pushed = true;
-            push.news.push(item.news.clone());
-            push.sources.push(item.from.clone());
+            push.updates.push(item.news.clone());
+            push.sources.push(item.source.clone());
         }
         push
     }
@@ -80,18 +80,20 @@
     /// Takes the updates for one probe or ack, starting with those that were
     /// carried least often.
     pub(crate) fn take_carried(&mut self, max_bytes: usize) -> Vec<News> {
-        self.items.sort_by_key(|it| std::cmp::Reverse(it.left));
+        self.items
+            .sort_by_key(|it| std::cmp::Reverse(it.remaining_probes));
         let mut carried = Vec::new();
         let mut bytes = 0;
         for item in &mut self.items {
-            bytes += size(&item.news);
-            if item.left == 0 || bytes > max_bytes {
+            bytes += estimated_bytes(&item.news);
+            if item.remaining_probes == 0 || bytes > max_bytes {
                 break;
             }
-            item.left -= 1;
+            item.remaining_probes -= 1;
             carried.push(item.news.clone());
         }
-        self.items.retain(|it| it.left > 0 || !it.is_pushed);
+        self.items
+            .retain(|it| it.remaining_probes > 0 || !it.is_pushed);
         carried
     }
 }
@@ -99,14 +101,14 @@
 /// Updates to push, and for each the neighbour that sent it.
 #[derive(Default)]
 pub(crate) struct Push {
-    pub(crate) news: Vec<News>,
+    pub(crate) updates: Vec<News>,
     sources: Vec<Option<HostName>>,
 }
 
 impl Push {
     /// Returns the updates that `host` didn't send itself.
     pub(crate) fn news_to(&self, host: &HostName) -> Vec<News> {
-        let pieces = self.news.iter().zip(&self.sources);
+        let pieces = self.updates.iter().zip(&self.sources);
         pieces
             .filter(|(_, source)| source.as_ref() != Some(host))
             .map(|(news, _)| news.clone())
@@ -114,7 +116,7 @@
     }
 }
 
-fn is_about_same(a: &News, b: &News) -> bool {
+fn has_same_subject(a: &News, b: &News) -> bool {
     match (a, b) {
         (News::Member(a), News::Member(b)) => a.identity.host == b.identity.host,
         (News::Revision(_), News::Revision(_)) => true,
@@ -125,7 +127,7 @@
 }
 
 /// Estimates the encoded size of an update in bytes.
-fn size(news: &News) -> usize {
+fn estimated_bytes(news: &News) -> usize {
     const FIXED: usize = 24;
     let text = match news {
         News::Member(it) => {
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -24,7 +24,7 @@
     pub(crate) load: Option<Level>,
     /// The state that the member last declared itself: [`State::Alive`] or
     /// [`State::Leaving`].
-    own_word: State,
+    declared_state: State,
 }
 
 /// A reported load and the time of the report.
@@ -112,7 +112,7 @@
             return self.insert(now, view, news);
         };
         let entry = &mut self.arena[key];
-        match order(news, &entry.member) {
+        match compare_records(news, &entry.member) {
             Ordering::Less => return Merge::Stale,
             Ordering::Equal => return Merge::Known,
             Ordering::Greater => {}
@@ -127,11 +127,11 @@
             entry.load = None;
         }
         if news.state < State::Suspect || !is_same_life {
-            entry.own_word = own_word(news.state);
+            entry.declared_state = declared_state(news.state);
         }
         view.toggle_member(&old);
         view.toggle_member(news);
-        self.note_suspect(key, news.state);
+        self.update_suspects(key, news.state);
         if is_same_life {
             Merge::Changed(old.state)
         } else {
@@ -154,7 +154,7 @@
             return None;
         }
         view.toggle_member(&entry.member);
-        entry.member.state = entry.own_word;
+        entry.member.state = entry.declared_state;
         entry.since = now;
         view.toggle_member(&entry.member);
         let member = entry.member.clone();
@@ -213,16 +213,16 @@
             member: news.clone(),
             since: now,
             load: None,
-            own_word: own_word(news.state),
+            declared_state: declared_state(news.state),
         });
         self.keys.insert(news.identity.host.clone(), key);
         self.epoch += 1;
         view.toggle_member(news);
-        self.note_suspect(key, news.state);
+        self.update_suspects(key, news.state);
         Merge::New
     }
 
-    fn note_suspect(&mut self, key: MemberKey, state: State) {
+    fn update_suspects(&mut self, key: MemberKey, state: State) {
         if state == State::Suspect {
             self.suspects.insert(key);
         } else {
@@ -234,7 +234,7 @@
 /// Returns the state that the host declared itself, as far as a record shows it.
 /// A record that others marked doesn't; [`State::Alive`] is assumed, as any state
 /// that the host declares later overrides it.
-fn own_word(state: State) -> State {
+fn declared_state(state: State) -> State {
     if state < State::Suspect {
         state
     } else {
@@ -248,7 +248,7 @@
 }
 
 /// Compares two records of a host by precedence; the greater one wins.
-fn order(a: &Member, b: &Member) -> Ordering {
+fn compare_records(a: &Member, b: &Member) -> Ordering {
     let rank = |it: &Member| {
         (
             it.identity.incarnation,
--- a/crates/fleet/src/neighbours.rs
+++ b/crates/fleet/src/neighbours.rs
@@ -30,9 +30,9 @@
         self.all.clear();
         for ring in 0..rings {
             let ring = Ring::new(me, members, ring);
-            add(&mut self.successors, ring.ahead.iter());
-            add(&mut self.all, ring.ahead.iter());
-            add(&mut self.all, ring.ahead.iter().rev());
+            add_first_new(&mut self.successors, ring.ordered.iter());
+            add_first_new(&mut self.all, ring.ordered.iter());
+            add_first_new(&mut self.all, ring.ordered.iter().rev());
         }
     }
 
@@ -49,7 +49,7 @@
 
 /// The other reachable hosts of one ring, ordered by distance after this host.
 struct Ring {
-    ahead: Vec<MemberKey>,
+    ordered: Vec<MemberKey>,
 }
 
 impl Ring {
@@ -63,15 +63,15 @@
             .map(|(key, it)| (position(&it.member).wrapping_sub(mine), key))
             .collect();
         others.sort_unstable();
-        let ahead = others.into_iter().map(|it| it.1).collect();
-        Self { ahead }
+        let ordered = others.into_iter().map(|it| it.1).collect();
+        Self { ordered }
     }
 }
 
 /// Adds the first member of `ring` that isn't chosen yet. In a small fleet the rings
 /// would otherwise give the same host several times, and a host whose only neighbour
 /// died would receive no updates.
-fn add<'a>(chosen: &mut Vec<MemberKey>, ring: impl Iterator<Item = &'a MemberKey>) {
+fn add_first_new<'a>(chosen: &mut Vec<MemberKey>, ring: impl Iterator<Item = &'a MemberKey>) {
     let mut free = ring.filter(|it| !chosen.contains(it));
     if let Some(key) = free.next().copied() {
         chosen.push(key);
--- a/crates/fleet/src/pool.rs
+++ b/crates/fleet/src/pool.rs
@@ -29,7 +29,7 @@
 }
 
 struct Batch {
-    since: Duration,
+    started_at: Duration,
     is_urgent: bool,
     deltas: BTreeMap<Topic, Delta>,
 }
@@ -48,7 +48,7 @@
                 .batches
                 .entry(group_of(&delta.topic))
                 .or_insert_with(|| Batch {
-                    since: now,
+                    started_at: now,
                     is_urgent: false,
                     deltas: BTreeMap::new(),
                 });
@@ -62,7 +62,7 @@
     }
 
     pub(crate) fn deadline(&self, pace: Pace) -> Option<Duration> {
-        self.batches.values().map(|it| it.due(pace)).min()
+        self.batches.values().map(|it| it.due_at(pace)).min()
     }
 
     /// Takes all batches as soon as one of them is due.
@@ -79,7 +79,7 @@
         let due: Vec<_> = self
             .batches
             .iter()
-            .filter(|(_, it)| it.due(pace) <= now)
+            .filter(|(_, it)| it.due_at(pace) <= now)
             .map(|(group, _)| *group)
             .collect();
         due.into_iter()
@@ -90,13 +90,13 @@
 }
 
 impl Batch {
-    fn due(&self, pace: Pace) -> Duration {
+    fn due_at(&self, pace: Pace) -> Duration {
         let wait = if self.is_urgent {
             pace.urgent
         } else {
             pace.usual
         };
-        self.since + wait
+        self.started_at + wait
     }
 }
 
@@ -107,15 +107,16 @@
 /// evidence twice.
 #[derive(Default)]
 pub(crate) struct Returning {
-    sent: BTreeMap<Topic, Delta>,
+    /// Evidence sent since the last call of [`Self::forget`].
+    current: BTreeMap<Topic, Delta>,
     /// Evidence sent before the last call of [`Self::forget`].
-    sent_before: BTreeMap<Topic, Delta>,
+    previous: BTreeMap<Topic, Delta>,
 }
 
 impl Returning {
     pub(crate) fn add(&mut self, deltas: &[Delta]) {
         for delta in deltas {
-            self.sent
+            self.current
                 .entry(delta.topic.clone())
                 .or_insert_with(|| Delta::new(delta.topic.clone()))
                 .merge(delta);
@@ -125,8 +126,8 @@
     /// Subtracts this host's own evidence and returns what other hosts counted.
     pub(crate) fn without_own(&mut self, mut deltas: Vec<Delta>) -> Vec<Delta> {
         for delta in &mut deltas {
-            take_out(&mut self.sent_before, delta);
-            take_out(&mut self.sent, delta);
+            cancel_common(&mut self.previous, delta);
+            cancel_common(&mut self.current, delta);
         }
         deltas.retain(|it| !it.is_empty());
         deltas
@@ -135,13 +136,13 @@
     /// Drops evidence that was sent before the previous call and hasn't come
     /// back; it was lost on the way.
     pub(crate) fn forget(&mut self) {
-        self.sent_before = std::mem::take(&mut self.sent);
+        self.previous = std::mem::take(&mut self.current);
     }
 }
 
 /// Subtracts the sent counts from `delta` and the counts of `delta` from those
 /// sent.
-fn take_out(sent: &mut BTreeMap<Topic, Delta>, delta: &mut Delta) {
+fn cancel_common(sent: &mut BTreeMap<Topic, Delta>, delta: &mut Delta) {
     let Some(own) = sent.get_mut(&delta.topic) else {
         return;
     };
--- a/crates/fleet/src/prober.rs
+++ b/crates/fleet/src/prober.rs
@@ -13,9 +13,9 @@
 #[derive(Default)]
 pub(crate) struct Prober {
     sequence: u32,
-    turn: usize,
-    waiting: BTreeMap<u32, Waiting>,
-    helping: BTreeMap<u32, Helping>,
+    target_index: usize,
+    pending: BTreeMap<u32, Waiting>,
+    relayed: BTreeMap<u32, Helping>,
     /// The time at which this host's own probe was last acknowledged.
     pub(crate) answered: Duration,
 }
@@ -65,8 +65,10 @@
 
     /// Returns the next of `targets` in round-robin order.
     pub(crate) fn next_target(&mut self, targets: &[MemberKey]) -> Option<MemberKey> {
-        self.turn = self.turn.wrapping_add(1);
-        targets.get(self.turn.checked_rem(targets.len())?).copied()
+        self.target_index = self.target_index.wrapping_add(1);
+        targets
+            .get(self.target_index.checked_rem(targets.len())?)
+            .copied()
     }
 
     pub(crate) fn wait(&mut self, sequence: u32, target: Identity, now: Duration) {
@@ -77,56 +79,56 @@
             sent,
             is_helped,
         };
-        self.waiting.insert(sequence, waiting);
+        self.pending.insert(sequence, waiting);
     }
 
     /// Completes a probe that any incarnation of the probed host acknowledged.
     pub(crate) fn answer(&mut self, sequence: u32, from: &Identity) -> Option<Waiting> {
-        if self.waiting.get(&sequence)?.target.host != from.host {
+        if self.pending.get(&sequence)?.target.host != from.host {
             return None;
         }
-        self.waiting.remove(&sequence)
+        self.pending.remove(&sequence)
     }
 
     pub(crate) fn help(&mut self, sequence: u32, helping: Helping) {
-        self.helping.insert(sequence, helping);
+        self.relayed.insert(sequence, helping);
     }
 
     pub(crate) fn helped(&mut self, sequence: u32, from: &Identity) -> Option<Helping> {
-        if self.helping.get(&sequence)?.target != *from {
+        if self.relayed.get(&sequence)?.target != *from {
             return None;
         }
-        self.helping.remove(&sequence)
+        self.relayed.remove(&sequence)
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &Waiting)> {
-        self.waiting.iter().map(|(sequence, it)| (*sequence, it))
+        self.pending.iter().map(|(sequence, it)| (*sequence, it))
     }
 
     /// Marks that indirect probes of the target were requested.
     pub(crate) fn set_helped(&mut self, sequence: u32) {
-        if let Some(it) = self.waiting.get_mut(&sequence) {
+        if let Some(it) = self.pending.get_mut(&sequence) {
             it.is_helped = true;
         }
     }
 
     pub(crate) fn give_up(&mut self, sequence: u32) {
-        self.waiting.remove(&sequence);
+        self.pending.remove(&sequence);
     }
 
     /// Returns whether a probe of the host is in flight.
     pub(crate) fn is_waiting_for(&self, host: &HostName) -> bool {
-        self.waiting.values().any(|it| it.target.host == *host)
+        self.pending.values().any(|it| it.target.host == *host)
     }
 
     /// Drops indirect probes that were sent before the given time.
     pub(crate) fn forget(&mut self, before: Duration) {
-        self.helping.retain(|_, it| it.sent >= before);
+        self.relayed.retain(|_, it| it.sent >= before);
     }
 
     /// Drops all of this host's own probes and counts silence from `now`.
     pub(crate) fn reset(&mut self, now: Duration) {
-        self.waiting.clear();
+        self.pending.clear();
         self.answered = now;
     }
 }
