--- a/crates/fleet/src/fleet/config_sync.rs
+++ b/crates/fleet/src/fleet/config_sync.rs
@@ -16,7 +16,7 @@
     /// Returns whether this host is one of those in its data centre that poll the
     /// table.
     #[must_use]
-    pub fn polls(&self) -> bool {
+    pub fn is_poller(&self) -> bool {
         let weight_of = |host: &HostName| weight("poll", 0_u8, host.as_str());
         let mine = weight_of(&self.me.identity.host);
         let ahead = self
@@ -38,7 +38,7 @@
             self.timers.poll = cx.now + self.jitter(self.tuning.poll_every);
             return cx.push(Action::Poll);
         }
-        if self.polls() || self.is_alone(cx.now) {
+        if self.is_poller() || self.is_isolated(cx.now) {
             return cx.push(Action::Poll);
         }
         self.poll_if_proof_is_old(cx);
--- a/crates/fleet/src/fleet/dissemination.rs
+++ b/crates/fleet/src/fleet/dissemination.rs
@@ -205,7 +205,11 @@
     /// Returns the number of hosts that this one reports as reachable, including
     /// itself.
     pub(super) fn reported_reach(&self, now: Duration) -> u32 {
-        let reach = if self.is_alone(now) { 1 } else { self.size() };
+        let reach = if self.is_isolated(now) {
+            1
+        } else {
+            self.size()
+        };
         u32::try_from(reach).unwrap_or(u32::MAX)
     }
 
--- a/crates/fleet/src/fleet/failure_detection.rs
+++ b/crates/fleet/src/fleet/failure_detection.rs
@@ -24,7 +24,7 @@
     /// hasn't received a response for a long time. Its view is then out of date,
     /// and its updates reach no other host.
     #[must_use]
-    pub fn is_alone(&self, now: Duration) -> bool {
+    pub fn is_isolated(&self, now: Duration) -> bool {
         let silence = now.saturating_sub(self.prober.answered);
         self.members.reachable().next().is_none() || silence > self.tuning.alone_after
     }
@@ -248,7 +248,7 @@
             return true;
         }
         let is_small = witnesses < SMALL_FLEET_HOSTS;
-        is_small && self.is_alone(now)
+        is_small && self.is_isolated(now)
     }
 
     /// Records that a host responded. If this host was isolated until now, no
--- a/crates/fleet/src/fleet/selection.rs
+++ b/crates/fleet/src/fleet/selection.rs
@@ -49,12 +49,12 @@
         let region = self.region_of(data_centre);
         let me = Some(&self.me).filter(|it| it.state == State::Alive);
         let hosts: Vec<_> = self.members.alive().chain(me).cloned().collect();
-        let is_alone = self.is_alone(now);
+        let is_isolated = self.is_isolated(now);
         let mut ranked: Vec<_> = hosts
             .into_iter()
             .map(|it| (self.rank(now, &it, data_centre, region.as_ref()), it))
             .collect();
-        if is_alone {
+        if is_isolated {
             let mine = &self.me.identity;
             ranked.sort_by_key(|(rank, it)| (it.identity != *mine, *rank));
         } else {
--- a/crates/fleet/src/tuning.rs
+++ b/crates/fleet/src/tuning.rs
@@ -17,7 +17,7 @@
     /// The number of hash rings from which neighbours are chosen.
     pub rings: usize,
     /// A host that receives no ack for this long counts as isolated; see
-    /// [`crate::Fleet::is_alone`].
+    /// [`crate::Fleet::is_isolated`].
     pub alone_after: Duration,
     /// The interval between comparisons of views with a random member.
     pub compare_every: Duration,
--- a/crates/fleet/tests/scripts.rs
+++ b/crates/fleet/tests/scripts.rs
@@ -276,7 +276,7 @@
             } else {
                 "not ready"
             };
-            let polls = if fleet.polls() { ", polls" } else { "" };
+            let polls = if fleet.is_poller() { ", polls" } else { "" };
             let host = &fleet.me().identity.host;
             let revision = fleet.revision();
             writeln!(text, "{host}: {ready}, revision {revision}, {age}{polls}").unwrap();
