--- a/crates/fleet/src/board.rs
+++ b/crates/fleet/src/announcements.rs
@@ -10,7 +10,7 @@
 
 /// The latest verdict on each version and the latest state of each endpoint.
 #[derive(Default)]
-pub(crate) struct Board {
+pub(crate) struct Announcements {
     verdicts: BTreeMap<VersionId, Verdict>,
     endpoints: BTreeMap<HostName, EndpointEntry>,
 }
@@ -24,7 +24,7 @@
     is_compared: bool,
 }
 
-impl Board {
+impl Announcements {
     /// Returns the round for a new verdict on the version.
     pub(crate) fn next_round(&self, version: &VersionId) -> u64 {
         self.verdicts.get(version).map_or(1, |it| it.round + 1)
@@ -75,7 +75,7 @@
 
     /// Excludes endpoint updates received before `before` from view comparisons, and
     /// removes endpoints that have been gone since before `gone_before`.
-    pub(crate) fn age(&mut self, view: &mut View, before: Duration, gone_before: Duration) {
+    pub(crate) fn expire(&mut self, view: &mut View, before: Duration, gone_before: Duration) {
         for entry in self.endpoints.values_mut() {
             if entry.is_compared && entry.at < before {
                 entry.is_compared = false;
@@ -88,7 +88,7 @@
     }
 
     /// Returns the compared records of the buckets for which `wanted` returns true.
-    pub(crate) fn news(&self, wanted: impl Fn(u8) -> bool) -> Vec<News> {
+    pub(crate) fn records(&self, wanted: impl Fn(u8) -> bool) -> Vec<News> {
         let verdicts = self
             .verdicts
             .values()
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -68,7 +68,7 @@
     /// response that waited in a buffer while this host was frozen would otherwise
     /// pass as a fresh proof, and this host would keep serving a withdrawn version.
     /// The response can't have been written before the request.
-    pub(crate) fn witness(&mut self, asked: Duration, proof: Proof) {
+    pub(crate) fn accept_proof(&mut self, asked: Duration, proof: Proof) {
         let Some(Age(age)) = proof.age else { return };
         if proof.revision == self.revision {
             self.record_proof(asked, age);
@@ -79,7 +79,7 @@
     ///
     /// A lower revision is ignored, so that a table restored from a backup doesn't
     /// revert a host.
-    pub(crate) fn polled(&mut self, polled: Polled) -> Option<Arc<[u8]>> {
+    pub(crate) fn apply_poll(&mut self, polled: Polled) -> Option<Arc<[u8]>> {
         if polled.revision < self.revision {
             return None;
         }
@@ -94,7 +94,7 @@
     }
 
     /// Applies a document received from another host and returns it if it is newer.
-    pub(crate) fn fetched(&mut self, document: Document) -> Option<Arc<[u8]>> {
+    pub(crate) fn apply_document(&mut self, document: Document) -> Option<Arc<[u8]>> {
         let asked = self
             .fetching
             .take_if(|it| it.sequence == document.sequence)
@@ -106,14 +106,14 @@
         });
         if let Some(asked) = asked {
             let (revision, age) = (document.revision, document.age);
-            self.witness(asked, Proof { revision, age });
+            self.accept_proof(asked, Proof { revision, age });
         }
         applied
     }
 
     /// Records that a host holds a revision; returns whether the revision is newer
     /// than the one in force.
-    pub(crate) fn heard(&mut self, host: &HostName, revision: Revision) -> bool {
+    pub(crate) fn record_holder(&mut self, host: &HostName, revision: Revision) -> bool {
         if revision <= self.revision {
             return false;
         }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -15,7 +15,7 @@
 use rand_pcg::Pcg64;
 use wire::{Frame, Identity, Member, State};
 
-use crate::board::Board;
+use crate::announcements::Announcements;
 use crate::configuration::Configuration;
 use crate::cx::Cx;
 use crate::gossip::Gossip;
@@ -36,7 +36,7 @@
     members: Members,
     neighbours: Neighbours,
     view: View,
-    board: Board,
+    announcements: Announcements,
     gossip: Gossip,
     prober: Prober,
     configuration: Configuration,
@@ -75,7 +75,7 @@
             members: Members::default(),
             neighbours: Neighbours::default(),
             view,
-            board: Board::default(),
+            announcements: Announcements::default(),
             gossip: Gossip::default(),
             prober: Prober::default(),
             configuration: Configuration::default(),
@@ -181,7 +181,7 @@
     /// the configuration document.
     #[must_use]
     pub fn bytes(&self) -> usize {
-        size_of::<Self>() + self.members.bytes() + self.board.bytes()
+        size_of::<Self>() + self.members.bytes() + self.announcements.bytes()
     }
 
     fn tick(&mut self, cx: &mut Cx) {
@@ -210,7 +210,7 @@
             return;
         }
         self.prober.reset(cx.now);
-        self.members.postpone(gap);
+        self.members.extend_suspicions(gap);
         if gap > self.tuning.forget_after {
             self.depose(cx);
         }
@@ -236,7 +236,7 @@
         if identity == self.me.identity {
             return cx.push(Action::Drain);
         }
-        if let Some(entry) = self.members.find_life(&identity) {
+        if let Some(entry) = self.members.find_incarnation(&identity) {
             cx.send(&entry.member, Frame::Drain(identity));
         }
     }
@@ -257,8 +257,8 @@
         self.declare_dead(cx, forget_before);
         self.members.forget(forget_before);
         let compared_before = cx.now.saturating_sub(self.tuning.endpoint_age);
-        self.board
-            .age(&mut self.view, compared_before, forget_before);
+        self.announcements
+            .expire(&mut self.view, compared_before, forget_before);
         self.prober
             .forget(cx.now.saturating_sub(self.tuning.probe_timeout * 2));
         self.evidence.forget();
--- a/crates/fleet/src/fleet/anti_entropy.rs
+++ b/crates/fleet/src/fleet/anti_entropy.rs
@@ -195,7 +195,7 @@
             .chain([&self.me])
             .filter(|it| it.state != State::Dead && wanted(bucket_of(it.identity.host.as_str())))
             .map(|it| News::Member(it.clone()));
-        members.chain(self.board.news(wanted)).collect()
+        members.chain(self.announcements.records(wanted)).collect()
     }
 
     fn revision_update(&self) -> Option<News> {
--- a/crates/fleet/src/fleet/config_sync.rs
+++ b/crates/fleet/src/fleet/config_sync.rs
@@ -45,7 +45,7 @@
     }
 
     pub(super) fn handle_polled(&mut self, cx: &mut Cx, polled: Polled) {
-        let applied = self.configuration.polled(polled);
+        let applied = self.configuration.apply_poll(polled);
         self.put_in_force(cx, applied);
     }
 
@@ -55,7 +55,7 @@
         host: &HostName,
         revision: Revision,
     ) {
-        if self.configuration.heard(host, revision) {
+        if self.configuration.record_holder(host, revision) {
             self.start_fetch(cx);
         }
     }
@@ -96,7 +96,7 @@
     }
 
     pub(super) fn handle_document(&mut self, cx: &mut Cx, document: Document) {
-        let applied = self.configuration.fetched(document);
+        let applied = self.configuration.apply_document(document);
         self.put_in_force(cx, applied);
     }
 
--- a/crates/fleet/src/fleet/dissemination.rs
+++ b/crates/fleet/src/fleet/dissemination.rs
@@ -74,9 +74,11 @@
     }
 
     pub(super) fn retract_accusation(&mut self, cx: &mut Cx, host: &HostName) {
-        let acquitted = self.members.acquit(cx.now, &mut self.view, host);
-        if let Some((member, before)) = acquitted {
-            self.gossip.retract(host);
+        let retracted = self
+            .members
+            .retract_accusation(cx.now, &mut self.view, host);
+        if let Some((member, before)) = retracted {
+            self.gossip.remove_member(host);
             report_change(cx, &member, Some(before));
         }
     }
@@ -87,7 +89,7 @@
         verdict: &Verdict,
         from: Option<&HostName>,
     ) {
-        if self.board.merge_verdict(&mut self.view, verdict) {
+        if self.announcements.merge_verdict(&mut self.view, verdict) {
             cx.push(Action::Verdict(verdict.clone()));
             self.queue_update(News::Verdict(verdict.clone()), from);
         }
@@ -99,7 +101,10 @@
         endpoint: &Endpoint,
         from: Option<&HostName>,
     ) {
-        if self.board.merge_endpoint(cx.now, &mut self.view, endpoint) {
+        if self
+            .announcements
+            .merge_endpoint(cx.now, &mut self.view, endpoint)
+        {
             cx.push(Action::Endpoint(endpoint.clone()));
             self.queue_update(News::Endpoint(endpoint.clone()), from);
         }
@@ -107,7 +112,7 @@
 
     pub(super) fn publish_verdict(&mut self, cx: &mut Cx, ruled: Ruled) {
         let verdict = Verdict {
-            round: self.board.next_round(&ruled.version),
+            round: self.announcements.next_round(&ruled.version),
             version: ruled.version,
             ruling: ruled.ruling,
             by: self.me.identity.clone(),
@@ -134,7 +139,7 @@
         if *identity == self.me.identity {
             return self.depose(cx);
         }
-        let Some(entry) = self.members.find_life(identity) else {
+        let Some(entry) = self.members.find_incarnation(identity) else {
             return;
         };
         let member = entry.member.clone();
@@ -183,7 +188,7 @@
             let Some(entry) = self.members.get(*key) else {
                 continue;
             };
-            let news = push.news_to(&entry.member.identity.host);
+            let news = push.updates_for(&entry.member.identity.host);
             if !news.is_empty() {
                 cx.send(&entry.member, Bulletin { reach, news });
             }
--- a/crates/fleet/src/fleet/evidence.rs
+++ b/crates/fleet/src/fleet/evidence.rs
@@ -10,13 +10,13 @@
 use wire::{Delta, Evidence, Member, Reach, State};
 
 use crate::cx::Cx;
-use crate::pool::{GROUPS, Pace, Pool, Returning, group_of};
+use crate::pool::{BatchDelays, GROUPS, OwnContributions, Pool, group_of};
 use crate::rendezvous::weight;
 use crate::{Action, Fleet};
 
 /// Delay at a relay before it forwards counts returned by homes. It only combines
 /// counts that arrive from several homes at the same time.
-const RETURN_PACE: Pace = Pace {
+const RETURN_DELAYS: BatchDelays = BatchDelays {
     urgent: Duration::from_millis(100),
     usual: Duration::from_millis(100),
 };
@@ -32,7 +32,7 @@
     home: Pool,
     /// As a relay: counts returned by homes.
     returned: Pool,
-    returning: Returning,
+    own_contributions: OwnContributions,
     routes: Routes,
 }
 
@@ -51,7 +51,7 @@
 
 impl EvidenceQueues {
     pub(super) fn forget(&mut self) {
-        self.returning.forget();
+        self.own_contributions.forget();
     }
 }
 
@@ -78,12 +78,12 @@
     pub(super) fn evidence_deadline(&self) -> Option<Duration> {
         let queues = &self.evidence;
         let stages = [
-            queues.own.deadline(self.own_pace()),
+            queues.own.deadline(self.own_delays()),
             queues
                 .relayed
-                .deadline(self.pace(self.tuning.evidence_to_home)),
-            queues.home.deadline(self.home_pace()),
-            queues.returned.deadline(RETURN_PACE),
+                .deadline(self.delays(self.tuning.evidence_to_home)),
+            queues.home.deadline(self.home_delays()),
+            queues.returned.deadline(RETURN_DELAYS),
         ];
         stages.into_iter().flatten().min()
     }
@@ -96,9 +96,9 @@
     }
 
     fn send_own(&mut self, cx: &mut Cx) {
-        let pace = self.own_pace();
+        let delays = self.own_delays();
         if self.is_direct() {
-            let deltas = self.evidence.own.take_all_if_due(cx.now, pace);
+            let deltas = self.evidence.own.take_all_if_due(cx.now, delays);
             if deltas.is_empty() {
                 return;
             }
@@ -109,22 +109,22 @@
             }
             return;
         }
-        let due = self.evidence.own.take_due(cx.now, pace);
+        let due = self.evidence.own.take_due(cx.now, delays);
         if due.is_empty() {
             return;
         }
         self.refresh_routes();
         let mut frames = OutgoingFrames::default();
         for (group, deltas) in due {
-            self.evidence.returning.add(&deltas);
+            self.evidence.own_contributions.add(&deltas);
             frames.add(&self.route_of(group).relay, deltas);
         }
         self.dispatch(cx, frames, Reach::Host);
     }
 
     fn send_relayed(&mut self, cx: &mut Cx) {
-        let pace = self.pace(self.tuning.evidence_to_home);
-        let due = self.evidence.relayed.take_due(cx.now, pace);
+        let delays = self.delays(self.tuning.evidence_to_home);
+        let due = self.evidence.relayed.take_due(cx.now, delays);
         if due.is_empty() {
             return;
         }
@@ -142,8 +142,8 @@
     }
 
     fn send_home(&mut self, cx: &mut Cx) {
-        let pace = self.home_pace();
-        let due = self.evidence.home.take_due(cx.now, pace);
+        let delays = self.home_delays();
+        let due = self.evidence.home.take_due(cx.now, delays);
         let mut frames = OutgoingFrames::default();
         for (group, deltas) in due {
             for relay in self.relays(group) {
@@ -154,7 +154,7 @@
     }
 
     fn send_returned(&mut self, cx: &mut Cx) {
-        let due = self.evidence.returned.take_due(cx.now, RETURN_PACE);
+        let due = self.evidence.returned.take_due(cx.now, RETURN_DELAYS);
         let deltas: Vec<_> = due.into_iter().flat_map(|it| it.1).collect();
         if deltas.is_empty() {
             return;
@@ -189,7 +189,7 @@
         if reach == Reach::DataCentre {
             self.evidence.home.add(cx.now, &deltas);
         }
-        let others = self.evidence.returning.without_own(deltas);
+        let others = self.evidence.own_contributions.subtract_own(deltas);
         report_evidence(cx, others);
     }
 
@@ -201,7 +201,7 @@
             let homes = &self.route_of(group_of(&it.topic)).homes;
             homes.iter().all(|it| it.identity != self.me.identity)
         });
-        let others = self.evidence.returning.without_own(deltas);
+        let others = self.evidence.own_contributions.subtract_own(deltas);
         report_evidence(cx, others);
     }
 
@@ -217,29 +217,29 @@
         self.size() <= self.tuning.evidence_direct
     }
 
-    fn own_pace(&self) -> Pace {
+    fn own_delays(&self) -> BatchDelays {
         if self.is_direct() {
-            self.pace(self.tuning.evidence_to_members)
+            self.delays(self.tuning.evidence_to_members)
         } else {
-            self.pace(self.tuning.evidence_to_relay)
+            self.delays(self.tuning.evidence_to_relay)
         }
     }
 
-    /// Returns the pace at which a home returns counts. None are urgent: the home
+    /// Returns the delays with which a home returns counts. None are urgent: the home
     /// has judged failures itself, and verdicts spread as gossip updates. A large
     /// fleet nearly always has some error, so urgent sending would defeat
     /// batching.
-    fn home_pace(&self) -> Pace {
+    fn home_delays(&self) -> BatchDelays {
         let usual = self.tuning.evidence_to_all;
-        Pace {
+        BatchDelays {
             urgent: usual,
             usual,
         }
     }
 
-    fn pace(&self, usual: Duration) -> Pace {
+    fn delays(&self, usual: Duration) -> BatchDelays {
         let urgent = self.tuning.evidence_urgent;
-        Pace { urgent, usual }
+        BatchDelays { urgent, usual }
     }
 
     fn route_of(&self, group: usize) -> &Route {
--- a/crates/fleet/src/fleet/failure_detection.rs
+++ b/crates/fleet/src/fleet/failure_detection.rs
@@ -8,8 +8,8 @@
 
 use crate::Fleet;
 use crate::cx::Cx;
-use crate::members::{Level, MemberKey};
-use crate::prober::{Helping, Waiting};
+use crate::members::{LoadReport, MemberKey};
+use crate::prober::{PendingProbe, RelayedProbe};
 
 /// With fewer other hosts than this, an isolated host may still suspect members:
 /// if it is wrong, their refutations cost little.
@@ -43,11 +43,11 @@
             return;
         };
         let member = member.member.clone();
-        if self.prober.is_waiting_for(&member.identity.host) {
+        if self.prober.is_probing(&member.identity.host) {
             return;
         }
         let sequence = self.prober.next_sequence();
-        self.prober.wait(sequence, member.identity.clone(), cx.now);
+        self.prober.begin(sequence, member.identity.clone(), cx.now);
         self.send_probe(cx, &member, sequence);
     }
 
@@ -71,18 +71,18 @@
             .filter(|(_, it)| it.due(self.tuning.probe_timeout) <= cx.now)
             .map(|(sequence, it)| (sequence, it.clone()))
             .collect();
-        for (sequence, waiting) in overdue {
-            let Some(entry) = self.members.find_life(&waiting.target) else {
-                self.prober.give_up(sequence);
+        for (sequence, pending_probe) in overdue {
+            let Some(entry) = self.members.find_incarnation(&pending_probe.target) else {
+                self.prober.cancel(sequence);
                 continue;
             };
             let member = entry.member.clone();
-            if !waiting.is_helped {
+            if !pending_probe.is_indirect_requested {
                 self.probe_indirectly(cx, sequence, &member);
                 continue;
             }
-            self.prober.give_up(sequence);
-            if self.may_suspect(cx.now, &waiting) {
+            self.prober.cancel(sequence);
+            if self.may_suspect(cx.now, &pending_probe) {
                 self.suspect(cx, member);
             }
         }
@@ -116,7 +116,7 @@
         if probe.from.host != *from {
             return;
         }
-        let requester = self.members.find_life(&probe.from);
+        let requester = self.members.find_incarnation(&probe.from);
         let known = requester.map(|it| it.member.clone());
         let accusation = known.clone().filter(|it| it.state >= State::Suspect);
         let ack = Ack {
@@ -143,10 +143,10 @@
     }
 
     pub(super) fn handle_ack(&mut self, cx: &mut Cx, from: &HostName, ack: Ack) {
-        if let Some(helping) = self.prober.helped(ack.sequence, &ack.from) {
-            return Self::relay_ack(cx, helping, ack);
+        if let Some(relayed_probe) = self.prober.complete_relayed(ack.sequence, &ack.from) {
+            return Self::relay_ack(cx, relayed_probe, ack);
         }
-        let Some(waiting) = self.prober.answer(ack.sequence, &ack.from) else {
+        let Some(pending_probe) = self.prober.complete(ack.sequence, &ack.from) else {
             return;
         };
         self.record_response(cx);
@@ -154,9 +154,10 @@
         self.record_loads(cx.now, &ack.loads);
         self.apply_bulletin(cx, ack.bulletin, from);
         self.record_revision_holder(cx, host, ack.proof.revision);
-        self.configuration.witness(waiting.sent, ack.proof);
-        let Some(entry) = self.members.find_life(&ack.from) else {
-            return self.compare_with_successor(cx, &waiting.target);
+        self.configuration
+            .accept_proof(pending_probe.sent, ack.proof);
+        let Some(entry) = self.members.find_incarnation(&ack.from) else {
+            return self.compare_with_successor(cx, &pending_probe.target);
         };
         let member = entry.member.clone();
         if member.state >= State::Suspect {
@@ -182,8 +183,8 @@
         target.identity = request.target.clone();
         target.fleet_address = request.address;
         let sequence = self.prober.next_sequence();
-        let helping = Helping::new(cx.now, requester, request.sequence, request.target);
-        self.prober.help(sequence, helping);
+        let relayed_probe = RelayedProbe::new(cx.now, requester, request.sequence, request.target);
+        self.prober.begin_relayed(sequence, relayed_probe);
         self.send_probe(cx, &target, sequence);
     }
 
@@ -210,7 +211,7 @@
     /// Probes the target again, directly and through other hosts, so that a
     /// broken path or a lost frame isn't mistaken for a dead host.
     fn probe_indirectly(&mut self, cx: &mut Cx, sequence: u32, target: &Member) {
-        self.prober.set_helped(sequence);
+        self.prober.mark_indirect_requested(sequence);
         self.send_probe(cx, target, sequence);
         let neighbours: Vec<_> = self
             .neighbours
@@ -238,13 +239,13 @@
     /// The timeout leaves time for a response to the next probe, and the target
     /// is probed again in its turn. Without other members, and in a small fleet
     /// after a long time without a response, no such response is required.
-    fn may_suspect(&self, now: Duration, waiting: &Waiting) -> bool {
+    fn may_suspect(&self, now: Duration, pending_probe: &PendingProbe) -> bool {
         let witnesses = self
             .members
             .reachable()
-            .filter(|(_, it)| it.member.identity != waiting.target)
+            .filter(|(_, it)| it.member.identity != pending_probe.target)
             .count();
-        if witnesses == 0 || self.prober.answered > waiting.sent {
+        if witnesses == 0 || self.prober.answered > pending_probe.sent {
             return true;
         }
         let is_small = witnesses < SMALL_FLEET_HOSTS;
@@ -270,7 +271,7 @@
         }
         let identity = member.identity.clone();
         self.set_member_state(cx, member, State::Suspect);
-        if let Some(entry) = self.members.find_life(&identity) {
+        if let Some(entry) = self.members.find_incarnation(&identity) {
             let member = entry.member.clone();
             self.notify_accused(cx, &member);
         }
@@ -324,18 +325,19 @@
         for load in loads {
             let at = now.saturating_sub(load.age);
             let level = load.level;
-            self.members.note_load(&load.host, Level { level, at });
+            self.members
+                .record_load(&load.host, LoadReport { level, at });
         }
     }
 
     /// Forwards the ack of an indirect probe with the requester's sequence number.
-    fn relay_ack(cx: &mut Cx, helping: Helping, mut ack: Ack) {
-        ack.sequence = helping.sequence;
+    fn relay_ack(cx: &mut Cx, relayed_probe: RelayedProbe, mut ack: Ack) {
+        ack.sequence = relayed_probe.sequence;
         ack.bulletin.news.clear();
         ack.loads.clear();
         cx.push(crate::Action::Send {
-            host: helping.host,
-            address: helping.address,
+            host: relayed_probe.host,
+            address: relayed_probe.address,
             frame: ack.into(),
         });
     }
@@ -351,9 +353,14 @@
     }
 }
 
-impl Waiting {
+impl PendingProbe {
     /// Returns when the probe next times out.
     fn due(&self, timeout: Duration) -> Duration {
-        self.sent + if self.is_helped { timeout * 3 } else { timeout }
+        self.sent
+            + if self.is_indirect_requested {
+                timeout * 3
+            } else {
+                timeout
+            }
     }
 }
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -37,7 +37,7 @@
     }
 
     /// Removes the update on a member.
-    pub(crate) fn retract(&mut self, host: &HostName) {
+    pub(crate) fn remove_member(&mut self, host: &HostName) {
         self.items.retain(|it| match &it.news {
             News::Member(member) => member.identity.host != *host,
             _ => true,
@@ -107,7 +107,7 @@
 
 impl Push {
     /// Returns the updates that `host` didn't send itself.
-    pub(crate) fn news_to(&self, host: &HostName) -> Vec<News> {
+    pub(crate) fn updates_for(&self, host: &HostName) -> Vec<News> {
         let pieces = self.updates.iter().zip(&self.sources);
         pieces
             .filter(|(_, source)| source.as_ref() != Some(host))
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,7 +5,7 @@
 //! `docs/design/membership.md` describes the protocol and its design.
 
 mod action;
-mod board;
+mod announcements;
 mod configuration;
 mod cx;
 mod event;
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -21,7 +21,7 @@
     pub(crate) member: Member,
     /// The time at which this host recorded the present state.
     pub(crate) since: Duration,
-    pub(crate) load: Option<Level>,
+    pub(crate) load: Option<LoadReport>,
     /// The state that the member last declared itself: [`State::Alive`] or
     /// [`State::Leaving`].
     declared_state: State,
@@ -29,7 +29,7 @@
 
 /// A reported load and the time of the report.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Level {
+pub(crate) struct LoadReport {
     pub(crate) level: u8,
     pub(crate) at: Duration,
 }
@@ -74,7 +74,7 @@
     }
 
     /// Returns the host's entry if its known incarnation is this one.
-    pub(crate) fn find_life(&self, identity: &Identity) -> Option<&Entry> {
+    pub(crate) fn find_incarnation(&self, identity: &Identity) -> Option<&Entry> {
         self.find(&identity.host)
             .filter(|it| it.member.identity == *identity)
     }
@@ -141,7 +141,7 @@
 
     /// Restores a suspect or unreachable member to the state that it last
     /// declared itself. Returns the record and its previous state.
-    pub(crate) fn acquit(
+    pub(crate) fn retract_accusation(
         &mut self,
         now: Duration,
         view: &mut View,
@@ -164,17 +164,17 @@
     }
 
     /// Records a member's load unless a report at least as recent is known.
-    pub(crate) fn note_load(&mut self, host: &HostName, level: Level) {
+    pub(crate) fn record_load(&mut self, host: &HostName, report: LoadReport) {
         let Some(entry) = self.keys.get(host).and_then(|it| self.arena.get_mut(*it)) else {
             return;
         };
-        if entry.load.is_none_or(|it| it.at < level.at) {
-            entry.load = Some(level);
+        if entry.load.is_none_or(|it| it.at < report.at) {
+            entry.load = Some(report);
         }
     }
 
     /// Extends the suspicion of all suspects.
-    pub(crate) fn postpone(&mut self, by: Duration) {
+    pub(crate) fn extend_suspicions(&mut self, by: Duration) {
         for key in &self.suspects {
             self.arena[*key].since += by;
         }
--- a/crates/fleet/src/pool.rs
+++ b/crates/fleet/src/pool.rs
@@ -36,7 +36,7 @@
 
 /// The delays after which a batch is sent.
 #[derive(Clone, Copy)]
-pub(crate) struct Pace {
+pub(crate) struct BatchDelays {
     pub(crate) urgent: Duration,
     pub(crate) usual: Duration,
 }
@@ -61,13 +61,13 @@
         }
     }
 
-    pub(crate) fn deadline(&self, pace: Pace) -> Option<Duration> {
-        self.batches.values().map(|it| it.due_at(pace)).min()
+    pub(crate) fn deadline(&self, delays: BatchDelays) -> Option<Duration> {
+        self.batches.values().map(|it| it.due_at(delays)).min()
     }
 
     /// Takes all batches as soon as one of them is due.
-    pub(crate) fn take_all_if_due(&mut self, now: Duration, pace: Pace) -> Vec<Delta> {
-        if self.deadline(pace).is_none_or(|it| it > now) {
+    pub(crate) fn take_all_if_due(&mut self, now: Duration, delays: BatchDelays) -> Vec<Delta> {
+        if self.deadline(delays).is_none_or(|it| it > now) {
             return Vec::new();
         }
         let batches = std::mem::take(&mut self.batches).into_values();
@@ -75,11 +75,15 @@
     }
 
     /// Takes the batches that are due.
-    pub(crate) fn take_due(&mut self, now: Duration, pace: Pace) -> Vec<(usize, Vec<Delta>)> {
+    pub(crate) fn take_due(
+        &mut self,
+        now: Duration,
+        delays: BatchDelays,
+    ) -> Vec<(usize, Vec<Delta>)> {
         let due: Vec<_> = self
             .batches
             .iter()
-            .filter(|(_, it)| it.due_at(pace) <= now)
+            .filter(|(_, it)| it.due_at(delays) <= now)
             .map(|(group, _)| *group)
             .collect();
         due.into_iter()
@@ -90,11 +94,11 @@
 }
 
 impl Batch {
-    fn due_at(&self, pace: Pace) -> Duration {
+    fn due_at(&self, delays: BatchDelays) -> Duration {
         let wait = if self.is_urgent {
-            pace.urgent
+            delays.urgent
         } else {
-            pace.usual
+            delays.usual
         };
         self.started_at + wait
     }
@@ -106,14 +110,14 @@
 /// It is subtracted from those totals, so that this host doesn't count its own
 /// evidence twice.
 #[derive(Default)]
-pub(crate) struct Returning {
+pub(crate) struct OwnContributions {
     /// Evidence sent since the last call of [`Self::forget`].
     current: BTreeMap<Topic, Delta>,
     /// Evidence sent before the last call of [`Self::forget`].
     previous: BTreeMap<Topic, Delta>,
 }
 
-impl Returning {
+impl OwnContributions {
     pub(crate) fn add(&mut self, deltas: &[Delta]) {
         for delta in deltas {
             self.current
@@ -124,7 +128,7 @@
     }
 
     /// Subtracts this host's own evidence and returns what other hosts counted.
-    pub(crate) fn without_own(&mut self, mut deltas: Vec<Delta>) -> Vec<Delta> {
+    pub(crate) fn subtract_own(&mut self, mut deltas: Vec<Delta>) -> Vec<Delta> {
         for delta in &mut deltas {
             cancel_common(&mut self.previous, delta);
             cancel_common(&mut self.current, delta);
--- a/crates/fleet/src/prober.rs
+++ b/crates/fleet/src/prober.rs
@@ -14,23 +14,23 @@
 pub(crate) struct Prober {
     sequence: u32,
     target_index: usize,
-    pending: BTreeMap<u32, Waiting>,
-    relayed: BTreeMap<u32, Helping>,
+    pending: BTreeMap<u32, PendingProbe>,
+    relayed: BTreeMap<u32, RelayedProbe>,
     /// The time at which this host's own probe was last acknowledged.
     pub(crate) answered: Duration,
 }
 
 /// A probe that this host started itself.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct PendingProbe {
     pub(crate) target: Identity,
     pub(crate) sent: Duration,
-    pub(crate) is_helped: bool,
+    pub(crate) is_indirect_requested: bool,
 }
 
 /// An indirect probe, sent at another host's request.
 #[derive(Clone, Debug)]
-pub(crate) struct Helping {
+pub(crate) struct RelayedProbe {
     pub(crate) host: HostName,
     pub(crate) address: SocketAddr,
     /// The requesting host's sequence number.
@@ -39,7 +39,7 @@
     sent: Duration,
 }
 
-impl Helping {
+impl RelayedProbe {
     pub(crate) fn new(
         now: Duration,
         asker: (HostName, SocketAddr),
@@ -71,53 +71,57 @@
             .copied()
     }
 
-    pub(crate) fn wait(&mut self, sequence: u32, target: Identity, now: Duration) {
+    pub(crate) fn begin(&mut self, sequence: u32, target: Identity, now: Duration) {
         let sent = now;
-        let is_helped = false;
-        let waiting = Waiting {
+        let is_indirect_requested = false;
+        let pending_probe = PendingProbe {
             target,
             sent,
-            is_helped,
+            is_indirect_requested,
         };
-        self.pending.insert(sequence, waiting);
+        self.pending.insert(sequence, pending_probe);
     }
 
     /// Completes a probe that any incarnation of the probed host acknowledged.
-    pub(crate) fn answer(&mut self, sequence: u32, from: &Identity) -> Option<Waiting> {
+    pub(crate) fn complete(&mut self, sequence: u32, from: &Identity) -> Option<PendingProbe> {
         if self.pending.get(&sequence)?.target.host != from.host {
             return None;
         }
         self.pending.remove(&sequence)
     }
 
-    pub(crate) fn help(&mut self, sequence: u32, helping: Helping) {
-        self.relayed.insert(sequence, helping);
+    pub(crate) fn begin_relayed(&mut self, sequence: u32, relayed_probe: RelayedProbe) {
+        self.relayed.insert(sequence, relayed_probe);
     }
 
-    pub(crate) fn helped(&mut self, sequence: u32, from: &Identity) -> Option<Helping> {
+    pub(crate) fn complete_relayed(
+        &mut self,
+        sequence: u32,
+        from: &Identity,
+    ) -> Option<RelayedProbe> {
         if self.relayed.get(&sequence)?.target != *from {
             return None;
         }
         self.relayed.remove(&sequence)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &Waiting)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &PendingProbe)> {
         self.pending.iter().map(|(sequence, it)| (*sequence, it))
     }
 
     /// Marks that indirect probes of the target were requested.
-    pub(crate) fn set_helped(&mut self, sequence: u32) {
+    pub(crate) fn mark_indirect_requested(&mut self, sequence: u32) {
         if let Some(it) = self.pending.get_mut(&sequence) {
-            it.is_helped = true;
+            it.is_indirect_requested = true;
         }
     }
 
-    pub(crate) fn give_up(&mut self, sequence: u32) {
+    pub(crate) fn cancel(&mut self, sequence: u32) {
         self.pending.remove(&sequence);
     }
 
     /// Returns whether a probe of the host is in flight.
-    pub(crate) fn is_waiting_for(&self, host: &HostName) -> bool {
+    pub(crate) fn is_probing(&self, host: &HostName) -> bool {
         self.pending.values().any(|it| it.target.host == *host)
     }
 
