--- a/crates/fleet/src/fleet/evidence.rs
+++ b/crates/fleet/src/fleet/evidence.rs
@@ -306,8 +306,9 @@
         homes
     }
 
-    /// Returns the alive hosts, including this one. Hosts that drain or may be
-    /// dead are excluded, because counts sent there could be lost.
+    /// Returns the hosts in state [`State::Alive`], which may include this one.
+    /// Hosts that drain or may be dead are excluded, because counts sent there
+    /// could be lost.
     fn candidates(&self) -> impl Iterator<Item = &Member> {
         let me = Some(&self.me).filter(|it| it.state == State::Alive);
         self.members.alive().chain(me)
--- a/crates/fleet/src/fleet/failure_detection.rs
+++ b/crates/fleet/src/fleet/failure_detection.rs
@@ -253,8 +253,8 @@
     }
 
     /// Records that a host responded. If this host was isolated until now, no
-    /// other host believed its accusations, so it retracts those
-    /// made in the meantime.
+    /// other host believed its accusations, so it retracts those made in the
+    /// meantime.
     fn record_response(&mut self, cx: &mut Cx) {
         let last = std::mem::replace(&mut self.prober.answered, cx.now);
         if cx.now.saturating_sub(last) <= self.tuning.alone_after {
