--- a/crates/gate/src/call.rs
+++ b/crates/gate/src/call.rs
@@ -1,4 +1,4 @@
-//! The headers that every call may carry.
+//! Request headers that any call may carry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,38 +13,38 @@
 pub const TICKET: &str = "barleypin-ticket";
 /// The name of the header that carries a [`crate::session::Token`].
 pub const SESSION: &str = "barleypin-session";
-/// The name of the header that bounds the call, in milliseconds from arrival.
+/// The name of the header that limits the call's duration, in milliseconds from arrival.
 pub const DEADLINE: &str = "barleypin-deadline-ms";
 /// The name of the header that states the [`Priority`].
 pub const PRIORITY: &str = "barleypin-priority";
 
-/// The name of the header by which a host proves to another that it passes a
-/// call on, see [`crate::ticket::pass_on`].
+/// The name of the header by which a host proves to another that it forwards a
+/// call, see [`crate::ticket::pass_on`].
 pub const VIA: &str = "barleypin-via";
 
 const MAX_KEY: usize = 128;
 const MAX_DEADLINE: Duration = Duration::from_hours(1);
 
-/// What the headers of a call say.
+/// The parsed headers of a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     /// The caller's idempotency key.
     pub key: Option<Arc<str>>,
-    /// The ticket, still sealed.
+    /// The ticket, not yet verified.
     pub ticket: Option<String>,
-    /// The session token, still sealed.
+    /// The session token, not yet verified.
     pub session: Option<String>,
-    /// The time the caller gives the call, from its arrival.
+    /// The caller's time limit for the call, from its arrival.
     pub deadline: Option<Duration>,
-    /// The priority, if the caller states one.
+    /// The priority, if the caller sets one.
     pub priority: Option<Priority>,
 }
 
 impl Headers {
-    /// Reads the headers, each through `get`.
+    /// Parses the headers, looking each one up with `get`.
     ///
     /// # Errors
-    /// A 400 problem that names the header and what it accepts.
+    /// Returns a 400 problem that names the invalid header and the accepted values.
     pub fn parse<'a>(get: impl Fn(&str) -> Option<&'a str>) -> Result<Self, Problem> {
         Ok(Self {
             key: get(IDEMPOTENCY_KEY).map(parse_key).transpose()?,
@@ -56,10 +56,10 @@
     }
 }
 
-/// The key in an `authorization: Bearer` header.
+/// Returns the key in an `authorization: Bearer` header.
 ///
 /// # Errors
-/// A 401 problem when the header is missing or of another scheme.
+/// Returns a 401 problem if the header is missing, has another scheme or an empty key.
 pub fn bearer(authorization: Option<&str>) -> Result<&str, Problem> {
     authorization
         .and_then(|value| value.split_once(' '))
--- a/crates/gate/src/chat.rs
+++ b/crates/gate/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions: the caller's request and the whole answer.
+//! Chat completions: the caller's request and the complete response.
 
 use std::sync::Arc;
 
@@ -9,13 +9,13 @@
 
 use crate::problem::{Problem, Reason};
 
-/// The class of a request that names none.
+/// The class of a request that sets none.
 pub const DEFAULT_CLASS: &str = "general";
 
 const MAX_NAME: usize = 64;
 
-/// Fields that change what an answer means and that the engines don't take.
-/// Ignoring them would hand the caller an answer to another question.
+/// Fields that change the meaning of the response and that the engines don't
+/// support. If they were ignored, the response wouldn't match the request.
 const UNSUPPORTED: [&str; 6] = [
     "tools",
     "functions",
@@ -25,14 +25,14 @@
     "modalities",
 ];
 
-/// Bounds on what a caller may send.
+/// Limits on a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Messages in a request.
+    /// Maximum number of messages.
     pub messages: usize,
-    /// Bytes of all messages' content.
+    /// Maximum total size of the messages' content in bytes.
     pub content: usize,
-    /// Tokens that a caller may ask for.
+    /// Maximum number of tokens that a caller may request.
     pub max_tokens: u32,
 }
 
@@ -46,17 +46,17 @@
     }
 }
 
-/// Who speaks.
+/// The author of a message.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Instructions by the service.
+    /// Instructions from the service.
     #[display("system")]
     System,
-    /// The person or service that asks.
+    /// The person or service that makes the request.
     #[display("user")]
     User,
-    /// An earlier answer.
+    /// A response of the model.
     #[display("assistant")]
     Assistant,
 }
@@ -64,46 +64,46 @@
 /// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who speaks.
+    /// The author of the message.
     pub role: Role,
-    /// What is said.
+    /// The text of the message.
     pub content: String,
 }
 
-/// How the answer is to come.
+/// How the response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// As server-sent events.
     Stream,
-    /// As one object.
+    /// As one JSON object.
     Whole,
 }
 
 /// A caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The profile that the caller picked by name.
+    /// The profile that the caller selected by name.
     pub profile: ProfileName,
     /// The conversation, at least one message.
     pub messages: Vec<Message>,
-    /// How the answer is to come.
+    /// How the response is sent.
     pub mode: Mode,
-    /// Bound on the answer's length.
+    /// Maximum number of tokens in the response.
     pub max_tokens: Option<u32>,
     /// The request class under which quality is learned.
     pub class: Arc<str>,
 }
 
 impl Request {
-    /// Reads a body.
+    /// Parses a request body.
     ///
-    /// Fields that only tune sampling are accepted and left out, as callers'
-    /// libraries send them by default; fields that change the meaning of the
-    /// answer are refused.
+    /// Sampling parameters are accepted and ignored, because callers' libraries
+    /// send them by default. Fields that change the meaning of the response are
+    /// rejected.
     ///
     /// # Errors
-    /// A 400 problem that names the field and what it accepts, or 413 when a
-    /// limit is exceeded.
+    /// Returns a 400 problem that names the invalid field and the accepted values,
+    /// or a 413 problem if the number or total size of messages exceeds its limit.
     pub fn parse(body: &[u8], limits: &Limits) -> Result<Self, Problem> {
         let body: Map<String, Value> = serde_json::from_slice(body)
             .map_err(|err| bad(format!("body: expected a JSON object: {err}")))?;
@@ -117,53 +117,53 @@
         })
     }
 
-    /// Bytes of all messages' content.
+    /// Returns the total size of the messages' content in bytes.
     #[must_use]
     pub fn content_len(&self) -> usize {
         self.messages.iter().map(|it| it.content.len()).sum()
     }
 }
 
-/// Tokens in and out.
+/// Token counts of a request and its response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Tokens in the response.
     pub completion_tokens: u64,
-    /// Their sum.
+    /// The sum of both.
     pub total_tokens: u64,
 }
 
-/// What this system adds to an answer.
+/// The extension fields that this system adds to a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Extra {
-    /// The version that answered.
+    /// The version that produced the response.
     pub version: VersionId,
-    /// What the customer is billed, all attempts that count included.
+    /// The amount billed to the customer, for all billable attempts.
     pub cost_microcents: Money,
-    /// How many attempts were dispatched.
+    /// The number of attempts dispatched.
     pub attempts: u32,
-    /// The request as the host named it.
+    /// The request id that the host assigned.
     pub request: String,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The request as the host named it.
+    /// The request id that the host assigned.
     pub id: String,
     /// Always `chat.completion`.
     pub object: String,
     /// Wall time in seconds since the Unix epoch.
     pub created: u64,
-    /// The version that answered.
+    /// The version that produced the response.
     pub model: VersionId,
-    /// One choice.
+    /// Always one choice.
     pub choices: Vec<Choice>,
-    /// Tokens of the answering attempt.
+    /// Token counts of the attempt that produced the response.
     pub usage: Usage,
-    /// What this system adds.
+    /// The extension fields of this system.
     pub barleypin: Extra,
 }
 
@@ -172,14 +172,14 @@
 pub struct Choice {
     /// Always zero.
     pub index: u32,
-    /// The answer.
+    /// The generated message.
     pub message: Message,
-    /// Why the answer ended.
+    /// The reason why generation ended.
     pub finish_reason: String,
 }
 
 impl Answer {
-    /// Builds the answer of one choice.
+    /// Builds a response with one choice.
     #[must_use]
     pub fn new(created: u64, content: String, finish: &str, usage: Usage, extra: Extra) -> Self {
         Self {
@@ -200,10 +200,10 @@
         }
     }
 
-    /// The answer as JSON.
+    /// Returns the response as JSON.
     #[must_use]
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("an answer holds only text and numbers")
+        serde_json::to_string(self).expect("a response contains only text and numbers")
     }
 }
 
--- a/crates/gate/src/hosts.rs
+++ b/crates/gate/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The answer to `GET /v1/hosts`.
+//! The response to `GET /v1/hosts`.
 
 use kernel::{DataCentre, HostName};
 use serde::{Deserialize, Serialize};
@@ -8,18 +8,19 @@
 pub struct Host {
     /// The host's name.
     pub name: HostName,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
-    /// Where it stands.
+    /// The data centre it runs in.
     pub data_centre: DataCentre,
 }
 
-/// Which entry hosts to use, best first.
+/// The entry hosts to use, in order of preference.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Near and lightly loaded hosts first; leaving ones are omitted.
+    /// Near and lightly loaded hosts first. Hosts that are shutting down are
+    /// omitted.
     pub hosts: Vec<Host>,
-    /// Milliseconds for which the caller may keep this answer.
+    /// Milliseconds for which the caller may cache this response.
     pub keep_ms: u64,
     /// The ticket for calls that must not run twice, see [`crate::ticket`].
     pub ticket: String,
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,8 +1,8 @@
-//! What callers and operators send and receive, parsed and built at the edge.
+//! Parsers and builders for the HTTP interface to callers and operators.
 //!
-//! Nothing here opens a socket or reads a clock: bytes and header values come
-//! in, typed values or a [`problem::Problem`] go out. The protocol is in
-//! `docs/PROTOCOLS.md`.
+//! The crate performs no I/O and reads no clock. It parses bytes and header
+//! values into typed values or a [`problem::Problem`]. The protocol is described
+//! in `docs/PROTOCOLS.md`.
 
 pub mod call;
 pub mod chat;
--- a/crates/gate/src/operator.rs
+++ b/crates/gate/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators' tools send and receive under `/operator/v1`.
+//! Requests and responses of the operator interface under `/operator/v1`.
 
 use std::time::Duration;
 
@@ -9,52 +9,52 @@
 
 use crate::problem::{Problem, Reason};
 
-/// The name of the header that carries the revision an entry was read at.
+/// The name of the header that carries the revision at which an entry was read.
 pub const IF_MATCH: &str = "if-match";
 /// The name of the header that carries the [`ChangeId`].
 pub const CHANGE: &str = "barleypin-change";
 
-/// The name of the header that says who makes a change.
+/// The name of the header that names the author of a change.
 pub const AUTHOR: &str = "barleypin-author";
-/// The name of the header that states the [`Mode`]: `guarded` or `forced`.
+/// The name of the header that sets the [`Mode`]: `guarded` or `forced`.
 pub const MODE: &str = "barleypin-mode";
 
 const MAX_AUTHOR: usize = 64;
 const MAX_CHANGE: usize = 128;
 
-/// The answer to `GET /operator/v1/document`.
+/// The response to `GET /operator/v1/document`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The revision that the host has in force.
+    /// The revision that is active on the host.
     pub revision: Revision,
-    /// The whole configuration.
+    /// The complete configuration.
     pub document: Document,
 }
 
-/// The answer to a change that is committed.
+/// The response to a committed change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The revision that the change made.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// Whether an earlier call with the same change id had committed it.
+    /// Whether an earlier call with the same change id already committed it.
     pub repeated: bool,
 }
 
-/// The answer to a change that was not made: the problem, and what is to be
-/// known to make it well.
+/// The response to a rejected change: the problem, and the details needed to
+/// correct the change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The refusal.
+    /// The problem document.
     #[serde(flatten)]
     pub problem: Problem,
-    /// With [`Reason::Conflict`]: the entry as it stands, if it does.
+    /// With [`Reason::Conflict`]: the current entry, if it exists.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current: Option<serde_json::Value>,
-    /// With [`Reason::Conflict`]: the revision of its last change, zero when
-    /// there is no such entry.
+    /// With [`Reason::Conflict`]: the revision of the entry's last change, zero if
+    /// the entry doesn't exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current_revision: Option<Revision>,
-    /// With [`Reason::BadRequest`]: every fault that the change would make.
+    /// With [`Reason::BadRequest`]: every fault that the change would introduce.
     #[serde(default, skip_serializing_if = "Faults::is_empty")]
     pub faults: Faults,
 }
@@ -91,24 +91,24 @@
     }
 }
 
-/// The conditions under which a change is to be made.
+/// The parsed headers of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condition {
     /// The revision at which the operator read the entry, zero for a new one.
     pub read_at: Revision,
-    /// The change's own name.
+    /// The id of the change.
     pub change: ChangeId,
-    /// Who makes it, as the tool says.
+    /// The author of the change, as reported by the operator's tool.
     pub author: String,
-    /// Whether the guards against accidents apply.
+    /// Whether the checks against accidental changes apply.
     pub mode: Mode,
 }
 
 impl Condition {
-    /// Reads the headers, each through `get`.
+    /// Parses the headers, looking each one up with `get`.
     ///
     /// # Errors
-    /// A 400 problem that names the header and what it accepts.
+    /// Returns a 400 problem that names the invalid header and the accepted values.
     pub fn parse<'a>(get: impl Fn(&str) -> Option<&'a str>) -> Result<Self, Problem> {
         let read_at = get(IF_MATCH)
             .map(|text| text.trim_matches('"'))
@@ -141,7 +141,7 @@
     }
 }
 
-/// The answer to `GET /operator/v1/history`, newest first.
+/// The response to `GET /operator/v1/history`, newest first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
     /// The changes.
@@ -152,93 +152,94 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It takes work.
+    /// The host accepts requests.
     #[display("live")]
     Live,
-    /// It finishes what it has and goes.
+    /// The host finishes its open requests and shuts down.
     #[display("leaving")]
     Leaving,
-    /// It has not been heard from.
+    /// The host may have failed: the responding host considers it suspect,
+    /// unreachable or dead.
     #[display("suspect")]
     Suspect,
 }
 
-/// One entry host as this host knows it.
+/// The status of an entry host as known to the responding host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name.
+    /// The host's name.
     pub name: HostName,
-    /// Its life.
+    /// The host's incarnation.
     pub incarnation: Incarnation,
-    /// Where callers reach it.
+    /// The address at which callers reach the host.
     pub address: String,
-    /// Where it stands.
+    /// The data centre it runs in.
     pub data_centre: DataCentre,
-    /// Its state.
+    /// The host's state.
     pub state: State,
-    /// The revision it has in force.
+    /// The revision that is active on the host.
     pub revision: Revision,
-    /// Milliseconds since it last had proof that this is the newest.
+    /// Milliseconds since the host last had proof that this revision is the newest.
     pub proof_age_ms: u64,
-    /// Requests it has open.
+    /// The number of open requests.
     pub load: u64,
 }
 
-/// One version as this host judges it.
+/// The health of a version as judged by the responding host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Health {
     /// The version.
     pub version: VersionId,
-    /// What the configuration says: `active` or `withdrawn`.
+    /// The configured state: `active` or `withdrawn`.
     pub state: String,
-    /// What this host concluded from the evidence: `healthy`, `probing` or `quarantined`.
+    /// The verdict of the responding host: `healthy`, `probing` or `quarantined`.
     pub verdict: String,
-    /// Endpoints that have it loaded.
+    /// The number of endpoints that have the version loaded.
     pub endpoints: u32,
 }
 
-/// A roll-out and how far it is.
+/// The progress of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The version that is rolled out.
+    /// The version being rolled out.
     pub version: VersionId,
     /// `running`, `paused`, `aborted` or `done`.
     pub state: String,
-    /// The step it is at, from zero.
+    /// The index of the current step.
     pub step: u32,
-    /// How many steps it has.
+    /// The number of steps.
     pub steps: u32,
-    /// The host that holds its lease, if this host knows.
+    /// The host that holds the roll-out's lease, if known.
     pub holder: Option<HostName>,
 }
 
-/// Billing records that the table doesn't have yet.
+/// Billing records that are not yet in the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backlog {
-    /// Records of this host.
+    /// Records of the responding host.
     pub own: u64,
-    /// Records held for other hosts.
+    /// Records stored on behalf of other hosts.
     pub held: u64,
-    /// Age of the oldest in milliseconds.
+    /// Age of the oldest record in milliseconds.
     pub oldest_ms: u64,
 }
 
-/// The answer to `GET /operator/v1/status`.
+/// The response to `GET /operator/v1/status`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The host that answers.
+    /// The responding host.
     pub host: Host,
-    /// Each other host that it knows.
+    /// The other known hosts.
     pub peers: Vec<Host>,
-    /// Each configured version.
+    /// All configured versions.
     pub versions: Vec<Health>,
-    /// Each roll-out that isn't done.
+    /// The roll-outs that are not done.
     pub rollouts: Vec<Rollout>,
-    /// What the table doesn't have yet.
+    /// Billing records that are not yet in the table.
     pub backlog: Backlog,
 }
 
-/// Milliseconds of a duration, as the documents here carry it.
+/// Converts a duration to whole milliseconds, saturating at `u64::MAX`.
 #[must_use]
 pub fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
--- a/crates/gate/src/problem.rs
+++ b/crates/gate/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as problem documents (RFC 9457).
+//! Error responses as problem documents (RFC 9457).
 
 use std::time::Duration;
 
@@ -8,30 +8,32 @@
 /// The media type of a problem document.
 pub const MEDIA_TYPE: &str = "application/problem+json";
 
-/// What is known about the execution of a request that got no answer.
+/// Whether an endpoint may have run a request that got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Run {
-    /// It is proved that no endpoint ran it: the caller may repeat it safely.
+    /// Provably no endpoint ran the request, so the caller may safely retry it.
     NotRun,
-    /// An endpoint may have run it, in part or whole.
+    /// An endpoint may have run the request, partly or completely.
     Unknown,
 }
 
-/// Why a request was refused. The set is closed, so that callers may match on
-/// it and each member has its own counter.
+/// The reason why a request was refused.
+///
+/// The set is closed: callers may match on it, and each reason has its own
+/// counter.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The request can't be read; the detail names the field.
+    /// The request is invalid; the detail names the header or field.
     #[display("bad_request")]
     BadRequest,
-    /// No key, or one that belongs to nobody.
+    /// The API key is missing or unknown.
     #[display("unauthorized")]
     Unauthorized,
-    /// There is nothing at this path.
+    /// No resource exists at this path.
     #[display("not_found")]
     NotFound,
     /// No profile of this name is configured.
@@ -46,13 +48,13 @@
     /// The body or prompt exceeds a limit.
     #[display("too_large")]
     TooLarge,
-    /// The customer sends more than its share.
+    /// The customer exceeds its rate limit.
     #[display("rate_limited")]
     RateLimited,
-    /// The customer has too many requests open.
+    /// The customer has too many open requests.
     #[display("concurrency_limited")]
     ConcurrencyLimited,
-    /// The endpoints have no room for this priority.
+    /// The endpoints have no capacity left for this priority.
     #[display("overloaded")]
     Overloaded,
     /// The deadline can't be met or has passed.
@@ -61,7 +63,7 @@
     /// Every version that the customer may use is withdrawn or quarantined.
     #[display("no_version")]
     NoVersion,
-    /// No endpoint serves what is needed.
+    /// No endpoint is available to serve the request.
     #[display("no_endpoint")]
     NoEndpoint,
     /// No allowed version fits the profile's cost limit.
@@ -76,22 +78,22 @@
     /// This host is shutting down.
     #[display("leaving")]
     Leaving,
-    /// The platform's store is needed and doesn't answer.
+    /// The platform's store is required and doesn't respond.
     #[display("store_out")]
     StoreOut,
-    /// Another arrival of the same request is running.
+    /// Another copy of the same request is running.
     #[display("in_progress")]
     InProgress,
-    /// The host that held the request is gone, its outcome with it.
+    /// The host that handled the request is gone, and the outcome is lost.
     #[display("holder_gone")]
     HolderGone,
-    /// The idempotency key was used for another body.
+    /// The idempotency key was already used with another body.
     #[display("key_reused")]
     KeyReused,
     /// The endpoints failed.
     #[display("upstream_failed")]
     UpstreamFailed,
-    /// The answer broke off after it had begun.
+    /// The response was cut off after it had started.
     #[display("answer_cut")]
     AnswerCut,
     /// Another operator changed the same entry first.
@@ -100,7 +102,7 @@
 }
 
 impl Reason {
-    /// Every reason, for counters and tables.
+    /// All reasons.
     pub const ALL: [Self; 24] = [
         Self::BadRequest,
         Self::Unauthorized,
@@ -128,7 +130,7 @@
         Self::Conflict,
     ];
 
-    /// The HTTP status that goes with it.
+    /// Returns the HTTP status of the reason.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -152,7 +154,7 @@
         }
     }
 
-    /// The title: the same for every refusal of this reason.
+    /// Returns the title, which is the same for every refusal with this reason.
     #[must_use]
     pub fn title(self) -> &'static str {
         match self {
@@ -183,16 +185,15 @@
         }
     }
 
-    /// When a repeat makes sense, for a refusal that names no better time.
+    /// Returns the default delay after which a caller may retry.
     ///
-    /// Failure: a caller that is told to go away and not when to come back
-    /// asks again at once, and a host in trouble gets more calls than before.
-    /// It shows as a flood of refusals. Every reason that passes by itself
-    /// has a time here, so that no path can forget it.
+    /// Without a delay, refused callers retry at once and flood a host that is
+    /// already in trouble. Every temporary condition has its delay here, so that
+    /// no code path can omit it.
     #[must_use]
     pub fn retry_after(self) -> Option<Duration> {
         match self {
-            // Another host takes it now.
+            // Another host can take the request now.
             Self::Leaving => Some(Duration::from_millis(100)),
             Self::RateLimited
             | Self::ConcurrencyLimited
@@ -220,42 +221,46 @@
         }
     }
 
-    /// Whether a refusal for this reason can ever prove that nothing ran.
+    /// Returns whether a refusal with this reason can state that no endpoint ran
+    /// the request.
     ///
-    /// The reasons that exist only because something may have run can't.
+    /// False for the reasons that arise only if an endpoint may have run it.
     #[must_use]
     pub fn provable(self) -> bool {
         !matches!(self, Self::InProgress | Self::HolderGone | Self::AnswerCut)
     }
 }
 
-/// A refusal as its caller reads it.
+/// The body of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// A reference that names the reason.
+    /// A URN that identifies the reason.
     #[serde(rename = "type")]
     pub kind: String,
     /// The reason's title.
     pub title: String,
     /// The HTTP status.
     pub status: u16,
-    /// What is wrong with this very request.
+    /// The description of this occurrence of the problem.
     pub detail: String,
     /// The reason.
     pub reason: Reason,
     /// Whether an endpoint may have run the request.
     pub run: Run,
-    /// Milliseconds after which a repeat makes sense.
+    /// Milliseconds after which the caller may retry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The request as this host named it; empty before it had a name.
+    /// The request id that this host assigned; empty if none was assigned.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub request: String,
 }
 
 impl Problem {
-    /// Builds the refusal. A reason that can't prove that nothing ran says
-    /// [`Run::Unknown`] whatever `run` is, so that "not run" is never false.
+    /// Builds a refusal.
+    ///
+    /// If the reason can't prove that no endpoint ran the request, `run` is
+    /// replaced with [`Run::Unknown`], so that [`Run::NotRun`] is never claimed
+    /// wrongly.
     #[must_use]
     pub fn new(reason: Reason, run: Run, detail: impl Into<String>) -> Self {
         let problem = Self {
@@ -271,13 +276,13 @@
         problem.retry_after(reason.retry_after())
     }
 
-    /// A refusal at the door, before anything was sent anywhere.
+    /// Builds a refusal of a request that no endpoint ran.
     #[must_use]
     pub fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
         Self::new(reason, Run::NotRun, detail)
     }
 
-    /// Says when a repeat makes sense, where more is known than [`Reason::retry_after`].
+    /// Overrides the delay from [`Reason::retry_after`]; `None` keeps it.
     #[must_use]
     pub fn retry_after(mut self, after: Option<Duration>) -> Self {
         if let Some(after) = after {
@@ -286,22 +291,22 @@
         self
     }
 
-    /// Names the request.
+    /// Sets the request id.
     #[must_use]
     pub fn of_request(mut self, request: &str) -> Self {
         request.clone_into(&mut self.request);
         self
     }
 
-    /// The value of `Retry-After`, in whole seconds, rounded up.
+    /// Returns the value of the `Retry-After` header, in whole seconds, rounded up.
     #[must_use]
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after_ms.map(|ms| ms.div_ceil(1000))
     }
 
-    /// The document.
+    /// Returns the problem document as JSON.
     #[must_use]
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("a problem holds only text and numbers")
+        serde_json::to_string(self).expect("a problem contains only text and numbers")
     }
 }
--- a/crates/gate/src/seal.rs
+++ b/crates/gate/src/seal.rs
@@ -1,15 +1,15 @@
-//! Values that a caller carries and this system reads back.
+//! Signed encoding of values that callers store and send back.
 
 use kernel::Secret;
 use serde::{Serialize, de::DeserializeOwned};
 
 const MAC_LEN: usize = 32;
-/// More than any token that this system mints; longer input is not decoded.
+/// Longer than any token that this system issues. Longer input is not decoded.
 const MAX_TEXT: usize = 2048;
 
-/// Writes `value` with its keyed hash as text that fits a header.
+/// Encodes `value` and its keyed hash as text for a header.
 pub(crate) fn seal<T: Serialize>(secret: &Secret, prefix: &str, value: &T) -> String {
-    let mut bytes = postcard::to_stdvec(value).expect("tokens hold only text and numbers");
+    let mut bytes = postcard::to_stdvec(value).expect("tokens contain only text and numbers");
     let mac = secret.sign(&signed(prefix, &bytes));
     bytes.extend_from_slice(&mac);
     let mut text = String::with_capacity(prefix.len() + bytes.len() * 2);
@@ -21,8 +21,9 @@
     text
 }
 
-/// Reads back what [`seal`] wrote with the same secret and prefix. Nothing
-/// comes back from a text that was changed, cut or minted by someone else.
+/// Decodes text that [`seal`] made with the same secret and prefix.
+///
+/// Returns `None` for text that was modified, truncated or made by someone else.
 pub(crate) fn open<T: DeserializeOwned>(secret: &Secret, prefix: &str, text: &str) -> Option<T> {
     if text.len() > MAX_TEXT {
         return None;
@@ -36,8 +37,8 @@
     postcard::from_bytes(body).ok()
 }
 
-/// The prefix is signed too, so that a token of one kind can't be passed off as
-/// one of another kind whose bytes happen to read alike.
+/// Returns the bytes to sign. They include the prefix, so that a token of one kind
+/// isn't accepted as another kind whose body decodes the same way.
 fn signed(prefix: &str, body: &[u8]) -> Vec<u8> {
     [prefix.as_bytes(), body].concat()
 }
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -1,7 +1,8 @@
-//! The session token, which carries a session's version.
+//! The session token, which pins a session to a version.
 //!
-//! Hosts keep nothing, so the caller brings the pin along: any host can honour
-//! it, also one that started a moment ago; see `docs/design/decide-sessions.md`.
+//! Hosts store no session state. The caller sends the token, so any host can
+//! honour the pin, including one that has just started; see
+//! `docs/design/decide-sessions.md`.
 
 use std::time::Duration;
 
@@ -13,31 +14,31 @@
 
 const PREFIX: &str = "s1.";
 
-/// A session's pin.
+/// The version to which a session is pinned.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Token {
-    /// Whose session it is.
+    /// The customer that owns the session.
     pub customer: Customer,
-    /// The profile under which it began.
+    /// The profile under which the session started.
     pub profile: ProfileName,
-    /// The version that it keeps.
+    /// The version that serves the session.
     pub version: VersionId,
-    /// Wall time of the pin, since the Unix epoch.
+    /// Wall time at which the session was pinned, since the Unix epoch.
     pub issued: Duration,
 }
 
 impl Token {
-    /// The token as a header value.
+    /// Encodes and signs the token as a header value.
     #[must_use]
     pub fn seal(&self, secret: &Secret) -> String {
         seal::seal(secret, PREFIX, self)
     }
 
-    /// Reads a token that `customer` presents for `profile`.
+    /// Verifies and decodes a token that `customer` sends for `profile`.
     ///
     /// # Errors
-    /// A 400 problem when the token wasn't minted by this system or belongs to
-    /// another customer or profile.
+    /// Returns a 400 problem if the token wasn't issued by this system or belongs
+    /// to another customer or profile.
     pub fn open(
         secret: &Secret,
         text: &str,
--- a/crates/gate/src/sse.rs
+++ b/crates/gate/src/sse.rs
@@ -1,4 +1,4 @@
-//! A streamed answer as server-sent events.
+//! Streamed responses as server-sent events.
 
 use kernel::VersionId;
 use serde::Serialize;
@@ -9,10 +9,10 @@
 /// The media type of a stream.
 pub const MEDIA_TYPE: &str = "text/event-stream";
 
-/// The mark after the last chunk: whoever reads it has the whole answer.
+/// The event after the last chunk, which marks the response as complete.
 pub const END: &str = "data: [DONE]\n\n";
 
-/// Builds the events of one answer.
+/// Builds the events of one response.
 #[derive(Clone, Debug)]
 pub struct Stream {
     request: String,
@@ -21,8 +21,8 @@
 }
 
 impl Stream {
-    /// An answer to `request` by `version`, begun at `created` (seconds since
-    /// the Unix epoch).
+    /// Creates the builder for a response to `request` by `version` that started
+    /// at `created` (seconds since the Unix epoch).
     #[must_use]
     pub fn new(request: String, created: u64, version: VersionId) -> Self {
         Self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// One piece of the answer.
+    /// Returns the event for one piece of the content.
     #[must_use]
     pub fn chunk(&self, content: &str) -> String {
         self.event(
@@ -45,7 +45,8 @@
         )
     }
 
-    /// The last chunk: why the answer ended and what it cost. [`END`] follows it.
+    /// Returns the last chunk, with the finish reason, the token usage and the
+    /// extra fields. [`END`] follows it.
     #[must_use]
     pub fn last(&self, finish: &str, usage: Usage, extra: &Extra) -> String {
         self.event(
@@ -76,12 +77,13 @@
             usage,
             barleypin: extra,
         };
-        let json = serde_json::to_string(&chunk).expect("a chunk holds only text and numbers");
+        let json = serde_json::to_string(&chunk).expect("a chunk contains only text and numbers");
         format!("data: {json}\n\n")
     }
 }
 
-/// The end of a stream that can't be finished. [`END`] never follows it.
+/// Returns the event that ends a stream which can't be completed. [`END`] never
+/// follows it.
 #[must_use]
 pub fn error(problem: &Problem) -> String {
     format!("event: error\ndata: {}\n\n", problem.to_json())
--- a/crates/gate/tests/chat.rs
+++ b/crates/gate/tests/chat.rs
@@ -1,4 +1,4 @@
-//! Chat bodies: what is read, and how each bad one is refused.
+//! Parsing of chat request bodies and the errors for invalid ones.
 
 use datadriven::walk;
 use gate::chat::{Limits, Request};
--- a/crates/gate/tests/headers.rs
+++ b/crates/gate/tests/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of calls and of operators' changes.
+//! Parsing of the headers of calls and of operators' changes.
 
 use expect_test::{Expect, expect};
 use gate::call::{Headers, bearer};
--- a/crates/gate/tests/problem.rs
+++ b/crates/gate/tests/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals: each reason's status, title and what it may claim.
+//! The status, title, `run` value and retry delay of each refusal reason.
 
 use std::fmt::Write;
 use std::time::Duration;
--- a/crates/gate/tests/token.rs
+++ b/crates/gate/tests/token.rs
@@ -1,4 +1,4 @@
-//! Session tokens and tickets: read back whole, or refused.
+//! Encoding and verification of session tokens and tickets.
 
 use std::time::Duration;
 
