--- a/crates/gate/src/call.rs
+++ b/crates/gate/src/call.rs
@@ -22,7 +22,7 @@
 /// call, see [`crate::ticket::pass_on`].
 pub const VIA: &str = "barleypin-via";
 
-const MAX_KEY: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 const MAX_DEADLINE: Duration = Duration::from_hours(1);
 
 /// The parsed headers of a call.
@@ -75,15 +75,15 @@
 }
 
 fn parse_key(text: &str) -> Result<Arc<str>, Problem> {
-    let accepted = text.len() <= MAX_KEY
+    let is_valid = text.len() <= MAX_KEY_BYTES
         && !text.is_empty()
         && text
             .bytes()
             .all(|byte| byte.is_ascii_graphic() && !matches!(byte, b'/' | b'%'));
-    if accepted {
+    if is_valid {
         Ok(text.into())
     } else {
-        Err(fault(
+        Err(invalid_header(
             IDEMPOTENCY_KEY,
             "expected 1 to 128 visible ASCII characters other than `/`",
         ))
@@ -95,7 +95,7 @@
         .ok()
         .map(Duration::from_millis)
         .filter(|deadline| !deadline.is_zero() && *deadline <= MAX_DEADLINE)
-        .ok_or_else(|| fault(DEADLINE, "expected whole milliseconds from 1 to 3600000"))
+        .ok_or_else(|| invalid_header(DEADLINE, "expected whole milliseconds from 1 to 3600000"))
 }
 
 fn parse_priority(text: &str) -> Result<Priority, Problem> {
@@ -103,13 +103,13 @@
         "urgent" => Ok(Priority::Urgent),
         "interactive" => Ok(Priority::Interactive),
         "batch" => Ok(Priority::Batch),
-        _ => Err(fault(
+        _ => Err(invalid_header(
             PRIORITY,
             "expected `urgent`, `interactive` or `batch`",
         )),
     }
 }
 
-fn fault(header: &str, expected: &str) -> Problem {
+fn invalid_header(header: &str, expected: &str) -> Problem {
     Problem::not_run(Reason::BadRequest, format!("{header}: {expected}"))
 }
--- a/crates/gate/src/chat.rs
+++ b/crates/gate/src/chat.rs
@@ -12,11 +12,11 @@
 /// The class of a request that sets none.
 pub const DEFAULT_CLASS: &str = "general";
 
-const MAX_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// Fields that change the meaning of the response and that the engines don't
 /// support. If they were ignored, the response wouldn't match the request.
-const UNSUPPORTED: [&str; 6] = [
+const UNSUPPORTED_FIELDS: [&str; 6] = [
     "tools",
     "functions",
     "response_format",
@@ -106,8 +106,8 @@
     /// or a 413 problem if the number or total size of messages exceeds its limit.
     pub fn parse(body: &[u8], limits: &Limits) -> Result<Self, Problem> {
         let body: Map<String, Value> = serde_json::from_slice(body)
-            .map_err(|err| bad(format!("body: expected a JSON object: {err}")))?;
-        refuse_unsupported(&body)?;
+            .map_err(|err| bad_request(format!("body: expected a JSON object: {err}")))?;
+        reject_unsupported_fields(&body)?;
         Ok(Self {
             profile: parse_profile(&body)?,
             messages: parse_messages(&body, limits)?,
@@ -207,28 +207,30 @@
     }
 }
 
-fn refuse_unsupported(body: &Map<String, Value>) -> Result<(), Problem> {
-    for field in UNSUPPORTED {
-        let asked = body
+fn reject_unsupported_fields(body: &Map<String, Value>) -> Result<(), Problem> {
+    for field in UNSUPPORTED_FIELDS {
+        let is_set = body
             .get(field)
             .is_some_and(|value| !matches!(value, Value::Null | Value::Bool(false)));
-        if asked {
-            return Err(bad(format!("{field}: is not supported; leave it out")));
+        if is_set {
+            return Err(bad_request(format!(
+                "{field}: is not supported; leave it out"
+            )));
         }
     }
     match body.get("n") {
         None | Some(Value::Null) => Ok(()),
         Some(value) if value.as_u64() == Some(1) => Ok(()),
-        Some(_) => Err(bad("n: expected 1".to_owned())),
+        Some(_) => Err(bad_request("n: expected 1".to_owned())),
     }
 }
 
 fn parse_profile(body: &Map<String, Value>) -> Result<ProfileName, Problem> {
     body.get("model")
         .and_then(Value::as_str)
-        .filter(|name| !name.is_empty() && name.len() <= MAX_NAME)
+        .filter(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES)
         .map(ProfileName::from)
-        .ok_or_else(|| bad("model: expected the name of a profile".to_owned()))
+        .ok_or_else(|| bad_request("model: expected the name of a profile".to_owned()))
 }
 
 fn parse_messages(body: &Map<String, Value>, limits: &Limits) -> Result<Vec<Message>, Problem> {
@@ -236,7 +238,9 @@
         .get("messages")
         .and_then(Value::as_array)
         .filter(|messages| !messages.is_empty())
-        .ok_or_else(|| bad("messages: expected an array of at least one message".to_owned()))?;
+        .ok_or_else(|| {
+            bad_request("messages: expected an array of at least one message".to_owned())
+        })?;
     if messages.len() > limits.messages {
         return Err(too_large(format!(
             "messages: {} messages, at most {} are accepted",
@@ -265,7 +269,7 @@
         Some("user") => Role::User,
         Some("assistant") => Role::Assistant,
         _ => {
-            return Err(bad(format!(
+            return Err(bad_request(format!(
                 "messages[{idx}].role: expected `system`, `user` or `assistant`"
             )));
         }
@@ -274,7 +278,7 @@
         Some(Value::String(text)) => text.clone(),
         Some(Value::Array(parts)) => parse_parts(idx, parts)?,
         _ => {
-            return Err(bad(format!(
+            return Err(bad_request(format!(
                 "messages[{idx}].content: expected text or an array of text parts"
             )));
         }
@@ -290,7 +294,7 @@
             .and_then(Value::as_str)
             .filter(|_| part.get("type").and_then(Value::as_str) == Some("text"))
             .ok_or_else(|| {
-                bad(format!(
+                bad_request(format!(
                     "messages[{idx}].content[{part_idx}]: expected a part of type `text`"
                 ))
             })?;
@@ -303,7 +307,7 @@
     match body.get("stream") {
         None | Some(Value::Null | Value::Bool(false)) => Ok(Mode::Whole),
         Some(Value::Bool(true)) => Ok(Mode::Stream),
-        Some(_) => Err(bad("stream: expected `true` or `false`".to_owned())),
+        Some(_) => Err(bad_request("stream: expected `true` or `false`".to_owned())),
     }
 }
 
@@ -318,7 +322,7 @@
             .filter(|tokens| (1..=limits.max_tokens).contains(tokens))
             .map(Some)
             .ok_or_else(|| {
-                bad(format!(
+                bad_request(format!(
                     "{field}: expected a whole number from 1 to {}",
                     limits.max_tokens
                 ))
@@ -330,21 +334,21 @@
 fn parse_class(body: &Map<String, Value>) -> Result<Arc<str>, Problem> {
     match body.get("class") {
         None | Some(Value::Null) => Ok(DEFAULT_CLASS.into()),
-        Some(Value::String(class)) if is_class(class) => Ok(class.as_str().into()),
-        Some(_) => Err(bad(
+        Some(Value::String(class)) if is_valid_class(class) => Ok(class.as_str().into()),
+        Some(_) => Err(bad_request(
             "class: expected 1 to 64 of the characters a-z, 0-9, `-` and `_`".to_owned(),
         )),
     }
 }
 
-fn is_class(text: &str) -> bool {
-    (1..=MAX_NAME).contains(&text.len())
+fn is_valid_class(text: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&text.len())
         && text
             .bytes()
             .all(|it| it.is_ascii_lowercase() || it.is_ascii_digit() || it == b'-' || it == b'_')
 }
 
-fn bad(detail: String) -> Problem {
+fn bad_request(detail: String) -> Problem {
     Problem::not_run(Reason::BadRequest, detail)
 }
 
--- a/crates/gate/src/operator.rs
+++ b/crates/gate/src/operator.rs
@@ -19,8 +19,8 @@
 /// The name of the header that sets the [`Mode`]: `guarded` or `forced`.
 pub const MODE: &str = "barleypin-mode";
 
-const MAX_AUTHOR: usize = 64;
-const MAX_CHANGE: usize = 128;
+const MAX_AUTHOR_BYTES: usize = 64;
+const MAX_CHANGE_ID_BYTES: usize = 128;
 
 /// The response to `GET /operator/v1/document`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -115,16 +115,16 @@
             .and_then(|text| text.parse().ok())
             .map(Revision)
             .ok_or_else(|| {
-                fault(
+                invalid_header(
                     IF_MATCH,
                     "expected the revision the entry was read at, 0 for a new one",
                 )
             })?;
         let change = get(CHANGE)
-            .filter(|text| is_change(text))
+            .filter(|text| is_valid_change_id(text))
             .map(ChangeId::from)
             .ok_or_else(|| {
-                fault(
+                invalid_header(
                     CHANGE,
                     "expected 1 to 128 of the characters a-z, A-Z, 0-9, `-`, `_` and `.`",
                 )
@@ -245,18 +245,19 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn is_change(text: &str) -> bool {
-    (1..=MAX_CHANGE).contains(&text.len())
+fn is_valid_change_id(text: &str) -> bool {
+    (1..=MAX_CHANGE_ID_BYTES).contains(&text.len())
         && text
             .bytes()
             .all(|it| it.is_ascii_alphanumeric() || matches!(it, b'-' | b'_' | b'.'))
 }
 
 fn parse_author(text: &str) -> Result<String, Problem> {
-    if text.len() <= MAX_AUTHOR && text.bytes().all(|it| it.is_ascii_graphic() || it == b' ') {
+    if text.len() <= MAX_AUTHOR_BYTES && text.bytes().all(|it| it.is_ascii_graphic() || it == b' ')
+    {
         Ok(text.to_owned())
     } else {
-        Err(fault(
+        Err(invalid_header(
             AUTHOR,
             "expected at most 64 printable ASCII characters",
         ))
@@ -267,10 +268,10 @@
     match text {
         "guarded" => Ok(Mode::Guarded),
         "forced" => Ok(Mode::Forced),
-        _ => Err(fault(MODE, "expected `guarded` or `forced`")),
+        _ => Err(invalid_header(MODE, "expected `guarded` or `forced`")),
     }
 }
 
-fn fault(header: &str, expected: &str) -> Problem {
+fn invalid_header(header: &str, expected: &str) -> Problem {
     Problem::not_run(Reason::BadRequest, format!("{header}: {expected}"))
 }
--- a/crates/gate/src/seal.rs
+++ b/crates/gate/src/seal.rs
@@ -3,20 +3,20 @@
 use kernel::Secret;
 use serde::{Serialize, de::DeserializeOwned};
 
-const MAC_LEN: usize = 32;
+const MAC_BYTES: usize = 32;
 /// Longer than any token that this system issues. Longer input is not decoded.
-const MAX_TEXT: usize = 2048;
+const MAX_TEXT_BYTES: usize = 2048;
 
 /// Encodes `value` and its keyed hash as text for a header.
 pub(crate) fn seal<T: Serialize>(secret: &Secret, prefix: &str, value: &T) -> String {
     let mut bytes = postcard::to_stdvec(value).expect("tokens contain only text and numbers");
-    let mac = secret.sign(&signed(prefix, &bytes));
+    let mac = secret.sign(&signed_bytes(prefix, &bytes));
     bytes.extend_from_slice(&mac);
     let mut text = String::with_capacity(prefix.len() + bytes.len() * 2);
     text.push_str(prefix);
     for byte in bytes {
-        text.push(digit(byte >> 4));
-        text.push(digit(byte & 0xf));
+        text.push(hex_digit(byte >> 4));
+        text.push(hex_digit(byte & 0xf));
     }
     text
 }
@@ -25,13 +25,13 @@
 ///
 /// Returns `None` for text that was modified, truncated or made by someone else.
 pub(crate) fn open<T: DeserializeOwned>(secret: &Secret, prefix: &str, text: &str) -> Option<T> {
-    if text.len() > MAX_TEXT {
+    if text.len() > MAX_TEXT_BYTES {
         return None;
     }
-    let bytes = unhex(text.strip_prefix(prefix)?)?;
-    let split = bytes.len().checked_sub(MAC_LEN)?;
+    let bytes = decode_hex(text.strip_prefix(prefix)?)?;
+    let split = bytes.len().checked_sub(MAC_BYTES)?;
     let (body, mac) = bytes.split_at(split);
-    if !secret.verify(&signed(prefix, body), mac.try_into().ok()?) {
+    if !secret.verify(&signed_bytes(prefix, body), mac.try_into().ok()?) {
         return None;
     }
     postcard::from_bytes(body).ok()
@@ -39,15 +39,15 @@
 
 /// Returns the bytes to sign. They include the prefix, so that a token of one kind
 /// isn't accepted as another kind whose body decodes the same way.
-fn signed(prefix: &str, body: &[u8]) -> Vec<u8> {
+fn signed_bytes(prefix: &str, body: &[u8]) -> Vec<u8> {
     [prefix.as_bytes(), body].concat()
 }
 
-fn digit(nibble: u8) -> char {
+fn hex_digit(nibble: u8) -> char {
     char::from_digit(u32::from(nibble), 16).expect("a nibble is below sixteen")
 }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
     if !text.len().is_multiple_of(2) {
         return None;
     }
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -45,13 +45,14 @@
         customer: &Customer,
         profile: &ProfileName,
     ) -> Result<Self, Problem> {
-        let token: Self = seal::open(secret, PREFIX, text)
-            .ok_or_else(|| fault("is not a token of this system; leave it out to start anew"))?;
+        let token: Self = seal::open(secret, PREFIX, text).ok_or_else(|| {
+            invalid_token("is not a token of this system; leave it out to start anew")
+        })?;
         if token.customer != *customer {
-            return Err(fault("belongs to another customer"));
+            return Err(invalid_token("belongs to another customer"));
         }
         if token.profile != *profile {
-            return Err(fault(&format!(
+            return Err(invalid_token(&format!(
                 "belongs to profile {}, not {profile}",
                 token.profile
             )));
@@ -60,6 +61,6 @@
     }
 }
 
-fn fault(what: &str) -> Problem {
+fn invalid_token(what: &str) -> Problem {
     Problem::not_run(Reason::BadRequest, format!("barleypin-session: {what}"))
 }
--- a/crates/gate/src/sse.rs
+++ b/crates/gate/src/sse.rs
@@ -15,18 +15,18 @@
 /// Builds the events of one response.
 #[derive(Clone, Debug)]
 pub struct Stream {
-    request: String,
+    request_id: String,
     created: u64,
     version: VersionId,
 }
 
 impl Stream {
-    /// Creates the builder for a response to `request` by `version` that started
+    /// Creates the builder for a response to `request_id` by `version` that started
     /// at `created` (seconds since the Unix epoch).
     #[must_use]
-    pub fn new(request: String, created: u64, version: VersionId) -> Self {
+    pub fn new(request_id: String, created: u64, version: VersionId) -> Self {
         Self {
-            request,
+            request_id,
             created,
             version,
         }
@@ -65,7 +65,7 @@
         extra: Option<&Extra>,
     ) -> String {
         let chunk = Chunk {
-            id: &self.request,
+            id: &self.request_id,
             object: "chat.completion.chunk",
             created: self.created,
             model: &self.version,
--- a/crates/gate/tests/chat.rs
+++ b/crates/gate/tests/chat.rs
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn bodies() {
+fn chat_request_bodies() {
     walk("tests/data/chat", |file| {
         file.run(
             |case| match Request::parse(case.input.as_bytes(), &LIMITS) {
--- a/crates/gate/tests/headers.rs
+++ b/crates/gate/tests/headers.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn each_header_is_read_or_named() {
+fn headers_are_parsed_or_rejected_by_name() {
     check(
         headers("", ""),
         &expect![
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_bearer_key_is_read_or_asked_for() {
+fn bearer_key_is_parsed_or_rejected() {
     check(bearer(Some("Bearer k1")), &expect![[r#""k1""#]]);
     check(bearer(Some("bearer  k1 ")), &expect![[r#""k1""#]]);
     check(
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_change_needs_its_revision_and_name() {
+fn change_requires_revision_and_change_id() {
     check(
         condition("12", "c-1"),
         &expect![[
--- a/crates/gate/tests/problem.rs
+++ b/crates/gate/tests/problem.rs
@@ -7,7 +7,7 @@
 use gate::problem::{Problem, Reason, Run};
 
 #[test]
-fn each_reason_has_its_status_and_claim() {
+fn each_reason_has_status_run_retry_delay_and_title() {
     let mut table = String::new();
     for reason in Reason::ALL {
         let problem = Problem::not_run(reason, "");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_problem_round_trips_and_rounds_its_wait_up() {
+fn problem_round_trips_and_rounds_retry_after_up() {
     let problem = Problem::new(Reason::Overloaded, Run::NotRun, "no slot is free")
         .retry_after(Some(Duration::from_millis(1200)))
         .of_request("r-1");
--- a/crates/gate/tests/token.rs
+++ b/crates/gate/tests/token.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_was_sealed_is_read_back() {
+fn sealed_values_round_trip() {
     let sealed = token().seal(&secret("a"));
     let opened = Token::open(&secret("a"), &sealed, &"portal".into(), &"dossier".into());
     assert_eq!(opened.unwrap(), token());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_foreign_token_is_refused_with_what_is_wrong() {
+fn foreign_token_is_rejected_with_the_cause() {
     let sealed = token().seal(&secret("a"));
     assert_eq!(
         detail(&sealed, "gates", "dossier"),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_ticket_is_no_session_token() {
+fn ticket_is_rejected_as_session_token() {
     let sealed = ticket().seal(&secret("a"));
     let renamed = sealed.replacen("t1.", "s1.", 1);
     assert!(detail(&sealed, "portal", "dossier").contains("not a token"));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn only_a_host_can_pass_a_ticket_on() {
+fn forwarding_proof_is_bound_to_secret_and_ticket() {
     let ticket = ticket().seal(&secret("a"));
     let proof = pass_on(&secret("a"), &ticket);
     assert!(is_passed_on(&secret("a"), &ticket, &proof));
@@ -81,7 +81,7 @@
 
 proptest! {
     #[test]
-    fn a_changed_token_is_refused(at in 3_usize..200, digit in "[0-9a-f]") {
+    fn modified_token_is_rejected(at in 3_usize..200, digit in "[0-9a-f]") {
         let sealed = token().seal(&secret("a"));
         let at = at.min(sealed.len() - 1);
         prop_assume!(sealed[at..=at] != digit);
@@ -93,7 +93,7 @@
     }
 
     #[test]
-    fn any_text_is_refused_without_a_panic(text in "(s1\\.|t1\\.)?.{0,80}") {
+    fn arbitrary_text_is_rejected_without_panic(text in "(s1\\.|t1\\.)?.{0,80}") {
         prop_assert!(Ticket::open(&secret("a"), &text).is_err());
         prop_assert!(
             Token::open(&secret("a"), &text, &"portal".into(), &"dossier".into()).is_err()
