--- a/crates/gate/tests/token.rs
+++ b/crates/gate/tests/token.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn foreign_token_is_rejected_with_the_cause() {
+fn a_foreign_token_is_refused_with_what_is_wrong() {
     let sealed = token().seal(&secret("a"));
     assert_eq!(
         detail(&sealed, "gates", "dossier"),
@@ -81,7 +81,7 @@
 
 proptest! {
     #[test]
-    fn modified_token_is_rejected(at in 3_usize..200, digit in "[0-9a-f]") {
+    fn a_changed_token_is_refused(at in 3_usize..200, digit in "[0-9a-f]") {
         let sealed = token().seal(&secret("a"));
         let at = at.min(sealed.len() - 1);
         prop_assume!(sealed[at..=at] != digit);
@@ -93,7 +93,7 @@
     }
 
     #[test]
-    fn arbitrary_text_is_rejected_without_panic(text in "(s1\\.|t1\\.)?.{0,80}") {
+    fn any_text_is_refused_without_a_panic(text in "(s1\\.|t1\\.)?.{0,80}") {
         prop_assert!(Ticket::open(&secret("a"), &text).is_err());
         prop_assert!(
             Token::open(&secret("a"), &text, &"portal".into(), &"dossier".into()).is_err()
