--- a/crates/barleypind/src/call/forward.rs
+++ b/crates/barleypind/src/call/forward.rs
@@ -36,7 +36,9 @@
     pub(crate) fn via(&self, host: &Host) -> Via {
         let ticket = self.headers.get(call::TICKET).unwrap_or_default();
         match self.headers.get(call::VIA) {
-            Some(proof) if ticket::is_passed_on(&host.secrets.ticket, ticket, proof) => Via::Peer,
+            Some(proof) if ticket::is_forwarding_proof(&host.secrets.ticket, ticket, proof) => {
+                Via::Peer
+            }
             _ => Via::Caller,
         }
     }
@@ -85,7 +87,7 @@
         request.headers.append(name.to_owned(), value);
     }
     let ticket = original.headers.get(call::TICKET).unwrap_or_default();
-    let proof = ticket::pass_on(&cx.host.secrets.ticket, ticket);
+    let proof = ticket::forwarding_proof(&cx.host.secrets.ticket, ticket);
     request.headers.set(call::VIA, proof);
     let options = Options {
         connect: cx.host.settings.http.connect,
--- a/crates/barleypind/tests/proofs.rs
+++ b/crates/barleypind/tests/proofs.rs
@@ -126,7 +126,7 @@
     let script = root().join("crates/barleypind/tests/scripts/not_run_is_true.txt");
     let script = fs::read_to_string(script).expect("the script is there");
     let known = known();
-    for reason in Reason::ALL.into_iter().filter(|it| it.provable()) {
+    for reason in Reason::ALL.into_iter().filter(|it| it.can_prove_not_run()) {
         if let Some((_, test)) = SHOWN_ELSEWHERE.iter().find(|(it, _)| *it == reason) {
             assert!(known.contains(*test), "{test} is gone");
             continue;
--- a/crates/gate/src/call.rs
+++ b/crates/gate/src/call.rs
@@ -19,7 +19,7 @@
 pub const PRIORITY: &str = "barleypin-priority";
 
 /// The name of the header by which a host proves to another that it forwards a
-/// call, see [`crate::ticket::pass_on`].
+/// call, see [`crate::ticket::forwarding_proof`].
 pub const VIA: &str = "barleypin-via";
 
 const MAX_KEY_BYTES: usize = 128;
--- a/crates/gate/src/problem.rs
+++ b/crates/gate/src/problem.rs
@@ -226,7 +226,7 @@
     ///
     /// False for the reasons that arise only if an endpoint may have run it.
     #[must_use]
-    pub fn provable(self) -> bool {
+    pub fn can_prove_not_run(self) -> bool {
         !matches!(self, Self::InProgress | Self::HolderGone | Self::AnswerCut)
     }
 }
@@ -269,7 +269,11 @@
             status: reason.status(),
             detail: detail.into(),
             reason,
-            run: if reason.provable() { run } else { Run::Unknown },
+            run: if reason.can_prove_not_run() {
+                run
+            } else {
+                Run::Unknown
+            },
             retry_after_ms: None,
             request: String::new(),
         };
--- a/crates/gate/src/ticket.rs
+++ b/crates/gate/src/ticket.rs
@@ -54,12 +54,12 @@
 /// Returns a proof that the sender of a call under this ticket is a host, not a
 /// caller.
 #[must_use]
-pub fn pass_on(secret: &Secret, ticket: &str) -> String {
+pub fn forwarding_proof(secret: &Secret, ticket: &str) -> String {
     seal::seal(secret, VIA_PREFIX, &ticket)
 }
 
-/// Returns whether `proof` was made by [`pass_on`] for this ticket.
+/// Returns whether `proof` was made by [`forwarding_proof`] for this ticket.
 #[must_use]
-pub fn is_passed_on(secret: &Secret, ticket: &str, proof: &str) -> bool {
+pub fn is_forwarding_proof(secret: &Secret, ticket: &str, proof: &str) -> bool {
     seal::open::<String>(secret, VIA_PREFIX, proof).is_some_and(|it| it == ticket)
 }
--- a/crates/gate/tests/token.rs
+++ b/crates/gate/tests/token.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gate::session::Token;
-use gate::ticket::{Ticket, is_passed_on, pass_on};
+use gate::ticket::{Ticket, forwarding_proof, is_forwarding_proof};
 use kernel::{Incarnation, Secret};
 use proptest::prelude::*;
 
@@ -72,11 +72,11 @@
 #[test]
 fn forwarding_proof_is_bound_to_secret_and_ticket() {
     let ticket = ticket().seal(&secret("a"));
-    let proof = pass_on(&secret("a"), &ticket);
-    assert!(is_passed_on(&secret("a"), &ticket, &proof));
-    assert!(!is_passed_on(&secret("a"), "t1.00", &proof));
-    assert!(!is_passed_on(&secret("b"), &ticket, &proof));
-    assert!(!is_passed_on(&secret("a"), &ticket, &ticket));
+    let proof = forwarding_proof(&secret("a"), &ticket);
+    assert!(is_forwarding_proof(&secret("a"), &ticket, &proof));
+    assert!(!is_forwarding_proof(&secret("a"), "t1.00", &proof));
+    assert!(!is_forwarding_proof(&secret("b"), &ticket, &proof));
+    assert!(!is_forwarding_proof(&secret("a"), &ticket, &ticket));
 }
 
 proptest! {
