--- a/crates/gate/tests/token.rs
+++ b/crates/gate/tests/token.rs
@@ -1,9 +1,9 @@
-//! Session tokens and tickets: read back whole, or refused.
+//! Encoding and verification of session tokens and tickets.
 
 use std::time::Duration;
 
 use gate::session::Token;
-use gate::ticket::{Ticket, is_passed_on, pass_on};
+use gate::ticket::{Ticket, forwarding_proof, is_forwarding_proof};
 use kernel::{Incarnation, Secret};
 use proptest::prelude::*;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_was_sealed_is_read_back() {
+fn sealed_values_round_trip() {
     let sealed = token().seal(&secret("a"));
     let opened = Token::open(&secret("a"), &sealed, &"portal".into(), &"dossier".into());
     assert_eq!(opened.unwrap(), token());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_ticket_is_no_session_token() {
+fn ticket_is_rejected_as_session_token() {
     let sealed = ticket().seal(&secret("a"));
     let renamed = sealed.replacen("t1.", "s1.", 1);
     assert!(detail(&sealed, "portal", "dossier").contains("not a token"));
@@ -70,13 +70,13 @@
 }
 
 #[test]
-fn only_a_host_can_pass_a_ticket_on() {
+fn forwarding_proof_is_bound_to_secret_and_ticket() {
     let ticket = ticket().seal(&secret("a"));
-    let proof = pass_on(&secret("a"), &ticket);
-    assert!(is_passed_on(&secret("a"), &ticket, &proof));
-    assert!(!is_passed_on(&secret("a"), "t1.00", &proof));
-    assert!(!is_passed_on(&secret("b"), &ticket, &proof));
-    assert!(!is_passed_on(&secret("a"), &ticket, &ticket));
+    let proof = forwarding_proof(&secret("a"), &ticket);
+    assert!(is_forwarding_proof(&secret("a"), &ticket, &proof));
+    assert!(!is_forwarding_proof(&secret("a"), "t1.00", &proof));
+    assert!(!is_forwarding_proof(&secret("b"), &ticket, &proof));
+    assert!(!is_forwarding_proof(&secret("a"), &ticket, &ticket));
 }
 
 proptest! {
