--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,11 +1,11 @@
-//! The core itself: what it holds, and which part handles which event.
+//! The state machine: its state, and the dispatch of events to its parts.
 
-mod choosing;
-mod comparing;
-mod configuring;
-mod pooling;
-mod probing;
-mod spreading;
+mod anti_entropy;
+mod config_sync;
+mod dissemination;
+mod evidence;
+mod failure_detection;
+mod selection;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,9 +25,9 @@
 use crate::view::View;
 use crate::{Action, Event, Tuning};
 
-use self::pooling::Pooling;
+use self::evidence::EvidenceQueues;
 
-/// This host's view of the fleet.
+/// This host's view of the fleet, and the protocol that keeps it up to date.
 pub struct Fleet {
     me: Member,
     load: u8,
@@ -40,14 +40,14 @@
     gossip: Gossip,
     prober: Prober,
     configuration: Configuration,
-    pooling: Pooling,
-    /// The platform's list of hosts, to find members by.
-    listed: BTreeMap<HostName, Member>,
+    evidence: EvidenceQueues,
+    /// The hosts in the platform's list, used to discover members.
+    listed_hosts: BTreeMap<HostName, Member>,
     timers: Timers,
     is_deposed: bool,
 }
 
-/// When what is due next.
+/// Times at which periodic work is next due.
 #[derive(Default)]
 struct Timers {
     probe: Duration,
@@ -55,14 +55,14 @@
     reconnect: Duration,
     poll: Duration,
     housekeeping: Duration,
-    /// When time last passed here.
-    ticked: Duration,
-    /// Since when whose view differs.
-    differs: BTreeMap<HostName, Duration>,
+    /// Time of the previous event.
+    last_event: Duration,
+    /// For each host whose view differs, the time since when it does.
+    differing_since: BTreeMap<HostName, Duration>,
 }
 
 impl Fleet {
-    /// A host that knows nobody but itself.
+    /// Creates the state of a host that knows no other member.
     #[must_use]
     pub fn new(me: Member, seed: u64, tuning: Tuning) -> Self {
         let mut view = View::default();
@@ -79,70 +79,70 @@
             gossip: Gossip::default(),
             prober: Prober::default(),
             configuration: Configuration::default(),
-            pooling: Pooling::default(),
-            listed: BTreeMap::new(),
+            evidence: EvidenceQueues::default(),
+            listed_hosts: BTreeMap::new(),
             timers: Timers::default(),
             is_deposed: false,
         }
     }
 
-    /// Takes in what happened and appends what to do.
+    /// Processes an event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let cx = &mut Cx { now, actions };
-        self.wake(cx);
+        self.recover_from_freeze(cx);
         match event {
             Event::Tick => self.tick(cx),
-            Event::Hosts(hosts) => self.listed(cx, hosts),
-            Event::Frame { from, frame } => self.receive(cx, &from, frame),
-            Event::Polled(polled) => self.polled(cx, polled),
+            Event::Hosts(hosts) => self.handle_hosts(cx, hosts),
+            Event::Frame { from, frame } => self.handle_frame(cx, &from, frame),
+            Event::Polled(polled) => self.handle_polled(cx, polled),
             Event::PollFailed => {}
-            Event::Evidence(deltas) => self.pool_own(cx, &deltas),
-            Event::Ruled(ruled) => self.rule(cx, ruled),
-            Event::Endpoint(endpoint) => self.learn_endpoint(cx, &endpoint, None),
+            Event::Evidence(deltas) => self.add_evidence(cx, &deltas),
+            Event::Ruled(ruled) => self.publish_verdict(cx, ruled),
+            Event::Endpoint(endpoint) => self.apply_endpoint(cx, &endpoint, None),
             Event::Load(load) => self.load = load,
-            Event::Leave => self.say_of_me(State::Leaving),
-            Event::Goodbye => self.say_of_me(State::Dead),
-            Event::Fenced(identity) => self.fenced(cx, &identity),
-            Event::Drain(identity) => self.order_drain(cx, identity),
+            Event::Leave => self.set_own_state(State::Leaving),
+            Event::Goodbye => self.set_own_state(State::Dead),
+            Event::Fenced(identity) => self.handle_fence(cx, &identity),
+            Event::Drain(identity) => self.handle_drain(cx, identity),
         }
         self.neighbours
             .refresh(&self.me, &self.members, self.tuning.rings);
-        self.push_news(cx);
+        self.push_updates(cx);
     }
 
-    /// When the next [`Event::Tick`] is due.
+    /// Returns the time at which the next [`Event::Tick`] is due.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         let timers = &self.timers;
-        let fixed = [
+        let periodic = [
             timers.probe,
             timers.compare,
             timers.reconnect,
             timers.poll,
             timers.housekeeping,
         ];
-        let moving = [
-            self.probing_deadline(),
+        let dynamic = [
+            self.probe_deadline(),
             self.push_deadline(),
             self.fetch_deadline(),
-            self.pooling_deadline(),
+            self.evidence_deadline(),
         ];
-        let all = fixed.into_iter().chain(moving.into_iter().flatten());
+        let all = periodic.into_iter().chain(dynamic.into_iter().flatten());
         all.min().unwrap_or_default()
     }
 
-    /// This host's own record.
+    /// Returns this host's own membership record.
     #[must_use]
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// All other members, whatever their state.
+    /// Returns all other members, in any state.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().map(|it| &it.member)
     }
 
-    /// The last known load of a member, from 0 (idle) to 255 (full).
+    /// Returns the last known load of a member, from 0 (idle) to 255 (full).
     #[must_use]
     pub fn load(&self, host: &HostName) -> Option<u8> {
         if self.me.identity.host == *host {
@@ -151,33 +151,34 @@
         self.members.find(host)?.load.map(|it| it.level)
     }
 
-    /// The revision in force; zero when there is none.
+    /// Returns the configuration revision in force, or zero if there is none.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.configuration.revision()
     }
 
-    /// How old the last proof is that no newer revision was committed; nothing
-    /// when there never was one.
+    /// Returns the age of the latest proof that no newer revision was committed,
+    /// or `None` if there has been no proof.
     #[must_use]
     pub fn proof_age(&self, now: Duration) -> Option<Duration> {
         self.configuration.proof_age(now)
     }
 
-    /// Whether a configuration is in force; without one no request is taken.
+    /// Returns whether this host may accept requests: a configuration is in force
+    /// and this incarnation isn't deposed.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.configuration.json().is_some() && !self.is_deposed
     }
 
-    /// Whether the fleet knows this incarnation as dead for good.
+    /// Returns whether this incarnation has been declared dead permanently.
     #[must_use]
     pub fn is_deposed(&self) -> bool {
         self.is_deposed
     }
 
-    /// An estimate of the memory that this view takes, in bytes, without the
-    /// configuration's document.
+    /// Returns an estimate of the memory used by this view in bytes, excluding
+    /// the configuration document.
     #[must_use]
     pub fn bytes(&self) -> usize {
         size_of::<Self>() + self.members.bytes() + self.board.bytes()
@@ -185,25 +186,26 @@
 
     fn tick(&mut self, cx: &mut Cx) {
         self.probe_when_due(cx);
-        self.judge_probes(cx);
-        self.judge_suspects(cx);
+        self.check_probe_timeouts(cx);
+        self.check_suspicion_timeouts(cx);
         self.poll_when_due(cx);
         self.fetch_when_due(cx);
-        self.pool_when_due(cx);
+        self.send_evidence_when_due(cx);
         self.compare_when_due(cx);
         self.reconnect_when_due(cx);
-        self.keep_house(cx);
+        self.run_housekeeping(cx);
     }
 
-    /// Failure: the process is frozen (a paused machine, SIGSTOP) and woken. All
-    /// its probes look unanswered and all suspicions expired, so it would
-    /// declare live hosts unreachable. The guard sees the gap between two steps
-    /// and starts the waits anew. A gap that lasts longer than others remember
-    /// the dead ends this incarnation, as nobody could tell it that it is over.
-    fn wake(&mut self, cx: &mut Cx) {
-        let gap = cx.now.saturating_sub(self.timers.ticked);
-        let is_first = self.timers.ticked.is_zero();
-        self.timers.ticked = cx.now;
+    /// Restarts probe and suspicion timeouts after the process was frozen, for
+    /// example by SIGSTOP. Otherwise all of them would have expired, and this
+    /// host would declare live hosts unreachable.
+    ///
+    /// After a gap longer than dead members are remembered, no other host could
+    /// report this incarnation's death to it, so it is deposed.
+    fn recover_from_freeze(&mut self, cx: &mut Cx) {
+        let gap = cx.now.saturating_sub(self.timers.last_event);
+        let is_first = self.timers.last_event.is_zero();
+        self.timers.last_event = cx.now;
         if is_first || gap <= self.tuning.probe_every * 2 {
             return;
         }
@@ -214,23 +216,23 @@
         }
     }
 
-    fn receive(&mut self, cx: &mut Cx, from: &HostName, frame: Frame) {
+    fn handle_frame(&mut self, cx: &mut Cx, from: &HostName, frame: Frame) {
         match frame {
-            Frame::Probe(probe) => self.probed(cx, from, probe),
-            Frame::Ack(ack) => self.acked(cx, from, ack),
-            Frame::ProbeRequest(request) => self.asked_to_probe(cx, from, request),
-            Frame::News(news) => self.learn(cx, news, from),
-            Frame::Digest(digest) => self.compared(cx, from, digest),
-            Frame::Fetch(fetch) => self.asked_for_document(cx, from, &fetch),
-            Frame::Document(document) => self.fetched(cx, document),
-            Frame::Evidence(evidence) => self.pool(cx, evidence),
-            Frame::Drain(identity) => self.order_drain(cx, identity),
-            // These are for others, who take them from the link.
+            Frame::Probe(probe) => self.handle_probe(cx, from, probe),
+            Frame::Ack(ack) => self.handle_ack(cx, from, ack),
+            Frame::ProbeRequest(request) => self.handle_probe_request(cx, from, request),
+            Frame::News(news) => self.apply_bulletin(cx, news, from),
+            Frame::Digest(digest) => self.handle_digest(cx, from, digest),
+            Frame::Fetch(fetch) => self.handle_fetch(cx, from, &fetch),
+            Frame::Document(document) => self.handle_document(cx, document),
+            Frame::Evidence(evidence) => self.handle_evidence(cx, evidence),
+            Frame::Drain(identity) => self.handle_drain(cx, identity),
+            // Handled outside this crate, by the code that reads the connection.
             Frame::Done | Frame::Ledger(_) | Frame::Decide(_) => {}
         }
     }
 
-    fn order_drain(&mut self, cx: &mut Cx, identity: Identity) {
+    fn handle_drain(&mut self, cx: &mut Cx, identity: Identity) {
         if identity == self.me.identity {
             return cx.push(Action::Drain);
         }
@@ -246,22 +248,23 @@
         }
     }
 
-    fn keep_house(&mut self, cx: &mut Cx) {
+    fn run_housekeeping(&mut self, cx: &mut Cx) {
         if cx.now < self.timers.housekeeping {
             return;
         }
         self.timers.housekeeping = cx.now + self.tuning.housekeeping_every;
-        let forget = cx.now.saturating_sub(self.tuning.forget_after);
-        self.bury(cx, forget);
-        self.members.forget(forget);
-        let compared = cx.now.saturating_sub(self.tuning.endpoint_age);
-        self.board.age(&mut self.view, compared, forget);
+        let forget_before = cx.now.saturating_sub(self.tuning.forget_after);
+        self.declare_dead(cx, forget_before);
+        self.members.forget(forget_before);
+        let compared_before = cx.now.saturating_sub(self.tuning.endpoint_age);
+        self.board
+            .age(&mut self.view, compared_before, forget_before);
         self.prober
             .forget(cx.now.saturating_sub(self.tuning.probe_timeout * 2));
-        self.pooling.forget();
+        self.evidence.forget();
     }
 
-    /// Up to `max` chosen at random.
+    /// Returns up to `max` elements, chosen at random.
     fn sample<T>(&mut self, mut from: Vec<T>, max: usize) -> Vec<T> {
         let mut chosen = Vec::new();
         while chosen.len() < max && !from.is_empty() {
--- a/crates/fleet/src/fleet/comparing.rs
+++ b/crates/fleet/src/fleet/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Views are compared, so that what got lost is repaired and hosts find each
-//! other.
+//! Anti-entropy: hosts compare their views, which repairs lost gossip updates
+//! and lets hosts discover each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,61 +11,65 @@
 use crate::view::bucket_of;
 use crate::{Action, Fleet};
 
-/// Among so many hosts the pause between attempts to reach lost ones is as tuned.
-const SHARED_AMONG: usize = 16;
+/// The reconnect interval grows by its configured value for each group of this
+/// many hosts.
+const HOSTS_PER_RECONNECT_INTERVAL: usize = 16;
 
-/// How many hosts are asked at once while no member is known.
+/// Number of hosts contacted at once while no other member is reachable.
 const JOIN_FANOUT: usize = 3;
 
 impl Fleet {
-    /// Takes in the platform's list. It lags, so it only says whom to ask.
-    pub(super) fn listed(&mut self, cx: &mut Cx, hosts: Vec<Member>) {
+    /// Stores the platform's host list. It may be out of date, so it only provides
+    /// hosts to contact.
+    pub(super) fn handle_hosts(&mut self, cx: &mut Cx, hosts: Vec<Member>) {
         let others = hosts
             .into_iter()
             .filter(|it| it.identity.host != self.me.identity.host);
-        self.listed = others.map(|it| (it.identity.host.clone(), it)).collect();
+        self.listed_hosts = others.map(|it| (it.identity.host.clone(), it)).collect();
         if self.members.reachable().next().is_none() {
             self.timers.reconnect = cx.now;
             self.reconnect_when_due(cx);
         }
     }
 
-    /// Tries to reach hosts that are listed and unknown, or out of reach: one
-    /// at a time, as all members do the same.
+    /// Contacts a host that is unreachable, or listed but unknown. Only one at a
+    /// time unless this host is joining, because all members do the same.
     pub(super) fn reconnect_when_due(&mut self, cx: &mut Cx) {
         if cx.now < self.timers.reconnect {
             return;
         }
         let is_joining = self.members.reachable().next().is_none();
-        let (pause, max) = if is_joining {
+        let (delay, max) = if is_joining {
             (self.tuning.join_every, JOIN_FANOUT)
         } else {
-            (self.reconnect_pause(), 1)
+            (self.reconnect_delay(), 1)
         };
-        self.timers.reconnect = cx.now + pause;
-        let lost = self
+        self.timers.reconnect = cx.now + delay;
+        let unreachable = self
             .members
             .iter()
             .map(|it| &it.member)
             .filter(|it| it.state == State::Unreachable);
-        let unknown = self.listed.values().filter(|it| self.is_unknown(it));
-        let candidates: Vec<_> = lost
+        let unknown = self.listed_hosts.values().filter(|it| self.is_unknown(it));
+        let candidates: Vec<_> = unreachable
             .chain(unknown)
             .map(|it| (it.identity.host.clone(), it.fleet_address))
             .collect();
         for (host, address) in self.sample(candidates, max) {
-            self.introduce(cx, &host, address);
+            self.send_digest(cx, &host, address);
         }
     }
 
-    /// All members try the same lost hosts, so each waits the longer the more
-    /// they are: the fleet as a whole tries about as often at any size.
-    fn reconnect_pause(&self) -> Duration {
-        let share = self.size().div_ceil(SHARED_AMONG);
-        self.tuning.reconnect_every * u32::try_from(share).unwrap_or(u32::MAX)
+    /// Returns the delay between reconnect attempts. It grows with the fleet,
+    /// because all members try the same unreachable hosts: the total rate of
+    /// attempts stays about constant.
+    fn reconnect_delay(&self) -> Duration {
+        let factor = self.size().div_ceil(HOSTS_PER_RECONNECT_INTERVAL);
+        self.tuning.reconnect_every * u32::try_from(factor).unwrap_or(u32::MAX)
     }
 
-    /// Compares with a random member now and then, whatever the neighbours say.
+    /// Periodically compares views with a random member, even if no neighbour
+    /// reports a difference.
     pub(super) fn compare_when_due(&mut self, cx: &mut Cx) {
         if cx.now < self.timers.compare {
             return;
@@ -79,12 +83,13 @@
         let members = self.members.reachable();
         let members = members.map(|(_, it)| it.member.clone()).collect();
         for member in self.sample(members, 1) {
-            self.introduce(cx, &member.identity.host, member.fleet_address);
+            self.send_digest(cx, &member.identity.host, member.fleet_address);
         }
     }
 
-    /// Shows this host's view to another, which answers with what differs.
-    pub(super) fn introduce(&mut self, cx: &mut Cx, host: &HostName, address: SocketAddr) {
+    /// Sends a digest of this host's view to another host, which responds with
+    /// the differences.
+    pub(super) fn send_digest(&mut self, cx: &mut Cx, host: &HostName, address: SocketAddr) {
         let digest = Digest {
             from: self.me.identity.clone(),
             buckets: self.view.listing(),
@@ -98,14 +103,19 @@
         });
     }
 
-    /// Looks at a neighbour's fingerprint. News under way make views differ
-    /// for a moment, so only a lasting difference is worth a comparison.
-    pub(super) fn see_view(&mut self, cx: &mut Cx, host: &HostName, theirs: u64) {
+    /// Compares a host's view fingerprint with this host's. Gossip updates in
+    /// flight make views differ briefly, so only a lasting difference leads to a
+    /// full comparison.
+    pub(super) fn check_fingerprint(&mut self, cx: &mut Cx, host: &HostName, theirs: u64) {
         if theirs == self.view.fingerprint() {
-            self.timers.differs.remove(host);
+            self.timers.differing_since.remove(host);
             return;
         }
-        let since = self.timers.differs.entry(host.clone()).or_insert(cx.now);
+        let since = self
+            .timers
+            .differing_since
+            .entry(host.clone())
+            .or_insert(cx.now);
         if cx.now.saturating_sub(*since) < self.tuning.view_patience {
             return;
         }
@@ -114,10 +124,10 @@
             return;
         };
         let address = entry.member.fleet_address;
-        self.introduce(cx, host, address);
+        self.send_digest(cx, host, address);
     }
 
-    pub(super) fn compared(&mut self, cx: &mut Cx, from: &HostName, digest: Digest) {
+    pub(super) fn handle_digest(&mut self, cx: &mut Cx, from: &HostName, digest: Digest) {
         if digest.from.host != *from {
             return;
         }
@@ -128,25 +138,25 @@
             self.still_differing(&digest.buckets)
         };
         let theirs = digest.bulletin.news.clone();
-        self.learn(cx, digest.bulletin, from);
+        self.apply_bulletin(cx, digest.bulletin, from);
         if is_joining && !digest.reply {
-            self.gossip_only_me();
+            self.queue_only_own_record();
         }
         let Some(entry) = self.members.find(from) else {
             return;
         };
         let to = entry.member.clone();
-        let mut news = self.news_of(&differing);
+        let mut news = self.updates_in(&differing);
         news.retain(|it| !theirs.contains(it));
         if digest.reply {
-            news.extend(self.newest());
-            let answer = Digest {
+            news.extend(self.revision_update());
+            let response = Digest {
                 from: self.me.identity.clone(),
                 buckets: differing,
                 bulletin: self.bulletin(cx, news),
                 reply: false,
             };
-            cx.send(&to, answer);
+            cx.send(&to, response);
         } else if !news.is_empty() {
             let bulletin = self.bulletin(cx, news);
             cx.send(&to, bulletin);
@@ -155,27 +165,28 @@
 
     fn bulletin(&self, cx: &Cx, news: Vec<News>) -> Bulletin {
         Bulletin {
-            reach: self.stated_reach(cx.now),
+            reach: self.reported_reach(cx.now),
             news,
         }
     }
 
-    /// What a joining host learns from the first answer is news to nobody but
-    /// itself; only its own record has to be spread.
-    fn gossip_only_me(&mut self) {
+    /// Replaces the queued gossip updates with this host's own record. The other
+    /// members already know what a joining host learns from its first response.
+    fn queue_only_own_record(&mut self) {
         self.gossip = crate::gossip::Gossip::default();
         let news = News::Member(self.me.clone());
         self.gossip.add(news, None, self.tuning.carries);
     }
 
-    /// The buckets of the other's answer that differ from this host's.
+    /// Returns the buckets in the other host's response that differ from this
+    /// host's.
     fn still_differing(&self, theirs: &[Bucket]) -> Vec<Bucket> {
         let mut differing = self.view.differing(theirs);
         differing.retain(|it| theirs.iter().any(|other| other.index == it.index));
         differing
     }
 
-    fn news_of(&self, buckets: &[Bucket]) -> Vec<News> {
+    fn updates_in(&self, buckets: &[Bucket]) -> Vec<News> {
         let wanted = |index: u8| buckets.iter().any(|it| it.index == index);
         let members = self
             .members
@@ -187,7 +198,7 @@
         members.chain(self.board.news(wanted)).collect()
     }
 
-    fn newest(&self) -> Option<News> {
+    fn revision_update(&self) -> Option<News> {
         self.configuration.json()?;
         Some(News::Revision(Newest {
             revision: self.configuration.revision(),
--- a/crates/fleet/src/fleet/pooling.rs
+++ b/crates/fleet/src/fleet/evidence.rs
@@ -1,5 +1,7 @@
-//! Evidence: in a small fleet it goes to all; in a larger one through a relay
-//! in the data centre to the topics' homes, and from the first home back to all.
+//! Distribution of evidence. In a small fleet each host sends its counts to all
+//! others. In a larger one a relay in the data centre collects them and sends
+//! them to the homes of each group of topics, the hosts that aggregate the
+//! group's counts; the first home returns the totals to all hosts via the relays.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,29 +14,29 @@
 use crate::rendezvous::weight;
 use crate::{Action, Fleet};
 
-/// A relay passes on at once what a home has batched, but for what comes from
-/// several homes at the same moment.
+/// Delay at a relay before it forwards counts returned by homes. It only combines
+/// counts that arrive from several homes at the same time.
 const RETURN_PACE: Pace = Pace {
     urgent: Duration::from_millis(100),
     usual: Duration::from_millis(100),
 };
 
-/// Evidence on its way through this host.
+/// Evidence that waits on this host to be sent.
 #[derive(Default)]
-pub(super) struct Pooling {
-    /// Of this host.
+pub(super) struct EvidenceQueues {
+    /// Counts by this host.
     own: Pool,
-    /// Of the hosts of the data centre, at a relay.
+    /// As a relay: counts from the hosts of the data centre.
     relayed: Pool,
-    /// Of all data centres, at a group's first home.
+    /// As a group's first home: counts from all data centres.
     home: Pool,
-    /// Of all, at a relay on the way back.
+    /// As a relay: counts returned by homes.
     returned: Pool,
     returning: Returning,
     routes: Routes,
 }
 
-/// Who relays and who is home, as long as the members stay the same.
+/// The relay and homes of each group, cached until the members change.
 #[derive(Default)]
 struct Routes {
     epoch: Option<u64>,
@@ -47,46 +49,46 @@
     homes: Vec<Member>,
 }
 
-impl Pooling {
+impl EvidenceQueues {
     pub(super) fn forget(&mut self) {
         self.returning.forget();
     }
 }
 
 impl Fleet {
-    pub(super) fn pool_own(&mut self, cx: &mut Cx, deltas: &[Delta]) {
-        self.pooling.own.add(cx.now, deltas);
+    pub(super) fn add_evidence(&mut self, cx: &mut Cx, deltas: &[Delta]) {
+        self.evidence.own.add(cx.now, deltas);
     }
 
-    pub(super) fn pool(&mut self, cx: &mut Cx, evidence: Evidence) {
+    pub(super) fn handle_evidence(&mut self, cx: &mut Cx, evidence: Evidence) {
         let deltas = evidence.deltas;
         match evidence.reach {
-            Reach::Direct => report(cx, deltas),
-            Reach::Host => self.pooling.relayed.add(cx.now, &deltas),
-            Reach::DataCentre => self.pool_at_home(cx, deltas, Reach::DataCentre),
-            Reach::Standby => self.pool_at_home(cx, deltas, Reach::Standby),
+            Reach::Direct => report_evidence(cx, deltas),
+            Reach::Host => self.evidence.relayed.add(cx.now, &deltas),
+            Reach::DataCentre => self.aggregate_at_home(cx, deltas, Reach::DataCentre),
+            Reach::Standby => self.aggregate_at_home(cx, deltas, Reach::Standby),
             Reach::Fleet => {
-                self.pooling.returned.add(cx.now, &deltas);
-                self.take_returned(cx, deltas);
+                self.evidence.returned.add(cx.now, &deltas);
+                self.report_returned(cx, deltas);
             }
-            Reach::Final => self.take_returned(cx, deltas),
+            Reach::Final => self.report_returned(cx, deltas),
         }
     }
 
-    pub(super) fn pooling_deadline(&self) -> Option<Duration> {
-        let pooling = &self.pooling;
+    pub(super) fn evidence_deadline(&self) -> Option<Duration> {
+        let queues = &self.evidence;
         let stages = [
-            pooling.own.deadline(self.own_pace()),
-            pooling
+            queues.own.deadline(self.own_pace()),
+            queues
                 .relayed
                 .deadline(self.pace(self.tuning.evidence_to_home)),
-            pooling.home.deadline(self.home_pace()),
-            pooling.returned.deadline(RETURN_PACE),
+            queues.home.deadline(self.home_pace()),
+            queues.returned.deadline(RETURN_PACE),
         ];
         stages.into_iter().flatten().min()
     }
 
-    pub(super) fn pool_when_due(&mut self, cx: &mut Cx) {
+    pub(super) fn send_evidence_when_due(&mut self, cx: &mut Cx) {
         self.send_own(cx);
         self.send_relayed(cx);
         self.send_home(cx);
@@ -96,41 +98,41 @@
     fn send_own(&mut self, cx: &mut Cx) {
         let pace = self.own_pace();
         if self.is_direct() {
-            let deltas = self.pooling.own.take_all_if_due(cx.now, pace);
+            let deltas = self.evidence.own.take_all_if_due(cx.now, pace);
             if deltas.is_empty() {
                 return;
             }
             let members: Vec<_> = self.members.reachable().map(|it| it.1).collect();
             for entry in members {
-                let frame = self.evidence(Reach::Direct, deltas.clone());
+                let frame = self.build_evidence(Reach::Direct, deltas.clone());
                 cx.send(&entry.member, frame);
             }
             return;
         }
-        let due = self.pooling.own.take_due(cx.now, pace);
+        let due = self.evidence.own.take_due(cx.now, pace);
         if due.is_empty() {
             return;
         }
-        self.route();
-        let mut frames = Bundles::default();
+        self.refresh_routes();
+        let mut frames = OutgoingFrames::default();
         for (group, deltas) in due {
-            self.pooling.returning.add(&deltas);
-            frames.add(&self.routes(group).relay, deltas);
+            self.evidence.returning.add(&deltas);
+            frames.add(&self.route_of(group).relay, deltas);
         }
         self.dispatch(cx, frames, Reach::Host);
     }
 
     fn send_relayed(&mut self, cx: &mut Cx) {
         let pace = self.pace(self.tuning.evidence_to_home);
-        let due = self.pooling.relayed.take_due(cx.now, pace);
+        let due = self.evidence.relayed.take_due(cx.now, pace);
         if due.is_empty() {
             return;
         }
-        self.route();
-        let mut first = Bundles::default();
-        let mut others = Bundles::default();
+        self.refresh_routes();
+        let mut first = OutgoingFrames::default();
+        let mut others = OutgoingFrames::default();
         for (group, deltas) in due {
-            for (index, home) in self.routes(group).homes.iter().enumerate() {
+            for (index, home) in self.route_of(group).homes.iter().enumerate() {
                 let frames = if index == 0 { &mut first } else { &mut others };
                 frames.add(home, deltas.clone());
             }
@@ -141,8 +143,8 @@
 
     fn send_home(&mut self, cx: &mut Cx) {
         let pace = self.home_pace();
-        let due = self.pooling.home.take_due(cx.now, pace);
-        let mut frames = Bundles::default();
+        let due = self.evidence.home.take_due(cx.now, pace);
+        let mut frames = OutgoingFrames::default();
         for (group, deltas) in due {
             for relay in self.relays(group) {
                 frames.add(&relay, deltas.clone());
@@ -152,7 +154,7 @@
     }
 
     fn send_returned(&mut self, cx: &mut Cx) {
-        let due = self.pooling.returned.take_due(cx.now, RETURN_PACE);
+        let due = self.evidence.returned.take_due(cx.now, RETURN_PACE);
         let deltas: Vec<_> = due.into_iter().flat_map(|it| it.1).collect();
         if deltas.is_empty() {
             return;
@@ -165,45 +167,45 @@
             .cloned()
             .collect();
         for member in local {
-            cx.send(&member, self.evidence(Reach::Final, deltas.clone()));
+            cx.send(&member, self.build_evidence(Reach::Final, deltas.clone()));
         }
     }
 
-    /// Sends what is bundled; what is for this host takes the short way.
-    fn dispatch(&mut self, cx: &mut Cx, frames: Bundles, reach: Reach) {
+    /// Sends one frame to each host. Evidence for this host is handled directly.
+    fn dispatch(&mut self, cx: &mut Cx, frames: OutgoingFrames, reach: Reach) {
         for (host, (member, deltas)) in frames.by_host {
-            let evidence = self.evidence(reach, deltas);
+            let evidence = self.build_evidence(reach, deltas);
             if host == self.me.identity.host {
-                self.pool(cx, evidence);
+                self.handle_evidence(cx, evidence);
             } else {
                 cx.send(&member, evidence);
             }
         }
     }
 
-    /// A home's own decision core gets the counts at once, so that a bad
-    /// version is judged without the way back.
-    fn pool_at_home(&mut self, cx: &mut Cx, deltas: Vec<Delta>, reach: Reach) {
+    /// Handles counts as a home. This host's decision core gets them at once, so
+    /// that a bad version is detected before the totals are returned.
+    fn aggregate_at_home(&mut self, cx: &mut Cx, deltas: Vec<Delta>, reach: Reach) {
         if reach == Reach::DataCentre {
-            self.pooling.home.add(cx.now, &deltas);
+            self.evidence.home.add(cx.now, &deltas);
         }
-        let others = self.pooling.returning.without_own(deltas);
-        report(cx, others);
+        let others = self.evidence.returning.without_own(deltas);
+        report_evidence(cx, others);
     }
 
-    /// Takes in the counts of all, but for the groups whose counts come here
-    /// anyway because this host is a home of them.
-    fn take_returned(&mut self, cx: &mut Cx, mut deltas: Vec<Delta>) {
-        self.route();
+    /// Reports returned counts to the decision core. Skips groups that this host
+    /// is a home of, because it has already received their counts.
+    fn report_returned(&mut self, cx: &mut Cx, mut deltas: Vec<Delta>) {
+        self.refresh_routes();
         deltas.retain(|it| {
-            let homes = &self.routes(group_of(&it.topic)).homes;
+            let homes = &self.route_of(group_of(&it.topic)).homes;
             homes.iter().all(|it| it.identity != self.me.identity)
         });
-        let others = self.pooling.returning.without_own(deltas);
-        report(cx, others);
+        let others = self.evidence.returning.without_own(deltas);
+        report_evidence(cx, others);
     }
 
-    fn evidence(&self, reach: Reach, deltas: Vec<Delta>) -> Evidence {
+    fn build_evidence(&self, reach: Reach, deltas: Vec<Delta>) -> Evidence {
         Evidence {
             from: self.me.identity.clone(),
             reach,
@@ -223,9 +225,10 @@
         }
     }
 
-    /// On the way back nothing is urgent: what is bad was judged at the home,
-    /// and the verdict travels as news. In a large fleet there is always some
-    /// error, so that urgency here would defeat the batches.
+    /// Returns the pace at which a home returns counts. None are urgent: the home
+    /// has judged failures itself, and verdicts spread as gossip updates. A large
+    /// fleet nearly always has some error, so urgent sending would defeat
+    /// batching.
     fn home_pace(&self) -> Pace {
         let usual = self.tuning.evidence_to_all;
         Pace {
@@ -239,14 +242,14 @@
         Pace { urgent, usual }
     }
 
-    fn routes(&self, group: usize) -> &Route {
-        &self.pooling.routes.groups[group]
+    fn route_of(&self, group: usize) -> &Route {
+        &self.evidence.routes.groups[group]
     }
 
-    /// Chooses relays and homes anew when the members have changed.
-    fn route(&mut self) {
+    /// Recomputes relays and homes if the members have changed.
+    fn refresh_routes(&mut self) {
         let epoch = Some(self.members.epoch());
-        if self.pooling.routes.epoch == epoch {
+        if self.evidence.routes.epoch == epoch {
             return;
         }
         let groups = (0..)
@@ -256,20 +259,22 @@
                 homes,
             })
             .collect();
-        self.pooling.routes = Routes { epoch, groups };
+        self.evidence.routes = Routes { epoch, groups };
     }
 
-    /// A group's relay in a data centre. The groups are dealt out one by one,
-    /// because a relay holds nothing that would have to move, and a host that
-    /// got several by chance would spend a multiple of the others.
+    /// Returns a group's relay in a data centre. Groups are assigned round-robin,
+    /// which spreads the load evenly. Consistent hashing isn't needed, because a
+    /// relay has no state that would have to move.
     fn relay(&self, group: usize, data_centre: &DataCentre) -> Member {
         let local = self
             .candidates()
             .filter(|it| it.data_centre == *data_centre);
-        deal(local.collect(), group).unwrap_or(&self.me).clone()
+        assign_round_robin(local.collect(), group)
+            .unwrap_or(&self.me)
+            .clone()
     }
 
-    /// The relays of a group in all data centres.
+    /// Returns the relays of a group in all data centres.
     fn relays(&self, group: usize) -> Vec<Member> {
         let mut by_data_centre: BTreeMap<&DataCentre, Vec<&Member>> = BTreeMap::new();
         for member in self.candidates() {
@@ -278,12 +283,12 @@
         }
         let relays = by_data_centre.into_values();
         relays
-            .filter_map(|local| deal(local, group).cloned())
+            .filter_map(|local| assign_round_robin(local, group).cloned())
             .collect()
     }
 
-    /// The homes of all groups: each takes the host with the highest weight
-    /// that no earlier one took, so that no host carries several by chance.
+    /// Returns the homes of all groups. Each group in turn takes the host with
+    /// the highest weight among those not yet taken, which spreads the load.
     fn homes(&self) -> Vec<Vec<Member>> {
         let mut free: Vec<_> = self.candidates().collect();
         let mut homes = vec![Vec::new(); GROUPS];
@@ -301,39 +306,40 @@
         homes
     }
 
-    /// This host and those that are alive; one that drains or may be dead
-    /// would take counts with it.
+    /// Returns the alive hosts, including this one. Hosts that drain or may be
+    /// dead are excluded, because counts sent there could be lost.
     fn candidates(&self) -> impl Iterator<Item = &Member> {
         let me = Some(&self.me).filter(|it| it.state == State::Alive);
         self.members.alive().chain(me)
     }
 }
 
-/// The member whose turn it is, in an order that all hosts agree on.
-fn deal(mut local: Vec<&Member>, group: usize) -> Option<&Member> {
+/// Returns the member that `group` is assigned to, round-robin in an order that
+/// all hosts compute alike.
+fn assign_round_robin(mut local: Vec<&Member>, group: usize) -> Option<&Member> {
     local.sort_by_key(|it| weight("relay", 0_u8, it.identity.host.as_str()));
-    let turn = group.checked_rem(local.len())?;
-    local.get(turn).copied()
+    let position = group.checked_rem(local.len())?;
+    local.get(position).copied()
 }
 
-/// Deltas by the host that they go to, so that each gets one frame.
+/// Deltas grouped by destination, so that each host gets one frame.
 #[derive(Default)]
-struct Bundles {
+struct OutgoingFrames {
     by_host: BTreeMap<HostName, (Member, Vec<Delta>)>,
 }
 
-impl Bundles {
+impl OutgoingFrames {
     fn add(&mut self, to: &Member, deltas: Vec<Delta>) {
         let host = to.identity.host.clone();
-        let bundle = self
+        let entry = self
             .by_host
             .entry(host)
             .or_insert_with(|| (to.clone(), Vec::new()));
-        bundle.1.extend(deltas);
+        entry.1.extend(deltas);
     }
 }
 
-fn report(cx: &mut Cx, deltas: Vec<Delta>) {
+fn report_evidence(cx: &mut Cx, deltas: Vec<Delta>) {
     if !deltas.is_empty() {
         cx.push(Action::Evidence(deltas));
     }
--- a/crates/fleet/src/fleet/probing.rs
+++ b/crates/fleet/src/fleet/failure_detection.rs
@@ -1,4 +1,4 @@
-//! Who lives: probes, help with them, suspicion, and the way back.
+//! Failure detection: direct and indirect probes, suspicion and refutation.
 
 use std::time::Duration;
 
@@ -11,17 +11,18 @@
 use crate::members::{Level, MemberKey};
 use crate::prober::{Helping, Waiting};
 
-/// Up to this many hosts a host that nobody answers may still judge others
-/// after a while: their contradictions, if it was wrong, cost little.
-const SMALL: usize = 16;
+/// With fewer other hosts than this, an isolated host may still suspect members:
+/// if it is wrong, their refutations cost little.
+const SMALL_FLEET_HOSTS: usize = 16;
 
-/// After so many probes without an answer any member is probed.
-const SILENT_PROBES: u32 = 4;
+/// Number of probe intervals without any response after which random members
+/// are probed instead of neighbours.
+const MAX_SILENT_INTERVALS: u32 = 4;
 
 impl Fleet {
-    /// Whether nobody has answered this host for long although others are
-    /// known, so that it is rather itself cut off. What it knows of the others
-    /// is then old, and what it says reaches nobody.
+    /// Returns whether this host is probably isolated: it reaches no member, or
+    /// hasn't received a response for a long time. Its view is then out of date,
+    /// and its updates reach no other host.
     #[must_use]
     pub fn is_alone(&self, now: Duration) -> bool {
         let silence = now.saturating_sub(self.prober.answered);
@@ -50,19 +51,20 @@
         self.send_probe(cx, &member, sequence);
     }
 
-    /// The next neighbour, or, after some silence, anyone: all neighbours may
-    /// have died together, and somebody must tell that from a cut of this host.
+    /// Returns the next neighbour, or a random member after some time without a
+    /// response: that distinguishes the simultaneous failure of all neighbours
+    /// from the isolation of this host.
     fn next_target(&mut self, now: Duration) -> Option<MemberKey> {
         let silence = now.saturating_sub(self.prober.answered);
-        if silence <= self.tuning.probe_every * SILENT_PROBES {
+        if silence <= self.tuning.probe_every * MAX_SILENT_INTERVALS {
             return self.prober.next_target(self.neighbours.successors());
         }
         let all = self.members.reachable().map(|it| it.0).collect();
         self.sample(all, 1).pop()
     }
 
-    /// Looks at the probes that weren't answered in time.
-    pub(super) fn judge_probes(&mut self, cx: &mut Cx) {
+    /// Handles probes that timed out: first by indirect probes, then by suspicion.
+    pub(super) fn check_probe_timeouts(&mut self, cx: &mut Cx) {
         let overdue: Vec<_> = self
             .prober
             .iter()
@@ -76,95 +78,103 @@
             };
             let member = entry.member.clone();
             if !waiting.is_helped {
-                self.ask_for_help(cx, sequence, &member);
+                self.probe_indirectly(cx, sequence, &member);
                 continue;
             }
             self.prober.give_up(sequence);
-            if self.may_judge(cx.now, &waiting) {
+            if self.may_suspect(cx.now, &waiting) {
                 self.suspect(cx, member);
             }
         }
     }
 
-    pub(super) fn judge_suspects(&mut self, cx: &mut Cx) {
-        let patience = self.suspicion_time();
+    pub(super) fn check_suspicion_timeouts(&mut self, cx: &mut Cx) {
+        let timeout = self.suspicion_timeout();
         let expired: Vec<_> = self
             .members
             .suspects()
-            .filter(|it| it.since + patience <= cx.now)
+            .filter(|it| it.since + timeout <= cx.now)
             .map(|it| it.member.clone())
             .collect();
         for member in expired {
-            self.judge(cx, member, State::Unreachable);
+            self.set_member_state(cx, member, State::Unreachable);
         }
     }
 
-    pub(super) fn probing_deadline(&self) -> Option<Duration> {
-        let timeout = self.tuning.probe_timeout;
-        let probes = self.prober.iter().map(|(_, it)| it.due(timeout));
-        let patience = self.suspicion_time();
-        let suspects = self.members.suspects().map(|it| it.since + patience);
+    pub(super) fn probe_deadline(&self) -> Option<Duration> {
+        let probe_timeout = self.tuning.probe_timeout;
+        let probes = self.prober.iter().map(|(_, it)| it.due(probe_timeout));
+        let suspicion_timeout = self.suspicion_timeout();
+        let suspects = self
+            .members
+            .suspects()
+            .map(|it| it.since + suspicion_timeout);
         probes.chain(suspects).min()
     }
 
-    pub(super) fn probed(&mut self, cx: &mut Cx, from: &HostName, probe: Probe) {
+    pub(super) fn handle_probe(&mut self, cx: &mut Cx, from: &HostName, probe: Probe) {
         if probe.from.host != *from {
             return;
         }
-        let asker = self.members.find_life(&probe.from);
-        let known = asker.map(|it| it.member.clone());
+        let requester = self.members.find_life(&probe.from);
+        let known = requester.map(|it| it.member.clone());
         let accusation = known.clone().filter(|it| it.state >= State::Suspect);
         let ack = Ack {
             sequence: probe.sequence,
             from: self.me.identity.clone(),
             proof: self.configuration.proof(cx.now),
             view: self.view.fingerprint(),
-            bulletin: self.carry(cx.now, accusation),
-            loads: self.carry_loads(cx.now),
+            bulletin: self.piggyback_updates(cx.now, accusation),
+            loads: self.piggyback_loads(cx.now),
         };
         cx.push(crate::Action::Send {
             host: from.clone(),
             address: probe.address,
             frame: ack.into(),
         });
-        self.note_loads(cx.now, &probe.loads);
-        self.learn(cx, probe.bulletin, from);
-        self.hear_revision(cx, from, probe.proof.revision);
+        self.record_loads(cx.now, &probe.loads);
+        self.apply_bulletin(cx, probe.bulletin, from);
+        self.record_revision_holder(cx, from, probe.proof.revision);
         if known.is_some() {
-            self.see_view(cx, from, probe.view);
+            self.check_fingerprint(cx, from, probe.view);
         } else {
-            self.introduce(cx, from, probe.address);
+            self.send_digest(cx, from, probe.address);
         }
     }
 
-    pub(super) fn acked(&mut self, cx: &mut Cx, from: &HostName, ack: Ack) {
+    pub(super) fn handle_ack(&mut self, cx: &mut Cx, from: &HostName, ack: Ack) {
         if let Some(helping) = self.prober.helped(ack.sequence, &ack.from) {
             return Self::relay_ack(cx, helping, ack);
         }
         let Some(waiting) = self.prober.answer(ack.sequence, &ack.from) else {
             return;
         };
-        self.hear_answer(cx);
+        self.record_response(cx);
         let host = &ack.from.host;
-        self.note_loads(cx.now, &ack.loads);
-        self.learn(cx, ack.bulletin, from);
-        self.hear_revision(cx, host, ack.proof.revision);
+        self.record_loads(cx.now, &ack.loads);
+        self.apply_bulletin(cx, ack.bulletin, from);
+        self.record_revision_holder(cx, host, ack.proof.revision);
         self.configuration.witness(waiting.sent, ack.proof);
         let Some(entry) = self.members.find_life(&ack.from) else {
-            return self.meet_successor_life(cx, &waiting.target);
+            return self.compare_with_successor(cx, &waiting.target);
         };
         let member = entry.member.clone();
         if member.state >= State::Suspect {
-            self.tell_of_accusation(cx, &member);
+            self.notify_accused(cx, &member);
         }
-        self.see_view(cx, host, ack.view);
+        self.check_fingerprint(cx, host, ack.view);
     }
 
-    pub(super) fn asked_to_probe(&mut self, cx: &mut Cx, from: &HostName, request: ProbeRequest) {
-        let Some(asker) = self.members.find(from) else {
+    pub(super) fn handle_probe_request(
+        &mut self,
+        cx: &mut Cx,
+        from: &HostName,
+        request: ProbeRequest,
+    ) {
+        let Some(requester) = self.members.find(from) else {
             return;
         };
-        let asker = (from.clone(), asker.member.fleet_address);
+        let requester = (from.clone(), requester.member.fleet_address);
         if request.target == self.me.identity {
             return;
         }
@@ -172,12 +182,13 @@
         target.identity = request.target.clone();
         target.fleet_address = request.address;
         let sequence = self.prober.next_sequence();
-        let helping = Helping::new(cx.now, asker, request.sequence, request.target);
+        let helping = Helping::new(cx.now, requester, request.sequence, request.target);
         self.prober.help(sequence, helping);
         self.send_probe(cx, &target, sequence);
     }
 
-    /// A random part of `of`, so that hosts that start together don't act together.
+    /// Returns a random fraction of `of`, so that hosts that start together don't
+    /// act in step.
     pub(super) fn jitter(&mut self, of: Duration) -> Duration {
         of.mul_f64(self.rng.random_range(0.05..1.0))
     }
@@ -190,15 +201,15 @@
             address: self.me.fleet_address,
             proof: self.configuration.proof(cx.now),
             view: self.view.fingerprint(),
-            bulletin: self.carry(cx.now, accusation),
-            loads: self.carry_loads(cx.now),
+            bulletin: self.piggyback_updates(cx.now, accusation),
+            loads: self.piggyback_loads(cx.now),
         };
         cx.send(to, probe);
     }
 
-    /// One broken path or one lost frame mustn't pass for a dead host: others
-    /// are asked to probe it, and it is probed once more.
-    fn ask_for_help(&mut self, cx: &mut Cx, sequence: u32, target: &Member) {
+    /// Probes the target again, directly and through other hosts, so that a
+    /// broken path or a lost frame isn't mistaken for a dead host.
+    fn probe_indirectly(&mut self, cx: &mut Cx, sequence: u32, target: &Member) {
         self.prober.set_helped(sequence);
         self.send_probe(cx, target, sequence);
         let neighbours: Vec<_> = self
@@ -220,12 +231,14 @@
         }
     }
 
-    /// Failure: this host's own line is cut or deaf. All its probes stay
-    /// unanswered, and it would accuse everybody. The guard asks for an answer
-    /// from anybody since the probe was sent, for which the next probe leaves
-    /// time: without one the silence proves nothing about the target, which is
-    /// probed again in its turn.
-    fn may_judge(&self, now: Duration, waiting: &Waiting) -> bool {
+    /// Returns whether a timed-out probe justifies suspecting its target: some
+    /// host must have responded since the probe was sent.
+    ///
+    /// Otherwise a host that lost its own connection would suspect all others.
+    /// The timeout leaves time for a response to the next probe, and the target
+    /// is probed again in its turn. Without other members, and in a small fleet
+    /// after a long time without a response, no such response is required.
+    fn may_suspect(&self, now: Duration, waiting: &Waiting) -> bool {
         let witnesses = self
             .members
             .reachable()
@@ -234,19 +247,20 @@
         if witnesses == 0 || self.prober.answered > waiting.sent {
             return true;
         }
-        let is_small = witnesses < SMALL;
+        let is_small = witnesses < SMALL_FLEET_HOSTS;
         is_small && self.is_alone(now)
     }
 
-    /// Somebody answers. After a long silence this host was cut off itself, and
-    /// nobody has believed what it said meanwhile, so it takes that back.
-    fn hear_answer(&mut self, cx: &mut Cx) {
+    /// Records that a host responded. If this host was isolated until now, no
+    /// other host believed its accusations, so it retracts those
+    /// made in the meantime.
+    fn record_response(&mut self, cx: &mut Cx) {
         let last = std::mem::replace(&mut self.prober.answered, cx.now);
         if cx.now.saturating_sub(last) <= self.tuning.alone_after {
             return;
         }
         for host in self.accused_since(last) {
-            self.acquit(cx, &host);
+            self.retract_accusation(cx, &host);
         }
     }
 
@@ -255,34 +269,34 @@
             return;
         }
         let identity = member.identity.clone();
-        self.judge(cx, member, State::Suspect);
+        self.set_member_state(cx, member, State::Suspect);
         if let Some(entry) = self.members.find_life(&identity) {
             let member = entry.member.clone();
-            self.tell_of_accusation(cx, &member);
+            self.notify_accused(cx, &member);
         }
     }
 
-    /// The accused must hear it first of all, to contradict.
-    fn tell_of_accusation(&self, cx: &mut Cx, accused: &Member) {
+    /// Sends an accusation to the accused host first, so that it can refute it.
+    fn notify_accused(&self, cx: &mut Cx, accused: &Member) {
         let bulletin = Bulletin {
-            reach: self.stated_reach(cx.now),
+            reach: self.reported_reach(cx.now),
             news: vec![News::Member(accused.clone())],
         };
         cx.send(accused, bulletin);
     }
 
-    fn suspicion_time(&self) -> Duration {
+    fn suspicion_timeout(&self) -> Duration {
         self.tuning.suspicion * self.log_size()
     }
 
-    fn carry(&mut self, now: Duration, first: Option<Member>) -> Bulletin {
-        let reach = self.stated_reach(now);
+    fn piggyback_updates(&mut self, now: Duration, accusation: Option<Member>) -> Bulletin {
+        let reach = self.reported_reach(now);
         let mut news = self.gossip.take_carried(self.tuning.news_bytes);
-        news.extend(first.map(News::Member));
+        news.extend(accusation.map(News::Member));
         Bulletin { reach, news }
     }
 
-    fn carry_loads(&mut self, now: Duration) -> Vec<Load> {
+    fn piggyback_loads(&mut self, now: Duration) -> Vec<Load> {
         let fresh: Vec<_> = self
             .members
             .iter()
@@ -306,7 +320,7 @@
         loads
     }
 
-    fn note_loads(&mut self, now: Duration, loads: &[Load]) {
+    fn record_loads(&mut self, now: Duration, loads: &[Load]) {
         for load in loads {
             let at = now.saturating_sub(load.age);
             let level = load.level;
@@ -314,7 +328,7 @@
         }
     }
 
-    /// Passes on what a helper's probe found out, under the asker's number.
+    /// Forwards the ack of an indirect probe with the requester's sequence number.
     fn relay_ack(cx: &mut Cx, helping: Helping, mut ack: Ack) {
         ack.sequence = helping.sequence;
         ack.bulletin.news.clear();
@@ -326,19 +340,19 @@
         });
     }
 
-    /// Another life answers at the target's address, so the probed one is over;
-    /// the host tells its new record itself.
-    fn meet_successor_life(&mut self, cx: &mut Cx, target: &Identity) {
+    /// Compares views with a host that responded as another incarnation than the
+    /// probed one. The host sends its new record itself.
+    fn compare_with_successor(&mut self, cx: &mut Cx, target: &Identity) {
         let Some(entry) = self.members.find(&target.host) else {
             return;
         };
         let (host, address) = (target.host.clone(), entry.member.fleet_address);
-        self.introduce(cx, &host, address);
+        self.send_digest(cx, &host, address);
     }
 }
 
 impl Waiting {
-    /// When the next step with the probe is due.
+    /// Returns when the probe next times out.
     fn due(&self, timeout: Duration) -> Duration {
         self.sent + if self.is_helped { timeout * 3 } else { timeout }
     }
--- a/crates/fleet/src/measure/network.rs
+++ b/crates/fleet/src/measure/network.rs
@@ -1,4 +1,5 @@
-//! Many cores in one process, joined by a queue of frames on a virtual clock.
+//! A simulated network: the cores of many hosts in one process, with an event
+//! queue and a virtual clock.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -10,77 +11,78 @@
 use rand_pcg::Pcg64;
 use wire::{Frame, Member};
 
-use crate::measure::traffic::{OVERHEAD, acknowledgement};
+use crate::measure::traffic::{FRAME_OVERHEAD_BYTES, acknowledgement_bytes};
 use crate::measure::{Table, Traffic};
 use crate::{Action, Event, Fleet, Tuning};
 
-/// One way between two hosts of a data centre.
-const SAME_DATA_CENTRE: Duration = Duration::from_micros(500);
+/// One-way delay within a data centre.
+const SAME_DATA_CENTRE_DELAY: Duration = Duration::from_micros(500);
 
-/// One way between two data centres of a region.
-const SAME_REGION: Duration = Duration::from_millis(2);
+/// One-way delay between two data centres of a region.
+const SAME_REGION_DELAY: Duration = Duration::from_millis(2);
 
-/// One way between two regions.
-const OTHER_REGION: Duration = Duration::from_millis(60);
+/// One-way delay between two regions.
+const OTHER_REGION_DELAY: Duration = Duration::from_millis(60);
 
-/// A read of the table, there and back.
-const TABLE_READ: Duration = Duration::from_millis(6);
+/// Round-trip time of a read of the table.
+const TABLE_READ_TIME: Duration = Duration::from_millis(6);
 
-/// A fleet on a virtual clock.
+/// A simulated fleet on a virtual clock.
 pub struct Network {
     now: Duration,
     tuning: Tuning,
     rng: Pcg64,
     order: u64,
-    queue: BinaryHeap<Reverse<Due>>,
+    queue: BinaryHeap<Reverse<Scheduled>>,
     hosts: BTreeMap<HostName, Host>,
     addresses: BTreeMap<SocketAddr, HostName>,
     cuts: BTreeSet<(HostName, HostName)>,
-    /// How likely a frame is lost.
+    /// The probability that a frame is lost.
     pub loss: f64,
-    /// The platform's table.
+    /// The table from which hosts poll the configuration.
     pub table: Table,
-    /// What happened, but for frames and polls, since it was last cleared.
+    /// The actions of all hosts except frames and polls, in the order they occurred.
+    /// The user of the network clears them.
     pub observed: Vec<Observed>,
 }
 
-/// An action that a host asked for.
+/// An action that a host requested.
 #[derive(Debug)]
 pub struct Observed {
-    /// When.
+    /// The virtual time of the action.
     pub at: Duration,
-    /// Which host.
+    /// The host that requested it.
     pub host: HostName,
-    /// What.
+    /// The action.
     pub action: Action,
 }
 
 struct Host {
     fleet: Fleet,
     traffic: Traffic,
-    /// With whom it spoke since counting began.
+    /// Hosts to or from which frames went since counting began.
     peers: BTreeSet<HostName>,
-    /// What waits while the process is frozen.
+    /// Events queued while the process is frozen; `None` if it runs.
     frozen: Option<Vec<Event>>,
-    /// When it is woken next; an earlier entry in the queue is out of date.
-    wake: Duration,
+    /// Time of the next tick. Queued ticks with another time are stale and skipped.
+    next_tick: Duration,
 }
 
-struct Due {
+struct Scheduled {
     at: Duration,
     order: u64,
     host: HostName,
-    what: What,
+    task: Task,
 }
 
-enum What {
+enum Task {
     Tick,
     Arrive { from: HostName, bytes: Vec<u8> },
     Read { asked: Duration },
 }
 
 impl Network {
-    /// An empty fleet.
+    /// Creates a network without hosts.
     #[must_use]
     pub fn new(seed: u64, tuning: Tuning) -> Self {
         Self {
@@ -104,7 +106,7 @@
         self.now
     }
 
-    /// Starts a host, in place of an earlier one of the same name.
+    /// Starts a host. It replaces a running host of the same name.
     pub fn start(&mut self, me: Member) {
         let name = me.identity.host.clone();
         let seed = self.rng.random();
@@ -115,52 +117,52 @@
             traffic: Traffic::default(),
             peers: BTreeSet::new(),
             frozen: None,
-            wake: self.now,
+            next_tick: self.now,
         };
         self.hosts.insert(name.clone(), host);
-        self.schedule(self.now, name, What::Tick);
+        self.schedule(self.now, name, Task::Tick);
     }
 
-    /// Ends a host without a word.
+    /// Kills a host without notifying its peers.
     pub fn kill(&mut self, host: &HostName) {
         self.hosts.remove(host);
     }
 
-    /// Stops a host's process; what comes meanwhile waits.
+    /// Freezes a host's process. Events that arrive meanwhile are queued.
     pub fn freeze(&mut self, host: &HostName) {
         if let Some(host) = self.hosts.get_mut(host) {
             host.frozen.get_or_insert_default();
         }
     }
 
-    /// Lets a frozen host go on.
+    /// Resumes a frozen host and delivers its queued events.
     pub fn wake(&mut self, name: &HostName) {
         let Some(host) = self.hosts.get_mut(name) else {
             return;
         };
         for event in host.frozen.take().unwrap_or_default() {
-            self.tell(name, event);
+            self.deliver(name, event);
         }
-        self.tell(name, Event::Tick);
+        self.deliver(name, Event::Tick);
     }
 
-    /// Loses all frames from one host to another.
+    /// Drops all frames from one host to another, until [`Self::heal`].
     pub fn cut(&mut self, from: &HostName, to: &HostName) {
         self.cuts.insert((from.clone(), to.clone()));
     }
 
-    /// Mends all cuts.
+    /// Removes all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
-    /// Tells a host something.
-    pub fn tell(&mut self, name: &HostName, event: Event) {
+    /// Delivers an event to a host and performs the resulting actions.
+    pub fn deliver(&mut self, name: &HostName, event: Event) {
         let Some(host) = self.hosts.get_mut(name) else {
             return;
         };
-        if let Some(waiting) = &mut host.frozen {
-            return waiting.push(event);
+        if let Some(queued) = &mut host.frozen {
+            return queued.push(event);
         }
         let started = Instant::now();
         let mut actions = Vec::new();
@@ -172,45 +174,45 @@
         self.schedule_tick(name);
     }
 
-    /// Lets time pass.
+    /// Advances the virtual clock to `end` and runs all tasks due until then.
     pub fn run_until(&mut self, end: Duration) {
         while self.queue.peek().is_some_and(|it| it.0.at <= end) {
-            let Some(Reverse(due)) = self.queue.pop() else {
+            let Some(Reverse(scheduled)) = self.queue.pop() else {
                 break;
             };
-            self.now = due.at;
-            self.happen(due);
+            self.now = scheduled.at;
+            self.run_task(scheduled);
         }
         self.now = end;
     }
 
-    /// The hosts that run, frozen ones too.
+    /// The cores of all running hosts, including frozen ones.
     pub fn fleets(&self) -> impl Iterator<Item = &Fleet> {
         self.hosts.values().map(|it| &it.fleet)
     }
 
-    /// One host's core.
+    /// Returns the core of a running host.
     #[must_use]
     pub fn fleet(&self, host: &HostName) -> Option<&Fleet> {
         self.hosts.get(host).map(|it| &it.fleet)
     }
 
-    /// One host's core, to ask what needs random numbers.
+    /// Returns the core of a running host, for queries that draw random numbers.
     pub fn fleet_mut(&mut self, host: &HostName) -> Option<&mut Fleet> {
         self.hosts.get_mut(host).map(|it| &mut it.fleet)
     }
 
-    /// What each host sent and received.
+    /// The traffic of each running host since counting began.
     pub fn traffic(&self) -> impl Iterator<Item = &Traffic> {
         self.hosts.values().map(|it| &it.traffic)
     }
 
-    /// With how many others each host spoke, so how many connections it had.
+    /// The number of peers of each host, which is its number of connections.
     pub fn peers(&self) -> impl Iterator<Item = usize> {
         self.hosts.values().map(|it| it.peers.len())
     }
 
-    /// Starts counting anew.
+    /// Resets the counts of traffic and peers.
     pub fn reset_traffic(&mut self) {
         for host in self.hosts.values_mut() {
             host.traffic = Traffic::default();
@@ -218,19 +220,19 @@
         }
     }
 
-    fn happen(&mut self, due: Due) {
-        let name = due.host;
-        match due.what {
-            What::Tick => {
+    fn run_task(&mut self, scheduled: Scheduled) {
+        let name = scheduled.host;
+        match scheduled.task {
+            Task::Tick => {
                 let host = self.hosts.get(&name);
-                if host.is_some_and(|it| it.wake == due.at && it.frozen.is_none()) {
-                    self.tell(&name, Event::Tick);
+                if host.is_some_and(|it| it.next_tick == scheduled.at && it.frozen.is_none()) {
+                    self.deliver(&name, Event::Tick);
                 }
             }
-            What::Arrive { from, bytes } => self.arrive(&name, from, &bytes),
-            What::Read { asked } => {
+            Task::Arrive { from, bytes } => self.arrive(&name, from, &bytes),
+            Task::Read { asked } => {
                 let event = self.table.read(&name, asked);
-                self.tell(&name, event);
+                self.deliver(&name, event);
             }
         }
     }
@@ -245,12 +247,13 @@
         host.peers.insert(from.clone());
         if let Ok(frame) = decoded {
             host.traffic.frames_received += 1;
-            let acknowledgement = acknowledgement(&frame);
-            let len = bytes.len() as u64 + OVERHEAD;
+            let acknowledgement_bytes = acknowledgement_bytes(&frame);
+            let len = bytes.len() as u64 + FRAME_OVERHEAD_BYTES;
             host.traffic.bytes_received += len;
-            host.traffic.bytes_sent += acknowledgement;
-            host.traffic.count(&frame, len + acknowledgement);
-            self.tell(to, Event::Frame { from, frame });
+            host.traffic.bytes_sent += acknowledgement_bytes;
+            host.traffic
+                .add_frame_bytes(&frame, len + acknowledgement_bytes);
+            self.deliver(to, Event::Frame { from, frame });
         }
     }
 
@@ -263,7 +266,7 @@
             } => self.send(name, host, address, &frame),
             Action::Poll => {
                 let asked = self.now;
-                self.schedule(asked + TABLE_READ, name.clone(), What::Read { asked });
+                self.schedule(asked + TABLE_READ_TIME, name.clone(), Task::Read { asked });
             }
             action => self.observed.push(Observed {
                 at: self.now,
@@ -282,11 +285,11 @@
         sender.traffic.processor += started.elapsed();
         let Ok(bytes) = encoded else { return };
         sender.traffic.frames_sent += 1;
-        let len = bytes.len() as u64 + OVERHEAD;
+        let len = bytes.len() as u64 + FRAME_OVERHEAD_BYTES;
         sender.traffic.bytes_sent += len;
         sender.peers.insert(to.clone());
-        sender.traffic.count(frame, len);
-        // A host that proves another name at the address is not spoken to.
+        sender.traffic.add_frame_bytes(frame, len);
+        // The connection fails if the host at the address has another name.
         let is_there = self.addresses.get(&address) == Some(&to);
         let is_cut = self.cuts.contains(&(from.clone(), to.clone()));
         if !is_there || is_cut || self.rng.random_bool(self.loss) {
@@ -296,23 +299,23 @@
             return;
         };
         if let Some(sender) = self.hosts.get_mut(from) {
-            let acknowledgement = acknowledgement(frame);
-            sender.traffic.bytes_received += acknowledgement;
-            sender.traffic.count(frame, acknowledgement);
+            let acknowledgement_bytes = acknowledgement_bytes(frame);
+            sender.traffic.bytes_received += acknowledgement_bytes;
+            sender.traffic.add_frame_bytes(frame, acknowledgement_bytes);
         }
         let from = from.clone();
-        self.schedule(self.now + delay, to, What::Arrive { from, bytes });
+        self.schedule(self.now + delay, to, Task::Arrive { from, bytes });
     }
 
     fn delay(&self, from: &HostName, to: &HostName) -> Option<Duration> {
         let from = self.hosts.get(from)?.fleet.me();
         let to = self.hosts.get(to)?.fleet.me();
         let delay = if from.data_centre == to.data_centre {
-            SAME_DATA_CENTRE
+            SAME_DATA_CENTRE_DELAY
         } else if from.region == to.region {
-            SAME_REGION
+            SAME_REGION_DELAY
         } else {
-            OTHER_REGION
+            OTHER_REGION_DELAY
         };
         Some(delay)
     }
@@ -322,40 +325,40 @@
             return;
         };
         let at = host.fleet.deadline().max(self.now);
-        if at != host.wake || at == self.now {
-            host.wake = at;
-            self.schedule(at, name.clone(), What::Tick);
+        if at != host.next_tick || at == self.now {
+            host.next_tick = at;
+            self.schedule(at, name.clone(), Task::Tick);
         }
     }
 
-    fn schedule(&mut self, at: Duration, host: HostName, what: What) {
+    fn schedule(&mut self, at: Duration, host: HostName, task: Task) {
         self.order += 1;
         let order = self.order;
-        self.queue.push(Reverse(Due {
+        self.queue.push(Reverse(Scheduled {
             at,
             order,
             host,
-            what,
+            task,
         }));
     }
 }
 
-impl Ord for Due {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
-impl PartialOrd for Due {
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Due {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.order == other.order
     }
 }
 
-impl Eq for Due {}
+impl Eq for Scheduled {}
--- a/crates/fleet/tests/convergence.rs
+++ b/crates/fleet/tests/convergence.rs
@@ -1,9 +1,7 @@
-//! Whatever happened, once it is over all hosts know the same.
+//! Randomized tests: the views of all hosts agree after any sequence of failures.
 //!
-//! What a user would see otherwise: some hosts send callers to addresses that
-//! others know as dead, or a withdrawn version is served by a few for ever.
-//! Each case draws cuts, freezes, kills, restarts and changes by a seed, mends
-//! everything, and compares all views. A failure prints the seed and the steps.
+//! Guards against hosts that keep sending callers to dead addresses or serving a
+//! withdrawn version. A failed case prints its seed and steps.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,10 +13,11 @@
 use rand_pcg::Pcg64;
 use wire::{Identity, Member, Ruling, State};
 
-const STEPS: usize = 12;
+const STEPS_PER_CASE: usize = 12;
 
-/// The slowest repair: a lost host is looked for every ten seconds, one at a time.
-const SETTLE: Duration = Duration::from_mins(2);
+/// Covers the slowest repair: every ten seconds a host tries to reach one of the
+/// hosts that are unreachable to it.
+const SETTLE_TIME: Duration = Duration::from_mins(2);
 
 struct Case {
     network: Network,
@@ -27,7 +26,7 @@
     frozen: Vec<HostName>,
     incarnation: u64,
     steps: Vec<String>,
-    highest: BTreeMap<HostName, Revision>,
+    highest_revisions: BTreeMap<HostName, Revision>,
 }
 
 impl Case {
@@ -44,12 +43,12 @@
             frozen: Vec::new(),
             incarnation: 0,
             steps: vec![format!("{count} hosts")],
-            highest: BTreeMap::new(),
+            highest_revisions: BTreeMap::new(),
         };
         for index in 0..count {
             case.start(index);
         }
-        case.list();
+        case.deliver_host_list();
         case
     }
 
@@ -71,28 +70,28 @@
             region: format!("r{}", data_centre / 2).as_str().into(),
         };
         let host = member.identity.host.clone();
-        self.highest.remove(&host);
-        // What only its earlier life knew is lost with it.
+        self.highest_revisions.remove(&host);
+        // A verdict known only to the earlier incarnation is lost with it.
         self.network.observed.retain(|it| it.host != host);
         self.members.insert(host, member.clone());
         self.network.start(member);
     }
 
-    fn list(&mut self) {
+    fn deliver_host_list(&mut self) {
         let list: Vec<_> = self.members.values().cloned().collect();
         for host in self.members.keys().cloned().collect::<Vec<_>>() {
-            self.network.tell(&host, Event::Hosts(list.clone()));
+            self.network.deliver(&host, Event::Hosts(list.clone()));
         }
     }
 
-    fn any(&mut self) -> HostName {
+    fn random_host(&mut self) -> HostName {
         let at = self.rng.random_range(0..self.members.len());
         self.members.keys().nth(at).unwrap().clone()
     }
 
     fn step(&mut self) {
-        let a = self.any();
-        let b = self.any();
+        let a = self.random_host();
+        let b = self.random_host();
         let step = match self.rng.random_range(0..10) {
             0 => {
                 self.network.cut(&a, &b);
@@ -108,7 +107,7 @@
                 format!("freeze {a}")
             }
             3 => {
-                self.wake();
+                self.wake_all();
                 "wake".to_owned()
             }
             4 => {
@@ -132,8 +131,8 @@
                 format!("rule by {a}")
             }
             _ => {
-                self.network.table.is_out = !self.network.table.is_out;
-                "table out or back".to_owned()
+                self.network.table.is_unavailable = !self.network.table.is_unavailable;
+                "toggle the availability of the table".to_owned()
             }
         };
         let seconds = self.rng.random_range(0..40);
@@ -153,7 +152,7 @@
         }
     }
 
-    fn wake(&mut self) {
+    fn wake_all(&mut self) {
         for host in std::mem::take(&mut self.frozen) {
             self.network.wake(&host);
         }
@@ -163,7 +162,7 @@
         let index = host.as_str()[1..].parse().unwrap();
         self.frozen.retain(|it| it != host);
         self.start(index);
-        self.list();
+        self.deliver_host_list();
     }
 
     fn rule(&mut self, by: &HostName) {
@@ -177,7 +176,7 @@
             ruling,
             evidence: vec![],
         };
-        self.network.tell(by, Event::Ruled(ruled));
+        self.network.deliver(by, Event::Ruled(ruled));
     }
 
     fn run(&mut self, time: Duration) {
@@ -185,23 +184,27 @@
         self.network.run_until(end);
         for fleet in self.network.fleets() {
             let host = fleet.me().identity.host.clone();
-            let highest = self.highest.entry(host).or_default();
-            assert!(*highest <= fleet.revision(), "reverted: {:#?}", self.steps);
+            let highest = self.highest_revisions.entry(host).or_default();
+            assert!(
+                *highest <= fleet.revision(),
+                "revision reverted: {:#?}",
+                self.steps
+            );
             *highest = fleet.revision();
         }
     }
 
-    /// Mends everything and gives the views time.
-    fn settle(&mut self) {
-        self.wake();
+    /// Reverts all failures that can end, and waits until the views can agree.
+    fn heal_and_settle(&mut self) {
+        self.wake_all();
         self.network.heal();
-        self.network.table.is_out = false;
-        self.list();
-        self.run(SETTLE);
+        self.network.table.is_unavailable = false;
+        self.deliver_host_list();
+        self.run(SETTLE_TIME);
     }
 
-    /// Each host's view in one line, and the hosts that are really there.
-    fn check(&self) {
+    /// Compares each host's view with the running hosts and the newest revision.
+    fn check_views(&self) {
         let running: Vec<_> = self.network.fleets().map(Fleet::me).cloned().collect();
         let mut expected: Vec<_> = running.iter().map(|it| it.identity.to_string()).collect();
         expected.sort();
@@ -218,7 +221,7 @@
         }
     }
 
-    /// All hosts end with the same verdict.
+    /// Compares the last verdicts of all hosts.
     fn check_verdicts(&self) {
         let mut last = BTreeMap::new();
         for observed in &self.network.observed {
@@ -239,43 +242,43 @@
     }
 }
 
-fn check(seed: u64) {
+fn check_seed(seed: u64) {
     let mut case = Case::new(seed);
     case.steps.push(format!("seed {seed}"));
     case.run(Duration::from_secs(5));
-    for _ in 0..STEPS {
+    for _ in 0..STEPS_PER_CASE {
         case.step();
     }
-    case.settle();
-    case.check();
+    case.heal_and_settle();
+    case.check_views();
     case.check_verdicts();
 }
 
-/// Cases in each of the tests below, which run side by side.
-const PART: u64 = 50;
+/// Cases per test; there are several tests so that they run in parallel.
+const CASES_PER_TEST: u64 = 50;
 
-fn check_part(part: u64) {
-    for seed in part * PART..(part + 1) * PART {
-        check(seed);
+fn check_cases(part: u64) {
+    for seed in part * CASES_PER_TEST..(part + 1) * CASES_PER_TEST {
+        check_seed(seed);
     }
 }
 
 #[test]
 fn all_views_agree_after_any_failures_1() {
-    check_part(0);
+    check_cases(0);
 }
 
 #[test]
 fn all_views_agree_after_any_failures_2() {
-    check_part(1);
+    check_cases(1);
 }
 
 #[test]
 fn all_views_agree_after_any_failures_3() {
-    check_part(2);
+    check_cases(2);
 }
 
 #[test]
 fn all_views_agree_after_any_failures_4() {
-    check_part(3);
+    check_cases(3);
 }
