--- a/crates/clients/src/call.rs
+++ b/crates/clients/src/call.rs
@@ -1,15 +1,15 @@
-//! Reading answers.
+//! Reads the responses of services.
 
 use http::{Response, Status};
 use serde::de::DeserializeOwned;
 
 use crate::{Error, Reason};
 
-/// The greatest answer that is read into memory, in bytes: a whole
-/// configuration document or a full page of rows.
+/// Maximum size of a response body that is read into memory. The largest
+/// bodies are configuration documents and full pages of rows.
 pub(crate) const MAX_ANSWER: usize = 64 * 1024 * 1024;
 
-/// The JSON of a 200, and an error for every other status.
+/// Parses the JSON body of a 200 response; any other status is an error.
 pub(crate) async fn json<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
     match response.status {
         Status::Ok => body(response).await,
@@ -17,9 +17,10 @@
     }
 }
 
-/// The JSON of an answer whose status was looked at.
+/// Parses the JSON body of a response whose status the caller has checked.
 ///
-/// An answer that breaks off or can't be read leaves open what the call did.
+/// A truncated or malformed body yields [`Error::Unknown`], because the call
+/// may have taken effect.
 pub(crate) async fn body<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
     response
         .body
@@ -28,7 +29,7 @@
         .map_err(|err| Error::Unknown(Reason::Http(err)))
 }
 
-/// Nothing for a status of success, and an error for every other one.
+/// Discards the body of a successful response; any other status is an error.
 pub(crate) async fn accepted(response: Response) -> Result<(), Error> {
     let status = response.status;
     discard(response).await;
@@ -39,9 +40,8 @@
     }
 }
 
-/// Reads what is left of an answer that carries nothing, so that its
-/// connection can be used again.
+/// Reads and drops the body of a response, so that its connection can be reused.
 pub(crate) async fn discard(response: Response) {
-    // The status has said all there is to say.
+    // The status alone decides the outcome, so a failed read is ignored.
     let _ = response.body.collect(MAX_ANSWER).await;
 }
--- a/crates/clients/src/circuit.rs
+++ b/crates/clients/src/circuit.rs
@@ -1,20 +1,20 @@
-//! A circuit breaker: an outage is noticed by a few calls, not by each.
+//! A circuit breaker that refuses calls to a service during an outage.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// When a circuit opens, and how it finds the end of an outage.
+/// Thresholds and delays of a [`Circuit`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// Failures in a row after which it opens.
+    /// Consecutive failures after which the circuit opens.
     pub failures: u32,
-    /// Wait before the first probe; it doubles with each that fails.
+    /// Delay before the first probe; doubles with each failed probe.
     pub first_wait: Duration,
-    /// The longest wait.
+    /// Maximum delay before a probe.
     pub max_wait: Duration,
-    /// Time after which a probe without an outcome is taken for lost.
+    /// Time after which a probe without an outcome counts as lost.
     pub probe_time: Duration,
 }
 
@@ -29,18 +29,19 @@
     }
 }
 
-/// Whether a call may be made.
+/// Decision of a [`Circuit`] on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// The call may be made.
     Admit,
-    /// It may, and its outcome decides for the others.
+    /// The call may be made; its outcome closes or reopens the circuit.
     Probe,
-    /// It may not; the next probe is due after this time.
+    /// The call must not be made; the next probe is due after this time.
     Refuse(Duration),
 }
 
-/// The state of one service as its callers found it. Pure: time is passed in.
+/// A circuit breaker for one service. It does no I/O and reads no clock:
+/// callers pass in the time.
 #[derive(Debug)]
 pub struct Circuit {
     tuning: Tuning,
@@ -56,8 +57,8 @@
 }
 
 impl Circuit {
-    /// A closed circuit. Hosts use different seeds so that they don't all
-    /// probe a service that comes back at the same moment.
+    /// Creates a closed circuit. Hosts use different seeds, so that their
+    /// probes of a recovering service are spread out.
     #[must_use]
     pub fn new(seed: u64, tuning: Tuning) -> Self {
         Self {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Asks whether a call may be made at `now`.
+    /// Decides whether a call may be made at `now`.
     pub fn admit(&mut self, now: Duration) -> Admission {
         match self.state {
             State::Closed { .. } => Admission::Admit,
@@ -85,16 +86,17 @@
         }
     }
 
-    /// Tells that the service answered.
+    /// Records a response of the service and closes the circuit.
     pub fn succeed(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
-    /// Tells that a call, admitted as `admission`, failed at `now` for the
-    /// service's sake.
+    /// Records that a call admitted as `admission` failed at `now` because of
+    /// the service.
     ///
-    /// Calls from before the outage was noticed fail after it. They say nothing
-    /// new: counted, they would push the next probe away or stand for its failure.
+    /// Once the circuit is open, only the failure of a probe counts. Calls that
+    /// were in flight when it opened would otherwise delay the next probe, or
+    /// be mistaken for a failed one.
     pub fn fail(&mut self, now: Duration, admission: Admission) {
         self.state = match (self.state, admission) {
             (State::Closed { failures }, _) if failures + 1 < self.tuning.failures => {
@@ -110,7 +112,7 @@
         };
     }
 
-    /// Whether calls are refused until a probe succeeds.
+    /// Returns whether the circuit is open or waits for the outcome of a probe.
     #[must_use]
     pub fn is_open(&self) -> bool {
         !matches!(self.state, State::Closed { .. })
--- a/crates/clients/src/error.rs
+++ b/crates/clients/src/error.rs
@@ -1,55 +1,56 @@
-//! What can go wrong with a call, told by what it means for the call's effect.
+//! Errors of calls, classified by whether the call may have taken effect.
 
 use derive_more::{Display, Error};
 use serde::Deserialize;
 
 use crate::Version;
 
-/// Why a call failed. Reads fail with the last two, which mean the same to them.
+/// Error of a call. Reads return only the last two variants, and callers can
+/// treat both alike.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// A condition didn't hold; nothing was written.
+    /// At least one condition of the transaction failed; nothing was written.
     #[display("{} conditions did not hold", failed.len())]
     Conflict {
-        /// The conditions that didn't hold.
+        /// The failed conditions.
         failed: Vec<Failed>,
     },
-    /// The call had no effect and won't have one.
+    /// The call had no effect and won't have one later.
     #[display("not applied: {_0}")]
     NotApplied(#[error(not(source))] Reason),
-    /// The call may have taken effect, or may still.
+    /// The call may have taken effect, or may still do so.
     #[display("unknown whether applied: {_0}")]
     Unknown(#[error(not(source))] Reason),
 }
 
-/// A condition that didn't hold.
+/// A failed condition of a transaction.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct Failed {
-    /// The row's key, as in the condition.
+    /// Key of the row, as in the condition.
     pub key: String,
-    /// The version at which the row stands, or nothing when there is none.
+    /// Current version of the row, or `None` if there is no such row.
     pub version: Option<Version>,
 }
 
-/// What went wrong.
+/// Cause of a failed call.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Reason {
-    /// The service has an outage by what other calls found; nothing was sent.
-    #[display("outage, known from earlier calls")]
+    /// The circuit breaker is open after earlier failures; nothing was sent.
+    #[display("circuit breaker is open after earlier failures; request not sent")]
     Open,
-    /// The service itself says that it has an outage.
-    #[display("outage, by the service's own word")]
+    /// The service responded with 503.
+    #[display("service responded that it is unavailable")]
     Outage,
-    /// The exchange broke.
+    /// The HTTP exchange failed.
     #[display("{_0}")]
     Http(http::Error),
-    /// The service answered with a status that the protocol doesn't name.
-    #[display("status {_0}")]
+    /// The service responded with a status that the protocol doesn't define.
+    #[display("unexpected status {_0}")]
     Status(u16),
 }
 
 impl Error {
-    /// The error for an exchange that broke.
+    /// Converts the error of a failed HTTP exchange.
     pub(crate) fn exchange(err: http::Error) -> Self {
         match err {
             http::Error::NotSent(_) => Self::NotApplied(Reason::Http(err)),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The error for a status that isn't the call's success or its own answer.
+    /// Returns the error for a status that the call doesn't handle itself.
     pub(crate) fn status(status: http::Status) -> Self {
         match status {
             http::Status::ServiceUnavailable => Self::NotApplied(Reason::Outage),
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Whether the failure speaks of the service's health and not of the call's content.
+    /// Returns whether the error points to an outage of the service rather than
+    /// to the content of the call.
     pub(crate) fn is_outage(&self) -> bool {
         match self {
             Self::Conflict { .. } | Self::NotApplied(Reason::Status(_) | Reason::Open) => false,
--- a/crates/clients/src/host_list.rs
+++ b/crates/clients/src/host_list.rs
@@ -9,42 +9,43 @@
 
 use crate::{Error, Service, call};
 
-/// A host in the list, as it was some time ago.
+/// An entry of the host list, which may be out of date.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: HostName,
-    /// What runs on it.
+    /// Kind of process that runs on the host.
     pub kind: Kind,
-    /// The life of the process; a replaced host has another under the same name.
+    /// Incarnation of the process; a replacement has the same name and another
+    /// incarnation.
     pub incarnation: Incarnation,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Where an entry host takes frames of other entry hosts.
+    /// Address of an entry host for frames of other entry hosts.
     #[serde(default)]
     pub fleet_address: Option<SocketAddr>,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Its region.
+    /// Region of the host.
     pub region: Region,
-    /// Whether it takes new work.
+    /// Whether the host accepts new work.
     pub state: State,
-    /// The plain service that runs on it.
+    /// The plain service that runs on the host.
     #[serde(default)]
     pub service: Option<ServiceName>,
-    /// The versions that an engine may load.
+    /// Versions that an engine may load.
     #[serde(default)]
     pub versions: Vec<VersionId>,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the host rejects orders with an outdated fencing number.
     #[serde(default)]
     pub fences: bool,
 }
 
-/// What runs on a host.
+/// Kind of process that runs on a host.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// This system.
+    /// An entry host, which runs this software.
     Entry,
     /// A model engine.
     Engine,
@@ -52,33 +53,34 @@
     Service,
 }
 
-/// Whether a host takes new work.
+/// Whether a host accepts new work.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It does.
+    /// Accepts new work.
     Live,
-    /// It doesn't any more.
+    /// No longer accepts new work.
     Leaving,
 }
 
-/// One reading of the list.
+/// Result of reading the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
-    /// The hosts.
+    /// The entries that could be parsed.
     pub hosts: Vec<Host>,
-    /// Entries that couldn't be read. One faulty entry must not hide the others.
+    /// Number of entries that couldn't be parsed. They are skipped, so that a
+    /// faulty entry doesn't hide the others.
     pub faulty: usize,
 }
 
-/// The client of the host list.
+/// Client of the host list.
 #[derive(Clone)]
 pub struct HostList {
     service: Service,
 }
 
 impl HostList {
-    /// A client of the list at `service`.
+    /// Creates a client that calls `service`.
     #[must_use]
     pub fn new(service: Service) -> Self {
         Self { service }
@@ -87,7 +89,7 @@
     /// Reads the list.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] or [`Error::Unknown`] when there is no answer.
+    /// [`Error::NotApplied`] or [`Error::Unknown`] when the list can't be read.
     pub async fn fetch(&self) -> Result<Listing, Error> {
         #[derive(Deserialize)]
         struct Answer {
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,10 +1,10 @@
 //! Clients of the platform's services: the table, the object store, the host
-//! list and the rating service, as `docs/PROTOCOLS.md` describes them.
+//! list and the rating service. `docs/PROTOCOLS.md` describes the protocols.
 //!
-//! What must last goes to these services, and all of them have outages. A
-//! write that failed therefore says whether it can have taken effect
-//! ([`Error::Unknown`]) or can't ([`Error::NotApplied`]), and a [`Circuit`]
-//! notices an outage once for all callers.
+//! Any of these services can have an outage. The error of a failed write
+//! therefore tells whether the write may have taken effect ([`Error::Unknown`])
+//! or can't have ([`Error::NotApplied`]), and a circuit breaker ([`Circuit`])
+//! that all callers of a service share detects its outages.
 
 mod call;
 mod circuit;
--- a/crates/clients/src/objects.rs
+++ b/crates/clients/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object store.
+//! Client of the object store.
 
 use http::{Body, Method, Repeat, Request, Status};
 
@@ -6,23 +6,24 @@
 use crate::percent::encode;
 use crate::{Error, Reason, Service};
 
-/// The client of the object store.
+/// Client of the object store.
 #[derive(Clone)]
 pub struct Objects {
     service: Service,
 }
 
 impl Objects {
-    /// A client of the store at `service`.
+    /// Creates a client that calls `service`.
     #[must_use]
     pub fn new(service: Service) -> Self {
         Self { service }
     }
 
-    /// Writes an object, in place of one of that name.
+    /// Writes an object, replacing any object of that name.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] or [`Error::Unknown`], precisely. Writing again is harmless.
+    /// [`Error::NotApplied`] if the object wasn't written, [`Error::Unknown`] if
+    /// it may have been. Writes are idempotent and can be retried.
     pub async fn put(&self, name: &str, bytes: Vec<u8>) -> Result<(), Error> {
         let target = format!("/v1/objects/{}", encode(name));
         let request = Request::new(Method::Put, target).body(Body::bytes(bytes));
@@ -31,10 +32,10 @@
             .await
     }
 
-    /// Reads an object; nothing when there is none of that name.
+    /// Reads an object; returns `None` if there is none of that name.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] or [`Error::Unknown`] when there is no answer.
+    /// [`Error::NotApplied`] or [`Error::Unknown`] when the object can't be read.
     pub async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         let request = Request::get(format!("/v1/objects/{}", encode(name)));
         self.service
--- a/crates/clients/src/percent.rs
+++ b/crates/clients/src/percent.rs
@@ -1,20 +1,21 @@
-//! Percent-encoding of text that becomes part of a path, a query or a row key.
+//! Percent-encoding for paths, queries and row keys.
 
 use std::fmt::Write as _;
 
-/// Encodes every byte but letters, digits, `-`, `_`, `.` and `~`.
+/// Percent-encodes every byte except ASCII letters, digits, `-`, `_`, `.` and `~`.
 pub(crate) fn encode(text: &str) -> String {
     encode_except(text, |byte| {
         byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte)
     })
 }
 
-/// Encodes only what would be taken for a separator of row keys.
+/// Percent-encodes the separator `/` of row keys, and `%`.
 pub(crate) fn escape(text: &str) -> String {
     encode_except(text, |byte| byte != b'/' && byte != b'%')
 }
 
-/// Undoes [`escape`] and [`encode`]; nothing when `text` is neither's work.
+/// Decodes the output of [`escape`] or [`encode`]. Returns `None` if an escape
+/// sequence is invalid or the result isn't UTF-8.
 pub(crate) fn decode(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.bytes();
@@ -43,7 +44,7 @@
             out.extend_from_slice(code.as_bytes());
         }
     }
-    // Whole characters were kept or became ASCII; nothing is ever lost here.
+    // `out` is valid UTF-8: every character is either kept whole or encoded whole.
     String::from_utf8_lossy(&out).into_owned()
 }
 
--- a/crates/clients/src/ratings.rs
+++ b/crates/clients/src/ratings.rs
@@ -1,4 +1,4 @@
-//! The rating service.
+//! Client of the rating service.
 
 use http::{Repeat, Request};
 use kernel::{HostName, ProfileName, RequestId, VersionId};
@@ -7,58 +7,59 @@
 use crate::percent::encode;
 use crate::{Error, Service, call};
 
-/// An answer that is to be rated.
+/// A response submitted for rating.
 #[derive(Clone, Debug, Serialize)]
 pub struct Sample {
-    /// The request.
+    /// ID of the request.
     pub request: RequestId,
-    /// The version that answered it.
+    /// The version that produced the response.
     pub version: VersionId,
-    /// The profile under which it was answered.
+    /// Profile of the request.
     pub profile: ProfileName,
-    /// The request's class.
+    /// Class of the request.
     pub class: String,
-    /// The host that asks for the rating.
+    /// The host that submits the response and fetches its rating.
     pub reply_to: HostName,
-    /// What was asked.
+    /// Text of the request.
     pub prompt: String,
-    /// What was answered.
+    /// Text of the response.
     pub answer: String,
 }
 
-/// A rating, which may be wrong and may come late.
+/// Rating of a response. It may be wrong and may arrive late.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct Rating {
-    /// Its place in the order of ratings.
+    /// Sequence number of the rating.
     pub seq: u64,
-    /// The request.
+    /// ID of the request.
     pub request: RequestId,
-    /// The version that answered it.
+    /// The version that produced the response.
     pub version: VersionId,
-    /// The request's class.
+    /// Class of the request.
     pub class: String,
-    /// Whether the answer was good enough.
+    /// Whether the response was good enough.
     pub good: bool,
 }
 
-/// The client of the rating service.
+/// Client of the rating service.
 #[derive(Clone)]
 pub struct Ratings {
     service: Service,
 }
 
 impl Ratings {
-    /// A client of the service at `service`.
+    /// Creates a client that calls `service`.
     #[must_use]
     pub fn new(service: Service) -> Self {
         Self { service }
     }
 
-    /// Hands in an answer. It is sent at most once: a sample that is lost
-    /// costs less than one that counts twice.
+    /// Submits a response for rating. It is sent at most once, because losing a
+    /// sample does less harm than counting it twice.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] or [`Error::Unknown`], precisely.
+    /// [`Error::NotApplied`] if the sample wasn't accepted, [`Error::Unknown`] if
+    /// it may have been.
     pub async fn submit(&self, sample: &Sample) -> Result<(), Error> {
         let request = Request::post("/v1/ratings", sample);
         self.service
@@ -66,11 +67,11 @@
             .await
     }
 
-    /// Reads the ratings of answers that `host` handed in, after the one
-    /// numbered `after`, at most `limit`.
+    /// Reads at most `limit` ratings of responses that `host` submitted, starting
+    /// after sequence number `after`.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] or [`Error::Unknown`] when there is no answer.
+    /// [`Error::NotApplied`] or [`Error::Unknown`] when the ratings can't be read.
     pub async fn fetch(
         &self,
         host: &HostName,
--- a/crates/clients/src/row.rs
+++ b/crates/clients/src/row.rs
@@ -1,4 +1,4 @@
-//! The keys of the rows in the table.
+//! Keys and key prefixes of rows in the table.
 
 mod key;
 mod prefix;
--- a/crates/clients/src/row/key.rs
+++ b/crates/clients/src/row/key.rs
@@ -1,4 +1,4 @@
-//! The key of a row.
+//! Row keys and their text form.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,44 +7,44 @@
 
 use crate::percent::{decode, escape};
 
-/// The key of a row, see the list in `docs/PROTOCOLS.md`.
+/// Key of a row. `docs/PROTOCOLS.md` lists all keys.
 ///
-/// Parts that others choose are escaped: a `/` in a caller's idempotency key
-/// would otherwise make two different requests share a row.
+/// Parts that come from outside are escaped. Otherwise a `/` in a caller's
+/// idempotency key could map two different requests to the same row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
     /// The configuration document and its revision.
     ConfigHead,
-    /// An operator's change, once it has been committed.
+    /// An operator's committed change.
     ConfigChange(ChangeId),
-    /// What a revision changed.
+    /// The change made by a revision.
     ConfigHistory(Revision),
     /// The claim to run a request at most once.
     Claim(RequestKey),
     /// A batch of billing records.
     Bill {
-        /// The host's life that wrote it.
+        /// Incarnation of the host that wrote the row.
         incarnation: Incarnation,
-        /// Its number among that life's batches.
+        /// Sequence number of the batch within that incarnation.
         sequence: u64,
     },
     /// Where a request's billing record stands.
     BillKey {
-        /// The host's life that wrote it.
+        /// Incarnation of the host that wrote the row.
         incarnation: Incarnation,
         /// The request.
         key: RequestKey,
     },
-    /// A life of a host that must write no more.
+    /// Marks a host's incarnation as barred from writing.
     Fence(Incarnation),
-    /// The lease on a job that one host does at a time.
+    /// Lease on a job that only one host may run at a time.
     Lease(Arc<str>),
     /// The progress of a version's roll-out.
     Rollout(VersionId),
 }
 
 impl Key {
-    /// Reads a key as [`fmt::Display`] writes it; nothing for another's row.
+    /// Parses a key from its [`fmt::Display`] form; returns `None` for any other row.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let parts: Vec<_> = text.split('/').collect();
@@ -76,7 +76,7 @@
         match self {
             Self::ConfigHead => f.write_str("config/head"),
             Self::ConfigChange(id) => write!(f, "config/change/{}", escape(id.as_str())),
-            // Numbers that sort as text do, since the table sorts by key.
+            // Zero-padded, because the table sorts keys as text.
             Self::ConfigHistory(revision) => write!(f, "config/history/{:020}", revision.0),
             Self::Claim(key) => write!(f, "claim/{}", Escaped(key)),
             Self::Bill {
--- a/crates/clients/src/row/prefix.rs
+++ b/crates/clients/src/row/prefix.rs
@@ -1,21 +1,21 @@
-//! The rows that a scan goes through.
+//! Key prefixes for scans.
 
 use std::fmt;
 
 use kernel::Incarnation;
 
-/// The common start of the keys of rows of one kind.
+/// Common prefix of the keys of one kind of row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Prefix {
     /// Committed changes.
     ConfigChanges,
-    /// The history of revisions, oldest first.
+    /// History of revisions, oldest first.
     ConfigHistory,
     /// Claims.
     Claims,
     /// Billing rows of all hosts.
     Bills,
-    /// Billing rows of one host's life, batches before keys.
+    /// Billing rows of one incarnation of a host, batches before keys.
     BillsOf(Incarnation),
     /// Fences.
     Fences,
--- a/crates/clients/src/service.rs
+++ b/crates/clients/src/service.rs
@@ -1,4 +1,4 @@
-//! One of the platform's services: where it is, how long it may take, how it is.
+//! Connection to one of the platform's services.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,8 +8,8 @@
 
 use crate::{Admission, Circuit, Error, Reason};
 
-/// The way to one service. Clones share the circuit, so that what one caller
-/// finds out spares the others.
+/// Sends calls to one service. Clones share the circuit breaker, so an outage
+/// is detected once for all callers.
 #[derive(Clone)]
 pub struct Service {
     client: Client,
@@ -20,8 +20,8 @@
 }
 
 impl Service {
-    /// The service at `address`. `options` hold for each call; whether a call
-    /// is repeated on a stale connection follows from the call.
+    /// Creates a client of the service at `address`. `options` apply to every
+    /// call, except for `repeat`, which each call sets.
     #[must_use]
     pub fn new(
         client: Client,
@@ -39,14 +39,15 @@
         }
     }
 
-    /// Whether the service has an outage by what callers found.
+    /// Returns whether the circuit breaker is open.
     #[must_use]
     pub fn is_out(&self) -> bool {
         self.with_circuit(|it| it.is_open())
     }
 
-    /// Sends `request`, and hands its answer to `read`, unless the service is
-    /// known to be out. Every outcome counts for the circuit.
+    /// Sends `request` and passes the response to `read`. Fails without sending
+    /// if the circuit breaker refuses the call. Records the outcome in the
+    /// circuit breaker.
     pub(crate) async fn call<T>(
         &self,
         request: Request,
@@ -82,11 +83,10 @@
     }
 }
 
-/// A call without an outcome so far.
+/// Guard of a call in flight; records a probe as failed if its caller drops it.
 ///
-/// A caller that gives up drops its call midway, which says nothing about the
-/// service. But if a probe ended so, nobody else could probe until it was
-/// taken for lost; it therefore counts as failed.
+/// Otherwise no other caller could probe until the dropped probe counts as lost.
+/// Dropping an ordinary call says nothing about the service and isn't recorded.
 struct Pending<'a> {
     service: &'a Service,
     admission: Option<Admission>,
--- a/crates/clients/src/table.rs
+++ b/crates/clients/src/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table.
+//! Client of the transactional table service.
 
 mod row;
 mod transaction;
@@ -13,20 +13,20 @@
 pub use row::{Page, Row, Version};
 pub use transaction::{Condition, Transaction, Versions};
 
-/// The client of the table service.
+/// Client of the table service.
 #[derive(Clone)]
 pub struct Table {
     service: Service,
 }
 
 impl Table {
-    /// A client of the table at `service`.
+    /// Creates a client that calls `service`.
     #[must_use]
     pub fn new(service: Service) -> Self {
         Self { service }
     }
 
-    /// Whether the table has an outage by what callers found.
+    /// Returns whether the table's circuit breaker is open.
     #[must_use]
     pub fn is_out(&self) -> bool {
         self.service.is_out()
@@ -34,11 +34,12 @@
 
     /// Applies `transaction` if all its conditions hold.
     ///
-    /// It is sent at most once: a repeat could fail on the conditions that its
-    /// first run made false, and look like a conflict.
+    /// It is sent at most once. If the first attempt was applied, a retry could
+    /// fail on its own conditions and be mistaken for a conflict.
     ///
     /// # Errors
-    /// [`Error`], precisely: after [`Error::Unknown`] the rows must be read.
+    /// [`Error::Conflict`] or [`Error::NotApplied`] if nothing was written. After
+    /// [`Error::Unknown`] the caller must read the rows to learn the outcome.
     pub async fn transact(&self, transaction: &Transaction) -> Result<Versions, Error> {
         #[derive(Deserialize)]
         struct Conflict {
@@ -50,7 +51,7 @@
                 if response.status != Status::Conflict {
                     return call::json(response).await;
                 }
-                // The status alone says that nothing was written.
+                // The status alone implies that nothing was written.
                 let failed = call::body::<Conflict>(response).await;
                 let failed = failed.map_or_else(|_| Vec::new(), |it| it.failed);
                 Err(Error::Conflict { failed })
@@ -58,10 +59,10 @@
             .await
     }
 
-    /// Reads a row.
+    /// Reads a row; returns `None` if there is none with that key.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] or [`Error::Unknown`] when there is no answer.
+    /// [`Error::NotApplied`] or [`Error::Unknown`] when the table can't be read.
     pub async fn get(&self, key: &Key) -> Result<Option<Row>, Error> {
         let request = Request::get(format!("/v1/rows/{}", encode(&key.to_string())));
         self.service
@@ -75,10 +76,10 @@
             .await
     }
 
-    /// Reads rows that start with `prefix`, after the key `after`, at most `limit`.
+    /// Reads at most `limit` rows whose keys start with `prefix` and sort after `after`.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] or [`Error::Unknown`] when there is no answer.
+    /// [`Error::NotApplied`] or [`Error::Unknown`] when the table can't be read.
     pub async fn scan(
         &self,
         prefix: Prefix,
--- a/crates/clients/src/table/row.rs
+++ b/crates/clients/src/table/row.rs
@@ -1,11 +1,11 @@
-//! Rows as they are read.
+//! Rows read from the table.
 
 use derive_more::{Display, From, Into};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The version of a row. All rows take theirs from one counter that only rises.
+/// Version of a row. All rows share one monotonic counter.
 #[derive(
     Clone,
     Copy,
@@ -24,29 +24,29 @@
 #[serde(transparent)]
 pub struct Version(pub u64);
 
-/// A row as it was read.
+/// A row read from the table.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Row {
-    /// Its key, see [`crate::row::Key::parse`].
+    /// Key of the row, see [`crate::row::Key::parse`].
     pub key: String,
-    /// Its version.
+    /// Version of the row.
     pub version: Version,
     value: Value,
 }
 
 impl Row {
-    /// The row's value as a `T`; nothing when it isn't one.
+    /// Deserializes the row's value; returns `None` if it isn't a valid `T`.
     #[must_use]
     pub fn value<T: DeserializeOwned>(&self) -> Option<T> {
         T::deserialize(&self.value).ok()
     }
 }
 
-/// One answer to a scan.
+/// A page of rows returned by a scan.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Page {
-    /// Rows, sorted by key.
+    /// Rows sorted by key.
     pub rows: Vec<Row>,
-    /// Whether there are rows after the last of these.
+    /// Whether more rows follow this page.
     pub more: bool,
 }
--- a/crates/clients/src/table/transaction.rs
+++ b/crates/clients/src/table/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions and what they wrote.
+//! Transactions and the row versions they return.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 use super::Version;
 use crate::row::Key;
 
-/// What must hold for a transaction to be applied.
+/// Condition for applying a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// There is no such row.
+    /// The row doesn't exist.
     Absent(Key),
-    /// The row stands at this version.
+    /// The row has this version.
     At(Key, Version),
 }
 
-/// Conditions and writes that are applied together or not at all.
+/// Writes that are applied atomically if all conditions hold.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Transaction {
     conditions: Vec<WireCondition>,
@@ -61,8 +61,8 @@
 
     /// Adds a row to write.
     ///
-    /// A value that has no JSON form (a map whose keys aren't text) is written
-    /// as null; the types of this workspace have one.
+    /// A value that can't be represented in JSON, such as a map whose keys aren't
+    /// strings, is written as null.
     #[must_use]
     pub fn put<T: Serialize + ?Sized>(mut self, key: &Key, value: &T) -> Self {
         self.puts.push(WirePut {
@@ -80,14 +80,14 @@
     }
 }
 
-/// The versions of the rows that a transaction wrote.
+/// Versions of the rows that a transaction wrote.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq)]
 pub struct Versions {
     versions: BTreeMap<String, Version>,
 }
 
 impl Versions {
-    /// The version that `key` got.
+    /// Returns the version assigned to `key`.
     #[must_use]
     pub fn get(&self, key: &Key) -> Option<Version> {
         self.versions.get(&key.to_string()).copied()
--- a/crates/clients/tests/suite/calls.rs
+++ b/crates/clients/tests/suite/calls.rs
@@ -1,4 +1,4 @@
-//! How the clients classify what services do.
+//! Tests of the clients against scripted services.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,9 +17,9 @@
 use http::{Client, Options, Pool};
 use kernel::{Clock, Incarnation, ManualClock, Revision, SystemClock};
 
-/// Takes one connection after the other, one request on each, and answers
-/// with the next of `answers`; an empty one stands for a lost answer. Gives
-/// back the requests.
+/// Accepts one connection per element of `answers`, reads a request and sends
+/// the element as the response; an empty element closes the connection without
+/// a response. The thread returns the requests.
 fn serve(answers: Vec<Vec<u8>>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -144,8 +144,7 @@
 }
 
 #[test]
-fn a_refused_connection_applies_nothing() {
-    // Story: the table's host is being replaced and refuses connections.
+fn refused_connection_is_not_applied() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -154,9 +153,8 @@
 }
 
 #[test]
-fn a_slow_table_leaves_open_what_it_did() {
-    // Story: the table is slow. A commit's caller gives up; the commit takes
-    // effect all the same, and the operator who repeats it must find that out.
+fn timed_out_transaction_is_unknown() {
+    // A transaction can still be applied after its caller timed out.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let options = Options {
         first_byte: Duration::from_millis(30),
@@ -169,9 +167,9 @@
 }
 
 #[test]
-fn an_outage_is_noticed_once_for_all_callers() {
-    // Story: the table says that it is down. After three calls the others hear
-    // of it without a connection, until a probe is due and finds it back.
+fn open_circuit_refuses_calls_until_probe_succeeds() {
+    // After three 503 responses, calls must fail without a connection until a
+    // probe succeeds.
     let out = answer("503", "");
     let back = answer("200", r#"{"versions":{}}"#);
     let (address, seen) = serve(vec![out.clone(), out.clone(), out, back]);
@@ -196,10 +194,8 @@
 }
 
 #[test]
-fn a_probe_that_its_caller_gave_up_frees_the_next() {
-    // Story: the table is down. The one caller that probes has no time left
-    // and drops its call. The others would hear of an outage for ten seconds
-    // more, whenever the table comes back.
+fn dropped_probe_counts_as_failed() {
+    // A dropped probe must not keep the circuit open for the whole `probe_time`.
     let hanging = TcpListener::bind("127.0.0.1:0").unwrap();
     let clock = Arc::new(ManualClock::default());
     let options = Options {
@@ -223,7 +219,7 @@
 }
 
 #[test]
-fn a_conflict_is_no_outage() {
+fn conflict_does_not_open_circuit() {
     let conflict = answer("409", r#"{"failed":[]}"#);
     let (address, seen) = serve(vec![conflict; 5]);
     let table = Table::new(plain_service(address));
--- a/crates/clients/tests/suite/circuit.rs
+++ b/crates/clients/tests/suite/circuit.rs
@@ -1,4 +1,4 @@
-//! When an outage is noticed, and when its end is.
+//! Tests of the circuit breaker.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -16,8 +16,8 @@
     }
 }
 
-/// Lines of a time in milliseconds and what happens then. The jitter is
-/// drawn from the seed, so that the times are the same on every machine.
+/// Runs a script whose lines are a time in milliseconds and a step. The jitter
+/// comes from a fixed seed, so the output is deterministic.
 fn run(input: &str) -> String {
     let mut circuit = Circuit::new(7, tuning());
     let mut out = String::new();
@@ -69,12 +69,11 @@
 
 proptest! {
     #[test]
-    fn no_history_keeps_a_circuit_open_for_good(
+    fn circuit_always_admits_a_probe_eventually(
         seed in any::<u64>(),
         steps in proptest::collection::vec(step(), 0..40),
     ) {
-        // Story: a probe's caller goes away before its outcome. If the circuit
-        // waited for it, the store would stay out for this host for good.
+        // A probe without an outcome must not keep the circuit open forever.
         let mut circuit = Circuit::new(seed, tuning());
         let mut now = Duration::ZERO;
         for step in steps {
--- a/crates/clients/tests/suite/main.rs
+++ b/crates/clients/tests/suite/main.rs
@@ -1,5 +1,4 @@
-//! Tests of the circuit and the row keys, which are pure, and of the clients
-//! against scripted services.
+//! Tests of the circuit breaker, the row keys and the clients.
 
 mod calls;
 mod circuit;
--- a/crates/clients/tests/suite/row.rs
+++ b/crates/clients/tests/suite/row.rs
@@ -1,4 +1,4 @@
-//! Row keys, to text and back.
+//! Tests of formatting and parsing row keys.
 
 use clients::row::{Key, Prefix};
 use expect_test::{Expect, expect};
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn rows_as_the_protocol_lists_them() {
+fn keys_have_protocol_format() {
     check(&Key::ConfigHead, &expect!["config/head"]);
     check(
         &Key::ConfigChange("c1".into()),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn other_rows_are_none() {
+fn unknown_keys_are_rejected() {
     for text in [
         "",
         "config",
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn prefixes_end_where_names_do() {
+fn prefix_ends_with_separator() {
     assert_eq!(Prefix::BillsOf(Incarnation(1)).to_string(), "bill/1/");
 }
 
@@ -98,14 +98,14 @@
 
 proptest! {
     #[test]
-    fn a_key_reads_back_as_itself(key in any_key()) {
+    fn keys_round_trip(key in any_key()) {
         prop_assert_eq!(Key::parse(&key.to_string()), Some(key));
     }
 
     #[test]
-    fn different_keys_are_different_rows(one in any_key(), other in any_key()) {
-        // Story: two callers choose idempotency keys with slashes in them. If
-        // their requests shared a claim, one of the two would never run.
+    fn different_keys_have_different_text(one in any_key(), other in any_key()) {
+        // If two requests shared a claim, one of them would never run.
+        // Idempotency keys may contain slashes.
         prop_assert_eq!(one.to_string() == other.to_string(), one == other);
     }
 }
