--- a/crates/clients/src/circuit.rs
+++ b/crates/clients/src/circuit.rs
@@ -52,8 +52,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Closed { failures: u32 },
-    Open { until: Duration, wait: Duration },
-    Probing { lost_at: Duration, wait: Duration },
+    Open { probe_at: Duration, wait: Duration },
+    Probing { deadline: Duration, wait: Duration },
 }
 
 impl Circuit {
@@ -72,15 +72,15 @@
     pub fn admit(&mut self, now: Duration) -> Admission {
         match self.state {
             State::Closed { .. } => Admission::Admit,
-            State::Open { until, .. } if now < until => {
-                Admission::Refuse(until.saturating_sub(now))
+            State::Open { probe_at, .. } if now < probe_at => {
+                Admission::Refuse(probe_at.saturating_sub(now))
             }
-            State::Probing { lost_at, .. } if now < lost_at => {
-                Admission::Refuse(lost_at.saturating_sub(now))
+            State::Probing { deadline, .. } if now < deadline => {
+                Admission::Refuse(deadline.saturating_sub(now))
             }
             State::Open { wait, .. } | State::Probing { wait, .. } => {
-                let lost_at = now + self.tuning.probe_time;
-                self.state = State::Probing { lost_at, wait };
+                let deadline = now + self.tuning.probe_time;
+                self.state = State::Probing { deadline, wait };
                 Admission::Probe
             }
         }
@@ -104,9 +104,9 @@
                     failures: failures + 1,
                 }
             }
-            (State::Closed { .. }, _) => self.open(now, self.tuning.first_wait),
+            (State::Closed { .. }, _) => self.open_state(now, self.tuning.first_wait),
             (State::Probing { wait, .. }, Admission::Probe) => {
-                self.open(now, (wait * 2).min(self.tuning.max_wait))
+                self.open_state(now, (wait * 2).min(self.tuning.max_wait))
             }
             (state, _) => state,
         };
@@ -118,10 +118,11 @@
         !matches!(self.state, State::Closed { .. })
     }
 
-    fn open(&mut self, now: Duration, wait: Duration) -> State {
+    /// Returns the open state, with a jittered delay before the next probe.
+    fn open_state(&mut self, now: Duration, wait: Duration) -> State {
         let jittered = wait.mul_f64(self.rng.random_range(0.5..1.0));
         State::Open {
-            until: now + jittered,
+            probe_at: now + jittered,
             wait,
         }
     }
--- a/crates/clients/src/error.rs
+++ b/crates/clients/src/error.rs
@@ -51,7 +51,7 @@
 
 impl Error {
     /// Converts the error of a failed HTTP exchange.
-    pub(crate) fn exchange(err: http::Error) -> Self {
+    pub(crate) fn from_http(err: http::Error) -> Self {
         match err {
             http::Error::NotSent(_) => Self::NotApplied(Reason::Http(err)),
             _ => Self::Unknown(Reason::Http(err)),
@@ -59,7 +59,7 @@
     }
 
     /// Returns the error for a status that the call doesn't handle itself.
-    pub(crate) fn status(status: http::Status) -> Self {
+    pub(crate) fn from_status(status: http::Status) -> Self {
         match status {
             http::Status::ServiceUnavailable => Self::NotApplied(Reason::Outage),
             it if it.is_client_error() => Self::NotApplied(Reason::Status(it.into())),
--- a/crates/clients/src/host_list.rs
+++ b/crates/clients/src/host_list.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::{Error, Service, call};
+use crate::{Error, Service, response};
 
 /// An entry of the host list, which may be out of date.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
@@ -92,16 +92,16 @@
     /// [`Error::NotApplied`] or [`Error::Unknown`] when the list can't be read.
     pub async fn fetch(&self) -> Result<Listing, Error> {
         #[derive(Deserialize)]
-        struct Answer {
+        struct HostsResponse {
             hosts: Vec<Value>,
         }
         let request = Request::get("/v1/hosts");
-        let answer: Answer = self
+        let response: HostsResponse = self
             .service
-            .call(request, Repeat::Idempotent, call::json)
+            .call(request, Repeat::Idempotent, response::parse_success)
             .await?;
-        let total = answer.hosts.len();
-        let hosts: Vec<Host> = answer
+        let total = response.hosts.len();
+        let hosts: Vec<Host> = response
             .hosts
             .iter()
             .filter_map(|it| Host::deserialize(it).ok())
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -6,13 +6,13 @@
 //! or can't have ([`Error::NotApplied`]), and a circuit breaker ([`Circuit`])
 //! that all callers of a service share detects its outages.
 
-mod call;
 mod circuit;
 mod error;
 mod host_list;
 mod objects;
 mod percent;
 mod ratings;
+mod response;
 pub mod row;
 mod service;
 mod table;
--- a/crates/clients/src/objects.rs
+++ b/crates/clients/src/objects.rs
@@ -2,8 +2,8 @@
 
 use http::{Body, Method, Repeat, Request, Status};
 
-use crate::call::{self, MAX_ANSWER};
 use crate::percent::encode;
+use crate::response::{self, MAX_RESPONSE_BYTES};
 use crate::{Error, Reason, Service};
 
 /// Client of the object store.
@@ -28,7 +28,7 @@
         let target = format!("/v1/objects/{}", encode(name));
         let request = Request::new(Method::Put, target).body(Body::bytes(bytes));
         self.service
-            .call(request, Repeat::Idempotent, call::accepted)
+            .call(request, Repeat::Idempotent, response::expect_success)
             .await
     }
 
@@ -43,12 +43,12 @@
                 match response.status {
                     Status::Ok => {}
                     Status::NotFound => {
-                        call::discard(response).await;
+                        response::discard(response).await;
                         return Ok(None);
                     }
-                    status => return Err(Error::status(status)),
+                    status => return Err(Error::from_status(status)),
                 }
-                let bytes = response.body.collect(MAX_ANSWER).await;
+                let bytes = response.body.collect(MAX_RESPONSE_BYTES).await;
                 bytes
                     .map(Some)
                     .map_err(|err| Error::Unknown(Reason::Http(err)))
--- a/crates/clients/src/percent.rs
+++ b/crates/clients/src/percent.rs
@@ -21,7 +21,7 @@
     let mut rest = text.bytes();
     while let Some(byte) = rest.next() {
         if byte == b'%' {
-            bytes.push(hex(rest.next()?)? * 16 + hex(rest.next()?)?);
+            bytes.push(parse_hex_digit(rest.next()?)? * 16 + parse_hex_digit(rest.next()?)?);
         } else {
             bytes.push(byte);
         }
@@ -48,7 +48,7 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-fn hex(digit: u8) -> Option<u8> {
+fn parse_hex_digit(digit: u8) -> Option<u8> {
     char::from(digit)
         .to_digit(16)
         .and_then(|it| u8::try_from(it).ok())
--- a/crates/clients/src/ratings.rs
+++ b/crates/clients/src/ratings.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::percent::encode;
-use crate::{Error, Service, call};
+use crate::{Error, Service, response};
 
 /// A response submitted for rating.
 #[derive(Clone, Debug, Serialize)]
@@ -63,7 +63,7 @@
     pub async fn submit(&self, sample: &Sample) -> Result<(), Error> {
         let request = Request::post("/v1/ratings", sample);
         self.service
-            .call(request, Repeat::Never, call::accepted)
+            .call(request, Repeat::Never, response::expect_success)
             .await
     }
 
@@ -79,15 +79,19 @@
         limit: usize,
     ) -> Result<Vec<Rating>, Error> {
         #[derive(Deserialize)]
-        struct Answer {
+        struct RatingsResponse {
             ratings: Vec<Rating>,
         }
         let host = encode(host.as_str());
         let target = format!("/v1/ratings?for={host}&after={after}&limit={limit}");
-        let answer: Answer = self
+        let response: RatingsResponse = self
             .service
-            .call(Request::get(target), Repeat::Idempotent, call::json)
+            .call(
+                Request::get(target),
+                Repeat::Idempotent,
+                response::parse_success,
+            )
             .await?;
-        Ok(answer.ratings)
+        Ok(response.ratings)
     }
 }
--- a/crates/clients/src/call.rs
+++ b/crates/clients/src/response.rs
@@ -7,13 +7,13 @@
 
 /// Maximum size of a response body that is read into memory. The largest
 /// bodies are configuration documents and full pages of rows.
-pub(crate) const MAX_ANSWER: usize = 64 * 1024 * 1024;
+pub(crate) const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Parses the JSON body of a 200 response; any other status is an error.
-pub(crate) async fn json<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
+pub(crate) async fn parse_success<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
     match response.status {
-        Status::Ok => body(response).await,
-        status => Err(Error::status(status)),
+        Status::Ok => parse_body(response).await,
+        status => Err(Error::from_status(status)),
     }
 }
 
@@ -21,27 +21,27 @@
 ///
 /// A truncated or malformed body yields [`Error::Unknown`], because the call
 /// may have taken effect.
-pub(crate) async fn body<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
+pub(crate) async fn parse_body<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
     response
         .body
-        .parse(MAX_ANSWER)
+        .parse(MAX_RESPONSE_BYTES)
         .await
         .map_err(|err| Error::Unknown(Reason::Http(err)))
 }
 
 /// Discards the body of a successful response; any other status is an error.
-pub(crate) async fn accepted(response: Response) -> Result<(), Error> {
+pub(crate) async fn expect_success(response: Response) -> Result<(), Error> {
     let status = response.status;
     discard(response).await;
     if status.is_success() {
         Ok(())
     } else {
-        Err(Error::status(status))
+        Err(Error::from_status(status))
     }
 }
 
 /// Reads and drops the body of a response, so that its connection can be reused.
 pub(crate) async fn discard(response: Response) {
     // The status alone decides the outcome, so a failed read is ignored.
-    let _ = response.body.collect(MAX_ANSWER).await;
+    let _ = response.body.collect(MAX_RESPONSE_BYTES).await;
 }
--- a/crates/clients/src/row/key.rs
+++ b/crates/clients/src/row/key.rs
@@ -52,18 +52,20 @@
             ["config", "head"] => Some(Self::ConfigHead),
             ["config", "change", id] => Some(Self::ConfigChange(decode(id)?.into())),
             ["config", "history", revision] => {
-                Some(Self::ConfigHistory(Revision(number(revision)?)))
+                Some(Self::ConfigHistory(Revision(parse_number(revision)?)))
+            }
+            ["claim", customer, home, key] => {
+                Some(Self::Claim(parse_request_key(customer, home, key)?))
             }
-            ["claim", customer, home, key] => Some(Self::Claim(request_key(customer, home, key)?)),
             ["bill", incarnation, "key", customer, home, key] => Some(Self::BillKey {
-                incarnation: Incarnation(number(incarnation)?),
-                key: request_key(customer, home, key)?,
+                incarnation: Incarnation(parse_number(incarnation)?),
+                key: parse_request_key(customer, home, key)?,
             }),
             ["bill", incarnation, sequence] => Some(Self::Bill {
-                incarnation: Incarnation(number(incarnation)?),
-                sequence: number(sequence)?,
+                incarnation: Incarnation(parse_number(incarnation)?),
+                sequence: parse_number(sequence)?,
             }),
-            ["fence", incarnation] => Some(Self::Fence(Incarnation(number(incarnation)?))),
+            ["fence", incarnation] => Some(Self::Fence(Incarnation(parse_number(incarnation)?))),
             ["lease", name] => Some(Self::Lease(decode(name)?.into())),
             ["rollout", version] => Some(Self::Rollout(decode(version)?.into())),
             _ => None,
@@ -106,14 +108,14 @@
     }
 }
 
-fn request_key(customer: &str, home: &str, key: &str) -> Option<RequestKey> {
+fn parse_request_key(customer: &str, home: &str, key: &str) -> Option<RequestKey> {
     Some(RequestKey {
         customer: Customer::from(decode(customer)?),
-        home: Incarnation(number(home)?),
+        home: Incarnation(parse_number(home)?),
         key: decode(key)?.into(),
     })
 }
 
-fn number(text: &str) -> Option<u64> {
+fn parse_number(text: &str) -> Option<u64> {
     text.parse().ok()
 }
--- a/crates/clients/src/service.rs
+++ b/crates/clients/src/service.rs
@@ -58,7 +58,7 @@
         if let Admission::Refuse(_) = admission {
             return Err(Error::NotApplied(Reason::Open));
         }
-        let mut pending = Pending {
+        let mut pending = PendingCall {
             service: self,
             admission: Some(admission),
         };
@@ -68,7 +68,7 @@
         };
         let result = match self.client.send(self.address, request, &options).await {
             Ok(response) => read(response).await,
-            Err(err) => Err(Error::exchange(err)),
+            Err(err) => Err(Error::from_http(err)),
         };
         pending.admission = None;
         self.with_circuit(|it| match &result {
@@ -78,8 +78,8 @@
         result
     }
 
-    fn with_circuit<T>(&self, act: impl FnOnce(&mut Circuit) -> T) -> T {
-        act(&mut self.circuit.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_circuit<T>(&self, f: impl FnOnce(&mut Circuit) -> T) -> T {
+        f(&mut self.circuit.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
@@ -87,12 +87,12 @@
 ///
 /// Otherwise no other caller could probe until the dropped probe counts as lost.
 /// Dropping an ordinary call says nothing about the service and isn't recorded.
-struct Pending<'a> {
+struct PendingCall<'a> {
     service: &'a Service,
     admission: Option<Admission>,
 }
 
-impl Drop for Pending<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
         if self.admission == Some(Admission::Probe) {
             let now = self.service.clock.now();
--- a/crates/clients/src/table.rs
+++ b/crates/clients/src/table.rs
@@ -8,7 +8,7 @@
 
 use crate::percent::encode;
 use crate::row::{Key, Prefix};
-use crate::{Error, Failed, Service, call};
+use crate::{Error, Failed, Service, response};
 
 pub use row::{Page, Row, Version};
 pub use transaction::{Condition, Transaction, Versions};
@@ -49,10 +49,10 @@
         self.service
             .call(request, Repeat::Never, async |response| {
                 if response.status != Status::Conflict {
-                    return call::json(response).await;
+                    return response::parse_success(response).await;
                 }
                 // The status alone implies that nothing was written.
-                let failed = call::body::<Conflict>(response).await;
+                let failed = response::parse_body::<Conflict>(response).await;
                 let failed = failed.map_or_else(|_| Vec::new(), |it| it.failed);
                 Err(Error::Conflict { failed })
             })
@@ -68,10 +68,10 @@
         self.service
             .call(request, Repeat::Idempotent, async |response| {
                 if response.status == Status::NotFound {
-                    call::discard(response).await;
+                    response::discard(response).await;
                     return Ok(None);
                 }
-                call::json(response).await.map(Some)
+                response::parse_success(response).await.map(Some)
             })
             .await
     }
@@ -93,7 +93,11 @@
             target.push_str(&encode(after));
         }
         self.service
-            .call(Request::get(target), Repeat::Idempotent, call::json)
+            .call(
+                Request::get(target),
+                Repeat::Idempotent,
+                response::parse_success,
+            )
             .await
     }
 }
--- a/crates/clients/tests/suite/calls.rs
+++ b/crates/clients/tests/suite/calls.rs
@@ -17,22 +17,22 @@
 use http::{Client, Options, Pool};
 use kernel::{Clock, Incarnation, ManualClock, Revision, SystemClock};
 
-/// Accepts one connection per element of `answers`, reads a request and sends
+/// Accepts one connection per element of `responses`, reads a request and sends
 /// the element as the response; an empty element closes the connection without
 /// a response. The thread returns the requests.
-fn serve(answers: Vec<Vec<u8>>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
+fn serve(responses: Vec<Vec<u8>>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let seen = thread::spawn(move || {
-        let take = |answer: Vec<u8>| {
+    let received = thread::spawn(move || {
+        let respond = |response: Vec<u8>| {
             let (mut stream, _) = listener.accept().unwrap();
-            let seen = receive(&mut stream);
-            stream.write_all(&answer).unwrap();
-            seen
+            let received = receive(&mut stream);
+            stream.write_all(&response).unwrap();
+            received
         };
-        answers.into_iter().map(take).collect()
+        responses.into_iter().map(respond).collect()
     });
-    (address, seen)
+    (address, received)
 }
 
 use crate::message::read_message;
@@ -43,7 +43,7 @@
     format!("{line}\n{body}")
 }
 
-fn answer(status: &str, body: &str) -> Vec<u8> {
+fn response(status: &str, body: &str) -> Vec<u8> {
     let len = body.len();
     format!("HTTP/1.1 {status} X\r\nconnection: close\r\ncontent-length: {len}\r\n\r\n{body}")
         .into_bytes()
@@ -122,15 +122,15 @@
     let show = case.take_flag("show-request").unwrap();
     let cut = case.take_flag("cut").unwrap();
     let status: Option<String> = case.try_take_arg("status").unwrap();
-    let mut bytes = status.map_or_else(Vec::new, |it| answer(&it, case.input.trim_end()));
+    let mut bytes = status.map_or_else(Vec::new, |it| response(&it, case.input.trim_end()));
     if cut {
         bytes.pop();
     }
-    let (address, seen) = serve(vec![bytes]);
+    let (address, received) = serve(vec![bytes]);
     let result = block_on(run(&case.directive, plain_service(address)));
-    let seen = seen.join().unwrap().remove(0);
+    let received = received.join().unwrap().remove(0);
     if show {
-        format!("{}\n{result}\n", seen.trim_end())
+        format!("{}\n{result}\n", received.trim_end())
     } else {
         format!("{result}\n")
     }
@@ -170,9 +170,9 @@
 fn open_circuit_refuses_calls_until_probe_succeeds() {
     // After three 503 responses, calls must fail without a connection until a
     // probe succeeds.
-    let out = answer("503", "");
-    let back = answer("200", r#"{"versions":{}}"#);
-    let (address, seen) = serve(vec![out.clone(), out.clone(), out, back]);
+    let out = response("503", "");
+    let back = response("200", r#"{"versions":{}}"#);
+    let (address, received) = serve(vec![out.clone(), out.clone(), out, back]);
     let clock = Arc::new(ManualClock::default());
     let service = service(address, Arc::clone(&clock) as _, Options::default());
     let table = Table::new(service);
@@ -190,7 +190,7 @@
         assert!(table.transact(&transaction()).await.is_ok());
         assert!(!table.is_out());
     });
-    assert_eq!(seen.join().unwrap().len(), 4);
+    assert_eq!(received.join().unwrap().len(), 4);
 }
 
 #[test]
@@ -220,8 +220,8 @@
 
 #[test]
 fn conflict_does_not_open_circuit() {
-    let conflict = answer("409", r#"{"failed":[]}"#);
-    let (address, seen) = serve(vec![conflict; 5]);
+    let conflict = response("409", r#"{"failed":[]}"#);
+    let (address, received) = serve(vec![conflict; 5]);
     let table = Table::new(plain_service(address));
     block_on(async {
         for _ in 0..5 {
@@ -230,5 +230,5 @@
         }
     });
     assert!(!table.is_out());
-    assert_eq!(seen.join().unwrap().len(), 5);
+    assert_eq!(received.join().unwrap().len(), 5);
 }
--- a/crates/clients/tests/suite/circuit.rs
+++ b/crates/clients/tests/suite/circuit.rs
@@ -29,12 +29,12 @@
             "probe-fail" => circuit.fail(now, Admission::Probe),
             "succeed" => circuit.succeed(),
             "admit" => {
-                let said = match circuit.admit(now) {
+                let admission = match circuit.admit(now) {
                     Admission::Admit => "admit".to_owned(),
                     Admission::Probe => "probe".to_owned(),
                     Admission::Refuse(wait) => format!("refuse for {} ms", wait.as_millis()),
                 };
-                let _ = writeln!(out, "{at} {said}");
+                let _ = writeln!(out, "{at} {admission}");
             }
             other => panic!("unknown step {other}"),
         }
