--- a/crates/fleet/src/fleet/config_sync.rs
+++ b/crates/fleet/src/fleet/config_sync.rs
@@ -16,7 +16,7 @@
     /// Returns whether this host is one of those in its data centre that poll the
     /// table.
     #[must_use]
-    pub fn polls(&self) -> bool {
+    pub fn is_poller(&self) -> bool {
         let weight_of = |host: &HostName| weight("poll", 0_u8, host.as_str());
         let mine = weight_of(&self.me.identity.host);
         let ahead = self
@@ -38,14 +38,14 @@
             self.timers.poll = cx.now + self.jitter(self.tuning.poll_every);
             return cx.push(Action::Poll);
         }
-        if self.polls() || self.is_alone(cx.now) {
+        if self.is_poller() || self.is_isolated(cx.now) {
             return cx.push(Action::Poll);
         }
         self.poll_if_proof_is_old(cx);
     }
 
     pub(super) fn handle_polled(&mut self, cx: &mut Cx, polled: Polled) {
-        let applied = self.configuration.polled(polled);
+        let applied = self.configuration.apply_poll(polled);
         self.put_in_force(cx, applied);
     }
 
@@ -55,7 +55,7 @@
         host: &HostName,
         revision: Revision,
     ) {
-        if self.configuration.heard(host, revision) {
+        if self.configuration.record_holder(host, revision) {
             self.start_fetch(cx);
         }
     }
@@ -96,7 +96,7 @@
     }
 
     pub(super) fn handle_document(&mut self, cx: &mut Cx, document: Document) {
-        let applied = self.configuration.fetched(document);
+        let applied = self.configuration.apply_document(document);
         self.put_in_force(cx, applied);
     }
 
--- a/crates/fleet/src/prober.rs
+++ b/crates/fleet/src/prober.rs
@@ -1,4 +1,4 @@
-//! Probes under way.
+//! Tracks the probes in flight.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,37 +9,37 @@
 
 use crate::members::MemberKey;
 
-/// The probes that this host waits for, its own and those it sent for others.
+/// The probes in flight: this host's own and those sent on behalf of others.
 #[derive(Default)]
 pub(crate) struct Prober {
     sequence: u32,
-    turn: usize,
-    waiting: BTreeMap<u32, Waiting>,
-    helping: BTreeMap<u32, Helping>,
-    /// When somebody last answered.
+    target_index: usize,
+    pending: BTreeMap<u32, PendingProbe>,
+    relayed: BTreeMap<u32, RelayedProbe>,
+    /// The time at which this host's own probe was last acknowledged.
     pub(crate) answered: Duration,
 }
 
-/// A probe of this host's own.
+/// A probe that this host started itself.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct PendingProbe {
     pub(crate) target: Identity,
     pub(crate) sent: Duration,
-    pub(crate) is_helped: bool,
+    pub(crate) is_indirect_requested: bool,
 }
 
-/// A probe that was sent because another host asked for it.
+/// An indirect probe, sent at another host's request.
 #[derive(Clone, Debug)]
-pub(crate) struct Helping {
+pub(crate) struct RelayedProbe {
     pub(crate) host: HostName,
     pub(crate) address: SocketAddr,
-    /// The asker's own number for it.
+    /// The requesting host's sequence number.
     pub(crate) sequence: u32,
     pub(crate) target: Identity,
     sent: Duration,
 }
 
-impl Helping {
+impl RelayedProbe {
     pub(crate) fn new(
         now: Duration,
         asker: (HostName, SocketAddr),
@@ -63,70 +63,76 @@
         self.sequence
     }
 
-    /// The next of `targets` in turn.
+    /// Returns the next of `targets` in round-robin order.
     pub(crate) fn next_target(&mut self, targets: &[MemberKey]) -> Option<MemberKey> {
-        self.turn = self.turn.wrapping_add(1);
-        targets.get(self.turn.checked_rem(targets.len())?).copied()
+        self.target_index = self.target_index.wrapping_add(1);
+        targets
+            .get(self.target_index.checked_rem(targets.len())?)
+            .copied()
     }
 
-    pub(crate) fn wait(&mut self, sequence: u32, target: Identity, now: Duration) {
+    pub(crate) fn begin(&mut self, sequence: u32, target: Identity, now: Duration) {
         let sent = now;
-        let is_helped = false;
-        let waiting = Waiting {
+        let is_indirect_requested = false;
+        let pending_probe = PendingProbe {
             target,
             sent,
-            is_helped,
+            is_indirect_requested,
         };
-        self.waiting.insert(sequence, waiting);
+        self.pending.insert(sequence, pending_probe);
     }
 
-    /// Ends the wait for the life that answers.
-    pub(crate) fn answer(&mut self, sequence: u32, from: &Identity) -> Option<Waiting> {
-        if self.waiting.get(&sequence)?.target.host != from.host {
+    /// Completes a probe that any incarnation of the probed host acknowledged.
+    pub(crate) fn complete(&mut self, sequence: u32, from: &Identity) -> Option<PendingProbe> {
+        if self.pending.get(&sequence)?.target.host != from.host {
             return None;
         }
-        self.waiting.remove(&sequence)
+        self.pending.remove(&sequence)
     }
 
-    pub(crate) fn help(&mut self, sequence: u32, helping: Helping) {
-        self.helping.insert(sequence, helping);
+    pub(crate) fn begin_relayed(&mut self, sequence: u32, relayed_probe: RelayedProbe) {
+        self.relayed.insert(sequence, relayed_probe);
     }
 
-    pub(crate) fn helped(&mut self, sequence: u32, from: &Identity) -> Option<Helping> {
-        if self.helping.get(&sequence)?.target != *from {
+    pub(crate) fn complete_relayed(
+        &mut self,
+        sequence: u32,
+        from: &Identity,
+    ) -> Option<RelayedProbe> {
+        if self.relayed.get(&sequence)?.target != *from {
             return None;
         }
-        self.helping.remove(&sequence)
+        self.relayed.remove(&sequence)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &Waiting)> {
-        self.waiting.iter().map(|(sequence, it)| (*sequence, it))
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &PendingProbe)> {
+        self.pending.iter().map(|(sequence, it)| (*sequence, it))
     }
 
-    /// Marks that others were asked to probe the target.
-    pub(crate) fn set_helped(&mut self, sequence: u32) {
-        if let Some(it) = self.waiting.get_mut(&sequence) {
-            it.is_helped = true;
+    /// Marks that indirect probes of the target were requested.
+    pub(crate) fn mark_indirect_requested(&mut self, sequence: u32) {
+        if let Some(it) = self.pending.get_mut(&sequence) {
+            it.is_indirect_requested = true;
         }
     }
 
-    pub(crate) fn give_up(&mut self, sequence: u32) {
-        self.waiting.remove(&sequence);
+    pub(crate) fn cancel(&mut self, sequence: u32) {
+        self.pending.remove(&sequence);
     }
 
-    /// Whether a probe of the host is under way.
-    pub(crate) fn is_waiting_for(&self, host: &HostName) -> bool {
-        self.waiting.values().any(|it| it.target.host == *host)
+    /// Returns whether a probe of the host is in flight.
+    pub(crate) fn is_probing(&self, host: &HostName) -> bool {
+        self.pending.values().any(|it| it.target.host == *host)
     }
 
-    /// Forgets probes for others that were never answered.
+    /// Drops indirect probes that were sent before the given time.
     pub(crate) fn forget(&mut self, before: Duration) {
-        self.helping.retain(|_, it| it.sent >= before);
+        self.relayed.retain(|_, it| it.sent >= before);
     }
 
-    /// Forgets all own probes.
+    /// Drops all of this host's own probes and counts silence from `now`.
     pub(crate) fn reset(&mut self, now: Duration) {
-        self.waiting.clear();
+        self.pending.clear();
         self.answered = now;
     }
 }
--- a/crates/gate/src/chat.rs
+++ b/crates/gate/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions: the caller's request and the whole answer.
+//! Chat completions: the caller's request and the complete response.
 
 use std::sync::Arc;
 
@@ -9,14 +9,14 @@
 
 use crate::problem::{Problem, Reason};
 
-/// The class of a request that names none.
+/// The class of a request that sets none.
 pub const DEFAULT_CLASS: &str = "general";
 
-const MAX_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
-/// Fields that change what an answer means and that the engines don't take.
-/// Ignoring them would hand the caller an answer to another question.
-const UNSUPPORTED: [&str; 6] = [
+/// Fields that change the meaning of the response and that the engines don't
+/// support. If they were ignored, the response wouldn't match the request.
+const UNSUPPORTED_FIELDS: [&str; 6] = [
     "tools",
     "functions",
     "response_format",
@@ -25,14 +25,14 @@
     "modalities",
 ];
 
-/// Bounds on what a caller may send.
+/// Limits on a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Messages in a request.
+    /// Maximum number of messages.
     pub messages: usize,
-    /// Bytes of all messages' content.
+    /// Maximum total size of the messages' content in bytes.
     pub content: usize,
-    /// Tokens that a caller may ask for.
+    /// Maximum number of tokens that a caller may request.
     pub max_tokens: u32,
 }
 
@@ -46,17 +46,17 @@
     }
 }
 
-/// Who speaks.
+/// The author of a message.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Instructions by the service.
+    /// Instructions from the service.
     #[display("system")]
     System,
-    /// The person or service that asks.
+    /// The person or service that makes the request.
     #[display("user")]
     User,
-    /// An earlier answer.
+    /// A response of the model.
     #[display("assistant")]
     Assistant,
 }
@@ -64,50 +64,50 @@
 /// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who speaks.
+    /// The author of the message.
     pub role: Role,
-    /// What is said.
+    /// The text of the message.
     pub content: String,
 }
 
-/// How the answer is to come.
+/// How the response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// As server-sent events.
     Stream,
-    /// As one object.
+    /// As one JSON object.
     Whole,
 }
 
 /// A caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The profile that the caller picked by name.
+    /// The profile that the caller selected by name.
     pub profile: ProfileName,
     /// The conversation, at least one message.
     pub messages: Vec<Message>,
-    /// How the answer is to come.
+    /// How the response is sent.
     pub mode: Mode,
-    /// Bound on the answer's length.
+    /// Maximum number of tokens in the response.
     pub max_tokens: Option<u32>,
     /// The request class under which quality is learned.
     pub class: Arc<str>,
 }
 
 impl Request {
-    /// Reads a body.
+    /// Parses a request body.
     ///
-    /// Fields that only tune sampling are accepted and left out, as callers'
-    /// libraries send them by default; fields that change the meaning of the
-    /// answer are refused.
+    /// Sampling parameters are accepted and ignored, because callers' libraries
+    /// send them by default. Fields that change the meaning of the response are
+    /// rejected.
     ///
     /// # Errors
-    /// A 400 problem that names the field and what it accepts, or 413 when a
-    /// limit is exceeded.
+    /// Returns a 400 problem that names the invalid field and the accepted values,
+    /// or a 413 problem if the number or total size of messages exceeds its limit.
     pub fn parse(body: &[u8], limits: &Limits) -> Result<Self, Problem> {
         let body: Map<String, Value> = serde_json::from_slice(body)
-            .map_err(|err| bad(format!("body: expected a JSON object: {err}")))?;
-        refuse_unsupported(&body)?;
+            .map_err(|err| bad_request(format!("body: expected a JSON object: {err}")))?;
+        reject_unsupported_fields(&body)?;
         Ok(Self {
             profile: parse_profile(&body)?,
             messages: parse_messages(&body, limits)?,
@@ -117,53 +117,53 @@
         })
     }
 
-    /// Bytes of all messages' content.
+    /// Returns the total size of the messages' content in bytes.
     #[must_use]
     pub fn content_len(&self) -> usize {
         self.messages.iter().map(|it| it.content.len()).sum()
     }
 }
 
-/// Tokens in and out.
+/// Token counts of a request and its response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Tokens in the response.
     pub completion_tokens: u64,
-    /// Their sum.
+    /// The sum of both.
     pub total_tokens: u64,
 }
 
-/// What this system adds to an answer.
+/// The extension fields that this system adds to a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Extra {
-    /// The version that answered.
+    /// The version that produced the response.
     pub version: VersionId,
-    /// What the customer is billed, all attempts that count included.
+    /// The amount billed to the customer, for all billable attempts.
     pub cost_microcents: Money,
-    /// How many attempts were dispatched.
+    /// The number of attempts dispatched.
     pub attempts: u32,
-    /// The request as the host named it.
+    /// The request id that the host assigned.
     pub request: String,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The request as the host named it.
+    /// The request id that the host assigned.
     pub id: String,
     /// Always `chat.completion`.
     pub object: String,
     /// Wall time in seconds since the Unix epoch.
     pub created: u64,
-    /// The version that answered.
+    /// The version that produced the response.
     pub model: VersionId,
-    /// One choice.
+    /// Always one choice.
     pub choices: Vec<Choice>,
-    /// Tokens of the answering attempt.
+    /// Token counts of the attempt that produced the response.
     pub usage: Usage,
-    /// What this system adds.
+    /// The extension fields of this system.
     pub barleypin: Extra,
 }
 
@@ -172,14 +172,14 @@
 pub struct Choice {
     /// Always zero.
     pub index: u32,
-    /// The answer.
+    /// The generated message.
     pub message: Message,
-    /// Why the answer ended.
+    /// The reason why generation ended.
     pub finish_reason: String,
 }
 
 impl Answer {
-    /// Builds the answer of one choice.
+    /// Builds a response with one choice.
     #[must_use]
     pub fn new(created: u64, content: String, finish: &str, usage: Usage, extra: Extra) -> Self {
         Self {
@@ -200,35 +200,37 @@
         }
     }
 
-    /// The answer as JSON.
+    /// Returns the response as JSON.
     #[must_use]
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("an answer holds only text and numbers")
+        serde_json::to_string(self).expect("a response contains only text and numbers")
     }
 }
 
-fn refuse_unsupported(body: &Map<String, Value>) -> Result<(), Problem> {
-    for field in UNSUPPORTED {
-        let asked = body
+fn reject_unsupported_fields(body: &Map<String, Value>) -> Result<(), Problem> {
+    for field in UNSUPPORTED_FIELDS {
+        let is_set = body
             .get(field)
             .is_some_and(|value| !matches!(value, Value::Null | Value::Bool(false)));
-        if asked {
-            return Err(bad(format!("{field}: is not supported; leave it out")));
+        if is_set {
+            return Err(bad_request(format!(
+                "{field}: is not supported; leave it out"
+            )));
         }
     }
     match body.get("n") {
         None | Some(Value::Null) => Ok(()),
         Some(value) if value.as_u64() == Some(1) => Ok(()),
-        Some(_) => Err(bad("n: expected 1".to_owned())),
+        Some(_) => Err(bad_request("n: expected 1".to_owned())),
     }
 }
 
 fn parse_profile(body: &Map<String, Value>) -> Result<ProfileName, Problem> {
     body.get("model")
         .and_then(Value::as_str)
-        .filter(|name| !name.is_empty() && name.len() <= MAX_NAME)
+        .filter(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES)
         .map(ProfileName::from)
-        .ok_or_else(|| bad("model: expected the name of a profile".to_owned()))
+        .ok_or_else(|| bad_request("model: expected the name of a profile".to_owned()))
 }
 
 fn parse_messages(body: &Map<String, Value>, limits: &Limits) -> Result<Vec<Message>, Problem> {
@@ -236,7 +238,9 @@
         .get("messages")
         .and_then(Value::as_array)
         .filter(|messages| !messages.is_empty())
-        .ok_or_else(|| bad("messages: expected an array of at least one message".to_owned()))?;
+        .ok_or_else(|| {
+            bad_request("messages: expected an array of at least one message".to_owned())
+        })?;
     if messages.len() > limits.messages {
         return Err(too_large(format!(
             "messages: {} messages, at most {} are accepted",
@@ -265,7 +269,7 @@
         Some("user") => Role::User,
         Some("assistant") => Role::Assistant,
         _ => {
-            return Err(bad(format!(
+            return Err(bad_request(format!(
                 "messages[{idx}].role: expected `system`, `user` or `assistant`"
             )));
         }
@@ -274,7 +278,7 @@
         Some(Value::String(text)) => text.clone(),
         Some(Value::Array(parts)) => parse_parts(idx, parts)?,
         _ => {
-            return Err(bad(format!(
+            return Err(bad_request(format!(
                 "messages[{idx}].content: expected text or an array of text parts"
             )));
         }
@@ -290,7 +294,7 @@
             .and_then(Value::as_str)
             .filter(|_| part.get("type").and_then(Value::as_str) == Some("text"))
             .ok_or_else(|| {
-                bad(format!(
+                bad_request(format!(
                     "messages[{idx}].content[{part_idx}]: expected a part of type `text`"
                 ))
             })?;
@@ -303,7 +307,7 @@
     match body.get("stream") {
         None | Some(Value::Null | Value::Bool(false)) => Ok(Mode::Whole),
         Some(Value::Bool(true)) => Ok(Mode::Stream),
-        Some(_) => Err(bad("stream: expected `true` or `false`".to_owned())),
+        Some(_) => Err(bad_request("stream: expected `true` or `false`".to_owned())),
     }
 }
 
@@ -318,7 +322,7 @@
             .filter(|tokens| (1..=limits.max_tokens).contains(tokens))
             .map(Some)
             .ok_or_else(|| {
-                bad(format!(
+                bad_request(format!(
                     "{field}: expected a whole number from 1 to {}",
                     limits.max_tokens
                 ))
@@ -330,21 +334,21 @@
 fn parse_class(body: &Map<String, Value>) -> Result<Arc<str>, Problem> {
     match body.get("class") {
         None | Some(Value::Null) => Ok(DEFAULT_CLASS.into()),
-        Some(Value::String(class)) if is_class(class) => Ok(class.as_str().into()),
-        Some(_) => Err(bad(
+        Some(Value::String(class)) if is_valid_class(class) => Ok(class.as_str().into()),
+        Some(_) => Err(bad_request(
             "class: expected 1 to 64 of the characters a-z, 0-9, `-` and `_`".to_owned(),
         )),
     }
 }
 
-fn is_class(text: &str) -> bool {
-    (1..=MAX_NAME).contains(&text.len())
+fn is_valid_class(text: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&text.len())
         && text
             .bytes()
             .all(|it| it.is_ascii_lowercase() || it.is_ascii_digit() || it == b'-' || it == b'_')
 }
 
-fn bad(detail: String) -> Problem {
+fn bad_request(detail: String) -> Problem {
     Problem::not_run(Reason::BadRequest, detail)
 }
 
--- a/crates/gate/tests/chat.rs
+++ b/crates/gate/tests/chat.rs
@@ -1,4 +1,4 @@
-//! Chat bodies: what is read, and how each bad one is refused.
+//! Parsing of chat request bodies and the errors for invalid ones.
 
 use datadriven::walk;
 use gate::chat::{Limits, Request};
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn bodies() {
+fn chat_request_bodies() {
     walk("tests/data/chat", |file| {
         file.run(
             |case| match Request::parse(case.input.as_bytes(), &LIMITS) {
