--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Who is asked, and on whose behalf.
+//! Endpoints and the attempts sent to them.
 
 use std::net::SocketAddr;
 
@@ -6,51 +6,51 @@
 use http::Request;
 use kernel::{AttemptId, Incarnation, RequestId};
 
-/// An endpoint: an engine or a plain service in one of its lives.
+/// One incarnation of an engine or a plain service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The life that is meant. A host that was replaced under the same
-    /// address refuses the call, because it knows nothing of what led to it.
+    /// The expected incarnation. An endpoint that has been replaced at the same
+    /// address refuses the call, because it lacks its predecessor's state.
     pub incarnation: Incarnation,
 }
 
-/// One dispatch of a request.
+/// An attempt to execute a request on an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The life of the entry host that dispatches it: attempts are numbered by each host.
+    /// The incarnation of the entry host that sends the attempt. Each host numbers its own attempts.
     pub host: Incarnation,
-    /// The dispatch's number on that host.
+    /// The attempt's number on that host.
     pub id: AttemptId,
-    /// How urgent it is.
+    /// The scheduling priority.
     pub priority: Priority,
 }
 
-/// How urgent an attempt is to its endpoint.
+/// The priority with which an endpoint schedules an attempt.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Priority {
-    /// Seat holds and gate scans, which can't wait.
+    /// Time-critical calls, for example seat holds and gate scans.
     #[display("urgent")]
     Urgent,
-    /// A person waits for the answer.
+    /// A person is waiting for the response.
     #[display("interactive")]
     Interactive,
-    /// Nobody waits.
+    /// Background work; nobody is waiting for the response.
     #[display("batch")]
     Batch,
 }
 
 impl Attempt {
-    /// The attempt's name on the wire, unique over hosts.
+    /// Returns the attempt's id on the wire, which is unique across hosts.
     #[must_use]
     pub fn name(&self) -> String {
         format!("{}-{}", self.host, self.id)
     }
 
-    /// `request` with the headers by which the endpoint knows the attempt.
+    /// Adds the headers that identify the attempt to `request`.
     pub(crate) fn mark(&self, to: &Endpoint, request: Request) -> Request {
         request
             .header("x-request-id", self.request.as_str())
--- a/crates/engine/src/chat/answer.rs
+++ b/crates/engine/src/chat/answer.rs
@@ -1,25 +1,25 @@
-//! A whole answer.
+//! A complete chat response.
 
 use serde::Deserialize;
 
-/// An answer that came whole.
+/// A complete response of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// The text.
+    /// The generated text.
     pub content: String,
-    /// Why the engine ended: `stop`, `length`.
+    /// The reason why generation ended, for example `stop` or `length`.
     pub finish_reason: String,
-    /// What it used.
+    /// The token usage.
     pub usage: Usage,
-    /// How sure the engine is of it, from 0 to 1.
+    /// The engine's confidence in the response, from 0 to 1.
     pub confidence: Option<f64>,
 }
 
-/// What an answer used.
+/// Token usage of a request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// The number of generated tokens.
     pub completion_tokens: u64,
 }
--- a/crates/engine/src/chat/chunk.rs
+++ b/crates/engine/src/chat/chunk.rs
@@ -1,4 +1,4 @@
-//! The JSON of answers, whole and in chunks.
+//! JSON types of complete and streamed responses.
 
 use std::borrow::Cow;
 
@@ -6,7 +6,7 @@
 
 use super::{Answer, Fault, Usage};
 
-/// One chunk of a streamed answer.
+/// One chunk of a streamed response.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Chunk<'a> {
     #[serde(borrow)]
@@ -50,7 +50,7 @@
     }
 }
 
-/// An answer that isn't streamed.
+/// A response that isn't streamed.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Whole {
     id: String,
@@ -89,7 +89,7 @@
     }
 }
 
-/// A confidence outside its range would pass or fail every check against a threshold.
+/// Rejects a confidence outside 0 to 1, which would pass or fail every threshold.
 pub(crate) fn confidence(value: Option<f64>) -> Result<Option<f64>, Fault> {
     match value {
         Some(it) if !(0.0..=1.0).contains(&it) => Err(Fault::Malformed),
--- a/crates/engine/src/chat/fault.rs
+++ b/crates/engine/src/chat/fault.rs
@@ -1,28 +1,28 @@
-//! What can be wrong with an answer.
+//! Errors in the content of a response.
 
 use derive_more::Display;
 
 use crate::sse;
 
-/// What is wrong with an answer's content.
+/// An error in the content of a response.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Fault {
-    /// It belongs to another attempt.
+    /// The response or a chunk of it belongs to another attempt.
     #[display("part of another attempt")]
     Foreign,
-    /// A part is missing, came twice, or came after the end.
+    /// A chunk is missing, duplicated, or follows the end of the response.
     #[display("part out of order")]
     Disordered,
-    /// It isn't what the protocol says.
+    /// The content violates the protocol.
     #[display("malformed")]
     Malformed,
-    /// It ended before its end mark.
+    /// The response ended without a finish reason or before its end marker.
     #[display("ended early")]
     Unfinished,
-    /// The engine says that it failed.
+    /// The engine reported an error in the stream.
     #[display("failed at the engine")]
     Failed,
-    /// It is larger than is accepted.
+    /// The response exceeds a size limit.
     #[display("too large")]
     TooLarge,
 }
--- a/crates/engine/src/chat/reader.rs
+++ b/crates/engine/src/chat/reader.rs
@@ -1,24 +1,24 @@
-//! The check of a streamed answer.
+//! Incremental validation of streamed responses.
 
 use super::chunk::{Chunk, confidence};
 use super::{Answer, Fault, Usage};
 use crate::sse::{Event, Parser};
 
-/// The greatest answer, in bytes of text.
+/// The maximum size of the generated text, in bytes.
 const MAX_CONTENT: usize = 32 * 1024 * 1024;
 const DONE: &str = "[DONE]";
 
-/// How far an answer has come.
+/// The progress of a streamed response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// More is to come.
+    /// The end marker hasn't arrived yet.
     Open,
-    /// The end mark came.
+    /// The end marker has arrived.
     Done,
 }
 
-/// Reads a streamed answer as its bytes come, and accepts only the whole
-/// answer to its own attempt.
+/// An incremental reader of a streamed response. It rejects chunks of other attempts,
+/// chunks out of order and incomplete responses.
 #[derive(Debug)]
 pub struct Reader {
     parser: Parser,
@@ -42,7 +42,7 @@
 }
 
 impl Reader {
-    /// A reader of the answer to the attempt of this name.
+    /// Creates a reader of the response to the attempt with the given wire id.
     #[must_use]
     pub fn new(attempt: impl Into<String>) -> Self {
         Self {
@@ -57,18 +57,18 @@
         }
     }
 
-    /// Takes the next bytes. What they add to the text is at the end of
-    /// [`Reader::content`], also when a fault follows it.
+    /// Parses the next bytes and appends their text to [`Reader::content`], including
+    /// text that precedes a fault.
     ///
     /// # Errors
-    /// The fault that ends the answer. No further bytes may follow it.
+    /// Returns the first [`Fault`]. Don't call `feed` again after an error.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Progress, Fault> {
         let Self { parser, state } = self;
         parser.feed(bytes, |event| state.take(event))?;
         Ok(self.progress())
     }
 
-    /// How far the answer has come.
+    /// Returns whether the end marker has arrived.
     #[must_use]
     pub fn progress(&self) -> Progress {
         if self.state.done {
@@ -78,22 +78,22 @@
         }
     }
 
-    /// The text that has come.
+    /// Returns the text received so far.
     #[must_use]
     pub fn content(&self) -> &str {
         &self.state.content
     }
 
-    /// How many chunks have come.
+    /// Returns the number of chunks received so far.
     #[must_use]
     pub fn chunks(&self) -> u64 {
         self.state.next_index
     }
 
-    /// The answer, after the last byte.
+    /// Returns the complete response. Call it after the last byte.
     ///
     /// # Errors
-    /// [`Fault::Unfinished`] when the end mark hasn't come.
+    /// Returns [`Fault::Unfinished`] if the end marker hasn't arrived.
     pub fn finish(self) -> Result<Answer, Fault> {
         let State {
             content,
--- a/crates/engine/src/chat/request.rs
+++ b/crates/engine/src/chat/request.rs
@@ -1,4 +1,4 @@
-//! A chat request to an engine.
+//! Chat completion requests to engines.
 
 use std::sync::Arc;
 
@@ -6,22 +6,21 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// What an engine is asked.
+/// A chat completion request.
 #[derive(Clone, Debug, Serialize)]
 pub struct Chat {
-    /// The version that is to answer.
+    /// The version that generates the response.
     pub model: VersionId,
-    /// The messages as the caller sent them. Shared: a dossier is long, and
-    /// each attempt carries it.
+    /// The caller's messages, unchanged. They can be long and are shared by all attempts.
     pub messages: Arc<Value>,
-    /// The greatest number of tokens to answer with.
+    /// The maximum number of tokens to generate.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
     /// The request's class.
     pub class: Arc<str>,
 }
 
-/// The body on the wire.
+/// The request body.
 #[derive(Serialize)]
 pub(crate) struct Wire<'a> {
     #[serde(flatten)]
--- a/crates/engine/src/chat/stream.rs
+++ b/crates/engine/src/chat/stream.rs
@@ -1,4 +1,4 @@
-//! A streamed answer on its way.
+//! Streamed responses.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use super::{Answer, Fault, Progress, Reader};
 use crate::{Failure, Why};
 
-/// Time for an engine to end its body after the end mark, after which the
-/// connection is given up. The answer is whole without it.
+/// The maximum time to wait for the end of the body after the end marker. The response
+/// is already complete; after this time only the connection isn't reused.
 const END_TIME: Duration = Duration::from_millis(100);
 
-/// A streamed answer. Dropping it before its end closes the connection, and
-/// the engine sees that nobody waits any more.
+/// A streamed response. Dropping it before its end closes the connection, which tells
+/// the engine that the response is no longer needed.
 #[derive(Debug)]
 pub struct Stream {
     body: Body,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// The text that came since the last call: one token, or more when they
-    /// came faster than they were taken. Nothing at the end, see [`Stream::finish`].
+    /// Waits for more text and returns all text received since the last call, or `None`
+    /// at the end of the stream or after a failure. See [`Stream::finish`].
     pub async fn next(&mut self) -> Option<&str> {
         while self.given == self.reader.content().len() && self.end.is_none() {
             self.end = self.step().await;
@@ -43,16 +43,17 @@
         (!new.is_empty()).then_some(new)
     }
 
-    /// All text that has come, also that of an answer that was cut.
+    /// Returns the text received so far, also if the response is incomplete.
     #[must_use]
     pub fn content(&self) -> &str {
         self.reader.content()
     }
 
-    /// Reads what is left and gives the whole answer.
+    /// Reads the remaining chunks and returns the complete response.
     ///
     /// # Errors
-    /// [`Failure::Cut`] when it isn't whole or isn't this attempt's.
+    /// Returns [`Failure::Cut`] if the response is incomplete, invalid, or belongs to
+    /// another attempt.
     pub async fn finish(mut self) -> Result<Answer, Failure> {
         while self.end.is_none() {
             self.end = self.step().await;
@@ -65,7 +66,7 @@
 
     async fn step(&mut self) -> Option<Result<(), Failure>> {
         if self.reader.progress() == Progress::Done {
-            // Reading the body to its end lets the next request have the connection.
+            // The connection can be reused only after the body has been read to its end.
             let rest = timeout(END_TIME, self.read_rest()).await;
             return Some(rest.unwrap_or(Ok(())));
         }
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Reads what follows the end mark, which must be no further part. What
-    /// breaks there takes nothing from the answer.
+    /// Reads the body after the end marker and fails if it contains another chunk.
+    /// Connection errors are ignored, because the response is already complete.
     async fn read_rest(&mut self) -> Result<(), Failure> {
         while let Ok(Some(piece)) = self.body.piece().await {
             self.reader.feed(&piece).map_err(cut)?;
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,4 +1,4 @@
-//! The client.
+//! The client of engines and plain services.
 
 use http::{Options, Repeat, Request, Response, Status};
 use serde::Deserialize;
@@ -7,40 +7,40 @@
 use crate::failure::{Reply, read};
 use crate::{Answer, Attempt, Call, Chat, Endpoint, Failure, Load, Order, Receipt, Stream, Why};
 
-/// The greatest answer that is read into memory, in bytes.
+/// The maximum size of a response that is read into memory, in bytes.
 const MAX_ANSWER: usize = 32 * 1024 * 1024;
 const MAX_REPORT: usize = 1024 * 1024;
 
-/// Headers that speak for an entry host and that a caller can't set.
+/// Headers that only an entry host may set. They are removed from callers' requests.
 const OWN_HEADERS: [&str; 4] = [
     "x-request-id",
     "x-attempt-id",
     "x-priority",
     "x-incarnation",
 ];
-/// What a caller says to this system only. A service that got the customer's
-/// key could act in the customer's name.
+/// The header with the customer's key. It isn't forwarded, because a service that
+/// receives the key could impersonate the customer.
 const CALLER_KEY: &str = "authorization";
 const CALLER_PREFIX: &str = "barleypin-";
 
-/// The client of engines and plain services. Clones share connections.
+/// A client of engines and plain services. Clones share their connections.
 #[derive(Clone)]
 pub struct Client {
     http: http::Client,
 }
 
 impl Client {
-    /// A client over `http`.
+    /// Creates a client that sends its requests with `http`.
     #[must_use]
     pub fn new(http: http::Client) -> Self {
         Self { http }
     }
 
-    /// Asks an engine for a streamed answer; returns when its head has come.
+    /// Requests a streamed response from an engine. Returns once the response head has arrived.
     ///
     /// # Errors
-    /// [`Failure`]; only [`Failure::NotSent`] and [`Failure::Refused`] prove
-    /// that nothing ran.
+    /// Returns a [`Failure`]. Only [`Failure::NotSent`] and [`Failure::Refused`]
+    /// prove that nothing ran.
     pub async fn stream(
         &self,
         to: &Endpoint,
@@ -52,11 +52,11 @@
         Ok(Stream::new(response.body, attempt.name()))
     }
 
-    /// Asks an engine for an answer in one piece.
+    /// Requests a response from an engine without streaming.
     ///
     /// # Errors
-    /// As [`Client::stream`], and [`Failure::Cut`] when the answer isn't whole
-    /// or isn't this attempt's.
+    /// As [`Client::stream`], and [`Failure::Cut`] if the response is incomplete,
+    /// invalid, or belongs to another attempt.
     pub async fn chat(
         &self,
         to: &Endpoint,
@@ -90,12 +90,12 @@
         Err(explain(response).await)
     }
 
-    /// Passes a call on to a plain service. Whatever the service answers is
-    /// the answer, also an error of its own.
+    /// Forwards a call to a plain service. An error response of the service is
+    /// returned like any other response.
     ///
     /// # Errors
-    /// [`Failure`]; only [`Failure::NotSent`] and [`Failure::Refused`] prove
-    /// that nothing ran.
+    /// Returns a [`Failure`]. Only [`Failure::NotSent`] and [`Failure::Refused`]
+    /// prove that nothing ran.
     pub async fn call(
         &self,
         to: &Endpoint,
@@ -121,7 +121,7 @@
     /// Reads an endpoint's load report.
     ///
     /// # Errors
-    /// [`Failure`] when there is none.
+    /// Returns a [`Failure`] if the endpoint returns no valid report.
     pub async fn load(&self, to: &Endpoint, options: &Options) -> Result<Load, Failure> {
         let options = idempotent(options);
         let request = Request::get("/v1/load");
@@ -132,11 +132,11 @@
         Ok(response.body.parse(MAX_REPORT).await?)
     }
 
-    /// Gives an engine an order.
+    /// Sends an order to an engine.
     ///
     /// # Errors
-    /// [`Failure`] when the engine didn't say what becomes of it; the order
-    /// may be given again.
+    /// Returns a [`Failure`] if the engine neither accepted the order nor reported a
+    /// stale fencing token. The order can be sent again.
     pub async fn order(
         &self,
         to: &Endpoint,
@@ -157,11 +157,11 @@
         }
     }
 
-    /// Tells an endpoint that nobody waits for an attempt any more.
+    /// Cancels an attempt on an endpoint.
     ///
     /// # Errors
-    /// [`Failure`] when it may not have heard; it is safe to ignore, the
-    /// endpoint then works in vain.
+    /// Returns a [`Failure`] if the cancellation may not have reached the endpoint. It
+    /// is safe to ignore; the endpoint then completes work whose result is unused.
     pub async fn cancel(
         &self,
         to: &Endpoint,
@@ -174,7 +174,7 @@
         let options = idempotent(options);
         let response = self.http.send(to.address, request, &options).await?;
         match response.status {
-            // An attempt that it doesn't know doesn't run either.
+            // An attempt that is unknown to the endpoint isn't running there.
             status if status.is_success() || status == Status::NotFound => {
                 drain(response).await;
                 Ok(())
@@ -184,17 +184,18 @@
     }
 }
 
-/// The failure that an answer other than the call's success stands for.
+/// Converts an unsuccessful response to a failure.
 async fn explain(response: Response) -> Failure {
     let status = response.status.into();
     match read(response).await {
         Ok(Reply::Refusal(code)) => Failure::Refused(code),
-        // A refusal that broke off may have been any answer.
+        // An incomplete refusal could have been any other response.
         Ok(Reply::Answer(_)) | Err(_) => Failure::MayHaveRun(Why::Status(status)),
     }
 }
 
-/// Only its own code makes a conflict mean that the lease has passed on.
+/// Parses the body of a conflict. Only the code `stale_fencing` shows that another
+/// host holds the lease.
 async fn stale_fencing(response: Response) -> Result<Receipt, Failure> {
     #[derive(Deserialize)]
     struct Conflict {
@@ -212,8 +213,7 @@
     }
 }
 
-/// Reads what is left of an answer that said all by its status, so that the
-/// connection can be used again.
+/// Reads and discards the response body, so that the connection can be reused.
 async fn drain(response: Response) {
     let _ = response.body.collect(MAX_REPORT).await;
 }
--- a/crates/engine/src/failure.rs
+++ b/crates/engine/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a call has no answer, told by whether it can have run.
+//! Call failures, classified by whether the call may have run.
 
 use derive_more::{Display, Error};
 use http::{Body, Cause, Response, Status};
@@ -6,54 +6,54 @@
 
 use crate::Fault;
 
-/// The greatest refusal that is read, in bytes. It comes with its length.
+/// The maximum `content-length` of a refusal, in bytes. A refusal always declares its length.
 const MAX_REFUSAL: usize = 64 * 1024;
 
-/// Why a call has no whole answer.
+/// The reason why a call has no complete response.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing left this host.
+    /// Nothing was sent.
     #[display("not sent: {_0}")]
     NotSent(#[error(not(source))] Cause),
-    /// The endpoint says that it ran nothing.
+    /// The endpoint refused the call without running it.
     #[display("refused: {_0}")]
     Refused(#[error(not(source))] Code),
-    /// The call may have run, or may still.
+    /// The call may have run or may still be running.
     #[display("may have run: {_0}")]
     MayHaveRun(#[error(not(source))] Why),
-    /// The answer began and didn't come whole.
+    /// The response started but is incomplete or invalid.
     #[display("answer cut: {_0}")]
     Cut(#[error(not(source))] Why),
 }
 
-/// The endpoint's own reason to run nothing.
+/// The reason with which an endpoint refuses a call.
 #[derive(Clone, Copy, Debug, Display, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// The version isn't loaded.
+    /// The version isn't loaded on the engine.
     #[display("not_loaded")]
     NotLoaded,
-    /// It has no room.
+    /// The endpoint has no free capacity.
     #[display("overloaded")]
     Overloaded,
-    /// It takes no new work any more.
+    /// The endpoint is shutting down and accepts no new calls.
     #[display("leaving")]
     Leaving,
-    /// It isn't the life that was meant.
+    /// The endpoint's incarnation differs from the expected one.
     #[display("wrong_incarnation")]
     WrongIncarnation,
 }
 
-/// What went wrong with a call that left this host.
+/// The cause of the failure of a call that was sent, at least in part.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Why {
-    /// The connection.
+    /// The connection failed.
     #[display("{_0}")]
     Link(Cause),
-    /// A status that isn't an own refusal.
+    /// An error status without a refusal code of the endpoint.
     #[display("status {_0}")]
     Status(u16),
-    /// The answer's content.
+    /// The content of the response is invalid.
     #[display("{_0}")]
     Content(Fault),
 }
@@ -70,25 +70,23 @@
     }
 }
 
-/// What an endpoint sent: its own refusal, or an answer.
+/// A refusal by the endpoint, or any other response.
 pub(crate) enum Reply {
     Refusal(Code),
     Answer(Response),
 }
 
-/// Looks for the endpoint's own refusal.
+/// Checks whether `response` is a refusal by the endpoint.
 ///
-/// Only a code of the closed list proves that nothing ran. A 503 by the service
-/// behind the endpoint, or by something between, proves nothing.
+/// Only a known [`Code`] proves that nothing ran. A 503 from the service behind the
+/// endpoint or from an intermediary proves nothing.
 ///
-/// Failure: an endpoint says its refusal twice, the second time late. A refusal names no
-/// attempt, so the next call on that connection took it for its own, and "not run" was
-/// said of a call that ran. A connection on which an endpoint refused is therefore
-/// closed: on a new one, all that it says is about the new call. That costs a handshake
-/// a refusal.
+/// The connection is closed after a refusal. A refusal carries no attempt id, so a
+/// duplicate that arrives late on a reused connection would be taken as the response to
+/// the next call, and a call that ran would be reported as not run.
 ///
 /// # Errors
-/// [`http::Error::Cut`] when what could have been a refusal didn't come whole.
+/// Returns [`http::Error::Cut`] if the body of a possible refusal is incomplete.
 pub(crate) async fn read(response: Response) -> Result<Reply, http::Error> {
     #[derive(Deserialize)]
     struct Refusal {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,10 +1,11 @@
-//! Clients of model engines and plain services, as `docs/PROTOCOLS.md`
-//! describes them.
+//! HTTP client for model engines and plain services. `docs/PROTOCOLS.md`
+//! describes the protocols.
 //!
-//! Every call ends in an answer or a [`Failure`], which tells whether the call
-//! can have run. A streamed answer is checked as it comes: it belongs to the
-//! attempt that asked for it, has no gap and no repeat, and is whole only with
-//! its end mark. Two attempts can therefore never be spliced into one answer.
+//! Every call returns a response or a [`Failure`], which says whether the call
+//! may have run. A streamed response is validated incrementally: each chunk must
+//! carry the attempt's id and the next index, and the response is complete only
+//! after its end marker. Chunks of two attempts are therefore never combined
+//! into one response.
 
 mod attempt;
 mod chat;
--- a/crates/engine/src/load.rs
+++ b/crates/engine/src/load.rs
@@ -1,24 +1,24 @@
-//! Load reports.
+//! Load reports of endpoints.
 
 use kernel::{HostName, Incarnation, VersionId};
 use serde::Deserialize;
 
-/// What an endpoint said about itself, `age_ms` before it answered.
+/// A load report, which was `age_ms` old when the endpoint sent it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct Load {
-    /// Its name.
+    /// The endpoint's name.
     pub name: HostName,
-    /// Its life.
+    /// The endpoint's incarnation.
     pub incarnation: Incarnation,
-    /// Whether it takes new work.
+    /// Whether the endpoint accepts new calls.
     pub state: State,
-    /// Calls that run.
+    /// The number of running calls.
     pub running: u32,
-    /// Calls that wait.
+    /// The number of queued calls.
     pub waiting: u32,
-    /// Calls that can run at the same time.
+    /// The maximum number of calls that run concurrently.
     pub slots: u32,
-    /// The versions that an engine has or is loading.
+    /// The versions that are loaded or loading; empty for a plain service.
     #[serde(default)]
     pub versions: Vec<VersionLoad>,
     /// The age of the report, in milliseconds.
@@ -26,31 +26,31 @@
     pub age_ms: u64,
 }
 
-/// Whether an endpoint takes new work.
+/// The state of an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It does.
+    /// Accepts new calls.
     Live,
-    /// It doesn't any more.
+    /// Is shutting down and accepts no new calls.
     Leaving,
 }
 
-/// A version on an engine.
+/// The state of one version on an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct VersionLoad {
-    /// The version.
+    /// The version's id.
     pub id: VersionId,
-    /// Whether it can answer.
+    /// Whether the version can serve requests.
     pub state: VersionState,
 }
 
-/// Whether a version can answer.
+/// The loading state of a version.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionState {
-    /// It can.
+    /// Ready to serve requests.
     Loaded,
-    /// It can't yet.
+    /// Still being loaded.
     Loading,
 }
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -1,36 +1,36 @@
-//! Orders to engines.
+//! Orders that load and unload versions on engines.
 
 use kernel::VersionId;
 use serde::Serialize;
 
-/// An order. It names the wanted state, so that giving it again is harmless.
+/// An order to an engine. It specifies the desired state and is therefore idempotent.
 #[derive(Clone, Debug, Serialize)]
 pub struct Order {
-    /// The order's name, for the engine's record.
+    /// The id under which the engine records the order.
     pub order: String,
-    /// The fencing number of the lease under which it is given.
+    /// The fencing token of the lease under which the order is sent.
     pub fencing: u64,
-    /// The version.
+    /// The version to load or unload.
     pub version: VersionId,
-    /// What it is to become.
+    /// The desired state of the version.
     pub wanted: Wanted,
 }
 
-/// What a version is to become on an engine.
+/// The desired state of a version on an engine.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum Wanted {
-    /// Ready to answer.
+    /// Loaded and ready to serve requests.
     Loaded,
-    /// Gone.
+    /// Not loaded.
     Unloaded,
 }
 
-/// What an engine says to an order.
+/// An engine's response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// It carries it out.
+    /// The engine accepted the order.
     Taken,
-    /// It has seen a higher fencing number; the lease has passed on.
+    /// The engine has seen a higher fencing token, so another host holds the lease now.
     StaleFencing,
 }
--- a/crates/engine/src/plain.rs
+++ b/crates/engine/src/plain.rs
@@ -1,16 +1,17 @@
-//! Calls of plain services.
+//! Calls to plain services.
 
 use http::{Body, Headers, Method};
 
-/// A call as the caller made it, with the path below the service's name.
+/// A caller's call, with the service's name removed from the path.
 #[derive(Debug)]
 pub struct Call {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query, from `/`.
+    /// The path and query, starting with `/`.
     pub target: String,
-    /// The caller's headers, passed on but for those that belong to its connection.
+    /// The caller's headers. Connection headers, the customer's key and headers
+    /// reserved for this system are not forwarded.
     pub headers: Headers,
-    /// The body.
+    /// The request body.
     pub body: Body,
 }
--- a/crates/engine/src/sse.rs
+++ b/crates/engine/src/sse.rs
@@ -1,19 +1,19 @@
-//! Server-sent events: bytes in, events out, wherever the bytes are split.
+//! Incremental parser of server-sent events.
 
-/// The greatest line, and the greatest event, in bytes. A peer that never ends
-/// a line would otherwise fill the memory.
+/// The maximum size of a line and of an event's data, in bytes. It bounds the memory
+/// that a peer can occupy with a line or event that never ends.
 const MAX_EVENT: usize = 1024 * 1024;
 
-/// An event, borrowed from the parser until the next one.
+/// An event that borrows from the buffers of the parser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event<'a> {
-    /// The event's name, empty when it has none.
+    /// The value of the `event` field; empty if there is none.
     pub name: &'a str,
-    /// Its data, lines joined by `\n`.
+    /// The values of the `data` fields, joined by `\n`.
     pub data: &'a str,
 }
 
-/// Why the bytes are no events.
+/// An error in an event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// A line isn't UTF-8.
@@ -22,25 +22,25 @@
     TooLarge,
 }
 
-/// The incremental parser.
+/// A parser that accepts the bytes of an event stream in pieces of any size.
 #[derive(Debug, Default)]
 pub struct Parser {
-    /// The start of a line whose end hasn't come.
+    /// The bytes of an incomplete line.
     partial: Vec<u8>,
     name: String,
     data: String,
     has_data: bool,
-    /// Whether the last byte was a carriage return, which a line feed may follow.
+    /// Whether the last byte was a carriage return. A line feed after it is skipped.
     after_cr: bool,
     started: bool,
 }
 
 impl Parser {
-    /// Takes the next bytes and hands out the events that they complete, until
-    /// `take` refuses one.
+    /// Parses the next bytes and calls `take` with each event that they complete.
     ///
     /// # Errors
-    /// What `take` says, and `E` made of [`Error`]. No further bytes may follow an error.
+    /// Returns the error of `take`, or an [`Error`] converted to `E`. Don't call `feed`
+    /// again after an error.
     pub fn feed<E: From<Error>>(
         &mut self,
         mut bytes: &[u8],
@@ -106,7 +106,7 @@
         match field {
             "event" => value.clone_into(&mut self.name),
             "data" => self.data(value)?,
-            // Comments, `id` and `retry` mean nothing here.
+            // Comments, `id` and `retry` are ignored.
             _ => {}
         }
         Ok(())
