--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -9,6 +9,7 @@
 
 /// The maximum size of a response that is read into memory, in bytes.
 const MAX_ANSWER: usize = 32 * 1024 * 1024;
+/// The maximum size of a load report and of other short responses, in bytes.
 const MAX_REPORT: usize = 1024 * 1024;
 
 /// Headers that only an entry host may set. They are removed from callers' requests.
@@ -21,6 +22,7 @@
 /// The header with the customer's key. It isn't forwarded, because a service that
 /// receives the key could impersonate the customer.
 const CALLER_KEY: &str = "authorization";
+/// The prefix of headers that are meant for this system only and aren't forwarded.
 const CALLER_PREFIX: &str = "barleypin-";
 
 /// A client of engines and plain services. Clones share their connections.
@@ -194,8 +196,8 @@
     }
 }
 
-/// Parses the body of a conflict. Only the code `stale_fencing` shows that another
-/// host holds the lease.
+/// Parses the body of a conflict. Only the code `stale_fencing` shows that the
+/// lease is no longer valid.
 async fn stale_fencing(response: Response) -> Result<Receipt, Failure> {
     #[derive(Deserialize)]
     struct Conflict {
--- a/crates/engine/src/failure.rs
+++ b/crates/engine/src/failure.rs
@@ -36,7 +36,7 @@
     /// The endpoint has no free capacity.
     #[display("overloaded")]
     Overloaded,
-    /// The endpoint is shutting down and accepts no new calls.
+    /// The endpoint no longer accepts new calls.
     #[display("leaving")]
     Leaving,
     /// The endpoint's incarnation differs from the expected one.
--- a/crates/engine/src/load.rs
+++ b/crates/engine/src/load.rs
@@ -18,7 +18,7 @@
     pub waiting: u32,
     /// The maximum number of calls that run concurrently.
     pub slots: u32,
-    /// The versions that are loaded or loading; empty for a plain service.
+    /// The versions that are loaded or being loaded on an engine.
     #[serde(default)]
     pub versions: Vec<VersionLoad>,
     /// The age of the report, in milliseconds.
@@ -32,7 +32,7 @@
 pub enum State {
     /// Accepts new calls.
     Live,
-    /// Is shutting down and accepts no new calls.
+    /// No longer accepts new calls.
     Leaving,
 }
 
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -31,6 +31,6 @@
 pub enum Receipt {
     /// The engine accepted the order.
     Taken,
-    /// The engine has seen a higher fencing token, so another host holds the lease now.
+    /// The engine has seen a higher fencing token, so the lease is no longer valid.
     StaleFencing,
 }
