--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -51,7 +51,7 @@
     }
 
     /// Adds the headers that identify the attempt to `request`.
-    pub(crate) fn mark(&self, to: &Endpoint, request: Request) -> Request {
+    pub(crate) fn add_headers(&self, to: &Endpoint, request: Request) -> Request {
         request
             .header("x-request-id", self.request.as_str())
             .header("x-attempt-id", self.name())
--- a/crates/engine/src/chat/chunk.rs
+++ b/crates/engine/src/chat/chunk.rs
@@ -52,9 +52,9 @@
 
 /// A response that isn't streamed.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Whole {
+pub(crate) struct CompleteResponse {
     id: String,
-    choices: Vec<WholeChoice>,
+    choices: Vec<CompleteChoice>,
     #[serde(default)]
     finish_reason: Option<String>,
     usage: Usage,
@@ -62,7 +62,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct WholeChoice {
+struct CompleteChoice {
     message: Message,
     #[serde(default)]
     finish_reason: Option<String>,
@@ -73,7 +73,7 @@
     content: String,
 }
 
-impl Whole {
+impl CompleteResponse {
     pub(crate) fn into_answer(self, attempt: &str) -> Result<Answer, Fault> {
         if self.id != attempt {
             return Err(Fault::Foreign);
@@ -84,13 +84,13 @@
             content: choice.message.content,
             finish_reason: finish_reason.ok_or(Fault::Unfinished)?,
             usage: self.usage,
-            confidence: confidence(self.confidence)?,
+            confidence: check_confidence(self.confidence)?,
         })
     }
 }
 
 /// Rejects a confidence outside 0 to 1, which would pass or fail every threshold.
-pub(crate) fn confidence(value: Option<f64>) -> Result<Option<f64>, Fault> {
+pub(crate) fn check_confidence(value: Option<f64>) -> Result<Option<f64>, Fault> {
     match value {
         Some(it) if !(0.0..=1.0).contains(&it) => Err(Fault::Malformed),
         it => Ok(it),
--- a/crates/engine/src/chat/reader.rs
+++ b/crates/engine/src/chat/reader.rs
@@ -1,12 +1,12 @@
 //! Incremental validation of streamed responses.
 
-use super::chunk::{Chunk, confidence};
+use super::chunk::{Chunk, check_confidence};
 use super::{Answer, Fault, Usage};
 use crate::sse::{Event, Parser};
 
 /// The maximum size of the generated text, in bytes.
-const MAX_CONTENT: usize = 32 * 1024 * 1024;
-const DONE: &str = "[DONE]";
+const MAX_CONTENT_BYTES: usize = 32 * 1024 * 1024;
+const END_MARKER: &str = "[DONE]";
 
 /// The progress of a streamed response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,11 +22,11 @@
 #[derive(Debug)]
 pub struct Reader {
     parser: Parser,
-    state: State,
+    state: ResponseState,
 }
 
 #[derive(Debug)]
-struct State {
+struct ResponseState {
     attempt: String,
     next_index: u64,
     content: String,
@@ -47,7 +47,7 @@
     pub fn new(attempt: impl Into<String>) -> Self {
         Self {
             parser: Parser::default(),
-            state: State {
+            state: ResponseState {
                 attempt: attempt.into(),
                 next_index: 0,
                 content: String::new(),
@@ -64,7 +64,7 @@
     /// Returns the first [`Fault`]. Don't call `feed` again after an error.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Progress, Fault> {
         let Self { parser, state } = self;
-        parser.feed(bytes, |event| state.take(event))?;
+        parser.feed(bytes, |event| state.handle_event(event))?;
         Ok(self.progress())
     }
 
@@ -95,7 +95,7 @@
     /// # Errors
     /// Returns [`Fault::Unfinished`] if the end marker hasn't arrived.
     pub fn finish(self) -> Result<Answer, Fault> {
-        let State {
+        let ResponseState {
             content,
             finish,
             done,
@@ -113,8 +113,8 @@
     }
 }
 
-impl State {
-    fn take(&mut self, event: Event<'_>) -> Result<(), Fault> {
+impl ResponseState {
+    fn handle_event(&mut self, event: Event<'_>) -> Result<(), Fault> {
         match event.name {
             "" | "message" => {}
             "error" => return Err(Fault::Failed),
@@ -123,7 +123,7 @@
         if self.done {
             return Err(Fault::Disordered);
         }
-        if event.data == DONE {
+        if event.data == END_MARKER {
             if self.finish.is_none() {
                 return Err(Fault::Unfinished);
             }
@@ -131,10 +131,10 @@
             return Ok(());
         }
         let chunk = serde_json::from_str(event.data).map_err(|_| Fault::Malformed)?;
-        self.chunk(&chunk)
+        self.add_chunk(&chunk)
     }
 
-    fn chunk(&mut self, chunk: &Chunk<'_>) -> Result<(), Fault> {
+    fn add_chunk(&mut self, chunk: &Chunk<'_>) -> Result<(), Fault> {
         if chunk.id != self.attempt {
             return Err(Fault::Foreign);
         }
@@ -142,14 +142,14 @@
             return Err(Fault::Disordered);
         }
         let content = chunk.content();
-        if self.content.len() + content.len() > MAX_CONTENT {
+        if self.content.len() + content.len() > MAX_CONTENT_BYTES {
             return Err(Fault::TooLarge);
         }
         if let Some(reason) = chunk.finish_reason() {
             self.finish = Some(Finish {
                 reason: reason.to_owned(),
                 usage: chunk.usage.ok_or(Fault::Malformed)?,
-                confidence: confidence(chunk.confidence)?,
+                confidence: check_confidence(chunk.confidence)?,
             });
         }
         self.next_index += 1;
--- a/crates/engine/src/chat/request.rs
+++ b/crates/engine/src/chat/request.rs
@@ -22,7 +22,7 @@
 
 /// The request body.
 #[derive(Serialize)]
-pub(crate) struct Wire<'a> {
+pub(crate) struct RequestBody<'a> {
     #[serde(flatten)]
     pub(crate) chat: &'a Chat,
     pub(crate) stream: bool,
--- a/crates/engine/src/chat/stream.rs
+++ b/crates/engine/src/chat/stream.rs
@@ -10,7 +10,7 @@
 
 /// The maximum time to wait for the end of the body after the end marker. The response
 /// is already complete; after this time only the connection isn't reused.
-const END_TIME: Duration = Duration::from_millis(100);
+const BODY_END_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A streamed response. Dropping it before its end closes the connection, which tells
 /// the engine that the response is no longer needed.
@@ -18,8 +18,8 @@
 pub struct Stream {
     body: Body,
     reader: Reader,
-    given: usize,
-    end: Option<Result<(), Failure>>,
+    returned: usize,
+    result: Option<Result<(), Failure>>,
 }
 
 impl Stream {
@@ -27,19 +27,19 @@
         Self {
             body,
             reader: Reader::new(attempt),
-            given: 0,
-            end: None,
+            returned: 0,
+            result: None,
         }
     }
 
     /// Waits for more text and returns all text received since the last call, or `None`
     /// at the end of the stream or after a failure. See [`Stream::finish`].
     pub async fn next(&mut self) -> Option<&str> {
-        while self.given == self.reader.content().len() && self.end.is_none() {
-            self.end = self.step().await;
+        while self.returned == self.reader.content().len() && self.result.is_none() {
+            self.result = self.read_more().await;
         }
-        let new = &self.reader.content()[self.given..];
-        self.given += new.len();
+        let new = &self.reader.content()[self.returned..];
+        self.returned += new.len();
         (!new.is_empty()).then_some(new)
     }
 
@@ -55,23 +55,27 @@
     /// Returns [`Failure::Cut`] if the response is incomplete, invalid, or belongs to
     /// another attempt.
     pub async fn finish(mut self) -> Result<Answer, Failure> {
-        while self.end.is_none() {
-            self.end = self.step().await;
+        while self.result.is_none() {
+            self.result = self.read_more().await;
         }
-        match self.end {
+        match self.result {
             Some(Err(failure)) => Err(failure),
-            _ => self.reader.finish().map_err(cut),
+            _ => self.reader.finish().map_err(content_failure),
         }
     }
 
-    async fn step(&mut self) -> Option<Result<(), Failure>> {
+    async fn read_more(&mut self) -> Option<Result<(), Failure>> {
         if self.reader.progress() == Progress::Done {
             // The connection can be reused only after the body has been read to its end.
-            let rest = timeout(END_TIME, self.read_rest()).await;
+            let rest = timeout(BODY_END_TIMEOUT, self.read_rest()).await;
             return Some(rest.unwrap_or(Ok(())));
         }
         match self.body.piece().await {
-            Ok(Some(piece)) => self.reader.feed(&piece).err().map(|it| Err(cut(it))),
+            Ok(Some(piece)) => self
+                .reader
+                .feed(&piece)
+                .err()
+                .map(|it| Err(content_failure(it))),
             Ok(None) => Some(Ok(())),
             Err(err) => Some(Err(err.into())),
         }
@@ -81,12 +85,12 @@
     /// Connection errors are ignored, because the response is already complete.
     async fn read_rest(&mut self) -> Result<(), Failure> {
         while let Ok(Some(piece)) = self.body.piece().await {
-            self.reader.feed(&piece).map_err(cut)?;
+            self.reader.feed(&piece).map_err(content_failure)?;
         }
         Ok(())
     }
 }
 
-fn cut(fault: Fault) -> Failure {
+fn content_failure(fault: Fault) -> Failure {
     Failure::Cut(Why::Content(fault))
 }
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -3,17 +3,17 @@
 use http::{Options, Repeat, Request, Response, Status};
 use serde::Deserialize;
 
-use crate::chat::{Whole, Wire};
-use crate::failure::{Reply, read};
+use crate::chat::{CompleteResponse, RequestBody};
+use crate::failure::{Reply, classify};
 use crate::{Answer, Attempt, Call, Chat, Endpoint, Failure, Load, Order, Receipt, Stream, Why};
 
 /// The maximum size of a response that is read into memory, in bytes.
-const MAX_ANSWER: usize = 32 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
 /// The maximum size of a load report and of other short responses, in bytes.
-const MAX_REPORT: usize = 1024 * 1024;
+const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
 /// Headers that only an entry host may set. They are removed from callers' requests.
-const OWN_HEADERS: [&str; 4] = [
+const RESERVED_HEADERS: [&str; 4] = [
     "x-request-id",
     "x-attempt-id",
     "x-priority",
@@ -21,9 +21,9 @@
 ];
 /// The header with the customer's key. It isn't forwarded, because a service that
 /// receives the key could impersonate the customer.
-const CALLER_KEY: &str = "authorization";
+const API_KEY_HEADER: &str = "authorization";
 /// The prefix of headers that are meant for this system only and aren't forwarded.
-const CALLER_PREFIX: &str = "barleypin-";
+const PRIVATE_HEADER_PREFIX: &str = "barleypin-";
 
 /// A client of engines and plain services. Clones share their connections.
 #[derive(Clone)]
@@ -50,7 +50,7 @@
         chat: &Chat,
         options: &Options,
     ) -> Result<Stream, Failure> {
-        let response = self.complete(to, attempt, chat, true, options).await?;
+        let response = self.send_chat(to, attempt, chat, true, options).await?;
         Ok(Stream::new(response.body, attempt.name()))
     }
 
@@ -66,16 +66,16 @@
         chat: &Chat,
         options: &Options,
     ) -> Result<Answer, Failure> {
-        let response = self.complete(to, attempt, chat, false, options).await?;
+        let response = self.send_chat(to, attempt, chat, false, options).await?;
         let mut body = response.body;
-        let whole: Whole = body.drain_json(MAX_ANSWER).await?;
-        whole.into_answer(&attempt.name()).map_err(|it| {
+        let complete: CompleteResponse = body.drain_json(MAX_RESPONSE_BYTES).await?;
+        complete.into_answer(&attempt.name()).map_err(|it| {
             body.give_up();
             Failure::Cut(Why::Content(it))
         })
     }
 
-    async fn complete(
+    async fn send_chat(
         &self,
         to: &Endpoint,
         attempt: &Attempt,
@@ -83,13 +83,13 @@
         stream: bool,
         options: &Options,
     ) -> Result<Response, Failure> {
-        let wire = Wire { chat, stream };
-        let request = attempt.mark(to, Request::post("/v1/chat/completions", &wire));
+        let request_body = RequestBody { chat, stream };
+        let request = attempt.add_headers(to, Request::post("/v1/chat/completions", &request_body));
         let response = self.http.send(to.address, request, options).await?;
         if response.status == Status::Ok {
             return Ok(response);
         }
-        Err(explain(response).await)
+        Err(into_failure(response).await)
     }
 
     /// Forwards a call to a plain service. An error response of the service is
@@ -109,14 +109,14 @@
         request.headers = call
             .headers
             .iter()
-            .filter(|(name, _)| is_passed_on(name))
+            .filter(|(name, _)| is_forwarded(name))
             .map(|(name, value)| (name.to_owned(), value))
             .collect();
-        let request = attempt.mark(to, request);
+        let request = attempt.add_headers(to, request);
         let response = self.http.send(to.address, request, options).await?;
-        match read(response).await? {
+        match classify(response).await? {
             Reply::Refusal(code) => Err(Failure::Refused(code)),
-            Reply::Answer(response) => Ok(response),
+            Reply::Other(response) => Ok(response),
         }
     }
 
@@ -131,7 +131,7 @@
         if response.status != Status::Ok {
             return Err(Failure::MayHaveRun(Why::Status(response.status.into())));
         }
-        Ok(response.body.parse(MAX_REPORT).await?)
+        Ok(response.body.parse(MAX_REPORT_BYTES).await?)
     }
 
     /// Sends an order to an engine.
@@ -151,11 +151,11 @@
         let response = self.http.send(to.address, request, &options).await?;
         match response.status {
             Status::Ok | Status::Accepted => {
-                drain(response).await;
+                discard_body(response).await;
                 Ok(Receipt::Taken)
             }
-            Status::Conflict => stale_fencing(response).await,
-            _ => Err(explain(response).await),
+            Status::Conflict => read_conflict(response).await,
+            _ => Err(into_failure(response).await),
         }
     }
 
@@ -178,27 +178,27 @@
         match response.status {
             // An attempt that is unknown to the endpoint isn't running there.
             status if status.is_success() || status == Status::NotFound => {
-                drain(response).await;
+                discard_body(response).await;
                 Ok(())
             }
-            _ => Err(explain(response).await),
+            _ => Err(into_failure(response).await),
         }
     }
 }
 
 /// Converts an unsuccessful response to a failure.
-async fn explain(response: Response) -> Failure {
+async fn into_failure(response: Response) -> Failure {
     let status = response.status.into();
-    match read(response).await {
+    match classify(response).await {
         Ok(Reply::Refusal(code)) => Failure::Refused(code),
         // An incomplete refusal could have been any other response.
-        Ok(Reply::Answer(_)) | Err(_) => Failure::MayHaveRun(Why::Status(status)),
+        Ok(Reply::Other(_)) | Err(_) => Failure::MayHaveRun(Why::Status(status)),
     }
 }
 
 /// Parses the body of a conflict. Only the code `stale_fencing` shows that the
 /// lease is no longer valid.
-async fn stale_fencing(response: Response) -> Result<Receipt, Failure> {
+async fn read_conflict(response: Response) -> Result<Receipt, Failure> {
     #[derive(Deserialize)]
     struct Conflict {
         error: Reason,
@@ -208,7 +208,7 @@
         code: String,
     }
     let status = response.status.into();
-    match response.body.parse::<Conflict>(MAX_REPORT).await {
+    match response.body.parse::<Conflict>(MAX_REPORT_BYTES).await {
         Ok(conflict) if conflict.error.code == "stale_fencing" => Ok(Receipt::StaleFencing),
         Ok(_) | Err(http::Error::Json { .. }) => Err(Failure::MayHaveRun(Why::Status(status))),
         Err(err) => Err(err.into()),
@@ -216,13 +216,15 @@
 }
 
 /// Reads and discards the response body, so that the connection can be reused.
-async fn drain(response: Response) {
-    let _ = response.body.collect(MAX_REPORT).await;
+async fn discard_body(response: Response) {
+    let _ = response.body.collect(MAX_REPORT_BYTES).await;
 }
 
-fn is_passed_on(name: &str) -> bool {
+fn is_forwarded(name: &str) -> bool {
     let name = name.to_ascii_lowercase();
-    !OWN_HEADERS.contains(&name.as_str()) && name != CALLER_KEY && !name.starts_with(CALLER_PREFIX)
+    !RESERVED_HEADERS.contains(&name.as_str())
+        && name != API_KEY_HEADER
+        && !name.starts_with(PRIVATE_HEADER_PREFIX)
 }
 
 fn idempotent(options: &Options) -> Options {
--- a/crates/engine/src/failure.rs
+++ b/crates/engine/src/failure.rs
@@ -7,7 +7,7 @@
 use crate::Fault;
 
 /// The maximum `content-length` of a refusal, in bytes. A refusal always declares its length.
-const MAX_REFUSAL: usize = 64 * 1024;
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
 /// The reason why a call has no complete response.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
@@ -73,7 +73,7 @@
 /// A refusal by the endpoint, or any other response.
 pub(crate) enum Reply {
     Refusal(Code),
-    Answer(Response),
+    Other(Response),
 }
 
 /// Checks whether `response` is a refusal by the endpoint.
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 /// Returns [`http::Error::Cut`] if the body of a possible refusal is incomplete.
-pub(crate) async fn read(response: Response) -> Result<Reply, http::Error> {
+pub(crate) async fn classify(response: Response) -> Result<Reply, http::Error> {
     #[derive(Deserialize)]
     struct Refusal {
         error: Reason,
@@ -96,21 +96,21 @@
     struct Reason {
         code: Code,
     }
-    let is_small = |len| len <= MAX_REFUSAL as u64;
+    let is_small = |len| len <= MAX_REFUSAL_BYTES as u64;
     if response.status != Status::ServiceUnavailable || !response.body.len().is_some_and(is_small) {
-        return Ok(Reply::Answer(response));
+        return Ok(Reply::Other(response));
     }
     let Response {
         status,
         headers,
         mut body,
     } = response;
-    let bytes = body.drain(MAX_REFUSAL).await?;
+    let bytes = body.drain(MAX_REFUSAL_BYTES).await?;
     if let Ok(refusal) = serde_json::from_slice::<Refusal>(&bytes) {
         body.give_up();
         return Ok(Reply::Refusal(refusal.error.code));
     }
-    Ok(Reply::Answer(Response {
+    Ok(Reply::Other(Response {
         status,
         headers,
         body: Body::bytes(bytes),
--- a/crates/engine/src/sse.rs
+++ b/crates/engine/src/sse.rs
@@ -2,7 +2,7 @@
 
 /// The maximum size of a line and of an event's data, in bytes. It bounds the memory
 /// that a peer can occupy with a line or event that never ends.
-const MAX_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// An event that borrows from the buffers of the parser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,15 +36,15 @@
 }
 
 impl Parser {
-    /// Parses the next bytes and calls `take` with each event that they complete.
+    /// Parses the next bytes and calls `on_event` with each event that they complete.
     ///
     /// # Errors
-    /// Returns the error of `take`, or an [`Error`] converted to `E`. Don't call `feed`
+    /// Returns the error of `on_event`, or an [`Error`] converted to `E`. Don't call `feed`
     /// again after an error.
     pub fn feed<E: From<Error>>(
         &mut self,
         mut bytes: &[u8],
-        mut take: impl FnMut(Event<'_>) -> Result<(), E>,
+        mut on_event: impl FnMut(Event<'_>) -> Result<(), E>,
     ) -> Result<(), E> {
         while let Some(&first) = bytes.first() {
             if std::mem::take(&mut self.after_cr) && first == b'\n' {
@@ -52,46 +52,46 @@
                 continue;
             }
             let Some(end) = bytes.iter().position(|it| matches!(it, b'\n' | b'\r')) else {
-                self.hold(bytes)?;
+                self.buffer_partial(bytes)?;
                 break;
             };
             self.after_cr = bytes[end] == b'\r';
-            self.line(&bytes[..end], &mut take)?;
+            self.complete_line(&bytes[..end], &mut on_event)?;
             bytes = &bytes[end + 1..];
         }
         Ok(())
     }
 
-    fn hold(&mut self, bytes: &[u8]) -> Result<(), Error> {
-        if self.partial.len() + bytes.len() > MAX_EVENT {
+    fn buffer_partial(&mut self, bytes: &[u8]) -> Result<(), Error> {
+        if self.partial.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(Error::TooLarge);
         }
         self.partial.extend_from_slice(bytes);
         Ok(())
     }
 
-    fn line<E: From<Error>>(
+    fn complete_line<E: From<Error>>(
         &mut self,
         rest: &[u8],
-        take: impl FnMut(Event<'_>) -> Result<(), E>,
+        on_event: impl FnMut(Event<'_>) -> Result<(), E>,
     ) -> Result<(), E> {
         if self.partial.is_empty() {
-            return self.whole_line(rest, take);
+            return self.parse_line(rest, on_event);
         }
-        self.hold(rest)?;
+        self.buffer_partial(rest)?;
         let mut line = std::mem::take(&mut self.partial);
-        let result = self.whole_line(&line, take);
+        let result = self.parse_line(&line, on_event);
         line.clear();
         self.partial = line;
         result
     }
 
-    fn whole_line<E: From<Error>>(
+    fn parse_line<E: From<Error>>(
         &mut self,
         line: &[u8],
-        take: impl FnMut(Event<'_>) -> Result<(), E>,
+        on_event: impl FnMut(Event<'_>) -> Result<(), E>,
     ) -> Result<(), E> {
-        if line.len() > MAX_EVENT {
+        if line.len() > MAX_EVENT_BYTES {
             return Err(Error::TooLarge.into());
         }
         let mut line = str::from_utf8(line).map_err(|_| Error::Encoding)?;
@@ -99,21 +99,21 @@
             line = line.strip_prefix('\u{feff}').unwrap_or(line);
         }
         if line.is_empty() {
-            return self.end(take);
+            return self.dispatch(on_event);
         }
         let (field, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match field {
             "event" => value.clone_into(&mut self.name),
-            "data" => self.data(value)?,
+            "data" => self.add_data(value)?,
             // Comments, `id` and `retry` are ignored.
             _ => {}
         }
         Ok(())
     }
 
-    fn data(&mut self, value: &str) -> Result<(), Error> {
-        if self.data.len() + value.len() > MAX_EVENT {
+    fn add_data(&mut self, value: &str) -> Result<(), Error> {
+        if self.data.len() + value.len() > MAX_EVENT_BYTES {
             return Err(Error::TooLarge);
         }
         if std::mem::replace(&mut self.has_data, true) {
@@ -123,9 +123,12 @@
         Ok(())
     }
 
-    fn end<E>(&mut self, mut take: impl FnMut(Event<'_>) -> Result<(), E>) -> Result<(), E> {
+    fn dispatch<E>(
+        &mut self,
+        mut on_event: impl FnMut(Event<'_>) -> Result<(), E>,
+    ) -> Result<(), E> {
         let result = if self.has_data {
-            take(Event {
+            on_event(Event {
                 name: &self.name,
                 data: &self.data,
             })
