--- a/crates/engine/tests/suite/client.rs
+++ b/crates/engine/tests/suite/client.rs
@@ -1,4 +1,4 @@
-//! How the client classifies what endpoints do.
+//! Tests of the client against scripted endpoints.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,9 +18,8 @@
 
 use crate::message::read_message;
 
-/// An endpoint that takes one request and answers by the script: a status
-/// line, a body, and `cut` when it dies before the stated end. Gives back the
-/// request's head.
+/// An endpoint that accepts one request and sends a fixed response. Its thread
+/// returns the request's filtered head and its body.
 struct Fake {
     endpoint: Endpoint,
     seen: thread::JoinHandle<String>,
@@ -57,6 +56,8 @@
     format!("{}\n{body}", fields.join("\n"))
 }
 
+/// Builds a response from `status` and the input. With `cut` the connection closes before
+/// the declared length.
 fn answer(case: &mut TestCase) -> Vec<u8> {
     let status: String = case.take_arg("status").unwrap();
     let cut = case.take_flag("cut").unwrap();
@@ -162,7 +163,7 @@
 
 #[test]
 fn an_endpoint_that_refuses_the_connection_ran_nothing() {
-    // Story: an endpoint's process has ended. Its call may go to another.
+    // The endpoint's process has exited. The call can be sent to another endpoint.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
     drop(listener);
@@ -174,8 +175,7 @@
 
 #[test]
 fn an_endpoint_that_hangs_may_have_run() {
-    // Story: an engine takes the request and says nothing. Its host may be
-    // paused and may go on later, so nothing is proved by the silence.
+    // An engine that doesn't respond may be paused and run the request later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
     let options = Options {
@@ -188,9 +188,8 @@
 
 #[test]
 fn an_answer_is_whole_with_its_end_mark() {
-    // Story: an engine sends its end mark and leaves the body open. A caller
-    // that has everything would wait until its time is over, and hear that
-    // the answer was cut.
+    // An engine that sends the end marker but leaves the body open must not delay a
+    // complete response until the timeout, nor turn it into a failure.
     let events = "data: {\"id\":\"7-1\",\"index\":0,\"choices\":[{\"delta\":{\"content\":\"hi\"},\
                   \"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":1,\
                   \"completion_tokens\":1}}\n\ndata: [DONE]\n\n";
@@ -203,7 +202,7 @@
         let len = events.len();
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
         write!(stream, "{head}{len:x}\r\n{events}\r\n").unwrap();
-        // Until the test has its answer.
+        // Keeps the body open until the test has its response.
         let _ = until.recv();
     });
     let answer = async {
@@ -212,7 +211,7 @@
             .await;
         stream.unwrap().finish().await.unwrap()
     };
-    // A third of the request's own time.
+    // Shorter than the request's own timeout.
     let answer = block_on(timeout(Duration::from_secs(10), answer)).unwrap();
     assert_eq!(answer.content, "hi");
     drop(release);
@@ -238,9 +237,8 @@
     );
 }
 
-/// An endpoint that plays one script a connection, until its peer closes it: it takes a
-/// request for each answer, and says it. Answers in one text come without a request
-/// between them.
+/// An endpoint that accepts one connection per script. It reads one request before each
+/// string of the script and then sends that string, which may contain several responses.
 fn scripted(connections: Vec<Vec<String>>) -> Endpoint {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
@@ -275,10 +273,8 @@
 
 #[test]
 fn a_late_refusal_is_not_the_next_calls() {
-    // Story: a booking was made and its caller heard "not run". The endpoint had
-    // refused a call before it, and said so a second time when the booking came on the
-    // same connection. A refusal names no attempt, so only the connection can tell
-    // whose it is.
+    // A duplicate refusal that arrives late on a reused connection was taken as the
+    // response to the next call, and a booking that was made was reported as not run.
     let to = scripted(vec![
         vec![refused(), refused() + &said("200 OK", "booked")],
         vec![said("200 OK", "booked")],
@@ -297,9 +293,8 @@
 
 #[test]
 fn a_connection_with_anothers_answer_is_given_up() {
-    // Story: one answer too many on a kept connection cost each question on it its
-    // answer, one after the other. The first to read a foreign one gave the connection
-    // back, with its own answer still to come, for the next one to find.
+    // With one response too many on a reused connection, every later request would read
+    // the response to the request before it. The connection must be closed.
     let to = scripted(vec![
         vec![answered("7-0"), answered("7-1")],
         vec![answered("7-2")],
@@ -319,8 +314,8 @@
 
 #[test]
 fn a_report_that_is_none_costs_its_connection() {
-    // Story: the same with load reports. An endpoint that lives passed for gone, since
-    // each report on that connection was the answer to something before it.
+    // With one response too many on a reused connection, every later load report would
+    // be malformed, and a healthy endpoint would be considered unavailable.
     let report = json!({"name": "e1", "incarnation": 42, "state": "live", "running": 1,
         "waiting": 0, "slots": 8, "versions": [], "age_ms": 0});
     let to = scripted(vec![
--- a/crates/engine/tests/suite/main.rs
+++ b/crates/engine/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the stream reader, as a pure parser, and of the client against scripted endpoints.
+//! Tests of the event parser, the stream reader and the client against scripted endpoints.
 
 mod client;
 #[path = "../../../http/tests/suite/message.rs"]
--- a/crates/engine/tests/suite/reader.rs
+++ b/crates/engine/tests/suite/reader.rs
@@ -1,4 +1,4 @@
-//! What the reader accepts as the whole answer to an attempt.
+//! Tests of the validation of streamed responses.
 
 use std::fmt::Write as _;
 
@@ -8,7 +8,7 @@
 
 const ATTEMPT: &str = "7-1";
 
-/// What came of the bytes: the text, and the answer or what is wrong with it.
+/// Feeds the pieces to a reader and formats the text, then the response or the fault.
 fn read(pieces: &[&[u8]]) -> String {
     let mut reader = Reader::new(ATTEMPT);
     let fed = pieces.iter().try_for_each(|it| reader.feed(it).map(drop));
@@ -29,8 +29,9 @@
     out
 }
 
-/// Events in short form: `+index text`, `-index` for the last chunk, `done`,
-/// `error`, `~attempt` before the chunks of another, anything else as it stands.
+/// Expands the short form of events: `+index text` for a chunk, `-index` for the last
+/// chunk, `done`, `error`, and `~attempt` to set the attempt id of the chunks that follow.
+/// Other lines are copied unchanged.
 fn expand(input: &str) -> String {
     let mut id = ATTEMPT;
     let mut out = String::new();
@@ -142,8 +143,8 @@
         texts in proptest::collection::vec("[a-zé€]{0,5}", 0..6),
         cut in any::<proptest::sample::Index>(),
     ) {
-        // Story: an engine's host dies at any byte of its answer. Whatever
-        // came, it isn't taken for the whole before the end mark's line.
+        // A stream that is cut off at any byte before the end of the end marker's line
+        // must not be accepted as complete.
         let bytes = expand(&whole(&texts));
         let before_end = bytes.len() - "\n\n".len();
         let cut = cut.index(before_end + 1);
--- a/crates/engine/tests/suite/sse.rs
+++ b/crates/engine/tests/suite/sse.rs
@@ -1,4 +1,4 @@
-//! Events out of bytes, in all forms that the format allows.
+//! Tests of the event stream parser.
 
 use engine::sse::{Error, Parser};
 use expect_test::{Expect, expect};
@@ -70,8 +70,7 @@
 
 #[test]
 fn a_line_without_end_is_not_kept_for_good() {
-    // Story: something that isn't an engine sends without end. Its bytes would
-    // fill the host's memory.
+    // A peer that never ends a line must not exhaust the host's memory.
     check(&vec![b'a'; 2 << 20], &expect!["TooLarge"]);
 }
 
