--- a/crates/engine/tests/suite/client.rs
+++ b/crates/engine/tests/suite/client.rs
@@ -20,22 +20,22 @@
 
 /// An endpoint that accepts one request and sends a fixed response. Its thread
 /// returns the request's filtered head and its body.
-struct Fake {
+struct ScriptedEndpoint {
     endpoint: Endpoint,
-    seen: thread::JoinHandle<String>,
+    received: thread::JoinHandle<String>,
 }
 
-impl Fake {
-    fn start(answer: Vec<u8>) -> Self {
+impl ScriptedEndpoint {
+    fn start(response: Vec<u8>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let endpoint = endpoint(listener.local_addr().unwrap());
-        let seen = thread::spawn(move || {
+        let received = thread::spawn(move || {
             let (mut stream, _) = listener.accept().unwrap();
-            let seen = receive(&mut stream);
-            stream.write_all(&answer).unwrap();
-            seen
+            let received = receive(&mut stream);
+            stream.write_all(&response).unwrap();
+            received
         });
-        Self { endpoint, seen }
+        Self { endpoint, received }
     }
 }
 
@@ -58,7 +58,7 @@
 
 /// Builds a response from `status` and the input. With `cut` the connection closes before
 /// the declared length.
-fn answer(case: &mut TestCase) -> Vec<u8> {
+fn scripted_response(case: &mut TestCase) -> Vec<u8> {
     let status: String = case.take_arg("status").unwrap();
     let cut = case.take_flag("cut").unwrap();
     let body = case.input.trim_end();
@@ -149,11 +149,11 @@
     walk("tests/data/client", |file| {
         file.run(|case| {
             let show = case.take_flag("show-request").unwrap();
-            let fake = Fake::start(answer(case));
+            let fake = ScriptedEndpoint::start(scripted_response(case));
             let result = block_on(run(&case.directive, &fake.endpoint));
-            let seen = fake.seen.join().unwrap();
+            let received = fake.received.join().unwrap();
             if show {
-                format!("{seen}\n\n{result}\n")
+                format!("{received}\n\n{result}\n")
             } else {
                 format!("{result}\n")
             }
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn an_endpoint_that_refuses_the_connection_ran_nothing() {
+fn a_refused_connection_is_reported_as_not_sent() {
     // The endpoint's process has exited. The call can be sent to another endpoint.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn an_endpoint_that_hangs_may_have_run() {
+fn a_response_timeout_may_have_run() {
     // An engine that doesn't respond may be paused and run the request later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn an_answer_is_whole_with_its_end_mark() {
+fn a_response_is_complete_after_its_end_marker() {
     // An engine that sends the end marker but leaves the body open must not delay a
     // complete response until the timeout, nor turn it into a failure.
     let events = "data: {\"id\":\"7-1\",\"index\":0,\"choices\":[{\"delta\":{\"content\":\"hi\"},\
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn headers_of_the_callers_connection_are_not_passed_on() {
+fn connection_headers_are_not_forwarded() {
     let headers: Headers = [("connection", "close"), ("transfer-encoding", "gzip")]
         .into_iter()
         .collect();
@@ -227,19 +227,19 @@
         headers,
         ..seat_hold()
     };
-    let fake = Fake::start(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_vec());
+    let fake = ScriptedEndpoint::start(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_vec());
     let options = Options::default();
     block_on(client().call(&fake.endpoint, &attempt(), call, &options)).unwrap();
-    let seen = fake.seen.join().unwrap();
+    let received = fake.received.join().unwrap();
     assert!(
-        !seen.contains("gzip") && !seen.contains("connection"),
-        "{seen}"
+        !received.contains("gzip") && !received.contains("connection"),
+        "{received}"
     );
 }
 
 /// An endpoint that accepts one connection per script. It reads one request before each
 /// string of the script and then sends that string, which may contain several responses.
-fn scripted(connections: Vec<Vec<String>>) -> Endpoint {
+fn start_scripted(connections: Vec<Vec<String>>) -> Endpoint {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
     thread::spawn(move || {
@@ -256,51 +256,51 @@
     to
 }
 
-fn said(status: &str, body: &str) -> String {
+fn response_text(status: &str, body: &str) -> String {
     let len = body.len();
     format!("HTTP/1.1 {status}\r\ncontent-length: {len}\r\n\r\n{body}")
 }
 
-fn refused() -> String {
-    said("503 X", r#"{"error":{"code":"overloaded"}}"#)
+fn refusal() -> String {
+    response_text("503 X", r#"{"error":{"code":"overloaded"}}"#)
 }
 
-fn answered(attempt: &str) -> String {
+fn chat_response(attempt: &str) -> String {
     let body = json!({"id": attempt, "choices": [{"message": {"content": "hi"}}],
         "finish_reason": "stop", "usage": {"prompt_tokens": 1, "completion_tokens": 1}});
-    said("200 OK", &body.to_string())
+    response_text("200 OK", &body.to_string())
 }
 
 #[test]
-fn a_late_refusal_is_not_the_next_calls() {
+fn a_late_refusal_is_not_the_response_to_the_next_call() {
     // A duplicate refusal that arrives late on a reused connection was taken as the
     // response to the next call, and a booking that was made was reported as not run.
-    let to = scripted(vec![
-        vec![refused(), refused() + &said("200 OK", "booked")],
-        vec![said("200 OK", "booked")],
+    let to = start_scripted(vec![
+        vec![refusal(), refusal() + &response_text("200 OK", "booked")],
+        vec![response_text("200 OK", "booked")],
     ]);
     let client = client();
-    let ask = || async {
+    let send = || async {
         let response = client
             .call(&to, &attempt(), seat_hold(), &Options::default())
             .await;
         response.map(|it| it.status)
     };
-    let first = block_on(ask());
+    let first = block_on(send());
     assert_eq!(first.unwrap_err(), Failure::Refused(Code::Overloaded));
-    assert_eq!(block_on(ask()).unwrap(), http::Status::Ok);
+    assert_eq!(block_on(send()).unwrap(), http::Status::Ok);
 }
 
 #[test]
-fn a_connection_with_anothers_answer_is_given_up() {
+fn a_response_to_another_attempt_closes_the_connection() {
     // With one response too many on a reused connection, every later request would read
     // the response to the request before it. The connection must be closed.
-    let to = scripted(vec![
-        vec![answered("7-0"), answered("7-1")],
-        vec![answered("7-2")],
+    let to = start_scripted(vec![
+        vec![chat_response("7-0"), chat_response("7-1")],
+        vec![chat_response("7-2")],
     ]);
     let client = client();
-    let ask = |id| {
+    let send = |id| {
         let attempt = Attempt {
             id: AttemptId(id),
             ..attempt()
@@ -308,23 +308,23 @@
         block_on(client.chat(&to, &attempt, &chat(), &Options::default()))
     };
     let foreign = Failure::Cut(Why::Content(Fault::Foreign));
-    assert_eq!(ask(1).unwrap_err(), foreign);
-    assert_eq!(ask(2).unwrap().content, "hi");
+    assert_eq!(send(1).unwrap_err(), foreign);
+    assert_eq!(send(2).unwrap().content, "hi");
 }
 
 #[test]
-fn a_report_that_is_none_costs_its_connection() {
+fn a_malformed_load_report_closes_the_connection() {
     // With one response too many on a reused connection, every later load report would
     // be malformed, and a healthy endpoint would be considered unavailable.
     let report = json!({"name": "e1", "incarnation": 42, "state": "live", "running": 1,
         "waiting": 0, "slots": 8, "versions": [], "age_ms": 0});
-    let to = scripted(vec![
-        vec![answered("7-0"), answered("7-1")],
-        vec![said("200 OK", &report.to_string())],
+    let to = start_scripted(vec![
+        vec![chat_response("7-0"), chat_response("7-1")],
+        vec![response_text("200 OK", &report.to_string())],
     ]);
     let client = client();
-    let ask = || block_on(client.load(&to, &Options::default()));
+    let send = || block_on(client.load(&to, &Options::default()));
     let malformed = Failure::Cut(Why::Content(Fault::Malformed));
-    assert_eq!(ask().unwrap_err(), malformed);
-    assert_eq!(ask().unwrap().slots, 8);
+    assert_eq!(send().unwrap_err(), malformed);
+    assert_eq!(send().unwrap().slots, 8);
 }
--- a/crates/engine/tests/suite/reader.rs
+++ b/crates/engine/tests/suite/reader.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn scripted_answers() {
+fn scripted_responses() {
     walk("tests/data/reader", |file| {
         file.run(|case| match case.directive.as_str() {
             "read" => read(&[expand(&case.input).as_bytes()]),
@@ -87,11 +87,11 @@
     ];
     prop_oneof![
         proptest::collection::vec(step, 0..8).prop_map(|it| it.join("\n")),
-        proptest::collection::vec("[a-zé\"\\\\€]{0,5}", 0..6).prop_map(|it| whole(&it)),
+        proptest::collection::vec("[a-zé\"\\\\€]{0,5}", 0..6).prop_map(|it| complete_script(&it)),
     ]
 }
 
-fn whole(texts: &[String]) -> String {
+fn complete_script(texts: &[String]) -> String {
     let mut out = String::new();
     for (index, text) in texts.iter().enumerate() {
         let _ = writeln!(out, "+{index} {text}");
@@ -102,7 +102,7 @@
 
 proptest! {
     #[test]
-    fn it_does_not_matter_where_the_bytes_are_split(
+    fn splits_do_not_change_the_result(
         script in script(),
         line_end in prop_oneof![Just("\n"), Just("\r\n"), Just("\r")],
         cuts in proptest::collection::vec(any::<proptest::sample::Index>(), 0..6),
@@ -122,30 +122,30 @@
     }
 
     #[test]
-    fn single_bytes_give_the_same(script in script()) {
+    fn single_byte_pieces_do_not_change_the_result(script in script()) {
         let text = expand(&script);
         let pieces: Vec<_> = text.as_bytes().chunks(1).collect();
         prop_assert_eq!(read(&pieces), read(&[text.as_bytes()]));
     }
 
     #[test]
-    fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..256)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..256)) {
         read(&[&bytes]);
     }
 
     #[test]
-    fn no_data_panics(data in "\\PC{0,64}") {
+    fn arbitrary_data_does_not_panic(data in "\\PC{0,64}") {
         read(&[format!("data: {data}\n\n").as_bytes()]);
     }
 
     #[test]
-    fn an_answer_is_whole_only_to_its_last_byte(
+    fn a_truncated_response_is_unfinished(
         texts in proptest::collection::vec("[a-zé€]{0,5}", 0..6),
         cut in any::<proptest::sample::Index>(),
     ) {
         // A stream that is cut off at any byte before the end of the end marker's line
         // must not be accepted as complete.
-        let bytes = expand(&whole(&texts));
+        let bytes = expand(&complete_script(&texts));
         let before_end = bytes.len() - "\n\n".len();
         let cut = cut.index(before_end + 1);
         let mut reader = Reader::new(ATTEMPT);
--- a/crates/engine/tests/suite/sse.rs
+++ b/crates/engine/tests/suite/sse.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn one_event() {
+fn single_event() {
     check(b"data: a\n\n", &expect![[r#""" "a""#]]);
 }
 
@@ -30,12 +30,12 @@
 }
 
 #[test]
-fn lines_of_data_are_joined() {
+fn data_lines_are_joined() {
     check(b"data: a\ndata:b\ndata\n\n", &expect![[r#""" "a\nb\n""#]]);
 }
 
 #[test]
-fn all_line_ends() {
+fn all_line_endings() {
     check(
         b"data: a\r\n\r\ndata: b\r\rdata: c\n\n",
         &expect![[r#"
@@ -54,27 +54,27 @@
 }
 
 #[test]
-fn an_event_without_data_is_none() {
+fn events_without_data_are_ignored() {
     check(b"event: a\n\ndata: b\n\n", &expect![[r#""" "b""#]]);
 }
 
 #[test]
-fn an_event_without_its_empty_line_is_none() {
+fn an_event_ends_with_an_empty_line() {
     check(b"data: a\n", &expect![""]);
 }
 
 #[test]
-fn bytes_that_are_no_text() {
+fn invalid_utf8_is_rejected() {
     check(b"data: \xff\n\n", &expect!["Encoding"]);
 }
 
 #[test]
-fn a_line_without_end_is_not_kept_for_good() {
+fn line_length_is_limited() {
     // A peer that never ends a line must not exhaust the host's memory.
     check(&vec![b'a'; 2 << 20], &expect!["TooLarge"]);
 }
 
 #[test]
-fn an_event_without_end_is_not_kept_for_good() {
+fn event_size_is_limited() {
     check(&b"data: a\n".repeat(2 << 20), &expect!["TooLarge"]);
 }
