--- a/crates/engine/tests/suite/client.rs
+++ b/crates/engine/tests/suite/client.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_response_timeout_may_have_run() {
+fn an_endpoint_that_hangs_may_have_run() {
     // An engine that doesn't respond may be paused and run the request later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
--- a/crates/engine/tests/suite/reader.rs
+++ b/crates/engine/tests/suite/reader.rs
@@ -129,7 +129,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..256)) {
+    fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..256)) {
         read(&[&bytes]);
     }
 
@@ -139,7 +139,7 @@
     }
 
     #[test]
-    fn a_truncated_response_is_unfinished(
+    fn an_answer_is_whole_only_to_its_last_byte(
         texts in proptest::collection::vec("[a-zé€]{0,5}", 0..6),
         cut in any::<proptest::sample::Index>(),
     ) {
