--- a/crates/barleypind/src/call/attempt.rs
+++ b/crates/barleypind/src/call/attempt.rs
@@ -8,7 +8,7 @@
 use decide::Outcome;
 use decide::outcome::{Answer, Denial};
 use decide::policy::Priority;
-use engine::{Attempt, Client, Code, Failure, Why};
+use engine::{Attempt, Client, Code, Failure, FailureCause};
 use futures::StreamExt;
 use futures::stream::{self, BoxStream};
 use http::{Cause, Options};
@@ -168,7 +168,7 @@
             }
             Ok(None) => Some((ended(stream.finish().await), State::Closed)),
             Err(_) => {
-                let failure = Failure::Cut(Why::Link(Cause::Timeout));
+                let failure = Failure::Cut(FailureCause::Link(Cause::Timeout));
                 Some((failed(failure), State::Closed))
             }
         }
@@ -286,8 +286,8 @@
             Code::Leaving => Denial::Leaving,
             Code::WrongIncarnation => Denial::WrongIncarnation,
         }),
-        Failure::MayHaveRun(Why::Link(Cause::Timeout))
-        | Failure::Cut(Why::Link(Cause::Timeout)) => Outcome::TimedOut,
+        Failure::MayHaveRun(FailureCause::Link(Cause::Timeout))
+        | Failure::Cut(FailureCause::Link(Cause::Timeout)) => Outcome::TimedOut,
         Failure::MayHaveRun(_) => Outcome::Failed,
         Failure::Cut(_) => Outcome::Cut,
     }
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -46,7 +46,7 @@
 impl Attempt {
     /// Returns the attempt's id on the wire, which is unique across hosts.
     #[must_use]
-    pub fn name(&self) -> String {
+    pub fn wire_id(&self) -> String {
         format!("{}-{}", self.host, self.id)
     }
 
@@ -54,7 +54,7 @@
     pub(crate) fn add_headers(&self, to: &Endpoint, request: Request) -> Request {
         request
             .header("x-request-id", self.request.as_str())
-            .header("x-attempt-id", self.name())
+            .header("x-attempt-id", self.wire_id())
             .header("x-priority", self.priority.to_string())
             .header("x-incarnation", to.incarnation.to_string())
     }
--- a/crates/engine/src/chat/stream.rs
+++ b/crates/engine/src/chat/stream.rs
@@ -6,7 +6,7 @@
 use http::Body;
 
 use super::{Answer, Fault, Progress, Reader};
-use crate::{Failure, Why};
+use crate::{Failure, FailureCause};
 
 /// The maximum time to wait for the end of the body after the end marker. The response
 /// is already complete; after this time only the connection isn't reused.
@@ -92,5 +92,5 @@
 }
 
 fn content_failure(fault: Fault) -> Failure {
-    Failure::Cut(Why::Content(fault))
+    Failure::Cut(FailureCause::Content(fault))
 }
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -5,7 +5,9 @@
 
 use crate::chat::{CompleteResponse, RequestBody};
 use crate::failure::{Reply, classify};
-use crate::{Answer, Attempt, Call, Chat, Endpoint, Failure, Load, Order, Receipt, Stream, Why};
+use crate::{
+    Answer, Attempt, Call, Chat, Endpoint, Failure, FailureCause, Load, Order, Receipt, Stream,
+};
 
 /// The maximum size of a response that is read into memory, in bytes.
 const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
@@ -51,7 +53,7 @@
         options: &Options,
     ) -> Result<Stream, Failure> {
         let response = self.send_chat(to, attempt, chat, true, options).await?;
-        Ok(Stream::new(response.body, attempt.name()))
+        Ok(Stream::new(response.body, attempt.wire_id()))
     }
 
     /// Requests a response from an engine without streaming.
@@ -69,9 +71,9 @@
         let response = self.send_chat(to, attempt, chat, false, options).await?;
         let mut body = response.body;
         let complete: CompleteResponse = body.drain_json(MAX_RESPONSE_BYTES).await?;
-        complete.into_answer(&attempt.name()).map_err(|it| {
+        complete.into_answer(&attempt.wire_id()).map_err(|it| {
             body.give_up();
-            Failure::Cut(Why::Content(it))
+            Failure::Cut(FailureCause::Content(it))
         })
     }
 
@@ -129,7 +131,9 @@
         let request = Request::get("/v1/load");
         let response = self.http.send(to.address, request, &options).await?;
         if response.status != Status::Ok {
-            return Err(Failure::MayHaveRun(Why::Status(response.status.into())));
+            return Err(Failure::MayHaveRun(FailureCause::Status(
+                response.status.into(),
+            )));
         }
         Ok(response.body.parse(MAX_REPORT_BYTES).await?)
     }
@@ -170,7 +174,7 @@
         attempt: &Attempt,
         options: &Options,
     ) -> Result<(), Failure> {
-        let target = format!("/v1/attempts/{}", attempt.name());
+        let target = format!("/v1/attempts/{}", attempt.wire_id());
         let request = Request::new(http::Method::Delete, target)
             .header("x-incarnation", to.incarnation.to_string());
         let options = idempotent(options);
@@ -192,7 +196,7 @@
     match classify(response).await {
         Ok(Reply::Refusal(code)) => Failure::Refused(code),
         // An incomplete refusal could have been any other response.
-        Ok(Reply::Other(_)) | Err(_) => Failure::MayHaveRun(Why::Status(status)),
+        Ok(Reply::Other(_)) | Err(_) => Failure::MayHaveRun(FailureCause::Status(status)),
     }
 }
 
@@ -210,7 +214,9 @@
     let status = response.status.into();
     match response.body.parse::<Conflict>(MAX_REPORT_BYTES).await {
         Ok(conflict) if conflict.error.code == "stale_fencing" => Ok(Receipt::StaleFencing),
-        Ok(_) | Err(http::Error::Json { .. }) => Err(Failure::MayHaveRun(Why::Status(status))),
+        Ok(_) | Err(http::Error::Json { .. }) => {
+            Err(Failure::MayHaveRun(FailureCause::Status(status)))
+        }
         Err(err) => Err(err.into()),
     }
 }
--- a/crates/engine/src/failure.rs
+++ b/crates/engine/src/failure.rs
@@ -20,10 +20,10 @@
     Refused(#[error(not(source))] Code),
     /// The call may have run or may still be running.
     #[display("may have run: {_0}")]
-    MayHaveRun(#[error(not(source))] Why),
+    MayHaveRun(#[error(not(source))] FailureCause),
     /// The response started but is incomplete or invalid.
     #[display("answer cut: {_0}")]
-    Cut(#[error(not(source))] Why),
+    Cut(#[error(not(source))] FailureCause),
 }
 
 /// The reason with which an endpoint refuses a call.
@@ -46,7 +46,7 @@
 
 /// The cause of the failure of a call that was sent, at least in part.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Why {
+pub enum FailureCause {
     /// The connection failed.
     #[display("{_0}")]
     Link(Cause),
@@ -62,10 +62,10 @@
     fn from(err: http::Error) -> Self {
         match err {
             http::Error::NotSent(cause) => Self::NotSent(cause),
-            http::Error::MaybeSent(cause) => Self::MayHaveRun(Why::Link(cause)),
-            http::Error::Cut(cause) => Self::Cut(Why::Link(cause)),
-            http::Error::TooLarge { .. } => Self::Cut(Why::Content(Fault::TooLarge)),
-            http::Error::Json { .. } => Self::Cut(Why::Content(Fault::Malformed)),
+            http::Error::MaybeSent(cause) => Self::MayHaveRun(FailureCause::Link(cause)),
+            http::Error::Cut(cause) => Self::Cut(FailureCause::Link(cause)),
+            http::Error::TooLarge { .. } => Self::Cut(FailureCause::Content(Fault::TooLarge)),
+            http::Error::Json { .. } => Self::Cut(FailureCause::Content(Fault::Malformed)),
         }
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -19,7 +19,7 @@
 pub use attempt::{Attempt, Endpoint, Priority};
 pub use chat::{Answer, Chat, Fault, Progress, Reader, Stream, Usage};
 pub use client::Client;
-pub use failure::{Code, Failure, Why};
+pub use failure::{Code, Failure, FailureCause};
 pub use load::{Load, State, VersionLoad, VersionState};
 pub use order::{Order, Receipt, Wanted};
 pub use plain::Call;
--- a/crates/engine/tests/suite/client.rs
+++ b/crates/engine/tests/suite/client.rs
@@ -10,7 +10,8 @@
 use async_std::task::block_on;
 use datadriven::{TestCase, walk};
 use engine::{
-    Attempt, Call, Chat, Client, Code, Endpoint, Failure, Fault, Order, Priority, Wanted, Why,
+    Attempt, Call, Chat, Client, Code, Endpoint, Failure, FailureCause, Fault, Order, Priority,
+    Wanted,
 };
 use http::{Body, Headers, Method, Options, Pool};
 use kernel::{AttemptId, Incarnation, SystemClock};
@@ -307,7 +308,7 @@
         };
         block_on(client.chat(&to, &attempt, &chat(), &Options::default()))
     };
-    let foreign = Failure::Cut(Why::Content(Fault::Foreign));
+    let foreign = Failure::Cut(FailureCause::Content(Fault::Foreign));
     assert_eq!(send(1).unwrap_err(), foreign);
     assert_eq!(send(2).unwrap().content, "hi");
 }
@@ -324,7 +325,7 @@
     ]);
     let client = client();
     let send = || block_on(client.load(&to, &Options::default()));
-    let malformed = Failure::Cut(Why::Content(Fault::Malformed));
+    let malformed = Failure::Cut(FailureCause::Content(Fault::Malformed));
     assert_eq!(send().unwrap_err(), malformed);
     assert_eq!(send().unwrap().slots, 8);
 }
