--- a/crates/engine/tests/suite/client.rs
+++ b/crates/engine/tests/suite/client.rs
@@ -206,15 +206,15 @@
         // Keeps the body open until the test has its response.
         let _ = until.recv();
     });
-    let answer = async {
+    let response = async {
         let stream = client()
             .stream(&to, &attempt(), &chat(), &Options::default())
             .await;
         stream.unwrap().finish().await.unwrap()
     };
     // Shorter than the request's own timeout.
-    let answer = block_on(timeout(Duration::from_secs(10), answer)).unwrap();
-    assert_eq!(answer.content, "hi");
+    let response = block_on(timeout(Duration::from_secs(10), response)).unwrap();
+    assert_eq!(response.content, "hi");
     drop(release);
     engine.join().unwrap();
 }
@@ -244,13 +244,13 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
     thread::spawn(move || {
-        for answers in connections {
+        for responses in connections {
             let (mut stream, _) = listener.accept().unwrap();
-            for answer in answers {
+            for response in responses {
                 if read_message(&mut stream).is_none() {
                     break;
                 }
-                stream.write_all(answer.as_bytes()).unwrap();
+                stream.write_all(response.as_bytes()).unwrap();
             }
         }
     });
--- a/crates/engine/tests/suite/reader.rs
+++ b/crates/engine/tests/suite/reader.rs
@@ -16,13 +16,13 @@
     let end = fed.and_then(|()| reader.finish());
     let mut out = format!("text {content:?}\n");
     let _ = match end {
-        Ok(answer) => writeln!(
+        Ok(response) => writeln!(
             out,
             "whole: {}, {} + {} tokens, confidence {:?}",
-            answer.finish_reason,
-            answer.usage.prompt_tokens,
-            answer.usage.completion_tokens,
-            answer.confidence
+            response.finish_reason,
+            response.usage.prompt_tokens,
+            response.usage.completion_tokens,
+            response.confidence
         ),
         Err(fault) => writeln!(out, "{fault:?}"),
     };
