--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,46 +1,50 @@
-//! The client.
+//! The client of engines and plain services.
 
 use http::{Options, Repeat, Request, Response, Status};
 use serde::Deserialize;
 
-use crate::chat::{Whole, Wire};
-use crate::failure::{Reply, read};
-use crate::{Answer, Attempt, Call, Chat, Endpoint, Failure, Load, Order, Receipt, Stream, Why};
+use crate::chat::{CompleteResponse, RequestBody};
+use crate::failure::{Reply, classify};
+use crate::{
+    Answer, Attempt, Call, Chat, Endpoint, Failure, FailureCause, Load, Order, Receipt, Stream,
+};
 
-/// The greatest answer that is read into memory, in bytes.
-const MAX_ANSWER: usize = 32 * 1024 * 1024;
-const MAX_REPORT: usize = 1024 * 1024;
+/// The maximum size of a response that is read into memory, in bytes.
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
+/// The maximum size of a load report and of other short responses, in bytes.
+const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
-/// Headers that speak for an entry host and that a caller can't set.
-const OWN_HEADERS: [&str; 4] = [
+/// Headers that only an entry host may set. They are removed from callers' requests.
+const RESERVED_HEADERS: [&str; 4] = [
     "x-request-id",
     "x-attempt-id",
     "x-priority",
     "x-incarnation",
 ];
-/// What a caller says to this system only. A service that got the customer's
-/// key could act in the customer's name.
-const CALLER_KEY: &str = "authorization";
-const CALLER_PREFIX: &str = "barleypin-";
+/// The header with the customer's key. It isn't forwarded, because a service that
+/// receives the key could impersonate the customer.
+const API_KEY_HEADER: &str = "authorization";
+/// The prefix of headers that are meant for this system only and aren't forwarded.
+const PRIVATE_HEADER_PREFIX: &str = "barleypin-";
 
-/// The client of engines and plain services. Clones share connections.
+/// A client of engines and plain services. Clones share their connections.
 #[derive(Clone)]
 pub struct Client {
     http: http::Client,
 }
 
 impl Client {
-    /// A client over `http`.
+    /// Creates a client that sends its requests with `http`.
     #[must_use]
     pub fn new(http: http::Client) -> Self {
         Self { http }
     }
 
-    /// Asks an engine for a streamed answer; returns when its head has come.
+    /// Requests a streamed response from an engine. Returns once the response head has arrived.
     ///
     /// # Errors
-    /// [`Failure`]; only [`Failure::NotSent`] and [`Failure::Refused`] prove
-    /// that nothing ran.
+    /// Returns a [`Failure`]. Only [`Failure::NotSent`] and [`Failure::Refused`]
+    /// prove that nothing ran.
     pub async fn stream(
         &self,
         to: &Endpoint,
@@ -48,15 +52,15 @@
         chat: &Chat,
         options: &Options,
     ) -> Result<Stream, Failure> {
-        let response = self.complete(to, attempt, chat, true, options).await?;
-        Ok(Stream::new(response.body, attempt.name()))
+        let response = self.send_chat(to, attempt, chat, true, options).await?;
+        Ok(Stream::new(response.body, attempt.wire_id()))
     }
 
-    /// Asks an engine for an answer in one piece.
+    /// Requests a response from an engine without streaming.
     ///
     /// # Errors
-    /// As [`Client::stream`], and [`Failure::Cut`] when the answer isn't whole
-    /// or isn't this attempt's.
+    /// As [`Client::stream`], and [`Failure::Cut`] if the response is incomplete,
+    /// invalid, or belongs to another attempt.
     pub async fn chat(
         &self,
         to: &Endpoint,
@@ -64,16 +68,16 @@
         chat: &Chat,
         options: &Options,
     ) -> Result<Answer, Failure> {
-        let response = self.complete(to, attempt, chat, false, options).await?;
+        let response = self.send_chat(to, attempt, chat, false, options).await?;
         let mut body = response.body;
-        let whole: Whole = body.drain_json(MAX_ANSWER).await?;
-        whole.into_answer(&attempt.name()).map_err(|it| {
+        let complete: CompleteResponse = body.drain_json(MAX_RESPONSE_BYTES).await?;
+        complete.into_answer(&attempt.wire_id()).map_err(|it| {
             body.give_up();
-            Failure::Cut(Why::Content(it))
+            Failure::Cut(FailureCause::Content(it))
         })
     }
 
-    async fn complete(
+    async fn send_chat(
         &self,
         to: &Endpoint,
         attempt: &Attempt,
@@ -81,21 +85,21 @@
         stream: bool,
         options: &Options,
     ) -> Result<Response, Failure> {
-        let wire = Wire { chat, stream };
-        let request = attempt.mark(to, Request::post("/v1/chat/completions", &wire));
+        let request_body = RequestBody { chat, stream };
+        let request = attempt.add_headers(to, Request::post("/v1/chat/completions", &request_body));
         let response = self.http.send(to.address, request, options).await?;
         if response.status == Status::Ok {
             return Ok(response);
         }
-        Err(explain(response).await)
+        Err(into_failure(response).await)
     }
 
-    /// Passes a call on to a plain service. Whatever the service answers is
-    /// the answer, also an error of its own.
+    /// Forwards a call to a plain service. An error response of the service is
+    /// returned like any other response.
     ///
     /// # Errors
-    /// [`Failure`]; only [`Failure::NotSent`] and [`Failure::Refused`] prove
-    /// that nothing ran.
+    /// Returns a [`Failure`]. Only [`Failure::NotSent`] and [`Failure::Refused`]
+    /// prove that nothing ran.
     pub async fn call(
         &self,
         to: &Endpoint,
@@ -107,36 +111,38 @@
         request.headers = call
             .headers
             .iter()
-            .filter(|(name, _)| is_passed_on(name))
+            .filter(|(name, _)| is_forwarded(name))
             .map(|(name, value)| (name.to_owned(), value))
             .collect();
-        let request = attempt.mark(to, request);
+        let request = attempt.add_headers(to, request);
         let response = self.http.send(to.address, request, options).await?;
-        match read(response).await? {
+        match classify(response).await? {
             Reply::Refusal(code) => Err(Failure::Refused(code)),
-            Reply::Answer(response) => Ok(response),
+            Reply::Other(response) => Ok(response),
         }
     }
 
     /// Reads an endpoint's load report.
     ///
     /// # Errors
-    /// [`Failure`] when there is none.
+    /// Returns a [`Failure`] if the endpoint returns no valid report.
     pub async fn load(&self, to: &Endpoint, options: &Options) -> Result<Load, Failure> {
         let options = idempotent(options);
         let request = Request::get("/v1/load");
         let response = self.http.send(to.address, request, &options).await?;
         if response.status != Status::Ok {
-            return Err(Failure::MayHaveRun(Why::Status(response.status.into())));
+            return Err(Failure::MayHaveRun(FailureCause::Status(
+                response.status.into(),
+            )));
         }
-        Ok(response.body.parse(MAX_REPORT).await?)
+        Ok(response.body.parse(MAX_REPORT_BYTES).await?)
     }
 
-    /// Gives an engine an order.
+    /// Sends an order to an engine.
     ///
     /// # Errors
-    /// [`Failure`] when the engine didn't say what becomes of it; the order
-    /// may be given again.
+    /// Returns a [`Failure`] if the engine neither accepted the order nor reported a
+    /// stale fencing token. The order can be sent again.
     pub async fn order(
         &self,
         to: &Endpoint,
@@ -149,53 +155,54 @@
         let response = self.http.send(to.address, request, &options).await?;
         match response.status {
             Status::Ok | Status::Accepted => {
-                drain(response).await;
+                discard_body(response).await;
                 Ok(Receipt::Taken)
             }
-            Status::Conflict => stale_fencing(response).await,
-            _ => Err(explain(response).await),
+            Status::Conflict => read_conflict(response).await,
+            _ => Err(into_failure(response).await),
         }
     }
 
-    /// Tells an endpoint that nobody waits for an attempt any more.
+    /// Cancels an attempt on an endpoint.
     ///
     /// # Errors
-    /// [`Failure`] when it may not have heard; it is safe to ignore, the
-    /// endpoint then works in vain.
+    /// Returns a [`Failure`] if the cancellation may not have reached the endpoint. It
+    /// is safe to ignore; the endpoint then completes work whose result is unused.
     pub async fn cancel(
         &self,
         to: &Endpoint,
         attempt: &Attempt,
         options: &Options,
     ) -> Result<(), Failure> {
-        let target = format!("/v1/attempts/{}", attempt.name());
+        let target = format!("/v1/attempts/{}", attempt.wire_id());
         let request = Request::new(http::Method::Delete, target)
             .header("x-incarnation", to.incarnation.to_string());
         let options = idempotent(options);
         let response = self.http.send(to.address, request, &options).await?;
         match response.status {
-            // An attempt that it doesn't know doesn't run either.
+            // An attempt that is unknown to the endpoint isn't running there.
             status if status.is_success() || status == Status::NotFound => {
-                drain(response).await;
+                discard_body(response).await;
                 Ok(())
             }
-            _ => Err(explain(response).await),
+            _ => Err(into_failure(response).await),
         }
     }
 }
 
-/// The failure that an answer other than the call's success stands for.
-async fn explain(response: Response) -> Failure {
+/// Converts an unsuccessful response to a failure.
+async fn into_failure(response: Response) -> Failure {
     let status = response.status.into();
-    match read(response).await {
+    match classify(response).await {
         Ok(Reply::Refusal(code)) => Failure::Refused(code),
-        // A refusal that broke off may have been any answer.
-        Ok(Reply::Answer(_)) | Err(_) => Failure::MayHaveRun(Why::Status(status)),
+        // An incomplete refusal could have been any other response.
+        Ok(Reply::Other(_)) | Err(_) => Failure::MayHaveRun(FailureCause::Status(status)),
     }
 }
 
-/// Only its own code makes a conflict mean that the lease has passed on.
-async fn stale_fencing(response: Response) -> Result<Receipt, Failure> {
+/// Parses the body of a conflict. Only the code `stale_fencing` shows that the
+/// lease is no longer valid.
+async fn read_conflict(response: Response) -> Result<Receipt, Failure> {
     #[derive(Deserialize)]
     struct Conflict {
         error: Reason,
@@ -205,22 +212,25 @@
         code: String,
     }
     let status = response.status.into();
-    match response.body.parse::<Conflict>(MAX_REPORT).await {
+    match response.body.parse::<Conflict>(MAX_REPORT_BYTES).await {
         Ok(conflict) if conflict.error.code == "stale_fencing" => Ok(Receipt::StaleFencing),
-        Ok(_) | Err(http::Error::Json { .. }) => Err(Failure::MayHaveRun(Why::Status(status))),
+        Ok(_) | Err(http::Error::Json { .. }) => {
+            Err(Failure::MayHaveRun(FailureCause::Status(status)))
+        }
         Err(err) => Err(err.into()),
     }
 }
 
-/// Reads what is left of an answer that said all by its status, so that the
-/// connection can be used again.
-async fn drain(response: Response) {
-    let _ = response.body.collect(MAX_REPORT).await;
+/// Reads and discards the response body, so that the connection can be reused.
+async fn discard_body(response: Response) {
+    let _ = response.body.collect(MAX_REPORT_BYTES).await;
 }
 
-fn is_passed_on(name: &str) -> bool {
+fn is_forwarded(name: &str) -> bool {
     let name = name.to_ascii_lowercase();
-    !OWN_HEADERS.contains(&name.as_str()) && name != CALLER_KEY && !name.starts_with(CALLER_PREFIX)
+    !RESERVED_HEADERS.contains(&name.as_str())
+        && name != API_KEY_HEADER
+        && !name.starts_with(PRIVATE_HEADER_PREFIX)
 }
 
 fn idempotent(options: &Options) -> Options {
--- a/crates/engine/tests/suite/client.rs
+++ b/crates/engine/tests/suite/client.rs
@@ -1,4 +1,4 @@
-//! How the client classifies what endpoints do.
+//! Tests of the client against scripted endpoints.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,8 @@
 use async_std::task::block_on;
 use datadriven::{TestCase, walk};
 use engine::{
-    Attempt, Call, Chat, Client, Code, Endpoint, Failure, Fault, Order, Priority, Wanted, Why,
+    Attempt, Call, Chat, Client, Code, Endpoint, Failure, FailureCause, Fault, Order, Priority,
+    Wanted,
 };
 use http::{Body, Headers, Method, Options, Pool};
 use kernel::{AttemptId, Incarnation, SystemClock};
@@ -18,25 +19,24 @@
 
 use crate::message::read_message;
 
-/// An endpoint that takes one request and answers by the script: a status
-/// line, a body, and `cut` when it dies before the stated end. Gives back the
-/// request's head.
-struct Fake {
+/// An endpoint that accepts one request and sends a fixed response. Its thread
+/// returns the request's filtered head and its body.
+struct ScriptedEndpoint {
     endpoint: Endpoint,
-    seen: thread::JoinHandle<String>,
+    received: thread::JoinHandle<String>,
 }
 
-impl Fake {
-    fn start(answer: Vec<u8>) -> Self {
+impl ScriptedEndpoint {
+    fn start(response: Vec<u8>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let endpoint = endpoint(listener.local_addr().unwrap());
-        let seen = thread::spawn(move || {
+        let received = thread::spawn(move || {
             let (mut stream, _) = listener.accept().unwrap();
-            let seen = receive(&mut stream);
-            stream.write_all(&answer).unwrap();
-            seen
+            let received = receive(&mut stream);
+            stream.write_all(&response).unwrap();
+            received
         });
-        Self { endpoint, seen }
+        Self { endpoint, received }
     }
 }
 
@@ -57,7 +57,9 @@
     format!("{}\n{body}", fields.join("\n"))
 }
 
-fn answer(case: &mut TestCase) -> Vec<u8> {
+/// Builds a response from `status` and the input. With `cut` the connection closes before
+/// the declared length.
+fn scripted_response(case: &mut TestCase) -> Vec<u8> {
     let status: String = case.take_arg("status").unwrap();
     let cut = case.take_flag("cut").unwrap();
     let body = case.input.trim_end();
@@ -148,11 +150,11 @@
     walk("tests/data/client", |file| {
         file.run(|case| {
             let show = case.take_flag("show-request").unwrap();
-            let fake = Fake::start(answer(case));
+            let fake = ScriptedEndpoint::start(scripted_response(case));
             let result = block_on(run(&case.directive, &fake.endpoint));
-            let seen = fake.seen.join().unwrap();
+            let received = fake.received.join().unwrap();
             if show {
-                format!("{seen}\n\n{result}\n")
+                format!("{received}\n\n{result}\n")
             } else {
                 format!("{result}\n")
             }
@@ -161,8 +163,8 @@
 }
 
 #[test]
-fn an_endpoint_that_refuses_the_connection_ran_nothing() {
-    // Story: an endpoint's process has ended. Its call may go to another.
+fn a_refused_connection_is_reported_as_not_sent() {
+    // The endpoint's process has exited. The call can be sent to another endpoint.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
     drop(listener);
@@ -174,8 +176,7 @@
 
 #[test]
 fn an_endpoint_that_hangs_may_have_run() {
-    // Story: an engine takes the request and says nothing. Its host may be
-    // paused and may go on later, so nothing is proved by the silence.
+    // An engine that doesn't respond may be paused and run the request later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
     let options = Options {
@@ -187,10 +188,9 @@
 }
 
 #[test]
-fn an_answer_is_whole_with_its_end_mark() {
-    // Story: an engine sends its end mark and leaves the body open. A caller
-    // that has everything would wait until its time is over, and hear that
-    // the answer was cut.
+fn a_response_is_complete_after_its_end_marker() {
+    // An engine that sends the end marker but leaves the body open must not delay a
+    // complete response until the timeout, nor turn it into a failure.
     let events = "data: {\"id\":\"7-1\",\"index\":0,\"choices\":[{\"delta\":{\"content\":\"hi\"},\
                   \"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":1,\
                   \"completion_tokens\":1}}\n\ndata: [DONE]\n\n";
@@ -203,24 +203,24 @@
         let len = events.len();
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
         write!(stream, "{head}{len:x}\r\n{events}\r\n").unwrap();
-        // Until the test has its answer.
+        // Keeps the body open until the test has its response.
         let _ = until.recv();
     });
-    let answer = async {
+    let response = async {
         let stream = client()
             .stream(&to, &attempt(), &chat(), &Options::default())
             .await;
         stream.unwrap().finish().await.unwrap()
     };
-    // A third of the request's own time.
-    let answer = block_on(timeout(Duration::from_secs(10), answer)).unwrap();
-    assert_eq!(answer.content, "hi");
+    // Shorter than the request's own timeout.
+    let response = block_on(timeout(Duration::from_secs(10), response)).unwrap();
+    assert_eq!(response.content, "hi");
     drop(release);
     engine.join().unwrap();
 }
 
 #[test]
-fn headers_of_the_callers_connection_are_not_passed_on() {
+fn connection_headers_are_not_forwarded() {
     let headers: Headers = [("connection", "close"), ("transfer-encoding", "gzip")]
         .into_iter()
         .collect();
@@ -228,108 +228,104 @@
         headers,
         ..seat_hold()
     };
-    let fake = Fake::start(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_vec());
+    let fake = ScriptedEndpoint::start(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_vec());
     let options = Options::default();
     block_on(client().call(&fake.endpoint, &attempt(), call, &options)).unwrap();
-    let seen = fake.seen.join().unwrap();
+    let received = fake.received.join().unwrap();
     assert!(
-        !seen.contains("gzip") && !seen.contains("connection"),
-        "{seen}"
+        !received.contains("gzip") && !received.contains("connection"),
+        "{received}"
     );
 }
 
-/// An endpoint that plays one script a connection, until its peer closes it: it takes a
-/// request for each answer, and says it. Answers in one text come without a request
-/// between them.
-fn scripted(connections: Vec<Vec<String>>) -> Endpoint {
+/// An endpoint that accepts one connection per script. It reads one request before each
+/// string of the script and then sends that string, which may contain several responses.
+fn start_scripted(connections: Vec<Vec<String>>) -> Endpoint {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
     thread::spawn(move || {
-        for answers in connections {
+        for responses in connections {
             let (mut stream, _) = listener.accept().unwrap();
-            for answer in answers {
+            for response in responses {
                 if read_message(&mut stream).is_none() {
                     break;
                 }
-                stream.write_all(answer.as_bytes()).unwrap();
+                stream.write_all(response.as_bytes()).unwrap();
             }
         }
     });
     to
 }
 
-fn said(status: &str, body: &str) -> String {
+fn response_text(status: &str, body: &str) -> String {
     let len = body.len();
     format!("HTTP/1.1 {status}\r\ncontent-length: {len}\r\n\r\n{body}")
 }
 
-fn refused() -> String {
-    said("503 X", r#"{"error":{"code":"overloaded"}}"#)
+fn refusal() -> String {
+    response_text("503 X", r#"{"error":{"code":"overloaded"}}"#)
 }
 
-fn answered(attempt: &str) -> String {
+fn chat_response(attempt: &str) -> String {
     let body = json!({"id": attempt, "choices": [{"message": {"content": "hi"}}],
         "finish_reason": "stop", "usage": {"prompt_tokens": 1, "completion_tokens": 1}});
-    said("200 OK", &body.to_string())
+    response_text("200 OK", &body.to_string())
 }
 
 #[test]
-fn a_late_refusal_is_not_the_next_calls() {
-    // Story: a booking was made and its caller heard "not run". The endpoint had
-    // refused a call before it, and said so a second time when the booking came on the
-    // same connection. A refusal names no attempt, so only the connection can tell
-    // whose it is.
-    let to = scripted(vec![
-        vec![refused(), refused() + &said("200 OK", "booked")],
-        vec![said("200 OK", "booked")],
+fn a_late_refusal_is_not_the_response_to_the_next_call() {
+    // A duplicate refusal that arrives late on a reused connection was taken as the
+    // response to the next call, and a booking that was made was reported as not run.
+    let to = start_scripted(vec![
+        vec![refusal(), refusal() + &response_text("200 OK", "booked")],
+        vec![response_text("200 OK", "booked")],
     ]);
     let client = client();
-    let ask = || async {
+    let send = || async {
         let response = client
             .call(&to, &attempt(), seat_hold(), &Options::default())
             .await;
         response.map(|it| it.status)
     };
-    let first = block_on(ask());
+    let first = block_on(send());
     assert_eq!(first.unwrap_err(), Failure::Refused(Code::Overloaded));
-    assert_eq!(block_on(ask()).unwrap(), http::Status::Ok);
+    assert_eq!(block_on(send()).unwrap(), http::Status::Ok);
 }
 
 #[test]
-fn a_connection_with_anothers_answer_is_given_up() {
-    // Story: one answer too many on a kept connection cost each question on it its
-    // answer, one after the other. The first to read a foreign one gave the connection
-    // back, with its own answer still to come, for the next one to find.
-    let to = scripted(vec![
-        vec![answered("7-0"), answered("7-1")],
-        vec![answered("7-2")],
+fn a_response_to_another_attempt_closes_the_connection() {
+    // With one response too many on a reused connection, every later request would read
+    // the response to the request before it. The connection must be closed.
+    let to = start_scripted(vec![
+        vec![chat_response("7-0"), chat_response("7-1")],
+        vec![chat_response("7-2")],
     ]);
     let client = client();
-    let ask = |id| {
+    let send = |id| {
         let attempt = Attempt {
             id: AttemptId(id),
             ..attempt()
         };
         block_on(client.chat(&to, &attempt, &chat(), &Options::default()))
     };
-    let foreign = Failure::Cut(Why::Content(Fault::Foreign));
-    assert_eq!(ask(1).unwrap_err(), foreign);
-    assert_eq!(ask(2).unwrap().content, "hi");
+    let foreign = Failure::Cut(FailureCause::Content(Fault::Foreign));
+    assert_eq!(send(1).unwrap_err(), foreign);
+    assert_eq!(send(2).unwrap().content, "hi");
 }
 
 #[test]
-fn a_report_that_is_none_costs_its_connection() {
-    // Story: the same with load reports. An endpoint that lives passed for gone, since
-    // each report on that connection was the answer to something before it.
+fn a_malformed_load_report_closes_the_connection() {
+    // With one response too many on a reused connection, every later load report would
+    // be malformed, and a healthy endpoint would be considered unavailable.
     let report = json!({"name": "e1", "incarnation": 42, "state": "live", "running": 1,
         "waiting": 0, "slots": 8, "versions": [], "age_ms": 0});
-    let to = scripted(vec![
-        vec![answered("7-0"), answered("7-1")],
-        vec![said("200 OK", &report.to_string())],
+    let to = start_scripted(vec![
+        vec![chat_response("7-0"), chat_response("7-1")],
+        vec![response_text("200 OK", &report.to_string())],
     ]);
     let client = client();
-    let ask = || block_on(client.load(&to, &Options::default()));
-    let malformed = Failure::Cut(Why::Content(Fault::Malformed));
-    assert_eq!(ask().unwrap_err(), malformed);
-    assert_eq!(ask().unwrap().slots, 8);
+    let send = || block_on(client.load(&to, &Options::default()));
+    let malformed = Failure::Cut(FailureCause::Content(Fault::Malformed));
+    assert_eq!(send().unwrap_err(), malformed);
+    assert_eq!(send().unwrap().slots, 8);
 }
