--- a/crates/gate/src/chat.rs
+++ b/crates/gate/src/chat.rs
@@ -90,16 +90,18 @@
     pub mode: Mode,
     /// Maximum number of tokens in the response.
     pub max_tokens: Option<u32>,
-    /// The request class under which quality is learned.
+    /// The caller's label for the kind of request; answer quality is tracked per
+    /// class. [`DEFAULT_CLASS`] if absent.
     pub class: Arc<str>,
 }
 
 impl Request {
     /// Parses a request body.
     ///
-    /// Sampling parameters are accepted and ignored, because callers' libraries
-    /// send them by default. Fields that change the meaning of the response are
-    /// rejected.
+    /// Rejects any `n` other than 1 and the fields that change the meaning of the
+    /// response and aren't supported, such as `tools`, unless they are null or
+    /// false. All other unknown fields are ignored, because callers' libraries
+    /// send sampling parameters by default.
     ///
     /// # Errors
     /// Returns a 400 problem that names the invalid field and the accepted values,
@@ -311,6 +313,8 @@
     }
 }
 
+/// Parses the token limit. `max_tokens` takes precedence; `max_completion_tokens`
+/// is read only if it is absent or null.
 fn parse_max_tokens(body: &Map<String, Value>, limits: &Limits) -> Result<Option<u32>, Problem> {
     for field in ["max_tokens", "max_completion_tokens"] {
         let Some(value) = body.get(field).filter(|value| !value.is_null()) else {
--- a/crates/gate/src/operator.rs
+++ b/crates/gate/src/operator.rs
@@ -98,9 +98,11 @@
     pub read_at: Revision,
     /// The id of the change.
     pub change: ChangeId,
-    /// The author of the change, as reported by the operator's tool.
+    /// The author of the change, as reported by the operator's tool; empty if the
+    /// header is absent.
     pub author: String,
-    /// Whether the checks against accidental changes apply.
+    /// Whether a withdrawal that leaves a profile or one of its customers without a
+    /// version is refused.
     pub mode: Mode,
 }
 
@@ -152,7 +154,7 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The host accepts requests.
+    /// The host is alive and not shutting down; it may still be starting.
     #[display("live")]
     Live,
     /// The host finishes its open requests and shuts down.
@@ -177,11 +179,14 @@
     pub data_centre: DataCentre,
     /// The host's state.
     pub state: State,
-    /// The revision that is active on the host.
+    /// The revision that is active on the host. Known only for the responding
+    /// host; zero for its peers.
     pub revision: Revision,
     /// Milliseconds since the host last had proof that this revision is the newest.
+    /// `u64::MAX` for peers, and for a host that never had proof.
     pub proof_age_ms: u64,
-    /// The number of open requests.
+    /// The number of open requests. Known only for the responding host; zero for
+    /// its peers.
     pub load: u64,
 }
 
@@ -192,7 +197,7 @@
     pub version: VersionId,
     /// The configured state: `active` or `withdrawn`.
     pub state: String,
-    /// The verdict of the responding host: `healthy`, `probing` or `quarantined`.
+    /// The verdict of the responding host: `healthy` or `quarantined (<cause>)`.
     pub verdict: String,
     /// The number of endpoints that have the version loaded.
     pub endpoints: u32,
@@ -209,7 +214,7 @@
     pub step: u32,
     /// The number of steps.
     pub steps: u32,
-    /// The host that holds the roll-out's lease, if known.
+    /// The host that holds the roll-out's lease. Hosts always send `None`.
     pub holder: Option<HostName>,
 }
 
@@ -233,7 +238,7 @@
     pub peers: Vec<Host>,
     /// All configured versions.
     pub versions: Vec<Health>,
-    /// The roll-outs that are not done.
+    /// All configured roll-outs, in any state.
     pub rollouts: Vec<Rollout>,
     /// Billing records that are not yet in the table.
     pub backlog: Backlog,
--- a/crates/gate/src/problem.rs
+++ b/crates/gate/src/problem.rs
@@ -45,7 +45,7 @@
     /// The customer may not use this profile or service.
     #[display("not_allowed")]
     NotAllowed,
-    /// The body or prompt exceeds a limit.
+    /// The body, the number of messages or their total size exceeds a limit.
     #[display("too_large")]
     TooLarge,
     /// The customer exceeds its rate limit.
@@ -54,13 +54,14 @@
     /// The customer has too many open requests.
     #[display("concurrency_limited")]
     ConcurrencyLimited,
-    /// The endpoints have no capacity left for this priority.
+    /// The endpoints or this host have no capacity left for the request, or the
+    /// configuration changes too fast for an operator's change to be applied.
     #[display("overloaded")]
     Overloaded,
     /// The deadline can't be met or has passed.
     #[display("deadline")]
     Deadline,
-    /// Every version that the customer may use is withdrawn or quarantined.
+    /// Every version that the customer may use is withdrawn.
     #[display("no_version")]
     NoVersion,
     /// No endpoint is available to serve the request.
@@ -72,7 +73,8 @@
     /// This host can't prove that its configuration is the newest.
     #[display("stale")]
     Stale,
-    /// This host has no configuration yet.
+    /// This host has no configuration yet, can't read the committed configuration or
+    /// dropped the call.
     #[display("not_ready")]
     NotReady,
     /// This host is shutting down.
@@ -84,16 +86,19 @@
     /// Another copy of the same request is running.
     #[display("in_progress")]
     InProgress,
-    /// The host that handled the request is gone, and the outcome is lost.
+    /// The host that ran the request or alone may run it is gone or doesn't respond,
+    /// or the request's ticket has expired; the outcome is unknown.
     #[display("holder_gone")]
     HolderGone,
-    /// The idempotency key was already used with another body.
+    /// The idempotency key or change id was already used for another request.
     #[display("key_reused")]
     KeyReused,
-    /// The endpoints failed.
+    /// The endpoints failed, or an earlier request with the same idempotency key
+    /// was sent to one and got no response.
     #[display("upstream_failed")]
     UpstreamFailed,
-    /// The response was cut off after it had started.
+    /// The request may have been run, but its complete response isn't available:
+    /// it was cut off or is no longer stored.
     #[display("answer_cut")]
     AnswerCut,
     /// Another operator changed the same entry first.
@@ -188,8 +193,9 @@
     /// Returns the default delay after which a caller may retry.
     ///
     /// Without a delay, refused callers retry at once and flood a host that is
-    /// already in trouble. Every temporary condition has its delay here, so that
-    /// no code path can omit it.
+    /// already in trouble. [`Problem::new`] applies the delay, so that no code
+    /// path has to. Reasons that may be temporary but have no default delay, such
+    /// as [`Self::Deadline`] and [`Self::UpstreamFailed`], return `None`.
     #[must_use]
     pub fn retry_after(self) -> Option<Duration> {
         match self {
@@ -224,7 +230,9 @@
     /// Returns whether a refusal with this reason can state that no endpoint ran
     /// the request.
     ///
-    /// False for the reasons that arise only if an endpoint may have run it.
+    /// False for the reasons under which this host can't rule out that an endpoint
+    /// ran it, possibly through another host or an earlier request with the same
+    /// idempotency key.
     #[must_use]
     pub fn can_prove_not_run(self) -> bool {
         !matches!(self, Self::InProgress | Self::HolderGone | Self::AnswerCut)
--- a/crates/gate/src/seal.rs
+++ b/crates/gate/src/seal.rs
@@ -4,10 +4,12 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 const MAC_BYTES: usize = 32;
-/// Longer than any token that this system issues. Longer input is not decoded.
+/// Longer input is not decoded. Session tokens, tickets and forwarding proofs are
+/// expected to be shorter; [`seal`] doesn't check this.
 const MAX_TEXT_BYTES: usize = 2048;
 
-/// Encodes `value` and its keyed hash as text for a header.
+/// Encodes `value` and its keyed hash as text for a header. The value is signed, not
+/// encrypted: the caller can read it.
 pub(crate) fn seal<T: Serialize>(secret: &Secret, prefix: &str, value: &T) -> String {
     let mut bytes = postcard::to_stdvec(value).expect("tokens contain only text and numbers");
     let mac = secret.sign(&signed_bytes(prefix, &bytes));
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -23,7 +23,7 @@
     pub profile: ProfileName,
     /// The version that serves the session.
     pub version: VersionId,
-    /// Wall time at which the session was pinned, since the Unix epoch.
+    /// Wall time at which this token was issued, since the Unix epoch.
     pub issued: Duration,
 }
 
--- a/crates/gate/src/ticket.rs
+++ b/crates/gate/src/ticket.rs
@@ -1,4 +1,4 @@
-//! The ticket that binds an idempotency key to one host incarnation.
+//! The ticket that binds the calls made under it to one host incarnation.
 //!
 //! Only the incarnation that issued a ticket may run the calls made under it, so
 //! it can tell whether a key was run without querying the store; see
@@ -26,7 +26,8 @@
     /// under this ticket.
     pub expiry: Duration,
     /// The number of the incarnation's next billing record when the ticket was
-    /// issued.
+    /// issued. Records of calls made under the ticket have this number or a higher
+    /// one.
     pub floor: u64,
 }
 
--- a/crates/gate/tests/token.rs
+++ b/crates/gate/tests/token.rs
@@ -1,4 +1,4 @@
-//! Encoding and verification of session tokens and tickets.
+//! Encoding and verification of session tokens, tickets and forwarding proofs.
 
 use std::time::Duration;
 
