--- a/crates/gate/src/call.rs
+++ b/crates/gate/src/call.rs
@@ -22,7 +22,7 @@
 /// call, see [`crate::ticket::forwarding_proof`].
 pub const VIA: &str = "barleypin-via";
 
-const MAX_KEY_BYTES: usize = 128;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 const MAX_DEADLINE: Duration = Duration::from_hours(1);
 
 /// The parsed headers of a call.
@@ -47,7 +47,9 @@
     /// Returns a 400 problem that names the invalid header and the accepted values.
     pub fn parse<'a>(get: impl Fn(&str) -> Option<&'a str>) -> Result<Self, Problem> {
         Ok(Self {
-            key: get(IDEMPOTENCY_KEY).map(parse_key).transpose()?,
+            key: get(IDEMPOTENCY_KEY)
+                .map(parse_idempotency_key)
+                .transpose()?,
             ticket: get(TICKET).map(str::to_owned),
             session: get(SESSION).map(str::to_owned),
             deadline: get(DEADLINE).map(parse_deadline).transpose()?,
@@ -74,8 +76,8 @@
         })
 }
 
-fn parse_key(text: &str) -> Result<Arc<str>, Problem> {
-    let is_valid = text.len() <= MAX_KEY_BYTES
+fn parse_idempotency_key(text: &str) -> Result<Arc<str>, Problem> {
+    let is_valid = text.len() <= MAX_IDEMPOTENCY_KEY_BYTES
         && !text.is_empty()
         && text
             .bytes()
--- a/crates/gate/src/chat.rs
+++ b/crates/gate/src/chat.rs
@@ -12,7 +12,7 @@
 /// The class of a request that sets none.
 pub const DEFAULT_CLASS: &str = "general";
 
-const MAX_NAME_BYTES: usize = 64;
+const MAX_PROFILE_OR_CLASS_BYTES: usize = 64;
 
 /// Fields that change the meaning of the response and that the engines don't
 /// support. If they were ignored, the response wouldn't match the request.
@@ -230,7 +230,7 @@
 fn parse_profile(body: &Map<String, Value>) -> Result<ProfileName, Problem> {
     body.get("model")
         .and_then(Value::as_str)
-        .filter(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES)
+        .filter(|name| !name.is_empty() && name.len() <= MAX_PROFILE_OR_CLASS_BYTES)
         .map(ProfileName::from)
         .ok_or_else(|| bad_request("model: expected the name of a profile".to_owned()))
 }
@@ -346,7 +346,7 @@
 }
 
 fn is_valid_class(text: &str) -> bool {
-    (1..=MAX_NAME_BYTES).contains(&text.len())
+    (1..=MAX_PROFILE_OR_CLASS_BYTES).contains(&text.len())
         && text
             .bytes()
             .all(|it| it.is_ascii_lowercase() || it.is_ascii_digit() || it == b'-' || it == b'_')
--- a/crates/gate/tests/headers.rs
+++ b/crates/gate/tests/headers.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn headers_are_parsed_or_rejected_by_name() {
+fn call_headers_are_parsed_or_rejected() {
     check(
         headers("", ""),
         &expect![
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn change_requires_revision_and_change_id() {
+fn change_headers_are_parsed_or_rejected() {
     check(
         condition("12", "c-1"),
         &expect![[
--- a/crates/gate/tests/problem.rs
+++ b/crates/gate/tests/problem.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn each_reason_is_listed_once() {
+fn all_reasons_are_distinct_and_display_matches_json() {
     for (idx, reason) in Reason::ALL.iter().enumerate() {
         assert_eq!(Reason::ALL.iter().position(|it| it == reason), Some(idx));
         let json = serde_json::to_string(reason).unwrap();
--- a/crates/gate/tests/token.rs
+++ b/crates/gate/tests/token.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn detail(text: &str, customer: &str, profile: &str) -> String {
+fn open_error_detail(text: &str, customer: &str, profile: &str) -> String {
     Token::open(&secret("a"), text, &customer.into(), &profile.into())
         .unwrap_err()
         .detail
@@ -48,15 +48,15 @@
 fn a_foreign_token_is_refused_with_what_is_wrong() {
     let sealed = token().seal(&secret("a"));
     assert_eq!(
-        detail(&sealed, "gates", "dossier"),
+        open_error_detail(&sealed, "gates", "dossier"),
         "barleypin-session: belongs to another customer"
     );
     assert_eq!(
-        detail(&sealed, "portal", "era-tags"),
+        open_error_detail(&sealed, "portal", "era-tags"),
         "barleypin-session: belongs to profile dossier, not era-tags"
     );
     assert_eq!(
-        detail(&token().seal(&secret("b")), "portal", "dossier"),
+        open_error_detail(&token().seal(&secret("b")), "portal", "dossier"),
         "barleypin-session: is not a token of this system; leave it out to start anew"
     );
 }
@@ -65,7 +65,7 @@
 fn ticket_is_rejected_as_session_token() {
     let sealed = ticket().seal(&secret("a"));
     let renamed = sealed.replacen("t1.", "s1.", 1);
-    assert!(detail(&sealed, "portal", "dossier").contains("not a token"));
+    assert!(open_error_detail(&sealed, "portal", "dossier").contains("not a token"));
     assert!(Token::open(&secret("a"), &renamed, &"portal".into(), &"dossier".into()).is_err());
 }
 
