--- a/crates/clients/src/objects.rs
+++ b/crates/clients/src/objects.rs
@@ -1,40 +1,41 @@
-//! The object store.
+//! Client of the object store.
 
 use http::{Body, Method, Repeat, Request, Status};
 
-use crate::call::{self, MAX_ANSWER};
 use crate::percent::encode;
+use crate::response::{self, MAX_RESPONSE_BYTES};
 use crate::{Error, Reason, Service};
 
-/// The client of the object store.
+/// Client of the object store.
 #[derive(Clone)]
 pub struct Objects {
     service: Service,
 }
 
 impl Objects {
-    /// A client of the store at `service`.
+    /// Creates a client that calls `service`.
     #[must_use]
     pub fn new(service: Service) -> Self {
         Self { service }
     }
 
-    /// Writes an object, in place of one of that name.
+    /// Writes an object, replacing any object of that name.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] or [`Error::Unknown`], precisely. Writing again is harmless.
+    /// [`Error::NotApplied`] if the object wasn't written, [`Error::Unknown`] if
+    /// it may have been. Writes are idempotent and can be retried.
     pub async fn put(&self, name: &str, bytes: Vec<u8>) -> Result<(), Error> {
         let target = format!("/v1/objects/{}", encode(name));
         let request = Request::new(Method::Put, target).body(Body::bytes(bytes));
         self.service
-            .call(request, Repeat::Idempotent, call::accepted)
+            .call(request, Repeat::Idempotent, response::expect_success)
             .await
     }
 
-    /// Reads an object; nothing when there is none of that name.
+    /// Reads an object; returns `None` if there is none of that name.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] or [`Error::Unknown`] when there is no answer.
+    /// [`Error::NotApplied`] or [`Error::Unknown`] when the object can't be read.
     pub async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         let request = Request::get(format!("/v1/objects/{}", encode(name)));
         self.service
@@ -42,12 +43,12 @@
                 match response.status {
                     Status::Ok => {}
                     Status::NotFound => {
-                        call::discard(response).await;
+                        response::discard(response).await;
                         return Ok(None);
                     }
-                    status => return Err(Error::status(status)),
+                    status => return Err(Error::from_status(status)),
                 }
-                let bytes = response.body.collect(MAX_ANSWER).await;
+                let bytes = response.body.collect(MAX_RESPONSE_BYTES).await;
                 bytes
                     .map(Some)
                     .map_err(|err| Error::Unknown(Reason::Http(err)))
--- a/crates/clients/tests/suite/calls.rs
+++ b/crates/clients/tests/suite/calls.rs
@@ -1,4 +1,4 @@
-//! How the clients classify what services do.
+//! Tests of the clients against scripted services.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,22 +17,22 @@
 use http::{Client, Options, Pool};
 use kernel::{Clock, Incarnation, ManualClock, Revision, SystemClock};
 
-/// Takes one connection after the other, one request on each, and answers
-/// with the next of `answers`; an empty one stands for a lost answer. Gives
-/// back the requests.
-fn serve(answers: Vec<Vec<u8>>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
+/// Accepts one connection per element of `responses`, reads a request and sends
+/// the element as the response; an empty element closes the connection without
+/// a response. The thread returns the requests.
+fn serve(responses: Vec<Vec<u8>>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let seen = thread::spawn(move || {
-        let take = |answer: Vec<u8>| {
+    let received = thread::spawn(move || {
+        let respond = |response: Vec<u8>| {
             let (mut stream, _) = listener.accept().unwrap();
-            let seen = receive(&mut stream);
-            stream.write_all(&answer).unwrap();
-            seen
+            let received = receive(&mut stream);
+            stream.write_all(&response).unwrap();
+            received
         };
-        answers.into_iter().map(take).collect()
+        responses.into_iter().map(respond).collect()
     });
-    (address, seen)
+    (address, received)
 }
 
 use crate::message::read_message;
@@ -43,7 +43,7 @@
     format!("{line}\n{body}")
 }
 
-fn answer(status: &str, body: &str) -> Vec<u8> {
+fn response(status: &str, body: &str) -> Vec<u8> {
     let len = body.len();
     format!("HTTP/1.1 {status} X\r\nconnection: close\r\ncontent-length: {len}\r\n\r\n{body}")
         .into_bytes()
@@ -122,15 +122,15 @@
     let show = case.take_flag("show-request").unwrap();
     let cut = case.take_flag("cut").unwrap();
     let status: Option<String> = case.try_take_arg("status").unwrap();
-    let mut bytes = status.map_or_else(Vec::new, |it| answer(&it, case.input.trim_end()));
+    let mut bytes = status.map_or_else(Vec::new, |it| response(&it, case.input.trim_end()));
     if cut {
         bytes.pop();
     }
-    let (address, seen) = serve(vec![bytes]);
+    let (address, received) = serve(vec![bytes]);
     let result = block_on(run(&case.directive, plain_service(address)));
-    let seen = seen.join().unwrap().remove(0);
+    let received = received.join().unwrap().remove(0);
     if show {
-        format!("{}\n{result}\n", seen.trim_end())
+        format!("{}\n{result}\n", received.trim_end())
     } else {
         format!("{result}\n")
     }
@@ -144,8 +144,7 @@
 }
 
 #[test]
-fn a_refused_connection_applies_nothing() {
-    // Story: the table's host is being replaced and refuses connections.
+fn refused_connection_is_not_applied() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -154,9 +153,8 @@
 }
 
 #[test]
-fn a_slow_table_leaves_open_what_it_did() {
-    // Story: the table is slow. A commit's caller gives up; the commit takes
-    // effect all the same, and the operator who repeats it must find that out.
+fn timed_out_transaction_is_unknown() {
+    // A transaction can still be applied after its caller timed out.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let options = Options {
         first_byte: Duration::from_millis(30),
@@ -169,12 +167,12 @@
 }
 
 #[test]
-fn an_outage_is_noticed_once_for_all_callers() {
-    // Story: the table says that it is down. After three calls the others hear
-    // of it without a connection, until a probe is due and finds it back.
-    let out = answer("503", "");
-    let back = answer("200", r#"{"versions":{}}"#);
-    let (address, seen) = serve(vec![out.clone(), out.clone(), out, back]);
+fn open_circuit_refuses_calls_until_probe_succeeds() {
+    // After three 503 responses, calls must fail without a connection until a
+    // probe succeeds.
+    let out = response("503", "");
+    let back = response("200", r#"{"versions":{}}"#);
+    let (address, received) = serve(vec![out.clone(), out.clone(), out, back]);
     let clock = Arc::new(ManualClock::default());
     let service = service(address, Arc::clone(&clock) as _, Options::default());
     let table = Table::new(service);
@@ -192,14 +190,12 @@
         assert!(table.transact(&transaction()).await.is_ok());
         assert!(!table.is_out());
     });
-    assert_eq!(seen.join().unwrap().len(), 4);
+    assert_eq!(received.join().unwrap().len(), 4);
 }
 
 #[test]
-fn a_probe_that_its_caller_gave_up_frees_the_next() {
-    // Story: the table is down. The one caller that probes has no time left
-    // and drops its call. The others would hear of an outage for ten seconds
-    // more, whenever the table comes back.
+fn dropped_probe_counts_as_failed() {
+    // A dropped probe must not keep the circuit open for the whole `probe_time`.
     let hanging = TcpListener::bind("127.0.0.1:0").unwrap();
     let clock = Arc::new(ManualClock::default());
     let options = Options {
@@ -223,9 +219,9 @@
 }
 
 #[test]
-fn a_conflict_is_no_outage() {
-    let conflict = answer("409", r#"{"failed":[]}"#);
-    let (address, seen) = serve(vec![conflict; 5]);
+fn conflict_does_not_open_circuit() {
+    let conflict = response("409", r#"{"failed":[]}"#);
+    let (address, received) = serve(vec![conflict; 5]);
     let table = Table::new(plain_service(address));
     block_on(async {
         for _ in 0..5 {
@@ -234,5 +230,5 @@
         }
     });
     assert!(!table.is_out());
-    assert_eq!(seen.join().unwrap().len(), 5);
+    assert_eq!(received.join().unwrap().len(), 5);
 }
--- a/crates/engine/src/chat/reader.rs
+++ b/crates/engine/src/chat/reader.rs
@@ -1,32 +1,32 @@
-//! The check of a streamed answer.
+//! Incremental validation of streamed responses.
 
-use super::chunk::{Chunk, confidence};
+use super::chunk::{Chunk, check_confidence};
 use super::{Answer, Fault, Usage};
 use crate::sse::{Event, Parser};
 
-/// The greatest answer, in bytes of text.
-const MAX_CONTENT: usize = 32 * 1024 * 1024;
-const DONE: &str = "[DONE]";
+/// The maximum size of the generated text, in bytes.
+const MAX_CONTENT_BYTES: usize = 32 * 1024 * 1024;
+const END_MARKER: &str = "[DONE]";
 
-/// How far an answer has come.
+/// The progress of a streamed response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// More is to come.
+    /// The end marker hasn't arrived yet.
     Open,
-    /// The end mark came.
+    /// The end marker has arrived.
     Done,
 }
 
-/// Reads a streamed answer as its bytes come, and accepts only the whole
-/// answer to its own attempt.
+/// An incremental reader of a streamed response. It rejects chunks of other attempts,
+/// chunks out of order and incomplete responses.
 #[derive(Debug)]
 pub struct Reader {
     parser: Parser,
-    state: State,
+    state: ResponseState,
 }
 
 #[derive(Debug)]
-struct State {
+struct ResponseState {
     attempt: String,
     next_index: u64,
     content: String,
@@ -42,12 +42,12 @@
 }
 
 impl Reader {
-    /// A reader of the answer to the attempt of this name.
+    /// Creates a reader of the response to the attempt with the given wire id.
     #[must_use]
     pub fn new(attempt: impl Into<String>) -> Self {
         Self {
             parser: Parser::default(),
-            state: State {
+            state: ResponseState {
                 attempt: attempt.into(),
                 next_index: 0,
                 content: String::new(),
@@ -57,18 +57,18 @@
         }
     }
 
-    /// Takes the next bytes. What they add to the text is at the end of
-    /// [`Reader::content`], also when a fault follows it.
+    /// Parses the next bytes and appends their text to [`Reader::content`], including
+    /// text that precedes a fault.
     ///
     /// # Errors
-    /// The fault that ends the answer. No further bytes may follow it.
+    /// Returns the first [`Fault`]. Don't call `feed` again after an error.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Progress, Fault> {
         let Self { parser, state } = self;
-        parser.feed(bytes, |event| state.take(event))?;
+        parser.feed(bytes, |event| state.handle_event(event))?;
         Ok(self.progress())
     }
 
-    /// How far the answer has come.
+    /// Returns whether the end marker has arrived.
     #[must_use]
     pub fn progress(&self) -> Progress {
         if self.state.done {
@@ -78,24 +78,24 @@
         }
     }
 
-    /// The text that has come.
+    /// Returns the text received so far.
     #[must_use]
     pub fn content(&self) -> &str {
         &self.state.content
     }
 
-    /// How many chunks have come.
+    /// Returns the number of chunks received so far.
     #[must_use]
     pub fn chunks(&self) -> u64 {
         self.state.next_index
     }
 
-    /// The answer, after the last byte.
+    /// Returns the complete response. Call it after the last byte.
     ///
     /// # Errors
-    /// [`Fault::Unfinished`] when the end mark hasn't come.
+    /// Returns [`Fault::Unfinished`] if the end marker hasn't arrived.
     pub fn finish(self) -> Result<Answer, Fault> {
-        let State {
+        let ResponseState {
             content,
             finish,
             done,
@@ -113,8 +113,8 @@
     }
 }
 
-impl State {
-    fn take(&mut self, event: Event<'_>) -> Result<(), Fault> {
+impl ResponseState {
+    fn handle_event(&mut self, event: Event<'_>) -> Result<(), Fault> {
         match event.name {
             "" | "message" => {}
             "error" => return Err(Fault::Failed),
@@ -123,7 +123,7 @@
         if self.done {
             return Err(Fault::Disordered);
         }
-        if event.data == DONE {
+        if event.data == END_MARKER {
             if self.finish.is_none() {
                 return Err(Fault::Unfinished);
             }
@@ -131,10 +131,10 @@
             return Ok(());
         }
         let chunk = serde_json::from_str(event.data).map_err(|_| Fault::Malformed)?;
-        self.chunk(&chunk)
+        self.add_chunk(&chunk)
     }
 
-    fn chunk(&mut self, chunk: &Chunk<'_>) -> Result<(), Fault> {
+    fn add_chunk(&mut self, chunk: &Chunk<'_>) -> Result<(), Fault> {
         if chunk.id != self.attempt {
             return Err(Fault::Foreign);
         }
@@ -142,14 +142,14 @@
             return Err(Fault::Disordered);
         }
         let content = chunk.content();
-        if self.content.len() + content.len() > MAX_CONTENT {
+        if self.content.len() + content.len() > MAX_CONTENT_BYTES {
             return Err(Fault::TooLarge);
         }
         if let Some(reason) = chunk.finish_reason() {
             self.finish = Some(Finish {
                 reason: reason.to_owned(),
                 usage: chunk.usage.ok_or(Fault::Malformed)?,
-                confidence: confidence(chunk.confidence)?,
+                confidence: check_confidence(chunk.confidence)?,
             });
         }
         self.next_index += 1;
--- a/crates/engine/src/failure.rs
+++ b/crates/engine/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a call has no answer, told by whether it can have run.
+//! Call failures, classified by whether the call may have run.
 
 use derive_more::{Display, Error};
 use http::{Body, Cause, Response, Status};
@@ -6,54 +6,54 @@
 
 use crate::Fault;
 
-/// The greatest refusal that is read, in bytes. It comes with its length.
-const MAX_REFUSAL: usize = 64 * 1024;
+/// The maximum `content-length` of a refusal, in bytes. A refusal always declares its length.
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
-/// Why a call has no whole answer.
+/// The reason why a call has no complete response.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing left this host.
+    /// Nothing was sent.
     #[display("not sent: {_0}")]
     NotSent(#[error(not(source))] Cause),
-    /// The endpoint says that it ran nothing.
+    /// The endpoint refused the call without running it.
     #[display("refused: {_0}")]
     Refused(#[error(not(source))] Code),
-    /// The call may have run, or may still.
+    /// The call may have run or may still be running.
     #[display("may have run: {_0}")]
-    MayHaveRun(#[error(not(source))] Why),
-    /// The answer began and didn't come whole.
+    MayHaveRun(#[error(not(source))] FailureCause),
+    /// The response started but is incomplete or invalid.
     #[display("answer cut: {_0}")]
-    Cut(#[error(not(source))] Why),
+    Cut(#[error(not(source))] FailureCause),
 }
 
-/// The endpoint's own reason to run nothing.
+/// The reason with which an endpoint refuses a call.
 #[derive(Clone, Copy, Debug, Display, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// The version isn't loaded.
+    /// The version isn't loaded on the engine.
     #[display("not_loaded")]
     NotLoaded,
-    /// It has no room.
+    /// The endpoint has no free capacity.
     #[display("overloaded")]
     Overloaded,
-    /// It takes no new work any more.
+    /// The endpoint no longer accepts new calls.
     #[display("leaving")]
     Leaving,
-    /// It isn't the life that was meant.
+    /// The endpoint's incarnation differs from the expected one.
     #[display("wrong_incarnation")]
     WrongIncarnation,
 }
 
-/// What went wrong with a call that left this host.
+/// The cause of the failure of a call that was sent, at least in part.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Why {
-    /// The connection.
+pub enum FailureCause {
+    /// The connection failed.
     #[display("{_0}")]
     Link(Cause),
-    /// A status that isn't an own refusal.
+    /// An error status without a refusal code of the endpoint.
     #[display("status {_0}")]
     Status(u16),
-    /// The answer's content.
+    /// The content of the response is invalid.
     #[display("{_0}")]
     Content(Fault),
 }
@@ -62,34 +62,32 @@
     fn from(err: http::Error) -> Self {
         match err {
             http::Error::NotSent(cause) => Self::NotSent(cause),
-            http::Error::MaybeSent(cause) => Self::MayHaveRun(Why::Link(cause)),
-            http::Error::Cut(cause) => Self::Cut(Why::Link(cause)),
-            http::Error::TooLarge { .. } => Self::Cut(Why::Content(Fault::TooLarge)),
-            http::Error::Json { .. } => Self::Cut(Why::Content(Fault::Malformed)),
+            http::Error::MaybeSent(cause) => Self::MayHaveRun(FailureCause::Link(cause)),
+            http::Error::Cut(cause) => Self::Cut(FailureCause::Link(cause)),
+            http::Error::TooLarge { .. } => Self::Cut(FailureCause::Content(Fault::TooLarge)),
+            http::Error::Json { .. } => Self::Cut(FailureCause::Content(Fault::Malformed)),
         }
     }
 }
 
-/// What an endpoint sent: its own refusal, or an answer.
+/// A refusal by the endpoint, or any other response.
 pub(crate) enum Reply {
     Refusal(Code),
-    Answer(Response),
+    Other(Response),
 }
 
-/// Looks for the endpoint's own refusal.
+/// Checks whether `response` is a refusal by the endpoint.
 ///
-/// Only a code of the closed list proves that nothing ran. A 503 by the service
-/// behind the endpoint, or by something between, proves nothing.
+/// Only a known [`Code`] proves that nothing ran. A 503 from the service behind the
+/// endpoint or from an intermediary proves nothing.
 ///
-/// Failure: an endpoint says its refusal twice, the second time late. A refusal names no
-/// attempt, so the next call on that connection took it for its own, and "not run" was
-/// said of a call that ran. A connection on which an endpoint refused is therefore
-/// closed: on a new one, all that it says is about the new call. That costs a handshake
-/// a refusal.
+/// The connection is closed after a refusal. A refusal carries no attempt id, so a
+/// duplicate that arrives late on a reused connection would be taken as the response to
+/// the next call, and a call that ran would be reported as not run.
 ///
 /// # Errors
-/// [`http::Error::Cut`] when what could have been a refusal didn't come whole.
-pub(crate) async fn read(response: Response) -> Result<Reply, http::Error> {
+/// Returns [`http::Error::Cut`] if the body of a possible refusal is incomplete.
+pub(crate) async fn classify(response: Response) -> Result<Reply, http::Error> {
     #[derive(Deserialize)]
     struct Refusal {
         error: Reason,
@@ -98,21 +96,21 @@
     struct Reason {
         code: Code,
     }
-    let is_small = |len| len <= MAX_REFUSAL as u64;
+    let is_small = |len| len <= MAX_REFUSAL_BYTES as u64;
     if response.status != Status::ServiceUnavailable || !response.body.len().is_some_and(is_small) {
-        return Ok(Reply::Answer(response));
+        return Ok(Reply::Other(response));
     }
     let Response {
         status,
         headers,
         mut body,
     } = response;
-    let bytes = body.drain(MAX_REFUSAL).await?;
+    let bytes = body.drain(MAX_REFUSAL_BYTES).await?;
     if let Ok(refusal) = serde_json::from_slice::<Refusal>(&bytes) {
         body.give_up();
         return Ok(Reply::Refusal(refusal.error.code));
     }
-    Ok(Reply::Answer(Response {
+    Ok(Reply::Other(Response {
         status,
         headers,
         body: Body::bytes(bytes),
--- a/crates/engine/tests/suite/reader.rs
+++ b/crates/engine/tests/suite/reader.rs
@@ -1,4 +1,4 @@
-//! What the reader accepts as the whole answer to an attempt.
+//! Tests of the validation of streamed responses.
 
 use std::fmt::Write as _;
 
@@ -8,7 +8,7 @@
 
 const ATTEMPT: &str = "7-1";
 
-/// What came of the bytes: the text, and the answer or what is wrong with it.
+/// Feeds the pieces to a reader and formats the text, then the response or the fault.
 fn read(pieces: &[&[u8]]) -> String {
     let mut reader = Reader::new(ATTEMPT);
     let fed = pieces.iter().try_for_each(|it| reader.feed(it).map(drop));
@@ -16,21 +16,22 @@
     let end = fed.and_then(|()| reader.finish());
     let mut out = format!("text {content:?}\n");
     let _ = match end {
-        Ok(answer) => writeln!(
+        Ok(response) => writeln!(
             out,
             "whole: {}, {} + {} tokens, confidence {:?}",
-            answer.finish_reason,
-            answer.usage.prompt_tokens,
-            answer.usage.completion_tokens,
-            answer.confidence
+            response.finish_reason,
+            response.usage.prompt_tokens,
+            response.usage.completion_tokens,
+            response.confidence
         ),
         Err(fault) => writeln!(out, "{fault:?}"),
     };
     out
 }
 
-/// Events in short form: `+index text`, `-index` for the last chunk, `done`,
-/// `error`, `~attempt` before the chunks of another, anything else as it stands.
+/// Expands the short form of events: `+index text` for a chunk, `-index` for the last
+/// chunk, `done`, `error`, and `~attempt` to set the attempt id of the chunks that follow.
+/// Other lines are copied unchanged.
 fn expand(input: &str) -> String {
     let mut id = ATTEMPT;
     let mut out = String::new();
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn scripted_answers() {
+fn scripted_responses() {
     walk("tests/data/reader", |file| {
         file.run(|case| match case.directive.as_str() {
             "read" => read(&[expand(&case.input).as_bytes()]),
@@ -86,11 +87,11 @@
     ];
     prop_oneof![
         proptest::collection::vec(step, 0..8).prop_map(|it| it.join("\n")),
-        proptest::collection::vec("[a-zé\"\\\\€]{0,5}", 0..6).prop_map(|it| whole(&it)),
+        proptest::collection::vec("[a-zé\"\\\\€]{0,5}", 0..6).prop_map(|it| complete_script(&it)),
     ]
 }
 
-fn whole(texts: &[String]) -> String {
+fn complete_script(texts: &[String]) -> String {
     let mut out = String::new();
     for (index, text) in texts.iter().enumerate() {
         let _ = writeln!(out, "+{index} {text}");
@@ -101,7 +102,7 @@
 
 proptest! {
     #[test]
-    fn it_does_not_matter_where_the_bytes_are_split(
+    fn splits_do_not_change_the_result(
         script in script(),
         line_end in prop_oneof![Just("\n"), Just("\r\n"), Just("\r")],
         cuts in proptest::collection::vec(any::<proptest::sample::Index>(), 0..6),
@@ -121,7 +122,7 @@
     }
 
     #[test]
-    fn single_bytes_give_the_same(script in script()) {
+    fn single_byte_pieces_do_not_change_the_result(script in script()) {
         let text = expand(&script);
         let pieces: Vec<_> = text.as_bytes().chunks(1).collect();
         prop_assert_eq!(read(&pieces), read(&[text.as_bytes()]));
@@ -133,7 +134,7 @@
     }
 
     #[test]
-    fn no_data_panics(data in "\\PC{0,64}") {
+    fn arbitrary_data_does_not_panic(data in "\\PC{0,64}") {
         read(&[format!("data: {data}\n\n").as_bytes()]);
     }
 
@@ -142,9 +143,9 @@
         texts in proptest::collection::vec("[a-zé€]{0,5}", 0..6),
         cut in any::<proptest::sample::Index>(),
     ) {
-        // Story: an engine's host dies at any byte of its answer. Whatever
-        // came, it isn't taken for the whole before the end mark's line.
-        let bytes = expand(&whole(&texts));
+        // A stream that is cut off at any byte before the end of the end marker's line
+        // must not be accepted as complete.
+        let bytes = expand(&complete_script(&texts));
         let before_end = bytes.len() - "\n\n".len();
         let cut = cut.index(before_end + 1);
         let mut reader = Reader::new(ATTEMPT);
--- a/crates/gate/src/chat.rs
+++ b/crates/gate/src/chat.rs
@@ -12,7 +12,7 @@
 /// The class of a request that sets none.
 pub const DEFAULT_CLASS: &str = "general";
 
-const MAX_NAME_BYTES: usize = 64;
+const MAX_PROFILE_OR_CLASS_BYTES: usize = 64;
 
 /// Fields that change the meaning of the response and that the engines don't
 /// support. If they were ignored, the response wouldn't match the request.
@@ -90,16 +90,18 @@
     pub mode: Mode,
     /// Maximum number of tokens in the response.
     pub max_tokens: Option<u32>,
-    /// The request class under which quality is learned.
+    /// The caller's label for the kind of request; answer quality is tracked per
+    /// class. [`DEFAULT_CLASS`] if absent.
     pub class: Arc<str>,
 }
 
 impl Request {
     /// Parses a request body.
     ///
-    /// Sampling parameters are accepted and ignored, because callers' libraries
-    /// send them by default. Fields that change the meaning of the response are
-    /// rejected.
+    /// Rejects any `n` other than 1 and the fields that change the meaning of the
+    /// response and aren't supported, such as `tools`, unless they are null or
+    /// false. All other unknown fields are ignored, because callers' libraries
+    /// send sampling parameters by default.
     ///
     /// # Errors
     /// Returns a 400 problem that names the invalid field and the accepted values,
@@ -228,7 +230,7 @@
 fn parse_profile(body: &Map<String, Value>) -> Result<ProfileName, Problem> {
     body.get("model")
         .and_then(Value::as_str)
-        .filter(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES)
+        .filter(|name| !name.is_empty() && name.len() <= MAX_PROFILE_OR_CLASS_BYTES)
         .map(ProfileName::from)
         .ok_or_else(|| bad_request("model: expected the name of a profile".to_owned()))
 }
@@ -311,6 +313,8 @@
     }
 }
 
+/// Parses the token limit. `max_tokens` takes precedence; `max_completion_tokens`
+/// is read only if it is absent or null.
 fn parse_max_tokens(body: &Map<String, Value>, limits: &Limits) -> Result<Option<u32>, Problem> {
     for field in ["max_tokens", "max_completion_tokens"] {
         let Some(value) = body.get(field).filter(|value| !value.is_null()) else {
@@ -342,7 +346,7 @@
 }
 
 fn is_valid_class(text: &str) -> bool {
-    (1..=MAX_NAME_BYTES).contains(&text.len())
+    (1..=MAX_PROFILE_OR_CLASS_BYTES).contains(&text.len())
         && text
             .bytes()
             .all(|it| it.is_ascii_lowercase() || it.is_ascii_digit() || it == b'-' || it == b'_')
