--- a/crates/fleet/src/measure.rs
+++ b/crates/fleet/src/measure.rs
@@ -1,8 +1,8 @@
 //! Measures the cost of the membership core as a function of fleet size, by
 //! simulating a whole fleet in one process.
 //!
-//! `cargo xtask capacity` prints the slopes; `docs/design/membership.md`
-//! records them.
+//! `cargo xtask capacity` prints how the cost grows with the fleet;
+//! `docs/design/membership.md` records it.
 
 mod fakes;
 mod figures;
--- a/crates/fleet/src/measure/figures.rs
+++ b/crates/fleet/src/measure/figures.rs
@@ -40,18 +40,22 @@
     /// Mean share of a processor core used per host by the membership core and the
     /// codec.
     pub processor: f64,
-    /// The largest memory use of a host's state, without the configuration document.
+    /// The largest size in bytes of a host's [`Fleet`](crate::Fleet) with its
+    /// membership and announcement records.
     pub state_bytes: usize,
-    /// Mean time from a commit until the revision is in force on all hosts.
+    /// Mean time from a commit until the revision is in force on all hosts. A
+    /// revision that wasn't by the end counts as [`Duration::MAX`].
     pub revision_mean: Duration,
-    /// Longest time from a commit until the revision is in force on all hosts.
+    /// Longest time from a commit until the revision is in force on all hosts, or
+    /// [`Duration::MAX`] if a revision wasn't by the end.
     pub revision_max: Duration,
     /// The highest age of a host's proof that its revision is the newest.
     pub proof_age_max: Duration,
     /// Longest time from a kill until a host suspects the killed one, and so
-    /// omits it from hand-outs.
+    /// omits it from hand-outs. Zero if no host suspected it.
     pub suspicion_max: Duration,
     /// Longest time from a kill until a host considers the killed one unreachable or dead.
+    /// Zero if no host did.
     pub detection_max: Duration,
     /// How often a live host was suspected. Suspicions by several hosts at the
     /// same time count once.
--- a/crates/fleet/src/measure/incident.rs
+++ b/crates/fleet/src/measure/incident.rs
@@ -31,7 +31,7 @@
     RegionCut,
 }
 
-/// The cost of an incident compared with the same fleet without failures.
+/// The cost of an incident compared with the 30 seconds before it.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
 #[display(
     "{incident:>15} of {hosts} hosts: {bytes_mean:>7.0} B a host, {peak_mean:>6.0} B/s in the \
@@ -48,11 +48,12 @@
     pub bytes_mean: f64,
     /// Mean bytes per host in the busiest second, baseline included.
     pub peak_mean: f64,
-    /// Time from the last change until the views of all hosts were correct, with a
-    /// resolution of one second.
+    /// Time from the last change until each host saw as many live hosts as were
+    /// running, with a resolution of one second. At most the observation time, also
+    /// if that never happened.
     pub settled: Duration,
     /// Number of unaffected hosts that another unaffected host declared
-    /// unreachable.
+    /// unreachable since the start of the run, warm-up included.
     pub wrong: usize,
 }
 
@@ -168,7 +169,7 @@
     }
 
     /// Samples the fleet once per second for `time`. Returns the offset of the last
-    /// sample in which a view was wrong.
+    /// sample in which the fleet hadn't converged.
     fn observe(&mut self, time: Duration) -> Duration {
         let begin = self.network.now();
         let mut wrong_until = Duration::ZERO;
--- a/crates/fleet/src/measure/workload.rs
+++ b/crates/fleet/src/measure/workload.rs
@@ -34,7 +34,8 @@
 const ERROR_RATE: f64 = 0.01;
 const RATING_RATE: f64 = 0.05;
 
-/// The size of the configuration, and the number of its changes per measurement.
+/// The size of the configuration, and the approximate number of its changes per
+/// measurement.
 /// Changes are more frequent than in production, so documents are counted separately.
 const DOCUMENT_BYTES: usize = 48 * 1024;
 const CONFIGURATION_CHANGES: u64 = 3;
--- a/crates/fleet/tests/cut_off.rs
+++ b/crates/fleet/tests/cut_off.rs
@@ -1,6 +1,6 @@
 //! A host weighs reports of unreachable hosts by how many hosts the reporter
-//! reaches: it ignores reports from a far smaller partition, and discards its own
-//! findings once it learns that it was in one.
+//! reaches: it ignores reports from a far smaller partition, and retracts all
+//! accusations once it learns that it was in one.
 
 use std::time::Duration;
 
@@ -49,8 +49,8 @@
     fleet
 }
 
-/// Sends a host that considers `lost` others unreachable an update from a host
-/// that reaches `reach` hosts and not c, and checks how many are unreachable then.
+/// Checks how many hosts are unreachable to a host that had lost `lost` others and
+/// then receives a report that c is unreachable from one that reaches `reach` hosts.
 fn check(lost: usize, reach: u32, expected: usize) {
     let mut fleet = host_with_lost(lost);
     receive(&mut fleet, reach, vec![member("c", State::Unreachable)]);
@@ -81,10 +81,8 @@
 
 #[test]
 fn hosts_on_the_same_side_of_a_cut_keep_their_findings() {
-    // Guards against a host of a cut-off region that discards its findings because
-    // its neighbours have found fewer unreachable hosts so far. The region's views
-    // would never converge, and after the cut unaffected hosts would be declared
-    // unreachable.
+    // A host doesn't retract because a neighbour has noticed fewer unreachable hosts
+    // so far; otherwise the views of a cut-off region would never converge.
     check(5, 6, 6);
     check(5, 5, 6);
     check(8, 2, 8);
--- a/crates/fleet/tests/freshness.rs
+++ b/crates/fleet/tests/freshness.rs
@@ -142,8 +142,8 @@
 
 #[test]
 fn response_queued_while_frozen_is_no_proof() {
-    // A response with a proof age of 0 s that waited in the socket for a minute
-    // says nothing about changes in that minute.
+    // A minute without events counts as a freeze, after which pending probes are
+    // dropped, so the late ack is no proof.
     let mut case = Case::new();
     let (sent, probe) = case.wait_for(0.1, "probe");
     case.ack(sent + 60.0, sequence_of(&probe), 1, 0.0);
--- a/crates/fleet/tests/scripts.rs
+++ b/crates/fleet/tests/scripts.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Delivers an outdated membership record of another host.
+    /// Delivers a membership record of another host.
     fn deliver_outdated_record(&mut self, case: &mut TestCase) {
         let about: String = case.take_arg("about").unwrap();
         let mut member = self.listed[&HostName::from(about)].clone();
