--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -6,7 +6,7 @@
 use fleet::measure::{Incident, incident, measure};
 
 #[test]
-fn traffic_hardly_grows_from_12_to_48_hosts() {
+fn traffic_and_delays_stay_within_limits_at_48_hosts() {
     let small = measure(12, 24, 1);
     let large = measure(48, 24, 1);
     assert!(large.bytes_mean < 7_000.0, "{large}");
--- a/crates/fleet/tests/cut_off.rs
+++ b/crates/fleet/tests/cut_off.rs
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn update_of_a_host_that_reaches_far_more_clears_own_findings() {
+fn update_of_a_host_that_reaches_far_more_retracts_all_accusations() {
     // The records in the update itself are applied afterwards, so c is unreachable.
     check(7, 9, 1);
     check(4, 9, 1);
 }
 
 #[test]
-fn hosts_on_the_same_side_of_a_cut_keep_their_findings() {
+fn hosts_on_the_same_side_of_a_cut_keep_their_accusations() {
     // A host doesn't retract because a neighbour has noticed fewer unreachable hosts
     // so far; otherwise the views of a cut-off region would never converge.
     check(5, 6, 6);
--- a/crates/fleet/tests/freshness.rs
+++ b/crates/fleet/tests/freshness.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn response_queued_while_frozen_is_no_proof() {
+fn ack_after_a_freeze_is_ignored() {
     // A minute without events counts as a freeze, after which pending probes are
     // dropped, so the late ack is no proof.
     let mut case = Case::new();
--- a/crates/fleet/tests/scripts.rs
+++ b/crates/fleet/tests/scripts.rs
@@ -33,7 +33,7 @@
     network: Network,
     /// The platform's list: each host that was ever started, as last started.
     listed: BTreeMap<HostName, Member>,
-    ports: u16,
+    last_port: u16,
 }
 
 impl Script {
@@ -43,7 +43,7 @@
         Self {
             network,
             listed: BTreeMap::new(),
-            ports: 1000,
+            last_port: 1000,
         }
     }
 
@@ -62,7 +62,7 @@
             "commit" => _ = self.network.table.commit(),
             "table" => self.set_table(case),
             "fence" => self.fence(case),
-            "news" => self.deliver_outdated_record(case),
+            "news" => self.deliver_record(case),
             "rule" => self.rule(case),
             "endpoint" => self.deliver_endpoint(case),
             "count" => self.count(case),
@@ -86,8 +86,8 @@
         let incarnation = arg_or(case, "incarnation", 1);
         let port: Option<u16> = case.try_take_arg("port").unwrap();
         for name in names {
-            self.ports += 1;
-            let address = ([127, 0, 0, 1], port.unwrap_or(self.ports)).into();
+            self.last_port += 1;
+            let address = ([127, 0, 0, 1], port.unwrap_or(self.last_port)).into();
             let member = Member {
                 identity: identity(&name, incarnation),
                 refutation: 0,
@@ -151,7 +151,7 @@
     }
 
     /// Delivers a membership record of another host.
-    fn deliver_outdated_record(&mut self, case: &mut TestCase) {
+    fn deliver_record(&mut self, case: &mut TestCase) {
         let about: String = case.take_arg("about").unwrap();
         let mut member = self.listed[&HostName::from(about)].clone();
         member.identity.incarnation = Incarnation(arg_or(case, "incarnation", 1));
@@ -256,11 +256,11 @@
                 view.push(format!("{}={}", member.identity, member.state));
             }
             view.sort();
-            let sees = views.entry(view.join(" ")).or_default();
-            sees.push(fleet.me().identity.host.to_string());
+            let hosts = views.entry(view.join(" ")).or_default();
+            hosts.push(fleet.me().identity.host.to_string());
         }
-        for (view, seen) in views {
-            writeln!(text, "{}: {view}", seen.join(",")).unwrap();
+        for (view, hosts) in views {
+            writeln!(text, "{}: {view}", hosts.join(",")).unwrap();
         }
     }
 
