--- a/crates/fleet/src/measure/incident.rs
+++ b/crates/fleet/src/measure/incident.rs
@@ -49,8 +49,8 @@
     /// Mean bytes per host in the busiest second, baseline included.
     pub peak_mean: f64,
     /// Time from the last change until each host saw as many live hosts as were
-    /// running, with a resolution of one second. At most the observation time, also
-    /// if that never happened.
+    /// running, with a resolution of one second. Equals the observation time if that
+    /// never happened.
     pub settled: Duration,
     /// Number of unaffected hosts that another unaffected host declared
     /// unreachable since the start of the run, warm-up included.
