--- a/crates/fleet/src/action.rs
+++ b/crates/fleet/src/action.rs
@@ -18,8 +18,8 @@
         /// The frame.
         frame: Frame,
     },
-    /// Read the configuration's head from the table and report the result with
-    /// [`crate::Event::Polled`] or [`crate::Event::PollFailed`].
+    /// Read the newest configuration revision from the table and report the result
+    /// with [`crate::Event::Polled`] or [`crate::Event::PollFailed`].
     Poll,
     /// Put a newer configuration in force. Revisions never decrease.
     Apply {
@@ -38,8 +38,8 @@
     Evidence(Vec<Delta>),
     /// An operator requested that this host drain.
     Drain,
-    /// This incarnation is permanently dead to the fleet: accept no new requests
-    /// and restart as a new incarnation.
+    /// This incarnation is permanently dead to the fleet, or has to assume so: accept
+    /// no new requests and restart as a new incarnation.
     Deposed,
 }
 
@@ -48,6 +48,6 @@
 pub struct Change {
     /// The member's present record.
     pub member: Member,
-    /// The previous state, or `None` for a new member.
+    /// The previous state, or `None` for a new member or incarnation.
     pub before: Option<State>,
 }
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -136,7 +136,7 @@
         Some(host)
     }
 
-    /// Stops fetching from a host.
+    /// Removes a host from those to fetch from. A fetch in progress continues.
     pub(crate) fn forget_holder(&mut self, host: &HostName) {
         self.holders.retain(|it| it.host != *host);
     }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -11,7 +11,7 @@
 pub enum Event {
     /// Time has passed; sent at [`crate::Fleet::deadline`] or a little later.
     Tick,
-    /// The platform's list of entry hosts. It lags, so it only provides addresses
+    /// The platform's list of hosts. It lags, so it only provides addresses
     /// to contact and never marks a host as alive or dead.
     Hosts(Vec<Member>),
     /// A frame arrived from the host named in the peer's certificate.
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -47,7 +47,7 @@
     is_deposed: bool,
 }
 
-/// Times at which periodic work is next due.
+/// Times at which periodic work is next due, and times of past events.
 #[derive(Default)]
 struct Timers {
     probe: Duration,
@@ -57,7 +57,8 @@
     housekeeping: Duration,
     /// Time of the previous event.
     last_event: Duration,
-    /// For each host whose view differs, the time since when it does.
+    /// For each host whose view differs, the time at which the difference was first
+    /// seen or last led to a comparison.
     differing_since: BTreeMap<HostName, Duration>,
 }
 
@@ -171,14 +172,15 @@
         self.configuration.json().is_some() && !self.is_deposed
     }
 
-    /// Returns whether this incarnation has been declared dead permanently.
+    /// Returns whether this incarnation is deposed; see [`Action::Deposed`].
     #[must_use]
     pub fn is_deposed(&self) -> bool {
         self.is_deposed
     }
 
-    /// Returns an estimate of the memory used by this view in bytes, excluding
-    /// the configuration document.
+    /// Returns an estimate of the memory used by the membership and announcement
+    /// records in bytes. The configuration document, queues and caches aren't
+    /// included.
     #[must_use]
     pub fn bytes(&self) -> usize {
         size_of::<Self>() + self.members.bytes() + self.announcements.bytes()
@@ -196,7 +198,7 @@
         self.run_housekeeping(cx);
     }
 
-    /// Restarts probe and suspicion timeouts after the process was frozen, for
+    /// Drops pending probes and extends suspicions after the process was frozen, for
     /// example by SIGSTOP. Otherwise all of them would have expired, and this
     /// host would declare live hosts unreachable.
     ///
--- a/crates/fleet/src/fleet/anti_entropy.rs
+++ b/crates/fleet/src/fleet/anti_entropy.rs
@@ -11,8 +11,8 @@
 use crate::view::bucket_of;
 use crate::{Action, Fleet};
 
-/// The reconnect interval grows by its configured value for each group of this
-/// many hosts.
+/// The configured reconnect interval is multiplied by the fleet's size divided by
+/// this, rounded up.
 const HOSTS_PER_RECONNECT_INTERVAL: usize = 16;
 
 /// Number of hosts contacted at once while no other member is reachable.
--- a/crates/fleet/src/fleet/dissemination.rs
+++ b/crates/fleet/src/fleet/dissemination.rs
@@ -15,7 +15,7 @@
     /// A data centre that was partitioned reports all other hosts as unreachable
     /// once the partition heals, and each of them would have to refute that. So
     /// a host ignores accusations by a host that reaches far fewer members, and
-    /// retracts its own when a host reaches far more. Neither applies between
+    /// retracts all accusations in its records when a host reaches far more. Neither applies between
     /// hosts on the same side of a partition, whose views are nearly the same.
     pub(super) fn apply_bulletin(&mut self, cx: &mut Cx, bulletin: Bulletin, from: &HostName) {
         let reach = self.reported_reach(cx.now);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns the hosts that have been accused at or after `since`.
+    /// Returns the accused hosts whose present state was recorded at or after `since`.
     pub(super) fn accused_since(&self, since: Duration) -> Vec<HostName> {
         let accused = self.members.iter().filter(|it| is_accused(it.member.state));
         accused
@@ -121,8 +121,8 @@
         self.apply_verdict(cx, &verdict, None);
     }
 
-    /// Changes this host's own state and gossips it. The higher refutation number
-    /// overrides what other hosts report.
+    /// Advances this host's own state and gossips it; an earlier state is ignored. The
+    /// higher refutation number overrides what other hosts report.
     pub(super) fn set_own_state(&mut self, state: State) {
         if self.me.state < state {
             self.refute(self.me.refutation, state);
@@ -207,8 +207,8 @@
         1 + self.members.reachable().count()
     }
 
-    /// Returns the number of hosts that this one reports as reachable, including
-    /// itself.
+    /// Returns [`Self::size`], or 1 while this host is isolated, so that other hosts
+    /// ignore its accusations.
     pub(super) fn reported_reach(&self, now: Duration) -> u32 {
         let reach = if self.is_isolated(now) {
             1
@@ -230,7 +230,8 @@
 
     /// Handles another host's record of this host, and refutes it if it is wrong.
     /// Death is final: this incarnation is deposed when it learns of its own
-    /// death, or of a later incarnation of this host.
+    /// death, or of a later incarnation of this host, unless it announced its own
+    /// death.
     fn handle_own_record(&mut self, cx: &mut Cx, record: &Member) {
         let theirs = record.identity.incarnation;
         let mine = self.me.identity.incarnation;
--- a/crates/fleet/src/fleet/evidence.rs
+++ b/crates/fleet/src/fleet/evidence.rs
@@ -36,7 +36,7 @@
     routes: Routes,
 }
 
-/// The relay and homes of each group, cached until the members change.
+/// The relay and homes of each group, cached until the other members change.
 #[derive(Default)]
 struct Routes {
     epoch: Option<u64>,
@@ -183,8 +183,9 @@
         }
     }
 
-    /// Handles counts as a home. This host's decision core gets them at once, so
-    /// that a bad version is detected before the totals are returned.
+    /// Handles counts as a home; the first home also queues them for their return to
+    /// all hosts. This host's decision core gets them at once, so that a bad version
+    /// is detected before the totals are returned.
     fn aggregate_at_home(&mut self, cx: &mut Cx, deltas: Vec<Delta>, reach: Reach) {
         if reach == Reach::DataCentre {
             self.evidence.home.add(cx.now, &deltas);
@@ -246,7 +247,7 @@
         &self.evidence.routes.groups[group]
     }
 
-    /// Recomputes relays and homes if the members have changed.
+    /// Recomputes relays and homes if the other members have changed.
     fn refresh_routes(&mut self) {
         let epoch = Some(self.members.epoch());
         if self.evidence.routes.epoch == epoch {
@@ -288,7 +289,9 @@
     }
 
     /// Returns the homes of all groups. Each group in turn takes the host with
-    /// the highest weight among those not yet taken, which spreads the load.
+    /// the highest weight among those not yet taken, which spreads the load. Once all
+    /// hosts are taken, the next group gets none in this round, and then all hosts are
+    /// available again. A group may therefore have fewer homes, or none.
     fn homes(&self) -> Vec<Vec<Member>> {
         let mut free: Vec<_> = self.candidates().collect();
         let mut homes = vec![Vec::new(); GROUPS];
--- a/crates/fleet/src/fleet/failure_detection.rs
+++ b/crates/fleet/src/fleet/failure_detection.rs
@@ -11,8 +11,8 @@
 use crate::members::{LoadReport, MemberKey};
 use crate::prober::{PendingProbe, RelayedProbe};
 
-/// With fewer other hosts than this, an isolated host may still suspect members:
-/// if it is wrong, their refutations cost little.
+/// Number of reachable hosts besides the target below which an isolated host may
+/// suspect the target. In a small fleet a wrong suspicion causes few refutations.
 const SMALL_FLEET_HOSTS: usize = 16;
 
 /// Number of probe intervals without any response after which random members
@@ -21,8 +21,8 @@
 
 impl Fleet {
     /// Returns whether this host is probably isolated: it reaches no member, or
-    /// hasn't received a response for a long time. Its view is then out of date,
-    /// and its updates reach no other host.
+    /// hasn't received a response for a long time. Its view may then be out of
+    /// date, and its updates may not reach other hosts.
     #[must_use]
     pub fn is_isolated(&self, now: Duration) -> bool {
         let silence = now.saturating_sub(self.prober.answered);
@@ -236,8 +236,9 @@
     /// host must have responded since the probe was sent.
     ///
     /// Otherwise a host that lost its own connection would suspect all others.
-    /// The timeout leaves time for a response to the next probe, and the target
-    /// is probed again in its turn. Without other members, and in a small fleet
+    /// With the default tuning, the timeout is longer than the probe interval, so
+    /// another host normally responds to a later probe in time; if none does, a later
+    /// probe of the target decides. Without other members, and in a small fleet
     /// after a long time without a response, no such response is required.
     fn may_suspect(&self, now: Duration, pending_probe: &PendingProbe) -> bool {
         let witnesses = self
@@ -277,7 +278,7 @@
         }
     }
 
-    /// Sends an accusation to the accused host first, so that it can refute it.
+    /// Sends an accusation to the accused host, so that it can refute it.
     fn notify_accused(&self, cx: &mut Cx, accused: &Member) {
         let bulletin = Bulletin {
             reach: self.reported_reach(cx.now),
--- a/crates/fleet/src/fleet/selection.rs
+++ b/crates/fleet/src/fleet/selection.rs
@@ -18,7 +18,7 @@
 
 impl Fleet {
     /// Returns the member that stores copies of the records of `of`, or `None`
-    /// if no other member is alive.
+    /// if no other member is alive or `of` is unknown.
     ///
     /// Prefers a member in another data centre, and then one in the same region,
     /// because the caller waits for the copy. Rendezvous hashing breaks ties, so
@@ -39,9 +39,11 @@
     }
 
     /// Returns the hosts that a caller in `data_centre` should use, in the order
-    /// to try them: by distance, then by load band.
+    /// to try them: by distance, then by load band. The number of hosts is limited by
+    /// [`crate::Tuning::handout`].
     ///
-    /// Among equals this host comes first: the caller gets a ticket issued by
+    /// An isolated host lists itself first. Otherwise this host comes first among
+    /// equals: the caller gets a ticket issued by
     /// this host, and any other host that receives the ticket has to ask this
     /// one. Only alive hosts are included.
     #[must_use]
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -17,7 +17,7 @@
 
 struct Item {
     news: News,
-    /// The neighbour that sent the update, to which it isn't pushed.
+    /// The host that sent the update, to which it isn't pushed.
     source: Option<HostName>,
     is_pushed: bool,
     /// The number of further probes or acks that carry it.
@@ -98,7 +98,7 @@
     }
 }
 
-/// Updates to push, and for each the neighbour that sent it.
+/// Updates to push, and for each the host that sent it, if any.
 #[derive(Default)]
 pub(crate) struct Push {
     pub(crate) updates: Vec<News>,
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -19,11 +19,12 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) member: Member,
-    /// The time at which this host recorded the present state.
+    /// The time at which this host recorded the present state. For a suspect it is
+    /// moved forward by the time for which this process was frozen.
     pub(crate) since: Duration,
     pub(crate) load: Option<LoadReport>,
-    /// The state that the member last declared itself: [`State::Alive`] or
-    /// [`State::Leaving`].
+    /// The state that the member last declared itself, [`State::Alive`] or
+    /// [`State::Leaving`]; assumed to be alive if unknown.
     declared_state: State,
 }
 
@@ -231,9 +232,9 @@
     }
 }
 
-/// Returns the state that the host declared itself, as far as a record shows it.
-/// A record that others marked doesn't; [`State::Alive`] is assumed, as any state
-/// that the host declares later overrides it.
+/// Returns the state that the host declared itself. If other hosts assigned the
+/// record's state, the declared one is unknown and [`State::Alive`] is assumed; any
+/// state that the host declares later overrides it.
 fn declared_state(state: State) -> State {
     if state < State::Suspect {
         state
--- a/crates/fleet/src/neighbours.rs
+++ b/crates/fleet/src/neighbours.rs
@@ -41,7 +41,8 @@
         &self.successors
     }
 
-    /// Returns the members that this host pushes updates to.
+    /// Returns all neighbours, to which this host pushes updates. Some of them are asked
+    /// for indirect probes.
     pub(crate) fn all(&self) -> &[MemberKey] {
         &self.all
     }
@@ -68,9 +69,9 @@
     }
 }
 
-/// Adds the first member of `ring` that isn't chosen yet. In a small fleet the rings
-/// would otherwise give the same host several times, and a host whose only neighbour
-/// died would receive no updates.
+/// Adds the first member of `ring` that isn't chosen yet. In a small fleet one host
+/// may be the first on several rings; taking the next one keeps the number of
+/// neighbours up, so that one death doesn't cut a host off from updates.
 fn add_first_new<'a>(chosen: &mut Vec<MemberKey>, ring: impl Iterator<Item = &'a MemberKey>) {
     let mut free = ring.filter(|it| !chosen.contains(it));
     if let Some(key) = free.next().copied() {
--- a/crates/fleet/src/pool.rs
+++ b/crates/fleet/src/pool.rs
@@ -144,8 +144,7 @@
     }
 }
 
-/// Subtracts the sent counts from `delta` and the counts of `delta` from those
-/// sent.
+/// Removes from both `sent` and `delta` the counts that they have in common.
 fn cancel_common(sent: &mut BTreeMap<Topic, Delta>, delta: &mut Delta) {
     let Some(own) = sent.get_mut(&delta.topic) else {
         return;
--- a/crates/fleet/src/prober.rs
+++ b/crates/fleet/src/prober.rs
@@ -16,7 +16,8 @@
     target_index: usize,
     pending: BTreeMap<u32, PendingProbe>,
     relayed: BTreeMap<u32, RelayedProbe>,
-    /// The time at which this host's own probe was last acknowledged.
+    /// The time at which this host's own probe was last acknowledged, or at which
+    /// the process resumed after a freeze.
     pub(crate) answered: Duration,
 }
 
@@ -58,6 +59,7 @@
 }
 
 impl Prober {
+    /// Returns a new sequence number for a probe or a configuration fetch.
     pub(crate) fn next_sequence(&mut self) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sequence
--- a/crates/fleet/src/rendezvous.rs
+++ b/crates/fleet/src/rendezvous.rs
@@ -3,8 +3,8 @@
 
 use std::hash::{Hash, Hasher};
 
-/// Returns a host's weight for a purpose and key. It is the same on all hosts and
-/// in all builds.
+/// Returns a host's weight for a purpose and key. It is the same on all hosts of one
+/// architecture: integers are hashed in native byte order, `usize` in native width.
 pub(crate) fn weight(purpose: &str, key: impl Hash, host: &str) -> u64 {
     let mut hasher = Fnv::default();
     purpose.hash(&mut hasher);
--- a/crates/fleet/src/tuning.rs
+++ b/crates/fleet/src/tuning.rs
@@ -12,7 +12,8 @@
     pub probe_timeout: Duration,
     /// The number of members asked to probe an unresponsive one.
     pub helpers: usize,
-    /// The duration of a suspicion, multiplied by log2 of the fleet's size.
+    /// A suspicion lasts this long times log2 of the fleet's size, rounded up and at
+    /// least 1.
     pub suspicion: Duration,
     /// The number of hash rings from which neighbours are chosen.
     pub rings: usize,
@@ -24,7 +25,8 @@
     /// How long a neighbour's view may differ before it is compared. Updates in
     /// flight make views differ briefly.
     pub view_patience: Duration,
-    /// The interval between attempts to reconnect to unreachable members.
+    /// The interval between attempts to contact an unreachable member or an unknown
+    /// listed host, multiplied by the fleet's size divided by 16, rounded up.
     pub reconnect_every: Duration,
     /// The interval between join attempts while no other member is reachable.
     pub join_every: Duration,
@@ -32,35 +34,35 @@
     pub carries: u32,
     /// The interval between pushes of updates.
     pub push_every: Duration,
-    /// The same while more updates wait than one push carries, as after a network
-    /// partition heals.
+    /// The interval between pushes while more updates wait than one push carries, as
+    /// after a network partition heals.
     pub push_every_when_full: Duration,
     /// The approximate limit on the bytes of updates in a push or probe.
     pub news_bytes: usize,
-    /// The interval between table reads of a polling host.
+    /// The interval between table reads of a poller or an isolated host.
     pub poll_every: Duration,
     /// A host that isn't a poller reads the table itself once its proof is older
     /// than this.
     pub poll_when_older: Duration,
     /// The number of hosts per data centre that poll the table.
     pub pollers: usize,
-    /// The timeout of a configuration fetch, after which another host is tried.
+    /// The timeout of a configuration fetch, after which the next holder is tried.
     pub fetch_timeout: Duration,
     /// The batching delay for urgent evidence, which reports faults, on the way to
     /// the hosts that evaluate it.
     pub evidence_urgent: Duration,
     /// The batching delay for other evidence to all members of a small fleet.
     pub evidence_to_members: Duration,
-    /// The same to a relay in a larger fleet.
+    /// The batching delay for other evidence to a relay in a larger fleet.
     pub evidence_to_relay: Duration,
-    /// The same from a relay to a home host.
+    /// The batching delay for other evidence from a relay to a home host.
     pub evidence_to_home: Duration,
-    /// The same from a home host back to all members.
+    /// The batching delay for evidence from a home host back to all members.
     pub evidence_to_all: Duration,
     /// The largest fleet size, this host included, at which evidence goes directly
     /// to all members.
     pub evidence_direct: usize,
-    /// The number of home hosts of a topic group in larger fleets.
+    /// The maximum number of home hosts of a topic group in larger fleets.
     pub evidence_homes: usize,
     /// The number of other hosts' loads that a probe carries.
     pub loads: usize,
@@ -68,13 +70,14 @@
     pub load_age: Duration,
     /// The maximum number of hosts in a hand-out to a caller.
     pub handout: usize,
-    /// The interval between removals of expired state.
+    /// The interval of housekeeping: declaring members dead that were unreachable for
+    /// long, and removing expired state.
     pub housekeeping_every: Duration,
     /// How long an endpoint update is part of view comparisons; after that the host
     /// list covers it.
     pub endpoint_age: Duration,
     /// The time after which an unreachable incarnation is declared dead, and a dead
-    /// one removed.
+    /// one removed. A host that was frozen for longer deposes itself.
     pub forget_after: Duration,
 }
 
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -49,7 +49,8 @@
             .collect()
     }
 
-    /// Returns this host's buckets that differ from another host's full listing.
+    /// Returns this host's buckets that differ from `theirs`. A bucket that isn't listed
+    /// counts as empty.
     pub(crate) fn differing(&self, theirs: &[Bucket]) -> Vec<Bucket> {
         let mut hashes = [0; BUCKETS as usize];
         for bucket in theirs {
