--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -258,7 +258,7 @@
         let forget_before = cx.now.saturating_sub(self.tuning.forget_after);
         self.declare_dead(cx, forget_before);
         self.members.forget(forget_before);
-        let compared_before = cx.now.saturating_sub(self.tuning.endpoint_age);
+        let compared_before = cx.now.saturating_sub(self.tuning.endpoint_compared_for);
         self.announcements
             .expire(&mut self.view, compared_before, forget_before);
         self.prober
--- a/crates/fleet/src/fleet/anti_entropy.rs
+++ b/crates/fleet/src/fleet/anti_entropy.rs
@@ -116,7 +116,7 @@
             .differing_since
             .entry(host.clone())
             .or_insert(cx.now);
-        if cx.now.saturating_sub(*since) < self.tuning.view_patience {
+        if cx.now.saturating_sub(*since) < self.tuning.compare_after_differing {
             return;
         }
         *since = cx.now;
@@ -175,7 +175,8 @@
     fn queue_only_own_record(&mut self) {
         self.gossip = crate::gossip::Gossip::default();
         let news = News::Member(self.me.clone());
-        self.gossip.add(news, None, self.tuning.carries);
+        self.gossip
+            .add(news, None, self.tuning.piggybacks_per_update);
     }
 
     /// Returns the buckets in the other host's response that differ from this
--- a/crates/fleet/src/fleet/dissemination.rs
+++ b/crates/fleet/src/fleet/dissemination.rs
@@ -125,7 +125,7 @@
     /// higher refutation number overrides what other hosts report.
     pub(super) fn set_own_state(&mut self, state: State) {
         if self.me.state < state {
-            self.refute(self.me.refutation, state);
+            self.update_own_record(self.me.refutation, state);
         }
     }
 
@@ -225,7 +225,8 @@
     }
 
     fn queue_update(&mut self, news: News, from: Option<&HostName>) {
-        self.gossip.add(news, from, self.tuning.carries);
+        self.gossip
+            .add(news, from, self.tuning.piggybacks_per_update);
     }
 
     /// Handles another host's record of this host, and refutes it if it is wrong.
@@ -241,15 +242,17 @@
             }
             return;
         }
-        let is_later = theirs == mine && record.refutation >= self.me.refutation;
-        if is_later && record != &self.me {
-            self.refute(record.refutation, self.me.state);
+        let is_not_older = theirs == mine && record.refutation >= self.me.refutation;
+        if is_not_older && record != &self.me {
+            self.update_own_record(record.refutation, self.me.state);
         } else if theirs < mine {
             self.queue_update(News::Member(self.me.clone()), None);
         }
     }
 
-    fn refute(&mut self, refutation: u32, state: State) {
+    /// Sets this host's state with a refutation number above `refutation`, and gossips
+    /// the record.
+    fn update_own_record(&mut self, refutation: u32, state: State) {
         self.view.toggle_member(&self.me);
         self.me.state = state;
         self.me.refutation = self.me.refutation.max(refutation.saturating_add(1));
--- a/crates/fleet/src/fleet/evidence.rs
+++ b/crates/fleet/src/fleet/evidence.rs
@@ -65,8 +65,8 @@
         match evidence.reach {
             Reach::Direct => report_evidence(cx, deltas),
             Reach::Host => self.evidence.relayed.add(cx.now, &deltas),
-            Reach::DataCentre => self.aggregate_at_home(cx, deltas, Reach::DataCentre),
-            Reach::Standby => self.aggregate_at_home(cx, deltas, Reach::Standby),
+            Reach::DataCentre => self.handle_as_home(cx, deltas, Reach::DataCentre),
+            Reach::Standby => self.handle_as_home(cx, deltas, Reach::Standby),
             Reach::Fleet => {
                 self.evidence.returned.add(cx.now, &deltas);
                 self.report_returned(cx, deltas);
@@ -186,7 +186,7 @@
     /// Handles counts as a home; the first home also queues them for their return to
     /// all hosts. This host's decision core gets them at once, so that a bad version
     /// is detected before the totals are returned.
-    fn aggregate_at_home(&mut self, cx: &mut Cx, deltas: Vec<Delta>, reach: Reach) {
+    fn handle_as_home(&mut self, cx: &mut Cx, deltas: Vec<Delta>, reach: Reach) {
         if reach == Reach::DataCentre {
             self.evidence.home.add(cx.now, &deltas);
         }
--- a/crates/fleet/src/fleet/failure_detection.rs
+++ b/crates/fleet/src/fleet/failure_detection.rs
@@ -13,7 +13,7 @@
 
 /// Number of reachable hosts besides the target below which an isolated host may
 /// suspect the target. In a small fleet a wrong suspicion causes few refutations.
-const SMALL_FLEET_HOSTS: usize = 16;
+const MIN_WITNESSES_REQUIRING_RESPONSE: usize = 16;
 
 /// Number of probe intervals without any response after which random members
 /// are probed instead of neighbours.
@@ -25,8 +25,8 @@
     /// date, and its updates may not reach other hosts.
     #[must_use]
     pub fn is_isolated(&self, now: Duration) -> bool {
-        let silence = now.saturating_sub(self.prober.answered);
-        self.members.reachable().next().is_none() || silence > self.tuning.alone_after
+        let silence = now.saturating_sub(self.prober.last_response);
+        self.members.reachable().next().is_none() || silence > self.tuning.isolated_after
     }
 
     pub(super) fn probe_when_due(&mut self, cx: &mut Cx) {
@@ -55,7 +55,7 @@
     /// response: that distinguishes the simultaneous failure of all neighbours
     /// from the isolation of this host.
     fn next_target(&mut self, now: Duration) -> Option<MemberKey> {
-        let silence = now.saturating_sub(self.prober.answered);
+        let silence = now.saturating_sub(self.prober.last_response);
         if silence <= self.tuning.probe_every * MAX_SILENT_INTERVALS {
             return self.prober.next_target(self.neighbours.successors());
         }
@@ -157,7 +157,7 @@
         self.configuration
             .accept_proof(pending_probe.sent, ack.proof);
         let Some(entry) = self.members.find_incarnation(&ack.from) else {
-            return self.compare_with_successor(cx, &pending_probe.target);
+            return self.compare_with_new_incarnation(cx, &pending_probe.target);
         };
         let member = entry.member.clone();
         if member.state >= State::Suspect {
@@ -246,10 +246,10 @@
             .reachable()
             .filter(|(_, it)| it.member.identity != pending_probe.target)
             .count();
-        if witnesses == 0 || self.prober.answered > pending_probe.sent {
+        if witnesses == 0 || self.prober.last_response > pending_probe.sent {
             return true;
         }
-        let is_small = witnesses < SMALL_FLEET_HOSTS;
+        let is_small = witnesses < MIN_WITNESSES_REQUIRING_RESPONSE;
         is_small && self.is_isolated(now)
     }
 
@@ -257,8 +257,8 @@
     /// other host believed its accusations, so it retracts those made in the
     /// meantime.
     fn record_response(&mut self, cx: &mut Cx) {
-        let last = std::mem::replace(&mut self.prober.answered, cx.now);
-        if cx.now.saturating_sub(last) <= self.tuning.alone_after {
+        let last = std::mem::replace(&mut self.prober.last_response, cx.now);
+        if cx.now.saturating_sub(last) <= self.tuning.isolated_after {
             return;
         }
         for host in self.accused_since(last) {
@@ -345,7 +345,7 @@
 
     /// Compares views with a host that responded as another incarnation than the
     /// probed one. The host sends its new record itself.
-    fn compare_with_successor(&mut self, cx: &mut Cx, target: &Identity) {
+    fn compare_with_new_incarnation(&mut self, cx: &mut Cx, target: &Identity) {
         let Some(entry) = self.members.find(&target.host) else {
             return;
         };
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -21,18 +21,18 @@
     source: Option<HostName>,
     is_pushed: bool,
     /// The number of further probes or acks that carry it.
-    remaining_probes: u32,
+    remaining_piggybacks: u32,
 }
 
 impl Gossip {
     /// Adds an update, replacing an older one on the same subject.
-    pub(crate) fn add(&mut self, news: News, from: Option<&HostName>, carries: u32) {
+    pub(crate) fn add(&mut self, news: News, from: Option<&HostName>, piggybacks: u32) {
         self.items.retain(|it| !has_same_subject(&it.news, &news));
         self.items.push(Item {
             news,
             source: from.cloned(),
             is_pushed: false,
-            remaining_probes: carries,
+            remaining_piggybacks: piggybacks,
         });
     }
 
@@ -81,19 +81,19 @@
     /// carried least often.
     pub(crate) fn take_carried(&mut self, max_bytes: usize) -> Vec<News> {
         self.items
-            .sort_by_key(|it| std::cmp::Reverse(it.remaining_probes));
+            .sort_by_key(|it| std::cmp::Reverse(it.remaining_piggybacks));
         let mut carried = Vec::new();
         let mut bytes = 0;
         for item in &mut self.items {
             bytes += estimated_bytes(&item.news);
-            if item.remaining_probes == 0 || bytes > max_bytes {
+            if item.remaining_piggybacks == 0 || bytes > max_bytes {
                 break;
             }
-            item.remaining_probes -= 1;
+            item.remaining_piggybacks -= 1;
             carried.push(item.news.clone());
         }
         self.items
-            .retain(|it| it.remaining_probes > 0 || !it.is_pushed);
+            .retain(|it| it.remaining_piggybacks > 0 || !it.is_pushed);
         carried
     }
 }
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -119,21 +119,21 @@
             Ordering::Greater => {}
         }
         let old = std::mem::replace(&mut entry.member, news.clone());
-        let is_same_life = old.identity == news.identity;
-        if old.state != news.state || !is_same_life {
+        let is_same_incarnation = old.identity == news.identity;
+        if old.state != news.state || !is_same_incarnation {
             entry.since = now;
             self.epoch += 1;
         }
-        if !is_same_life {
+        if !is_same_incarnation {
             entry.load = None;
         }
-        if news.state < State::Suspect || !is_same_life {
+        if news.state < State::Suspect || !is_same_incarnation {
             entry.declared_state = declared_state(news.state);
         }
         view.toggle_member(&old);
         view.toggle_member(news);
         self.update_suspects(key, news.state);
-        if is_same_life {
+        if is_same_incarnation {
             Merge::Changed(old.state)
         } else {
             Merge::Replaced(old)
--- a/crates/fleet/src/prober.rs
+++ b/crates/fleet/src/prober.rs
@@ -18,7 +18,7 @@
     relayed: BTreeMap<u32, RelayedProbe>,
     /// The time at which this host's own probe was last acknowledged, or at which
     /// the process resumed after a freeze.
-    pub(crate) answered: Duration,
+    pub(crate) last_response: Duration,
 }
 
 /// A probe that this host started itself.
@@ -43,11 +43,11 @@
 impl RelayedProbe {
     pub(crate) fn new(
         now: Duration,
-        asker: (HostName, SocketAddr),
+        requester: (HostName, SocketAddr),
         sequence: u32,
         target: Identity,
     ) -> Self {
-        let (host, address) = asker;
+        let (host, address) = requester;
         Self {
             host,
             address,
@@ -135,6 +135,6 @@
     /// Drops all of this host's own probes and counts silence from `now`.
     pub(crate) fn reset(&mut self, now: Duration) {
         self.pending.clear();
-        self.answered = now;
+        self.last_response = now;
     }
 }
--- a/crates/fleet/src/tuning.rs
+++ b/crates/fleet/src/tuning.rs
@@ -19,19 +19,19 @@
     pub rings: usize,
     /// A host that receives no ack for this long counts as isolated; see
     /// [`crate::Fleet::is_isolated`].
-    pub alone_after: Duration,
+    pub isolated_after: Duration,
     /// The interval between comparisons of views with a random member.
     pub compare_every: Duration,
     /// How long a neighbour's view may differ before it is compared. Updates in
     /// flight make views differ briefly.
-    pub view_patience: Duration,
+    pub compare_after_differing: Duration,
     /// The interval between attempts to contact an unreachable member or an unknown
     /// listed host, multiplied by the fleet's size divided by 16, rounded up.
     pub reconnect_every: Duration,
     /// The interval between join attempts while no other member is reachable.
     pub join_every: Duration,
     /// The number of probes and acks that carry an update in addition to its push.
-    pub carries: u32,
+    pub piggybacks_per_update: u32,
     /// The interval between pushes of updates.
     pub push_every: Duration,
     /// The interval between pushes while more updates wait than one push carries, as
@@ -75,7 +75,7 @@
     pub housekeeping_every: Duration,
     /// How long an endpoint update is part of view comparisons; after that the host
     /// list covers it.
-    pub endpoint_age: Duration,
+    pub endpoint_compared_for: Duration,
     /// The time after which an unreachable incarnation is declared dead, and a dead
     /// one removed. A host that was frozen for longer deposes itself.
     pub forget_after: Duration,
@@ -89,12 +89,12 @@
             helpers: 3,
             suspicion: Duration::from_secs(1),
             rings: 3,
-            alone_after: Duration::from_secs(10),
+            isolated_after: Duration::from_secs(10),
             compare_every: Duration::from_mins(1),
-            view_patience: Duration::from_secs(4),
+            compare_after_differing: Duration::from_secs(4),
             reconnect_every: Duration::from_secs(10),
             join_every: Duration::from_secs(1),
-            carries: 3,
+            piggybacks_per_update: 3,
             push_every: Duration::from_millis(50),
             push_every_when_full: Duration::from_millis(500),
             news_bytes: 900,
@@ -113,7 +113,7 @@
             load_age: Duration::from_secs(20),
             handout: 12,
             housekeeping_every: Duration::from_mins(1),
-            endpoint_age: Duration::from_mins(10),
+            endpoint_compared_for: Duration::from_mins(10),
             forget_after: Duration::from_hours(2),
         }
     }
