--- a/crates/clients/src/circuit.rs
+++ b/crates/clients/src/circuit.rs
@@ -10,9 +10,10 @@
 pub struct Tuning {
     /// Consecutive failures after which the circuit opens.
     pub failures: u32,
-    /// Delay before the first probe; doubles with each failed probe.
+    /// Maximum delay before the first probe. The maximum doubles with each failed
+    /// probe, up to `max_wait`; the actual delay is a random half to whole of it.
     pub first_wait: Duration,
-    /// Maximum delay before a probe.
+    /// Limit for the doubling of the delay. It doesn't apply to `first_wait`.
     pub max_wait: Duration,
     /// Time after which a probe without an outcome counts as lost.
     pub probe_time: Duration,
@@ -34,9 +35,11 @@
 pub enum Admission {
     /// The call may be made.
     Admit,
-    /// The call may be made; its outcome closes or reopens the circuit.
+    /// The call may be made as a probe: its success closes the circuit, its
+    /// failure delays the next probe.
     Probe,
-    /// The call must not be made; the next probe is due after this time.
+    /// The call must not be made. The duration is the time until the next probe
+    /// is due or, while a probe is in flight, until that probe counts as lost.
     Refuse(Duration),
 }
 
@@ -86,7 +89,8 @@
         }
     }
 
-    /// Records a response of the service and closes the circuit.
+    /// Records that a call didn't fail because of the service, and closes the
+    /// circuit. This applies to any call, also one admitted before it opened.
     pub fn succeed(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
@@ -94,9 +98,11 @@
     /// Records that a call admitted as `admission` failed at `now` because of
     /// the service.
     ///
-    /// Once the circuit is open, only the failure of a probe counts. Calls that
-    /// were in flight when it opened would otherwise delay the next probe, or
-    /// be mistaken for a failed one.
+    /// While a probe is in flight, only failures of probes count; while the
+    /// circuit is open without a probe, no failure counts. Otherwise a call that
+    /// was in flight when the circuit opened could delay the next probe or be
+    /// mistaken for a failed probe. Probes aren't told apart: the late failure of
+    /// a lost probe counts as a failure of the current one.
     pub fn fail(&mut self, now: Duration, admission: Admission) {
         self.state = match (self.state, admission) {
             (State::Closed { failures }, _) if failures + 1 < self.tuning.failures => {
--- a/crates/clients/src/error.rs
+++ b/crates/clients/src/error.rs
@@ -16,6 +16,9 @@
         failed: Vec<Failed>,
     },
     /// The call had no effect and won't have one later.
+    ///
+    /// For a call with [`http::Repeat::Idempotent`], this holds only for the last
+    /// attempt: an earlier one on a pooled connection may have taken effect.
     #[display("not applied: {_0}")]
     NotApplied(#[error(not(source))] Reason),
     /// The call may have taken effect, or may still do so.
@@ -41,7 +44,7 @@
     /// The service responded with 503.
     #[display("service responded that it is unavailable")]
     Outage,
-    /// The HTTP exchange failed.
+    /// The HTTP exchange failed, or the response body couldn't be read or parsed.
     #[display("{_0}")]
     Http(http::Error),
     /// The service responded with a status that the protocol doesn't define.
@@ -50,7 +53,8 @@
 }
 
 impl Error {
-    /// Converts the error of a failed HTTP exchange.
+    /// Converts an error of [`http::Client::send`]. Only [`http::Error::NotSent`]
+    /// rules out that the call took effect.
     pub(crate) fn from_http(err: http::Error) -> Self {
         match err {
             http::Error::NotSent(_) => Self::NotApplied(Reason::Http(err)),
@@ -67,8 +71,8 @@
         }
     }
 
-    /// Returns whether the error points to an outage of the service rather than
-    /// to the content of the call.
+    /// Returns whether the circuit breaker counts the error as a failure. It
+    /// counts all errors except conflicts, 4xx statuses and its own refusals.
     pub(crate) fn is_outage(&self) -> bool {
         match self {
             Self::Conflict { .. } | Self::NotApplied(Reason::Status(_) | Reason::Open) => false,
--- a/crates/clients/src/host_list.rs
+++ b/crates/clients/src/host_list.rs
@@ -21,7 +21,7 @@
     pub incarnation: Incarnation,
     /// Address for requests.
     pub address: SocketAddr,
-    /// Address of an entry host for frames of other entry hosts.
+    /// Address at which an entry host accepts messages from other entry hosts.
     #[serde(default)]
     pub fleet_address: Option<SocketAddr>,
     /// Data centre of the host.
@@ -30,13 +30,14 @@
     pub region: Region,
     /// Whether the host accepts new work.
     pub state: State,
-    /// The plain service that runs on the host.
+    /// Name of the service that runs on a host of kind [`Kind::Service`].
     #[serde(default)]
     pub service: Option<ServiceName>,
     /// Versions that an engine may load.
     #[serde(default)]
     pub versions: Vec<VersionId>,
-    /// Whether the host rejects orders with an outdated fencing number.
+    /// Whether the host rejects requests with a fencing number lower than the
+    /// highest that it has seen.
     #[serde(default)]
     pub fences: bool,
 }
@@ -49,7 +50,7 @@
     Entry,
     /// A model engine.
     Engine,
-    /// A plain service.
+    /// A service other than a model engine.
     Service,
 }
 
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -3,8 +3,9 @@
 //!
 //! Any of these services can have an outage. The error of a failed write
 //! therefore tells whether the write may have taken effect ([`Error::Unknown`])
-//! or can't have ([`Error::NotApplied`]), and a circuit breaker ([`Circuit`])
-//! that all callers of a service share detects its outages.
+//! or can't have ([`Error::Conflict`], [`Error::NotApplied`]), and a circuit
+//! breaker ([`Circuit`]) that all callers of a service share detects its outages.
+//! Repeated idempotent writes are an exception, see [`Error::NotApplied`].
 
 mod circuit;
 mod error;
--- a/crates/clients/src/objects.rs
+++ b/crates/clients/src/objects.rs
@@ -22,8 +22,10 @@
     /// Writes an object, replacing any object of that name.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] if the object wasn't written, [`Error::Unknown`] if
-    /// it may have been. Writes are idempotent and can be retried.
+    /// [`Error::NotApplied`] if the last attempt didn't write the object,
+    /// [`Error::Unknown`] if it may have. As an earlier attempt on a pooled
+    /// connection may have written it, neither error means that the object is
+    /// unchanged. Writes are idempotent and can be retried.
     pub async fn put(&self, name: &str, bytes: Vec<u8>) -> Result<(), Error> {
         let target = format!("/v1/objects/{}", encode(name));
         let request = Request::new(Method::Put, target).body(Body::bytes(bytes));
--- a/crates/clients/src/ratings.rs
+++ b/crates/clients/src/ratings.rs
@@ -7,37 +7,37 @@
 use crate::percent::encode;
 use crate::{Error, Service, response};
 
-/// A response submitted for rating.
+/// An answer submitted for rating.
 #[derive(Clone, Debug, Serialize)]
 pub struct Sample {
     /// ID of the request.
     pub request: RequestId,
-    /// The version that produced the response.
+    /// The version that produced the answer.
     pub version: VersionId,
     /// Profile of the request.
     pub profile: ProfileName,
     /// Class of the request.
     pub class: String,
-    /// The host that submits the response and fetches its rating.
+    /// The host that submits the answer and fetches its rating.
     pub reply_to: HostName,
     /// Text of the request.
     pub prompt: String,
-    /// Text of the response.
+    /// Text of the answer.
     pub answer: String,
 }
 
-/// Rating of a response. It may be wrong and may arrive late.
+/// Rating of an answer. It may be wrong and may arrive late.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct Rating {
     /// Sequence number of the rating.
     pub seq: u64,
     /// ID of the request.
     pub request: RequestId,
-    /// The version that produced the response.
+    /// The version that produced the answer.
     pub version: VersionId,
     /// Class of the request.
     pub class: String,
-    /// Whether the response was good enough.
+    /// Whether the answer was good enough.
     pub good: bool,
 }
 
@@ -54,7 +54,7 @@
         Self { service }
     }
 
-    /// Submits a response for rating. It is sent at most once, because losing a
+    /// Submits an answer for rating. It is sent at most once, because losing a
     /// sample does less harm than counting it twice.
     ///
     /// # Errors
@@ -67,7 +67,7 @@
             .await
     }
 
-    /// Reads at most `limit` ratings of responses that `host` submitted, starting
+    /// Reads at most `limit` ratings of answers that `host` submitted, starting
     /// after sequence number `after`.
     ///
     /// # Errors
--- a/crates/clients/src/response.rs
+++ b/crates/clients/src/response.rs
@@ -5,8 +5,9 @@
 
 use crate::{Error, Reason};
 
-/// Maximum size of a response body that is read into memory. The largest
-/// bodies are configuration documents and full pages of rows.
+/// Maximum size of a response body that is read into memory.
+/// [`Objects::put`](crate::Objects::put) doesn't enforce it, so a larger object
+/// can't be read back.
 pub(crate) const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Parses the JSON body of a 200 response; any other status is an error.
@@ -19,8 +20,8 @@
 
 /// Parses the JSON body of a response whose status the caller has checked.
 ///
-/// A truncated or malformed body yields [`Error::Unknown`], because the call
-/// may have taken effect.
+/// A truncated or malformed body yields [`Error::Unknown`]: if the call is a
+/// write, it may have taken effect.
 pub(crate) async fn parse_body<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
     response
         .body
@@ -29,7 +30,7 @@
         .map_err(|err| Error::Unknown(Reason::Http(err)))
 }
 
-/// Discards the body of a successful response; any other status is an error.
+/// Discards the body of a response; any status other than 2xx is an error.
 pub(crate) async fn expect_success(response: Response) -> Result<(), Error> {
     let status = response.status;
     discard(response).await;
--- a/crates/clients/src/row/key.rs
+++ b/crates/clients/src/row/key.rs
@@ -9,8 +9,8 @@
 
 /// Key of a row. `docs/PROTOCOLS.md` lists all keys.
 ///
-/// Parts that come from outside are escaped. Otherwise a `/` in a caller's
-/// idempotency key could map two different requests to the same row.
+/// Parts that come from outside are escaped. Otherwise slashes in the customer
+/// and the idempotency key could map two different requests to the same row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
     /// The configuration document and its revision.
@@ -19,7 +19,7 @@
     ConfigChange(ChangeId),
     /// The change made by a revision.
     ConfigHistory(Revision),
-    /// The claim to run a request at most once.
+    /// Marks a request as taken by one host, so that it runs at most once.
     Claim(RequestKey),
     /// A batch of billing records.
     Bill {
@@ -28,14 +28,14 @@
         /// Sequence number of the batch within that incarnation.
         sequence: u64,
     },
-    /// Where a request's billing record stands.
+    /// The billing record of a single request.
     BillKey {
-        /// Incarnation of the host that wrote the row.
+        /// Home of the request; another host may write the row.
         incarnation: Incarnation,
         /// The request.
         key: RequestKey,
     },
-    /// Marks a host's incarnation as barred from writing.
+    /// Forbids an incarnation of a host to write further billing batches.
     Fence(Incarnation),
     /// Lease on a job that only one host may run at a time.
     Lease(Arc<str>),
@@ -44,7 +44,10 @@
 }
 
 impl Key {
-    /// Parses a key from its [`fmt::Display`] form; returns `None` for any other row.
+    /// Parses the text of a row key; returns `None` if it is unknown or malformed.
+    ///
+    /// Also accepts numbers and escapes in forms that [`fmt::Display`] doesn't
+    /// write, so formatting the result may give another text.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let parts: Vec<_> = text.split('/').collect();
--- a/crates/clients/src/row/prefix.rs
+++ b/crates/clients/src/row/prefix.rs
@@ -4,7 +4,7 @@
 
 use kernel::Incarnation;
 
-/// Common prefix of the keys of one kind of row.
+/// Common prefix of the keys of related rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Prefix {
     /// Committed changes.
@@ -15,7 +15,8 @@
     Claims,
     /// Billing rows of all hosts.
     Bills,
-    /// Billing rows of one incarnation of a host, batches before keys.
+    /// Billing rows of one incarnation of a host: first the batches, then the rows
+    /// of single requests.
     BillsOf(Incarnation),
     /// Fences.
     Fences,
--- a/crates/clients/src/service.rs
+++ b/crates/clients/src/service.rs
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Returns whether the circuit breaker is open.
+    /// Returns whether the circuit breaker is open or waits for the outcome of a
+    /// probe.
     #[must_use]
     pub fn is_out(&self) -> bool {
         self.with_circuit(|it| it.is_open())
@@ -89,6 +90,7 @@
 /// Dropping an ordinary call says nothing about the service and isn't recorded.
 struct PendingCall<'a> {
     service: &'a Service,
+    /// `None` once the outcome is known.
     admission: Option<Admission>,
 }
 
--- a/crates/clients/src/table.rs
+++ b/crates/clients/src/table.rs
@@ -26,7 +26,8 @@
         Self { service }
     }
 
-    /// Returns whether the table's circuit breaker is open.
+    /// Returns whether the table's circuit breaker is open or waits for the outcome
+    /// of a probe.
     #[must_use]
     pub fn is_out(&self) -> bool {
         self.service.is_out()
@@ -34,8 +35,9 @@
 
     /// Applies `transaction` if all its conditions hold.
     ///
-    /// It is sent at most once. If the first attempt was applied, a retry could
-    /// fail on its own conditions and be mistaken for a conflict.
+    /// It is sent at most once. A retry of an applied transaction could be reported
+    /// as a conflict, because the first attempt changed the rows that the conditions
+    /// name.
     ///
     /// # Errors
     /// [`Error::Conflict`] or [`Error::NotApplied`] if nothing was written. After
--- a/crates/clients/src/table/transaction.rs
+++ b/crates/clients/src/table/transaction.rs
@@ -87,7 +87,8 @@
 }
 
 impl Versions {
-    /// Returns the version assigned to `key`.
+    /// Returns the version assigned to `key`, or `None` if the response has none for
+    /// that row.
     #[must_use]
     pub fn get(&self, key: &Key) -> Option<Version> {
         self.versions.get(&key.to_string()).copied()
--- a/crates/clients/tests/suite/calls.rs
+++ b/crates/clients/tests/suite/calls.rs
@@ -19,7 +19,7 @@
 
 /// Accepts one connection per element of `responses`, reads a request and sends
 /// the element as the response; an empty element closes the connection without
-/// a response. The thread returns the requests.
+/// a response. The thread returns the request line and body of each request.
 fn serve(responses: Vec<Vec<u8>>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -120,6 +120,7 @@
 
 fn call(case: &mut TestCase) -> String {
     let show = case.take_flag("show-request").unwrap();
+    // `cut` drops the last byte of the response.
     let cut = case.take_flag("cut").unwrap();
     let status: Option<String> = case.try_take_arg("status").unwrap();
     let mut bytes = status.map_or_else(Vec::new, |it| response(&it, case.input.trim_end()));
@@ -196,6 +197,7 @@
 #[test]
 fn dropped_probe_counts_as_failed() {
     // A dropped probe must not keep the circuit open for the whole `probe_time`.
+    // Three time-outs open the circuit; the dropped probe doubles the delay.
     let hanging = TcpListener::bind("127.0.0.1:0").unwrap();
     let clock = Arc::new(ManualClock::default());
     let options = Options {
--- a/crates/clients/tests/suite/row.rs
+++ b/crates/clients/tests/suite/row.rs
@@ -69,9 +69,11 @@
 
 #[test]
 fn prefix_ends_with_separator() {
+    // Without the separator, the prefix would also match the rows of incarnation 10.
     assert_eq!(Prefix::BillsOf(Incarnation(1)).to_string(), "bill/1/");
 }
 
+/// Generates keys of all kinds except `ConfigHead` and `Fence`.
 fn any_key() -> impl Strategy<Value = Key> {
     let text = || "[a-c/%é.]{0,6}";
     let request = (text(), any::<u64>(), text()).prop_map(|(customer, home, key)| RequestKey {
