--- a/crates/clients/src/circuit.rs
+++ b/crates/clients/src/circuit.rs
@@ -16,7 +16,7 @@
     /// Limit for the doubling of the delay. It doesn't apply to `first_wait`.
     pub max_wait: Duration,
     /// Time after which a probe without an outcome counts as lost.
-    pub probe_time: Duration,
+    pub probe_timeout: Duration,
 }
 
 impl Default for Tuning {
@@ -25,7 +25,7 @@
             failures: 3,
             first_wait: Duration::from_millis(200),
             max_wait: Duration::from_secs(5),
-            probe_time: Duration::from_secs(10),
+            probe_timeout: Duration::from_secs(10),
         }
     }
 }
@@ -82,7 +82,7 @@
                 Admission::Refuse(deadline.saturating_sub(now))
             }
             State::Open { wait, .. } | State::Probing { wait, .. } => {
-                let deadline = now + self.tuning.probe_time;
+                let deadline = now + self.tuning.probe_timeout;
                 self.state = State::Probing { deadline, wait };
                 Admission::Probe
             }
--- a/crates/clients/src/objects.rs
+++ b/crates/clients/src/objects.rs
@@ -2,7 +2,7 @@
 
 use http::{Body, Method, Repeat, Request, Status};
 
-use crate::percent::encode;
+use crate::percent::encode_url_part;
 use crate::response::{self, MAX_RESPONSE_BYTES};
 use crate::{Error, Reason, Service};
 
@@ -27,7 +27,7 @@
     /// connection may have written it, neither error means that the object is
     /// unchanged. Writes are idempotent and can be retried.
     pub async fn put(&self, name: &str, bytes: Vec<u8>) -> Result<(), Error> {
-        let target = format!("/v1/objects/{}", encode(name));
+        let target = format!("/v1/objects/{}", encode_url_part(name));
         let request = Request::new(Method::Put, target).body(Body::bytes(bytes));
         self.service
             .call(request, Repeat::Idempotent, response::expect_success)
@@ -39,7 +39,7 @@
     /// # Errors
     /// [`Error::NotApplied`] or [`Error::Unknown`] when the object can't be read.
     pub async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
-        let request = Request::get(format!("/v1/objects/{}", encode(name)));
+        let request = Request::get(format!("/v1/objects/{}", encode_url_part(name)));
         self.service
             .call(request, Repeat::Idempotent, async |response| {
                 match response.status {
--- a/crates/clients/src/percent.rs
+++ b/crates/clients/src/percent.rs
@@ -3,19 +3,19 @@
 use std::fmt::Write as _;
 
 /// Percent-encodes every byte except ASCII letters, digits, `-`, `_`, `.` and `~`.
-pub(crate) fn encode(text: &str) -> String {
+pub(crate) fn encode_url_part(text: &str) -> String {
     encode_except(text, |byte| {
         byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte)
     })
 }
 
 /// Percent-encodes the separator `/` of row keys, and `%`.
-pub(crate) fn escape(text: &str) -> String {
+pub(crate) fn escape_key_part(text: &str) -> String {
     encode_except(text, |byte| byte != b'/' && byte != b'%')
 }
 
-/// Decodes the output of [`escape`] or [`encode`]. Returns `None` if an escape
-/// sequence is invalid or the result isn't UTF-8.
+/// Decodes the output of [`escape_key_part`] or [`encode_url_part`]. Returns
+/// `None` if an escape sequence is invalid or the result isn't UTF-8.
 pub(crate) fn decode(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.bytes();
--- a/crates/clients/src/ratings.rs
+++ b/crates/clients/src/ratings.rs
@@ -4,7 +4,7 @@
 use kernel::{HostName, ProfileName, RequestId, VersionId};
 use serde::{Deserialize, Serialize};
 
-use crate::percent::encode;
+use crate::percent::encode_url_part;
 use crate::{Error, Service, response};
 
 /// An answer submitted for rating.
@@ -82,7 +82,7 @@
         struct RatingsResponse {
             ratings: Vec<Rating>,
         }
-        let host = encode(host.as_str());
+        let host = encode_url_part(host.as_str());
         let target = format!("/v1/ratings?for={host}&after={after}&limit={limit}");
         let response: RatingsResponse = self
             .service
--- a/crates/clients/src/row/key.rs
+++ b/crates/clients/src/row/key.rs
@@ -5,7 +5,7 @@
 
 use kernel::{ChangeId, Customer, Incarnation, RequestKey, Revision, VersionId};
 
-use crate::percent::{decode, escape};
+use crate::percent::{decode, escape_key_part};
 
 /// Key of a row. `docs/PROTOCOLS.md` lists all keys.
 ///
@@ -29,7 +29,7 @@
         sequence: u64,
     },
     /// The billing record of a single request.
-    BillKey {
+    BilledRequest {
         /// Home of the request; another host may write the row.
         incarnation: Incarnation,
         /// The request.
@@ -60,7 +60,7 @@
             ["claim", customer, home, key] => {
                 Some(Self::Claim(parse_request_key(customer, home, key)?))
             }
-            ["bill", incarnation, "key", customer, home, key] => Some(Self::BillKey {
+            ["bill", incarnation, "key", customer, home, key] => Some(Self::BilledRequest {
                 incarnation: Incarnation(parse_number(incarnation)?),
                 key: parse_request_key(customer, home, key)?,
             }),
@@ -80,7 +80,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::ConfigHead => f.write_str("config/head"),
-            Self::ConfigChange(id) => write!(f, "config/change/{}", escape(id.as_str())),
+            Self::ConfigChange(id) => write!(f, "config/change/{}", escape_key_part(id.as_str())),
             // Zero-padded, because the table sorts keys as text.
             Self::ConfigHistory(revision) => write!(f, "config/history/{:020}", revision.0),
             Self::Claim(key) => write!(f, "claim/{}", Escaped(key)),
@@ -88,12 +88,12 @@
                 incarnation,
                 sequence,
             } => write!(f, "bill/{incarnation}/{sequence:020}"),
-            Self::BillKey { incarnation, key } => {
+            Self::BilledRequest { incarnation, key } => {
                 write!(f, "bill/{incarnation}/key/{}", Escaped(key))
             }
             Self::Fence(incarnation) => write!(f, "fence/{incarnation}"),
-            Self::Lease(name) => write!(f, "lease/{}", escape(name)),
-            Self::Rollout(version) => write!(f, "rollout/{}", escape(version.as_str())),
+            Self::Lease(name) => write!(f, "lease/{}", escape_key_part(name)),
+            Self::Rollout(version) => write!(f, "rollout/{}", escape_key_part(version.as_str())),
         }
     }
 }
@@ -107,7 +107,12 @@
             home,
             key,
         } = self.0;
-        write!(f, "{}/{home}/{}", escape(customer.as_str()), escape(key))
+        write!(
+            f,
+            "{}/{home}/{}",
+            escape_key_part(customer.as_str()),
+            escape_key_part(key)
+        )
     }
 }
 
--- a/crates/clients/src/service.rs
+++ b/crates/clients/src/service.rs
@@ -59,7 +59,7 @@
         if let Admission::Refuse(_) = admission {
             return Err(Error::NotApplied(Reason::Open));
         }
-        let mut pending = PendingCall {
+        let mut guard = ProbeGuard {
             service: self,
             admission: Some(admission),
         };
@@ -71,7 +71,7 @@
             Ok(response) => read(response).await,
             Err(err) => Err(Error::from_http(err)),
         };
-        pending.admission = None;
+        guard.admission = None;
         self.with_circuit(|it| match &result {
             Err(err) if err.is_outage() => it.fail(self.clock.now(), admission),
             _ => it.succeed(),
@@ -88,13 +88,13 @@
 ///
 /// Otherwise no other caller could probe until the dropped probe counts as lost.
 /// Dropping an ordinary call says nothing about the service and isn't recorded.
-struct PendingCall<'a> {
+struct ProbeGuard<'a> {
     service: &'a Service,
     /// `None` once the outcome is known.
     admission: Option<Admission>,
 }
 
-impl Drop for PendingCall<'_> {
+impl Drop for ProbeGuard<'_> {
     fn drop(&mut self) {
         if self.admission == Some(Admission::Probe) {
             let now = self.service.clock.now();
--- a/crates/clients/src/table.rs
+++ b/crates/clients/src/table.rs
@@ -6,7 +6,7 @@
 use http::{Repeat, Request, Status};
 use serde::Deserialize;
 
-use crate::percent::encode;
+use crate::percent::encode_url_part;
 use crate::row::{Key, Prefix};
 use crate::{Error, Failed, Service, response};
 
@@ -66,7 +66,7 @@
     /// # Errors
     /// [`Error::NotApplied`] or [`Error::Unknown`] when the table can't be read.
     pub async fn get(&self, key: &Key) -> Result<Option<Row>, Error> {
-        let request = Request::get(format!("/v1/rows/{}", encode(&key.to_string())));
+        let request = Request::get(format!("/v1/rows/{}", encode_url_part(&key.to_string())));
         self.service
             .call(request, Repeat::Idempotent, async |response| {
                 if response.status == Status::NotFound {
@@ -88,11 +88,11 @@
         after: Option<&str>,
         limit: usize,
     ) -> Result<Page, Error> {
-        let prefix = encode(&prefix.to_string());
+        let prefix = encode_url_part(&prefix.to_string());
         let mut target = format!("/v1/rows?prefix={prefix}&limit={limit}");
         if let Some(after) = after {
             target.push_str("&after=");
-            target.push_str(&encode(after));
+            target.push_str(&encode_url_part(after));
         }
         self.service
             .call(
--- a/crates/clients/tests/suite/calls.rs
+++ b/crates/clients/tests/suite/calls.rs
@@ -171,9 +171,14 @@
 fn open_circuit_refuses_calls_until_probe_succeeds() {
     // After three 503 responses, calls must fail without a connection until a
     // probe succeeds.
-    let out = response("503", "");
-    let back = response("200", r#"{"versions":{}}"#);
-    let (address, received) = serve(vec![out.clone(), out.clone(), out, back]);
+    let unavailable = response("503", "");
+    let recovered = response("200", r#"{"versions":{}}"#);
+    let (address, received) = serve(vec![
+        unavailable.clone(),
+        unavailable.clone(),
+        unavailable,
+        recovered,
+    ]);
     let clock = Arc::new(ManualClock::default());
     let service = service(address, Arc::clone(&clock) as _, Options::default());
     let table = Table::new(service);
@@ -196,7 +201,7 @@
 
 #[test]
 fn dropped_probe_counts_as_failed() {
-    // A dropped probe must not keep the circuit open for the whole `probe_time`.
+    // A dropped probe must not keep the circuit open for the whole `probe_timeout`.
     // Three time-outs open the circuit; the dropped probe doubles the delay.
     let hanging = TcpListener::bind("127.0.0.1:0").unwrap();
     let clock = Arc::new(ManualClock::default());
--- a/crates/clients/tests/suite/circuit.rs
+++ b/crates/clients/tests/suite/circuit.rs
@@ -12,7 +12,7 @@
         failures: 3,
         first_wait: Duration::from_millis(200),
         max_wait: Duration::from_secs(1),
-        probe_time: Duration::from_secs(10),
+        probe_timeout: Duration::from_secs(10),
     }
 }
 
@@ -69,7 +69,7 @@
 
 proptest! {
     #[test]
-    fn circuit_always_admits_a_probe_eventually(
+    fn refusal_ends_with_a_probe(
         seed in any::<u64>(),
         steps in proptest::collection::vec(step(), 0..40),
     ) {
@@ -84,7 +84,7 @@
                 Step::Wait(ms) => now += Duration::from_millis(ms),
             }
         }
-        let longest = tuning().probe_time.max(tuning().max_wait);
+        let longest = tuning().probe_timeout.max(tuning().max_wait);
         if let Admission::Refuse(wait) = circuit.admit(now) {
             prop_assert!(wait <= longest);
             prop_assert_eq!(circuit.admit(now + wait), Admission::Probe);
--- a/crates/clients/tests/suite/row.rs
+++ b/crates/clients/tests/suite/row.rs
@@ -42,7 +42,7 @@
         &expect!["bill/7/00000000000000000003"],
     );
     check(
-        &Key::BillKey {
+        &Key::BilledRequest {
             incarnation: Incarnation(7),
             key: request_key("kivuli", "k1"),
         },
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn unknown_keys_are_rejected() {
+fn unknown_and_malformed_keys_are_rejected() {
     for text in [
         "",
         "config",
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn prefix_ends_with_separator() {
+fn bills_prefix_ends_with_separator() {
     // Without the separator, the prefix would also match the rows of incarnation 10.
     assert_eq!(Prefix::BillsOf(Incarnation(1)).to_string(), "bill/1/");
 }
@@ -89,7 +89,7 @@
             incarnation: Incarnation(incarnation),
             sequence,
         }),
-        (any::<u64>(), request).prop_map(|(incarnation, key)| Key::BillKey {
+        (any::<u64>(), request).prop_map(|(incarnation, key)| Key::BilledRequest {
             incarnation: Incarnation(incarnation),
             key,
         }),
