--- a/crates/clients/src/objects.rs
+++ b/crates/clients/src/objects.rs
@@ -2,7 +2,7 @@
 
 use http::{Body, Method, Repeat, Request, Status};
 
-use crate::percent::encode;
+use crate::percent::encode_url_part;
 use crate::response::{self, MAX_RESPONSE_BYTES};
 use crate::{Error, Reason, Service};
 
@@ -22,10 +22,12 @@
     /// Writes an object, replacing any object of that name.
     ///
     /// # Errors
-    /// [`Error::NotApplied`] if the object wasn't written, [`Error::Unknown`] if
-    /// it may have been. Writes are idempotent and can be retried.
+    /// [`Error::NotApplied`] if the last attempt didn't write the object,
+    /// [`Error::Unknown`] if it may have. As an earlier attempt on a pooled
+    /// connection may have written it, neither error means that the object is
+    /// unchanged. Writes are idempotent and can be retried.
     pub async fn put(&self, name: &str, bytes: Vec<u8>) -> Result<(), Error> {
-        let target = format!("/v1/objects/{}", encode(name));
+        let target = format!("/v1/objects/{}", encode_url_part(name));
         let request = Request::new(Method::Put, target).body(Body::bytes(bytes));
         self.service
             .call(request, Repeat::Idempotent, response::expect_success)
@@ -37,7 +39,7 @@
     /// # Errors
     /// [`Error::NotApplied`] or [`Error::Unknown`] when the object can't be read.
     pub async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
-        let request = Request::get(format!("/v1/objects/{}", encode(name)));
+        let request = Request::get(format!("/v1/objects/{}", encode_url_part(name)));
         self.service
             .call(request, Repeat::Idempotent, async |response| {
                 match response.status {
