--- a/crates/clients/src/row/key.rs
+++ b/crates/clients/src/row/key.rs
@@ -5,12 +5,12 @@
 
 use kernel::{ChangeId, Customer, Incarnation, RequestKey, Revision, VersionId};
 
-use crate::percent::{decode, escape};
+use crate::percent::{decode, escape_key_part};
 
 /// Key of a row. `docs/PROTOCOLS.md` lists all keys.
 ///
-/// Parts that come from outside are escaped. Otherwise a `/` in a caller's
-/// idempotency key could map two different requests to the same row.
+/// Parts that come from outside are escaped. Otherwise slashes in the customer
+/// and the idempotency key could map two different requests to the same row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
     /// The configuration document and its revision.
@@ -19,7 +19,7 @@
     ConfigChange(ChangeId),
     /// The change made by a revision.
     ConfigHistory(Revision),
-    /// The claim to run a request at most once.
+    /// Marks a request as taken by one host, so that it runs at most once.
     Claim(RequestKey),
     /// A batch of billing records.
     Bill {
@@ -28,14 +28,14 @@
         /// Sequence number of the batch within that incarnation.
         sequence: u64,
     },
-    /// Where a request's billing record stands.
-    BillKey {
-        /// Incarnation of the host that wrote the row.
+    /// The billing record of a single request.
+    BilledRequest {
+        /// Home of the request; another host may write the row.
         incarnation: Incarnation,
         /// The request.
         key: RequestKey,
     },
-    /// Marks a host's incarnation as barred from writing.
+    /// Forbids an incarnation of a host to write further billing batches.
     Fence(Incarnation),
     /// Lease on a job that only one host may run at a time.
     Lease(Arc<str>),
@@ -44,7 +44,10 @@
 }
 
 impl Key {
-    /// Parses a key from its [`fmt::Display`] form; returns `None` for any other row.
+    /// Parses the text of a row key; returns `None` if it is unknown or malformed.
+    ///
+    /// Also accepts numbers and escapes in forms that [`fmt::Display`] doesn't
+    /// write, so formatting the result may give another text.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let parts: Vec<_> = text.split('/').collect();
@@ -57,7 +60,7 @@
             ["claim", customer, home, key] => {
                 Some(Self::Claim(parse_request_key(customer, home, key)?))
             }
-            ["bill", incarnation, "key", customer, home, key] => Some(Self::BillKey {
+            ["bill", incarnation, "key", customer, home, key] => Some(Self::BilledRequest {
                 incarnation: Incarnation(parse_number(incarnation)?),
                 key: parse_request_key(customer, home, key)?,
             }),
@@ -77,7 +80,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::ConfigHead => f.write_str("config/head"),
-            Self::ConfigChange(id) => write!(f, "config/change/{}", escape(id.as_str())),
+            Self::ConfigChange(id) => write!(f, "config/change/{}", escape_key_part(id.as_str())),
             // Zero-padded, because the table sorts keys as text.
             Self::ConfigHistory(revision) => write!(f, "config/history/{:020}", revision.0),
             Self::Claim(key) => write!(f, "claim/{}", Escaped(key)),
@@ -85,12 +88,12 @@
                 incarnation,
                 sequence,
             } => write!(f, "bill/{incarnation}/{sequence:020}"),
-            Self::BillKey { incarnation, key } => {
+            Self::BilledRequest { incarnation, key } => {
                 write!(f, "bill/{incarnation}/key/{}", Escaped(key))
             }
             Self::Fence(incarnation) => write!(f, "fence/{incarnation}"),
-            Self::Lease(name) => write!(f, "lease/{}", escape(name)),
-            Self::Rollout(version) => write!(f, "rollout/{}", escape(version.as_str())),
+            Self::Lease(name) => write!(f, "lease/{}", escape_key_part(name)),
+            Self::Rollout(version) => write!(f, "rollout/{}", escape_key_part(version.as_str())),
         }
     }
 }
@@ -104,7 +107,12 @@
             home,
             key,
         } = self.0;
-        write!(f, "{}/{home}/{}", escape(customer.as_str()), escape(key))
+        write!(
+            f,
+            "{}/{home}/{}",
+            escape_key_part(customer.as_str()),
+            escape_key_part(key)
+        )
     }
 }
 
--- a/crates/clients/src/table.rs
+++ b/crates/clients/src/table.rs
@@ -6,7 +6,7 @@
 use http::{Repeat, Request, Status};
 use serde::Deserialize;
 
-use crate::percent::encode;
+use crate::percent::encode_url_part;
 use crate::row::{Key, Prefix};
 use crate::{Error, Failed, Service, response};
 
@@ -26,7 +26,8 @@
         Self { service }
     }
 
-    /// Returns whether the table's circuit breaker is open.
+    /// Returns whether the table's circuit breaker is open or waits for the outcome
+    /// of a probe.
     #[must_use]
     pub fn is_out(&self) -> bool {
         self.service.is_out()
@@ -34,8 +35,9 @@
 
     /// Applies `transaction` if all its conditions hold.
     ///
-    /// It is sent at most once. If the first attempt was applied, a retry could
-    /// fail on its own conditions and be mistaken for a conflict.
+    /// It is sent at most once. A retry of an applied transaction could be reported
+    /// as a conflict, because the first attempt changed the rows that the conditions
+    /// name.
     ///
     /// # Errors
     /// [`Error::Conflict`] or [`Error::NotApplied`] if nothing was written. After
@@ -64,7 +66,7 @@
     /// # Errors
     /// [`Error::NotApplied`] or [`Error::Unknown`] when the table can't be read.
     pub async fn get(&self, key: &Key) -> Result<Option<Row>, Error> {
-        let request = Request::get(format!("/v1/rows/{}", encode(&key.to_string())));
+        let request = Request::get(format!("/v1/rows/{}", encode_url_part(&key.to_string())));
         self.service
             .call(request, Repeat::Idempotent, async |response| {
                 if response.status == Status::NotFound {
@@ -86,11 +88,11 @@
         after: Option<&str>,
         limit: usize,
     ) -> Result<Page, Error> {
-        let prefix = encode(&prefix.to_string());
+        let prefix = encode_url_part(&prefix.to_string());
         let mut target = format!("/v1/rows?prefix={prefix}&limit={limit}");
         if let Some(after) = after {
             target.push_str("&after=");
-            target.push_str(&encode(after));
+            target.push_str(&encode_url_part(after));
         }
         self.service
             .call(
--- a/crates/fleet/src/fleet/anti_entropy.rs
+++ b/crates/fleet/src/fleet/anti_entropy.rs
@@ -11,8 +11,8 @@
 use crate::view::bucket_of;
 use crate::{Action, Fleet};
 
-/// The reconnect interval grows by its configured value for each group of this
-/// many hosts.
+/// The configured reconnect interval is multiplied by the fleet's size divided by
+/// this, rounded up.
 const HOSTS_PER_RECONNECT_INTERVAL: usize = 16;
 
 /// Number of hosts contacted at once while no other member is reachable.
@@ -116,7 +116,7 @@
             .differing_since
             .entry(host.clone())
             .or_insert(cx.now);
-        if cx.now.saturating_sub(*since) < self.tuning.view_patience {
+        if cx.now.saturating_sub(*since) < self.tuning.compare_after_differing {
             return;
         }
         *since = cx.now;
@@ -175,7 +175,8 @@
     fn queue_only_own_record(&mut self) {
         self.gossip = crate::gossip::Gossip::default();
         let news = News::Member(self.me.clone());
-        self.gossip.add(news, None, self.tuning.carries);
+        self.gossip
+            .add(news, None, self.tuning.piggybacks_per_update);
     }
 
     /// Returns the buckets in the other host's response that differ from this
--- a/crates/fleet/src/prober.rs
+++ b/crates/fleet/src/prober.rs
@@ -16,8 +16,9 @@
     target_index: usize,
     pending: BTreeMap<u32, PendingProbe>,
     relayed: BTreeMap<u32, RelayedProbe>,
-    /// The time at which this host's own probe was last acknowledged.
-    pub(crate) answered: Duration,
+    /// The time at which this host's own probe was last acknowledged, or at which
+    /// the process resumed after a freeze.
+    pub(crate) last_response: Duration,
 }
 
 /// A probe that this host started itself.
@@ -42,11 +43,11 @@
 impl RelayedProbe {
     pub(crate) fn new(
         now: Duration,
-        asker: (HostName, SocketAddr),
+        requester: (HostName, SocketAddr),
         sequence: u32,
         target: Identity,
     ) -> Self {
-        let (host, address) = asker;
+        let (host, address) = requester;
         Self {
             host,
             address,
@@ -58,6 +59,7 @@
 }
 
 impl Prober {
+    /// Returns a new sequence number for a probe or a configuration fetch.
     pub(crate) fn next_sequence(&mut self) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sequence
@@ -133,6 +135,6 @@
     /// Drops all of this host's own probes and counts silence from `now`.
     pub(crate) fn reset(&mut self, now: Duration) {
         self.pending.clear();
-        self.answered = now;
+        self.last_response = now;
     }
 }
