--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -11,8 +11,10 @@
 pub struct Endpoint {
     /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The expected incarnation. An endpoint that has been replaced at the same
-    /// address refuses the call, because it lacks its predecessor's state.
+    /// The expected incarnation. Calls, orders and cancellations carry it, so that an
+    /// endpoint that has replaced another one at the same address can refuse them, because
+    /// it lacks its predecessor's state. Requests for a load report don't carry it; the
+    /// report contains the endpoint's incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -50,7 +52,7 @@
         format!("{}-{}", self.host, self.id)
     }
 
-    /// Adds the headers that identify the attempt to `request`.
+    /// Adds the attempt's headers and the endpoint's expected incarnation to `request`.
     pub(crate) fn add_headers(&self, to: &Endpoint, request: Request) -> Request {
         request
             .header("x-request-id", self.request.as_str())
--- a/crates/engine/src/chat/chunk.rs
+++ b/crates/engine/src/chat/chunk.rs
@@ -1,4 +1,4 @@
-//! JSON types of complete and streamed responses.
+//! JSON types of streamed and unstreamed responses.
 
 use std::borrow::Cow;
 
--- a/crates/engine/src/chat/fault.rs
+++ b/crates/engine/src/chat/fault.rs
@@ -10,7 +10,8 @@
     /// The response or a chunk of it belongs to another attempt.
     #[display("part of another attempt")]
     Foreign,
-    /// A chunk is missing, duplicated, or follows the end of the response.
+    /// A chunk is missing, is duplicated or follows the last chunk, or a message follows
+    /// the end marker.
     #[display("part out of order")]
     Disordered,
     /// The content violates the protocol.
--- a/crates/engine/src/chat/request.rs
+++ b/crates/engine/src/chat/request.rs
@@ -20,7 +20,7 @@
     pub class: Arc<str>,
 }
 
-/// The request body.
+/// The JSON body of a chat request: the fields of [`Chat`] and `stream`.
 #[derive(Serialize)]
 pub(crate) struct RequestBody<'a> {
     #[serde(flatten)]
--- a/crates/engine/src/chat/stream.rs
+++ b/crates/engine/src/chat/stream.rs
@@ -9,7 +9,8 @@
 use crate::{Failure, FailureCause};
 
 /// The maximum time to wait for the end of the body after the end marker. The response
-/// is already complete; after this time only the connection isn't reused.
+/// is already complete. If the time is exceeded, the response is still returned, but the
+/// connection isn't reused.
 const BODY_END_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A streamed response. Dropping it before its end closes the connection, which tells
@@ -33,7 +34,8 @@
     }
 
     /// Waits for more text and returns all text received since the last call, or `None`
-    /// at the end of the stream or after a failure. See [`Stream::finish`].
+    /// at the end of the stream or after a failure. Call [`Stream::finish`] to tell the two
+    /// apart.
     pub async fn next(&mut self) -> Option<&str> {
         while self.returned == self.reader.content().len() && self.result.is_none() {
             self.result = self.read_more().await;
@@ -81,8 +83,8 @@
         }
     }
 
-    /// Reads the body after the end marker and fails if it contains another chunk.
-    /// Connection errors are ignored, because the response is already complete.
+    /// Reads the body after the end marker and fails if it contains another event, invalid
+    /// UTF-8 or an oversized line. Connection errors are ignored, because the response is already complete.
     async fn read_rest(&mut self) -> Result<(), Failure> {
         while let Ok(Some(piece)) = self.body.piece().await {
             self.reader.feed(&piece).map_err(content_failure)?;
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -9,9 +9,9 @@
     Answer, Attempt, Call, Chat, Endpoint, Failure, FailureCause, Load, Order, Receipt, Stream,
 };
 
-/// The maximum size of a response that is read into memory, in bytes.
+/// The maximum size of a chat response that isn't streamed, in bytes.
 const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
-/// The maximum size of a load report and of other short responses, in bytes.
+/// The maximum size of a load report, a conflict or a discarded body, in bytes.
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
 /// Headers that only an entry host may set. They are removed from callers' requests.
@@ -166,8 +166,9 @@
     /// Cancels an attempt on an endpoint.
     ///
     /// # Errors
-    /// Returns a [`Failure`] if the cancellation may not have reached the endpoint. It
-    /// is safe to ignore; the endpoint then completes work whose result is unused.
+    /// Returns a [`Failure`] if the endpoint neither confirms the cancellation nor reports
+    /// that the attempt is unknown. The failure can be ignored: at worst, the endpoint
+    /// completes work whose result is unused.
     pub async fn cancel(
         &self,
         to: &Endpoint,
--- a/crates/engine/src/failure.rs
+++ b/crates/engine/src/failure.rs
@@ -9,7 +9,7 @@
 /// The maximum `content-length` of a refusal, in bytes. A refusal always declares its length.
 const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
-/// The reason why a call has no complete response.
+/// The reason why a call failed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Failure {
     /// Nothing was sent.
@@ -44,13 +44,15 @@
     WrongIncarnation,
 }
 
-/// The cause of the failure of a call that was sent, at least in part.
+/// The cause of the failure of a call that may have been sent.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum FailureCause {
-    /// The connection failed.
+    /// The exchange failed, for example because of a timeout, a closed connection or
+    /// malformed HTTP.
     #[display("{_0}")]
     Link(Cause),
-    /// An error status without a refusal code of the endpoint.
+    /// An unexpected status. The response isn't a refusal, wasn't recognized as one, or
+    /// wasn't checked for one, as in [`Client::load`](crate::Client::load).
     #[display("status {_0}")]
     Status(u16),
     /// The content of the response is invalid.
--- a/crates/engine/src/sse.rs
+++ b/crates/engine/src/sse.rs
@@ -1,6 +1,6 @@
 //! Incremental parser of server-sent events.
 
-/// The maximum size of a line and of an event's data, in bytes. It bounds the memory
+/// The maximum size of a line, and separately of an event's data, in bytes. It bounds the memory
 /// that a peer can occupy with a line or event that never ends.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
@@ -18,7 +18,7 @@
 pub enum Error {
     /// A line isn't UTF-8.
     Encoding,
-    /// A line or an event is too long.
+    /// A line or an event's data is too long.
     TooLarge,
 }
 
@@ -106,7 +106,7 @@
         match field {
             "event" => value.clone_into(&mut self.name),
             "data" => self.add_data(value)?,
-            // Comments, `id` and `retry` are ignored.
+            // Comments and all other fields, such as `id` and `retry`, are ignored.
             _ => {}
         }
         Ok(())
--- a/crates/engine/tests/suite/client.rs
+++ b/crates/engine/tests/suite/client.rs
@@ -20,7 +20,7 @@
 use crate::message::read_message;
 
 /// An endpoint that accepts one request and sends a fixed response. Its thread
-/// returns the request's filtered head and its body.
+/// returns the request's head without `host` and `content-length`, and its body.
 struct ScriptedEndpoint {
     endpoint: Endpoint,
     received: thread::JoinHandle<String>,
@@ -212,7 +212,7 @@
             .await;
         stream.unwrap().finish().await.unwrap()
     };
-    // Shorter than the request's own timeout.
+    // Shorter than `Options::total`.
     let response = block_on(timeout(Duration::from_secs(10), response)).unwrap();
     assert_eq!(response.content, "hi");
     drop(release);
@@ -238,8 +238,9 @@
     );
 }
 
-/// An endpoint that accepts one connection per script. It reads one request before each
-/// string of the script and then sends that string, which may contain several responses.
+/// Starts an endpoint that accepts one connection per item of `connections`. It reads one
+/// request before each string of the item and then sends that string, which may contain
+/// several responses.
 fn start_scripted(connections: Vec<Vec<String>>) -> Endpoint {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
@@ -274,8 +275,8 @@
 
 #[test]
 fn a_late_refusal_is_not_the_response_to_the_next_call() {
-    // A duplicate refusal that arrives late on a reused connection was taken as the
-    // response to the next call, and a booking that was made was reported as not run.
+    // A duplicate refusal on a reused connection must not be taken as the response to the
+    // next call, which would be reported as not run although it ran.
     let to = start_scripted(vec![
         vec![refusal(), refusal() + &response_text("200 OK", "booked")],
         vec![response_text("200 OK", "booked")],
