--- a/crates/engine/src/chat.rs
+++ b/crates/engine/src/chat.rs
@@ -13,5 +13,5 @@
 pub use request::Chat;
 pub use stream::Stream;
 
-pub(crate) use chunk::CompleteResponse;
+pub(crate) use chunk::UnstreamedResponse;
 pub(crate) use request::RequestBody;
--- a/crates/engine/src/chat/chunk.rs
+++ b/crates/engine/src/chat/chunk.rs
@@ -52,9 +52,9 @@
 
 /// A response that isn't streamed.
 #[derive(Debug, Deserialize)]
-pub(crate) struct CompleteResponse {
+pub(crate) struct UnstreamedResponse {
     id: String,
-    choices: Vec<CompleteChoice>,
+    choices: Vec<UnstreamedChoice>,
     #[serde(default)]
     finish_reason: Option<String>,
     usage: Usage,
@@ -62,7 +62,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct CompleteChoice {
+struct UnstreamedChoice {
     message: Message,
     #[serde(default)]
     finish_reason: Option<String>,
@@ -73,7 +73,7 @@
     content: String,
 }
 
-impl CompleteResponse {
+impl UnstreamedResponse {
     pub(crate) fn into_answer(self, attempt: &str) -> Result<Answer, Fault> {
         if self.id != attempt {
             return Err(Fault::Foreign);
--- a/crates/engine/src/chat/reader.rs
+++ b/crates/engine/src/chat/reader.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// The end marker hasn't arrived yet.
-    Open,
+    Incomplete,
     /// The end marker has arrived.
     Done,
 }
@@ -74,7 +74,7 @@
         if self.state.done {
             Progress::Done
         } else {
-            Progress::Open
+            Progress::Incomplete
         }
     }
 
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -3,16 +3,16 @@
 use http::{Options, Repeat, Request, Response, Status};
 use serde::Deserialize;
 
-use crate::chat::{CompleteResponse, RequestBody};
+use crate::chat::{RequestBody, UnstreamedResponse};
 use crate::failure::{Reply, classify};
 use crate::{
     Answer, Attempt, Call, Chat, Endpoint, Failure, FailureCause, Load, Order, Receipt, Stream,
 };
 
 /// The maximum size of a chat response that isn't streamed, in bytes.
-const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
+const MAX_CHAT_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
 /// The maximum size of a load report, a conflict or a discarded body, in bytes.
-const MAX_REPORT_BYTES: usize = 1024 * 1024;
+const MAX_SHORT_RESPONSE_BYTES: usize = 1024 * 1024;
 
 /// Headers that only an entry host may set. They are removed from callers' requests.
 const RESERVED_HEADERS: [&str; 4] = [
@@ -70,8 +70,8 @@
     ) -> Result<Answer, Failure> {
         let response = self.send_chat(to, attempt, chat, false, options).await?;
         let mut body = response.body;
-        let complete: CompleteResponse = body.drain_json(MAX_RESPONSE_BYTES).await?;
-        complete.into_answer(&attempt.wire_id()).map_err(|it| {
+        let unstreamed: UnstreamedResponse = body.drain_json(MAX_CHAT_RESPONSE_BYTES).await?;
+        unstreamed.into_answer(&attempt.wire_id()).map_err(|it| {
             body.give_up();
             Failure::Cut(FailureCause::Content(it))
         })
@@ -135,7 +135,7 @@
                 response.status.into(),
             )));
         }
-        Ok(response.body.parse(MAX_REPORT_BYTES).await?)
+        Ok(response.body.parse(MAX_SHORT_RESPONSE_BYTES).await?)
     }
 
     /// Sends an order to an engine.
@@ -213,7 +213,11 @@
         code: String,
     }
     let status = response.status.into();
-    match response.body.parse::<Conflict>(MAX_REPORT_BYTES).await {
+    match response
+        .body
+        .parse::<Conflict>(MAX_SHORT_RESPONSE_BYTES)
+        .await
+    {
         Ok(conflict) if conflict.error.code == "stale_fencing" => Ok(Receipt::StaleFencing),
         Ok(_) | Err(http::Error::Json { .. }) => {
             Err(Failure::MayHaveRun(FailureCause::Status(status)))
@@ -224,7 +228,7 @@
 
 /// Reads and discards the response body, so that the connection can be reused.
 async fn discard_body(response: Response) {
-    let _ = response.body.collect(MAX_REPORT_BYTES).await;
+    let _ = response.body.collect(MAX_SHORT_RESPONSE_BYTES).await;
 }
 
 fn is_forwarded(name: &str) -> bool {
--- a/crates/engine/src/sse.rs
+++ b/crates/engine/src/sse.rs
@@ -1,8 +1,8 @@
 //! Incremental parser of server-sent events.
 
-/// The maximum size of a line, and separately of an event's data, in bytes. It bounds the memory
-/// that a peer can occupy with a line or event that never ends.
-const MAX_EVENT_BYTES: usize = 1024 * 1024;
+/// The maximum size of a line, and separately of an event's data, in bytes. It bounds the
+/// memory that a peer can occupy with a line or event that never ends.
+const MAX_LINE_OR_DATA_BYTES: usize = 1024 * 1024;
 
 /// An event that borrows from the buffers of the parser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,7 +63,7 @@
     }
 
     fn buffer_partial(&mut self, bytes: &[u8]) -> Result<(), Error> {
-        if self.partial.len() + bytes.len() > MAX_EVENT_BYTES {
+        if self.partial.len() + bytes.len() > MAX_LINE_OR_DATA_BYTES {
             return Err(Error::TooLarge);
         }
         self.partial.extend_from_slice(bytes);
@@ -91,7 +91,7 @@
         line: &[u8],
         on_event: impl FnMut(Event<'_>) -> Result<(), E>,
     ) -> Result<(), E> {
-        if line.len() > MAX_EVENT_BYTES {
+        if line.len() > MAX_LINE_OR_DATA_BYTES {
             return Err(Error::TooLarge.into());
         }
         let mut line = str::from_utf8(line).map_err(|_| Error::Encoding)?;
@@ -113,7 +113,7 @@
     }
 
     fn add_data(&mut self, value: &str) -> Result<(), Error> {
-        if self.data.len() + value.len() > MAX_EVENT_BYTES {
+        if self.data.len() + value.len() > MAX_LINE_OR_DATA_BYTES {
             return Err(Error::TooLarge);
         }
         if std::mem::replace(&mut self.has_data, true) {
--- a/crates/engine/tests/suite/client.rs
+++ b/crates/engine/tests/suite/client.rs
@@ -241,7 +241,7 @@
 /// Starts an endpoint that accepts one connection per item of `connections`. It reads one
 /// request before each string of the item and then sends that string, which may contain
 /// several responses.
-fn start_scripted(connections: Vec<Vec<String>>) -> Endpoint {
+fn start_with_connections(connections: Vec<Vec<String>>) -> Endpoint {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = endpoint(listener.local_addr().unwrap());
     thread::spawn(move || {
@@ -277,7 +277,7 @@
 fn a_late_refusal_is_not_the_response_to_the_next_call() {
     // A duplicate refusal on a reused connection must not be taken as the response to the
     // next call, which would be reported as not run although it ran.
-    let to = start_scripted(vec![
+    let to = start_with_connections(vec![
         vec![refusal(), refusal() + &response_text("200 OK", "booked")],
         vec![response_text("200 OK", "booked")],
     ]);
@@ -297,7 +297,7 @@
 fn a_response_to_another_attempt_closes_the_connection() {
     // With one response too many on a reused connection, every later request would read
     // the response to the request before it. The connection must be closed.
-    let to = start_scripted(vec![
+    let to = start_with_connections(vec![
         vec![chat_response("7-0"), chat_response("7-1")],
         vec![chat_response("7-2")],
     ]);
@@ -320,7 +320,7 @@
     // be malformed, and a healthy endpoint would be considered unavailable.
     let report = json!({"name": "e1", "incarnation": 42, "state": "live", "running": 1,
         "waiting": 0, "slots": 8, "versions": [], "age_ms": 0});
-    let to = start_scripted(vec![
+    let to = start_with_connections(vec![
         vec![chat_response("7-0"), chat_response("7-1")],
         vec![response_text("200 OK", &report.to_string())],
     ]);
--- a/crates/engine/tests/suite/sse.rs
+++ b/crates/engine/tests/suite/sse.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn names_and_comments() {
+fn the_event_name_is_parsed_and_other_fields_are_ignored() {
     check(
         b": keep-alive\nevent: error\nid: 4\nretry: 5\ndata: a\n\n",
         &expect![[r#""error" "a""#]],
