--- a/crates/framing/src/body.rs
+++ b/crates/framing/src/body.rs
@@ -1,25 +1,25 @@
-//! Bodies.
+//! Decoding of message bodies.
 
 use memchr::memchr;
 
 use crate::Error;
 
-/// The longest line of chunk framing that is taken, in bytes. Sizes are at most
-/// 16 digits; the rest is room for extensions and trailers.
+/// Maximum number of bytes buffered of an incomplete line of chunk framing, with room for chunk
+/// extensions and trailer fields.
 const MAX_LINE: usize = 1024;
 
-/// How a body's end is found.
+/// The framing of a body, which determines where it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Length {
-    /// By its number of bytes.
+    /// The body has this number of bytes.
     Known(u64),
-    /// By its last chunk.
+    /// The body is sent with the chunked transfer coding.
     Chunked,
-    /// By the connection's end.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
-/// Takes the body out of what a connection carries.
+/// Incremental decoder that extracts a body from the bytes of a connection.
 #[derive(Clone, Debug)]
 pub struct Decoder {
     state: State,
@@ -37,7 +37,7 @@
 }
 
 impl Decoder {
-    /// A decoder at the start of a body.
+    /// Creates a decoder at the start of a body.
     #[must_use]
     pub fn new(length: Length) -> Self {
         let state = match length {
@@ -49,17 +49,17 @@
         Self { state }
     }
 
-    /// Whether the body has been taken to its end.
+    /// Returns whether the whole body has been decoded.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Takes what it can from `input`, appends the body's part of it to `body`
-    /// and returns how many bytes it took. It takes nothing beyond the body.
+    /// Decodes as much of `input` as possible, appends the decoded bytes to `body`
+    /// and returns the number of bytes consumed. Consumes no bytes after the body's end.
     ///
     /// # Errors
-    /// [`Error::Malformed`] for broken chunk framing.
+    /// [`Error::Malformed`] if the chunk framing is invalid.
     pub fn decode(&mut self, input: &[u8], body: &mut Vec<u8>) -> Result<usize, Error> {
         let mut taken = 0;
         loop {
@@ -81,10 +81,10 @@
         }
     }
 
-    /// Says that the connection has ended in good order.
+    /// Signals that the peer closed the connection cleanly.
     ///
     /// # Errors
-    /// [`Error::Truncated`] if the body hasn't.
+    /// [`Error::Truncated`] if the body was not complete.
     pub fn finish(&mut self) -> Result<(), Error> {
         match self.state {
             State::Open | State::Done => {
@@ -110,7 +110,8 @@
         len
     }
 
-    /// Takes one line of chunk framing, or nothing if it isn't all there.
+    /// Decodes one line of chunk framing. Returns the number of bytes consumed, which is 0 if
+    /// the line is incomplete.
     fn line(&mut self, rest: &[u8]) -> Result<usize, Error> {
         let Some(lf) = memchr(b'\n', rest) else {
             return if rest.len() > MAX_LINE {
--- a/crates/framing/src/error.rs
+++ b/crates/framing/src/error.rs
@@ -1,17 +1,17 @@
-//! Why bytes are no message.
+//! Errors of parsing and decoding messages.
 
 use derive_more::{Display, Error};
 
-/// Why bytes are no message.
+/// An error of parsing a head or decoding a body.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// The bytes break the grammar, or two readers could see two messages in them.
-    #[display("malformed message")]
+    /// The bytes violate the grammar, or different parsers could read them differently.
+    #[display("message is malformed")]
     Malformed,
-    /// The head is longer, or has more fields, than is allowed.
-    #[display("head too large")]
+    /// The head has more fields than allowed.
+    #[display("head has too many fields")]
     TooLarge,
-    /// The peer closed before the message's end.
-    #[display("message broken off")]
+    /// The peer closed the connection before the end of the message.
+    #[display("message is incomplete")]
     Truncated,
 }
--- a/crates/framing/src/events.rs
+++ b/crates/framing/src/events.rs
@@ -1,26 +1,26 @@
-//! Event streams, cut into whole events.
+//! Splitting of event streams (`text/event-stream`) into events.
 
 use memchr::memmem;
 
-/// Cuts an event stream into whole events, so that the beginning of one that
-/// its sender never finished is not passed on.
+/// Buffer that splits an event stream into complete events, so that an event whose sender
+/// failed halfway is not passed on.
 #[derive(Clone, Debug, Default)]
 pub struct Events {
     pending: Vec<u8>,
     start: usize,
 }
 
-/// A whole event.
+/// A complete event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event<'a> {
-    /// Its bytes, the blank line at its end included.
+    /// The event as sent, including the blank line at its end.
     pub bytes: &'a [u8],
-    /// Its number, if it has one.
+    /// The value of its `id` field, if that is a number.
     pub id: Option<u64>,
 }
 
 impl Events {
-    /// The buffer to which the stream's next bytes are appended.
+    /// Returns the buffer to which the caller appends the next bytes of the stream.
     pub fn input(&mut self) -> &mut Vec<u8> {
         if self.start > 0 {
             self.pending.drain(..self.start);
@@ -29,7 +29,7 @@
         &mut self.pending
     }
 
-    /// Takes the next whole event, if there is one.
+    /// Returns the next event, or `None` if no complete event is buffered.
     pub fn take(&mut self) -> Option<Event<'_>> {
         let rest = &self.pending[self.start..];
         let end = [&b"\n\n"[..], b"\r\n\r\n"]
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Whether bytes of an unfinished event are left.
+    /// Returns whether unconsumed bytes are buffered.
     #[must_use]
     pub fn has_rest(&self) -> bool {
         self.start < self.pending.len()
--- a/crates/framing/src/fields.rs
+++ b/crates/framing/src/fields.rs
@@ -1,10 +1,10 @@
-//! The header fields of a message, as they were sent.
+//! Header fields of a message, as sent.
 
 use std::ops::Range;
 
 use crate::{Error, Length};
 
-/// The header fields of a message, in order and with their spelling kept.
+/// The header fields of a message, in their order and with the case of their names preserved.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields {
     bytes: Vec<u8>,
@@ -34,35 +34,35 @@
         start..self.bytes.len()
     }
 
-    /// All fields: name and value.
+    /// Returns the names and values of all fields.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.lines.iter().map(|it| {
-            // The parser lets only ASCII pass in names.
+            // The parser accepts only ASCII in names.
             let name = str::from_utf8(&self.bytes[it.name.clone()]).unwrap_or_default();
             (name, &self.bytes[it.value.clone()])
         })
     }
 
-    /// The values of every field with this name, whatever its case.
+    /// Returns the values of all fields with this name, compared without regard to case.
     pub fn all(&self, name: &str) -> impl Iterator<Item = &[u8]> {
         self.iter()
             .filter(move |(it, _)| it.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// The first value with this name, if it is text.
+    /// Returns the first value with this name, if it is valid UTF-8.
     #[must_use]
     pub fn text(&self, name: &str) -> Option<&str> {
         self.all(name).next().and_then(|it| str::from_utf8(it).ok())
     }
 
-    /// The first value with this name, if it is a number.
+    /// Returns the first value with this name, if it is a number.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         self.text(name)?.parse().ok()
     }
 
-    /// Whether a list-valued field names `token`.
+    /// Returns whether a comma-separated field contains `token`, compared without regard to case.
     #[must_use]
     pub fn lists(&self, name: &str, token: &str) -> bool {
         self.all(name)
@@ -70,7 +70,8 @@
             .any(|it| it.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// Whether a field concerns one connection only and is never passed on.
+    /// Returns whether a field is hop-by-hop and must not be forwarded, either by its name or
+    /// because the `Connection` field lists it.
     #[must_use]
     pub fn is_hop_by_hop(&self, name: &str) -> bool {
         const NAMES: [&str; 9] = [
@@ -87,10 +88,10 @@
         NAMES.iter().any(|it| name.eq_ignore_ascii_case(it)) || self.lists("connection", name)
     }
 
-    /// What the fields say of the body's length, if they say anything.
+    /// Returns the body's length as the fields state it, if they do.
     ///
-    /// Two lengths, or a length beside chunks, are what a caller sends to have
-    /// two readers see two different messages: both are refused.
+    /// Rejects more than one length, and a length together with a transfer coding: parsers
+    /// differ in which of them they use, which allows request smuggling.
     pub(crate) fn length(&self) -> Result<Option<Length>, Error> {
         let mut lengths = self.all("content-length");
         let length = lengths.next();
--- a/crates/framing/src/head.rs
+++ b/crates/framing/src/head.rs
@@ -1,26 +1,25 @@
-//! Where a head ends, and whether its line ends are sound.
+//! Finding the end of a head, and checking its line endings.
 
 use memchr::{memchr_iter, memmem};
 
 use crate::Error;
 
-/// The most fields that a head may have.
+/// Maximum number of fields in a head.
 pub(crate) const MAX_FIELDS: usize = 128;
 
 const END: &[u8] = b"\r\n\r\n";
 
-/// The length of the head at the start of `bytes`, its blank line included, or
-/// nothing if it isn't all there.
+/// Returns the length of the head at the start of `bytes`, including its blank line, or `None`
+/// if the head is incomplete.
 #[must_use]
 pub fn end(bytes: &[u8]) -> Option<usize> {
     memmem::find(bytes, END).map(|at| at + END.len())
 }
 
-/// Refuses line ends other than CR LF.
+/// Rejects line endings other than CR LF.
 ///
-/// Readers differ in whether a lone LF or CR ends a line. Where a relay and an
-/// endpoint disagree on that, a caller can hide a second request in the first;
-/// without lone ones there is nothing to disagree on.
+/// Parsers differ in whether a lone LF or CR ends a line. If the relay and an endpoint
+/// differed, a caller could smuggle a second request inside the first one.
 pub(crate) fn check_line_ends(head: &[u8]) -> Result<(), Error> {
     let lf = memchr_iter(b'\n', head).all(|at| at > 0 && head[at - 1] == b'\r');
     let cr = memchr_iter(b'\r', head).all(|at| head.get(at + 1) == Some(&b'\n'));
--- a/crates/framing/src/lib.rs
+++ b/crates/framing/src/lib.rs
@@ -1,10 +1,9 @@
 //! HTTP/1.1 message framing for relaying, without sockets.
 //!
-//! A relay must pass on what it was sent, byte for byte, and must know exactly
-//! where each message ends. This crate finds heads, parses them with `httparse`,
-//! decides how long a body is, decodes bodies and cuts event streams into whole
-//! events. It knows no header's meaning beyond those of framing; see
-//! `docs/design/relay.md` for why the relay doesn't use `async-h1`.
+//! A relay must forward messages byte for byte and must know exactly where each one ends. This
+//! crate finds the end of heads, parses them with `httparse`, determines the length of bodies,
+//! decodes them, and splits event streams into events. It interprets only the header fields
+//! that concern framing; see `docs/design/relay.md` for why the relay doesn't use `async-h1`.
 
 mod body;
 mod error;
--- a/crates/framing/src/request.rs
+++ b/crates/framing/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests.
+//! Parsing of request heads.
 
 use crate::head::{MAX_FIELDS, check_line_ends};
 use crate::{Error, Fields, Length};
@@ -8,24 +8,24 @@
 pub struct Head {
     /// The method, as sent.
     pub method: String,
-    /// The request's target, as sent: a path, and a query if there is one.
+    /// The request target, as sent: a path and an optional query.
     pub target: String,
     /// The header fields.
     pub fields: Fields,
     /// The length of the body.
     pub length: Length,
-    /// Whether the connection takes another request after this one.
+    /// Whether the connection stays open for another request after this one.
     pub keep: bool,
-    /// Whether its sender can read chunked bodies, which HTTP/1.0 doesn't know.
+    /// Whether the sender supports the chunked transfer coding, which HTTP/1.0 lacks.
     pub reads_chunks: bool,
 }
 
 impl Head {
-    /// Parses a whole head, its blank line included.
+    /// Parses a complete head, including its blank line.
     ///
     /// # Errors
-    /// [`Error::Malformed`] for what isn't a request or could be read as two,
-    /// [`Error::TooLarge`] for too many fields.
+    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooLarge`] if it has
+    /// too many fields.
     pub fn parse(bytes: &[u8]) -> Result<Self, Error> {
         check_line_ends(bytes)?;
         let mut space = [httparse::EMPTY_HEADER; MAX_FIELDS];
@@ -52,7 +52,7 @@
         })
     }
 
-    /// The target's path, without its query.
+    /// Returns the target without its query.
     #[must_use]
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
--- a/crates/framing/src/response.rs
+++ b/crates/framing/src/response.rs
@@ -1,9 +1,9 @@
-//! Answers.
+//! Parsing of response heads.
 
 use crate::head::{MAX_FIELDS, check_line_ends};
 use crate::{Error, Fields, Length};
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// The status code.
@@ -12,16 +12,16 @@
     pub fields: Fields,
     /// The length of the body.
     pub length: Length,
-    /// Whether the connection takes another request after this answer.
+    /// Whether the connection stays open for another request after this response.
     pub keep: bool,
 }
 
 impl Head {
-    /// Parses a whole head, its blank line included, as the answer to a request
-    /// with this method.
+    /// Parses a complete head, including its blank line, of the response to a request with this
+    /// method.
     ///
     /// # Errors
-    /// [`Error::Malformed`] for what isn't an answer, [`Error::TooLarge`] for
+    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooLarge`] if it has
     /// too many fields.
     pub fn parse(bytes: &[u8], method: &str) -> Result<Self, Error> {
         check_line_ends(bytes)?;
@@ -50,13 +50,13 @@
         })
     }
 
-    /// Whether this only announces the answer that counts.
+    /// Returns whether this is an interim response (1xx), which precedes the final one.
     #[must_use]
     pub fn is_informational(&self) -> bool {
         (100..200).contains(&self.status)
     }
 
-    /// Whether the status says that the request succeeded.
+    /// Returns whether the status is a success (2xx).
     #[must_use]
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
--- a/crates/framing/tests/framing.rs
+++ b/crates/framing/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies and events as a relay meets them.
+//! Tests of parsing heads, decoding bodies and splitting event streams.
 
 use expect_test::{Expect, expect};
 use framing::{Decoder, Events, Length, head_end, request, response};
@@ -24,13 +24,13 @@
     expect.assert_eq(&actual);
 }
 
-/// Feeds the input in pieces of every size and expects the same from each.
+/// Decodes the input in pieces of every size and expects the same result from each.
 fn check_body(length: Length, input: &str, expect: &Expect) {
     let mut seen: Option<String> = None;
     for size in 1..=input.len() {
         let actual = decode(length, input.as_bytes(), size);
         if let Some(seen) = &seen {
-            assert_eq!(*seen, actual, "in pieces of {size}");
+            assert_eq!(*seen, actual, "decoded in pieces of {size} bytes");
         }
         seen = Some(actual);
     }
@@ -73,9 +73,8 @@
     );
 }
 
-/// A caller sends a request that the relay and the endpoint would end at
-/// different places; what is left over is run as a second request that nobody
-/// checked. Every head that can be read in two ways is refused.
+/// Guards against request smuggling: if the relay and the endpoint disagree on where a request
+/// ends, the endpoint runs the rest as a request that the relay never checked.
 #[test]
 fn a_request_that_can_be_read_in_two_ways_is_refused() {
     let two_ways = [
@@ -92,7 +91,7 @@
         "POST / HTTP/1.1\nHost: a\n folded: b\n\n",
     ];
     for it in two_ways {
-        check_request(it, &expect!["malformed message"]);
+        check_request(it, &expect!["message is malformed"]);
     }
     let lone = b"GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n";
     assert!(request::Head::parse(lone).is_err());
@@ -140,7 +139,7 @@
     check_body(
         Length::Known(9),
         "abc",
-        &expect![[r#""abc" open, at close message broken off, rest """#]],
+        &expect![[r#""abc" open, at close message is incomplete, rest """#]],
     );
     check_body(
         Length::UntilClose,
@@ -155,27 +154,27 @@
     check_body(
         Length::Chunked,
         "3\r\nabc\r\n0\r\n",
-        &expect![[r#""abc" open, at close message broken off, rest """#]],
+        &expect![[r#""abc" open, at close message is incomplete, rest """#]],
     );
     check_body(
         Length::Chunked,
         "3\r\nabcd\r\n0\r\n\r\n",
-        &expect!["malformed message"],
+        &expect!["message is malformed"],
     );
     check_body(
         Length::Chunked,
         "-3\r\nabc\r\n",
-        &expect!["malformed message"],
+        &expect!["message is malformed"],
     );
     check_body(
         Length::Chunked,
         "ffffffffffffffff\r\nabc",
-        &expect!["malformed message"],
+        &expect!["message is malformed"],
     );
 }
 
-/// An endpoint dies in the middle of an event. The caller must not get the half
-/// of it, which would look like a whole one once the stream goes on elsewhere.
+/// Guards against forwarding part of an event when an endpoint fails within it: the caller would
+/// join it with the events of the endpoint that continues the stream.
 #[test]
 fn half_an_event_is_not_taken() {
     let mut events = Events::default();
--- a/crates/http/benches/churn.rs
+++ b/crates/http/benches/churn.rs
@@ -1,10 +1,10 @@
-//! What is lost while connections come and go: many callers against servers
-//! that close idle connections early, and against servers that are drained and
-//! replaced under load. And what a fresh connection for each request costs.
+//! Counts lost requests under connection churn: with servers that close idle connections early,
+//! and with servers that are drained and replaced under load. Also measures the cost of a new
+//! connection for each request.
 //!
-//! `cargo bench -p http --bench churn -- [idle|drain|cost] [requests]` prints how the
-//! requests ended. A request that is lost ended as `MaybeSent` or `Cut`; one that
-//! ended as `NotSent` may be sent elsewhere and isn't.
+//! `cargo bench -p http --bench churn -- [idle|drain|cost] [requests]` prints the number of
+//! requests by outcome. Requests that ended with `MaybeSent` or `Cut` are lost; one that ended
+//! with `NotSent` can be sent to another server.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,11 +20,11 @@
 
 const CALLERS: usize = 64;
 const REQUESTS: usize = 20_000;
-/// What a run may take at most, also on a machine that is shared.
+/// Maximum duration of a run.
 const RUN: Duration = Duration::from_secs(25);
-/// When the servers of the idle run close a silent connection.
+/// Idle timeout of the servers in the idle run.
 const IDLE: Duration = Duration::from_millis(20);
-/// How long a server of the drain run lives, and the grace of its end.
+/// Lifetime of a server in the drain run, and the grace of its drain.
 const LIFE: Duration = Duration::from_millis(300);
 const GRACE: Duration = Duration::from_millis(100);
 const SERVERS: usize = 3;
@@ -59,7 +59,7 @@
     }
 }
 
-/// Callers pause about as long as the server keeps a silent connection.
+/// Runs callers whose pause is about as long as the idle timeout of the servers.
 async fn idle(requests: usize, repeat: Repeat) {
     let limits = Limits {
         idle_time: IDLE,
@@ -75,7 +75,7 @@
     load.run("idle").await;
 }
 
-/// One request after the other, each on a fresh connection or all on one that is kept.
+/// Measures sequential requests, with new or kept connections depending on `pool`.
 async fn cost(name: &str, requests: usize, pool: Pool) {
     let server = bind(&Limits::default()).await;
     let client = Client::new(Arc::new(SystemClock::new()), pool);
@@ -100,7 +100,7 @@
     );
 }
 
-/// Every server is drained after a short life, and another one takes its place.
+/// Runs callers against servers that are repeatedly drained and replaced.
 async fn drain(requests: usize, repeat: Repeat) {
     let site = Arc::new(Site::default());
     let limits = Limits::default();
@@ -142,7 +142,7 @@
     left
 }
 
-/// Where the servers listen at the moment.
+/// The current addresses of the servers.
 #[derive(Default)]
 struct Site {
     addresses: RwLock<Vec<SocketAddr>>,
@@ -166,7 +166,8 @@
     }
 }
 
-/// One request in eight for `/` is answered as a stream that outlives a grace.
+/// Starts a server. One request in eight, except for `/plain`, gets a stream that is longer than
+/// the grace of a drain.
 async fn bind(limits: &Limits) -> Server {
     let opened = Arc::new(AtomicUsize::new(0));
     let address = ([127, 0, 0, 1], 0).into();
@@ -200,7 +201,7 @@
     response
 }
 
-/// The callers and what became of their requests.
+/// The load of a run, and the outcomes of its requests.
 struct Load {
     site: Arc<Site>,
     requests: usize,
@@ -243,7 +244,7 @@
             repeat: self.repeat,
             ..Options::default()
         };
-        // One of its own, or the connection that was used last would always be warm.
+        // With a shared client, the last used connection would always be recent.
         let client = Client::new(Arc::new(SystemClock::new()), self.pool);
         let mut to = self.site.address(caller);
         loop {
@@ -251,7 +252,7 @@
             if number >= self.requests || begin.elapsed() > RUN {
                 return;
             }
-            // Any fixed spread will do that meets the servers' close from both sides.
+            // A pause of 90 to 110 percent, so that requests come before and after the idle close.
             let share = u32::try_from((number * 37 + caller * 11) % 100).unwrap_or_default();
             sleep(self.pause * (share + 450) / 500).await;
             let request = Request::new(Method::Post, "/").body(Body::bytes("question"));
@@ -261,7 +262,7 @@
                     Err(err) => format!("{err:?} in the body"),
                 },
                 Err(err) => {
-                    // It lists the servers anew only when it has to.
+                    // The caller looks up the addresses again only after a failure.
                     to = self.site.address(caller);
                     format!("{err:?}")
                 }
--- a/crates/http/benches/relay.rs
+++ b/crates/http/benches/relay.rs
@@ -1,10 +1,10 @@
-//! What a relay adds: streams of tokens straight from a server, and through a
-//! second server that passes them on with the client.
+//! Measures the latency that a relay adds: callers read streams of tokens directly from a server,
+//! and through a second server that forwards them with the client.
 //!
-//! `cargo bench -p http --bench relay -- [requests a second] [tokens a request]`
-//! prints how long after its writing each token was read, with all parts in
-//! one process. Parts in processes of their own, as hosts have them:
-//! `-- engine TOKENS`, `-- relay ENGINE`, `-- caller ADDRESS REQUESTS`.
+//! `cargo bench -p http --bench relay -- [requests per second] [tokens per request]` runs all
+//! parts in one process and prints the delay between writing and reading a token. To run the
+//! parts in separate processes: `-- engine TOKENS`, `-- relay ENGINE`,
+//! `-- caller ADDRESS REQUESTS`.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -17,7 +17,7 @@
 
 const RUN: Duration = Duration::from_secs(5);
 const TOKEN_PACE: Duration = Duration::from_millis(10);
-/// Time of writing in 16 hexadecimal digits, then filling as in a chunk of JSON.
+/// Size of a token in bytes: the time of writing in 16 hexadecimal digits, and padding.
 const TOKEN: usize = 120;
 
 fn main() {
@@ -45,7 +45,7 @@
     text.parse().expect("an address")
 }
 
-/// Tells the processor time of every second until the process is ended.
+/// Prints the processor use of each second until the process is killed.
 async fn stay(address: SocketAddr) {
     println!("{address}");
     let mut before = cpu_time();
@@ -206,7 +206,7 @@
     }
 }
 
-/// Wall time, which processes on one machine share.
+/// Returns the wall-clock time in microseconds, comparable between processes on one host.
 fn wall() -> u64 {
     micros(
         SystemTime::now()
@@ -215,7 +215,7 @@
     )
 }
 
-/// Processor time that this process has used, in seconds, in steps of a tick.
+/// Returns the processor time used by this process, in seconds, with a resolution of 10 ms.
 fn cpu_time() -> f64 {
     const TICKS: f64 = 100.0;
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: bytes, or a stream of them.
+//! Message bodies.
 
 mod channel;
 
@@ -21,7 +21,7 @@
 
 type Reader = Box<dyn AsyncBufRead + Send + Sync + Unpin>;
 
-/// A body. It reads as [`AsyncBufRead`], piece by piece as the bytes come.
+/// The body of a request or response. Implements [`AsyncBufRead`] and [`AsyncRead`].
 pub struct Body {
     source: Source,
 }
@@ -43,13 +43,13 @@
 }
 
 impl Body {
-    /// No bytes.
+    /// Creates an empty body.
     #[must_use]
     pub fn empty() -> Self {
         Self::bytes(Vec::new())
     }
 
-    /// Bytes that are all there.
+    /// Creates a body from bytes in memory.
     #[must_use]
     pub fn bytes(bytes: impl Into<Vec<u8>>) -> Self {
         let bytes = Arc::new(bytes.into());
@@ -58,16 +58,17 @@
         }
     }
 
-    /// `value` as JSON.
+    /// Creates a body with `value` serialized as JSON.
     ///
-    /// A value that has no JSON form (a map whose keys aren't text) gives an empty body,
-    /// which the peer refuses; the types of this workspace have one.
+    /// The body is empty if `value` can't be serialized, for example because of a map whose keys
+    /// aren't strings. No type of this workspace has such values.
     #[must_use]
     pub fn json<T: Serialize + ?Sized>(value: &T) -> Self {
         Self::bytes(serde_json::to_vec(value).unwrap_or_default())
     }
 
-    /// Bytes that a task sends while the body is being written.
+    /// Creates a streamed body and its sender. At most `capacity` pieces are buffered, and at
+    /// least one.
     #[must_use]
     pub fn channel(capacity: usize) -> (Sender, Self) {
         let (sender, pieces) = channel::open(capacity);
@@ -75,7 +76,7 @@
         (sender, Self { source })
     }
 
-    /// Bytes from a reader, `len` of them when that is known.
+    /// Creates a body from a reader. `len` is its total number of bytes, if known.
     #[must_use]
     pub fn reader(
         reader: impl AsyncBufRead + Send + Sync + Unpin + 'static,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The bytes of an answer, `len` of them when that is known.
+    /// Creates the body of a received response. `len` is its total number of bytes, if known.
     pub(crate) fn answer(answer: Answer, len: Option<u64>) -> Self {
         let answer = Box::new(answer);
         Self {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// How many bytes there are in all, when that is known before the end.
+    /// Returns the length in bytes, if it is known in advance.
     #[must_use]
     pub fn len(&self) -> Option<u64> {
         match &self.source {
@@ -105,33 +106,33 @@
         }
     }
 
-    /// Whether it is known that there are no bytes.
+    /// Returns whether the body is known to be empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == Some(0)
     }
 
-    /// Reads to the end, at most `limit` bytes.
+    /// Reads the whole body, up to `limit` bytes.
     ///
     /// # Errors
-    /// [`Error::TooLarge`] past the limit, [`Error::Cut`] when the body broke off.
+    /// [`Error::TooLarge`] if the body exceeds the limit, [`Error::Cut`] if it ended early.
     pub async fn collect(mut self, limit: usize) -> Result<Vec<u8>, Error> {
         self.drain(limit).await
     }
 
-    /// Reads to the end as JSON, at most `limit` bytes.
+    /// Reads the whole body, up to `limit` bytes, and parses it as JSON.
     ///
     /// # Errors
-    /// As [`Body::collect`], and [`Error::Json`] when the bytes aren't a `T`.
+    /// The errors of [`Body::collect`], and [`Error::Json`] if the bytes don't parse as a `T`.
     pub async fn parse<T: DeserializeOwned>(mut self, limit: usize) -> Result<T, Error> {
         self.drain_json(limit).await
     }
 
-    /// What [`Body::collect`] does, for who has yet to tell whether this is the answer
-    /// to its request, see [`Body::give_up`].
+    /// Like [`Body::collect`], but keeps the body, so that a caller that doesn't accept the
+    /// response can still call [`Body::give_up`].
     ///
     /// # Errors
-    /// As [`Body::collect`].
+    /// The errors of [`Body::collect`].
     pub async fn drain(&mut self, limit: usize) -> Result<Vec<u8>, Error> {
         if self.len().is_some_and(|len| len > limit as u64) {
             return Err(Error::TooLarge { limit });
@@ -149,11 +150,11 @@
         Ok(all)
     }
 
-    /// What [`Body::parse`] does, for the same. An answer that is no `T` may be
-    /// another's, so its connection is given up here.
+    /// Like [`Body::parse`], but keeps the body. If the bytes don't parse as a `T`, they may
+    /// belong to the response to another request, and this calls [`Body::give_up`].
     ///
     /// # Errors
-    /// As [`Body::parse`].
+    /// The errors of [`Body::parse`].
     pub async fn drain_json<T: DeserializeOwned>(&mut self, limit: usize) -> Result<T, Error> {
         let bytes = self.drain(limit).await?;
         serde_json::from_slice(&bytes).map_err(|err| {
@@ -162,22 +163,22 @@
         })
     }
 
-    /// Has the connection on which this answer came closed.
+    /// Prevents the connection of this response from being reused, so that it is closed.
     ///
-    /// Failure: a peer answers one request twice. On a kept connection the next
-    /// request reads the second answer, and its own comes after it, for the request
-    /// after that, and so on for as long as the connection is used. Whoever reads an
-    /// answer that isn't its own ends that, since a new connection has carried nothing yet.
+    /// If a peer sends two responses to one request, every later request on the connection gets
+    /// the response to the request before it. Callers that detect such a response call this,
+    /// because a new connection has no stale response to read.
     pub fn give_up(&mut self) {
         if let Source::Answer { answer, .. } = &mut self.source {
             answer.give_up();
         }
     }
 
-    /// The next bytes as they come, nothing at the end.
+    /// Returns the next bytes as soon as some are available, or `None` at the end.
     ///
     /// # Errors
-    /// [`Error::Cut`] when the body broke off.
+    /// [`Error::Cut`] if the body ended early, [`Error::TooLarge`] if a request's body exceeds
+    /// the server's limit.
     pub async fn piece(&mut self) -> Result<Option<Vec<u8>>, Error> {
         let bytes = self.fill_buf().await.map_err(|err| Error::body(&err))?;
         let piece = bytes.to_vec();
@@ -185,7 +186,7 @@
         Ok((!piece.is_empty()).then_some(piece))
     }
 
-    /// A second body of the same bytes, when they are all there.
+    /// Returns a copy of the body if its bytes are in memory.
     pub(crate) fn try_clone(&self) -> Option<Self> {
         let Source::Bytes { bytes, pos } = &self.source else {
             return None;
--- a/crates/http/src/body/channel.rs
+++ b/crates/http/src/body/channel.rs
@@ -1,4 +1,4 @@
-//! A body whose pieces a task sends while it is being written.
+//! Streamed bodies, fed by a task through a channel.
 
 use std::io;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 
 use crate::Cause;
 
-/// Both ends, with room for `capacity` pieces.
+/// Creates a sender and a receiver that buffer `capacity` pieces, and at least one.
 pub(super) fn open(capacity: usize) -> (Sender, Pieces) {
     let (sender, receiver) = channel::bounded(capacity.max(1));
     let pieces = Pieces {
@@ -21,10 +21,10 @@
     (Sender { sender }, pieces)
 }
 
-/// The end into which the pieces of a streamed body are put.
+/// The sender of a streamed body.
 ///
-/// Dropping it without [`Sender::finish`] cuts the body, so that a producer that
-/// died halfway can't look like one that had no more to say.
+/// If it is dropped without [`Sender::finish`], reading the body fails, so that the receiver
+/// doesn't mistake the output of a failed producer for a complete body.
 #[derive(Clone, Debug)]
 pub struct Sender {
     sender: channel::Sender<Piece>,
@@ -37,19 +37,19 @@
 }
 
 impl Sender {
-    /// Puts in a piece, waiting while the reader is behind.
+    /// Sends a piece, waiting while the buffer is full.
     ///
     /// # Errors
-    /// [`Cause::Closed`] when nobody reads any more: the caller went away.
+    /// [`Cause::Closed`] if the body was dropped, for example because the caller disconnected.
     pub async fn send(&self, bytes: impl Into<Vec<u8>>) -> Result<(), Cause> {
         let piece = Piece::Bytes(bytes.into());
         self.sender.send(piece).await.map_err(|_| Cause::Closed)
     }
 
-    /// Ends the body as whole.
+    /// Marks the body as complete.
     ///
     /// # Errors
-    /// [`Cause::Closed`] when nobody reads any more.
+    /// [`Cause::Closed`] if the body was dropped.
     pub async fn finish(self) -> Result<(), Cause> {
         self.sender
             .send(Piece::End)
@@ -57,14 +57,14 @@
             .map_err(|_| Cause::Closed)
     }
 
-    /// Whether nobody reads any more.
+    /// Returns whether the body was dropped.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 }
 
-/// The end from which the pieces are read.
+/// The receiver of a streamed body.
 pub(super) struct Pieces {
     receiver: Receiver<Piece>,
     piece: Vec<u8>,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: requests to peers named by address, over pooled connections.
+//! HTTP client that sends requests to peers by address, over pooled connections.
 
 mod answer;
 mod pool;
@@ -21,31 +21,32 @@
 pub(crate) use answer::Answer;
 pub use pool::Pool;
 
-/// Sends requests and keeps connections for the next ones. Clones share them.
+/// An HTTP client with a connection pool. Clones share the pool.
 #[derive(Clone)]
 pub struct Client {
     idle: Arc<pool::Idle>,
 }
 
-/// What the caller grants to one request.
+/// Timeouts and retry policy of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Time to open a connection, when no pooled one is fit.
+    /// Timeout of opening a connection, if no pooled one is usable.
     pub connect: Duration,
-    /// Time from the request's last byte to the answer's first.
+    /// Timeout from the end of sending the request to the first byte of the response. It applies
+    /// anew after each interim response.
     pub first_byte: Duration,
-    /// Time from the call to the last byte of the answer's body.
+    /// Timeout from the call to the last byte of the response's body.
     pub total: Duration,
-    /// Whether the request may reach its peer twice.
+    /// Whether the request may be sent again after it may have reached the peer.
     pub repeat: Repeat,
 }
 
-/// Whether a request may reach its peer twice.
+/// Whether a request may be sent again after it may have reached the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may: the second has no further effect.
+    /// It may, because running it twice has the same effect as running it once.
     Idempotent,
-    /// It may not.
+    /// It must reach the peer at most once.
     Never,
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client with an empty connection pool.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, pool: Pool) -> Self {
         Self {
@@ -69,16 +70,17 @@
         }
     }
 
-    /// Sends `request` to the peer at `to` and returns once the answer's head
-    /// is there; its body is read as it comes.
+    /// Sends `request` to the peer at `to` and returns as soon as the response's head has been
+    /// received; the body is streamed.
     ///
-    /// A pooled connection that turns out to be closed before any byte of an
-    /// answer is replaced by a fresh one, when [`Options::repeat`] allows it and
-    /// the body's bytes are all there. Any other request is written to a fresh
-    /// connection or to one that was used less than [`Pool::warm`] ago.
+    /// If a pooled connection turns out to be closed before any byte of a response, the request
+    /// is sent again on another connection, provided that [`Options::repeat`] allows it and that
+    /// the body is in memory. Other requests use a new connection, or one that was used less than
+    /// [`Pool::warm`] ago.
     ///
     /// # Errors
-    /// [`Error::NotSent`], [`Error::MaybeSent`] or [`Error::Cut`], precisely.
+    /// [`Error::NotSent`], [`Error::MaybeSent`] or [`Error::Cut`], depending on how far the
+    /// exchange got.
     pub async fn send(
         &self,
         to: SocketAddr,
@@ -117,8 +119,8 @@
             h1::encode_request(request, to, body).ok_or(Error::NotSent(Cause::Malformed))?;
         let head = match write(&conn, encoded, deadline).await {
             Ok(()) => read_final_head(&conn, options.first_byte, deadline).await?,
-            // A peer may answer and close before it took the whole body: its
-            // refusal says more than the broken connection.
+            // A peer may reject the request and close before it has read the whole body. Its
+            // response, if there is one, is more useful than the write error.
             Err(Unwritten::Refused(err @ Error::MaybeSent(Cause::Closed))) => {
                 let early = read_final_head(&conn, options.first_byte, deadline).await;
                 early.map_err(|_| err)?
@@ -132,8 +134,10 @@
     }
 }
 
-/// A connection that was closed in the pool shows as closed before any byte
-/// of an answer. The request may have been acted on all the same.
+/// Returns whether a request that failed on a pooled connection may be sent on another one.
+///
+/// A connection that the peer closed while it was idle fails before any byte of a response. The
+/// peer may still have acted on the request.
 fn may_repeat(err: Error, repeat: Repeat) -> bool {
     match err {
         Error::NotSent(Cause::Closed) => true,
@@ -147,18 +151,16 @@
         .await
         .map_err(|_| Error::NotSent(Cause::Timeout))?
         .map_err(|err| Error::NotSent((&err).into()))?;
-    // Without it the kernel holds a short request back for the answer to the
-    // one before. A failure costs time, not correctness.
+    // Disables Nagle's algorithm, which delays small writes. Failing to do so only costs time.
     let _ = stream.set_nodelay(true);
     keep_alive(&stream);
     Ok(Conn::new(stream))
 }
 
-/// Has the kernel ask an idle peer whether it is there.
+/// Enables TCP keep-alive probes.
 ///
-/// A connection can go silent for good without a reset. Who waits for a late
-/// answer on it, as for news of a configuration, would wait out its time-out;
-/// with probes the connection breaks after about three seconds.
+/// If a peer's host fails without a reset, a long poll would wait for its whole timeout. With
+/// probes, the connection fails after about three seconds.
 fn keep_alive(stream: &TcpStream) {
     const PROBES: u32 = 2;
     const PAUSE: Duration = Duration::from_secs(1);
@@ -166,15 +168,15 @@
         .with_time(PAUSE)
         .with_interval(PAUSE)
         .with_retries(PROBES);
-    // Without them the time-outs still end the wait.
+    // If this fails, the timeouts still end the wait.
     let _ = socket2::SockRef::from(stream).set_tcp_keepalive(&probes);
 }
 
-/// Why a request wasn't written to its end.
+/// An error that occurred while a request was being written.
 enum Unwritten {
-    /// The peer took no more of it.
+    /// The connection failed, or the write timed out.
     Refused(Error),
-    /// Its own body broke off. The peer waits for the rest and can't answer.
+    /// The request's body failed. The peer waits for the rest and doesn't respond.
     BrokeOff(Error),
 }
 
@@ -199,7 +201,7 @@
     }
 }
 
-/// Reads heads up to the first that isn't informational.
+/// Reads the head of the final response, skipping interim (1xx) ones.
 async fn read_final_head(
     conn: &Conn,
     first_byte: Duration,
--- a/crates/http/src/client/answer.rs
+++ b/crates/http/src/client/answer.rs
@@ -1,4 +1,4 @@
-//! The body of an answer and the end of its connection's use.
+//! Response bodies, and the return of their connections to the pool.
 
 use std::io;
 use std::pin::Pin;
@@ -16,7 +16,7 @@
 
 type Release = Box<dyn FnOnce(Conn) + Send + Sync>;
 
-/// How an answer's end is told.
+/// The framing of a response's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length(u64),
@@ -24,8 +24,8 @@
     Close,
 }
 
-/// Makes the response of a head. `release` gets the connection when the body
-/// was read to its end and dropped, and the peer keeps it open.
+/// Creates a response from a decoded head. `release` is called with the connection if the peer
+/// keeps it open, once the body has been read to its end and dropped.
 pub(super) fn open(
     mut head: http_types::Response,
     method: Method,
@@ -62,8 +62,10 @@
     Ok(response)
 }
 
-/// The library takes an answer without a length for an empty one. One that
-/// ends with its connection would come back as whole and empty.
+/// Returns the framing of a body, or `None` if the head is invalid.
+///
+/// The library treats a response without a length as empty, although its body ends with the
+/// connection.
 fn framing(head: &http_types::Response, method: Method) -> Option<Framing> {
     let status = head.status();
     if method == Method::Head || matches!(status, Status::NoContent | Status::NotModified) {
@@ -84,22 +86,22 @@
         .is_some_and(|it| it.last().as_str().eq_ignore_ascii_case("close"))
 }
 
-/// The body of an answer while it is read.
+/// The body of a response while it is read.
 ///
-/// It keeps its connection until it is dropped: only who has read the whole can tell
-/// whether it is the answer to what was asked.
+/// It owns the connection until it is dropped, because the caller may find only after reading the
+/// whole body that it belongs to another request.
 pub(crate) struct Answer {
     reader: Box<dyn AsyncBufRead + Send + Sync + Unpin>,
     left: Option<u64>,
     has_ended: bool,
     conn: Conn,
-    /// Where the connection goes once the body has ended.
+    /// Called with the connection on drop, if the body has been read to its end.
     release: Option<Release>,
     deadline: Deadline,
 }
 
 impl Answer {
-    /// Has the connection closed, also when the body is read to its end.
+    /// Prevents the connection from being reused, so that it is closed.
     pub(crate) fn give_up(&mut self) {
         self.release = None;
     }
@@ -114,7 +116,7 @@
             if !bytes?.is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            // The library reads the connection's end as the body's.
+            // The library treats a closed connection as the end of the body.
             if self.left.is_some() {
                 return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()));
             }
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections.
+//! Pool of idle connections.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,17 +9,16 @@
 
 use crate::conn::Conn;
 
-/// How many idle connections a client keeps, and for how long.
+/// Limits of a client's connection pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// Idle connections kept for one address.
+    /// Maximum number of idle connections for each address.
     pub max_idle: usize,
-    /// Time after which an idle connection is closed. Shorter than the time
-    /// after which peers close theirs, so that few are found closed.
+    /// Maximum age of an idle connection. Should be shorter than the idle timeout of the peers.
     pub max_age: Duration,
-    /// Time after which a connection is too old for a request that may reach
-    /// its peer only once. Shorter than the time for which peers promise to
-    /// keep a connection after an answer, with room for the way there.
+    /// Maximum age of an idle connection for a request that must not be sent twice. Should be
+    /// shorter, by more than the network latency, than the time for which peers keep a connection
+    /// open after a response.
     pub warm: Duration,
 }
 
@@ -33,13 +32,12 @@
     }
 }
 
-/// How sure a request has to be that its connection is still open.
+/// The idle connections that a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Need {
-    /// Its peer hasn't closed it as far as this host knows: a request that is
-    /// lost to a close that is on its way is sent again.
+    /// Any connection that looks open. If the peer has just closed it, the request is sent again.
     Open,
-    /// It was just used, so that no close is on its way either.
+    /// Only a recently used one, which the peer can't have begun to close.
     Warm,
 }
 
@@ -69,7 +67,7 @@
         }
     }
 
-    /// The connection to `to` that was used last, if a fit one is there.
+    /// Removes and returns the most recently used connection to `to` that is usable, if any.
     pub(super) async fn take(&self, to: SocketAddr, need: Need) -> Option<Conn> {
         let max_age = match need {
             Need::Open => self.pool.max_age,
@@ -83,7 +81,7 @@
         None
     }
 
-    /// Keeps `conn` for the next request to `to`.
+    /// Adds `conn` for later requests to `to`.
     pub(super) fn put(&self, to: SocketAddr, conn: Conn) {
         let now = self.clock.now();
         let mut shelves = self.shelves();
@@ -99,8 +97,8 @@
         let now = self.clock.now();
         let mut shelves = self.shelves();
         let entries = shelves.by_address.get_mut(&to)?;
-        // The newest is last: when it is too old, all are, and a fresh one
-        // will take the place of the oldest.
+        // The newest is last: if it is too old, all are. The caller will open a new connection,
+        // so one old connection is dropped.
         if let Some(entry) = entries.pop_back_if(|it| now.saturating_sub(it.since) < max_age) {
             return Some(entry.conn);
         }
@@ -108,8 +106,8 @@
         None
     }
 
-    /// Closes what is too old, also for addresses that nobody asks for any
-    /// more: hosts come and go, and their connections would stay for good.
+    /// Closes expired connections to all addresses. Those to addresses that are no longer used
+    /// would otherwise stay open forever.
     fn sweep(&self, shelves: &mut Shelves, now: Duration) {
         if now.saturating_sub(shelves.swept) < self.pool.max_age {
             return;
--- a/crates/http/src/conn.rs
+++ b/crates/http/src/conn.rs
@@ -1,9 +1,9 @@
-//! A connection as `async-h1` reads it, with what that library leaves open closed.
+//! A connection that works around limitations of `async-h1`.
 //!
-//! The library reads heads through a buffer that it drops together with what
-//! follows them, asserts that header values are ASCII, takes an answer without
-//! a length for an empty one and may wait for a wake-up that it didn't ask for.
-//! Heads are therefore read here, checked, and handed to it byte for byte.
+//! The library reads heads through a buffer that it drops together with the bytes after the
+//! head, asserts that header values are ASCII, treats a response without a length as empty, and
+//! may return `Pending` without registering a waker. This module therefore reads and checks each
+//! head itself, and lets the library read exactly the bytes of the head.
 
 mod input;
 
@@ -22,36 +22,36 @@
 const READ_SIZE: usize = 8 * 1024;
 const GO_ON: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The greatest head that `async-h1` takes, in bytes.
+/// Maximum size of a head that `async-h1` accepts, in bytes.
 pub(crate) const MAX_HEAD: usize = 8 * 1024 - 1;
 
-/// A connection and the bytes that were read from it ahead of their use.
+/// A connection with a read buffer. Clones share the connection and the buffer.
 #[derive(Clone, Debug)]
 pub(crate) struct Conn {
     stream: TcpStream,
     input: Arc<Mutex<Input>>,
 }
 
-/// What happens to what readers of a head differ on: bytes beyond ASCII, and line ends
-/// other than CR LF.
+/// The treatment of heads with non-ASCII bytes, or with line endings other than CR LF.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Foreign {
-    /// The head is malformed.
+    /// The head is rejected as malformed.
     Refuse,
-    /// The bytes become `?`: the peer's answer is worth more than one of its headers.
+    /// Non-ASCII bytes are replaced by `?`, and line endings aren't checked: one invalid header
+    /// value shouldn't fail the whole response.
     Replace,
 }
 
-/// Why there is no head.
+/// An error of reading a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeadError {
-    /// The peer closed before the first byte.
+    /// The peer closed the connection before the first byte.
     Closed,
-    /// The peer closed, or its connection broke, within the head.
+    /// The peer closed the connection within the head, or reading failed.
     Broken(io::ErrorKind),
-    /// The head is longer than the limit.
+    /// The head exceeds the size limit.
     TooLarge,
-    /// The head has bytes that no head may have.
+    /// The head contains invalid bytes or line endings.
     Malformed,
 }
 
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Reads up to the end of a head, so that the decoder can then take it
-    /// without waiting, and lets it take no byte more.
+    /// Reads and checks a head of at most `max` bytes. The decoder can then read the head without
+    /// waiting, but no byte after it.
     pub(crate) async fn head(&self, max: usize, foreign: Foreign) -> Result<(), HeadError> {
         let max = max.min(MAX_HEAD);
         let mut searched = 0;
@@ -108,14 +108,14 @@
         }
     }
 
-    /// Lets the body be read: `len` bytes, or as many as come.
+    /// Allows the decoder to read the body: `len` bytes, or an unlimited number.
     pub(crate) fn release_body(&self, len: Option<u64>) {
         let mut input = self.input();
         input.left = len;
         input.body_done = len == Some(0);
     }
 
-    /// Says that the body has been read to its end.
+    /// Marks the body as completely read.
     pub(crate) fn finish_body(&self) {
         let mut input = self.input();
         input.body_done = true;
@@ -124,21 +124,21 @@
         }
     }
 
-    /// Whether the body has been read to its end.
+    /// Returns whether the body has been completely read.
     pub(crate) fn is_body_done(&self) -> bool {
         self.input().body_done
     }
 
-    /// Whether the peer sent bytes that nobody asked for yet.
+    /// Returns whether the buffer holds unread bytes.
     pub(crate) fn has_input(&self) -> bool {
         let input = self.input();
         input.pos < input.buf.len()
     }
 
-    /// Whether the connection is fit for another request: open and silent.
+    /// Returns whether the connection can be reused: it is open and has no unread bytes.
     ///
-    /// A peer that closed an idle connection, or sent something unasked, would
-    /// otherwise be found out only after the next request had left.
+    /// Without this check, a closed connection or an unsolicited response would be noticed only
+    /// after the next request was written.
     pub(crate) async fn is_idle(&self) -> bool {
         if self.has_input() {
             return false;
@@ -148,8 +148,8 @@
         poll_fn(|cx| Poll::Ready(peek.as_mut().poll(cx).is_pending())).await
     }
 
-    /// Completes when the peer closed its side or the connection broke, and
-    /// never once it sent more than the body: it is there and waits for its turn.
+    /// Waits until the peer has closed its side or the connection has failed. Never completes if
+    /// the peer has sent bytes after the body, because it then waits for its next response.
     pub(crate) async fn closed(&self) {
         self.body_read().await;
         let mut byte = [0];
@@ -170,18 +170,17 @@
         .await;
     }
 
-    /// Says that the peer waits for a word before it sends the body.
+    /// Records that the peer expects an interim response `100 Continue` before it sends the body.
     pub(crate) fn owe_go_on(&self) {
         self.input().go_on = GoOn::Due(0);
     }
 
-    /// Writes the word to go on, if the peer still waits for it.
+    /// Writes `100 Continue` if the peer still expects it.
     ///
-    /// Failure: the library has a task of its own write it once the body is first
-    /// asked for. Where the body was there already, the word came behind the answer,
-    /// and the caller read a second status line in it. It is written by whoever waits
-    /// for the body instead, under the lock that [`Self::begin_answer`] takes, and so
-    /// never once the answer has begun.
+    /// The library writes it from a separate task, which can be late and put it after the final
+    /// response; the caller then takes it for the next response. Here the reader of the body
+    /// writes it, under the lock that [`Self::begin_answer`] takes, so never after the response
+    /// has begun.
     pub(crate) fn poll_go_on(&self, cx: &mut Context<'_>) {
         let mut input = self.input();
         while let GoOn::Due(written) = input.go_on {
@@ -191,14 +190,14 @@
             };
             input.go_on = match result {
                 Ok(got @ 1..) if got < rest.len() => GoOn::Due(written + got),
-                // All is written, or the connection is broken: who reads from it sees that.
+                // Either all is written, or the connection has failed, which readers of it notice.
                 _ => GoOn::Done,
             };
         }
     }
 
-    /// Takes it that the answer begins, and says whether it can: not behind a part
-    /// of the word to go on.
+    /// Cancels a pending `100 Continue` before the final response is written. Returns false if a
+    /// part of it has already been written, so that a response can't follow.
     pub(crate) fn begin_answer(&self) -> bool {
         matches!(
             std::mem::take(&mut self.input().go_on),
@@ -206,10 +205,10 @@
         )
     }
 
-    /// Has a task polled again that waits for bytes which nobody asked the
-    /// socket for: the library's chunk decoder does so when the last line end
-    /// comes in two parts, and the caller of a whole answer would wait until
-    /// its time is over.
+    /// Wakes the task if its last read returned `Pending` without registering a waker.
+    ///
+    /// The library's chunk decoder does that when a read ends within the last CR LF. Without the
+    /// wake-up, the reader of a complete body would wait until its deadline.
     pub(crate) fn keep_armed(&self, cx: &Context<'_>) {
         if !self.input().armed {
             cx.waker().wake_by_ref();
@@ -271,12 +270,11 @@
     }
 }
 
-/// Whether lines end with CR LF only.
+/// Returns whether all line endings are CR LF.
 ///
-/// Failure: for the library a head ends at two line feeds, for this connection at two
-/// CR LF. A request behind the former was handed over as the rest of the head, and was
-/// lost: its caller took each later answer for the one to the request before it. Where
-/// a line feed or a CR can't stand alone, both find the same end.
+/// The library also ends a head at two line feeds, while this module ends it at two CR LF. If
+/// they differed, the library would drop a request after the first end as the rest of the head,
+/// and the caller would take each later response for that to the request before it.
 fn has_sound_line_ends(head: &[u8]) -> bool {
     let lf = |at: usize| at > 0 && head[at - 1] == b'\r';
     let cr = |at: usize| head.get(at + 1) == Some(&b'\n');
@@ -287,8 +285,8 @@
     })
 }
 
-/// Control bytes other than tab and line ends have no place in a head, and a
-/// byte beyond ASCII in a header value would make the library panic.
+/// Returns whether a byte is allowed in a head: printable ASCII, tab, CR and LF. A non-ASCII byte
+/// in a header value would make the library panic.
 fn is_head_byte(byte: u8) -> bool {
     matches!(byte, b'\t' | b'\r' | b'\n' | b' '..=b'~')
 }
@@ -303,8 +301,8 @@
     }
 }
 
-/// All that the library writes by itself is a word to go on. It goes nowhere, see
-/// [`Conn::poll_go_on`].
+/// Discards all writes. The library writes only `100 Continue` through this, which
+/// [`Conn::poll_go_on`] writes instead.
 impl AsyncWrite for Conn {
     fn poll_write(
         self: Pin<&mut Self>,
--- a/crates/http/src/conn/input.rs
+++ b/crates/http/src/conn/input.rs
@@ -1,4 +1,4 @@
-//! The bytes that were read from a connection ahead of their use.
+//! The read buffer of a connection.
 
 use std::io;
 use std::pin::Pin;
@@ -7,34 +7,35 @@
 use async_std::net::TcpStream;
 use futures::io::AsyncRead;
 
-/// What was read from a connection and not yet handed out.
+/// The read buffer of a connection, and the state of reading the current message.
 #[derive(Debug, Default)]
 pub(super) struct Input {
     pub(super) buf: Vec<u8>,
     pub(super) pos: usize,
-    /// How many more bytes may be handed out; nothing for as many as come.
+    /// Number of bytes that the decoder may still read; `None` means no limit.
     pub(super) left: Option<u64>,
-    /// Whether the socket will wake the task that was last told to wait.
+    /// Whether the last read polled the socket and got `Pending`, so that the socket wakes the
+    /// task.
     pub(super) armed: bool,
-    /// Whether the message's body has been read to its end.
+    /// Whether the message's body has been completely read.
     pub(super) body_done: bool,
-    /// Who waits to watch for the peer's close until the body is read.
+    /// Waker of the task that waits until the body has been read.
     pub(super) watcher: Option<Waker>,
     pub(super) go_on: GoOn,
 }
 
-/// Whether the peer waits for a word before it sends its body.
+/// The state of the interim response `100 Continue`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum GoOn {
-    /// It doesn't, or gets none any more.
+    /// Not expected, already written, or no longer possible.
     #[default]
     Done,
-    /// It does, and so many bytes of the word were written.
+    /// Expected by the peer; this number of its bytes has been written.
     Due(usize),
 }
 
 impl Input {
-    /// Hands out bytes to the decoder, as many as it may have.
+    /// Reads from the buffer, or from the socket if the buffer is empty, up to the limit.
     pub(super) fn poll_read(
         &mut self,
         stream: &TcpStream,
@@ -51,7 +52,7 @@
             buf[..len].copy_from_slice(&rest[..len]);
             self.pos += len;
             if self.pos == self.buf.len() {
-                // A connection that streams or idles needs no room for a head.
+                // Frees the buffer, which isn't needed while a connection streams or is idle.
                 self.buf = Vec::new();
                 self.pos = 0;
             }
--- a/crates/http/src/copy.rs
+++ b/crates/http/src/copy.rs
@@ -1,4 +1,4 @@
-//! Reading from what is buffered.
+//! `poll_read` for buffered readers.
 
 use std::io;
 use std::pin::Pin;
@@ -6,9 +6,7 @@
 
 use futures::io::AsyncBufRead;
 
-/// Reads into `buf` what `source` has ready: [`poll_read`] of every reader here
-/// that hands out its own buffer, since encoders ask for the one and this
-/// crate's callers for the other.
+/// Implements [`poll_read`] by copying from the buffer of `source` into `buf`.
 ///
 /// [`poll_read`]: futures::io::AsyncRead::poll_read
 pub(crate) fn poll_copy(
--- a/crates/http/src/deadline.rs
+++ b/crates/http/src/deadline.rs
@@ -1,4 +1,4 @@
-//! The time by which a body has to be there.
+//! Deadlines for reading bodies.
 
 use std::io;
 use std::pin::Pin;
@@ -7,10 +7,10 @@
 
 use async_std::task::sleep;
 
-/// A point in time that a reader can wait for beside its bytes.
+/// A deadline that a reader polls when no bytes are available.
 pub(crate) struct Deadline {
     at: Instant,
-    /// There is one only while the reader waits: most bodies never do.
+    /// Created only when the reader has to wait, since most bodies are read without waiting.
     timer: Option<Pin<Box<dyn Future<Output = ()> + Send + Sync>>>,
 }
 
@@ -19,8 +19,8 @@
         Self { at, timer: None }
     }
 
-    /// Fails once the time is over. Readers ask also while bytes come, since a
-    /// peer that never ends would hold them for good.
+    /// Fails if the deadline has passed. Readers call this also while bytes are available, since
+    /// a peer that never stops sending would otherwise keep them busy forever.
     pub(crate) fn check(&self) -> io::Result<()> {
         if self.left().is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
@@ -28,7 +28,7 @@
         Ok(())
     }
 
-    /// Wakes the task when the time is over, and then fails.
+    /// Registers the task to be woken at the deadline, and fails once that has passed.
     pub(crate) fn poll<T>(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<T>> {
         let left = self.left();
         let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(left)));
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,56 +1,56 @@
-//! What can go wrong with a request, told by what it means for the request.
+//! Errors of requests, classified by whether the peer may have acted on the request.
 
 use std::io;
 
 use derive_more::{Display, Error};
 
-/// Why a request has no whole answer.
+/// An error of sending a request or reading a body.
 ///
-/// The variants answer the question that decides about a retry: can the peer
-/// have acted on the request?
+/// The variants tell whether the peer may have acted on the request, which decides whether it
+/// can be retried.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// Nothing of the request left this host, so the peer can't have acted on it.
+    /// No byte of the request was sent, so the peer can't have acted on it.
     #[display("not sent: {_0}")]
     NotSent(#[error(not(source))] Cause),
-    /// Bytes of the request may have left and no answer came.
-    #[display("no answer: {_0}")]
+    /// Bytes of the request may have been sent, and no response was received.
+    #[display("no response: {_0}")]
     MaybeSent(#[error(not(source))] Cause),
-    /// The answer began and broke off.
+    /// The message began but ended early or was malformed.
     #[display("cut: {_0}")]
     Cut(#[error(not(source))] Cause),
-    /// The body is larger than the reader allows, in bytes.
+    /// The body is larger than the reader's limit.
     #[display("body of more than {limit} bytes")]
     TooLarge {
-        /// The greatest size that is accepted.
+        /// The limit, in bytes.
         limit: usize,
     },
-    /// The body came whole but isn't the JSON that was asked for.
-    #[display("body is not the JSON asked for, at line {line}, column {column}")]
+    /// The body is complete but doesn't parse as the expected JSON.
+    #[display("body is not the expected JSON: line {line}, column {column}")]
     Json {
-        /// Line of the fault, from 1.
+        /// Line of the parse error, starting at 1.
         line: usize,
-        /// Column of the fault, from 1.
+        /// Column of the parse error, starting at 1.
         column: usize,
     },
 }
 
-/// The event that broke an exchange.
+/// The cause of a failed exchange.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Cause {
     /// The peer's host refused the connection.
     #[display("connection refused")]
     Refused,
-    /// A time limit passed.
+    /// A timeout expired.
     #[display("timed out")]
     Timeout,
     /// The peer closed the connection.
     #[display("connection closed")]
     Closed,
-    /// What came isn't HTTP/1.1 as this crate accepts it.
+    /// The message isn't valid HTTP/1.1, or uses a feature that this crate doesn't support.
     #[display("malformed")]
     Malformed,
-    /// Any other failure of the operating system's network.
+    /// Any other I/O error.
     #[display("{_0}")]
     Io(io::ErrorKind),
 }
@@ -72,9 +72,8 @@
 }
 
 impl Error {
-    /// The error for a body that failed while it was read.
-    ///
-    /// Readers speak [`io::Error`], so a [`Error::TooLarge`] travels inside one.
+    /// Converts an error of reading a body. An [`Error`] that was wrapped in an [`io::Error`],
+    /// such as [`Error::TooLarge`], is unwrapped.
     pub(crate) fn body(err: &io::Error) -> Self {
         match err.get_ref().and_then(|it| it.downcast_ref::<Self>()) {
             Some(inner) => *inner,
--- a/crates/http/src/h1.rs
+++ b/crates/http/src/h1.rs
@@ -1,4 +1,4 @@
-//! Between this crate's types and those of `http-types`.
+//! Conversions between this crate's types and those of `http-types`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,8 +11,8 @@
 use crate::copy::poll_copy;
 use crate::{Body, Headers, Method, Request, Response};
 
-/// Fields that describe one connection or the framing of one message; passing
-/// them on would make the next peer wait for bytes that never come.
+/// Fields that are dropped because they concern one connection or the framing of one message.
+/// Forwarding them could make the next peer wait for bytes that never come.
 const HOP_BY_HOP: [&str; 12] = [
     "connection",
     "content-length",
@@ -28,7 +28,7 @@
     "upgrade",
 ];
 
-/// `request` for the peer at `to`, or nothing when its target is no path.
+/// Converts a request for the peer at `to`. Returns `None` if its target isn't a valid path.
 pub(crate) fn encode_request(
     request: &Request,
     to: SocketAddr,
@@ -67,8 +67,8 @@
         .collect()
 }
 
-/// Whether a length is digits only; number parsers also take a sign, which
-/// another reader of the same message may not.
+/// Returns whether `text` consists of digits only. Integer parsers also accept a sign, which
+/// other HTTP implementations may read differently.
 pub(crate) fn is_number(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|it| it.is_ascii_digit())
 }
@@ -89,8 +89,8 @@
     http_types::Body::from_reader(whole, len.and_then(|len| usize::try_from(len).ok()))
 }
 
-/// A body that fails when it ends before its stated length: the encoder
-/// would take the end for the message's and leave the peer waiting.
+/// A body that fails if it ends before its stated length. The encoder would otherwise end the
+/// message there and leave the peer waiting for the rest.
 struct Whole {
     body: Body,
     left: Option<u64>,
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -2,14 +2,14 @@
 
 use std::borrow::Cow;
 
-/// A small list of header fields. Names are compared without regard to case.
+/// A list of header fields. Names are compared without regard to case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     fields: Vec<(Cow<'static, str>, String)>,
 }
 
 impl Headers {
-    /// The first value of `name`.
+    /// Returns the first value of `name`.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.iter()
@@ -17,17 +17,17 @@
             .map(|(_, value)| value)
     }
 
-    /// Replaces all values of `name` by this one.
+    /// Replaces all values of `name` with `value`.
     pub fn set(&mut self, name: impl Into<Cow<'static, str>>, value: impl Into<String>) {
         let name = name.into();
         self.remove(&name);
         self.append(name, value);
     }
 
-    /// Adds a value and keeps those that are there.
+    /// Adds a value of `name`, keeping existing ones.
     ///
-    /// Bytes that a header can't carry are replaced by `?`: a line break in a
-    /// value that a caller chose would otherwise start a header of its own.
+    /// Characters that aren't allowed are replaced, in names by `-` and in values by `?`. This
+    /// prevents header injection through line breaks.
     pub fn append(&mut self, name: impl Into<Cow<'static, str>>, value: impl Into<String>) {
         let mut name = name.into();
         if !name.bytes().all(is_token) {
@@ -45,7 +45,7 @@
         self.fields.retain(|(it, _)| !it.eq_ignore_ascii_case(name));
     }
 
-    /// All fields, in the order in which they were added.
+    /// Returns all fields, in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.fields
             .iter()
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,8 @@
 //! HTTP/1.1 client and server around `async-h1`.
 //!
-//! The client pools connections and tells precisely whether a request may have
-//! reached its peer; the server enforces limits on what peers may send. Other
-//! crates see only the types of this one, so that the library underneath can
-//! be replaced; see `docs/PROTOCOLS.md` for what is spoken over it.
+//! The client pools connections, and its errors tell whether a request may have reached its
+//! peer. The server enforces limits on what peers may send. The public API hides `async-h1`, so
+//! that it can be replaced; see `docs/PROTOCOLS.md` for the protocols on top of HTTP.
 
 mod body;
 mod client;
--- a/crates/http/src/relay.rs
+++ b/crates/http/src/relay.rs
@@ -1,4 +1,4 @@
-//! Writing an encoded message to a connection as its bytes come.
+//! Writing of an encoded message to a connection.
 
 use std::io;
 use std::pin::Pin;
@@ -10,27 +10,27 @@
 use futures::future::poll_fn;
 use futures::io::{AsyncRead, AsyncWriteExt};
 
-/// The buffer to begin with, and the one that a message gets which keeps
-/// filling it. Thousands of streams wait at a time, with a token now and then.
+/// Initial and maximum size of the buffer, in bytes. It starts small, because thousands of
+/// streams may be waiting for their next token, and doubles for messages that fill it.
 const FIRST_BUFFER: usize = 2 * 1024;
 const MAX_BUFFER: usize = 32 * 1024;
-/// The chunk encoder of `async-h1` asserts that it has room for its framing.
+/// Minimum free space in the buffer for a read, in bytes. The chunk encoder of `async-h1` panics
+/// without room for its framing.
 const MIN_ROOM: usize = 64;
 
-/// Which side of a relay failed.
+/// An error of copying a message, by the side that failed.
 #[derive(Debug)]
 pub(crate) enum RelayError {
-    /// The message broke off before its end.
+    /// Reading the message failed.
     Source(io::Error),
-    /// The peer takes no more bytes.
+    /// Writing to the connection failed or timed out.
     Sink(io::Error),
 }
 
-/// Copies `source` to `stream` until it ends and counts what left in `sent`.
+/// Copies `source` to `stream` until it ends, and adds the number of bytes written to `sent`.
 ///
-/// What is ready is written at once, in one piece where it fits: a token isn't
-/// held back for the next one, and a head shares a packet with a short body.
-/// `stall` bounds the time for which the peer may take nothing.
+/// All bytes that are available are written at once: a token isn't delayed until the next one,
+/// and a head shares a packet with a short body. `stall` is the timeout of each write.
 pub(crate) async fn relay(
     source: &mut (impl AsyncRead + Unpin),
     mut stream: &TcpStream,
@@ -66,7 +66,7 @@
     Broken(io::Error),
 }
 
-/// Reads what is ready, waiting only while nothing is.
+/// Reads all bytes that are available, waiting only if there are none.
 async fn fill(source: &mut (impl AsyncRead + Unpin), buf: &mut [u8]) -> (usize, Source) {
     let mut len = 0;
     poll_fn(|cx| {
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests, on both sides.
+//! Requests of the client and the server.
 
 use std::fmt;
 
@@ -10,24 +10,25 @@
 
 use crate::{Body, Headers};
 
-/// A request: one to send, or one that came in.
+/// A request to send, or one that was received.
 #[derive(Debug)]
 pub struct Request {
     /// The method.
     pub method: Method,
-    /// Path and query, as they stand in the request line.
+    /// The path and query of the request line.
     pub target: String,
-    /// Header fields; the length, transfer coding and host are written by this crate.
+    /// The header fields. When a request is sent, this crate adds length, transfer coding and
+    /// host.
     pub headers: Headers,
-    /// The body, empty for most methods.
+    /// The body.
     pub body: Body,
-    /// Tells when the caller of a request that came in is gone. Never, for
-    /// a request to send.
+    /// Completes when the caller of a received request disconnects. Never completes for a request
+    /// to send.
     pub hangup: Hangup,
 }
 
 impl Request {
-    /// A request without body.
+    /// Creates a request without a body.
     #[must_use]
     pub fn new(method: Method, target: impl Into<String>) -> Self {
         Self {
@@ -39,19 +40,19 @@
         }
     }
 
-    /// A `GET`.
+    /// Creates a `GET` request.
     #[must_use]
     pub fn get(target: impl Into<String>) -> Self {
         Self::new(Method::Get, target)
     }
 
-    /// A `POST` with `value` as JSON.
+    /// Creates a `POST` request with `value` as JSON.
     #[must_use]
     pub fn post<T: Serialize + ?Sized>(target: impl Into<String>, value: &T) -> Self {
         Self::new(Method::Post, target).json(value)
     }
 
-    /// Sets the body to `value` as JSON.
+    /// Sets the body to `value` as JSON, and the content type.
     #[must_use]
     pub fn json<T: Serialize + ?Sized>(mut self, value: &T) -> Self {
         self.headers.set("content-type", "application/json");
@@ -73,7 +74,7 @@
         self
     }
 
-    /// The path without the query.
+    /// Returns the target without its query.
     #[must_use]
     pub fn path(&self) -> &str {
         self.target
@@ -81,7 +82,7 @@
             .map_or(&self.target, |(path, _)| path)
     }
 
-    /// The query's value for `name`, percent-decoded.
+    /// Returns the first value of the query parameter `name`, percent-decoded.
     #[must_use]
     pub fn query(&self, name: &str) -> Option<String> {
         let url = Url::parse("http://host/").ok()?.join(&self.target).ok()?;
@@ -91,10 +92,10 @@
     }
 }
 
-/// Tells that the caller closed its connection before it got its whole answer.
+/// Notification that the caller disconnected before it received the whole response.
 ///
-/// A caller that only closes its sending side counts as gone: it can't be told
-/// from one that went away.
+/// A caller that closes only its sending side also counts as disconnected, because the server
+/// can't tell the difference.
 #[derive(Clone)]
 pub struct Hangup {
     closed: Option<Shared<oneshot::Receiver<()>>>,
@@ -111,7 +112,7 @@
         (sender, Self { closed })
     }
 
-    /// Completes when the caller is gone, and never otherwise.
+    /// Waits until the caller has disconnected. Never completes otherwise.
     pub async fn wait(&self) {
         match &self.closed {
             Some(closed) if closed.clone().await.is_ok() => {}
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,23 +1,24 @@
-//! Responses, on both sides.
+//! Responses of the client and the server.
 
 use http_types::StatusCode;
 use serde::Serialize;
 
 use crate::{Body, Headers, Sender};
 
-/// A response: one that came, or one to send.
+/// A response to send, or one that was received.
 #[derive(Debug)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// Header fields; the length, transfer coding and date are written by this crate.
+    /// The header fields. When a response is sent, this crate adds length, transfer coding and
+    /// date.
     pub headers: Headers,
     /// The body.
     pub body: Body,
 }
 
 impl Response {
-    /// A response without body.
+    /// Creates a response without a body.
     #[must_use]
     pub fn new(status: StatusCode) -> Self {
         Self {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// A response with `value` as JSON.
+    /// Creates a response with `value` as JSON.
     #[must_use]
     pub fn json<T: Serialize + ?Sized>(status: StatusCode, value: &T) -> Self {
         Self::new(status)
@@ -35,7 +36,7 @@
             .body(Body::json(value))
     }
 
-    /// A response of plain text.
+    /// Creates a plain-text response.
     #[must_use]
     pub fn text(status: StatusCode, text: impl Into<String>) -> Self {
         Self::new(status)
@@ -43,9 +44,9 @@
             .body(Body::bytes(text.into()))
     }
 
-    /// A stream of server-sent events and the end into which they are put.
+    /// Creates a response that streams server-sent events, and the sender of its body.
     ///
-    /// Up to `capacity` pieces wait for a slow caller before the sender does.
+    /// The sender waits when `capacity` pieces are buffered.
     #[must_use]
     pub fn events(capacity: usize) -> (Sender, Self) {
         let (sender, body) = Body::channel(capacity);
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: an accept loop, limits on what peers may send, a graceful stop.
+//! HTTP server with limits on what peers may send, and graceful shutdown.
 
 mod connection;
 mod head;
@@ -27,32 +27,32 @@
 
 pub use limits::Limits;
 
-/// How long a failing accept is left alone. It fails when the process has no
-/// file descriptor left, and would otherwise keep a core busy until it has.
+/// Delay after a failed accept. Without it, the accept loop would keep a core busy while the
+/// process is out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A running server. Dropping it doesn't stop it; [`Server::drain`] does.
+/// A running server. Dropping it doesn't stop it; use [`Server::drain`].
 pub struct Server {
     address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// What a graceful stop left behind.
+/// The result of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drained {
-    /// Requests that were still in flight when the time was over.
+    /// Number of requests still in flight at its end.
     pub left: usize,
 }
 
 impl Server {
-    /// Listens on `address` and hands each request to `handler`. Port 0 takes
-    /// any free port, see [`Server::address`].
+    /// Listens on `address` and calls `handler` for each request. Port 0 selects a free port, see
+    /// [`Server::address`].
     ///
-    /// The handler runs to its end also when the caller hangs up, so that it
-    /// can settle what it began; [`Request::hangup`] tells it.
+    /// The handler isn't cancelled when the caller disconnects, so that it can clean up; it is
+    /// notified through [`Request::hangup`].
     ///
     /// # Errors
-    /// What the operating system says about the address.
+    /// The I/O error if the address can't be bound.
     pub fn bind<H, F>(address: SocketAddr, limits: Limits, handler: H) -> Ready<io::Result<Self>>
     where
         H: Fn(Request) -> F + Send + Sync + 'static,
@@ -77,25 +77,25 @@
         Ok(Self { address, shared })
     }
 
-    /// The address on which it listens, with the port that was taken.
+    /// Returns the address on which the server listens, with the actual port.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How many requests are between their head and the last byte of their answer.
+    /// Returns the number of requests in flight, from the first byte of their head to the last
+    /// byte of their response.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight()
     }
 
-    /// Stops gracefully: serves as before for `grace` but asks callers to close
-    /// their connections, then accepts no more and waits up to `limit` for the
-    /// requests in flight and the connections on which one may be on its way.
+    /// Shuts down gracefully. For `grace`, serves as before but asks callers to close their
+    /// connections. Then accepts no more connections and waits up to `limit` for requests in
+    /// flight and for connections on which a request may be about to arrive.
     ///
-    /// After a grace of at least [`Limits::keep_time`] no caller whose
-    /// [`Pool::warm`](crate::Pool::warm) is shorter loses a request that may
-    /// not be repeated.
+    /// If `grace` is at least [`Limits::keep_time`], callers whose
+    /// [`Pool::warm`](crate::Pool::warm) is shorter lose no request that must not be sent twice.
     pub async fn drain(&self, grace: Duration, limit: Duration) -> Drained {
         self.shared.retire();
         if !grace.is_zero() {
@@ -125,14 +125,14 @@
             Either::Right(_) => break,
         }
     }
-    // Those who wait for their accept have a connection as far as they know,
-    // and may have written their request. Closing the listener resets them.
+    // Callers in the listen queue are already connected and may have sent a request. Closing the
+    // listener would reset their connections.
     while let Some(Ok((stream, _))) = listener.accept().now_or_never() {
         admit(stream, &shared, &handler);
     }
 }
 
-/// Serves a connection in a task of its own, or turns it away in one.
+/// Spawns a task that serves a connection, or rejects it if there are too many.
 fn admit<H, F>(stream: TcpStream, shared: &Arc<Shared>, handler: &Arc<H>)
 where
     H: Fn(Request) -> F + Send + Sync + 'static,
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its requests, one after the other.
+//! Serving the requests of one connection.
 
 use std::pin::pin;
 use std::time::Instant;
@@ -20,7 +20,7 @@
 use crate::relay::relay;
 use crate::{Hangup, Method, Request, Response};
 
-/// Serves the requests of one connection until it ends.
+/// Serves the requests of a connection, one after the other, until it closes.
 pub(super) async fn serve<H, F>(stream: TcpStream, shared: &Shared, handler: &H)
 where
     H: Fn(Request) -> F,
@@ -46,14 +46,13 @@
     }
 }
 
-/// Waits for the first byte of the next request. A byte that is there wins
-/// over the server's stop: its sender believes that it is served.
+/// Waits for the first byte of the next request. Returns false if the connection is to be closed.
+/// A byte that has already arrived takes precedence over the shutdown of the server.
 ///
-/// A caller that has just connected, or was just answered on a connection
-/// that is kept, may have sent its request already. Were the connection closed
-/// at the stop, the request would be lost and the caller couldn't tell whether
-/// it ran. It stays open for a moment, which is over for all that were idle
-/// during the grace.
+/// A caller that has just connected, or has just received a response on a kept connection, may
+/// already have sent a request. If the connection were closed at once, the caller couldn't tell
+/// whether the request ran. The connection therefore stays open for the keep time, counted from
+/// the start of the wait; connections that were idle throughout the drain's grace close at once.
 async fn await_request(conn: &Conn, shared: &Shared) -> bool {
     let since = Instant::now();
     let first = timeout(shared.limits.idle_time, conn.first_byte());
@@ -86,7 +85,7 @@
         tell(&mut hung_up);
         work.await
     };
-    // What is left of the body would be read as the next request.
+    // An unread rest of the body would be parsed as the next request.
     if !conn.is_body_done() || shared.is_retiring() {
         next = Next::Close;
     }
@@ -101,7 +100,7 @@
 
 fn tell(hung_up: &mut Option<oneshot::Sender<()>>) {
     if let Some(sender) = hung_up.take() {
-        // Nobody may be listening.
+        // Fails if the handler has dropped the request.
         let _ = sender.send(());
     }
 }
@@ -112,8 +111,8 @@
     Cut,
 }
 
-/// Writes the answer unless the caller goes away first. The body is dropped
-/// with it, and so its producer learns of it also when it has nothing to send.
+/// Writes the response, unless the caller disconnects first. Then the body is dropped, so that its
+/// producer notices the disconnect even while it has nothing to send.
 async fn write(
     watch: &mut Watch<'_>,
     conn: &Conn,
--- a/crates/http/src/server/head.rs
+++ b/crates/http/src/server/head.rs
@@ -1,4 +1,4 @@
-//! The head of a request: read within its limits, and checked.
+//! Reading and checking of request heads.
 
 use async_std::future::timeout;
 use http_types::headers::{CONNECTION, CONTENT_LENGTH, EXPECT, HOST, TRANSFER_ENCODING};
@@ -10,23 +10,23 @@
 use crate::h1;
 use crate::{Body, Method, Request, Status};
 
-/// What becomes of the connection after an exchange.
+/// The use of a connection after an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Next {
     Request,
     Close,
-    /// Close without ceremony: the peer is gone, or must see that its answer is cut.
+    /// Close without lingering: the peer is gone, or must see that its response is incomplete.
     Abort,
 }
 
-/// A request in the form in which the connection goes on with it.
+/// A request, and what the connection needs to know about it.
 pub(super) struct Head {
     pub(super) request: Request,
     pub(super) method: Method,
     pub(super) next: Next,
 }
 
-/// Reads and checks a head; nothing when the peer left within it.
+/// Reads and checks a head. Returns `None` if the peer disconnected within it.
 pub(super) async fn read(conn: &Conn, shared: &Shared) -> Result<Option<Head>, Refusal> {
     let limits = &shared.limits;
     let head = conn.head(limits.max_head, Foreign::Refuse);
@@ -49,7 +49,7 @@
     }
 }
 
-/// Refuses what could be framed in two ways, and what is too large by its own word.
+/// Rejects requests with ambiguous framing, and those whose stated length is too large.
 fn check(mut decoded: http_types::Request, conn: &Conn, shared: &Shared) -> Result<Head, Refusal> {
     let limits = &shared.limits;
     let chunked = match decoded.header(TRANSFER_ENCODING) {
@@ -97,7 +97,7 @@
         let incoming = Incoming::new(body, conn.clone(), len, limits.max_body, limits.body_time);
         request.body = Body::reader(incoming, len);
     }
-    // The library may have read on past a chunked body and dropped what it read.
+    // The library may have read and dropped bytes after a chunked body.
     let next = if says_close || chunked {
         Next::Close
     } else {
@@ -116,8 +116,10 @@
         .is_some_and(|it| it.last().as_str().eq_ignore_ascii_case("100-continue"))
 }
 
-/// The library joins host and path into one URL. Any other byte could move
-/// the border between them, and the request to another path.
+/// Returns whether a byte is allowed in a `Host` value.
+///
+/// The library concatenates host and path into a URL and parses that. A byte such as `/` or `?`
+/// in the host would become part of the path and change the routing of the request.
 fn is_host_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"-._:[]~%".contains(&byte)
 }
--- a/crates/http/src/server/incoming.rs
+++ b/crates/http/src/server/incoming.rs
@@ -1,4 +1,4 @@
-//! The body of a request that came in.
+//! Bodies of received requests.
 
 use std::io;
 use std::pin::Pin;
@@ -12,13 +12,13 @@
 use crate::copy::poll_copy;
 use crate::deadline::Deadline;
 
-/// A request's body within the limits of size and time.
+/// A request's body, limited in size and time.
 pub(super) struct Incoming {
     body: http_types::Body,
     conn: Conn,
-    /// How many bytes are still to come, when the head told.
+    /// Number of bytes left of the content length, if there is one.
     left: Option<u64>,
-    /// How many bytes may still come.
+    /// Number of bytes left of the size limit.
     room: usize,
     limit: usize,
     deadline: Deadline,
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -1,28 +1,28 @@
-//! What peers may ask of a server.
+//! Limits of a server.
 
 use std::time::Duration;
 
-/// Limits on what peers may send, and how slowly.
+/// Timeouts, and limits on what peers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Time for a head, from its first byte.
+    /// Timeout of receiving a head, from its first byte.
     pub head_time: Duration,
-    /// Time for a body, from the end of the head.
+    /// Timeout of receiving a body, from the end of the head.
     pub body_time: Duration,
-    /// Time for which a connection may wait for its next request.
+    /// Timeout of waiting for the next request on a connection.
     pub idle_time: Duration,
-    /// Time for which a caller may take nothing of its answer.
+    /// Timeout of each write of a response.
     pub write_time: Duration,
-    /// Size of a head, in bytes; at most 8,191.
+    /// Maximum size of a head, in bytes. Values above 8,191 have the effect of 8,191.
     pub max_head: usize,
-    /// Size of a body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub max_body: usize,
-    /// Time for which a connection stays open after its accept, and after each
-    /// answer that didn't ask its caller to close, also when the server stops.
-    /// Longer than [`Pool::warm`](crate::Pool::warm) of its callers and the
-    /// way there: the next request may be on its way already.
+    /// Minimum time for which a connection is kept open after its accept, and after each response
+    /// that didn't ask the caller to close it, even if the server shuts down. Should be longer than
+    /// [`Pool::warm`](crate::Pool::warm) of the callers plus the network latency, because a
+    /// request may already have been sent.
     pub keep_time: Duration,
-    /// Connections at the same time.
+    /// Maximum number of open connections.
     pub max_connections: usize,
 }
 
--- a/crates/http/src/server/listen.rs
+++ b/crates/http/src/server/listen.rs
@@ -1,4 +1,4 @@
-//! Listening with room for a burst of callers.
+//! Creation of the listening socket.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,11 +6,10 @@
 use async_std::net::TcpListener;
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// Connections that may wait to be accepted; the system's own limit holds too.
+/// Maximum number of connections that wait to be accepted, also limited by the system.
 ///
-/// The standard library's 128 are too few when another host is lost and its
-/// callers come here at once: the system then drops what it can't queue, and
-/// a seat hold waits for a second until its connection is tried again.
+/// When another host fails, its callers connect here all at once. With the standard library's 128,
+/// the system would drop connection attempts, which are retransmitted only after a second.
 const BACKLOG: i32 = 4096;
 
 /// Listens on `address`.
@@ -20,8 +19,8 @@
         Type::STREAM,
         Some(Protocol::TCP),
     )?;
-    // A restarted process takes its address although connections of its
-    // former life are still being closed by the system.
+    // Allows a restarted process to bind its address while connections of the previous process
+    // are still closing.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
--- a/crates/http/src/server/refusal.rs
+++ b/crates/http/src/server/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals of requests that never reach the handler, and the close after them.
+//! Rejection of requests that don't reach the handler, and lingering close.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
 use crate::relay::relay;
 use crate::{Method, Response, Status};
 
-/// How long, and for how many bytes, a refused peer is listened to. Closing at
-/// once would reset the connection and could take the refusal with it.
+/// Limits on reading from a peer after the sending side was closed. Closing a connection with
+/// unread bytes resets it, and the peer could lose the response.
 const LINGER_TIME: Duration = Duration::from_secs(1);
 const LINGER_BYTES: usize = 256 * 1024;
 
-/// Why a request never reaches the handler.
+/// The status and detail of a response that rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Refusal {
     status: Status,
@@ -30,7 +30,8 @@
         Self { status, detail }
     }
 
-    /// The problem document. Nothing ran, since no handler saw the request.
+    /// Returns the response with a problem document. `run` is `not_run`, since no handler saw
+    /// the request.
     fn into_response(self) -> Response {
         let Self { status, detail } = self;
         let reason = match status {
@@ -60,7 +61,7 @@
     run: &'static str,
 }
 
-/// Writes a refusal and closes the connection.
+/// Writes a rejection, then lingers until the connection can be closed.
 pub(super) async fn refuse(stream: &TcpStream, shared: &Shared, refusal: Refusal) {
     let mut message = h1::encode_response(refusal.into_response());
     message.insert_header(CONNECTION, "close");
@@ -72,7 +73,7 @@
     }
 }
 
-/// Closes the sending side and listens until the peer has closed too.
+/// Closes the sending side, and discards input until the peer closes too or a limit is reached.
 pub(super) async fn linger(mut stream: &TcpStream) {
     if stream.flush().await.is_err() || stream.shutdown(Shutdown::Write).is_err() {
         return;
--- a/crates/http/src/server/shared.rs
+++ b/crates/http/src/server/shared.rs
@@ -1,4 +1,4 @@
-//! What the connections of a server share.
+//! State shared by the connections of a server.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -20,14 +20,14 @@
     tasks: Arc<Count>,
 }
 
-/// How many there are of something, and who waits until there are none.
+/// A counter, and the task that waits until it is zero.
 #[derive(Default)]
 struct Count {
     now: AtomicUsize,
     waiter: AtomicWaker,
 }
 
-/// One of those counted, until it is dropped.
+/// Guard that increments a counter and decrements it on drop.
 pub(super) struct Counted {
     count: Arc<Count>,
 }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A place for a connection, if there is one.
+    /// Counts a connection. Returns `None` if there are too many.
     pub(super) fn connection(&self) -> Option<Counted> {
         let slot = Counted::new(&self.connections);
         (self.connections.get() <= self.limits.max_connections).then_some(slot)
@@ -56,7 +56,7 @@
         Counted::new(&self.requests)
     }
 
-    /// A task that may hold a caller's request, or the answer to one.
+    /// Counts a task that may accept connections or hold requests.
     pub(super) fn task(&self) -> Counted {
         Counted::new(&self.tasks)
     }
@@ -65,7 +65,7 @@
         self.requests.get()
     }
 
-    /// Has callers asked to close their connections.
+    /// Makes responses ask callers to close their connections.
     pub(super) fn retire(&self) {
         self.retiring.store(true, Ordering::Release);
     }
@@ -79,13 +79,13 @@
         self.stop.close();
     }
 
-    /// Completes when the server takes no more requests.
+    /// Waits until the server stops accepting connections.
     pub(super) async fn stopped(&self) {
-        // Nothing is ever sent: receiving fails once the channel is closed.
+        // Nothing is sent on this channel; `recv` returns an error once it is closed.
         let _ = self.stopped.recv().await;
     }
 
-    /// Completes when no task is left that serves a caller.
+    /// Waits until all counted tasks have ended.
     pub(super) async fn finished(&self) {
         poll_fn(|cx| {
             self.tasks.waiter.register(cx.waker());
--- a/crates/http/src/server/watch.rs
+++ b/crates/http/src/server/watch.rs
@@ -1,4 +1,4 @@
-//! Noticing that a caller went away while something else is awaited.
+//! Detection of a disconnected caller while another future is awaited.
 
 use std::pin::{Pin, pin};
 use std::task::{Context, Poll};
@@ -9,11 +9,10 @@
 
 use crate::conn::Conn;
 
-/// Watches one connection over the course of an exchange.
+/// Watches a connection for a disconnect during an exchange.
 ///
-/// The peek at the connection asks the operating system each time it is
-/// polled. It is therefore polled by its own wake-ups only, and not again with
-/// each token; and it starts when there is something to wait for.
+/// Each poll of the peek costs a system call. `FuturesUnordered` polls it only when it was woken
+/// itself, not for each token of a stream. It is started when the awaited future is first pending.
 pub(super) struct Watch<'a> {
     conn: &'a Conn,
     closed: FuturesUnordered<Pin<Box<dyn Future<Output = ()> + Send + 'a>>>,
@@ -29,7 +28,7 @@
         }
     }
 
-    /// The outcome of `work`, or nothing when the caller goes away first.
+    /// Returns the output of `work`, or `None` if the caller disconnects first.
     pub(super) async fn guard<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         let mut work = pin!(work);
         poll_fn(|cx| match work.as_mut().poll(cx) {
--- a/crates/http/tests/suite/client.rs
+++ b/crates/http/tests/suite/client.rs
@@ -1,4 +1,4 @@
-//! What the client makes of peers that behave and peers that don't.
+//! Tests of the client against scripted peers.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 
 use crate::{message, support};
 
-/// The peer: one script a connection, in the order in which they come.
+/// A peer that plays one script for each connection, in the order in which they are accepted.
 struct Peer {
     address: SocketAddr,
     closed: Receiver<()>,
-    /// Ends the scripts that hold their connection.
+    /// Dropping these ends the scripts that hold their connection open.
     release: Vec<Sender<()>>,
 }
 
@@ -125,8 +125,7 @@
 
 #[test]
 fn a_refused_connection_has_sent_nothing() {
-    // Story: an engine's process has ended and its host refuses connections.
-    // The caller must hear "not run", because nothing left this host.
+    // A refused connection must be reported as not sent, so that the caller can retry.
     let closed = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
@@ -137,10 +136,8 @@
 
 #[test]
 fn the_last_line_end_may_come_in_two_parts() {
-    // Story: a stream's last bytes cross the border of a read buffer between
-    // the last carriage return and its line feed. The chunk decoder waits
-    // without asking for a wake-up, and the caller of a whole answer waits
-    // until its time is over.
+    // If a read ends between the last CR and LF, the chunk decoder returns `Pending` without
+    // registering a waker. The caller of a complete response would wait until its timeout.
     const READ: usize = 8 * 1024;
     let head = "HTTP/1.1 200 OK\\r\\ntransfer-encoding: chunked\\r\\n\\r\\n";
     let around = support::unescape(head).len() + "1f00\r\n".len() + "\r\n0\r\n\r".len();
@@ -161,8 +158,8 @@
 
 #[test]
 fn an_old_connection_is_not_used_again() {
-    // Story: a service closes connections that were idle for a minute. Used at
-    // that moment, one would cost a booking its certainty.
+    // A request on an old connection could meet the peer's idle close, so that the caller can't
+    // know whether it ran.
     let script = "conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\none\nhold\n\
                   conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\ntwo\nhold\n";
     let peer = Peer::start(script);
@@ -177,8 +174,8 @@
     }
 }
 
-/// The answers to three requests on a peer that keeps its connections, the
-/// second right after the first, the third when the connection has cooled down.
+/// Returns the responses to three requests to a peer that keeps its connections open. The second
+/// request follows the first at once, the third after [`Pool::warm`].
 fn answers_on_cooling_connection(repeat: Repeat) -> Vec<String> {
     let answer = |text: &str| {
         format!("recv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 5\\r\\n\\r\\n{text}\n")
@@ -207,11 +204,8 @@
 
 #[test]
 fn what_may_not_be_repeated_needs_a_warm_connection() {
-    // Story: a service closes a connection that was silent for a while, just
-    // when a seat hold is written to it. Nobody ran the hold, but its caller
-    // can't know, and hears "unknown" with a bus of children waiting. The
-    // close can't be seen before it arrives, so a hold takes a connection that
-    // nobody has had the time to close.
+    // A peer may close an idle connection just when a request is written to it, and the caller
+    // can't know whether it ran. A recently used connection can't be about to be closed.
     let lines = answers_on_cooling_connection(Repeat::Never);
     assert_eq!(lines, ["200 first", "200 again", "200 fresh"]);
 }
@@ -224,9 +218,8 @@
 
 #[test]
 fn a_request_whose_body_breaks_off_is_given_up_at_once() {
-    // Story: a caller goes away while its dossier is passed on. The peer waits
-    // for the rest and can't answer; waiting for its first byte would hold a
-    // connection at both ends for nothing.
+    // After a body that ended early, the peer waits for the rest and never responds. Waiting for
+    // its first byte would occupy a connection at both ends for nothing.
     let peer = Peer::start("conn\nrecv\n");
     let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
     let half = Body::reader(futures::io::Cursor::new("half"), Some(8));
@@ -244,9 +237,8 @@
 
 #[test]
 fn an_answer_that_was_given_up_is_not_the_next_requests() {
-    // Story: a store is slow, and a host gives a call up: before the answer, or in the
-    // middle of it. Whatever is still to come on that connection would be read as the
-    // answer to the next call, so that call gets a connection of its own.
+    // A request is abandoned before or within its response. The rest of the response must not be
+    // read as the response to the next request.
     for begun in ["", "HTTP/1.1 200 OK\\r\\ncontent-length: 5\\r\\n\\r\\nhel"] {
         let script = format!(
             "conn\nrecv\nsend {begun}\nhold\n\
@@ -261,7 +253,7 @@
         };
         let request = Request::new(Method::Post, "/").body(Body::bytes("question"));
         match block_on(client.send(peer.address, request, &hasty)) {
-            // Dropped with a part of its body unread.
+            // The response is dropped with part of its body unread.
             Ok(mut response) => drop(block_on(response.body.piece()).unwrap()),
             Err(err) => assert_eq!(err, Error::MaybeSent(Cause::Timeout)),
         }
--- a/crates/http/tests/suite/main.rs
+++ b/crates/http/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the client and the server, each against raw peers and against each other.
+//! Tests of the client and the server, against raw sockets and against each other.
 
 mod client;
 mod message;
--- a/crates/http/tests/suite/message.rs
+++ b/crates/http/tests/suite/message.rs
@@ -1,10 +1,9 @@
-//! Reading a message from a raw socket. The tests of other crates that stand
-//! in for a peer of the client include this file.
+//! Reading of messages from a raw socket. Tests of other crates include this file by its path.
 
 use std::io::Read;
 use std::net::TcpStream;
 
-/// One message with a length, or nothing when the connection ends first.
+/// Reads the head and body of a message. Returns `None` if the connection ends first.
 pub(crate) fn read_message(stream: &mut TcpStream) -> Option<(String, String)> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/http/tests/suite/order.rs
+++ b/crates/http/tests/suite/order.rs
@@ -1,4 +1,4 @@
-//! What comes on one connection, in its order: requests, the word to go on, answers.
+//! Tests of the order of requests, `100 Continue` and responses on one connection.
 
 use async_std::task::block_on;
 use googletest::prelude::*;
@@ -9,8 +9,7 @@
 
 #[gtest]
 fn a_caller_may_wait_to_be_told_to_go_on() {
-    // Story: a caller's library asks before it sends a long dossier, and waits
-    // for the word. Without it the dossier would never come.
+    // A caller that sent `Expect: 100-continue` waits for `100 Continue` before it sends the body.
     block_on(async {
         let server = Server::bind(LOCAL, Limits::default(), echo).await.unwrap();
         let mut stream = support::connect(server.address());
@@ -28,10 +27,8 @@
 
 #[gtest]
 fn the_word_to_go_on_never_comes_behind_the_answer() {
-    // Story: a caller's library asks whether to send its question and sends it without
-    // waiting. The answer goes out at once, and then the word to go on: a second
-    // status line, in the answer or in front of the connection's next one. The word was
-    // written by a task of its own, which nothing held back once the answer had begun.
+    // A caller sends `Expect: 100-continue` but doesn't wait. A `100 Continue` within or after the
+    // final response would be read as part of it, or as the start of the next one.
     const TRIES: usize = 200;
     block_on(async {
         let server = Server::bind(LOCAL, Limits::default(), echo).await.unwrap();
@@ -45,13 +42,13 @@
             if head.starts_with("HTTP/1.1 100") {
                 (head, body) = message::read_message(&mut stream).unwrap();
             }
-            assert!(head.starts_with("HTTP/1.1 200"), "question {nr}: {head}");
-            assert_eq!(body, "POST / [-] hi", "question {nr}");
+            assert!(head.starts_with("HTTP/1.1 200"), "request {nr}: {head}");
+            assert_eq!(body, "POST / [-] hi", "request {nr}");
             support::send(&mut stream, r"GET / HTTP/1.1\r\nhost: h\r\n\r\n");
             let (head, _) = message::read_message(&mut stream).unwrap();
             assert!(
                 head.starts_with("HTTP/1.1 200"),
-                "behind question {nr}: {head}"
+                "request after request {nr}: {head}"
             );
         }
     });
@@ -59,10 +56,8 @@
 
 #[gtest]
 fn a_head_hides_no_second_request() {
-    // Story: a caller's program ends its lines with a line feed alone and sends two
-    // questions at once. The second one's head went as the rest of the first one's, since
-    // here and in the library heads end differently: it was never answered, and each
-    // later answer on that connection belonged to the question before.
+    // The library also ends a head at two line feeds. A second request after such an end would be
+    // dropped, and the caller would take each later response for that to the request before it.
     block_on(async {
         let server = Server::bind(LOCAL, Limits::default(), echo).await.unwrap();
         let mut stream = support::connect(server.address());
--- a/crates/http/tests/suite/round_trip.rs
+++ b/crates/http/tests/suite/round_trip.rs
@@ -1,4 +1,4 @@
-//! Client and server against each other.
+//! Tests of the client and the server against each other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -80,7 +80,7 @@
         let echo = |request: Request| async {
             let len = request.body.len();
             let bytes = request.body.collect(LEN).await.unwrap();
-            // What came in chunks goes back in chunks.
+            // A chunked request gets a chunked response.
             let body = Body::reader(futures::io::Cursor::new(bytes), len);
             Response::new(Status::Ok).body(body)
         };
--- a/crates/http/tests/suite/server.rs
+++ b/crates/http/tests/suite/server.rs
@@ -1,4 +1,4 @@
-//! What the server makes of callers that behave and callers that don't.
+//! Tests of the server against callers on raw sockets.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -53,7 +53,7 @@
     let mut is_closed = false;
     for _ in 0..answers {
         let Some((head, body)) = message::read_message(&mut stream) else {
-            out.push_str("closed without an answer\n");
+            out.push_str("closed without a response\n");
             return out;
         };
         is_closed = head.contains("connection: close");
@@ -102,7 +102,7 @@
             all.extend_from_slice(b"\r\n\r\n");
             stream.write_all(&all).unwrap();
             stream.shutdown(Shutdown::Write).unwrap();
-            // It answers or closes, and never leaves the caller waiting.
+            // The server responds or closes the connection; the read must not time out.
             let end = stream.read_to_end(&mut Vec::new());
             prop_assert!(!end.is_err_and(|err| err.kind() == ErrorKind::WouldBlock));
         }
@@ -112,7 +112,8 @@
     }
 }
 
-/// A server whose handler tells that it began and waits to be let go on.
+/// Starts a server whose handler passes on each request and waits for its response, both through
+/// the returned channels.
 async fn gated() -> (Server, Receiver<Request>, Sender<Response>) {
     let (started, requests) = bounded(8);
     let (go_on, gate) = bounded::<Response>(8);
@@ -128,9 +129,7 @@
 
 #[gtest]
 fn a_drain_waits_for_requests_in_flight() {
-    // Story: an operator restarts an entry host while a dossier is written.
-    // The caller must get its whole answer, and new callers must be turned
-    // away at once so that they use another host.
+    // A restart must not truncate the response to a request in flight.
     block_on(async {
         let (server, requests, go_on) = gated().await;
         let mut stream = support::connect(server.address());
@@ -164,7 +163,7 @@
     });
 }
 
-/// A server that keeps connections for longer than a test takes.
+/// Starts a server whose keep time is longer than any test.
 async fn keeping() -> Server {
     let limits = Limits {
         keep_time: Duration::from_mins(1),
@@ -173,11 +172,11 @@
     Server::bind(LOCAL, limits, echo).await.unwrap()
 }
 
-/// Has `server` stop with `stream` open, and sends a request only then.
+/// Shuts down `server` with `stream` open, then sends a request on `stream`.
 async fn request_after_stop(server: &Server, mut stream: TcpStream) -> String {
     let mut drain = pin!(server.drain(Duration::ZERO, Duration::from_secs(30)));
     assert!(futures::poll!(drain.as_mut()).is_pending());
-    // Once the listener is gone, the stop has reached the server's tasks.
+    // A closed listener shows that the accept loop has seen the stop.
     while TcpStream::connect(server.address()).is_ok() {}
     support::send(&mut stream, r"GET /late HTTP/1.1\r\nhost: h\r\n\r\n");
     let answer = message::read_message(&mut stream);
@@ -190,10 +189,8 @@
 
 #[gtest]
 fn a_drain_serves_who_was_just_answered() {
-    // Story: a host is replaced. A stream that began before its drain ends
-    // whole, on a connection that the answer's head said is kept. The caller
-    // sends a seat hold on it at once, which meets the close: it hears
-    // "unknown", though nobody ran the hold.
+    // The head of the last response said that the connection is kept. If it were closed at once, a
+    // caller that sends its next request couldn't know whether it ran.
     for _ in 0..20 {
         let end = block_on(async {
             let server = keeping().await;
@@ -208,9 +205,8 @@
 
 #[gtest]
 fn a_drain_serves_who_has_just_connected() {
-    // Story: a host is replaced while callers still connect to it. One that was
-    // taken in just before the stop writes its request into a closed connection
-    // and can't tell whether it ran.
+    // If a connection that was accepted just before the stop were closed at once, a caller that
+    // sends its first request couldn't know whether it ran.
     for _ in 0..20 {
         let end = block_on(async {
             let server = keeping().await;
@@ -223,8 +219,7 @@
 
 #[gtest]
 fn a_handler_hears_that_its_caller_is_gone() {
-    // Story: a visitor closes the chat while the answer is still awaited. The
-    // engine would go on writing for nobody if the handler didn't hear of it.
+    // Without the notification, an engine would keep generating for a caller that disconnected.
     block_on(async {
         let (server, requests, _go_on) = gated().await;
         let mut stream = support::connect(server.address());
@@ -242,8 +237,7 @@
 
 #[gtest]
 fn a_producer_hears_that_its_caller_is_gone() {
-    // Story: the same while the answer is being streamed, also when the
-    // producer has nothing to send at that moment.
+    // A disconnect during a stream must be noticed even while the producer sends nothing.
     block_on(async {
         let (server, requests, go_on) = gated().await;
         let mut stream = support::connect(server.address());
@@ -263,8 +257,8 @@
 
 #[gtest]
 fn a_stream_whose_producer_died_is_cut() {
-    // Story: the task that relays an answer dies halfway. Its caller must not
-    // take the half for the whole, so the last chunk never comes.
+    // If the producer fails halfway, the final chunk must be missing, so that the caller doesn't
+    // take the partial response for a complete one.
     block_on(async {
         let (server, requests, go_on) = gated().await;
         let mut stream = support::connect(server.address());
@@ -282,9 +276,8 @@
 
 #[gtest]
 fn a_body_shorter_than_stated_is_cut() {
-    // Story: a thumbnail is passed on from a service whose host dies halfway.
-    // The connection must close, or its caller would take the next answer's
-    // bytes for the rest of the picture.
+    // The connection must close, or the caller would read the next response as the rest of this
+    // body.
     block_on(async {
         let server = Server::bind(LOCAL, Limits::default(), |_| async {
             let half = Body::reader(futures::io::Cursor::new("half"), Some(8));
@@ -321,8 +314,7 @@
 
 #[gtest]
 fn a_caller_that_reads_nothing_is_given_up() {
-    // Story: a caller's host hangs while an answer is streamed to it. The
-    // stream, and the engine that writes it, would be held for good.
+    // A caller that stops reading must not occupy the stream, and the engine behind it, forever.
     block_on(async {
         let limits = Limits {
             write_time: Duration::from_millis(30),
--- a/crates/http/tests/suite/support.rs
+++ b/crates/http/tests/suite/support.rs
@@ -1,10 +1,10 @@
-//! What the tests of both sides share.
+//! Helpers for tests with raw sockets.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The bytes that a script line writes as `\r`, `\n` and `\xNN`.
+/// Decodes the escapes `\r`, `\n` and `\xNN` of a script line.
 pub(crate) fn unescape(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
     let mut rest = text.bytes();
@@ -27,7 +27,7 @@
     out
 }
 
-/// A connection on which a test fails, and doesn't hang, when nothing comes.
+/// Opens a connection with a read timeout, so that a test fails instead of hanging.
 pub(crate) fn connect(to: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(to).unwrap();
     let patience = Some(Duration::from_secs(20));
