--- a/crates/framing/src/body.rs
+++ b/crates/framing/src/body.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of bytes buffered of an incomplete line of chunk framing, with room for chunk
 /// extensions and trailer fields.
-const MAX_LINE: usize = 1024;
+const MAX_INCOMPLETE_LINE: usize = 1024;
 
 /// The framing of a body, which determines where it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,12 +27,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Plain(u64),
-    Size,
-    Chunk(u64),
+    Sized(u64),
+    ChunkSize,
+    ChunkData(u64),
     ChunkEnd,
     Trailer,
-    Open,
+    UntilClose,
     Done,
 }
 
@@ -42,9 +42,9 @@
     pub fn new(length: Length) -> Self {
         let state = match length {
             Length::Known(0) => State::Done,
-            Length::Known(left) => State::Plain(left),
-            Length::Chunked => State::Size,
-            Length::UntilClose => State::Open,
+            Length::Known(remaining) => State::Sized(remaining),
+            Length::Chunked => State::ChunkSize,
+            Length::UntilClose => State::UntilClose,
         };
         Self { state }
     }
@@ -61,23 +61,27 @@
     /// # Errors
     /// [`Error::Malformed`] if the chunk framing is invalid.
     pub fn decode(&mut self, input: &[u8], body: &mut Vec<u8>) -> Result<usize, Error> {
-        let mut taken = 0;
+        let mut consumed = 0;
         loop {
-            let rest = &input[taken..];
+            let rest = &input[consumed..];
             let step = match self.state {
-                State::Done => return Ok(taken),
-                State::Open => {
+                State::Done => return Ok(consumed),
+                State::UntilClose => {
                     body.extend_from_slice(rest);
                     return Ok(input.len());
                 }
-                State::Plain(left) => self.copy(rest, left, body, State::Plain, State::Done),
-                State::Chunk(left) => self.copy(rest, left, body, State::Chunk, State::ChunkEnd),
-                State::Size | State::ChunkEnd | State::Trailer => self.line(rest)?,
+                State::Sized(remaining) => {
+                    self.copy_bytes(rest, remaining, body, State::Sized, State::Done)
+                }
+                State::ChunkData(remaining) => {
+                    self.copy_bytes(rest, remaining, body, State::ChunkData, State::ChunkEnd)
+                }
+                State::ChunkSize | State::ChunkEnd | State::Trailer => self.decode_line(rest)?,
             };
             if step == 0 {
-                return Ok(taken);
+                return Ok(consumed);
             }
-            taken += step;
+            consumed += step;
         }
     }
 
@@ -87,7 +91,7 @@
     /// [`Error::Truncated`] if the body was not complete.
     pub fn finish(&mut self) -> Result<(), Error> {
         match self.state {
-            State::Open | State::Done => {
+            State::UntilClose | State::Done => {
                 self.state = State::Done;
                 Ok(())
             }
@@ -95,26 +99,32 @@
         }
     }
 
-    fn copy(
+    fn copy_bytes(
         &mut self,
         rest: &[u8],
-        left: u64,
+        remaining: u64,
         body: &mut Vec<u8>,
-        more: fn(u64) -> State,
-        end: State,
+        unfinished: fn(u64) -> State,
+        finished: State,
     ) -> usize {
-        let len = usize::try_from(left).unwrap_or(usize::MAX).min(rest.len());
+        let len = usize::try_from(remaining)
+            .unwrap_or(usize::MAX)
+            .min(rest.len());
         body.extend_from_slice(&rest[..len]);
-        let left = left - len as u64;
-        self.state = if left == 0 { end } else { more(left) };
+        let remaining = remaining - len as u64;
+        self.state = if remaining == 0 {
+            finished
+        } else {
+            unfinished(remaining)
+        };
         len
     }
 
     /// Decodes one line of chunk framing. Returns the number of bytes consumed, which is 0 if
     /// the line is incomplete.
-    fn line(&mut self, rest: &[u8]) -> Result<usize, Error> {
+    fn decode_line(&mut self, rest: &[u8]) -> Result<usize, Error> {
         let Some(lf) = memchr(b'\n', rest) else {
-            return if rest.len() > MAX_LINE {
+            return if rest.len() > MAX_INCOMPLETE_LINE {
                 Err(Error::Malformed)
             } else {
                 Ok(0)
@@ -124,11 +134,11 @@
             return Err(Error::Malformed);
         };
         self.state = match self.state {
-            State::Size => match chunk_size(line)? {
+            State::ChunkSize => match parse_chunk_size(line)? {
                 0 => State::Trailer,
-                size => State::Chunk(size),
+                size => State::ChunkData(size),
             },
-            State::ChunkEnd if line.is_empty() => State::Size,
+            State::ChunkEnd if line.is_empty() => State::ChunkSize,
             State::Trailer if line.is_empty() => State::Done,
             State::Trailer => State::Trailer,
             _ => return Err(Error::Malformed),
@@ -137,7 +147,7 @@
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, Error> {
+fn parse_chunk_size(line: &[u8]) -> Result<u64, Error> {
     let digits = line.split(|&it| it == b';').next().unwrap_or_default();
     let digits = digits.trim_ascii_end();
     if digits.is_empty() || digits.len() > 15 || !digits.iter().all(u8::is_ascii_hexdigit) {
--- a/crates/framing/src/events.rs
+++ b/crates/framing/src/events.rs
@@ -41,7 +41,7 @@
         let bytes = &self.pending[range];
         Some(Event {
             bytes,
-            id: id(bytes),
+            id: parse_id(bytes),
         })
     }
 
@@ -52,7 +52,7 @@
     }
 }
 
-fn id(event: &[u8]) -> Option<u64> {
+fn parse_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|&it| it == b'\n')
         .find_map(|it| it.strip_prefix(b"id:"))?;
--- a/crates/framing/src/fields.rs
+++ b/crates/framing/src/fields.rs
@@ -18,7 +18,7 @@
 }
 
 impl Fields {
-    pub(crate) fn copy(parsed: &[httparse::Header<'_>]) -> Self {
+    pub(crate) fn from_parsed(parsed: &[httparse::Header<'_>]) -> Self {
         let mut fields = Self::default();
         for it in parsed {
             let name = fields.push(it.name.as_bytes());
@@ -101,7 +101,7 @@
         let mut encodings = self.all("transfer-encoding");
         match (length, encodings.next()) {
             (None, None) => Ok(None),
-            (Some(length), None) => digits(length).map(|it| Some(Length::Known(it))),
+            (Some(length), None) => parse_digits(length).map(|it| Some(Length::Known(it))),
             (None, Some(it)) if it.eq_ignore_ascii_case(b"chunked") => match encodings.next() {
                 None => Ok(Some(Length::Chunked)),
                 Some(_) => Err(Error::Malformed),
@@ -111,7 +111,7 @@
     }
 }
 
-fn digits(text: &[u8]) -> Result<u64, Error> {
+fn parse_digits(text: &[u8]) -> Result<u64, Error> {
     if text.is_empty() || !text.iter().all(u8::is_ascii_digit) {
         return Err(Error::Malformed);
     }
--- a/crates/framing/src/request.rs
+++ b/crates/framing/src/request.rs
@@ -28,8 +28,8 @@
     /// too many fields.
     pub fn parse(bytes: &[u8]) -> Result<Self, Error> {
         check_line_ends(bytes)?;
-        let mut space = [httparse::EMPTY_HEADER; MAX_FIELDS];
-        let mut parsed = httparse::Request::new(&mut space);
+        let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut parsed = httparse::Request::new(&mut headers);
         if parsed.parse(bytes)?.is_partial() {
             return Err(Error::Malformed);
         }
@@ -38,7 +38,7 @@
         else {
             return Err(Error::Malformed);
         };
-        let fields = Fields::copy(parsed.headers);
+        let fields = Fields::from_parsed(parsed.headers);
         if fields.all("host").count() != 1 {
             return Err(Error::Malformed);
         }
--- a/crates/framing/src/response.rs
+++ b/crates/framing/src/response.rs
@@ -25,15 +25,15 @@
     /// too many fields.
     pub fn parse(bytes: &[u8], method: &str) -> Result<Self, Error> {
         check_line_ends(bytes)?;
-        let mut space = [httparse::EMPTY_HEADER; MAX_FIELDS];
-        let mut parsed = httparse::Response::new(&mut space);
+        let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut parsed = httparse::Response::new(&mut headers);
         if parsed.parse(bytes)?.is_partial() {
             return Err(Error::Malformed);
         }
         let (Some(status), Some(minor)) = (parsed.code, parsed.version) else {
             return Err(Error::Malformed);
         };
-        let fields = Fields::copy(parsed.headers);
+        let fields = Fields::from_parsed(parsed.headers);
         let bodiless = method == "HEAD" || matches!(status, 100..200 | 204 | 304);
         let length = match fields.length()? {
             _ if bodiless => Length::Known(0),
--- a/crates/framing/tests/framing.rs
+++ b/crates/framing/tests/framing.rs
@@ -76,8 +76,8 @@
 /// Guards against request smuggling: if the relay and the endpoint disagree on where a request
 /// ends, the endpoint runs the rest as a request that the relay never checked.
 #[test]
-fn a_request_that_can_be_read_in_two_ways_is_refused() {
-    let two_ways = [
+fn an_ambiguous_request_is_rejected() {
+    let ambiguous = [
         "POST / HTTP/1.1\nHost: a\nContent-Length: 3\nTransfer-Encoding: chunked\n\n",
         "POST / HTTP/1.1\nHost: a\nContent-Length: 3\nContent-Length: 5\n\n",
         "POST / HTTP/1.1\nHost: a\nContent-Length: 3, 3\n\n",
@@ -90,13 +90,13 @@
         "POST / HTTP/1.1\nHost : a\n\n",
         "POST / HTTP/1.1\nHost: a\n folded: b\n\n",
     ];
-    for it in two_ways {
+    for it in ambiguous {
         check_request(it, &expect!["message is malformed"]);
     }
-    let lone = b"GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n";
-    assert!(request::Head::parse(lone).is_err());
-    let lone = b"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n";
-    assert!(request::Head::parse(lone).is_err());
+    let bare = b"GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n";
+    assert!(request::Head::parse(bare).is_err());
+    let bare = b"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n";
+    assert!(request::Head::parse(bare).is_err());
 }
 
 #[test]
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection() {
+fn a_response_without_a_length_ends_with_its_connection() {
     check_response(
         "HTTP/1.1 200 OK\nA: b\n\n",
         "GET",
@@ -176,7 +176,7 @@
 /// Guards against forwarding part of an event when an endpoint fails within it: the caller would
 /// join it with the events of the endpoint that continues the stream.
 #[test]
-fn half_an_event_is_not_taken() {
+fn an_incomplete_event_is_not_returned() {
     let mut events = Events::default();
     let mut seen = Vec::new();
     for piece in ["id: 1\ndata: a\n\nid: 2\nda", "ta: b\n", "\nid: 3\ndata: c"] {
--- a/crates/http/benches/churn.rs
+++ b/crates/http/benches/churn.rs
@@ -21,12 +21,12 @@
 const CALLERS: usize = 64;
 const REQUESTS: usize = 20_000;
 /// Maximum duration of a run.
-const RUN: Duration = Duration::from_secs(25);
+const MAX_RUN: Duration = Duration::from_secs(25);
 /// Idle timeout of the servers in the idle run.
-const IDLE: Duration = Duration::from_millis(20);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(20);
 /// Lifetime of a server in the drain run, and the grace of its drain.
-const LIFE: Duration = Duration::from_millis(300);
-const GRACE: Duration = Duration::from_millis(100);
+const SERVER_LIFETIME: Duration = Duration::from_millis(300);
+const DRAIN_GRACE: Duration = Duration::from_millis(100);
 const SERVERS: usize = 3;
 
 fn main() {
@@ -62,37 +62,37 @@
 /// Runs callers whose pause is about as long as the idle timeout of the servers.
 async fn idle(requests: usize, repeat: Repeat) {
     let limits = Limits {
-        idle_time: IDLE,
+        idle_time: IDLE_TIMEOUT,
         ..Limits::default()
     };
-    let site = Arc::new(Site::default());
-    let _servers = site.start(&limits).await;
+    let cluster = Arc::new(Cluster::default());
+    let _servers = cluster.start(&limits).await;
     let pool = Pool {
-        warm: IDLE / 2,
+        warm: IDLE_TIMEOUT / 2,
         ..Pool::default()
     };
-    let load = Load::new(site, requests, repeat, pool, IDLE);
+    let load = Load::new(cluster, requests, repeat, pool, IDLE_TIMEOUT);
     load.run("idle").await;
 }
 
 /// Measures sequential requests, with new or kept connections depending on `pool`.
 async fn cost(name: &str, requests: usize, pool: Pool) {
-    let server = bind(&Limits::default()).await;
+    let server = start_server(&Limits::default()).await;
     let client = Client::new(Arc::new(SystemClock::new()), pool);
-    let mut took = Vec::with_capacity(requests);
+    let mut durations = Vec::with_capacity(requests);
     let begin = Instant::now();
-    while took.len() < requests && begin.elapsed() < RUN {
+    while durations.len() < requests && begin.elapsed() < MAX_RUN {
         let sent = Instant::now();
         let request = Request::new(Method::Post, "/plain").body(Body::bytes("question"));
         let options = Options::default();
-        let answer = client.send(server.address(), request, &options).await;
-        let body = answer.expect("the server is there").body;
-        body.collect(64).await.expect("the server is there");
-        took.push(sent.elapsed().as_micros());
+        let response = client.send(server.address(), request, &options).await;
+        let body = response.expect("the server responds").body;
+        body.collect(64).await.expect("the server responds");
+        durations.push(sent.elapsed().as_micros());
     }
-    let rate = took.len() * 1000 / usize::try_from(begin.elapsed().as_millis()).unwrap_or(1);
-    took.sort_unstable();
-    let at = |share: usize| took[took.len() * share / 100];
+    let rate = durations.len() * 1000 / usize::try_from(begin.elapsed().as_millis()).unwrap_or(1);
+    durations.sort_unstable();
+    let at = |share: usize| durations[durations.len() * share / 100];
     println!(
         "{name}: {rate} requests/s, p50 {} us, p99 {} us",
         at(50),
@@ -102,41 +102,44 @@
 
 /// Runs callers against servers that are repeatedly drained and replaced.
 async fn drain(requests: usize, repeat: Repeat) {
-    let site = Arc::new(Site::default());
+    let cluster = Arc::new(Cluster::default());
     let limits = Limits::default();
-    let servers = site.start(&limits).await;
+    let servers = cluster.start(&limits).await;
     let is_over = Arc::new(AtomicBool::new(false));
-    let keepers: Vec<_> = servers
+    let replacers: Vec<_> = servers
         .into_iter()
         .enumerate()
         .map(|(idx, server)| {
-            let (site, is_over) = (Arc::clone(&site), Arc::clone(&is_over));
-            task::spawn(replace(site, idx, server, is_over))
+            let (cluster, is_over) = (Arc::clone(&cluster), Arc::clone(&is_over));
+            task::spawn(replace(cluster, idx, server, is_over))
         })
         .collect();
     let pause = Duration::from_millis(10);
-    let load = Load::new(site, requests, repeat, Pool::default(), pause);
+    let load = Load::new(cluster, requests, repeat, Pool::default(), pause);
     load.run("drain").await;
     is_over.store(true, Ordering::Relaxed);
     let mut left = 0;
-    for keeper in keepers {
-        left += keeper.await;
+    for replacer in replacers {
+        left += replacer.await;
     }
     println!("      requests left by drains: {left}");
 }
 
 async fn replace(
-    site: Arc<Site>,
+    cluster: Arc<Cluster>,
     idx: usize,
     mut server: Server,
     is_over: Arc<AtomicBool>,
 ) -> usize {
     let mut left = 0;
     while !is_over.load(Ordering::Relaxed) {
-        sleep(LIFE).await;
-        let next = bind(&Limits::default()).await;
-        site.addresses.write().expect("nobody panics")[idx] = next.address();
-        left += server.drain(GRACE, Duration::from_secs(10)).await.left;
+        sleep(SERVER_LIFETIME).await;
+        let next = start_server(&Limits::default()).await;
+        cluster.addresses.write().expect("the lock is not poisoned")[idx] = next.address();
+        left += server
+            .drain(DRAIN_GRACE, Duration::from_secs(10))
+            .await
+            .left;
         server = next;
     }
     left
@@ -144,16 +147,16 @@
 
 /// The current addresses of the servers.
 #[derive(Default)]
-struct Site {
+struct Cluster {
     addresses: RwLock<Vec<SocketAddr>>,
 }
 
-impl Site {
+impl Cluster {
     async fn start(&self, limits: &Limits) -> Vec<Server> {
         let mut servers = Vec::new();
         for _ in 0..SERVERS {
-            let server = bind(limits).await;
-            let mut addresses = self.addresses.write().expect("nobody panics");
+            let server = start_server(limits).await;
+            let mut addresses = self.addresses.write().expect("the lock is not poisoned");
             addresses.push(server.address());
             servers.push(server);
         }
@@ -161,14 +164,14 @@
     }
 
     fn address(&self, idx: usize) -> SocketAddr {
-        let addresses = self.addresses.read().expect("nobody panics");
+        let addresses = self.addresses.read().expect("the lock is not poisoned");
         addresses[idx % addresses.len()]
     }
 }
 
 /// Starts a server. One request in eight, except for `/plain`, gets a stream that is longer than
 /// the grace of a drain.
-async fn bind(limits: &Limits) -> Server {
+async fn start_server(limits: &Limits) -> Server {
     let opened = Arc::new(AtomicUsize::new(0));
     let address = ([127, 0, 0, 1], 0).into();
     let server = Server::bind(address, *limits, move |request: Request| {
@@ -179,7 +182,7 @@
                 return Response::new(Status::BadRequest);
             }
             match number % 8 {
-                0 if !is_plain => stream(),
+                0 if !is_plain => stream_tokens(),
                 _ => Response::text(Status::Ok, "answer"),
             }
         }
@@ -187,7 +190,7 @@
     server.await.expect("loopback has a free port")
 }
 
-fn stream() -> Response {
+fn stream_tokens() -> Response {
     let (sender, response) = Response::events(4);
     task::spawn(async move {
         for _ in 0..15 {
@@ -203,25 +206,31 @@
 
 /// The load of a run, and the outcomes of its requests.
 struct Load {
-    site: Arc<Site>,
+    cluster: Arc<Cluster>,
     requests: usize,
     repeat: Repeat,
     pool: Pool,
     pause: Duration,
     sent: AtomicUsize,
-    ends: Mutex<BTreeMap<String, usize>>,
+    outcomes: Mutex<BTreeMap<String, usize>>,
 }
 
 impl Load {
-    fn new(site: Arc<Site>, requests: usize, repeat: Repeat, pool: Pool, pause: Duration) -> Self {
+    fn new(
+        cluster: Arc<Cluster>,
+        requests: usize,
+        repeat: Repeat,
+        pool: Pool,
+        pause: Duration,
+    ) -> Self {
         Self {
-            site,
+            cluster,
             requests,
             repeat,
             pool,
             pause,
             sent: AtomicUsize::new(0),
-            ends: Mutex::default(),
+            outcomes: Mutex::default(),
         }
     }
 
@@ -234,9 +243,9 @@
         for caller in callers {
             caller.await;
         }
-        let ends = this.ends.lock().expect("nobody panics");
-        let took = begin.elapsed().as_secs_f64();
-        println!("{name} {:?} in {took:.1} s: {ends:?}", this.repeat);
+        let outcomes = this.outcomes.lock().expect("the lock is not poisoned");
+        let seconds = begin.elapsed().as_secs_f64();
+        println!("{name} {:?} in {seconds:.1} s: {outcomes:?}", this.repeat);
     }
 
     async fn call(self: Arc<Self>, caller: usize, begin: Instant) {
@@ -246,29 +255,29 @@
         };
         // With a shared client, the last used connection would always be recent.
         let client = Client::new(Arc::new(SystemClock::new()), self.pool);
-        let mut to = self.site.address(caller);
+        let mut to = self.cluster.address(caller);
         loop {
             let number = self.sent.fetch_add(1, Ordering::Relaxed);
-            if number >= self.requests || begin.elapsed() > RUN {
+            if number >= self.requests || begin.elapsed() > MAX_RUN {
                 return;
             }
             // A pause of 90 to 110 percent, so that requests come before and after the idle close.
             let share = u32::try_from((number * 37 + caller * 11) % 100).unwrap_or_default();
             sleep(self.pause * (share + 450) / 500).await;
             let request = Request::new(Method::Post, "/").body(Body::bytes("question"));
-            let end = match client.send(to, request, &options).await {
-                Ok(answer) => match answer.body.collect(1 << 20).await {
+            let outcome = match client.send(to, request, &options).await {
+                Ok(response) => match response.body.collect(1 << 20).await {
                     Ok(_) => "whole".to_owned(),
                     Err(err) => format!("{err:?} in the body"),
                 },
                 Err(err) => {
                     // The caller looks up the addresses again only after a failure.
-                    to = self.site.address(caller);
+                    to = self.cluster.address(caller);
                     format!("{err:?}")
                 }
             };
-            let mut ends = self.ends.lock().expect("nobody panics");
-            *ends.entry(end).or_default() += 1;
+            let mut outcomes = self.outcomes.lock().expect("the lock is not poisoned");
+            *outcomes.entry(outcome).or_default() += 1;
         }
     }
 }
--- a/crates/http/benches/relay.rs
+++ b/crates/http/benches/relay.rs
@@ -15,10 +15,10 @@
 use http::{Client, Limits, Options, Pool, Request, Response, Sender, Server, Status};
 use kernel::SystemClock;
 
-const RUN: Duration = Duration::from_secs(5);
-const TOKEN_PACE: Duration = Duration::from_millis(10);
+const RUN_DURATION: Duration = Duration::from_secs(5);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(10);
 /// Size of a token in bytes: the time of writing in 16 hexadecimal digits, and padding.
-const TOKEN: usize = 120;
+const TOKEN_SIZE: usize = 120;
 
 fn main() {
     let args: Vec<String> = std::env::args()
@@ -28,11 +28,11 @@
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
     task::block_on(async {
         match args.as_slice() {
-            ["engine", tokens] => stay(engine(number(tokens)).await).await,
-            ["relay", engine] => stay(relay(address(engine)).await).await,
+            ["engine", tokens] => print_cpu_usage(engine(number(tokens)).await).await,
+            ["relay", engine] => print_cpu_usage(relay(address(engine)).await).await,
             ["caller", to, requests] => report("caller", address(to), number(requests)).await,
-            [requests, tokens] => all(number(requests), number(tokens)).await,
-            _ => all(1000, 100).await,
+            [requests, tokens] => run_all(number(requests), number(tokens)).await,
+            _ => run_all(1000, 100).await,
         }
     });
 }
@@ -46,7 +46,7 @@
 }
 
 /// Prints the processor use of each second until the process is killed.
-async fn stay(address: SocketAddr) {
+async fn print_cpu_usage(address: SocketAddr) {
     println!("{address}");
     let mut before = cpu_time();
     loop {
@@ -57,42 +57,42 @@
     }
 }
 
-async fn all(requests: u32, tokens: u32) {
+async fn run_all(requests: u32, tokens: u32) {
     let engine = engine(tokens).await;
     let relay = relay(engine).await;
     println!(
         "{requests} requests/s of {tokens} tokens, {} s each",
-        RUN.as_secs()
+        RUN_DURATION.as_secs()
     );
     report("direct", engine, requests).await;
     report("relayed", relay, requests).await;
 }
 
 async fn engine(tokens: u32) -> SocketAddr {
-    serve(move |_| std::future::ready(produce(tokens))).await
+    serve(move |_| std::future::ready(stream_tokens(tokens))).await
 }
 
 async fn relay(engine: SocketAddr) -> SocketAddr {
     let client = client();
-    serve(move |request| pass_on(client.clone(), engine, request)).await
+    serve(move |request| forward(client.clone(), engine, request)).await
 }
 
 async fn report(name: &str, to: SocketAddr, requests: u32) {
     let before = cpu_time();
-    let seen = drive(to, requests).await;
-    let cpu = (cpu_time() - before) / RUN.as_secs_f64();
-    println!("{name:8} {}; {cpu:.2} cores", describe(&seen));
+    let delays = generate_load(to, requests).await;
+    let cpu = (cpu_time() - before) / RUN_DURATION.as_secs_f64();
+    println!("{name:8} {}; {cpu:.2} cores", describe(&delays));
 }
 
-fn describe(seen: &Histogram<u64>) -> String {
-    let quantile = |it| seen.value_at_quantile(it);
+fn describe(delays: &Histogram<u64>) -> String {
+    let quantile = |it| delays.value_at_quantile(it);
     format!(
         "{} tokens; delay in µs: p50 {}, p95 {}, p99 {}, max {}",
-        seen.len(),
+        delays.len(),
         quantile(0.5),
         quantile(0.95),
         quantile(0.99),
-        seen.max()
+        delays.max()
     )
 }
 
@@ -114,13 +114,13 @@
     server.expect("loopback has a free port").address()
 }
 
-fn produce(tokens: u32) -> Response {
+fn stream_tokens(tokens: u32) -> Response {
     let (sender, response) = Response::events(16);
     task::spawn(async move {
         for _ in 0..tokens {
-            sleep(TOKEN_PACE).await;
-            let now = wall();
-            let token = format!("{now:016x}{:1$}", "", TOKEN - 16);
+            sleep(TOKEN_INTERVAL).await;
+            let now = wall_clock_micros();
+            let token = format!("{now:016x}{:1$}", "", TOKEN_SIZE - 16);
             if sender.send(token).await.is_err() {
                 return;
             }
@@ -130,22 +130,22 @@
     response
 }
 
-async fn pass_on(client: Client, engine: SocketAddr, request: Request) -> Response {
-    let answer = client.send(engine, request, &Options::default()).await;
-    let answer = match answer {
-        Ok(answer) => answer,
+async fn forward(client: Client, engine: SocketAddr, request: Request) -> Response {
+    let upstream = client.send(engine, request, &Options::default()).await;
+    let upstream = match upstream {
+        Ok(upstream) => upstream,
         Err(err) => {
             eprintln!("relay: {err}");
             return Response::new(Status::BadGateway);
         }
     };
     let (sender, response) = Response::events(16);
-    task::spawn(copy(answer, sender));
+    task::spawn(copy(upstream, sender));
     response
 }
 
-async fn copy(mut answer: Response, sender: Sender) {
-    while let Ok(Some(piece)) = answer.body.piece().await {
+async fn copy(mut response: Response, sender: Sender) {
+    while let Ok(Some(piece)) = response.body.piece().await {
         if sender.send(piece).await.is_err() {
             return;
         }
@@ -153,61 +153,62 @@
     let _ = sender.finish().await;
 }
 
-async fn drive(address: SocketAddr, requests: u32) -> Histogram<u64> {
+async fn generate_load(address: SocketAddr, requests: u32) -> Histogram<u64> {
     let longest = micros(Duration::from_mins(1));
-    let seen = Histogram::new_with_bounds(1, longest, 3).expect("the bounds are in order");
-    let seen = Arc::new(Mutex::new(seen));
+    let delays = Histogram::new_with_bounds(1, longest, 3).expect("the bounds are in order");
+    let delays = Arc::new(Mutex::new(delays));
     let client = client();
     let mut callers = Vec::new();
     let begin = Instant::now();
-    let total = requests * u32::try_from(RUN.as_secs()).unwrap_or(u32::MAX);
+    let total = requests * u32::try_from(RUN_DURATION.as_secs()).unwrap_or(u32::MAX);
     for idx in 0..total {
         let due = Duration::from_secs(1) * idx / requests;
         sleep(due.saturating_sub(begin.elapsed())).await;
         callers.push(task::spawn(call(
             client.clone(),
             address,
-            Arc::clone(&seen),
+            Arc::clone(&delays),
         )));
     }
     for caller in callers {
         caller.await;
     }
-    let seen = seen.lock().expect("no caller panics");
-    seen.clone()
+    let delays = delays.lock().expect("the lock is not poisoned");
+    delays.clone()
 }
 
-async fn call(client: Client, address: SocketAddr, seen: Arc<Mutex<Histogram<u64>>>) {
-    let answer = client
+async fn call(client: Client, address: SocketAddr, delays: Arc<Mutex<Histogram<u64>>>) {
+    let response = client
         .send(address, Request::get("/"), &Options::default())
         .await;
-    let mut answer = match answer {
-        Ok(answer) => answer,
+    let mut response = match response {
+        Ok(response) => response,
         Err(err) => return eprintln!("{err}"),
     };
     let mut pending = Vec::new();
     loop {
-        let piece = match answer.body.piece().await {
+        let piece = match response.body.piece().await {
             Ok(Some(piece)) => piece,
             Ok(None) => return,
             Err(err) => return eprintln!("{err}"),
         };
         pending.extend_from_slice(&piece);
-        let whole = pending.len() / TOKEN * TOKEN;
-        for token in pending.drain(..whole).as_slice().chunks(TOKEN) {
+        let whole = pending.len() / TOKEN_SIZE * TOKEN_SIZE;
+        for token in pending.drain(..whole).as_slice().chunks(TOKEN_SIZE) {
             let written = str::from_utf8(&token[..16])
                 .ok()
                 .and_then(|it| u64::from_str_radix(it, 16).ok());
-            let delay = wall().saturating_sub(written.unwrap_or(0));
-            seen.lock()
-                .expect("no caller panics")
+            let delay = wall_clock_micros().saturating_sub(written.unwrap_or(0));
+            delays
+                .lock()
+                .expect("the lock is not poisoned")
                 .saturating_record(delay);
         }
     }
 }
 
 /// Returns the wall-clock time in microseconds, comparable between processes on one host.
-fn wall() -> u64 {
+fn wall_clock_micros() -> u64 {
     micros(
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -13,10 +13,10 @@
 use serde::de::DeserializeOwned;
 
 use crate::Error;
-use crate::client::Answer;
+use crate::client::ResponseBody;
 use crate::copy::poll_copy;
 
-use channel::Pieces;
+use channel::PieceReader;
 pub use channel::Sender;
 
 type Reader = Box<dyn AsyncBufRead + Send + Sync + Unpin>;
@@ -35,11 +35,11 @@
         reader: Reader,
         len: Option<u64>,
     },
-    Answer {
-        answer: Box<Answer>,
+    Response {
+        body: Box<ResponseBody>,
         len: Option<u64>,
     },
-    Channel(Pieces),
+    Channel(PieceReader),
 }
 
 impl Body {
@@ -89,10 +89,10 @@
     }
 
     /// Creates the body of a received response. `len` is its total number of bytes, if known.
-    pub(crate) fn answer(answer: Answer, len: Option<u64>) -> Self {
-        let answer = Box::new(answer);
+    pub(crate) fn from_response(body: ResponseBody, len: Option<u64>) -> Self {
+        let body = Box::new(body);
         Self {
-            source: Source::Answer { answer, len },
+            source: Source::Response { body, len },
         }
     }
 
@@ -101,7 +101,7 @@
     pub fn len(&self) -> Option<u64> {
         match &self.source {
             Source::Bytes { bytes, .. } => Some(bytes.len() as u64),
-            Source::Reader { len, .. } | Source::Answer { len, .. } => *len,
+            Source::Reader { len, .. } | Source::Response { len, .. } => *len,
             Source::Channel(_) => None,
         }
     }
@@ -140,14 +140,14 @@
         if let Source::Bytes { bytes, pos: 0 } = &mut self.source {
             return Ok(Arc::unwrap_or_clone(std::mem::take(bytes)));
         }
-        let mut all = Vec::new();
+        let mut collected = Vec::new();
         while let Some(piece) = self.piece().await? {
-            if all.len() + piece.len() > limit {
+            if collected.len() + piece.len() > limit {
                 return Err(Error::TooLarge { limit });
             }
-            all.extend_from_slice(&piece);
+            collected.extend_from_slice(&piece);
         }
-        Ok(all)
+        Ok(collected)
     }
 
     /// Like [`Body::parse`], but keeps the body. If the bytes don't parse as a `T`, they may
@@ -169,8 +169,8 @@
     /// the response to the request before it. Callers that detect such a response call this,
     /// because a new connection has no stale response to read.
     pub fn give_up(&mut self) {
-        if let Source::Answer { answer, .. } = &mut self.source {
-            answer.give_up();
+        if let Source::Response { body, .. } = &mut self.source {
+            body.discard_connection();
         }
     }
 
@@ -210,7 +210,7 @@
         match &mut self.get_mut().source {
             Source::Bytes { bytes, pos } => Poll::Ready(Ok(&bytes[*pos..])),
             Source::Reader { reader, .. } => Pin::new(reader).poll_fill_buf(cx),
-            Source::Answer { answer, .. } => Pin::new(answer).poll_fill_buf(cx),
+            Source::Response { body, .. } => Pin::new(body).poll_fill_buf(cx),
             Source::Channel(pieces) => pieces.poll_fill_buf(cx),
         }
     }
@@ -219,7 +219,7 @@
         match &mut self.get_mut().source {
             Source::Bytes { pos, .. } => *pos += amt,
             Source::Reader { reader, .. } => Pin::new(reader).consume(amt),
-            Source::Answer { answer, .. } => Pin::new(answer).consume(amt),
+            Source::Response { body, .. } => Pin::new(body).consume(amt),
             Source::Channel(pieces) => pieces.consume(amt),
         }
     }
--- a/crates/http/src/body/channel.rs
+++ b/crates/http/src/body/channel.rs
@@ -10,15 +10,15 @@
 use crate::Cause;
 
 /// Creates a sender and a receiver that buffer `capacity` pieces, and at least one.
-pub(super) fn open(capacity: usize) -> (Sender, Pieces) {
+pub(super) fn open(capacity: usize) -> (Sender, PieceReader) {
     let (sender, receiver) = channel::bounded(capacity.max(1));
-    let pieces = Pieces {
+    let reader = PieceReader {
         receiver,
         piece: Vec::new(),
         pos: 0,
         state: State::Open,
     };
-    (Sender { sender }, pieces)
+    (Sender { sender }, reader)
 }
 
 /// The sender of a streamed body.
@@ -65,7 +65,7 @@
 }
 
 /// The receiver of a streamed body.
-pub(super) struct Pieces {
+pub(super) struct PieceReader {
     receiver: Receiver<Piece>,
     piece: Vec<u8>,
     pos: usize,
@@ -78,7 +78,7 @@
     Ended,
 }
 
-impl Pieces {
+impl PieceReader {
     pub(super) fn poll_fill_buf(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         while self.pos >= self.piece.len() && self.state == State::Open {
             match ready!(Pin::new(&mut self.receiver).poll_next(cx)) {
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,7 +1,7 @@
 //! HTTP client that sends requests to peers by address, over pooled connections.
 
-mod answer;
 mod pool;
+mod response_body;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,20 +11,20 @@
 use async_std::net::TcpStream;
 use kernel::Clock;
 
-use crate::conn::{Conn, Foreign, HeadError, MAX_HEAD};
+use crate::conn::{Conn, HeadError, HeadPolicy, MAX_HEAD};
 use crate::h1;
-use crate::relay::{RelayError, relay};
+use crate::write::{CopyError, copy_to_stream};
 use crate::{Body, Cause, Error, Request, Response};
 
-use pool::Need;
+use pool::Reuse;
 
-pub(crate) use answer::Answer;
 pub use pool::Pool;
+pub(crate) use response_body::ResponseBody;
 
 /// An HTTP client with a connection pool. Clones share the pool.
 #[derive(Clone)]
 pub struct Client {
-    idle: Arc<pool::Idle>,
+    pool: Arc<pool::ConnPool>,
 }
 
 /// Timeouts and retry policy of one request.
@@ -66,7 +66,7 @@
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, pool: Pool) -> Self {
         Self {
-            idle: Arc::new(pool::Idle::new(clock, pool)),
+            pool: Arc::new(pool::ConnPool::new(clock, pool)),
         }
     }
 
@@ -89,19 +89,19 @@
     ) -> Result<Response, Error> {
         let deadline = Instant::now() + options.total;
         let mut body = std::mem::take(&mut request.body);
-        let need = match (options.repeat, body.try_clone()) {
-            (Repeat::Idempotent, Some(_)) => Need::Open,
-            _ => Need::Warm,
+        let reuse = match (options.repeat, body.try_clone()) {
+            (Repeat::Idempotent, Some(_)) => Reuse::AnyOpen,
+            _ => Reuse::Recent,
         };
-        while let Some(conn) = self.idle.take(to, need).await {
-            let spare = body.try_clone();
+        while let Some(conn) = self.pool.take(to, reuse).await {
+            let body_copy = body.try_clone();
             let exchange = self.exchange(conn, to, &request, body, options, deadline);
-            match (exchange.await, spare) {
-                (Err(err), Some(spare)) if may_repeat(err, options.repeat) => body = spare,
+            match (exchange.await, body_copy) {
+                (Err(err), Some(body_copy)) if may_retry(err, options.repeat) => body = body_copy,
                 (result, _) => return result,
             }
         }
-        let conn = connect(to, options.connect.min(left(deadline))).await?;
+        let conn = connect(to, options.connect.min(time_left(deadline))).await?;
         self.exchange(conn, to, &request, body, options, deadline)
             .await
     }
@@ -121,15 +121,15 @@
             Ok(()) => read_final_head(&conn, options.first_byte, deadline).await?,
             // A peer may reject the request and close before it has read the whole body. Its
             // response, if there is one, is more useful than the write error.
-            Err(Unwritten::Refused(err @ Error::MaybeSent(Cause::Closed))) => {
-                let early = read_final_head(&conn, options.first_byte, deadline).await;
-                early.map_err(|_| err)?
+            Err(WriteError::Connection(err @ Error::MaybeSent(Cause::Closed))) => {
+                let early_head = read_final_head(&conn, options.first_byte, deadline).await;
+                early_head.map_err(|_| err)?
             }
-            Err(Unwritten::Refused(err) | Unwritten::BrokeOff(err)) => return Err(err),
+            Err(WriteError::Connection(err) | WriteError::Body(err)) => return Err(err),
         };
-        let idle = Arc::clone(&self.idle);
-        answer::open(head, request.method, conn, deadline, move |conn| {
-            idle.put(to, conn);
+        let pool = Arc::clone(&self.pool);
+        response_body::build_response(head, request.method, conn, deadline, move |conn| {
+            pool.put(to, conn);
         })
     }
 }
@@ -138,7 +138,7 @@
 ///
 /// A connection that the peer closed while it was idle fails before any byte of a response. The
 /// peer may still have acted on the request.
-fn may_repeat(err: Error, repeat: Repeat) -> bool {
+fn may_retry(err: Error, repeat: Repeat) -> bool {
     match err {
         Error::NotSent(Cause::Closed) => true,
         Error::MaybeSent(Cause::Closed) => repeat == Repeat::Idempotent,
@@ -153,7 +153,7 @@
         .map_err(|err| Error::NotSent((&err).into()))?;
     // Disables Nagle's algorithm, which delays small writes. Failing to do so only costs time.
     let _ = stream.set_nodelay(true);
-    keep_alive(&stream);
+    enable_keepalive(&stream);
     Ok(Conn::new(stream))
 }
 
@@ -161,43 +161,47 @@
 ///
 /// If a peer's host fails without a reset, a long poll would wait for its whole timeout. With
 /// probes, the connection fails after about three seconds.
-fn keep_alive(stream: &TcpStream) {
+fn enable_keepalive(stream: &TcpStream) {
     const PROBES: u32 = 2;
-    const PAUSE: Duration = Duration::from_secs(1);
+    const INTERVAL: Duration = Duration::from_secs(1);
     let probes = socket2::TcpKeepalive::new()
-        .with_time(PAUSE)
-        .with_interval(PAUSE)
+        .with_time(INTERVAL)
+        .with_interval(INTERVAL)
         .with_retries(PROBES);
     // If this fails, the timeouts still end the wait.
     let _ = socket2::SockRef::from(stream).set_tcp_keepalive(&probes);
 }
 
 /// An error that occurred while a request was being written.
-enum Unwritten {
+enum WriteError {
     /// The connection failed, or the write timed out.
-    Refused(Error),
+    Connection(Error),
     /// The request's body failed. The peer waits for the rest and doesn't respond.
-    BrokeOff(Error),
+    Body(Error),
 }
 
 async fn write(
     conn: &Conn,
     request: http_types::Request,
     deadline: Instant,
-) -> Result<(), Unwritten> {
+) -> Result<(), WriteError> {
     let mut encoder = async_h1::client::Encoder::new(request);
     let mut sent = 0;
-    let limit = left(deadline);
-    let written = timeout(limit, relay(&mut encoder, conn.stream(), limit, &mut sent)).await;
+    let limit = time_left(deadline);
+    let written = timeout(
+        limit,
+        copy_to_stream(&mut encoder, conn.stream(), limit, &mut sent),
+    )
+    .await;
     let error = |cause| match sent {
         0 => Error::NotSent(cause),
         _ => Error::MaybeSent(cause),
     };
     match written {
         Ok(Ok(())) => Ok(()),
-        Ok(Err(RelayError::Source(err))) => Err(Unwritten::BrokeOff(error((&err).into()))),
-        Ok(Err(RelayError::Sink(err))) => Err(Unwritten::Refused(error((&err).into()))),
-        Err(_) => Err(Unwritten::Refused(error(Cause::Timeout))),
+        Ok(Err(CopyError::Source(err))) => Err(WriteError::Body(error((&err).into()))),
+        Ok(Err(CopyError::Sink(err))) => Err(WriteError::Connection(error((&err).into()))),
+        Err(_) => Err(WriteError::Connection(error(Cause::Timeout))),
     }
 }
 
@@ -208,7 +212,7 @@
     deadline: Instant,
 ) -> Result<http_types::Response, Error> {
     loop {
-        let wait = first_byte.min(left(deadline));
+        let wait = first_byte.min(time_left(deadline));
         let head = read_head(conn, wait, deadline).await?;
         if !head.status().is_informational() {
             return Ok(head);
@@ -221,20 +225,23 @@
     wait: Duration,
     deadline: Instant,
 ) -> Result<http_types::Response, Error> {
-    timeout(wait, conn.first_byte())
+    timeout(wait, conn.wait_first_byte())
         .await
         .map_err(|_| Error::MaybeSent(Cause::Timeout))?
         .map_err(|err| Error::MaybeSent(err.into()))?;
-    timeout(left(deadline), conn.head(MAX_HEAD, Foreign::Replace))
-        .await
-        .map_err(|_| Error::Cut(Cause::Timeout))?
-        .map_err(|err| Error::Cut(err.into()))?;
+    timeout(
+        time_left(deadline),
+        conn.read_head(MAX_HEAD, HeadPolicy::Lenient),
+    )
+    .await
+    .map_err(|_| Error::Cut(Cause::Timeout))?
+    .map_err(|err| Error::Cut(err.into()))?;
     async_h1::client::decode(conn.clone())
         .await
         .map_err(|_| Error::Cut(Cause::Malformed))
 }
 
-fn left(deadline: Instant) -> Duration {
+fn time_left(deadline: Instant) -> Duration {
     deadline.saturating_duration_since(Instant::now())
 }
 
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -34,44 +34,44 @@
 
 /// The idle connections that a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Need {
+pub(super) enum Reuse {
     /// Any connection that looks open. If the peer has just closed it, the request is sent again.
-    Open,
+    AnyOpen,
     /// Only a recently used one, which the peer can't have begun to close.
-    Warm,
+    Recent,
 }
 
-pub(super) struct Idle {
+pub(super) struct ConnPool {
     clock: Arc<dyn Clock>,
-    pool: Pool,
-    shelves: Mutex<Shelves>,
+    limits: Pool,
+    state: Mutex<State>,
 }
 
 #[derive(Default)]
-struct Shelves {
+struct State {
     by_address: HashMap<SocketAddr, VecDeque<Entry>>,
-    swept: Duration,
+    last_sweep: Duration,
 }
 
 struct Entry {
     conn: Conn,
-    since: Duration,
+    idle_since: Duration,
 }
 
-impl Idle {
-    pub(super) fn new(clock: Arc<dyn Clock>, pool: Pool) -> Self {
+impl ConnPool {
+    pub(super) fn new(clock: Arc<dyn Clock>, limits: Pool) -> Self {
         Self {
             clock,
-            pool,
-            shelves: Mutex::default(),
+            limits,
+            state: Mutex::default(),
         }
     }
 
     /// Removes and returns the most recently used connection to `to` that is usable, if any.
-    pub(super) async fn take(&self, to: SocketAddr, need: Need) -> Option<Conn> {
-        let max_age = match need {
-            Need::Open => self.pool.max_age,
-            Need::Warm => self.pool.warm.min(self.pool.max_age),
+    pub(super) async fn take(&self, to: SocketAddr, reuse: Reuse) -> Option<Conn> {
+        let max_age = match reuse {
+            Reuse::AnyOpen => self.limits.max_age,
+            Reuse::Recent => self.limits.warm.min(self.limits.max_age),
         };
         while let Some(conn) = self.pop(to, max_age) {
             if conn.is_idle().await {
@@ -84,22 +84,25 @@
     /// Adds `conn` for later requests to `to`.
     pub(super) fn put(&self, to: SocketAddr, conn: Conn) {
         let now = self.clock.now();
-        let mut shelves = self.shelves();
-        self.sweep(&mut shelves, now);
-        let entries = shelves.by_address.entry(to).or_default();
-        entries.push_back(Entry { conn, since: now });
-        if entries.len() > self.pool.max_idle {
+        let mut state = self.state();
+        self.sweep(&mut state, now);
+        let entries = state.by_address.entry(to).or_default();
+        entries.push_back(Entry {
+            conn,
+            idle_since: now,
+        });
+        if entries.len() > self.limits.max_idle {
             entries.pop_front();
         }
     }
 
     fn pop(&self, to: SocketAddr, max_age: Duration) -> Option<Conn> {
         let now = self.clock.now();
-        let mut shelves = self.shelves();
-        let entries = shelves.by_address.get_mut(&to)?;
+        let mut state = self.state();
+        let entries = state.by_address.get_mut(&to)?;
         // The newest is last: if it is too old, all are. The caller will open a new connection,
         // so one old connection is dropped.
-        if let Some(entry) = entries.pop_back_if(|it| now.saturating_sub(it.since) < max_age) {
+        if let Some(entry) = entries.pop_back_if(|it| now.saturating_sub(it.idle_since) < max_age) {
             return Some(entry.conn);
         }
         entries.pop_front();
@@ -108,18 +111,18 @@
 
     /// Closes expired connections to all addresses. Those to addresses that are no longer used
     /// would otherwise stay open forever.
-    fn sweep(&self, shelves: &mut Shelves, now: Duration) {
-        if now.saturating_sub(shelves.swept) < self.pool.max_age {
+    fn sweep(&self, state: &mut State, now: Duration) {
+        if now.saturating_sub(state.last_sweep) < self.limits.max_age {
             return;
         }
-        shelves.swept = now;
-        shelves.by_address.retain(|_, entries| {
-            entries.retain(|it| now.saturating_sub(it.since) < self.pool.max_age);
+        state.last_sweep = now;
+        state.by_address.retain(|_, entries| {
+            entries.retain(|it| now.saturating_sub(it.idle_since) < self.limits.max_age);
             !entries.is_empty()
         });
     }
 
-    fn shelves(&self) -> MutexGuard<'_, Shelves> {
-        self.shelves.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/http/src/client/answer.rs
+++ b/crates/http/src/client/response_body.rs
@@ -14,7 +14,7 @@
 use crate::h1;
 use crate::{Body, Cause, Error, Method, Response, Status};
 
-type Release = Box<dyn FnOnce(Conn) + Send + Sync>;
+type ReturnConn = Box<dyn FnOnce(Conn) + Send + Sync>;
 
 /// The framing of a response's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,22 +24,22 @@
     Close,
 }
 
-/// Creates a response from a decoded head. `release` is called with the connection if the peer
+/// Creates a response from a decoded head. `return_conn` is called with the connection if the peer
 /// keeps it open, once the body has been read to its end and dropped.
-pub(super) fn open(
+pub(super) fn build_response(
     mut head: http_types::Response,
     method: Method,
     conn: Conn,
     deadline: Instant,
-    release: impl FnOnce(Conn) + Send + Sync + 'static,
+    return_conn: impl FnOnce(Conn) + Send + Sync + 'static,
 ) -> Result<Response, Error> {
     let framing = framing(&head, method).ok_or(Error::Cut(Cause::Malformed))?;
-    let keep = framing != Framing::Close && !says_close(&head);
+    let keep_alive = framing != Framing::Close && !has_connection_close(&head);
     let mut response = Response::new(head.status());
     response.headers = h1::decode_headers(head.as_ref());
     if framing == Framing::Length(0) {
-        if keep {
-            release(conn);
+        if keep_alive {
+            return_conn(conn);
         }
         return Ok(response);
     }
@@ -48,17 +48,17 @@
         Framing::Chunked => (None, Box::new(head.take_body())),
         Framing::Close => (None, Box::new(BufReader::new(conn.clone()))),
     };
-    conn.release_body(len);
-    let release = keep.then(|| Box::new(release) as Release);
-    let answer = Answer {
+    conn.allow_body(len);
+    let return_conn = keep_alive.then(|| Box::new(return_conn) as ReturnConn);
+    let body = ResponseBody {
         reader,
-        left: len,
+        remaining: len,
         has_ended: false,
         conn,
-        release,
+        return_conn,
         deadline: Deadline::new(deadline),
     };
-    response.body = Body::answer(answer, len);
+    response.body = Body::from_response(body, len);
     Ok(response)
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-fn says_close(head: &http_types::Response) -> bool {
+fn has_connection_close(head: &http_types::Response) -> bool {
     head.header(CONNECTION)
         .is_some_and(|it| it.last().as_str().eq_ignore_ascii_case("close"))
 }
@@ -90,24 +90,24 @@
 ///
 /// It owns the connection until it is dropped, because the caller may find only after reading the
 /// whole body that it belongs to another request.
-pub(crate) struct Answer {
+pub(crate) struct ResponseBody {
     reader: Box<dyn AsyncBufRead + Send + Sync + Unpin>,
-    left: Option<u64>,
+    remaining: Option<u64>,
     has_ended: bool,
     conn: Conn,
     /// Called with the connection on drop, if the body has been read to its end.
-    release: Option<Release>,
+    return_conn: Option<ReturnConn>,
     deadline: Deadline,
 }
 
-impl Answer {
+impl ResponseBody {
     /// Prevents the connection from being reused, so that it is closed.
-    pub(crate) fn give_up(&mut self) {
-        self.release = None;
+    pub(crate) fn discard_connection(&mut self) {
+        self.return_conn = None;
     }
 
-    fn poll_more(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.left == Some(0) || self.has_ended {
+    fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        if self.remaining == Some(0) || self.has_ended {
             self.has_ended = true;
             return Poll::Ready(Ok(()));
         }
@@ -117,29 +117,29 @@
                 return Poll::Ready(Ok(()));
             }
             // The library treats a closed connection as the end of the body.
-            if self.left.is_some() {
+            if self.remaining.is_some() {
                 return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()));
             }
             self.has_ended = true;
             return Poll::Ready(Ok(()));
         }
-        self.conn.keep_armed(cx);
+        self.conn.wake_if_not_registered(cx);
         self.deadline.poll(cx)
     }
 }
 
-impl Drop for Answer {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
-        if let Some(release) = self.release.take_if(|_| self.has_ended) {
-            release(self.conn.clone());
+        if let Some(return_conn) = self.return_conn.take_if(|_| self.has_ended) {
+            return_conn(self.conn.clone());
         }
     }
 }
 
-impl AsyncBufRead for Answer {
+impl AsyncBufRead for ResponseBody {
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        ready!(this.poll_more(cx))?;
+        ready!(this.poll_ready(cx))?;
         if this.has_ended {
             return Poll::Ready(Ok(&[]));
         }
@@ -147,14 +147,14 @@
     }
 
     fn consume(mut self: Pin<&mut Self>, amt: usize) {
-        if let Some(left) = &mut self.left {
-            *left = left.saturating_sub(amt as u64);
+        if let Some(remaining) = &mut self.remaining {
+            *remaining = remaining.saturating_sub(amt as u64);
         }
         Pin::new(&mut self.reader).consume(amt);
     }
 }
 
-impl AsyncRead for Answer {
+impl AsyncRead for ResponseBody {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/http/src/conn.rs
+++ b/crates/http/src/conn.rs
@@ -16,11 +16,11 @@
 use futures::future::poll_fn;
 use futures::io::{AsyncRead, AsyncWrite};
 
-use input::{GoOn, Input};
+use input::{ContinueState, Input};
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const READ_SIZE: usize = 8 * 1024;
-const GO_ON: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// Maximum size of a head that `async-h1` accepts, in bytes.
 pub(crate) const MAX_HEAD: usize = 8 * 1024 - 1;
@@ -34,12 +34,12 @@
 
 /// The treatment of heads with non-ASCII bytes, or with line endings other than CR LF.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Foreign {
+pub(crate) enum HeadPolicy {
     /// The head is rejected as malformed.
-    Refuse,
+    Strict,
     /// Non-ASCII bytes are replaced by `?`, and line endings aren't checked: one invalid header
     /// value shouldn't fail the whole response.
-    Replace,
+    Lenient,
 }
 
 /// An error of reading a head.
@@ -58,7 +58,7 @@
 impl Conn {
     pub(crate) fn new(stream: TcpStream) -> Self {
         let input = Input {
-            left: Some(0),
+            remaining: Some(0),
             ..Input::default()
         };
         Self {
@@ -72,7 +72,7 @@
     }
 
     /// Waits for the first byte of a head.
-    pub(crate) async fn first_byte(&self) -> Result<(), HeadError> {
+    pub(crate) async fn wait_first_byte(&self) -> Result<(), HeadError> {
         if self.has_input() {
             return Ok(());
         }
@@ -85,7 +85,7 @@
 
     /// Reads and checks a head of at most `max` bytes. The decoder can then read the head without
     /// waiting, but no byte after it.
-    pub(crate) async fn head(&self, max: usize, foreign: Foreign) -> Result<(), HeadError> {
+    pub(crate) async fn read_head(&self, max: usize, policy: HeadPolicy) -> Result<(), HeadError> {
         let max = max.min(MAX_HEAD);
         let mut searched = 0;
         loop {
@@ -93,7 +93,7 @@
                 return if end > max {
                     Err(HeadError::TooLarge)
                 } else {
-                    self.release_head(end, foreign)
+                    self.check_head(end, policy)
                 };
             }
             if searched > max {
@@ -109,9 +109,9 @@
     }
 
     /// Allows the decoder to read the body: `len` bytes, or an unlimited number.
-    pub(crate) fn release_body(&self, len: Option<u64>) {
+    pub(crate) fn allow_body(&self, len: Option<u64>) {
         let mut input = self.input();
-        input.left = len;
+        input.remaining = len;
         input.body_done = len == Some(0);
     }
 
@@ -119,8 +119,8 @@
     pub(crate) fn finish_body(&self) {
         let mut input = self.input();
         input.body_done = true;
-        if let Some(watcher) = input.watcher.take() {
-            watcher.wake();
+        if let Some(body_waker) = input.body_waker.take() {
+            body_waker.wake();
         }
     }
 
@@ -150,58 +150,58 @@
 
     /// Waits until the peer has closed its side or the connection has failed. Never completes if
     /// the peer has sent bytes after the body, because it then waits for its next response.
-    pub(crate) async fn closed(&self) {
-        self.body_read().await;
+    pub(crate) async fn wait_closed(&self) {
+        self.wait_body_done().await;
         let mut byte = [0];
         if self.has_input() || matches!(self.stream.peek(&mut byte).await, Ok(1..)) {
             futures::future::pending::<()>().await;
         }
     }
 
-    async fn body_read(&self) {
+    async fn wait_body_done(&self) {
         poll_fn(|cx| {
             let mut input = self.input();
             if input.body_done {
                 return Poll::Ready(());
             }
-            input.watcher = Some(cx.waker().clone());
+            input.body_waker = Some(cx.waker().clone());
             Poll::Pending
         })
         .await;
     }
 
     /// Records that the peer expects an interim response `100 Continue` before it sends the body.
-    pub(crate) fn owe_go_on(&self) {
-        self.input().go_on = GoOn::Due(0);
+    pub(crate) fn expect_continue(&self) {
+        self.input().continue_state = ContinueState::Expected(0);
     }
 
     /// Writes `100 Continue` if the peer still expects it.
     ///
     /// The library writes it from a separate task, which can be late and put it after the final
     /// response; the caller then takes it for the next response. Here the reader of the body
-    /// writes it, under the lock that [`Self::begin_answer`] takes, so never after the response
+    /// writes it, under the lock that [`Self::begin_response`] takes, so never after the response
     /// has begun.
-    pub(crate) fn poll_go_on(&self, cx: &mut Context<'_>) {
+    pub(crate) fn poll_write_continue(&self, cx: &mut Context<'_>) {
         let mut input = self.input();
-        while let GoOn::Due(written) = input.go_on {
-            let rest = &GO_ON[written..];
+        while let ContinueState::Expected(written) = input.continue_state {
+            let rest = &CONTINUE[written..];
             let Poll::Ready(result) = Pin::new(&mut &self.stream).poll_write(cx, rest) else {
                 return;
             };
-            input.go_on = match result {
-                Ok(got @ 1..) if got < rest.len() => GoOn::Due(written + got),
+            input.continue_state = match result {
+                Ok(got @ 1..) if got < rest.len() => ContinueState::Expected(written + got),
                 // Either all is written, or the connection has failed, which readers of it notice.
-                _ => GoOn::Done,
+                _ => ContinueState::NotNeeded,
             };
         }
     }
 
     /// Cancels a pending `100 Continue` before the final response is written. Returns false if a
     /// part of it has already been written, so that a response can't follow.
-    pub(crate) fn begin_answer(&self) -> bool {
+    pub(crate) fn begin_response(&self) -> bool {
         matches!(
-            std::mem::take(&mut self.input().go_on),
-            GoOn::Done | GoOn::Due(0)
+            std::mem::take(&mut self.input().continue_state),
+            ContinueState::NotNeeded | ContinueState::Expected(0)
         )
     }
 
@@ -209,8 +209,8 @@
     ///
     /// The library's chunk decoder does that when a read ends within the last CR LF. Without the
     /// wake-up, the reader of a complete body would wait until its deadline.
-    pub(crate) fn keep_armed(&self, cx: &Context<'_>) {
-        if !self.input().armed {
+    pub(crate) fn wake_if_not_registered(&self, cx: &Context<'_>) {
+        if !self.input().waker_registered {
             cx.waker().wake_by_ref();
         }
     }
@@ -226,22 +226,22 @@
             .map(|at| from + at + HEAD_END.len())
     }
 
-    fn release_head(&self, end: usize, foreign: Foreign) -> Result<(), HeadError> {
+    fn check_head(&self, end: usize, policy: HeadPolicy) -> Result<(), HeadError> {
         let mut input = self.input();
         let head = input.pos..input.pos + end;
         let head = &mut input.buf[head];
-        if foreign == Foreign::Refuse && !has_sound_line_ends(head) {
+        if policy == HeadPolicy::Strict && !has_valid_line_endings(head) {
             return Err(HeadError::Malformed);
         }
         for byte in head {
-            if foreign == Foreign::Replace && !byte.is_ascii() {
+            if policy == HeadPolicy::Lenient && !byte.is_ascii() {
                 *byte = b'?';
             }
-            if !is_head_byte(*byte) {
+            if !is_valid_head_byte(*byte) {
                 return Err(HeadError::Malformed);
             }
         }
-        input.left = Some(end as u64);
+        input.remaining = Some(end as u64);
         Ok(())
     }
 
@@ -275,7 +275,7 @@
 /// The library also ends a head at two line feeds, while this module ends it at two CR LF. If
 /// they differed, the library would drop a request after the first end as the rest of the head,
 /// and the caller would take each later response for that to the request before it.
-fn has_sound_line_ends(head: &[u8]) -> bool {
+fn has_valid_line_endings(head: &[u8]) -> bool {
     let lf = |at: usize| at > 0 && head[at - 1] == b'\r';
     let cr = |at: usize| head.get(at + 1) == Some(&b'\n');
     head.iter().enumerate().all(|(at, byte)| match byte {
@@ -287,7 +287,7 @@
 
 /// Returns whether a byte is allowed in a head: printable ASCII, tab, CR and LF. A non-ASCII byte
 /// in a header value would make the library panic.
-fn is_head_byte(byte: u8) -> bool {
+fn is_valid_head_byte(byte: u8) -> bool {
     matches!(byte, b'\t' | b'\r' | b'\n' | b' '..=b'~')
 }
 
@@ -302,7 +302,7 @@
 }
 
 /// Discards all writes. The library writes only `100 Continue` through this, which
-/// [`Conn::poll_go_on`] writes instead.
+/// [`Conn::poll_write_continue`] writes instead.
 impl AsyncWrite for Conn {
     fn poll_write(
         self: Pin<&mut Self>,
--- a/crates/http/src/conn/input.rs
+++ b/crates/http/src/conn/input.rs
@@ -13,25 +13,25 @@
     pub(super) buf: Vec<u8>,
     pub(super) pos: usize,
     /// Number of bytes that the decoder may still read; `None` means no limit.
-    pub(super) left: Option<u64>,
+    pub(super) remaining: Option<u64>,
     /// Whether the last read polled the socket and got `Pending`, so that the socket wakes the
     /// task.
-    pub(super) armed: bool,
+    pub(super) waker_registered: bool,
     /// Whether the message's body has been completely read.
     pub(super) body_done: bool,
     /// Waker of the task that waits until the body has been read.
-    pub(super) watcher: Option<Waker>,
-    pub(super) go_on: GoOn,
+    pub(super) body_waker: Option<Waker>,
+    pub(super) continue_state: ContinueState,
 }
 
 /// The state of the interim response `100 Continue`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum GoOn {
+pub(super) enum ContinueState {
     /// Not expected, already written, or no longer possible.
     #[default]
-    Done,
+    NotNeeded,
     /// Expected by the peer; this number of its bytes has been written.
-    Due(usize),
+    Expected(usize),
 }
 
 impl Input {
@@ -42,10 +42,12 @@
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let left = self.left.unwrap_or(u64::MAX);
-        let max = usize::try_from(left).unwrap_or(usize::MAX).min(buf.len());
+        let remaining = self.remaining.unwrap_or(u64::MAX);
+        let max = usize::try_from(remaining)
+            .unwrap_or(usize::MAX)
+            .min(buf.len());
         let buf = &mut buf[..max];
-        self.armed = false;
+        self.waker_registered = false;
         let got = if self.pos < self.buf.len() {
             let rest = &self.buf[self.pos..];
             let len = rest.len().min(buf.len());
@@ -61,11 +63,11 @@
             0
         } else {
             let read = Pin::new(&mut &*stream).poll_read(cx, buf);
-            self.armed = read.is_pending();
+            self.waker_registered = read.is_pending();
             ready!(read)?
         };
-        if let Some(left) = &mut self.left {
-            *left -= got as u64;
+        if let Some(remaining) = &mut self.remaining {
+            *remaining -= got as u64;
         }
         Poll::Ready(Ok(got))
     }
--- a/crates/http/src/deadline.rs
+++ b/crates/http/src/deadline.rs
@@ -22,7 +22,7 @@
     /// Fails if the deadline has passed. Readers call this also while bytes are available, since
     /// a peer that never stops sending would otherwise keep them busy forever.
     pub(crate) fn check(&self) -> io::Result<()> {
-        if self.left().is_zero() {
+        if self.remaining().is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
         }
         Ok(())
@@ -30,14 +30,14 @@
 
     /// Registers the task to be woken at the deadline, and fails once that has passed.
     pub(crate) fn poll<T>(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<T>> {
-        let left = self.left();
-        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(left)));
+        let remaining = self.remaining();
+        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(remaining)));
         ready!(timer.as_mut().poll(cx));
         self.timer = None;
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 
-    fn left(&self) -> Duration {
+    fn remaining(&self) -> Duration {
         self.at.saturating_duration_since(Instant::now())
     }
 }
--- a/crates/http/src/h1.rs
+++ b/crates/http/src/h1.rs
@@ -38,25 +38,25 @@
         return None;
     }
     let url = Url::parse(&format!("http://{to}{}", request.target)).ok()?;
-    let mut res = http_types::Request::new(request.method, url);
+    let mut encoded = http_types::Request::new(request.method, url);
     for (name, value) in end_to_end(&request.headers) {
-        res.append_header(name, value);
+        encoded.append_header(name, value);
     }
     if !body.is_empty() || has_body(request.method) {
-        res.set_body(encode_body(body));
+        encoded.set_body(encode_body(body));
     }
-    Some(res)
+    Some(encoded)
 }
 
 pub(crate) fn encode_response(response: Response) -> http_types::Response {
-    let mut res = http_types::Response::new(response.status);
+    let mut encoded = http_types::Response::new(response.status);
     for (name, value) in end_to_end(&response.headers) {
-        res.append_header(name, value);
+        encoded.append_header(name, value);
     }
     if !response.body.is_empty() {
-        res.set_body(encode_body(response.body));
+        encoded.set_body(encode_body(response.body));
     }
-    res
+    encoded
 }
 
 pub(crate) fn decode_headers(headers: &http_types::Headers) -> Headers {
@@ -85,36 +85,39 @@
 
 fn encode_body(body: Body) -> http_types::Body {
     let len = body.len();
-    let whole = Whole { body, left: len };
-    http_types::Body::from_reader(whole, len.and_then(|len| usize::try_from(len).ok()))
+    let reader = ExactLength {
+        body,
+        remaining: len,
+    };
+    http_types::Body::from_reader(reader, len.and_then(|len| usize::try_from(len).ok()))
 }
 
 /// A body that fails if it ends before its stated length. The encoder would otherwise end the
 /// message there and leave the peer waiting for the rest.
-struct Whole {
+struct ExactLength {
     body: Body,
-    left: Option<u64>,
+    remaining: Option<u64>,
 }
 
-impl AsyncBufRead for Whole {
+impl AsyncBufRead for ExactLength {
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
         let bytes = ready!(Pin::new(&mut this.body).poll_fill_buf(cx))?;
-        if bytes.is_empty() && this.left.is_some_and(|left| left > 0) {
+        if bytes.is_empty() && this.remaining.is_some_and(|remaining| remaining > 0) {
             return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()));
         }
         Poll::Ready(Ok(bytes))
     }
 
     fn consume(mut self: Pin<&mut Self>, amt: usize) {
-        if let Some(left) = &mut self.left {
-            *left = left.saturating_sub(amt as u64);
+        if let Some(remaining) = &mut self.remaining {
+            *remaining = remaining.saturating_sub(amt as u64);
         }
         Pin::new(&mut self.body).consume(amt);
     }
 }
 
-impl AsyncRead for Whole {
+impl AsyncRead for ExactLength {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -30,12 +30,16 @@
     /// prevents header injection through line breaks.
     pub fn append(&mut self, name: impl Into<Cow<'static, str>>, value: impl Into<String>) {
         let mut name = name.into();
-        if !name.bytes().all(is_token) {
-            name = Cow::Owned(replace(&name, |c| u8::try_from(c).is_ok_and(is_token), '-'));
+        if !name.bytes().all(is_token_byte) {
+            name = Cow::Owned(replace(
+                &name,
+                |c| u8::try_from(c).is_ok_and(is_token_byte),
+                '-',
+            ));
         }
         let mut value = value.into();
-        if !value.bytes().all(is_visible) {
-            value = replace(&value, |c| u8::try_from(c).is_ok_and(is_visible), '?');
+        if !value.bytes().all(is_value_byte) {
+            value = replace(&value, |c| u8::try_from(c).is_ok_and(is_value_byte), '?');
         }
         self.fields.push((name, value));
     }
@@ -63,14 +67,16 @@
     }
 }
 
-fn replace(text: &str, keep: impl Fn(char) -> bool, by: char) -> String {
-    text.chars().map(|c| if keep(c) { c } else { by }).collect()
+fn replace(text: &str, keep: impl Fn(char) -> bool, replacement: char) -> String {
+    text.chars()
+        .map(|c| if keep(c) { c } else { replacement })
+        .collect()
 }
 
-fn is_visible(byte: u8) -> bool {
+fn is_value_byte(byte: u8) -> bool {
     matches!(byte, b'\t' | b' '..=b'~')
 }
 
-fn is_token(byte: u8) -> bool {
+fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -12,10 +12,10 @@
 mod error;
 mod h1;
 mod headers;
-mod relay;
 mod request;
 mod response;
 mod server;
+mod write;
 
 pub use body::{Body, Sender};
 pub use client::{Client, Options, Pool, Repeat};
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -2,10 +2,10 @@
 
 mod connection;
 mod head;
-mod incoming;
 mod limits;
 mod listen;
 mod refusal;
+mod request_body;
 mod shared;
 mod watch;
 
@@ -29,7 +29,7 @@
 
 /// Delay after a failed accept. Without it, the accept loop would keep a core busy while the
 /// process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A running server. Dropping it doesn't stop it; use [`Server::drain`].
 pub struct Server {
@@ -69,7 +69,7 @@
         let listener = listen::listen(address)?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::new(limits));
-        let (task, accepting) = (shared.task(), Arc::clone(&shared));
+        let (task, accepting) = (shared.count_task(), Arc::clone(&shared));
         task::spawn(async move {
             accept(listener, accepting, Arc::new(handler)).await;
             drop(task);
@@ -97,12 +97,12 @@
     /// If `grace` is at least [`Limits::keep_time`], callers whose
     /// [`Pool::warm`](crate::Pool::warm) is shorter lose no request that must not be sent twice.
     pub async fn drain(&self, grace: Duration, limit: Duration) -> Drained {
-        self.shared.retire();
+        self.shared.begin_drain();
         if !grace.is_zero() {
             sleep(grace).await;
         }
         self.shared.stop();
-        let _ = timeout(limit, self.shared.finished()).await;
+        let _ = timeout(limit, self.shared.wait_finished()).await;
         Drained {
             left: self.shared.in_flight(),
         }
@@ -114,44 +114,44 @@
     H: Fn(Request) -> F + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    let stopped = shared.stopped();
+    let stopped = shared.wait_stopped();
     pin_mut!(stopped);
     loop {
         let accepted = listener.accept();
         pin_mut!(accepted);
         match select(accepted, &mut stopped).await {
-            Either::Left((Ok((stream, _)), _)) => admit(stream, &shared, &handler),
-            Either::Left((Err(_), _)) => sleep(ACCEPT_PAUSE).await,
+            Either::Left((Ok((stream, _)), _)) => spawn_connection(stream, &shared, &handler),
+            Either::Left((Err(_), _)) => sleep(ACCEPT_RETRY_DELAY).await,
             Either::Right(_) => break,
         }
     }
     // Callers in the listen queue are already connected and may have sent a request. Closing the
     // listener would reset their connections.
     while let Some(Ok((stream, _))) = listener.accept().now_or_never() {
-        admit(stream, &shared, &handler);
+        spawn_connection(stream, &shared, &handler);
     }
 }
 
 /// Spawns a task that serves a connection, or rejects it if there are too many.
-fn admit<H, F>(stream: TcpStream, shared: &Arc<Shared>, handler: &Arc<H>)
+fn spawn_connection<H, F>(stream: TcpStream, shared: &Arc<Shared>, handler: &Arc<H>)
 where
     H: Fn(Request) -> F + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
     let (shared, handler) = (Arc::clone(shared), Arc::clone(handler));
-    let task = shared.task();
-    let slot = shared.connection();
+    let task = shared.count_task();
+    let slot = shared.count_connection();
     task::spawn(async move {
         match &slot {
             Some(_) => connection::serve(stream, &shared, &*handler).await,
-            None => turn_away(&stream, &shared).await,
+            None => reject_connection(&stream, &shared).await,
         }
         drop((slot, task));
     });
 }
 
-async fn turn_away(stream: &TcpStream, shared: &Shared) {
+async fn reject_connection(stream: &TcpStream, shared: &Shared) {
     let refusal = Refusal::new(Status::ServiceUnavailable, "too many connections");
     refuse(stream, shared, refusal).await;
 }
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -17,7 +17,7 @@
 use super::watch::Watch;
 use crate::conn::Conn;
 use crate::h1;
-use crate::relay::relay;
+use crate::write::copy_to_stream;
 use crate::{Hangup, Method, Request, Response};
 
 /// Serves the requests of a connection, one after the other, until it closes.
@@ -28,7 +28,7 @@
 {
     let conn = Conn::new(stream);
     while await_request(&conn, shared).await {
-        let in_flight = shared.request();
+        let in_flight = shared.count_request();
         let next = match head::read(&conn, shared).await {
             Ok(Some(head)) => exchange(&conn, shared, handler, head).await,
             Ok(None) => Next::Abort,
@@ -55,13 +55,13 @@
 /// the start of the wait; connections that were idle throughout the drain's grace close at once.
 async fn await_request(conn: &Conn, shared: &Shared) -> bool {
     let since = Instant::now();
-    let first = timeout(shared.limits.idle_time, conn.first_byte());
-    let let_go = async {
-        shared.stopped().await;
+    let first = timeout(shared.limits.idle_time, conn.wait_first_byte());
+    let stop = async {
+        shared.wait_stopped().await;
         sleep(shared.limits.keep_time.saturating_sub(since.elapsed())).await;
     };
-    pin_mut!(first, let_go);
-    matches!(select(first, let_go).await, Either::Left((Ok(Ok(())), _)))
+    pin_mut!(first, stop);
+    matches!(select(first, stop).await, Either::Left((Ok(Ok(())), _)))
 }
 
 async fn exchange<H, F>(conn: &Conn, shared: &Shared, handler: &H, head: Head) -> Next
@@ -75,31 +75,31 @@
         mut next,
     } = head;
     let (sender, hangup) = Hangup::new();
-    let mut hung_up = Some(sender);
+    let mut hangup_sender = Some(sender);
     request.hangup = hangup;
     let mut watch = Watch::new(conn);
-    let mut work = pin!(handler(request));
-    let response = if let Some(response) = watch.guard(work.as_mut()).await {
+    let mut handling = pin!(handler(request));
+    let response = if let Some(response) = watch.until_disconnect(handling.as_mut()).await {
         response
     } else {
-        tell(&mut hung_up);
-        work.await
+        notify_hangup(&mut hangup_sender);
+        handling.await
     };
     // An unread rest of the body would be parsed as the next request.
-    if !conn.is_body_done() || shared.is_retiring() {
+    if !conn.is_body_done() || shared.is_draining() {
         next = Next::Close;
     }
     match write(&mut watch, conn, shared, response, method, next).await {
-        Written::Whole => next,
-        Written::Cut => {
-            tell(&mut hung_up);
+        Written::Complete => next,
+        Written::Incomplete => {
+            notify_hangup(&mut hangup_sender);
             Next::Abort
         }
     }
 }
 
-fn tell(hung_up: &mut Option<oneshot::Sender<()>>) {
-    if let Some(sender) = hung_up.take() {
+fn notify_hangup(hangup_sender: &mut Option<oneshot::Sender<()>>) {
+    if let Some(sender) = hangup_sender.take() {
         // Fails if the handler has dropped the request.
         let _ = sender.send(());
     }
@@ -107,8 +107,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Written {
-    Whole,
-    Cut,
+    Complete,
+    Incomplete,
 }
 
 /// Writes the response, unless the caller disconnects first. Then the body is dropped, so that its
@@ -121,8 +121,8 @@
     method: Method,
     next: Next,
 ) -> Written {
-    if !conn.begin_answer() {
-        return Written::Cut;
+    if !conn.begin_response() {
+        return Written::Incomplete;
     }
     let mut message = h1::encode_response(response);
     if next == Next::Close {
@@ -130,14 +130,14 @@
     }
     let mut encoder = async_h1::server::Encoder::new(message, method);
     let mut sent = 0;
-    let written = relay(
+    let written = copy_to_stream(
         &mut encoder,
         conn.stream(),
         shared.limits.write_time,
         &mut sent,
     );
-    match watch.guard(written).await {
-        Some(Ok(())) => Written::Whole,
-        Some(Err(_)) | None => Written::Cut,
+    match watch.until_disconnect(written).await {
+        Some(Ok(())) => Written::Complete,
+        Some(Err(_)) | None => Written::Incomplete,
     }
 }
--- a/crates/http/src/server/head.rs
+++ b/crates/http/src/server/head.rs
@@ -3,10 +3,10 @@
 use async_std::future::timeout;
 use http_types::headers::{CONNECTION, CONTENT_LENGTH, EXPECT, HOST, TRANSFER_ENCODING};
 
-use super::incoming::Incoming;
 use super::refusal::Refusal;
+use super::request_body::RequestBody;
 use super::shared::Shared;
-use crate::conn::{Conn, Foreign, HeadError};
+use crate::conn::{Conn, HeadError, HeadPolicy};
 use crate::h1;
 use crate::{Body, Method, Request, Status};
 
@@ -29,7 +29,7 @@
 /// Reads and checks a head. Returns `None` if the peer disconnected within it.
 pub(super) async fn read(conn: &Conn, shared: &Shared) -> Result<Option<Head>, Refusal> {
     let limits = &shared.limits;
-    let head = conn.head(limits.max_head, Foreign::Refuse);
+    let head = conn.read_head(limits.max_head, HeadPolicy::Strict);
     match timeout(limits.head_time, head).await {
         Ok(Ok(())) => {}
         Ok(Err(HeadError::Closed | HeadError::Broken(_))) => return Ok(None),
@@ -76,9 +76,9 @@
     if len.is_some_and(|len| len > limits.max_body as u64) {
         return Err(Refusal::new(Status::PayloadTooLarge, "body too large"));
     }
-    conn.release_body(len);
-    if len != Some(0) && waits_for_word(&decoded) {
-        conn.owe_go_on();
+    conn.allow_body(len);
+    if len != Some(0) && expects_continue(&decoded) {
+        conn.expect_continue();
     }
 
     let method = decoded.method();
@@ -87,18 +87,18 @@
         Some(query) => format!("{}?{query}", url.path()),
         None => url.path().to_owned(),
     };
-    let says_close = decoded
+    let has_connection_close = decoded
         .header(CONNECTION)
         .is_some_and(|it| it.last().as_str().eq_ignore_ascii_case("close"));
     let mut request = Request::new(method, target);
     request.headers = h1::decode_headers(decoded.as_ref());
     if len != Some(0) {
         let body = decoded.take_body();
-        let incoming = Incoming::new(body, conn.clone(), len, limits.max_body, limits.body_time);
-        request.body = Body::reader(incoming, len);
+        let reader = RequestBody::new(body, conn.clone(), len, limits.max_body, limits.body_time);
+        request.body = Body::reader(reader, len);
     }
     // The library may have read and dropped bytes after a chunked body.
-    let next = if says_close || chunked {
+    let next = if has_connection_close || chunked {
         Next::Close
     } else {
         Next::Request
@@ -110,7 +110,7 @@
     })
 }
 
-fn waits_for_word(decoded: &http_types::Request) -> bool {
+fn expects_continue(decoded: &http_types::Request) -> bool {
     decoded
         .header(EXPECT)
         .is_some_and(|it| it.last().as_str().eq_ignore_ascii_case("100-continue"))
--- a/crates/http/src/server/refusal.rs
+++ b/crates/http/src/server/refusal.rs
@@ -10,13 +10,13 @@
 
 use super::shared::Shared;
 use crate::h1;
-use crate::relay::relay;
+use crate::write::copy_to_stream;
 use crate::{Method, Response, Status};
 
 /// Limits on reading from a peer after the sending side was closed. Closing a connection with
 /// unread bytes resets it, and the peer could lose the response.
-const LINGER_TIME: Duration = Duration::from_secs(1);
-const LINGER_BYTES: usize = 256 * 1024;
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_LINGER_BYTES: usize = 256 * 1024;
 
 /// The status and detail of a response that rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
     message.insert_header(CONNECTION, "close");
     let mut encoder = async_h1::server::Encoder::new(message, Method::Get);
     let mut sent = 0;
-    let written = relay(&mut encoder, stream, shared.limits.write_time, &mut sent).await;
+    let written = copy_to_stream(&mut encoder, stream, shared.limits.write_time, &mut sent).await;
     if written.is_ok() {
         linger(stream).await;
     }
@@ -83,10 +83,10 @@
         let mut total = 0;
         while let Ok(got @ 1..) = stream.read(&mut buf).await {
             total += got;
-            if total > LINGER_BYTES {
+            if total > MAX_LINGER_BYTES {
                 return;
             }
         }
     };
-    let _ = timeout(LINGER_TIME, discard).await;
+    let _ = timeout(LINGER_TIMEOUT, discard).await;
 }
--- a/crates/http/src/server/incoming.rs
+++ b/crates/http/src/server/request_body.rs
@@ -13,46 +13,46 @@
 use crate::deadline::Deadline;
 
 /// A request's body, limited in size and time.
-pub(super) struct Incoming {
+pub(super) struct RequestBody {
     body: http_types::Body,
     conn: Conn,
     /// Number of bytes left of the content length, if there is one.
-    left: Option<u64>,
+    length_remaining: Option<u64>,
     /// Number of bytes left of the size limit.
-    room: usize,
+    limit_remaining: usize,
     limit: usize,
     deadline: Deadline,
 }
 
-impl Incoming {
+impl RequestBody {
     pub(super) fn new(
         body: http_types::Body,
         conn: Conn,
-        left: Option<u64>,
+        length_remaining: Option<u64>,
         limit: usize,
-        time: Duration,
+        timeout: Duration,
     ) -> Self {
         Self {
             body,
             conn,
-            left,
-            room: limit,
+            length_remaining,
+            limit_remaining: limit,
             limit,
-            deadline: Deadline::new(Instant::now() + time),
+            deadline: Deadline::new(Instant::now() + timeout),
         }
     }
 
-    fn poll_more(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.conn.is_body_done() {
             return Poll::Ready(Ok(()));
         }
         self.deadline.check()?;
         if let Poll::Ready(bytes) = Pin::new(&mut self.body).poll_fill_buf(cx) {
             let len = bytes?.len();
-            if len > self.room {
+            if len > self.limit_remaining {
                 return Poll::Ready(Err(Error::TooLarge { limit: self.limit }.into()));
             }
-            if len == 0 && self.left.is_some() {
+            if len == 0 && self.length_remaining.is_some() {
                 return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()));
             }
             if len == 0 {
@@ -60,16 +60,16 @@
             }
             return Poll::Ready(Ok(()));
         }
-        self.conn.poll_go_on(cx);
-        self.conn.keep_armed(cx);
+        self.conn.poll_write_continue(cx);
+        self.conn.wake_if_not_registered(cx);
         self.deadline.poll(cx)
     }
 }
 
-impl AsyncBufRead for Incoming {
+impl AsyncBufRead for RequestBody {
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        ready!(this.poll_more(cx))?;
+        ready!(this.poll_ready(cx))?;
         if this.conn.is_body_done() {
             return Poll::Ready(Ok(&[]));
         }
@@ -77,18 +77,18 @@
     }
 
     fn consume(mut self: Pin<&mut Self>, amt: usize) {
-        self.room = self.room.saturating_sub(amt);
+        self.limit_remaining = self.limit_remaining.saturating_sub(amt);
         Pin::new(&mut self.body).consume(amt);
-        if let Some(left) = &mut self.left {
-            *left = left.saturating_sub(amt as u64);
-            if *left == 0 {
+        if let Some(length_remaining) = &mut self.length_remaining {
+            *length_remaining = length_remaining.saturating_sub(amt as u64);
+            if *length_remaining == 0 {
                 self.conn.finish_body();
             }
         }
     }
 }
 
-impl AsyncRead for Incoming {
+impl AsyncRead for RequestBody {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/http/src/server/shared.rs
+++ b/crates/http/src/server/shared.rs
@@ -12,34 +12,34 @@
 
 pub(super) struct Shared {
     pub(super) limits: Limits,
-    retiring: AtomicBool,
-    stop: Sender<()>,
-    stopped: Receiver<()>,
-    connections: Arc<Count>,
-    requests: Arc<Count>,
-    tasks: Arc<Count>,
+    draining: AtomicBool,
+    stop_sender: Sender<()>,
+    stop_receiver: Receiver<()>,
+    connections: Arc<Counter>,
+    requests: Arc<Counter>,
+    tasks: Arc<Counter>,
 }
 
 /// A counter, and the task that waits until it is zero.
 #[derive(Default)]
-struct Count {
-    now: AtomicUsize,
+struct Counter {
+    value: AtomicUsize,
     waiter: AtomicWaker,
 }
 
 /// Guard that increments a counter and decrements it on drop.
-pub(super) struct Counted {
-    count: Arc<Count>,
+pub(super) struct CounterGuard {
+    counter: Arc<Counter>,
 }
 
 impl Shared {
     pub(super) fn new(limits: Limits) -> Self {
-        let (stop, stopped) = bounded(1);
+        let (stop_sender, stop_receiver) = bounded(1);
         Self {
             limits,
-            retiring: AtomicBool::new(false),
-            stop,
-            stopped,
+            draining: AtomicBool::new(false),
+            stop_sender,
+            stop_receiver,
             connections: Arc::default(),
             requests: Arc::default(),
             tasks: Arc::default(),
@@ -47,18 +47,18 @@
     }
 
     /// Counts a connection. Returns `None` if there are too many.
-    pub(super) fn connection(&self) -> Option<Counted> {
-        let slot = Counted::new(&self.connections);
+    pub(super) fn count_connection(&self) -> Option<CounterGuard> {
+        let slot = CounterGuard::new(&self.connections);
         (self.connections.get() <= self.limits.max_connections).then_some(slot)
     }
 
-    pub(super) fn request(&self) -> Counted {
-        Counted::new(&self.requests)
+    pub(super) fn count_request(&self) -> CounterGuard {
+        CounterGuard::new(&self.requests)
     }
 
     /// Counts a task that may accept connections or hold requests.
-    pub(super) fn task(&self) -> Counted {
-        Counted::new(&self.tasks)
+    pub(super) fn count_task(&self) -> CounterGuard {
+        CounterGuard::new(&self.tasks)
     }
 
     pub(super) fn in_flight(&self) -> usize {
@@ -66,27 +66,27 @@
     }
 
     /// Makes responses ask callers to close their connections.
-    pub(super) fn retire(&self) {
-        self.retiring.store(true, Ordering::Release);
+    pub(super) fn begin_drain(&self) {
+        self.draining.store(true, Ordering::Release);
     }
 
-    pub(super) fn is_retiring(&self) -> bool {
-        self.retiring.load(Ordering::Acquire)
+    pub(super) fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Acquire)
     }
 
     pub(super) fn stop(&self) {
-        self.retire();
-        self.stop.close();
+        self.begin_drain();
+        self.stop_sender.close();
     }
 
     /// Waits until the server stops accepting connections.
-    pub(super) async fn stopped(&self) {
+    pub(super) async fn wait_stopped(&self) {
         // Nothing is sent on this channel; `recv` returns an error once it is closed.
-        let _ = self.stopped.recv().await;
+        let _ = self.stop_receiver.recv().await;
     }
 
     /// Waits until all counted tasks have ended.
-    pub(super) async fn finished(&self) {
+    pub(super) async fn wait_finished(&self) {
         poll_fn(|cx| {
             self.tasks.waiter.register(cx.waker());
             match self.tasks.get() {
@@ -98,25 +98,25 @@
     }
 }
 
-impl Count {
+impl Counter {
     fn get(&self) -> usize {
-        self.now.load(Ordering::Acquire)
+        self.value.load(Ordering::Acquire)
     }
 }
 
-impl Counted {
-    fn new(count: &Arc<Count>) -> Self {
-        count.now.fetch_add(1, Ordering::AcqRel);
+impl CounterGuard {
+    fn new(counter: &Arc<Counter>) -> Self {
+        counter.value.fetch_add(1, Ordering::AcqRel);
         Self {
-            count: Arc::clone(count),
+            counter: Arc::clone(counter),
         }
     }
 }
 
-impl Drop for Counted {
+impl Drop for CounterGuard {
     fn drop(&mut self) {
-        if self.count.now.fetch_sub(1, Ordering::AcqRel) == 1 {
-            self.count.waiter.wake();
+        if self.counter.value.fetch_sub(1, Ordering::AcqRel) == 1 {
+            self.counter.waiter.wake();
         }
     }
 }
--- a/crates/http/src/server/watch.rs
+++ b/crates/http/src/server/watch.rs
@@ -15,38 +15,38 @@
 /// itself, not for each token of a stream. It is started when the awaited future is first pending.
 pub(super) struct Watch<'a> {
     conn: &'a Conn,
-    closed: FuturesUnordered<Pin<Box<dyn Future<Output = ()> + Send + 'a>>>,
-    is_closed: bool,
+    disconnect: FuturesUnordered<Pin<Box<dyn Future<Output = ()> + Send + 'a>>>,
+    is_disconnected: bool,
 }
 
 impl<'a> Watch<'a> {
     pub(super) fn new(conn: &'a Conn) -> Self {
         Self {
             conn,
-            closed: FuturesUnordered::new(),
-            is_closed: false,
+            disconnect: FuturesUnordered::new(),
+            is_disconnected: false,
         }
     }
 
     /// Returns the output of `work`, or `None` if the caller disconnects first.
-    pub(super) async fn guard<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
+    pub(super) async fn until_disconnect<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         let mut work = pin!(work);
         poll_fn(|cx| match work.as_mut().poll(cx) {
             Poll::Ready(result) => Poll::Ready(Some(result)),
-            Poll::Pending => self.poll_closed(cx).map(|()| None),
+            Poll::Pending => self.poll_disconnect(cx).map(|()| None),
         })
         .await
     }
 
-    fn poll_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        if self.is_closed {
+    fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        if self.is_disconnected {
             return Poll::Ready(());
         }
-        if self.closed.is_empty() {
-            self.closed.push(Box::pin(self.conn.closed()));
+        if self.disconnect.is_empty() {
+            self.disconnect.push(Box::pin(self.conn.wait_closed()));
         }
-        let polled = Pin::new(&mut self.closed).poll_next(cx).map(drop);
-        self.is_closed = polled.is_ready();
+        let polled = Pin::new(&mut self.disconnect).poll_next(cx).map(drop);
+        self.is_disconnected = polled.is_ready();
         polled
     }
 }
--- a/crates/http/src/relay.rs
+++ b/crates/http/src/write.rs
@@ -12,7 +12,7 @@
 
 /// Initial and maximum size of the buffer, in bytes. It starts small, because thousands of
 /// streams may be waiting for their next token, and doubles for messages that fill it.
-const FIRST_BUFFER: usize = 2 * 1024;
+const INITIAL_BUFFER: usize = 2 * 1024;
 const MAX_BUFFER: usize = 32 * 1024;
 /// Minimum free space in the buffer for a read, in bytes. The chunk encoder of `async-h1` panics
 /// without room for its framing.
@@ -20,7 +20,7 @@
 
 /// An error of copying a message, by the side that failed.
 #[derive(Debug)]
-pub(crate) enum RelayError {
+pub(crate) enum CopyError {
     /// Reading the message failed.
     Source(io::Error),
     /// Writing to the connection failed or timed out.
@@ -31,55 +31,55 @@
 ///
 /// All bytes that are available are written at once: a token isn't delayed until the next one,
 /// and a head shares a packet with a short body. `stall` is the timeout of each write.
-pub(crate) async fn relay(
+pub(crate) async fn copy_to_stream(
     source: &mut (impl AsyncRead + Unpin),
     mut stream: &TcpStream,
     stall: Duration,
     sent: &mut u64,
-) -> Result<(), RelayError> {
-    let mut buf = vec![0; FIRST_BUFFER];
+) -> Result<(), CopyError> {
+    let mut buf = vec![0; INITIAL_BUFFER];
     loop {
         let (len, state) = fill(source, &mut buf).await;
         let mut rest = &buf[..len];
         while !rest.is_empty() {
             let written = timeout(stall, stream.write(rest))
                 .await
-                .map_err(|_| RelayError::Sink(io::ErrorKind::TimedOut.into()))?
-                .map_err(RelayError::Sink)?;
+                .map_err(|_| CopyError::Sink(io::ErrorKind::TimedOut.into()))?
+                .map_err(CopyError::Sink)?;
             *sent += written as u64;
             rest = &rest[written..];
         }
         match state {
-            Source::Open if buf.len() - len < MIN_ROOM && buf.len() < MAX_BUFFER => {
+            SourceState::Open if buf.len() - len < MIN_ROOM && buf.len() < MAX_BUFFER => {
                 buf.resize(buf.len() * 2, 0);
             }
-            Source::Open => {}
-            Source::Ended => return Ok(()),
-            Source::Broken(err) => return Err(RelayError::Source(err)),
+            SourceState::Open => {}
+            SourceState::Ended => return Ok(()),
+            SourceState::Failed(err) => return Err(CopyError::Source(err)),
         }
     }
 }
 
-enum Source {
+enum SourceState {
     Open,
     Ended,
-    Broken(io::Error),
+    Failed(io::Error),
 }
 
 /// Reads all bytes that are available, waiting only if there are none.
-async fn fill(source: &mut (impl AsyncRead + Unpin), buf: &mut [u8]) -> (usize, Source) {
+async fn fill(source: &mut (impl AsyncRead + Unpin), buf: &mut [u8]) -> (usize, SourceState) {
     let mut len = 0;
     poll_fn(|cx| {
         while buf.len() - len >= MIN_ROOM {
             match Pin::new(&mut *source).poll_read(cx, &mut buf[len..]) {
-                Poll::Ready(Ok(0)) => return Poll::Ready((len, Source::Ended)),
-                Poll::Ready(Ok(got)) => len += got,
-                Poll::Ready(Err(err)) => return Poll::Ready((len, Source::Broken(err))),
+                Poll::Ready(Ok(0)) => return Poll::Ready((len, SourceState::Ended)),
+                Poll::Ready(Ok(read)) => len += read,
+                Poll::Ready(Err(err)) => return Poll::Ready((len, SourceState::Failed(err))),
                 Poll::Pending if len == 0 => return Poll::Pending,
                 Poll::Pending => break,
             }
         }
-        Poll::Ready((len, Source::Open))
+        Poll::Ready((len, SourceState::Open))
     })
     .await
 }
--- a/crates/http/tests/suite/client.rs
+++ b/crates/http/tests/suite/client.rs
@@ -25,7 +25,7 @@
     fn start(script: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, closed) = channel();
+        let (closed_sender, closed) = channel();
         let mut release = Vec::new();
         let mut scripts = Vec::new();
         for script in script.split("conn\n").skip(1) {
@@ -36,10 +36,10 @@
         thread::spawn(move || {
             for (script, hold) in scripts {
                 let (stream, _) = listener.accept().unwrap();
-                let tell = tell.clone();
+                let closed_sender = closed_sender.clone();
                 thread::spawn(move || {
                     play(stream, &script, &hold);
-                    let _ = tell.send(());
+                    let _ = closed_sender.send(());
                 });
             }
         });
@@ -63,7 +63,12 @@
     }
 }
 
-async fn ask(client: &Client, to: SocketAddr, method: Method, options: &Options) -> String {
+async fn send_request(
+    client: &Client,
+    to: SocketAddr,
+    method: Method,
+    options: &Options,
+) -> String {
     let request = Request::new(method, "/").body(Body::bytes("question"));
     let response = match client.send(to, request, options).await {
         Ok(response) => response,
@@ -79,7 +84,7 @@
 
 fn exchange(case: &mut TestCase) -> String {
     let requests = case.try_take_arg("requests").unwrap().unwrap_or(1);
-    let wait_closed = case.take_flag("await-close").unwrap();
+    let await_close = case.take_flag("await-close").unwrap();
     let method = case.try_take_arg::<String>("method").unwrap();
     let method = method.map_or(Method::Post, |it| it.parse().unwrap());
     let first_byte = case
@@ -100,17 +105,17 @@
     };
     let peer = Peer::start(&case.input);
     let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
-    let mut out = String::new();
+    let mut output = String::new();
     for idx in 0..requests {
-        if wait_closed && idx > 0 {
+        if await_close && idx > 0 {
             peer.closed.recv().unwrap();
         }
-        let line = block_on(ask(&client, peer.address, method, &options));
-        out.push_str(line.trim_end());
-        out.push('\n');
+        let line = block_on(send_request(&client, peer.address, method, &options));
+        output.push_str(line.trim_end());
+        output.push('\n');
     }
     drop(peer.release);
-    out
+    output
 }
 
 #[test]
@@ -124,18 +129,23 @@
 }
 
 #[test]
-fn a_refused_connection_has_sent_nothing() {
+fn a_refused_connection_is_reported_as_not_sent() {
     // A refused connection must be reported as not sent, so that the caller can retry.
     let closed = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
     let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
-    let line = block_on(ask(&client, address, Method::Post, &Options::default()));
+    let line = block_on(send_request(
+        &client,
+        address,
+        Method::Post,
+        &Options::default(),
+    ));
     expect_test::expect!["NotSent(Refused)"].assert_eq(&line);
 }
 
 #[test]
-fn the_last_line_end_may_come_in_two_parts() {
+fn a_final_line_ending_may_be_split_between_reads() {
     // If a read ends between the last CR and LF, the chunk decoder returns `Pending` without
     // registering a waker. The caller of a complete response would wait until its timeout.
     const READ: usize = 8 * 1024;
@@ -152,12 +162,12 @@
         total: Duration::from_secs(5),
         ..Options::default()
     };
-    let line = block_on(ask(&client, peer.address, Method::Post, &options));
+    let line = block_on(send_request(&client, peer.address, Method::Post, &options));
     assert_eq!(line, format!("200 {content} bytes"));
 }
 
 #[test]
-fn an_old_connection_is_not_used_again() {
+fn an_expired_connection_is_not_reused() {
     // A request on an old connection could meet the peer's idle close, so that the caller can't
     // know whether it ran.
     let script = "conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\none\nhold\n\
@@ -168,7 +178,7 @@
     let client = Client::new(Arc::clone(&clock) as _, pool);
     let options = Options::default();
     for expected in ["200 one", "200 two"] {
-        let line = block_on(ask(&client, peer.address, Method::Post, &options));
+        let line = block_on(send_request(&client, peer.address, Method::Post, &options));
         assert_eq!(line, expected);
         clock.advance(pool.max_age);
     }
@@ -176,16 +186,16 @@
 
 /// Returns the responses to three requests to a peer that keeps its connections open. The second
 /// request follows the first at once, the third after [`Pool::warm`].
-fn answers_on_cooling_connection(repeat: Repeat) -> Vec<String> {
-    let answer = |text: &str| {
+fn responses_on_idle_connection(repeat: Repeat) -> Vec<String> {
+    let response = |text: &str| {
         format!("recv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 5\\r\\n\\r\\n{text}\n")
     };
     let script = format!(
         "conn\n{}{}{}hold\nconn\n{}hold\n",
-        answer("first"),
-        answer("again"),
-        answer("third"),
-        answer("fresh")
+        response("first"),
+        response("again"),
+        response("third"),
+        response("fresh")
     );
     let peer = Peer::start(&script);
     let clock = Arc::new(ManualClock::default());
@@ -195,29 +205,29 @@
         repeat,
         ..Options::default()
     };
-    let ask = || block_on(ask(&client, peer.address, Method::Post, &options));
-    let mut lines = vec![ask(), ask()];
+    let send = || block_on(send_request(&client, peer.address, Method::Post, &options));
+    let mut lines = vec![send(), send()];
     clock.advance(pool.warm);
-    lines.push(ask());
+    lines.push(send());
     lines
 }
 
 #[test]
-fn what_may_not_be_repeated_needs_a_warm_connection() {
+fn an_at_most_once_request_needs_a_recently_used_connection() {
     // A peer may close an idle connection just when a request is written to it, and the caller
     // can't know whether it ran. A recently used connection can't be about to be closed.
-    let lines = answers_on_cooling_connection(Repeat::Never);
+    let lines = responses_on_idle_connection(Repeat::Never);
     assert_eq!(lines, ["200 first", "200 again", "200 fresh"]);
 }
 
 #[test]
-fn what_may_be_repeated_takes_any_open_connection() {
-    let lines = answers_on_cooling_connection(Repeat::Idempotent);
+fn an_idempotent_request_uses_any_open_connection() {
+    let lines = responses_on_idle_connection(Repeat::Idempotent);
     assert_eq!(lines, ["200 first", "200 again", "200 third"]);
 }
 
 #[test]
-fn a_request_whose_body_breaks_off_is_given_up_at_once() {
+fn a_request_whose_body_ends_early_fails_at_once() {
     // After a body that ended early, the peer waits for the rest and never responds. Waiting for
     // its first byte would occupy a connection at both ends for nothing.
     let peer = Peer::start("conn\nrecv\n");
@@ -236,28 +246,33 @@
 }
 
 #[test]
-fn an_answer_that_was_given_up_is_not_the_next_requests() {
+fn an_abandoned_response_is_not_read_by_the_next_request() {
     // A request is abandoned before or within its response. The rest of the response must not be
     // read as the response to the next request.
-    for begun in ["", "HTTP/1.1 200 OK\\r\\ncontent-length: 5\\r\\n\\r\\nhel"] {
+    for received in ["", "HTTP/1.1 200 OK\\r\\ncontent-length: 5\\r\\n\\r\\nhel"] {
         let script = format!(
-            "conn\nrecv\nsend {begun}\nhold\n\
+            "conn\nrecv\nsend {received}\nhold\n\
              conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\ntwo\n"
         );
         let peer = Peer::start(&script);
         let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
-        let patient = Options::default();
-        let hasty = Options {
+        let default_options = Options::default();
+        let short_timeout = Options {
             first_byte: Duration::from_millis(100),
-            ..patient
+            ..default_options
         };
         let request = Request::new(Method::Post, "/").body(Body::bytes("question"));
-        match block_on(client.send(peer.address, request, &hasty)) {
+        match block_on(client.send(peer.address, request, &short_timeout)) {
             // The response is dropped with part of its body unread.
             Ok(mut response) => drop(block_on(response.body.piece()).unwrap()),
             Err(err) => assert_eq!(err, Error::MaybeSent(Cause::Timeout)),
         }
-        let line = block_on(ask(&client, peer.address, Method::Post, &patient));
-        assert_eq!(line, "200 two", "after {begun:?}");
+        let line = block_on(send_request(
+            &client,
+            peer.address,
+            Method::Post,
+            &default_options,
+        ));
+        assert_eq!(line, "200 two", "after {received:?}");
     }
 }
--- a/crates/http/tests/suite/round_trip.rs
+++ b/crates/http/tests/suite/round_trip.rs
@@ -30,7 +30,7 @@
 }
 
 #[gtest]
-fn a_body_comes_back_with_its_target() {
+fn a_request_is_echoed_with_its_target() {
     block_on(async {
         let server = server().await;
         let client = client();
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn pieces_of_a_stream_pass_through_one_by_one() {
+fn stream_pieces_arrive_one_by_one() {
     block_on(async {
         let (pieces, body) = Body::channel(1);
         let body = std::sync::Mutex::new(Some(body));
--- a/crates/http/tests/suite/server.rs
+++ b/crates/http/tests/suite/server.rs
@@ -49,24 +49,24 @@
     let mut stream = support::connect(server.address());
     let input: String = case.input.lines().collect();
     support::send(&mut stream, &input);
-    let mut out = String::new();
+    let mut output = String::new();
     let mut is_closed = false;
     for _ in 0..answers {
         let Some((head, body)) = message::read_message(&mut stream) else {
-            out.push_str("closed without a response\n");
-            return out;
+            output.push_str("closed without a response\n");
+            return output;
         };
         is_closed = head.contains("connection: close");
-        out.push_str(&summary(&head, &body));
+        output.push_str(&describe(&head, &body));
     }
     if is_closed {
         expect_that!(stream.read(&mut [0]), ok(eq(&0)));
-        out.push_str("closed\n");
+        output.push_str("closed\n");
     }
-    out
+    output
 }
 
-fn summary(head: &str, body: &str) -> String {
+fn describe(head: &str, body: &str) -> String {
     let status = head.lines().next().unwrap();
     if head.contains("application/problem+json") {
         let problem: Value = serde_json::from_str(body).unwrap();
@@ -91,12 +91,12 @@
     #![proptest_config(ProptestConfig::with_cases(128))]
 
     #[test]
-    fn no_bytes_stop_the_server(
+    fn arbitrary_input_does_not_stop_the_server(
         head in "(GET|POST|PUT|X) [ -~]{0,20} HTTP/1\\.[01]\r\n([a-z-]{1,16}: ?[ -ÿ]{0,16}\r\n){0,4}",
-        noise in proptest::collection::vec(any::<u8>(), 0..64),
+        random_bytes in proptest::collection::vec(any::<u8>(), 0..64),
     ) {
         let server = block_on(Server::bind(LOCAL, Limits::default(), echo)).unwrap();
-        for bytes in [head.as_bytes(), &noise] {
+        for bytes in [head.as_bytes(), &random_bytes] {
             let mut stream = support::connect(server.address());
             let mut all = bytes.to_vec();
             all.extend_from_slice(b"\r\n\r\n");
@@ -114,9 +114,9 @@
 
 /// Starts a server whose handler passes on each request and waits for its response, both through
 /// the returned channels.
-async fn gated() -> (Server, Receiver<Request>, Sender<Response>) {
+async fn start_gated_server() -> (Server, Receiver<Request>, Sender<Response>) {
     let (started, requests) = bounded(8);
-    let (go_on, gate) = bounded::<Response>(8);
+    let (responses, gate) = bounded::<Response>(8);
     let server = Server::bind(LOCAL, Limits::default(), move |request| {
         let (started, gate) = (started.clone(), gate.clone());
         async move {
@@ -124,27 +124,27 @@
             gate.recv().await.unwrap()
         }
     });
-    (server.await.unwrap(), requests, go_on)
+    (server.await.unwrap(), requests, responses)
 }
 
 #[gtest]
 fn a_drain_waits_for_requests_in_flight() {
     // A restart must not truncate the response to a request in flight.
     block_on(async {
-        let (server, requests, go_on) = gated().await;
+        let (server, requests, responses) = start_gated_server().await;
         let mut stream = support::connect(server.address());
         support::send(&mut stream, r"GET / HTTP/1.1\r\nhost: h\r\n\r\n");
         requests.recv().await.unwrap();
 
-        let hurried = server.drain(Duration::ZERO, Duration::ZERO).await;
-        expect_that!(hurried.left, eq(1));
+        let drained_at_once = server.drain(Duration::ZERO, Duration::ZERO).await;
+        expect_that!(drained_at_once.left, eq(1));
 
-        go_on
+        responses
             .send(Response::text(Status::Ok, "whole"))
             .await
             .unwrap();
-        let patient = server.drain(Duration::ZERO, Duration::from_secs(30)).await;
-        expect_that!(patient.left, eq(0));
+        let drained = server.drain(Duration::ZERO, Duration::from_secs(30)).await;
+        expect_that!(drained.left, eq(0));
         let (head, body) = message::read_message(&mut stream).unwrap();
         expect_that!(head, contains_substring("connection: close"));
         expect_that!(body, eq("whole"));
@@ -164,7 +164,7 @@
 }
 
 /// Starts a server whose keep time is longer than any test.
-async fn keeping() -> Server {
+async fn start_server_with_long_keep_time() -> Server {
     let limits = Limits {
         keep_time: Duration::from_mins(1),
         ..Limits::default()
@@ -179,21 +179,21 @@
     // A closed listener shows that the accept loop has seen the stop.
     while TcpStream::connect(server.address()).is_ok() {}
     support::send(&mut stream, r"GET /late HTTP/1.1\r\nhost: h\r\n\r\n");
-    let answer = message::read_message(&mut stream);
+    let response = message::read_message(&mut stream);
     drop(stream);
     let drained = drain.await;
-    let (head, body) = answer.unwrap_or_default();
+    let (head, body) = response.unwrap_or_default();
     let is_closing = head.contains("connection: close");
     format!("{body}, closing: {is_closing}, left: {}", drained.left)
 }
 
 #[gtest]
-fn a_drain_serves_who_was_just_answered() {
+fn a_drain_serves_a_request_after_a_recent_response() {
     // The head of the last response said that the connection is kept. If it were closed at once, a
     // caller that sends its next request couldn't know whether it ran.
     for _ in 0..20 {
         let end = block_on(async {
-            let server = keeping().await;
+            let server = start_server_with_long_keep_time().await;
             let mut stream = support::connect(server.address());
             support::send(&mut stream, r"GET / HTTP/1.1\r\nhost: h\r\n\r\n");
             message::read_message(&mut stream).unwrap();
@@ -204,12 +204,12 @@
 }
 
 #[gtest]
-fn a_drain_serves_who_has_just_connected() {
+fn a_drain_serves_a_request_on_a_new_connection() {
     // If a connection that was accepted just before the stop were closed at once, a caller that
     // sends its first request couldn't know whether it ran.
     for _ in 0..20 {
         let end = block_on(async {
-            let server = keeping().await;
+            let server = start_server_with_long_keep_time().await;
             let stream = support::connect(server.address());
             request_after_stop(&server, stream).await
         });
@@ -218,10 +218,10 @@
 }
 
 #[gtest]
-fn a_handler_hears_that_its_caller_is_gone() {
+fn a_handler_is_notified_when_its_caller_disconnects() {
     // Without the notification, an engine would keep generating for a caller that disconnected.
     block_on(async {
-        let (server, requests, _go_on) = gated().await;
+        let (server, requests, _responses) = start_gated_server().await;
         let mut stream = support::connect(server.address());
         support::send(
             &mut stream,
@@ -236,15 +236,15 @@
 }
 
 #[gtest]
-fn a_producer_hears_that_its_caller_is_gone() {
+fn a_producer_is_notified_when_its_caller_disconnects() {
     // A disconnect during a stream must be noticed even while the producer sends nothing.
     block_on(async {
-        let (server, requests, go_on) = gated().await;
+        let (server, requests, responses) = start_gated_server().await;
         let mut stream = support::connect(server.address());
         support::send(&mut stream, r"GET / HTTP/1.1\r\nhost: h\r\n\r\n");
         let request = requests.recv().await.unwrap();
         let (pieces, response) = Response::events(1);
-        go_on.send(response).await.unwrap();
+        responses.send(response).await.unwrap();
         pieces.send("data: one\n\n").await.unwrap();
         let mut seen = [0; 8];
         stream.read_exact(&mut seen).unwrap();
@@ -256,16 +256,16 @@
 }
 
 #[gtest]
-fn a_stream_whose_producer_died_is_cut() {
+fn a_stream_whose_producer_failed_lacks_its_last_chunk() {
     // If the producer fails halfway, the final chunk must be missing, so that the caller doesn't
     // take the partial response for a complete one.
     block_on(async {
-        let (server, requests, go_on) = gated().await;
+        let (server, requests, responses) = start_gated_server().await;
         let mut stream = support::connect(server.address());
         support::send(&mut stream, r"GET / HTTP/1.1\r\nhost: h\r\n\r\n");
         requests.recv().await.unwrap();
         let (pieces, response) = Response::events(1);
-        go_on.send(response).await.unwrap();
+        responses.send(response).await.unwrap();
         pieces.send("half").await.unwrap();
         drop(pieces);
         let mut all = String::new();
@@ -275,7 +275,7 @@
 }
 
 #[gtest]
-fn a_body_shorter_than_stated_is_cut() {
+fn a_body_shorter_than_its_length_closes_the_connection() {
     // The connection must close, or the caller would read the next response as the rest of this
     // body.
     block_on(async {
@@ -294,7 +294,7 @@
 }
 
 #[gtest]
-fn connections_beyond_the_limit_are_turned_away() {
+fn connections_beyond_the_limit_are_rejected() {
     block_on(async {
         let limits = Limits {
             max_connections: 1,
@@ -313,7 +313,7 @@
 }
 
 #[gtest]
-fn a_caller_that_reads_nothing_is_given_up() {
+fn a_caller_that_reads_nothing_is_disconnected() {
     // A caller that stops reading must not occupy the stream, and the engine behind it, forever.
     block_on(async {
         let limits = Limits {
@@ -334,7 +334,7 @@
 }
 
 #[gtest]
-fn an_idle_connection_is_closed_after_its_time() {
+fn an_idle_connection_is_closed_after_the_idle_timeout() {
     block_on(async {
         let limits = Limits {
             idle_time: Duration::from_millis(30),
