--- a/crates/barleyctl/src/client.rs
+++ b/crates/barleyctl/src/client.rs
@@ -12,7 +12,7 @@
 use futures::future::join_all;
 use gate::operator::{History, Refusal, Snapshot, Status};
 use gate::problem::{Problem, Reason};
-use http::{Method, Options, Pool, Repeat, Request, Response};
+use http::{Method, Options, Pool, Request, Response, RetryPolicy};
 use kernel::{HostName, SystemClock};
 use serde::de::DeserializeOwned;
 
@@ -49,7 +49,7 @@
                 connect: CONNECT.min(limit),
                 first_byte: limit,
                 total: limit,
-                repeat: Repeat::Idempotent,
+                retry_policy: RetryPolicy::Idempotent,
             },
         }
     }
--- a/crates/barleypind/src/call/attempt.rs
+++ b/crates/barleypind/src/call/attempt.rs
@@ -77,7 +77,7 @@
             connect: self.connect.min(self.total),
             first_byte: self.first_byte.min(self.total),
             total: self.total,
-            repeat: http::Repeat::Never,
+            retry_policy: http::RetryPolicy::Never,
         }
     }
 }
--- a/crates/barleypind/src/call/forward.rs
+++ b/crates/barleypind/src/call/forward.rs
@@ -93,7 +93,7 @@
         connect: cx.host.settings.http.connect,
         total: cx.host.settings.host.drain_limit,
         first_byte: cx.host.settings.host.drain_limit,
-        repeat: http::Repeat::Never,
+        retry_policy: http::RetryPolicy::Never,
     };
     cx.host
         .http
--- a/crates/barleypind/src/daemon.rs
+++ b/crates/barleypind/src/daemon.rs
@@ -150,7 +150,7 @@
         connect: settings.platform.connect,
         first_byte: settings.platform.request,
         total: settings.platform.request,
-        repeat: http::Repeat::Never,
+        retry_policy: http::RetryPolicy::Never,
     };
     let service = |address: SocketAddr| {
         let circuit = Circuit::new(host.incarnation().0, clients::Tuning::default());
--- a/crates/barleypind/src/service/drain.rs
+++ b/crates/barleypind/src/service/drain.rs
@@ -76,7 +76,7 @@
     let cut: usize = futures::future::join_all(stops)
         .await
         .iter()
-        .map(|it| it.left)
+        .map(|it| it.in_flight)
         .sum();
     cx.books.handle(ledger::Event::Drain);
     let held = timeout(left(host.now()), parts.drained.recv())
--- a/crates/barleypind/src/service/endpoints.rs
+++ b/crates/barleypind/src/service/endpoints.rs
@@ -203,7 +203,7 @@
             connect: REPORT_TIME,
             first_byte: REPORT_TIME,
             total: REPORT_TIME,
-            repeat: http::Repeat::Idempotent,
+            retry_policy: http::RetryPolicy::Idempotent,
         };
         let report = self.engine.load(&endpoint.at, &options).await;
         let report = report
--- a/crates/barleypind/src/tuning.rs
+++ b/crates/barleypind/src/tuning.rs
@@ -47,9 +47,9 @@
 pub(crate) fn http(settings: &Settings) -> http::Limits {
     let it = &settings.limits;
     http::Limits {
-        head_time: it.header_time,
-        body_time: it.body_time,
-        idle_time: it.idle_time,
+        head_timeout: it.header_time,
+        body_timeout: it.body_time,
+        idle_timeout: it.idle_time,
         max_body: it.max_body_bytes,
         max_connections: it.max_connections,
         ..http::Limits::default()
--- a/crates/clients/src/error.rs
+++ b/crates/clients/src/error.rs
@@ -17,7 +17,7 @@
     },
     /// The call had no effect and won't have one later.
     ///
-    /// For a call with [`http::Repeat::Idempotent`], this holds only for the last
+    /// For a call with [`http::RetryPolicy::Idempotent`], this holds only for the last
     /// attempt: an earlier one on a pooled connection may have taken effect.
     #[display("not applied: {_0}")]
     NotApplied(#[error(not(source))] Reason),
--- a/crates/clients/src/host_list.rs
+++ b/crates/clients/src/host_list.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use http::{Repeat, Request};
+use http::{Request, RetryPolicy};
 use kernel::{DataCentre, HostName, Incarnation, Region, ServiceName, VersionId};
 use serde::Deserialize;
 use serde_json::Value;
@@ -99,7 +99,7 @@
         let request = Request::get("/v1/hosts");
         let response: HostsResponse = self
             .service
-            .call(request, Repeat::Idempotent, response::parse_success)
+            .call(request, RetryPolicy::Idempotent, response::parse_success)
             .await?;
         let total = response.hosts.len();
         let hosts: Vec<Host> = response
--- a/crates/clients/src/objects.rs
+++ b/crates/clients/src/objects.rs
@@ -1,6 +1,6 @@
 //! Client of the object store.
 
-use http::{Body, Method, Repeat, Request, Status};
+use http::{Body, Method, Request, RetryPolicy, Status};
 
 use crate::percent::encode_url_part;
 use crate::response::{self, MAX_RESPONSE_BYTES};
@@ -30,7 +30,7 @@
         let target = format!("/v1/objects/{}", encode_url_part(name));
         let request = Request::new(Method::Put, target).body(Body::bytes(bytes));
         self.service
-            .call(request, Repeat::Idempotent, response::expect_success)
+            .call(request, RetryPolicy::Idempotent, response::expect_success)
             .await
     }
 
@@ -41,7 +41,7 @@
     pub async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         let request = Request::get(format!("/v1/objects/{}", encode_url_part(name)));
         self.service
-            .call(request, Repeat::Idempotent, async |response| {
+            .call(request, RetryPolicy::Idempotent, async |response| {
                 match response.status {
                     Status::Ok => {}
                     Status::NotFound => {
--- a/crates/clients/src/ratings.rs
+++ b/crates/clients/src/ratings.rs
@@ -1,6 +1,6 @@
 //! Client of the rating service.
 
-use http::{Repeat, Request};
+use http::{Request, RetryPolicy};
 use kernel::{HostName, ProfileName, RequestId, VersionId};
 use serde::{Deserialize, Serialize};
 
@@ -63,7 +63,7 @@
     pub async fn submit(&self, sample: &Sample) -> Result<(), Error> {
         let request = Request::post("/v1/ratings", sample);
         self.service
-            .call(request, Repeat::Never, response::expect_success)
+            .call(request, RetryPolicy::Never, response::expect_success)
             .await
     }
 
@@ -88,7 +88,7 @@
             .service
             .call(
                 Request::get(target),
-                Repeat::Idempotent,
+                RetryPolicy::Idempotent,
                 response::parse_success,
             )
             .await?;
--- a/crates/clients/src/service.rs
+++ b/crates/clients/src/service.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use http::{Client, Options, Repeat, Request, Response};
+use http::{Client, Options, Request, Response, RetryPolicy};
 use kernel::Clock;
 
 use crate::{Admission, Circuit, Error, Reason};
@@ -21,7 +21,7 @@
 
 impl Service {
     /// Creates a client of the service at `address`. `options` apply to every
-    /// call, except for `repeat`, which each call sets.
+    /// call, except for `retry_policy`, which each call sets.
     #[must_use]
     pub fn new(
         client: Client,
@@ -52,7 +52,7 @@
     pub(crate) async fn call<T>(
         &self,
         request: Request,
-        repeat: Repeat,
+        retry_policy: RetryPolicy,
         read: impl AsyncFnOnce(Response) -> Result<T, Error>,
     ) -> Result<T, Error> {
         let admission = self.with_circuit(|it| it.admit(self.clock.now()));
@@ -64,7 +64,7 @@
             admission: Some(admission),
         };
         let options = Options {
-            repeat,
+            retry_policy,
             ..self.options
         };
         let result = match self.client.send(self.address, request, &options).await {
--- a/crates/clients/src/table.rs
+++ b/crates/clients/src/table.rs
@@ -3,7 +3,7 @@
 mod row;
 mod transaction;
 
-use http::{Repeat, Request, Status};
+use http::{Request, RetryPolicy, Status};
 use serde::Deserialize;
 
 use crate::percent::encode_url_part;
@@ -49,7 +49,7 @@
         }
         let request = Request::post("/v1/transact", transaction);
         self.service
-            .call(request, Repeat::Never, async |response| {
+            .call(request, RetryPolicy::Never, async |response| {
                 if response.status != Status::Conflict {
                     return response::parse_success(response).await;
                 }
@@ -68,7 +68,7 @@
     pub async fn get(&self, key: &Key) -> Result<Option<Row>, Error> {
         let request = Request::get(format!("/v1/rows/{}", encode_url_part(&key.to_string())));
         self.service
-            .call(request, Repeat::Idempotent, async |response| {
+            .call(request, RetryPolicy::Idempotent, async |response| {
                 if response.status == Status::NotFound {
                     response::discard(response).await;
                     return Ok(None);
@@ -97,7 +97,7 @@
         self.service
             .call(
                 Request::get(target),
-                Repeat::Idempotent,
+                RetryPolicy::Idempotent,
                 response::parse_success,
             )
             .await
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,6 +1,6 @@
 //! The client of engines and plain services.
 
-use http::{Options, Repeat, Request, Response, Status};
+use http::{Options, Request, Response, RetryPolicy, Status};
 use serde::Deserialize;
 
 use crate::chat::{RequestBody, UnstreamedResponse};
@@ -72,7 +72,7 @@
         let mut body = response.body;
         let unstreamed: UnstreamedResponse = body.drain_json(MAX_CHAT_RESPONSE_BYTES).await?;
         unstreamed.into_answer(&attempt.wire_id()).map_err(|it| {
-            body.give_up();
+            body.discard_connection();
             Failure::Cut(FailureCause::Content(it))
         })
     }
@@ -240,7 +240,7 @@
 
 fn idempotent(options: &Options) -> Options {
     Options {
-        repeat: Repeat::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         ..*options
     }
 }
--- a/crates/engine/src/failure.rs
+++ b/crates/engine/src/failure.rs
@@ -109,7 +109,7 @@
     } = response;
     let bytes = body.drain(MAX_REFUSAL_BYTES).await?;
     if let Ok(refusal) = serde_json::from_slice::<Refusal>(&bytes) {
-        body.give_up();
+        body.discard_connection();
         return Ok(Reply::Refusal(refusal.error.code));
     }
     Ok(Reply::Other(Response {
--- a/crates/forward/src/attempt.rs
+++ b/crates/forward/src/attempt.rs
@@ -408,7 +408,7 @@
         head: &response::Head,
         response_fields: &ResponseFields,
     ) {
-        let may_keep = head.keep && !self.is_head();
+        let may_keep = head.keep_alive && !self.is_head();
         if let (true, Some(conn)) = (may_keep, upstream.into_clean()) {
             let node = self.node;
             node.pool.put(
--- a/crates/forward/src/attempt/stream.rs
+++ b/crates/forward/src/attempt/stream.rs
@@ -46,7 +46,7 @@
             if writer.has_pending() {
                 self.record_write(&mut last_write);
             }
-            let is_done = decoder.is_done() && !has_gap && !events.has_rest();
+            let is_done = decoder.is_done() && !has_gap && !events.has_unread();
             // A resumed stream may have no further events: the caller has the last one.
             if is_done && (call.has_started() || self.last_event.is_some()) {
                 if !call.has_started() {
--- a/crates/forward/src/caller.rs
+++ b/crates/forward/src/caller.rs
@@ -79,7 +79,7 @@
     request: Request,
 ) -> Persistence {
     let _active_request = node.track_request();
-    let persistence = if request.head.keep && node.phase() == Phase::Serving {
+    let persistence = if request.head.keep_alive && node.phase() == Phase::Serving {
         Persistence::KeepAlive
     } else {
         Persistence::Close
@@ -121,7 +121,7 @@
         Err(_) => return Incoming::Rejected(408),
     };
     let arrived = node.now();
-    if head.fields.lists("expect", "100-continue")
+    if head.fields.has_token("expect", "100-continue")
         && conn.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err()
     {
         return Incoming::End;
--- a/crates/forward/src/serve.rs
+++ b/crates/forward/src/serve.rs
@@ -45,7 +45,7 @@
             return Ok(());
         }
     };
-    if call.route.is_stream() && !request.head.reads_chunks {
+    if call.route.is_stream() && !request.head.supports_chunked {
         // Without chunked encoding the end of the connection marks the end of a stream, and
         // the caller can't tell a truncated stream from a complete one.
         response.send_local(LocalResponse::of(505)).await;
--- a/crates/framing/src/events.rs
+++ b/crates/framing/src/events.rs
@@ -47,7 +47,7 @@
 
     /// Returns whether unconsumed bytes are buffered.
     #[must_use]
-    pub fn has_rest(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         self.start < self.pending.len()
     }
 }
--- a/crates/framing/src/fields.rs
+++ b/crates/framing/src/fields.rs
@@ -64,7 +64,7 @@
 
     /// Returns whether a comma-separated field contains `token`, compared without regard to case.
     #[must_use]
-    pub fn lists(&self, name: &str, token: &str) -> bool {
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name)
             .flat_map(|it| it.split(|&byte| byte == b','))
             .any(|it| it.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
@@ -85,7 +85,7 @@
             "transfer-encoding",
             "upgrade",
         ];
-        NAMES.iter().any(|it| name.eq_ignore_ascii_case(it)) || self.lists("connection", name)
+        NAMES.iter().any(|it| name.eq_ignore_ascii_case(it)) || self.has_token("connection", name)
     }
 
     /// Returns the body's length as the fields state it, if they do.
--- a/crates/framing/src/request.rs
+++ b/crates/framing/src/request.rs
@@ -15,9 +15,9 @@
     /// The length of the body.
     pub length: Length,
     /// Whether the connection stays open for another request after this one.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// Whether the sender supports the chunked transfer coding, which HTTP/1.0 lacks.
-    pub reads_chunks: bool,
+    pub supports_chunked: bool,
 }
 
 impl Head {
@@ -46,8 +46,8 @@
             method: method.to_owned(),
             target: target.to_owned(),
             length: fields.length()?.unwrap_or(Length::Known(0)),
-            keep: minor == 1 && !fields.lists("connection", "close"),
-            reads_chunks: minor == 1,
+            keep_alive: minor == 1 && !fields.has_token("connection", "close"),
+            supports_chunked: minor == 1,
             fields,
         })
     }
--- a/crates/framing/src/response.rs
+++ b/crates/framing/src/response.rs
@@ -13,7 +13,7 @@
     /// The length of the body.
     pub length: Length,
     /// Whether the connection stays open for another request after this response.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl Head {
@@ -43,9 +43,9 @@
         Ok(Self {
             status,
             length,
-            keep: minor == 1
+            keep_alive: minor == 1
                 && length != Length::UntilClose
-                && !fields.lists("connection", "close"),
+                && !fields.has_token("connection", "close"),
             fields,
         })
     }
--- a/crates/framing/tests/framing.rs
+++ b/crates/framing/tests/framing.rs
@@ -8,7 +8,7 @@
     let actual = match request::Head::parse(head.as_bytes()) {
         Ok(it) => format!(
             "{} {} {:?} keep {}",
-            it.method, it.target, it.length, it.keep
+            it.method, it.target, it.length, it.keep_alive
         ),
         Err(err) => err.to_string(),
     };
@@ -18,7 +18,7 @@
 fn check_response(input: &str, method: &str, expect: &Expect) {
     let head = input.replace('\n', "\r\n");
     let actual = match response::Head::parse(head.as_bytes(), method) {
-        Ok(it) => format!("{} {:?} keep {}", it.status, it.length, it.keep),
+        Ok(it) => format!("{} {:?} keep {}", it.status, it.length, it.keep_alive),
         Err(err) => err.to_string(),
     };
     expect.assert_eq(&actual);
@@ -187,5 +187,5 @@
     }
     expect![[r#"[(Some(1), "id: 1\ndata: a\n\n"), (Some(2), "id: 2\ndata: b\n\n")]"#]]
         .assert_eq(&format!("{seen:?}"));
-    assert!(events.has_rest());
+    assert!(events.has_unread());
 }
--- a/crates/http/benches/churn.rs
+++ b/crates/http/benches/churn.rs
@@ -14,7 +14,7 @@
 
 use async_std::task::{self, sleep};
 use http::{
-    Body, Client, Limits, Method, Options, Pool, Repeat, Request, Response, Server, Status,
+    Body, Client, Limits, Method, Options, Pool, Request, Response, RetryPolicy, Server, Status,
 };
 use kernel::SystemClock;
 
@@ -43,35 +43,35 @@
     };
     if with_cost {
         let fresh = Pool {
-            warm: Duration::ZERO,
+            max_age_at_most_once: Duration::ZERO,
             ..Pool::default()
         };
         task::block_on(cost("kept", requests, Pool::default()));
         task::block_on(cost("fresh", requests, fresh));
     }
-    for repeat in [Repeat::Idempotent, Repeat::Never] {
+    for retry_policy in [RetryPolicy::Idempotent, RetryPolicy::Never] {
         if with_idle {
-            task::block_on(idle(requests, repeat));
+            task::block_on(idle(requests, retry_policy));
         }
         if with_drain {
-            task::block_on(drain(requests, repeat));
+            task::block_on(drain(requests, retry_policy));
         }
     }
 }
 
 /// Runs callers whose pause is about as long as the idle timeout of the servers.
-async fn idle(requests: usize, repeat: Repeat) {
+async fn idle(requests: usize, retry_policy: RetryPolicy) {
     let limits = Limits {
-        idle_time: IDLE_TIMEOUT,
+        idle_timeout: IDLE_TIMEOUT,
         ..Limits::default()
     };
     let cluster = Arc::new(Cluster::default());
     let _servers = cluster.start(&limits).await;
     let pool = Pool {
-        warm: IDLE_TIMEOUT / 2,
+        max_age_at_most_once: IDLE_TIMEOUT / 2,
         ..Pool::default()
     };
-    let load = Load::new(cluster, requests, repeat, pool, IDLE_TIMEOUT);
+    let load = Load::new(cluster, requests, retry_policy, pool, IDLE_TIMEOUT);
     load.run("idle").await;
 }
 
@@ -101,7 +101,7 @@
 }
 
 /// Runs callers against servers that are repeatedly drained and replaced.
-async fn drain(requests: usize, repeat: Repeat) {
+async fn drain(requests: usize, retry_policy: RetryPolicy) {
     let cluster = Arc::new(Cluster::default());
     let limits = Limits::default();
     let servers = cluster.start(&limits).await;
@@ -115,7 +115,7 @@
         })
         .collect();
     let pause = Duration::from_millis(10);
-    let load = Load::new(cluster, requests, repeat, Pool::default(), pause);
+    let load = Load::new(cluster, requests, retry_policy, Pool::default(), pause);
     load.run("drain").await;
     is_over.store(true, Ordering::Relaxed);
     let mut left = 0;
@@ -139,7 +139,7 @@
         left += server
             .drain(DRAIN_GRACE, Duration::from_secs(10))
             .await
-            .left;
+            .in_flight;
         server = next;
     }
     left
@@ -208,7 +208,7 @@
 struct Load {
     cluster: Arc<Cluster>,
     requests: usize,
-    repeat: Repeat,
+    retry_policy: RetryPolicy,
     pool: Pool,
     pause: Duration,
     sent: AtomicUsize,
@@ -219,14 +219,14 @@
     fn new(
         cluster: Arc<Cluster>,
         requests: usize,
-        repeat: Repeat,
+        retry_policy: RetryPolicy,
         pool: Pool,
         pause: Duration,
     ) -> Self {
         Self {
             cluster,
             requests,
-            repeat,
+            retry_policy,
             pool,
             pause,
             sent: AtomicUsize::new(0),
@@ -245,12 +245,15 @@
         }
         let outcomes = this.outcomes.lock().expect("the lock is not poisoned");
         let seconds = begin.elapsed().as_secs_f64();
-        println!("{name} {:?} in {seconds:.1} s: {outcomes:?}", this.repeat);
+        println!(
+            "{name} {:?} in {seconds:.1} s: {outcomes:?}",
+            this.retry_policy
+        );
     }
 
     async fn call(self: Arc<Self>, caller: usize, begin: Instant) {
         let options = Options {
-            repeat: self.repeat,
+            retry_policy: self.retry_policy,
             ..Options::default()
         };
         // With a shared client, the last used connection would always be recent.
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -129,7 +129,7 @@
     }
 
     /// Like [`Body::collect`], but keeps the body, so that a caller that doesn't accept the
-    /// response can still call [`Body::give_up`].
+    /// response can still call [`Body::discard_connection`].
     ///
     /// # Errors
     /// The errors of [`Body::collect`].
@@ -151,14 +151,14 @@
     }
 
     /// Like [`Body::parse`], but keeps the body. If the bytes don't parse as a `T`, they may
-    /// belong to the response to another request, and this calls [`Body::give_up`].
+    /// belong to the response to another request, and this calls [`Body::discard_connection`].
     ///
     /// # Errors
     /// The errors of [`Body::parse`].
     pub async fn drain_json<T: DeserializeOwned>(&mut self, limit: usize) -> Result<T, Error> {
         let bytes = self.drain(limit).await?;
         serde_json::from_slice(&bytes).map_err(|err| {
-            self.give_up();
+            self.discard_connection();
             Error::from(&err)
         })
     }
@@ -168,7 +168,7 @@
     /// If a peer sends two responses to one request, every later request on the connection gets
     /// the response to the request before it. Callers that detect such a response call this,
     /// because a new connection has no stale response to read.
-    pub fn give_up(&mut self) {
+    pub fn discard_connection(&mut self) {
         if let Source::Response { body, .. } = &mut self.source {
             body.discard_connection();
         }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -38,12 +38,12 @@
     /// Timeout from the call to the last byte of the response's body.
     pub total: Duration,
     /// Whether the request may be sent again after it may have reached the peer.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
 }
 
 /// Whether a request may be sent again after it may have reached the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It may, because running it twice has the same effect as running it once.
     Idempotent,
     /// It must reach the peer at most once.
@@ -56,7 +56,7 @@
             connect: Duration::from_secs(1),
             first_byte: Duration::from_secs(10),
             total: Duration::from_secs(30),
-            repeat: Repeat::Never,
+            retry_policy: RetryPolicy::Never,
         }
     }
 }
@@ -74,9 +74,9 @@
     /// received; the body is streamed.
     ///
     /// If a pooled connection turns out to be closed before any byte of a response, the request
-    /// is sent again on another connection, provided that [`Options::repeat`] allows it and that
-    /// the body is in memory. Other requests use a new connection, or one that was used less than
-    /// [`Pool::warm`] ago.
+    /// is sent again on another connection, provided that [`Options::retry_policy`] allows it and
+    /// that the body is in memory. Other requests use a new connection, or one that was used less
+    /// than [`Pool::max_age_at_most_once`] ago.
     ///
     /// # Errors
     /// [`Error::NotSent`], [`Error::MaybeSent`] or [`Error::Cut`], depending on how far the
@@ -89,15 +89,15 @@
     ) -> Result<Response, Error> {
         let deadline = Instant::now() + options.total;
         let mut body = std::mem::take(&mut request.body);
-        let reuse = match (options.repeat, body.try_clone()) {
-            (Repeat::Idempotent, Some(_)) => Reuse::AnyOpen,
+        let reuse = match (options.retry_policy, body.try_clone()) {
+            (RetryPolicy::Idempotent, Some(_)) => Reuse::AnyOpen,
             _ => Reuse::Recent,
         };
         while let Some(conn) = self.pool.take(to, reuse).await {
-            let body_copy = body.try_clone();
+            let copy = body.try_clone();
             let exchange = self.exchange(conn, to, &request, body, options, deadline);
-            match (exchange.await, body_copy) {
-                (Err(err), Some(body_copy)) if may_retry(err, options.repeat) => body = body_copy,
+            match (exchange.await, copy) {
+                (Err(err), Some(copy)) if may_retry(err, options.retry_policy) => body = copy,
                 (result, _) => return result,
             }
         }
@@ -138,10 +138,10 @@
 ///
 /// A connection that the peer closed while it was idle fails before any byte of a response. The
 /// peer may still have acted on the request.
-fn may_retry(err: Error, repeat: Repeat) -> bool {
+fn may_retry(err: Error, retry_policy: RetryPolicy) -> bool {
     match err {
         Error::NotSent(Cause::Closed) => true,
-        Error::MaybeSent(Cause::Closed) => repeat == Repeat::Idempotent,
+        Error::MaybeSent(Cause::Closed) => retry_policy == RetryPolicy::Idempotent,
         _ => false,
     }
 }
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -19,7 +19,7 @@
     /// Maximum age of an idle connection for a request that must not be sent twice. Should be
     /// shorter, by more than the network latency, than the time for which peers keep a connection
     /// open after a response.
-    pub warm: Duration,
+    pub max_age_at_most_once: Duration,
 }
 
 impl Default for Pool {
@@ -27,7 +27,7 @@
         Self {
             max_idle: 256,
             max_age: Duration::from_secs(20),
-            warm: Duration::from_millis(500),
+            max_age_at_most_once: Duration::from_millis(500),
         }
     }
 }
@@ -71,7 +71,7 @@
     pub(super) async fn take(&self, to: SocketAddr, reuse: Reuse) -> Option<Conn> {
         let max_age = match reuse {
             Reuse::AnyOpen => self.limits.max_age,
-            Reuse::Recent => self.limits.warm.min(self.limits.max_age),
+            Reuse::Recent => self.limits.max_age_at_most_once.min(self.limits.max_age),
         };
         while let Some(conn) = self.pop(to, max_age) {
             if conn.is_idle().await {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -18,7 +18,7 @@
 mod write;
 
 pub use body::{Body, Sender};
-pub use client::{Client, Options, Pool, Repeat};
+pub use client::{Client, Options, Pool, RetryPolicy};
 pub use error::{Cause, Error};
 pub use headers::Headers;
 pub use http_types::{Method, StatusCode as Status};
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drained {
     /// Number of requests still in flight at its end.
-    pub left: usize,
+    pub in_flight: usize,
 }
 
 impl Server {
@@ -94,8 +94,9 @@
     /// connections. Then accepts no more connections and waits up to `limit` for requests in
     /// flight and for connections on which a request may be about to arrive.
     ///
-    /// If `grace` is at least [`Limits::keep_time`], callers whose
-    /// [`Pool::warm`](crate::Pool::warm) is shorter lose no request that must not be sent twice.
+    /// If `grace` is at least [`Limits::min_open_time`], callers whose
+    /// [`Pool::max_age_at_most_once`](crate::Pool::max_age_at_most_once) is shorter lose no
+    /// request that must not be sent twice.
     pub async fn drain(&self, grace: Duration, limit: Duration) -> Drained {
         self.shared.begin_drain();
         if !grace.is_zero() {
@@ -104,7 +105,7 @@
         self.shared.stop();
         let _ = timeout(limit, self.shared.wait_finished()).await;
         Drained {
-            left: self.shared.in_flight(),
+            in_flight: self.shared.in_flight(),
         }
     }
 }
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -51,14 +51,15 @@
 ///
 /// A caller that has just connected, or has just received a response on a kept connection, may
 /// already have sent a request. If the connection were closed at once, the caller couldn't tell
-/// whether the request ran. The connection therefore stays open for the keep time, counted from
-/// the start of the wait; connections that were idle throughout the drain's grace close at once.
+/// whether the request ran. The connection therefore stays open for the minimum open time,
+/// counted from the start of the wait; connections that were idle throughout the drain's grace
+/// close at once.
 async fn await_request(conn: &Conn, shared: &Shared) -> bool {
     let since = Instant::now();
-    let first = timeout(shared.limits.idle_time, conn.wait_first_byte());
+    let first = timeout(shared.limits.idle_timeout, conn.wait_first_byte());
     let stop = async {
         shared.wait_stopped().await;
-        sleep(shared.limits.keep_time.saturating_sub(since.elapsed())).await;
+        sleep(shared.limits.min_open_time.saturating_sub(since.elapsed())).await;
     };
     pin_mut!(first, stop);
     matches!(select(first, stop).await, Either::Left((Ok(Ok(())), _)))
@@ -133,7 +134,7 @@
     let written = copy_to_stream(
         &mut encoder,
         conn.stream(),
-        shared.limits.write_time,
+        shared.limits.write_timeout,
         &mut sent,
     );
     match watch.until_disconnect(written).await {
--- a/crates/http/src/server/head.rs
+++ b/crates/http/src/server/head.rs
@@ -30,7 +30,7 @@
 pub(super) async fn read(conn: &Conn, shared: &Shared) -> Result<Option<Head>, Refusal> {
     let limits = &shared.limits;
     let head = conn.read_head(limits.max_head, HeadPolicy::Strict);
-    match timeout(limits.head_time, head).await {
+    match timeout(limits.head_timeout, head).await {
         Ok(Ok(())) => {}
         Ok(Err(HeadError::Closed | HeadError::Broken(_))) => return Ok(None),
         Ok(Err(HeadError::TooLarge)) => {
@@ -94,7 +94,13 @@
     request.headers = h1::decode_headers(decoded.as_ref());
     if len != Some(0) {
         let body = decoded.take_body();
-        let reader = RequestBody::new(body, conn.clone(), len, limits.max_body, limits.body_time);
+        let reader = RequestBody::new(
+            body,
+            conn.clone(),
+            len,
+            limits.max_body,
+            limits.body_timeout,
+        );
         request.body = Body::reader(reader, len);
     }
     // The library may have read and dropped bytes after a chunked body.
--- a/crates/http/src/server/refusal.rs
+++ b/crates/http/src/server/refusal.rs
@@ -67,7 +67,8 @@
     message.insert_header(CONNECTION, "close");
     let mut encoder = async_h1::server::Encoder::new(message, Method::Get);
     let mut sent = 0;
-    let written = copy_to_stream(&mut encoder, stream, shared.limits.write_time, &mut sent).await;
+    let written =
+        copy_to_stream(&mut encoder, stream, shared.limits.write_timeout, &mut sent).await;
     if written.is_ok() {
         linger(stream).await;
     }
--- a/crates/http/tests/suite/client.rs
+++ b/crates/http/tests/suite/client.rs
@@ -8,7 +8,7 @@
 
 use async_std::task::block_on;
 use datadriven::{TestCase, walk};
-use http::{Body, Cause, Client, Error, Method, Options, Pool, Repeat, Request};
+use http::{Body, Cause, Client, Error, Method, Options, Pool, Request, RetryPolicy};
 use kernel::{ManualClock, SystemClock};
 
 use crate::{message, support};
@@ -92,16 +92,16 @@
         .unwrap()
         .unwrap_or(30_000);
     let total = case.try_take_arg("total-ms").unwrap().unwrap_or(60_000);
-    let repeat = if case.take_flag("idempotent").unwrap() {
-        Repeat::Idempotent
+    let retry_policy = if case.take_flag("idempotent").unwrap() {
+        RetryPolicy::Idempotent
     } else {
-        Repeat::Never
+        RetryPolicy::Never
     };
     let options = Options {
         connect: Duration::from_secs(30),
         first_byte: Duration::from_millis(first_byte),
         total: Duration::from_millis(total),
-        repeat,
+        retry_policy,
     };
     let peer = Peer::start(&case.input);
     let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
@@ -185,8 +185,8 @@
 }
 
 /// Returns the responses to three requests to a peer that keeps its connections open. The second
-/// request follows the first at once, the third after [`Pool::warm`].
-fn responses_on_idle_connection(repeat: Repeat) -> Vec<String> {
+/// request follows the first at once, the third after [`Pool::max_age_at_most_once`].
+fn responses_on_idle_connection(retry_policy: RetryPolicy) -> Vec<String> {
     let response = |text: &str| {
         format!("recv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 5\\r\\n\\r\\n{text}\n")
     };
@@ -202,12 +202,12 @@
     let pool = Pool::default();
     let client = Client::new(Arc::clone(&clock) as _, pool);
     let options = Options {
-        repeat,
+        retry_policy,
         ..Options::default()
     };
     let send = || block_on(send_request(&client, peer.address, Method::Post, &options));
     let mut lines = vec![send(), send()];
-    clock.advance(pool.warm);
+    clock.advance(pool.max_age_at_most_once);
     lines.push(send());
     lines
 }
@@ -216,13 +216,13 @@
 fn an_at_most_once_request_needs_a_recently_used_connection() {
     // A peer may close an idle connection just when a request is written to it, and the caller
     // can't know whether it ran. A recently used connection can't be about to be closed.
-    let lines = responses_on_idle_connection(Repeat::Never);
+    let lines = responses_on_idle_connection(RetryPolicy::Never);
     assert_eq!(lines, ["200 first", "200 again", "200 fresh"]);
 }
 
 #[test]
 fn an_idempotent_request_uses_any_open_connection() {
-    let lines = responses_on_idle_connection(Repeat::Idempotent);
+    let lines = responses_on_idle_connection(RetryPolicy::Idempotent);
     assert_eq!(lines, ["200 first", "200 again", "200 third"]);
 }
 
--- a/crates/http/tests/suite/round_trip.rs
+++ b/crates/http/tests/suite/round_trip.rs
@@ -69,7 +69,7 @@
         pieces.finish().await.unwrap();
         expect_that!(body.piece().await, ok(none()));
         let drained = server.drain(Duration::ZERO, Duration::from_secs(5)).await;
-        expect_that!(drained.left, eq(0));
+        expect_that!(drained.in_flight, eq(0));
     });
 }
 
--- a/crates/http/tests/suite/server.rs
+++ b/crates/http/tests/suite/server.rs
@@ -34,10 +34,10 @@
     let answers = case.try_take_arg("answers").unwrap().unwrap_or(1);
     let mut limits = Limits::default();
     if let Some(ms) = case.try_take_arg("head-ms").unwrap() {
-        limits.head_time = Duration::from_millis(ms);
+        limits.head_timeout = Duration::from_millis(ms);
     }
     if let Some(ms) = case.try_take_arg("body-ms").unwrap() {
-        limits.body_time = Duration::from_millis(ms);
+        limits.body_timeout = Duration::from_millis(ms);
     }
     if let Some(max) = case.try_take_arg("max-body").unwrap() {
         limits.max_body = max;
@@ -137,14 +137,14 @@
         requests.recv().await.unwrap();
 
         let drained_at_once = server.drain(Duration::ZERO, Duration::ZERO).await;
-        expect_that!(drained_at_once.left, eq(1));
+        expect_that!(drained_at_once.in_flight, eq(1));
 
         responses
             .send(Response::text(Status::Ok, "whole"))
             .await
             .unwrap();
         let drained = server.drain(Duration::ZERO, Duration::from_secs(30)).await;
-        expect_that!(drained.left, eq(0));
+        expect_that!(drained.in_flight, eq(0));
         let (head, body) = message::read_message(&mut stream).unwrap();
         expect_that!(head, contains_substring("connection: close"));
         expect_that!(body, eq("whole"));
@@ -163,10 +163,10 @@
     });
 }
 
-/// Starts a server whose keep time is longer than any test.
-async fn start_server_with_long_keep_time() -> Server {
+/// Starts a server whose minimum open time is longer than any test.
+async fn start_server_with_long_min_open_time() -> Server {
     let limits = Limits {
-        keep_time: Duration::from_mins(1),
+        min_open_time: Duration::from_mins(1),
         ..Limits::default()
     };
     Server::bind(LOCAL, limits, echo).await.unwrap()
@@ -184,7 +184,7 @@
     let drained = drain.await;
     let (head, body) = response.unwrap_or_default();
     let is_closing = head.contains("connection: close");
-    format!("{body}, closing: {is_closing}, left: {}", drained.left)
+    format!("{body}, closing: {is_closing}, left: {}", drained.in_flight)
 }
 
 #[gtest]
@@ -193,7 +193,7 @@
     // caller that sends its next request couldn't know whether it ran.
     for _ in 0..20 {
         let end = block_on(async {
-            let server = start_server_with_long_keep_time().await;
+            let server = start_server_with_long_min_open_time().await;
             let mut stream = support::connect(server.address());
             support::send(&mut stream, r"GET / HTTP/1.1\r\nhost: h\r\n\r\n");
             message::read_message(&mut stream).unwrap();
@@ -209,7 +209,7 @@
     // sends its first request couldn't know whether it ran.
     for _ in 0..20 {
         let end = block_on(async {
-            let server = start_server_with_long_keep_time().await;
+            let server = start_server_with_long_min_open_time().await;
             let stream = support::connect(server.address());
             request_after_stop(&server, stream).await
         });
@@ -317,7 +317,7 @@
     // A caller that stops reading must not occupy the stream, and the engine behind it, forever.
     block_on(async {
         let limits = Limits {
-            write_time: Duration::from_millis(30),
+            write_timeout: Duration::from_millis(30),
             ..Limits::default()
         };
         let (pieces, body) = Body::channel(1);
@@ -337,7 +337,7 @@
 fn an_idle_connection_is_closed_after_the_idle_timeout() {
     block_on(async {
         let limits = Limits {
-            idle_time: Duration::from_millis(30),
+            idle_timeout: Duration::from_millis(30),
             ..Limits::default()
         };
         let server = Server::bind(LOCAL, limits, echo).await.unwrap();
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use http::{Options, Pool, Repeat, Request, Status};
+use http::{Options, Pool, Request, RetryPolicy, Status};
 use kernel::SystemClock;
 use serde_json::Value;
 
@@ -41,7 +41,7 @@
             connect: Duration::from_secs(2),
             first_byte: limit,
             total: limit,
-            repeat: Repeat::Never,
+            retry_policy: RetryPolicy::Never,
         };
         let res = self.http.send(to, request, &options).await;
         let res = res.map_err(|err| err.to_string())?;
--- a/xtask/src/caller.rs
+++ b/xtask/src/caller.rs
@@ -12,7 +12,7 @@
 
 use async_std::task;
 use gate::problem::{Problem, Reason, Run};
-use http::{Client, Options, Repeat, Response};
+use http::{Client, Options, Response, RetryPolicy};
 use kernel::Clock;
 
 use crate::caller::hosts::Hosts;
@@ -53,7 +53,7 @@
             connect: Duration::from_millis(500),
             first_byte: Duration::from_secs(6),
             total: Duration::from_secs(12),
-            repeat: Repeat::Never,
+            retry_policy: RetryPolicy::Never,
         };
         let hosts = Hosts::new(Arc::clone(&clock), start, data_centre);
         Self {
--- a/xtask/src/caller/hosts.rs
+++ b/xtask/src/caller/hosts.rs
@@ -105,7 +105,7 @@
             connect: Duration::from_millis(300),
             first_byte: Duration::from_secs(1),
             total: Duration::from_secs(2),
-            repeat: http::Repeat::Idempotent,
+            retry_policy: http::RetryPolicy::Idempotent,
         };
         let res = client.send(host, request, &options).await.ok()?;
         if !res.status.is_success() {
--- a/xtask/src/load/target.rs
+++ b/xtask/src/load/target.rs
@@ -8,7 +8,7 @@
 use async_std::task;
 use futures::future::join_all;
 use gate::problem::Problem;
-use http::{Body, Client, Options, Repeat, Request};
+use http::{Body, Client, Options, Request, RetryPolicy};
 use serde_json::json;
 
 use crate::load::measure::Measure;
@@ -120,7 +120,7 @@
 
     async fn ask(&self, work: Work, due: Instant) -> Answered {
         let options = Options {
-            repeat: Repeat::Idempotent,
+            retry_policy: RetryPolicy::Idempotent,
             ..Options::default()
         };
         let request = self.request(work);
