--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -72,7 +72,7 @@
 }
 
 impl Error {
-    /// Converts an error of reading a body. An [`Error`] that was wrapped in an [`io::Error`],
+    /// Converts an error of reading a body. An `Error` that was wrapped in an [`io::Error`],
     /// such as [`Error::TooLarge`], is unwrapped.
     pub(crate) fn body(err: &io::Error) -> Self {
         match err.get_ref().and_then(|it| it.downcast_ref::<Self>()) {
--- a/crates/http/tests/suite/server.rs
+++ b/crates/http/tests/suite/server.rs
@@ -31,7 +31,7 @@
 }
 
 fn raw(case: &mut TestCase) -> String {
-    let answers = case.try_take_arg("answers").unwrap().unwrap_or(1);
+    let responses = case.try_take_arg("answers").unwrap().unwrap_or(1);
     let mut limits = Limits::default();
     if let Some(ms) = case.try_take_arg("head-ms").unwrap() {
         limits.head_timeout = Duration::from_millis(ms);
@@ -51,7 +51,7 @@
     support::send(&mut stream, &input);
     let mut output = String::new();
     let mut is_closed = false;
-    for _ in 0..answers {
+    for _ in 0..responses {
         let Some((head, body)) = message::read_message(&mut stream) else {
             output.push_str("closed without a response\n");
             return output;
