--- a/crates/framing/src/response.rs
+++ b/crates/framing/src/response.rs
@@ -1,9 +1,9 @@
-//! Answers.
+//! Parsing of response heads.
 
 use crate::head::{MAX_FIELDS, check_line_ends};
 use crate::{Error, Fields, Length};
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// The status code.
@@ -12,28 +12,28 @@
     pub fields: Fields,
     /// The length of the body.
     pub length: Length,
-    /// Whether the connection takes another request after this answer.
-    pub keep: bool,
+    /// Whether the connection stays open for another request after this response.
+    pub keep_alive: bool,
 }
 
 impl Head {
-    /// Parses a whole head, its blank line included, as the answer to a request
-    /// with this method.
+    /// Parses a complete head, including its blank line, of the response to a request with this
+    /// method.
     ///
     /// # Errors
-    /// [`Error::Malformed`] for what isn't an answer, [`Error::TooLarge`] for
+    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooLarge`] if it has
     /// too many fields.
     pub fn parse(bytes: &[u8], method: &str) -> Result<Self, Error> {
         check_line_ends(bytes)?;
-        let mut space = [httparse::EMPTY_HEADER; MAX_FIELDS];
-        let mut parsed = httparse::Response::new(&mut space);
+        let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut parsed = httparse::Response::new(&mut headers);
         if parsed.parse(bytes)?.is_partial() {
             return Err(Error::Malformed);
         }
         let (Some(status), Some(minor)) = (parsed.code, parsed.version) else {
             return Err(Error::Malformed);
         };
-        let fields = Fields::copy(parsed.headers);
+        let fields = Fields::from_parsed(parsed.headers);
         let bodiless = method == "HEAD" || matches!(status, 100..200 | 204 | 304);
         let length = match fields.length()? {
             _ if bodiless => Length::Known(0),
@@ -43,20 +43,20 @@
         Ok(Self {
             status,
             length,
-            keep: minor == 1
+            keep_alive: minor == 1
                 && length != Length::UntilClose
-                && !fields.lists("connection", "close"),
+                && !fields.has_token("connection", "close"),
             fields,
         })
     }
 
-    /// Whether this only announces the answer that counts.
+    /// Returns whether this is an interim response (1xx), which precedes the final one.
     #[must_use]
     pub fn is_informational(&self) -> bool {
         (100..200).contains(&self.status)
     }
 
-    /// Whether the status says that the request succeeded.
+    /// Returns whether the status is a success (2xx).
     #[must_use]
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
--- a/crates/framing/tests/framing.rs
+++ b/crates/framing/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies and events as a relay meets them.
+//! Tests of parsing heads, decoding bodies and splitting event streams.
 
 use expect_test::{Expect, expect};
 use framing::{Decoder, Events, Length, head_end, request, response};
@@ -8,7 +8,7 @@
     let actual = match request::Head::parse(head.as_bytes()) {
         Ok(it) => format!(
             "{} {} {:?} keep {}",
-            it.method, it.target, it.length, it.keep
+            it.method, it.target, it.length, it.keep_alive
         ),
         Err(err) => err.to_string(),
     };
@@ -18,19 +18,19 @@
 fn check_response(input: &str, method: &str, expect: &Expect) {
     let head = input.replace('\n', "\r\n");
     let actual = match response::Head::parse(head.as_bytes(), method) {
-        Ok(it) => format!("{} {:?} keep {}", it.status, it.length, it.keep),
+        Ok(it) => format!("{} {:?} keep {}", it.status, it.length, it.keep_alive),
         Err(err) => err.to_string(),
     };
     expect.assert_eq(&actual);
 }
 
-/// Feeds the input in pieces of every size and expects the same from each.
+/// Decodes the input in pieces of every size and expects the same result from each.
 fn check_body(length: Length, input: &str, expect: &Expect) {
     let mut seen: Option<String> = None;
     for size in 1..=input.len() {
         let actual = decode(length, input.as_bytes(), size);
         if let Some(seen) = &seen {
-            assert_eq!(*seen, actual, "in pieces of {size}");
+            assert_eq!(*seen, actual, "decoded in pieces of {size} bytes");
         }
         seen = Some(actual);
     }
@@ -73,12 +73,11 @@
     );
 }
 
-/// A caller sends a request that the relay and the endpoint would end at
-/// different places; what is left over is run as a second request that nobody
-/// checked. Every head that can be read in two ways is refused.
+/// Guards against request smuggling: if the relay and the endpoint disagree on where a request
+/// ends, the endpoint runs the rest as a request that the relay never checked.
 #[test]
-fn a_request_that_can_be_read_in_two_ways_is_refused() {
-    let two_ways = [
+fn an_ambiguous_request_is_rejected() {
+    let ambiguous = [
         "POST / HTTP/1.1\nHost: a\nContent-Length: 3\nTransfer-Encoding: chunked\n\n",
         "POST / HTTP/1.1\nHost: a\nContent-Length: 3\nContent-Length: 5\n\n",
         "POST / HTTP/1.1\nHost: a\nContent-Length: 3, 3\n\n",
@@ -91,13 +90,13 @@
         "POST / HTTP/1.1\nHost : a\n\n",
         "POST / HTTP/1.1\nHost: a\n folded: b\n\n",
     ];
-    for it in two_ways {
-        check_request(it, &expect!["malformed message"]);
+    for it in ambiguous {
+        check_request(it, &expect!["message is malformed"]);
     }
-    let lone = b"GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n";
-    assert!(request::Head::parse(lone).is_err());
-    let lone = b"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n";
-    assert!(request::Head::parse(lone).is_err());
+    let bare = b"GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n";
+    assert!(request::Head::parse(bare).is_err());
+    let bare = b"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n";
+    assert!(request::Head::parse(bare).is_err());
 }
 
 #[test]
@@ -107,7 +106,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection() {
+fn a_response_without_a_length_ends_with_its_connection() {
     check_response(
         "HTTP/1.1 200 OK\nA: b\n\n",
         "GET",
@@ -140,7 +139,7 @@
     check_body(
         Length::Known(9),
         "abc",
-        &expect![[r#""abc" open, at close message broken off, rest """#]],
+        &expect![[r#""abc" open, at close message is incomplete, rest """#]],
     );
     check_body(
         Length::UntilClose,
@@ -155,29 +154,29 @@
     check_body(
         Length::Chunked,
         "3\r\nabc\r\n0\r\n",
-        &expect![[r#""abc" open, at close message broken off, rest """#]],
+        &expect![[r#""abc" open, at close message is incomplete, rest """#]],
     );
     check_body(
         Length::Chunked,
         "3\r\nabcd\r\n0\r\n\r\n",
-        &expect!["malformed message"],
+        &expect!["message is malformed"],
     );
     check_body(
         Length::Chunked,
         "-3\r\nabc\r\n",
-        &expect!["malformed message"],
+        &expect!["message is malformed"],
     );
     check_body(
         Length::Chunked,
         "ffffffffffffffff\r\nabc",
-        &expect!["malformed message"],
+        &expect!["message is malformed"],
     );
 }
 
-/// An endpoint dies in the middle of an event. The caller must not get the half
-/// of it, which would look like a whole one once the stream goes on elsewhere.
+/// Guards against forwarding part of an event when an endpoint fails within it: the caller would
+/// join it with the events of the endpoint that continues the stream.
 #[test]
-fn half_an_event_is_not_taken() {
+fn an_incomplete_event_is_not_returned() {
     let mut events = Events::default();
     let mut seen = Vec::new();
     for piece in ["id: 1\ndata: a\n\nid: 2\nda", "ta: b\n", "\nid: 3\ndata: c"] {
@@ -188,5 +187,5 @@
     }
     expect![[r#"[(Some(1), "id: 1\ndata: a\n\n"), (Some(2), "id: 2\ndata: b\n\n")]"#]]
         .assert_eq(&format!("{seen:?}"));
-    assert!(events.has_rest());
+    assert!(events.has_unread());
 }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,7 +1,7 @@
-//! The client: requests to peers named by address, over pooled connections.
+//! HTTP client that sends requests to peers by address, over pooled connections.
 
-mod answer;
 mod pool;
+mod response_body;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,41 +11,42 @@
 use async_std::net::TcpStream;
 use kernel::Clock;
 
-use crate::conn::{Conn, Foreign, HeadError, MAX_HEAD};
+use crate::conn::{Conn, HeadError, HeadPolicy, MAX_HEAD};
 use crate::h1;
-use crate::relay::{RelayError, relay};
+use crate::write::{CopyError, copy_to_stream};
 use crate::{Body, Cause, Error, Request, Response};
 
-use pool::Need;
+use pool::Reuse;
 
-pub(crate) use answer::Answer;
 pub use pool::Pool;
+pub(crate) use response_body::ResponseBody;
 
-/// Sends requests and keeps connections for the next ones. Clones share them.
+/// An HTTP client with a connection pool. Clones share the pool.
 #[derive(Clone)]
 pub struct Client {
-    idle: Arc<pool::Idle>,
+    pool: Arc<pool::ConnPool>,
 }
 
-/// What the caller grants to one request.
+/// Timeouts and retry policy of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Time to open a connection, when no pooled one is fit.
+    /// Timeout of opening a connection, if no pooled one is usable.
     pub connect: Duration,
-    /// Time from the request's last byte to the answer's first.
+    /// Timeout from the end of sending the request to the first byte of the response. It applies
+    /// anew after each interim response.
     pub first_byte: Duration,
-    /// Time from the call to the last byte of the answer's body.
+    /// Timeout from the call to the last byte of the response's body.
     pub total: Duration,
-    /// Whether the request may reach its peer twice.
-    pub repeat: Repeat,
+    /// Whether the request may be sent again after it may have reached the peer.
+    pub retry_policy: RetryPolicy,
 }
 
-/// Whether a request may reach its peer twice.
+/// Whether a request may be sent again after it may have reached the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    /// It may: the second has no further effect.
+pub enum RetryPolicy {
+    /// It may, because running it twice has the same effect as running it once.
     Idempotent,
-    /// It may not.
+    /// It must reach the peer at most once.
     Never,
 }
 
@@ -55,30 +56,31 @@
             connect: Duration::from_secs(1),
             first_byte: Duration::from_secs(10),
             total: Duration::from_secs(30),
-            repeat: Repeat::Never,
+            retry_policy: RetryPolicy::Never,
         }
     }
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client with an empty connection pool.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, pool: Pool) -> Self {
         Self {
-            idle: Arc::new(pool::Idle::new(clock, pool)),
+            pool: Arc::new(pool::ConnPool::new(clock, pool)),
         }
     }
 
-    /// Sends `request` to the peer at `to` and returns once the answer's head
-    /// is there; its body is read as it comes.
+    /// Sends `request` to the peer at `to` and returns as soon as the response's head has been
+    /// received; the body is streamed.
     ///
-    /// A pooled connection that turns out to be closed before any byte of an
-    /// answer is replaced by a fresh one, when [`Options::repeat`] allows it and
-    /// the body's bytes are all there. Any other request is written to a fresh
-    /// connection or to one that was used less than [`Pool::warm`] ago.
+    /// If a pooled connection turns out to be closed before any byte of a response, the request
+    /// is sent again on another connection, provided that [`Options::retry_policy`] allows it and
+    /// that the body is in memory. Other requests use a new connection, or one that was used less
+    /// than [`Pool::max_age_at_most_once`] ago.
     ///
     /// # Errors
-    /// [`Error::NotSent`], [`Error::MaybeSent`] or [`Error::Cut`], precisely.
+    /// [`Error::NotSent`], [`Error::MaybeSent`] or [`Error::Cut`], depending on how far the
+    /// exchange got.
     pub async fn send(
         &self,
         to: SocketAddr,
@@ -87,19 +89,19 @@
     ) -> Result<Response, Error> {
         let deadline = Instant::now() + options.total;
         let mut body = std::mem::take(&mut request.body);
-        let need = match (options.repeat, body.try_clone()) {
-            (Repeat::Idempotent, Some(_)) => Need::Open,
-            _ => Need::Warm,
+        let reuse = match (options.retry_policy, body.try_clone()) {
+            (RetryPolicy::Idempotent, Some(_)) => Reuse::AnyOpen,
+            _ => Reuse::Recent,
         };
-        while let Some(conn) = self.idle.take(to, need).await {
-            let spare = body.try_clone();
+        while let Some(conn) = self.pool.take(to, reuse).await {
+            let copy = body.try_clone();
             let exchange = self.exchange(conn, to, &request, body, options, deadline);
-            match (exchange.await, spare) {
-                (Err(err), Some(spare)) if may_repeat(err, options.repeat) => body = spare,
+            match (exchange.await, copy) {
+                (Err(err), Some(copy)) if may_retry(err, options.retry_policy) => body = copy,
                 (result, _) => return result,
             }
         }
-        let conn = connect(to, options.connect.min(left(deadline))).await?;
+        let conn = connect(to, options.connect.min(time_left(deadline))).await?;
         self.exchange(conn, to, &request, body, options, deadline)
             .await
     }
@@ -117,27 +119,29 @@
             h1::encode_request(request, to, body).ok_or(Error::NotSent(Cause::Malformed))?;
         let head = match write(&conn, encoded, deadline).await {
             Ok(()) => read_final_head(&conn, options.first_byte, deadline).await?,
-            // A peer may answer and close before it took the whole body: its
-            // refusal says more than the broken connection.
-            Err(Unwritten::Refused(err @ Error::MaybeSent(Cause::Closed))) => {
-                let early = read_final_head(&conn, options.first_byte, deadline).await;
-                early.map_err(|_| err)?
+            // A peer may reject the request and close before it has read the whole body. Its
+            // response, if there is one, is more useful than the write error.
+            Err(WriteError::Connection(err @ Error::MaybeSent(Cause::Closed))) => {
+                let early_head = read_final_head(&conn, options.first_byte, deadline).await;
+                early_head.map_err(|_| err)?
             }
-            Err(Unwritten::Refused(err) | Unwritten::BrokeOff(err)) => return Err(err),
+            Err(WriteError::Connection(err) | WriteError::Body(err)) => return Err(err),
         };
-        let idle = Arc::clone(&self.idle);
-        answer::open(head, request.method, conn, deadline, move |conn| {
-            idle.put(to, conn);
+        let pool = Arc::clone(&self.pool);
+        response_body::build_response(head, request.method, conn, deadline, move |conn| {
+            pool.put(to, conn);
         })
     }
 }
 
-/// A connection that was closed in the pool shows as closed before any byte
-/// of an answer. The request may have been acted on all the same.
-fn may_repeat(err: Error, repeat: Repeat) -> bool {
+/// Returns whether a request that failed on a pooled connection may be sent on another one.
+///
+/// A connection that the peer closed while it was idle fails before any byte of a response. The
+/// peer may still have acted on the request.
+fn may_retry(err: Error, retry_policy: RetryPolicy) -> bool {
     match err {
         Error::NotSent(Cause::Closed) => true,
-        Error::MaybeSent(Cause::Closed) => repeat == Repeat::Idempotent,
+        Error::MaybeSent(Cause::Closed) => retry_policy == RetryPolicy::Idempotent,
         _ => false,
     }
 }
@@ -147,66 +151,68 @@
         .await
         .map_err(|_| Error::NotSent(Cause::Timeout))?
         .map_err(|err| Error::NotSent((&err).into()))?;
-    // Without it the kernel holds a short request back for the answer to the
-    // one before. A failure costs time, not correctness.
+    // Disables Nagle's algorithm, which delays small writes. Failing to do so only costs time.
     let _ = stream.set_nodelay(true);
-    keep_alive(&stream);
+    enable_keepalive(&stream);
     Ok(Conn::new(stream))
 }
 
-/// Has the kernel ask an idle peer whether it is there.
+/// Enables TCP keep-alive probes.
 ///
-/// A connection can go silent for good without a reset. Who waits for a late
-/// answer on it, as for news of a configuration, would wait out its time-out;
-/// with probes the connection breaks after about three seconds.
-fn keep_alive(stream: &TcpStream) {
+/// If a peer's host fails without a reset, a long poll would wait for its whole timeout. With
+/// probes, the connection fails after about three seconds.
+fn enable_keepalive(stream: &TcpStream) {
     const PROBES: u32 = 2;
-    const PAUSE: Duration = Duration::from_secs(1);
+    const INTERVAL: Duration = Duration::from_secs(1);
     let probes = socket2::TcpKeepalive::new()
-        .with_time(PAUSE)
-        .with_interval(PAUSE)
+        .with_time(INTERVAL)
+        .with_interval(INTERVAL)
         .with_retries(PROBES);
-    // Without them the time-outs still end the wait.
+    // If this fails, the timeouts still end the wait.
     let _ = socket2::SockRef::from(stream).set_tcp_keepalive(&probes);
 }
 
-/// Why a request wasn't written to its end.
-enum Unwritten {
-    /// The peer took no more of it.
-    Refused(Error),
-    /// Its own body broke off. The peer waits for the rest and can't answer.
-    BrokeOff(Error),
+/// An error that occurred while a request was being written.
+enum WriteError {
+    /// The connection failed, or the write timed out.
+    Connection(Error),
+    /// The request's body failed. The peer waits for the rest and doesn't respond.
+    Body(Error),
 }
 
 async fn write(
     conn: &Conn,
     request: http_types::Request,
     deadline: Instant,
-) -> Result<(), Unwritten> {
+) -> Result<(), WriteError> {
     let mut encoder = async_h1::client::Encoder::new(request);
     let mut sent = 0;
-    let limit = left(deadline);
-    let written = timeout(limit, relay(&mut encoder, conn.stream(), limit, &mut sent)).await;
+    let limit = time_left(deadline);
+    let written = timeout(
+        limit,
+        copy_to_stream(&mut encoder, conn.stream(), limit, &mut sent),
+    )
+    .await;
     let error = |cause| match sent {
         0 => Error::NotSent(cause),
         _ => Error::MaybeSent(cause),
     };
     match written {
         Ok(Ok(())) => Ok(()),
-        Ok(Err(RelayError::Source(err))) => Err(Unwritten::BrokeOff(error((&err).into()))),
-        Ok(Err(RelayError::Sink(err))) => Err(Unwritten::Refused(error((&err).into()))),
-        Err(_) => Err(Unwritten::Refused(error(Cause::Timeout))),
+        Ok(Err(CopyError::Source(err))) => Err(WriteError::Body(error((&err).into()))),
+        Ok(Err(CopyError::Sink(err))) => Err(WriteError::Connection(error((&err).into()))),
+        Err(_) => Err(WriteError::Connection(error(Cause::Timeout))),
     }
 }
 
-/// Reads heads up to the first that isn't informational.
+/// Reads the head of the final response, skipping interim (1xx) ones.
 async fn read_final_head(
     conn: &Conn,
     first_byte: Duration,
     deadline: Instant,
 ) -> Result<http_types::Response, Error> {
     loop {
-        let wait = first_byte.min(left(deadline));
+        let wait = first_byte.min(time_left(deadline));
         let head = read_head(conn, wait, deadline).await?;
         if !head.status().is_informational() {
             return Ok(head);
@@ -219,20 +225,23 @@
     wait: Duration,
     deadline: Instant,
 ) -> Result<http_types::Response, Error> {
-    timeout(wait, conn.first_byte())
+    timeout(wait, conn.wait_first_byte())
         .await
         .map_err(|_| Error::MaybeSent(Cause::Timeout))?
         .map_err(|err| Error::MaybeSent(err.into()))?;
-    timeout(left(deadline), conn.head(MAX_HEAD, Foreign::Replace))
-        .await
-        .map_err(|_| Error::Cut(Cause::Timeout))?
-        .map_err(|err| Error::Cut(err.into()))?;
+    timeout(
+        time_left(deadline),
+        conn.read_head(MAX_HEAD, HeadPolicy::Lenient),
+    )
+    .await
+    .map_err(|_| Error::Cut(Cause::Timeout))?
+    .map_err(|err| Error::Cut(err.into()))?;
     async_h1::client::decode(conn.clone())
         .await
         .map_err(|_| Error::Cut(Cause::Malformed))
 }
 
-fn left(deadline: Instant) -> Duration {
+fn time_left(deadline: Instant) -> Duration {
     deadline.saturating_duration_since(Instant::now())
 }
 
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections.
+//! Pool of idle connections.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,18 +9,17 @@
 
 use crate::conn::Conn;
 
-/// How many idle connections a client keeps, and for how long.
+/// Limits of a client's connection pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// Idle connections kept for one address.
+    /// Maximum number of idle connections for each address.
     pub max_idle: usize,
-    /// Time after which an idle connection is closed. Shorter than the time
-    /// after which peers close theirs, so that few are found closed.
+    /// Maximum age of an idle connection. Should be shorter than the idle timeout of the peers.
     pub max_age: Duration,
-    /// Time after which a connection is too old for a request that may reach
-    /// its peer only once. Shorter than the time for which peers promise to
-    /// keep a connection after an answer, with room for the way there.
-    pub warm: Duration,
+    /// Maximum age of an idle connection for a request that must not be sent twice. Should be
+    /// shorter, by more than the network latency, than the time for which peers keep a connection
+    /// open after a response.
+    pub max_age_at_most_once: Duration,
 }
 
 impl Default for Pool {
@@ -28,52 +27,51 @@
         Self {
             max_idle: 256,
             max_age: Duration::from_secs(20),
-            warm: Duration::from_millis(500),
+            max_age_at_most_once: Duration::from_millis(500),
         }
     }
 }
 
-/// How sure a request has to be that its connection is still open.
+/// The idle connections that a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Need {
-    /// Its peer hasn't closed it as far as this host knows: a request that is
-    /// lost to a close that is on its way is sent again.
-    Open,
-    /// It was just used, so that no close is on its way either.
-    Warm,
+pub(super) enum Reuse {
+    /// Any connection that looks open. If the peer has just closed it, the request is sent again.
+    AnyOpen,
+    /// Only a recently used one, which the peer can't have begun to close.
+    Recent,
 }
 
-pub(super) struct Idle {
+pub(super) struct ConnPool {
     clock: Arc<dyn Clock>,
-    pool: Pool,
-    shelves: Mutex<Shelves>,
+    limits: Pool,
+    state: Mutex<State>,
 }
 
 #[derive(Default)]
-struct Shelves {
+struct State {
     by_address: HashMap<SocketAddr, VecDeque<Entry>>,
-    swept: Duration,
+    last_sweep: Duration,
 }
 
 struct Entry {
     conn: Conn,
-    since: Duration,
+    idle_since: Duration,
 }
 
-impl Idle {
-    pub(super) fn new(clock: Arc<dyn Clock>, pool: Pool) -> Self {
+impl ConnPool {
+    pub(super) fn new(clock: Arc<dyn Clock>, limits: Pool) -> Self {
         Self {
             clock,
-            pool,
-            shelves: Mutex::default(),
+            limits,
+            state: Mutex::default(),
         }
     }
 
-    /// The connection to `to` that was used last, if a fit one is there.
-    pub(super) async fn take(&self, to: SocketAddr, need: Need) -> Option<Conn> {
-        let max_age = match need {
-            Need::Open => self.pool.max_age,
-            Need::Warm => self.pool.warm.min(self.pool.max_age),
+    /// Removes and returns the most recently used connection to `to` that is usable, if any.
+    pub(super) async fn take(&self, to: SocketAddr, reuse: Reuse) -> Option<Conn> {
+        let max_age = match reuse {
+            Reuse::AnyOpen => self.limits.max_age,
+            Reuse::Recent => self.limits.max_age_at_most_once.min(self.limits.max_age),
         };
         while let Some(conn) = self.pop(to, max_age) {
             if conn.is_idle().await {
@@ -83,45 +81,48 @@
         None
     }
 
-    /// Keeps `conn` for the next request to `to`.
+    /// Adds `conn` for later requests to `to`.
     pub(super) fn put(&self, to: SocketAddr, conn: Conn) {
         let now = self.clock.now();
-        let mut shelves = self.shelves();
-        self.sweep(&mut shelves, now);
-        let entries = shelves.by_address.entry(to).or_default();
-        entries.push_back(Entry { conn, since: now });
-        if entries.len() > self.pool.max_idle {
+        let mut state = self.state();
+        self.sweep(&mut state, now);
+        let entries = state.by_address.entry(to).or_default();
+        entries.push_back(Entry {
+            conn,
+            idle_since: now,
+        });
+        if entries.len() > self.limits.max_idle {
             entries.pop_front();
         }
     }
 
     fn pop(&self, to: SocketAddr, max_age: Duration) -> Option<Conn> {
         let now = self.clock.now();
-        let mut shelves = self.shelves();
-        let entries = shelves.by_address.get_mut(&to)?;
-        // The newest is last: when it is too old, all are, and a fresh one
-        // will take the place of the oldest.
-        if let Some(entry) = entries.pop_back_if(|it| now.saturating_sub(it.since) < max_age) {
+        let mut state = self.state();
+        let entries = state.by_address.get_mut(&to)?;
+        // The newest is last: if it is too old, all are. The caller will open a new connection,
+        // so one old connection is dropped.
+        if let Some(entry) = entries.pop_back_if(|it| now.saturating_sub(it.idle_since) < max_age) {
             return Some(entry.conn);
         }
         entries.pop_front();
         None
     }
 
-    /// Closes what is too old, also for addresses that nobody asks for any
-    /// more: hosts come and go, and their connections would stay for good.
-    fn sweep(&self, shelves: &mut Shelves, now: Duration) {
-        if now.saturating_sub(shelves.swept) < self.pool.max_age {
+    /// Closes expired connections to all addresses. Those to addresses that are no longer used
+    /// would otherwise stay open forever.
+    fn sweep(&self, state: &mut State, now: Duration) {
+        if now.saturating_sub(state.last_sweep) < self.limits.max_age {
             return;
         }
-        shelves.swept = now;
-        shelves.by_address.retain(|_, entries| {
-            entries.retain(|it| now.saturating_sub(it.since) < self.pool.max_age);
+        state.last_sweep = now;
+        state.by_address.retain(|_, entries| {
+            entries.retain(|it| now.saturating_sub(it.idle_since) < self.limits.max_age);
             !entries.is_empty()
         });
     }
 
-    fn shelves(&self) -> MutexGuard<'_, Shelves> {
-        self.shelves.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -2,14 +2,14 @@
 
 use std::borrow::Cow;
 
-/// A small list of header fields. Names are compared without regard to case.
+/// A list of header fields. Names are compared without regard to case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     fields: Vec<(Cow<'static, str>, String)>,
 }
 
 impl Headers {
-    /// The first value of `name`.
+    /// Returns the first value of `name`.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.iter()
@@ -17,25 +17,29 @@
             .map(|(_, value)| value)
     }
 
-    /// Replaces all values of `name` by this one.
+    /// Replaces all values of `name` with `value`.
     pub fn set(&mut self, name: impl Into<Cow<'static, str>>, value: impl Into<String>) {
         let name = name.into();
         self.remove(&name);
         self.append(name, value);
     }
 
-    /// Adds a value and keeps those that are there.
+    /// Adds a value of `name`, keeping existing ones.
     ///
-    /// Bytes that a header can't carry are replaced by `?`: a line break in a
-    /// value that a caller chose would otherwise start a header of its own.
+    /// Characters that aren't allowed are replaced, in names by `-` and in values by `?`. This
+    /// prevents header injection through line breaks.
     pub fn append(&mut self, name: impl Into<Cow<'static, str>>, value: impl Into<String>) {
         let mut name = name.into();
-        if !name.bytes().all(is_token) {
-            name = Cow::Owned(replace(&name, |c| u8::try_from(c).is_ok_and(is_token), '-'));
+        if !name.bytes().all(is_token_byte) {
+            name = Cow::Owned(replace(
+                &name,
+                |c| u8::try_from(c).is_ok_and(is_token_byte),
+                '-',
+            ));
         }
         let mut value = value.into();
-        if !value.bytes().all(is_visible) {
-            value = replace(&value, |c| u8::try_from(c).is_ok_and(is_visible), '?');
+        if !value.bytes().all(is_value_byte) {
+            value = replace(&value, |c| u8::try_from(c).is_ok_and(is_value_byte), '?');
         }
         self.fields.push((name, value));
     }
@@ -45,7 +49,7 @@
         self.fields.retain(|(it, _)| !it.eq_ignore_ascii_case(name));
     }
 
-    /// All fields, in the order in which they were added.
+    /// Returns all fields, in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.fields
             .iter()
@@ -63,14 +67,16 @@
     }
 }
 
-fn replace(text: &str, keep: impl Fn(char) -> bool, by: char) -> String {
-    text.chars().map(|c| if keep(c) { c } else { by }).collect()
+fn replace(text: &str, keep: impl Fn(char) -> bool, replacement: char) -> String {
+    text.chars()
+        .map(|c| if keep(c) { c } else { replacement })
+        .collect()
 }
 
-fn is_visible(byte: u8) -> bool {
+fn is_value_byte(byte: u8) -> bool {
     matches!(byte, b'\t' | b' '..=b'~')
 }
 
-fn is_token(byte: u8) -> bool {
+fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its requests, one after the other.
+//! Serving the requests of one connection.
 
 use std::pin::pin;
 use std::time::Instant;
@@ -17,10 +17,10 @@
 use super::watch::Watch;
 use crate::conn::Conn;
 use crate::h1;
-use crate::relay::relay;
+use crate::write::copy_to_stream;
 use crate::{Hangup, Method, Request, Response};
 
-/// Serves the requests of one connection until it ends.
+/// Serves the requests of a connection, one after the other, until it closes.
 pub(super) async fn serve<H, F>(stream: TcpStream, shared: &Shared, handler: &H)
 where
     H: Fn(Request) -> F,
@@ -28,7 +28,7 @@
 {
     let conn = Conn::new(stream);
     while await_request(&conn, shared).await {
-        let in_flight = shared.request();
+        let in_flight = shared.count_request();
         let next = match head::read(&conn, shared).await {
             Ok(Some(head)) => exchange(&conn, shared, handler, head).await,
             Ok(None) => Next::Abort,
@@ -46,23 +46,23 @@
     }
 }
 
-/// Waits for the first byte of the next request. A byte that is there wins
-/// over the server's stop: its sender believes that it is served.
+/// Waits for the first byte of the next request. Returns false if the connection is to be closed.
+/// A byte that has already arrived takes precedence over the shutdown of the server.
 ///
-/// A caller that has just connected, or was just answered on a connection
-/// that is kept, may have sent its request already. Were the connection closed
-/// at the stop, the request would be lost and the caller couldn't tell whether
-/// it ran. It stays open for a moment, which is over for all that were idle
-/// during the grace.
+/// A caller that has just connected, or has just received a response on a kept connection, may
+/// already have sent a request. If the connection were closed at once, the caller couldn't tell
+/// whether the request ran. The connection therefore stays open for the minimum open time,
+/// counted from the start of the wait; connections that were idle throughout the drain's grace
+/// close at once.
 async fn await_request(conn: &Conn, shared: &Shared) -> bool {
     let since = Instant::now();
-    let first = timeout(shared.limits.idle_time, conn.first_byte());
-    let let_go = async {
-        shared.stopped().await;
-        sleep(shared.limits.keep_time.saturating_sub(since.elapsed())).await;
+    let first = timeout(shared.limits.idle_timeout, conn.wait_first_byte());
+    let stop = async {
+        shared.wait_stopped().await;
+        sleep(shared.limits.min_open_time.saturating_sub(since.elapsed())).await;
     };
-    pin_mut!(first, let_go);
-    matches!(select(first, let_go).await, Either::Left((Ok(Ok(())), _)))
+    pin_mut!(first, stop);
+    matches!(select(first, stop).await, Either::Left((Ok(Ok(())), _)))
 }
 
 async fn exchange<H, F>(conn: &Conn, shared: &Shared, handler: &H, head: Head) -> Next
@@ -76,44 +76,44 @@
         mut next,
     } = head;
     let (sender, hangup) = Hangup::new();
-    let mut hung_up = Some(sender);
+    let mut hangup_sender = Some(sender);
     request.hangup = hangup;
     let mut watch = Watch::new(conn);
-    let mut work = pin!(handler(request));
-    let response = if let Some(response) = watch.guard(work.as_mut()).await {
+    let mut handling = pin!(handler(request));
+    let response = if let Some(response) = watch.until_disconnect(handling.as_mut()).await {
         response
     } else {
-        tell(&mut hung_up);
-        work.await
+        notify_hangup(&mut hangup_sender);
+        handling.await
     };
-    // What is left of the body would be read as the next request.
-    if !conn.is_body_done() || shared.is_retiring() {
+    // An unread rest of the body would be parsed as the next request.
+    if !conn.is_body_done() || shared.is_draining() {
         next = Next::Close;
     }
     match write(&mut watch, conn, shared, response, method, next).await {
-        Written::Whole => next,
-        Written::Cut => {
-            tell(&mut hung_up);
+        Written::Complete => next,
+        Written::Incomplete => {
+            notify_hangup(&mut hangup_sender);
             Next::Abort
         }
     }
 }
 
-fn tell(hung_up: &mut Option<oneshot::Sender<()>>) {
-    if let Some(sender) = hung_up.take() {
-        // Nobody may be listening.
+fn notify_hangup(hangup_sender: &mut Option<oneshot::Sender<()>>) {
+    if let Some(sender) = hangup_sender.take() {
+        // Fails if the handler has dropped the request.
         let _ = sender.send(());
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Written {
-    Whole,
-    Cut,
+    Complete,
+    Incomplete,
 }
 
-/// Writes the answer unless the caller goes away first. The body is dropped
-/// with it, and so its producer learns of it also when it has nothing to send.
+/// Writes the response, unless the caller disconnects first. Then the body is dropped, so that its
+/// producer notices the disconnect even while it has nothing to send.
 async fn write(
     watch: &mut Watch<'_>,
     conn: &Conn,
@@ -122,8 +122,8 @@
     method: Method,
     next: Next,
 ) -> Written {
-    if !conn.begin_answer() {
-        return Written::Cut;
+    if !conn.begin_response() {
+        return Written::Incomplete;
     }
     let mut message = h1::encode_response(response);
     if next == Next::Close {
@@ -131,14 +131,14 @@
     }
     let mut encoder = async_h1::server::Encoder::new(message, method);
     let mut sent = 0;
-    let written = relay(
+    let written = copy_to_stream(
         &mut encoder,
         conn.stream(),
-        shared.limits.write_time,
+        shared.limits.write_timeout,
         &mut sent,
     );
-    match watch.guard(written).await {
-        Some(Ok(())) => Written::Whole,
-        Some(Err(_)) | None => Written::Cut,
+    match watch.until_disconnect(written).await {
+        Some(Ok(())) => Written::Complete,
+        Some(Err(_)) | None => Written::Incomplete,
     }
 }
--- a/crates/http/src/server/head.rs
+++ b/crates/http/src/server/head.rs
@@ -1,36 +1,36 @@
-//! The head of a request: read within its limits, and checked.
+//! Reading and checking of request heads.
 
 use async_std::future::timeout;
 use http_types::headers::{CONNECTION, CONTENT_LENGTH, EXPECT, HOST, TRANSFER_ENCODING};
 
-use super::incoming::Incoming;
 use super::refusal::Refusal;
+use super::request_body::RequestBody;
 use super::shared::Shared;
-use crate::conn::{Conn, Foreign, HeadError};
+use crate::conn::{Conn, HeadError, HeadPolicy};
 use crate::h1;
 use crate::{Body, Method, Request, Status};
 
-/// What becomes of the connection after an exchange.
+/// The use of a connection after an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Next {
     Request,
     Close,
-    /// Close without ceremony: the peer is gone, or must see that its answer is cut.
+    /// Close without lingering: the peer is gone, or must see that its response is incomplete.
     Abort,
 }
 
-/// A request in the form in which the connection goes on with it.
+/// A request, and what the connection needs to know about it.
 pub(super) struct Head {
     pub(super) request: Request,
     pub(super) method: Method,
     pub(super) next: Next,
 }
 
-/// Reads and checks a head; nothing when the peer left within it.
+/// Reads and checks a head. Returns `None` if the peer disconnected within it.
 pub(super) async fn read(conn: &Conn, shared: &Shared) -> Result<Option<Head>, Refusal> {
     let limits = &shared.limits;
-    let head = conn.head(limits.max_head, Foreign::Refuse);
-    match timeout(limits.head_time, head).await {
+    let head = conn.read_head(limits.max_head, HeadPolicy::Strict);
+    match timeout(limits.head_timeout, head).await {
         Ok(Ok(())) => {}
         Ok(Err(HeadError::Closed | HeadError::Broken(_))) => return Ok(None),
         Ok(Err(HeadError::TooLarge)) => {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Refuses what could be framed in two ways, and what is too large by its own word.
+/// Rejects requests with ambiguous framing, and those whose stated length is too large.
 fn check(mut decoded: http_types::Request, conn: &Conn, shared: &Shared) -> Result<Head, Refusal> {
     let limits = &shared.limits;
     let chunked = match decoded.header(TRANSFER_ENCODING) {
@@ -76,9 +76,9 @@
     if len.is_some_and(|len| len > limits.max_body as u64) {
         return Err(Refusal::new(Status::PayloadTooLarge, "body too large"));
     }
-    conn.release_body(len);
-    if len != Some(0) && waits_for_word(&decoded) {
-        conn.owe_go_on();
+    conn.allow_body(len);
+    if len != Some(0) && expects_continue(&decoded) {
+        conn.expect_continue();
     }
 
     let method = decoded.method();
@@ -87,18 +87,24 @@
         Some(query) => format!("{}?{query}", url.path()),
         None => url.path().to_owned(),
     };
-    let says_close = decoded
+    let has_connection_close = decoded
         .header(CONNECTION)
         .is_some_and(|it| it.last().as_str().eq_ignore_ascii_case("close"));
     let mut request = Request::new(method, target);
     request.headers = h1::decode_headers(decoded.as_ref());
     if len != Some(0) {
         let body = decoded.take_body();
-        let incoming = Incoming::new(body, conn.clone(), len, limits.max_body, limits.body_time);
-        request.body = Body::reader(incoming, len);
+        let reader = RequestBody::new(
+            body,
+            conn.clone(),
+            len,
+            limits.max_body,
+            limits.body_timeout,
+        );
+        request.body = Body::reader(reader, len);
     }
-    // The library may have read on past a chunked body and dropped what it read.
-    let next = if says_close || chunked {
+    // The library may have read and dropped bytes after a chunked body.
+    let next = if has_connection_close || chunked {
         Next::Close
     } else {
         Next::Request
@@ -110,14 +116,16 @@
     })
 }
 
-fn waits_for_word(decoded: &http_types::Request) -> bool {
+fn expects_continue(decoded: &http_types::Request) -> bool {
     decoded
         .header(EXPECT)
         .is_some_and(|it| it.last().as_str().eq_ignore_ascii_case("100-continue"))
 }
 
-/// The library joins host and path into one URL. Any other byte could move
-/// the border between them, and the request to another path.
+/// Returns whether a byte is allowed in a `Host` value.
+///
+/// The library concatenates host and path into a URL and parses that. A byte such as `/` or `?`
+/// in the host would become part of the path and change the routing of the request.
 fn is_host_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"-._:[]~%".contains(&byte)
 }
--- a/crates/http/src/server/refusal.rs
+++ b/crates/http/src/server/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals of requests that never reach the handler, and the close after them.
+//! Rejection of requests that don't reach the handler, and lingering close.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 
 use super::shared::Shared;
 use crate::h1;
-use crate::relay::relay;
+use crate::write::copy_to_stream;
 use crate::{Method, Response, Status};
 
-/// How long, and for how many bytes, a refused peer is listened to. Closing at
-/// once would reset the connection and could take the refusal with it.
-const LINGER_TIME: Duration = Duration::from_secs(1);
-const LINGER_BYTES: usize = 256 * 1024;
+/// Limits on reading from a peer after the sending side was closed. Closing a connection with
+/// unread bytes resets it, and the peer could lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_LINGER_BYTES: usize = 256 * 1024;
 
-/// Why a request never reaches the handler.
+/// The status and detail of a response that rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Refusal {
     status: Status,
@@ -30,7 +30,8 @@
         Self { status, detail }
     }
 
-    /// The problem document. Nothing ran, since no handler saw the request.
+    /// Returns the response with a problem document. `run` is `not_run`, since no handler saw
+    /// the request.
     fn into_response(self) -> Response {
         let Self { status, detail } = self;
         let reason = match status {
@@ -60,19 +61,20 @@
     run: &'static str,
 }
 
-/// Writes a refusal and closes the connection.
+/// Writes a rejection, then lingers until the connection can be closed.
 pub(super) async fn refuse(stream: &TcpStream, shared: &Shared, refusal: Refusal) {
     let mut message = h1::encode_response(refusal.into_response());
     message.insert_header(CONNECTION, "close");
     let mut encoder = async_h1::server::Encoder::new(message, Method::Get);
     let mut sent = 0;
-    let written = relay(&mut encoder, stream, shared.limits.write_time, &mut sent).await;
+    let written =
+        copy_to_stream(&mut encoder, stream, shared.limits.write_timeout, &mut sent).await;
     if written.is_ok() {
         linger(stream).await;
     }
 }
 
-/// Closes the sending side and listens until the peer has closed too.
+/// Closes the sending side, and discards input until the peer closes too or a limit is reached.
 pub(super) async fn linger(mut stream: &TcpStream) {
     if stream.flush().await.is_err() || stream.shutdown(Shutdown::Write).is_err() {
         return;
@@ -82,10 +84,10 @@
         let mut total = 0;
         while let Ok(got @ 1..) = stream.read(&mut buf).await {
             total += got;
-            if total > LINGER_BYTES {
+            if total > MAX_LINGER_BYTES {
                 return;
             }
         }
     };
-    let _ = timeout(LINGER_TIME, discard).await;
+    let _ = timeout(LINGER_TIMEOUT, discard).await;
 }
--- a/crates/http/tests/suite/round_trip.rs
+++ b/crates/http/tests/suite/round_trip.rs
@@ -1,4 +1,4 @@
-//! Client and server against each other.
+//! Tests of the client and the server against each other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 }
 
 #[gtest]
-fn a_body_comes_back_with_its_target() {
+fn a_request_is_echoed_with_its_target() {
     block_on(async {
         let server = server().await;
         let client = client();
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn pieces_of_a_stream_pass_through_one_by_one() {
+fn stream_pieces_arrive_one_by_one() {
     block_on(async {
         let (pieces, body) = Body::channel(1);
         let body = std::sync::Mutex::new(Some(body));
@@ -69,7 +69,7 @@
         pieces.finish().await.unwrap();
         expect_that!(body.piece().await, ok(none()));
         let drained = server.drain(Duration::ZERO, Duration::from_secs(5)).await;
-        expect_that!(drained.left, eq(0));
+        expect_that!(drained.in_flight, eq(0));
     });
 }
 
@@ -80,7 +80,7 @@
         let echo = |request: Request| async {
             let len = request.body.len();
             let bytes = request.body.collect(LEN).await.unwrap();
-            // What came in chunks goes back in chunks.
+            // A chunked request gets a chunked response.
             let body = Body::reader(futures::io::Cursor::new(bytes), len);
             Response::new(Status::Ok).body(body)
         };
