--- a/crates/link/examples/overhead.rs
+++ b/crates/link/examples/overhead.rs
@@ -1,8 +1,8 @@
-//! Measures what QUIC adds to a frame and to a connection, and what both cost
-//! in processor time. `docs/design/membership.md` quotes the figures.
+//! Measures the overhead of QUIC per frame and per connection, in bytes and in time.
+//! `docs/design/membership.md` quotes the figures.
 //!
-//! Frames go one way at the pace of probes' neighbours, so that each is
-//! acknowledged by itself, as between two hosts that say little.
+//! Frames are sent in one direction with pauses, so that each is acknowledged
+//! separately, as between two hosts that exchange few frames.
 
 use std::time::{Duration, Instant};
 
@@ -13,9 +13,9 @@
 use wire::{Frame, Identity, Payload};
 
 const FRAMES: u32 = 100;
-const PAUSE: Duration = Duration::from_millis(60);
+const PAUSE_BETWEEN_FRAMES: Duration = Duration::from_millis(60);
 const HANDSHAKES: u32 = 50;
-const BURST: u32 = 20_000;
+const BURST_FRAMES: u32 = 20_000;
 const CONNECTIONS: u64 = 200;
 const PAGE_KB: u64 = 4;
 
@@ -52,7 +52,7 @@
         for _ in 0..FRAMES {
             a.send(&to_b, &frame);
             inbox.recv().await.unwrap();
-            sleep(PAUSE).await;
+            sleep(PAUSE_BETWEEN_FRAMES).await;
         }
         let (sent, received) = (a.transport() - sent, b.transport() - received);
         println!("{FRAMES} frames of {size} bytes, without IP and UDP headers:");
@@ -60,17 +60,17 @@
         println!("  back {received:?}");
 
         let started = Instant::now();
-        for _ in 0..BURST {
+        for _ in 0..BURST_FRAMES {
             a.send(&to_b, &frame);
             inbox.recv().await.unwrap();
         }
         println!(
             "frame by frame, sender and receiver: {:?} a frame",
-            started.elapsed() / BURST
+            started.elapsed() / BURST_FRAMES
         );
 
-        // A peer that moves gets a new connection, and the old one stays open
-        // until the idle limit.
+        // Each change of the peer's address opens a new connection; the old one stays
+        // open until the idle timeout.
         let (_other, other_inbox, to_other) = bind("b");
         let before = resident_pages();
         for index in 0..CONNECTIONS {
@@ -101,7 +101,7 @@
     });
 }
 
-/// The memory that this process has in use, by the operating system's count.
+/// Returns the number of resident memory pages of this process.
 fn resident_pages() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap();
     statm.split(' ').nth(1).unwrap().parse().unwrap()
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -1,4 +1,4 @@
-//! Reading what a peer sends on one connection.
+//! Receives the frames that a peer sends on one connection.
 
 use std::sync::Arc;
 
@@ -10,52 +10,61 @@
 
 use crate::{Counters, Incoming, Peer, Rejection, Reply};
 
-/// Where frames of proven hosts go.
+/// The channel and counters for frames received from authenticated hosts.
 #[derive(Clone)]
 pub(crate) struct Inbox {
     pub(crate) sender: Sender<Incoming>,
     pub(crate) counters: Arc<Counters>,
 }
 
-/// Reads all that comes on the connection until it ends.
-pub(crate) async fn read(host: HostName, connection: Connection, inbox: Inbox) {
-    let streams = task::spawn(read_streams(
+/// Receives frames from datagrams and streams until the connection closes.
+pub(crate) async fn read_frames(host: HostName, connection: Connection, inbox: Inbox) {
+    let uni_streams = task::spawn(read_uni_streams(
+        host.clone(),
+        connection.clone(),
+        inbox.clone(),
+    ));
+    let bi_streams = task::spawn(read_bi_streams(
         host.clone(),
         connection.clone(),
         inbox.clone(),
     ));
-    let asks = task::spawn(read_asks(host.clone(), connection.clone(), inbox.clone()));
     while let Ok(bytes) = connection.read_datagram().await {
-        let from = peer(&host, &connection);
-        inbox.take(from, &bytes, None);
+        let from = peer_of(&host, &connection);
+        inbox.receive(from, &bytes, None);
     }
-    streams.await;
-    asks.await;
+    uni_streams.await;
+    bi_streams.await;
 }
 
-async fn read_streams(host: HostName, connection: Connection, inbox: Inbox) {
+async fn read_uni_streams(host: HostName, connection: Connection, inbox: Inbox) {
     while let Ok(stream) = connection.accept_uni().await {
-        let from = peer(&host, &connection);
+        let from = peer_of(&host, &connection);
         task::spawn(read_stream(from, stream, None, inbox.clone()));
     }
 }
 
-async fn read_asks(host: HostName, connection: Connection, inbox: Inbox) {
-    while let Ok((sender, stream)) = connection.accept_bi().await {
-        let from = peer(&host, &connection);
-        task::spawn(read_stream(from, stream, Some(sender), inbox.clone()));
+async fn read_bi_streams(host: HostName, connection: Connection, inbox: Inbox) {
+    while let Ok((reply_stream, stream)) = connection.accept_bi().await {
+        let from = peer_of(&host, &connection);
+        task::spawn(read_stream(from, stream, Some(reply_stream), inbox.clone()));
     }
 }
 
-async fn read_stream(from: Peer, mut stream: RecvStream, sender: Option<SendStream>, inbox: Inbox) {
+async fn read_stream(
+    from: Peer,
+    mut stream: RecvStream,
+    reply_stream: Option<SendStream>,
+    inbox: Inbox,
+) {
     match stream.read_to_end(MAX_FRAME_BYTES).await {
-        Ok(bytes) => inbox.take(from, &bytes, sender),
+        Ok(bytes) => inbox.receive(from, &bytes, reply_stream),
         Err(ReadToEndError::TooLong) => inbox.counters.count_rejected(Rejection::TooLarge),
         Err(ReadToEndError::Read(_)) => {}
     }
 }
 
-fn peer(host: &HostName, connection: &Connection) -> Peer {
+fn peer_of(host: &HostName, connection: &Connection) -> Peer {
     Peer {
         host: host.clone(),
         address: connection.remote_address(),
@@ -63,10 +72,10 @@
 }
 
 impl Inbox {
-    /// Passes a frame on. A full inbox drops it, because a peer that sends
-    /// faster than this host reads must not fill its memory; senders make up
-    /// for lost frames.
-    fn take(&self, from: Peer, bytes: &[u8], sender: Option<SendStream>) {
+    /// Decodes a frame and puts it into the inbox. A full inbox drops it, so that a
+    /// peer that sends faster than this host processes frames can't exhaust its
+    /// memory; senders tolerate lost frames.
+    fn receive(&self, from: Peer, bytes: &[u8], reply_stream: Option<SendStream>) {
         self.counters.count_received(bytes.len());
         let frame = match Frame::decode(bytes) {
             Ok(frame) => frame,
@@ -74,10 +83,10 @@
             Err(_) => return self.counters.count_rejected(Rejection::Malformed),
         };
         let counters = self.counters.clone();
-        let reply = sender.map(|stream| Reply { stream, counters });
+        let reply = reply_stream.map(|stream| Reply { stream, counters });
         let incoming = Incoming { from, frame, reply };
         if let Err(TrySendError::Full(_)) = self.sender.try_send(incoming) {
-            self.counters.count_rejected(Rejection::Flooded);
+            self.counters.count_rejected(Rejection::InboxFull);
         }
     }
 }
--- a/crates/link/src/counters.rs
+++ b/crates/link/src/counters.rs
@@ -1,4 +1,4 @@
-//! What passed, and what was dropped for which reason.
+//! Counters of sent, received and rejected frames.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -6,45 +6,46 @@
 use derive_more::{AddAssign, Sub};
 use quinn::ConnectionStats;
 
-/// Why something that came was dropped.
+/// The reason for which a connection or a received frame was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rejection {
-    /// The peer couldn't prove to belong to the fleet.
+    /// The handshake of an accepted connection failed or timed out, for instance because
+    /// the peer has no certificate of the fleet's CA.
     Handshake,
-    /// Its certificate names no host, or more than one.
-    Nameless,
-    /// What it sent is no frame.
+    /// The peer's certificate names no host, or more than one.
+    CertificateName,
+    /// The received bytes can't be decoded as a frame.
     Malformed,
-    /// What it sent exceeds the largest frame.
+    /// The received bytes exceed [`wire::MAX_FRAME_BYTES`].
     TooLarge,
-    /// Too many frames waited to be taken.
-    Flooded,
+    /// The inbox was full.
+    InboxFull,
 }
 
 impl Rejection {
     /// All reasons.
     pub const ALL: [Self; 5] = [
         Self::Handshake,
-        Self::Nameless,
+        Self::CertificateName,
         Self::Malformed,
         Self::TooLarge,
-        Self::Flooded,
+        Self::InboxFull,
     ];
 
-    /// The reason's name in metrics.
+    /// Returns the reason's name in metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             Self::Handshake => "handshake",
-            Self::Nameless => "nameless",
+            Self::CertificateName => "nameless",
             Self::Malformed => "malformed",
             Self::TooLarge => "too_large",
-            Self::Flooded => "flooded",
+            Self::InboxFull => "flooded",
         }
     }
 }
 
-/// Counts since the link was bound.
+/// The counters of a link since it was bound.
 #[derive(Debug, Default)]
 pub struct Counters {
     frames_sent: AtomicU64,
@@ -53,20 +54,20 @@
     bytes_received: AtomicU64,
     unsent: AtomicU64,
     handshakes: AtomicU64,
-    ended: Mutex<Transport>,
+    closed: Mutex<Transport>,
     rejected: [AtomicU64; Rejection::ALL.len()],
 }
 
-/// What went over the wire, with all that QUIC and TLS add, as UDP payloads.
+/// UDP traffic, including the overhead of QUIC and TLS but not the UDP and IP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, AddAssign, Sub)]
 pub struct Transport {
-    /// Bytes sent.
+    /// UDP payload bytes sent.
     pub bytes_sent: u64,
-    /// Bytes received.
+    /// UDP payload bytes received.
     pub bytes_received: u64,
-    /// Datagrams sent.
+    /// UDP datagrams sent.
     pub datagrams_sent: u64,
-    /// Datagrams received.
+    /// UDP datagrams received.
     pub datagrams_received: u64,
 }
 
@@ -81,25 +82,25 @@
     }
 }
 
-/// The counts at one moment.
+/// The values of the counters at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Frames that were sent.
+    /// Frames sent.
     pub frames_sent: u64,
-    /// Frames that came.
+    /// Frames received, including malformed ones and those dropped by a full inbox.
     pub frames_received: u64,
-    /// Their bytes, without QUIC's own.
+    /// Bytes of the frames sent, without QUIC's overhead.
     pub bytes_sent: u64,
-    /// Their bytes, without QUIC's own.
+    /// Bytes of the frames received, without QUIC's overhead.
     pub bytes_received: u64,
-    /// Frames that found no connection.
+    /// Frames passed to [`Link::send`](crate::Link::send) that could not be sent.
     pub unsent: u64,
-    /// Connections that came about, in either direction.
+    /// Connections established, opened by either side.
     pub handshakes: u64,
 }
 
 impl Counters {
-    /// The counts now.
+    /// Returns the current values.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         let read = |it: &AtomicU64| it.load(Ordering::Relaxed);
@@ -113,19 +114,19 @@
         }
     }
 
-    /// How often something was dropped for `reason`.
+    /// Returns the number of rejections for `reason`.
     #[must_use]
     pub fn rejected(&self, reason: Rejection) -> u64 {
         self.rejected[reason as usize].load(Ordering::Relaxed)
     }
 
-    /// What ended connections moved.
-    pub(crate) fn ended(&self) -> Transport {
-        *self.ended.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Returns the traffic of all closed connections.
+    pub(crate) fn closed(&self) -> Transport {
+        *self.closed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn count_ended(&self, transport: Transport) {
-        *self.ended.lock().unwrap_or_else(PoisonError::into_inner) += transport;
+    pub(crate) fn count_closed(&self, transport: Transport) {
+        *self.closed.lock().unwrap_or_else(PoisonError::into_inner) += transport;
     }
 
     pub(crate) fn count_sent(&self, bytes: usize) {
--- a/crates/link/src/error.rs
+++ b/crates/link/src/error.rs
@@ -1,29 +1,29 @@
-//! Why something can't be sent, asked or bound.
+//! Errors of the link.
 
 use derive_more::{Display, Error};
 
-/// Why the link failed; the report's causes tell the rest.
+/// The kind of failure; the report's causes hold the details.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// The CA, certificate or key can't be used.
+    /// The CA, certificate or private key is invalid.
     #[display("the fleet's keys can't be used")]
     Keys,
-    /// The host's name isn't a DNS name, so no certificate can prove it.
+    /// The host's name isn't a DNS name, so a certificate can't contain it.
     #[display("the host's name isn't a DNS name")]
     HostName,
-    /// The address can't be listened on.
-    #[display("the fleet address can't be listened on")]
+    /// The address can't be bound, or the idle timeout is too long for QUIC.
+    #[display("can't listen on the fleet address")]
     Bind,
-    /// No connection came about, so nothing left this host.
+    /// No connection was established, so the frame was not sent.
     #[display("no connection to the host")]
     Unreachable,
-    /// The frame may have left, and no answer came in time.
-    #[display("no answer in time")]
+    /// No response arrived in time; the frame may have been sent.
+    #[display("no response in time")]
     Timeout,
-    /// The connection broke; the frame may have left.
+    /// The connection broke; the frame may have been sent.
     #[display("the connection broke")]
     Broken,
-    /// The frame is too large, or the answer is no frame.
-    #[display("not a frame")]
+    /// The frame is too large, or the response can't be decoded.
+    #[display("the frame is too large, or the response is not a frame")]
     Frame,
 }
--- a/crates/link/src/incoming.rs
+++ b/crates/link/src/incoming.rs
@@ -1,4 +1,4 @@
-//! What comes in.
+//! Received frames and replies to them.
 
 use std::sync::Arc;
 
@@ -8,27 +8,27 @@
 
 use crate::{Counters, Peer};
 
-/// A frame from a host that proved its name.
+/// A frame from an authenticated host.
 #[derive(Debug)]
 pub struct Incoming {
-    /// The sender; the address is where the frame came from.
+    /// The sender, with the remote address of its connection.
     pub from: Peer,
-    /// What it sent.
+    /// The frame.
     pub frame: Frame,
-    /// How to answer, where the sender waits for one.
+    /// Sends the response, if the sender waits for one.
     pub reply: Option<Reply>,
 }
 
 impl Incoming {
-    /// The sender's proven name.
+    /// Returns the sender's authenticated name.
     #[must_use]
     pub fn host(&self) -> &HostName {
         &self.from.host
     }
 }
 
-/// The way back to a sender that waits; dropping it tells the sender that no
-/// answer comes.
+/// Sends the response to a request. Dropping it closes the stream, which tells the
+/// sender that there is no response.
 #[derive(Debug)]
 pub struct Reply {
     pub(crate) stream: SendStream,
@@ -36,7 +36,8 @@
 }
 
 impl Reply {
-    /// Answers. A sender that no longer waits is no fault, so nothing is returned.
+    /// Sends the response. Failures are ignored, because the sender may have stopped
+    /// waiting.
     pub async fn send(mut self, frame: &Frame) {
         let Ok(bytes) = frame.encode() else { return };
         if self.stream.write_all(&bytes).await.is_ok() && self.stream.finish().is_ok() {
--- a/crates/link/src/keys.rs
+++ b/crates/link/src/keys.rs
@@ -1,4 +1,4 @@
-//! The fleet's CA, and certificates by which hosts prove their names.
+//! The fleet's CA, and the certificates that authenticate its hosts.
 
 use error_stack::{Report, ResultExt};
 use kernel::HostName;
@@ -10,10 +10,10 @@
 
 use crate::Error;
 
-/// What one host needs to prove its name and to check others', as PEM.
+/// The PEM files by which a host authenticates itself and others.
 #[derive(Clone)]
 pub struct Keys {
-    /// The CA's certificate; several may stand here while a CA is replaced.
+    /// The certificates of the trusted CAs; more than one while a CA is being replaced.
     pub ca: String,
     /// The host's certificate.
     pub certificate: String,
@@ -21,7 +21,7 @@
     pub key: String,
 }
 
-/// A CA with its private key, as PEM. Only the operator keeps the key; no host needs it.
+/// A CA with its private key, as PEM. Only the operator holds the key; no host needs it.
 #[derive(Clone)]
 pub struct Authority {
     /// The CA's certificate.
@@ -31,10 +31,10 @@
 }
 
 impl Authority {
-    /// Makes a new CA for the fleet that is called `fleet`.
+    /// Generates a CA whose common name is `fleet`.
     ///
     /// # Errors
-    /// [`Error::Keys`] when the library can't make one.
+    /// [`Error::Keys`] if the key or certificate can't be generated.
     pub fn generate(fleet: &str) -> Result<Self, Report<Error>> {
         let key = KeyPair::generate().change_context(Error::Keys)?;
         let mut params = CertificateParams::default();
@@ -48,12 +48,11 @@
         })
     }
 
-    /// Makes the key and certificate of `host`, whose name must be a DNS label
-    /// or name.
+    /// Issues a key and certificate for `host`, whose name must be a DNS name.
     ///
     /// # Errors
-    /// [`Error::HostName`] when the name can't stand in a certificate,
-    /// [`Error::Keys`] when the CA can't be used.
+    /// [`Error::HostName`] if the name isn't a DNS name, [`Error::Keys`] if the CA is
+    /// invalid.
     pub fn issue(&self, host: &HostName) -> Result<Keys, Report<Error>> {
         if !is_dns_name(host) {
             return Err(Report::new(Error::HostName));
@@ -83,8 +82,8 @@
     }
 }
 
-/// Whether peers can ask for the host by this name. An IP number would be
-/// written as such and prove no host.
+/// Returns whether the host's name is a DNS name. A certificate would contain an IP
+/// address as such, which names no host.
 fn is_dns_name(host: &HostName) -> bool {
     matches!(
         ServerName::try_from(host.as_str()),
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,8 +1,8 @@
-//! How frames travel between hosts: QUIC with mutual TLS.
+//! Transport of frames between hosts: QUIC with mutual TLS.
 //!
-//! A host proves its name with a certificate that the fleet's own CA signed;
-//! whoever can't is dropped and counted. What is said is the business of
-//! `wire`, when it is said that of `fleet` and `ledger`. See
+//! A host authenticates itself with a certificate signed by the fleet's CA; all other
+//! connections are rejected and counted. `wire` defines the frames, `fleet` and
+//! `ledger` decide when they are sent. See
 //! `docs/design/membership.md` and `docs/operate/keys.md`.
 
 mod connection;
--- a/crates/link/src/link.rs
+++ b/crates/link/src/link.rs
@@ -1,4 +1,4 @@
-//! The link itself.
+//! Sends frames to other hosts over pooled connections and accepts theirs.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -17,7 +17,7 @@
 use crate::pool::Pool;
 use crate::{Counters, Error, Incoming, Peer, Rejection, Settings, Transport, tls};
 
-/// This host's end of all connections to the fleet. Clones share it.
+/// The connections to other hosts of the fleet. Clones share them.
 #[derive(Clone)]
 pub struct Link {
     inner: Arc<Inner>,
@@ -27,21 +27,24 @@
     endpoint: Endpoint,
     pool: Pool,
     inbox: Inbox,
-    waiting: Mutex<HashMap<HostName, Vec<Vec<u8>>>>,
-    /// All open connections, also those that a newer one has replaced.
-    open: Mutex<HashMap<usize, Connection>>,
-    max_waiting: usize,
+    /// Encoded frames that wait for the connection that is being opened to their host.
+    queued: Mutex<HashMap<HostName, Vec<Vec<u8>>>>,
+    /// All open connections by their stable id, including those that a newer one has
+    /// replaced in the pool.
+    open_connections: Mutex<HashMap<usize, Connection>>,
+    max_queued_frames: usize,
     connect_timeout: Duration,
 }
 
 impl Link {
-    /// Listens, and returns the link with the channel on which frames of proven
-    /// hosts come.
+    /// Binds the address and starts to accept connections. Returns the link, and the
+    /// channel that delivers frames of authenticated hosts.
     ///
     /// # Errors
-    /// [`Error::Keys`] or [`Error::Bind`].
+    /// [`Error::Keys`] if the keys are invalid, [`Error::Bind`] if the address can't be
+    /// bound or the idle timeout is too long for QUIC.
     pub fn bind(settings: &Settings) -> Result<(Self, Receiver<Incoming>), Report<Error>> {
-        let configs = tls::configure(&settings.keys, settings.idle)?;
+        let configs = tls::configure(&settings.keys, settings.idle_timeout)?;
         let socket = UdpSocket::bind(settings.address).change_context(Error::Bind)?;
         let mut endpoint = Endpoint::new(
             EndpointConfig::default(),
@@ -51,84 +54,84 @@
         )
         .change_context(Error::Bind)?;
         endpoint.set_default_client_config(configs.client);
-        let (sender, receiver) = bounded(settings.inbox);
+        let (sender, receiver) = bounded(settings.inbox_capacity);
         let counters = Arc::new(Counters::default());
         let link = Self {
             inner: Arc::new(Inner {
                 endpoint,
-                pool: Pool::new(settings.stall),
+                pool: Pool::new(settings.stall_timeout),
                 inbox: Inbox { sender, counters },
-                waiting: Mutex::default(),
-                open: Mutex::default(),
-                max_waiting: settings.waiting,
+                queued: Mutex::default(),
+                open_connections: Mutex::default(),
+                max_queued_frames: settings.max_queued_frames,
                 connect_timeout: settings.connect_timeout,
             }),
         };
-        task::spawn(accept(link.inner.clone()));
+        task::spawn(accept_connections(link.inner.clone()));
         Ok((link, receiver))
     }
 
-    /// Where the link listens.
+    /// Returns the address on which the link listens.
     ///
     /// # Errors
-    /// [`Error::Bind`] when the socket is gone.
+    /// [`Error::Bind`] if the socket's address can't be read.
     pub fn address(&self) -> Result<SocketAddr, Report<Error>> {
         self.inner.endpoint.local_addr().change_context(Error::Bind)
     }
 
-    /// The counts of this link.
+    /// Returns the link's counters.
     #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.inner.inbox.counters
     }
 
-    /// How many connections are open, in either direction.
+    /// Returns the number of open connections, opened by either side.
     #[must_use]
     pub fn connections(&self) -> usize {
-        self.inner.lock_open().len()
+        self.inner.lock_open_connections().len()
     }
 
-    /// What went over the wire since the link was bound.
+    /// Returns the UDP traffic of all connections since the link was bound.
     #[must_use]
     pub fn transport(&self) -> Transport {
-        let mut sum = self.counters().ended();
-        for connection in self.inner.lock_open().values() {
+        let mut sum = self.counters().closed();
+        for connection in self.inner.lock_open_connections().values() {
             sum += connection.stats().into();
         }
         sum
     }
 
-    /// Sends a frame without waiting; it may be lost. Small frames travel as
-    /// datagrams, larger ones on a stream of their own.
+    /// Sends a frame without waiting for delivery; it may be lost. Small frames are sent
+    /// as datagrams, larger ones each on a stream of its own.
     pub fn send(&self, peer: &Peer, frame: &Frame) {
         let Ok(bytes) = frame.encode() else {
             return self.counters().count_unsent();
         };
-        match self.inner.pool.find(peer) {
-            Some(connection) => self.inner.clone().post(connection, bytes),
-            None => self.inner.clone().post_later(peer.clone(), bytes),
+        match self.inner.pool.find_usable(peer) {
+            Some(connection) => self.inner.clone().send_on(connection, bytes),
+            None => self.inner.clone().send_when_connected(peer.clone(), bytes),
         }
     }
 
-    /// Sends a frame and waits for its answer.
+    /// Sends a frame and waits for the response.
     ///
     /// # Errors
-    /// [`Error::Unreachable`] when nothing left this host; after any other one
-    /// the peer may have taken the frame.
+    /// [`Error::Unreachable`] if the frame was not sent. After any other error the peer
+    /// may have received it.
     pub async fn ask(
         &self,
         peer: &Peer,
         frame: &Frame,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<Frame, Report<Error>> {
         let bytes = frame.encode().change_context(Error::Frame)?;
         let connection = self.inner.clone().connect(peer).await?;
-        timeout(within, self.inner.exchange(&connection, &bytes))
+        timeout(time_limit, self.inner.exchange(&connection, &bytes))
             .await
             .change_context(Error::Timeout)?
     }
 
-    /// Closes all connections; peers notice at once.
+    /// Closes all connections and notifies the peers.
     pub async fn close(&self) {
         self.inner.endpoint.close(VarInt::from_u32(0), b"closing");
         self.inner.endpoint.wait_idle().await;
@@ -149,21 +152,21 @@
             .change_context(Error::Broken)?;
         sender.finish().change_context(Error::Broken)?;
         self.inbox.counters.count_sent(bytes.len());
-        let answer = receiver
+        let response = receiver
             .read_to_end(MAX_FRAME_BYTES)
             .await
             .change_context(Error::Broken)?;
-        self.inbox.counters.count_received(answer.len());
-        Frame::decode(&answer).change_context(Error::Frame)
+        self.inbox.counters.count_received(response.len());
+        Frame::decode(&response).change_context(Error::Frame)
     }
 
-    /// Sends on a connection that stands.
-    fn post(self: Arc<Self>, connection: Connection, bytes: Vec<u8>) {
-        let fits = connection
+    /// Sends an encoded frame on an established connection.
+    fn send_on(self: Arc<Self>, connection: Connection, bytes: Vec<u8>) {
+        let fits_datagram = connection
             .max_datagram_size()
             .is_some_and(|it| bytes.len() <= it);
-        if !fits {
-            task::spawn(async move { self.post_stream(&connection, &bytes).await });
+        if !fits_datagram {
+            task::spawn(async move { self.send_on_stream(&connection, &bytes).await });
             return;
         }
         let len = bytes.len();
@@ -173,38 +176,38 @@
         }
     }
 
-    async fn post_stream(&self, connection: &Connection, bytes: &[u8]) {
-        let sent = async {
+    async fn send_on_stream(&self, connection: &Connection, bytes: &[u8]) {
+        let sending = async {
             let mut stream = connection.open_uni().await.ok()?;
             stream.write_all(bytes).await.ok()?;
             stream.finish().ok()
         };
-        match sent.await {
+        match sending.await {
             Some(()) => self.inbox.counters.count_sent(bytes.len()),
             None => self.inbox.counters.count_unsent(),
         }
     }
 
-    /// Lets the frame wait for the connection that is being opened; the first
-    /// frame opens it.
-    fn post_later(self: Arc<Self>, peer: Peer, bytes: Vec<u8>) {
-        let mut waiting = self.lock_waiting();
-        if let Some(frames) = waiting.get_mut(&peer.host) {
-            if frames.len() < self.max_waiting {
+    /// Queues a frame until the connection to the peer is established. The first queued
+    /// frame opens the connection.
+    fn send_when_connected(self: Arc<Self>, peer: Peer, bytes: Vec<u8>) {
+        let mut queued = self.lock_queued();
+        if let Some(frames) = queued.get_mut(&peer.host) {
+            if frames.len() < self.max_queued_frames {
                 frames.push(bytes);
             } else {
                 self.inbox.counters.count_unsent();
             }
             return;
         }
-        waiting.insert(peer.host.clone(), vec![bytes]);
-        drop(waiting);
+        queued.insert(peer.host.clone(), vec![bytes]);
+        drop(queued);
         task::spawn(async move {
             let connection = self.clone().connect(&peer).await;
-            let frames = self.lock_waiting().remove(&peer.host).unwrap_or_default();
+            let frames = self.lock_queued().remove(&peer.host).unwrap_or_default();
             for bytes in frames {
                 match &connection {
-                    Ok(connection) => self.clone().post(connection.clone(), bytes),
+                    Ok(connection) => self.clone().send_on(connection.clone(), bytes),
                     Err(_) => self.inbox.counters.count_unsent(),
                 }
             }
@@ -212,7 +215,7 @@
     }
 
     async fn connect(self: Arc<Self>, peer: &Peer) -> Result<Connection, Report<Error>> {
-        if let Some(connection) = self.pool.find(peer) {
+        if let Some(connection) = self.pool.find_usable(peer) {
             return Ok(connection);
         }
         let connecting = self
@@ -223,48 +226,54 @@
             .await
             .change_context(Error::Unreachable)?
             .change_context(Error::Unreachable)?;
-        self.adopt(peer.host.clone(), connection.clone());
+        self.register(peer.host.clone(), connection.clone());
         Ok(connection)
     }
 
-    /// Keeps a connection whose peer has proven its name, and reads from it.
-    fn adopt(self: Arc<Self>, host: HostName, connection: Connection) {
+    /// Adds a connection to an authenticated host to the pool, and receives its frames
+    /// until it closes.
+    fn register(self: Arc<Self>, host: HostName, connection: Connection) {
         self.inbox.counters.count_handshake();
-        self.pool.keep(host.clone(), connection.clone());
+        self.pool.add(host.clone(), connection.clone());
         let id = connection.stable_id();
-        self.lock_open().insert(id, connection.clone());
+        self.lock_open_connections().insert(id, connection.clone());
         task::spawn(async move {
-            connection::read(host.clone(), connection.clone(), self.inbox.clone()).await;
-            self.pool.forget(&host, &connection);
-            self.lock_open().remove(&id);
-            self.inbox.counters.count_ended(connection.stats().into());
+            connection::read_frames(host.clone(), connection.clone(), self.inbox.clone()).await;
+            self.pool.remove_closed(&host, &connection);
+            self.lock_open_connections().remove(&id);
+            self.inbox.counters.count_closed(connection.stats().into());
         });
     }
 
-    fn lock_open(&self) -> MutexGuard<'_, HashMap<usize, Connection>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_open_connections(&self) -> MutexGuard<'_, HashMap<usize, Connection>> {
+        self.open_connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_waiting(&self) -> MutexGuard<'_, HashMap<HostName, Vec<Vec<u8>>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_queued(&self) -> MutexGuard<'_, HashMap<HostName, Vec<Vec<u8>>>> {
+        self.queued.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-async fn accept(inner: Arc<Inner>) {
+async fn accept_connections(inner: Arc<Inner>) {
     while let Some(incoming) = inner.endpoint.accept().await {
         let inner = inner.clone();
         task::spawn(async move {
-            // A stranger that opens a handshake and stays silent must not hold
-            // its place for longer than a host needs to prove itself.
+            // The timeout stops a client that starts a handshake and then stays silent
+            // from holding resources.
             let Ok(Ok(connection)) = timeout(inner.connect_timeout, incoming.into_future()).await
             else {
                 return inner.inbox.counters.count_rejected(Rejection::Handshake);
             };
-            let Some(host) = tls::proven_name(&connection) else {
-                inner.inbox.counters.count_rejected(Rejection::Nameless);
+            let Some(host) = tls::authenticated_name(&connection) else {
+                inner
+                    .inbox
+                    .counters
+                    .count_rejected(Rejection::CertificateName);
                 return connection.close(VarInt::from_u32(1), b"no name");
             };
-            inner.adopt(host, connection);
+            inner.register(host, connection);
         });
     }
 }
--- a/crates/link/src/peer.rs
+++ b/crates/link/src/peer.rs
@@ -1,16 +1,17 @@
-//! Whom to speak to.
+//! The name and address of another host.
 
 use std::net::SocketAddr;
 
 use derive_more::Display;
 use kernel::HostName;
 
-/// A host and where it takes frames; what is found there must prove the name.
+/// A host and its address. A connection to the address is used only if the host's
+/// certificate contains the name.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash)]
 #[display("{host} at {address}")]
 pub struct Peer {
-    /// The host.
+    /// The name in the host's certificate.
     pub host: HostName,
-    /// Its address for frames.
+    /// The address at which the host receives frames.
     pub address: SocketAddr,
 }
--- a/crates/link/src/pool.rs
+++ b/crates/link/src/pool.rs
@@ -1,4 +1,4 @@
-//! The connections that are kept, one a host, whoever opened them.
+//! The pool of connections to other hosts.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,78 +9,79 @@
 
 use crate::Peer;
 
-/// The kept connections by host.
+/// The newest connection to each host, whichever side opened it.
 pub(crate) struct Pool {
-    stall: Duration,
-    kept: Mutex<HashMap<HostName, Kept>>,
+    stall_timeout: Duration,
+    connections: Mutex<HashMap<HostName, PooledConnection>>,
 }
 
-/// A kept connection, and what is needed to see that its peer is gone.
-struct Kept {
+/// A connection, and the state that detects that its peer no longer responds.
+struct PooledConnection {
     connection: Connection,
-    /// Since when something was sent and nothing has come back.
-    waiting: Option<Instant>,
-    /// How many packets had come when something was last sent.
-    received: u64,
+    /// Time of the first send since a datagram was last seen to arrive.
+    unanswered_since: Option<Instant>,
+    /// Number of datagrams received up to the last send.
+    datagrams_received: u64,
 }
 
 impl Pool {
-    pub(crate) fn new(stall: Duration) -> Self {
+    pub(crate) fn new(stall_timeout: Duration) -> Self {
         Self {
-            stall,
-            kept: Mutex::default(),
+            stall_timeout,
+            connections: Mutex::default(),
         }
     }
 
-    /// The connection to use, if a good one is kept.
+    /// Returns the connection for a frame that is about to be sent, if it is usable.
     ///
-    /// Failure: a host is restarted under the same address. Its old connection
-    /// looks open here until the idle limit, and all that is sent on it is
-    /// lost, so a live host passes for dead. The guard gives the connection up
-    /// when nothing came back since something was sent on it `stall` ago; a
-    /// live peer acknowledges within milliseconds, so it isn't given up wrongly
-    /// but on a path that is broken anyway.
-    pub(crate) fn find(&self, peer: &Peer) -> Option<Connection> {
-        let mut kept = self.lock();
-        let it = kept.get_mut(&peer.host)?;
-        let received = it.connection.stats().udp_rx.datagrams;
-        if received != it.received {
-            it.received = received;
-            it.waiting = None;
+    /// A connection to a host that was restarted under the same address looks open
+    /// until the idle timeout, but frames sent on it are lost, and the host would be
+    /// taken for dead. So a connection is removed if nothing was received within the
+    /// stall timeout after a send. A live peer acknowledges each send long before.
+    pub(crate) fn find_usable(&self, peer: &Peer) -> Option<Connection> {
+        let mut connections = self.lock();
+        let it = connections.get_mut(&peer.host)?;
+        let datagrams_received = it.connection.stats().udp_rx.datagrams;
+        if datagrams_received != it.datagrams_received {
+            it.datagrams_received = datagrams_received;
+            it.unanswered_since = None;
         }
-        let since = *it.waiting.get_or_insert_with(Instant::now);
-        let is_stalled = since.elapsed() > self.stall;
-        let has_moved = it.connection.remote_address() != peer.address;
-        if is_stalled || has_moved || it.connection.close_reason().is_some() {
-            kept.remove(&peer.host);
+        let since = *it.unanswered_since.get_or_insert_with(Instant::now);
+        let is_stalled = since.elapsed() > self.stall_timeout;
+        let has_new_address = it.connection.remote_address() != peer.address;
+        if is_stalled || has_new_address || it.connection.close_reason().is_some() {
+            connections.remove(&peer.host);
             return None;
         }
         Some(it.connection.clone())
     }
 
-    /// Keeps the newest connection: the peer that opened it is the one that lives.
-    pub(crate) fn keep(&self, host: HostName, connection: Connection) {
-        let received = connection.stats().udp_rx.datagrams;
-        let kept = Kept {
+    /// Adds a connection, replacing an older one to the same host: after a restart
+    /// only the newer one reaches the running process.
+    pub(crate) fn add(&self, host: HostName, connection: Connection) {
+        let datagrams_received = connection.stats().udp_rx.datagrams;
+        let pooled = PooledConnection {
             connection,
-            waiting: None,
-            received,
+            unanswered_since: None,
+            datagrams_received,
         };
-        self.lock().insert(host, kept);
+        self.lock().insert(host, pooled);
     }
 
-    /// Forgets a connection that ended, unless a newer one has its place.
-    pub(crate) fn forget(&self, host: &HostName, connection: &Connection) {
-        let mut kept = self.lock();
-        let is_same = kept
+    /// Removes a closed connection, unless a newer one has replaced it.
+    pub(crate) fn remove_closed(&self, host: &HostName, connection: &Connection) {
+        let mut connections = self.lock();
+        let is_same = connections
             .get(host)
             .is_some_and(|it| it.connection.stable_id() == connection.stable_id());
         if is_same {
-            kept.remove(host);
+            connections.remove(host);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<HostName, Kept>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<HostName, PooledConnection>> {
+        self.connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/link/src/settings.rs
+++ b/crates/link/src/settings.rs
@@ -1,42 +1,43 @@
-//! What a link needs to know.
+//! Settings of a link.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::Keys;
 
-/// Where to listen, with which keys, and the link's bounds.
+/// The address, keys and limits of a link.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where to take frames; port 0 picks a free one.
+    /// The address to listen on; port 0 selects a free port.
     pub address: SocketAddr,
     /// The fleet's CA and this host's certificate and key.
     pub keys: Keys,
-    /// An unused connection is dropped after this long.
-    pub idle: Duration,
-    /// How long a connection may take to come about.
+    /// Time after which an idle connection is closed.
+    pub idle_timeout: Duration,
+    /// Timeout of a handshake, in either direction.
     pub connect_timeout: Duration,
-    /// A connection on which nothing came back for this long since something
-    /// was sent is replaced by a new one.
-    pub stall: Duration,
-    /// How many frames may wait for one peer's connection.
-    pub waiting: usize,
-    /// How many received frames may wait to be taken; more are dropped and counted.
-    pub inbox: usize,
+    /// Time after a send within which the peer must have sent something, or else the
+    /// connection is replaced by a new one.
+    pub stall_timeout: Duration,
+    /// Maximum number of frames queued per peer while its connection is established.
+    pub max_queued_frames: usize,
+    /// Maximum number of received frames that wait to be processed; further ones are
+    /// dropped and counted.
+    pub inbox_capacity: usize,
 }
 
 impl Settings {
-    /// The usual bounds.
+    /// Creates settings with the default limits.
     #[must_use]
     pub fn new(address: SocketAddr, keys: Keys) -> Self {
         Self {
             address,
             keys,
-            idle: Duration::from_mins(1),
+            idle_timeout: Duration::from_mins(1),
             connect_timeout: Duration::from_secs(2),
-            stall: Duration::from_millis(1500),
-            waiting: 64,
-            inbox: 4096,
+            stall_timeout: Duration::from_millis(1500),
+            max_queued_frames: 64,
+            inbox_capacity: 4096,
         }
     }
 }
--- a/crates/link/src/tls.rs
+++ b/crates/link/src/tls.rs
@@ -1,4 +1,5 @@
-//! TLS settings of both directions: each side must show a certificate of the fleet's CA.
+//! TLS configuration of both directions. Each side must present a certificate of the
+//! fleet's CA.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,24 +16,25 @@
 
 use crate::{Error, Keys};
 
-/// The protocol's name in the handshake.
+/// The ALPN protocol name.
 const PROTOCOL: &[u8] = b"barleypin/1";
 
-/// How many answers one peer may wait for at once.
-const MAX_ASKS: u32 = 256;
+/// Maximum number of concurrent requests of one peer.
+const MAX_CONCURRENT_REQUESTS: u32 = 256;
 
-/// How many large frames one peer may have under way at once.
-const MAX_STREAMS: u32 = 64;
+/// Maximum number of frames that one peer may send on streams concurrently, besides
+/// requests.
+const MAX_CONCURRENT_STREAM_FRAMES: u32 = 64;
 
-/// Both directions' settings.
+/// The configuration for accepted and for opened connections.
 pub(crate) struct Configs {
     pub(crate) server: ServerConfig,
     pub(crate) client: ClientConfig,
 }
 
-/// Reads the keys once, at the edge.
-pub(crate) fn configure(keys: &Keys, idle: Duration) -> Result<Configs, Report<Error>> {
-    let transport = Arc::new(transport(idle)?);
+/// Parses the keys and builds the configuration of both directions.
+pub(crate) fn configure(keys: &Keys, idle_timeout: Duration) -> Result<Configs, Report<Error>> {
+    let transport = Arc::new(transport_config(idle_timeout)?);
     let mut server = ServerConfig::with_crypto(Arc::new(server_crypto(keys)?));
     server.transport_config(transport.clone());
     let mut client = ClientConfig::new(Arc::new(client_crypto(keys)?));
@@ -40,9 +42,9 @@
     Ok(Configs { server, client })
 }
 
-/// The name that the peer's certificate proves. A certificate with several
-/// names could pass for several hosts, so it proves none.
-pub(crate) fn proven_name(connection: &Connection) -> Option<HostName> {
+/// Returns the host name in the peer's certificate. A certificate with several names
+/// is not accepted, because its holder could act as several hosts.
+pub(crate) fn authenticated_name(connection: &Connection) -> Option<HostName> {
     let identity = connection.peer_identity()?;
     let chain = identity.downcast::<Vec<CertificateDer<'static>>>().ok()?;
     let certificate = webpki::EndEntityCert::try_from(chain.first()?).ok()?;
@@ -51,22 +53,22 @@
     names.next().is_none().then(|| HostName::from(name))
 }
 
-fn transport(idle: Duration) -> Result<TransportConfig, Report<Error>> {
-    let idle = IdleTimeout::try_from(idle).change_context(Error::Bind)?;
+fn transport_config(idle_timeout: Duration) -> Result<TransportConfig, Report<Error>> {
+    let idle_timeout = IdleTimeout::try_from(idle_timeout).change_context(Error::Bind)?;
     let mut transport = TransportConfig::default();
-    // Searching for a larger packet size costs more bytes than such short
-    // conversations ever save.
+    // MTU discovery would cost more bytes than larger packets save, as most frames
+    // are small.
     transport
         .mtu_discovery_config(None)
-        .max_idle_timeout(Some(idle))
-        .max_concurrent_bidi_streams(VarInt::from_u32(MAX_ASKS))
-        .max_concurrent_uni_streams(VarInt::from_u32(MAX_STREAMS));
+        .max_idle_timeout(Some(idle_timeout))
+        .max_concurrent_bidi_streams(VarInt::from_u32(MAX_CONCURRENT_REQUESTS))
+        .max_concurrent_uni_streams(VarInt::from_u32(MAX_CONCURRENT_STREAM_FRAMES));
     Ok(transport)
 }
 
 fn server_crypto(keys: &Keys) -> Result<QuicServerConfig, Report<Error>> {
-    let provider = provider();
-    let roots = Arc::new(roots(keys)?);
+    let provider = crypto_provider();
+    let roots = Arc::new(root_store(keys)?);
     let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider.clone())
         .build()
         .change_context(Error::Keys)?;
@@ -74,28 +76,28 @@
         .with_protocol_versions(&[&rustls::version::TLS13])
         .change_context(Error::Keys)?
         .with_client_cert_verifier(verifier)
-        .with_single_cert(chain(keys)?, private_key(keys)?)
+        .with_single_cert(certificate_chain(keys)?, private_key(keys)?)
         .change_context(Error::Keys)?;
     crypto.alpn_protocols = vec![PROTOCOL.to_vec()];
     QuicServerConfig::try_from(crypto).change_context(Error::Keys)
 }
 
 fn client_crypto(keys: &Keys) -> Result<QuicClientConfig, Report<Error>> {
-    let mut crypto = rustls::ClientConfig::builder_with_provider(provider())
+    let mut crypto = rustls::ClientConfig::builder_with_provider(crypto_provider())
         .with_protocol_versions(&[&rustls::version::TLS13])
         .change_context(Error::Keys)?
-        .with_root_certificates(roots(keys)?)
-        .with_client_auth_cert(chain(keys)?, private_key(keys)?)
+        .with_root_certificates(root_store(keys)?)
+        .with_client_auth_cert(certificate_chain(keys)?, private_key(keys)?)
         .change_context(Error::Keys)?;
     crypto.alpn_protocols = vec![PROTOCOL.to_vec()];
     QuicClientConfig::try_from(crypto).change_context(Error::Keys)
 }
 
-fn provider() -> Arc<CryptoProvider> {
+fn crypto_provider() -> Arc<CryptoProvider> {
     Arc::new(ring::default_provider())
 }
 
-fn roots(keys: &Keys) -> Result<RootCertStore, Report<Error>> {
+fn root_store(keys: &Keys) -> Result<RootCertStore, Report<Error>> {
     let mut roots = RootCertStore::empty();
     for certificate in CertificateDer::pem_slice_iter(keys.ca.as_bytes()) {
         let certificate = certificate.change_context(Error::Keys)?;
@@ -104,7 +106,7 @@
     Ok(roots)
 }
 
-fn chain(keys: &Keys) -> Result<Vec<CertificateDer<'static>>, Report<Error>> {
+fn certificate_chain(keys: &Keys) -> Result<Vec<CertificateDer<'static>>, Report<Error>> {
     CertificateDer::pem_slice_iter(keys.certificate.as_bytes())
         .collect::<Result<_, _>>()
         .change_context(Error::Keys)
--- a/crates/link/tests/keys.rs
+++ b/crates/link/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys that the fleet's CA makes.
+//! Generating a CA and issuing host certificates.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use link::{Error, Link, Peer, Settings};
 use wire::Frame;
 
-fn check(name: &str, expected: Option<Error>) {
+fn check_issue(name: &str, expected: Option<Error>) {
     let authority = Authority::generate("test").unwrap();
     let issued = authority.issue(&name.into());
     let error = issued.err().map(|it| *it.current_context());
@@ -15,17 +15,17 @@
 }
 
 #[test]
-fn a_host_needs_a_name_that_a_certificate_can_prove() {
-    check("entry-1", None);
-    check("entry_1.dar-1", None);
-    check("10.0.0.1", Some(Error::HostName));
-    check("::1", Some(Error::HostName));
-    check("", Some(Error::HostName));
-    check("entry 1", Some(Error::HostName));
+fn certificates_are_issued_for_dns_names_only() {
+    check_issue("entry-1", None);
+    check_issue("entry_1.dar-1", None);
+    check_issue("10.0.0.1", Some(Error::HostName));
+    check_issue("::1", Some(Error::HostName));
+    check_issue("", Some(Error::HostName));
+    check_issue("entry 1", Some(Error::HostName));
 }
 
 #[test]
-fn keys_never_show_in_a_log() {
+fn debug_output_contains_no_keys() {
     let authority = Authority::generate("test").unwrap();
     let keys = authority.issue(&"a".into()).unwrap();
     assert_eq!(
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn broken_keys_are_refused_at_the_start() {
+fn bind_fails_with_an_invalid_private_key() {
     let authority = Authority::generate("test").unwrap();
     let mut keys = authority.issue(&"a".into()).unwrap();
     keys.key = "no key".to_owned();
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn hosts_of_two_authorities_speak_while_one_replaces_the_other() {
-    // Operators replace the CA host by host, and hosts with old and new
-    // certificates must know each other all the while.
+fn hosts_with_certificates_of_two_trusted_cas_connect() {
+    // While operators replace the CA host by host, hosts with old and new certificates
+    // must accept each other.
     block_on(async {
         let address: SocketAddr = "127.0.0.1:0".parse().unwrap();
         let (old, new) = (
--- a/crates/link/tests/strangers.rs
+++ b/crates/link/tests/rejections.rs
@@ -1,4 +1,4 @@
-//! What doesn't belong on the fleet's port is dropped and counted by reason.
+//! Invalid connections and frames are rejected and counted by reason.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,8 @@
 use rustls_pki_types::{CertificateDer, PrivateKeyDer};
 use wire::{Frame, MAX_FRAME_BYTES};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Fails a test that would otherwise wait forever.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Host {
     link: Link,
@@ -32,13 +33,14 @@
         Self { link, inbox }
     }
 
-    async fn check(&self, reason: Rejection) {
+    /// Waits for a rejection for `reason`, and checks that there are no others.
+    async fn check_rejected(&self, reason: Rejection) {
         let counted = async {
             while self.link.counters().rejected(reason) == 0 {
                 yield_now().await;
             }
         };
-        timeout(PATIENCE, counted).await.unwrap();
+        timeout(TIMEOUT, counted).await.unwrap();
         for other in Rejection::ALL.into_iter().filter(|it| *it != reason) {
             assert_eq!(self.link.counters().rejected(other), 0, "{other:?}");
         }
@@ -46,7 +48,7 @@
     }
 }
 
-/// Connects without the link's help, with `keys` or with no certificate at all.
+/// Connects with a plain QUIC client, with `keys` or without a client certificate.
 async fn connect(ca: &str, keys: Option<&Keys>, to: SocketAddr) -> Option<(Endpoint, Connection)> {
     let mut roots = RootCertStore::empty();
     let ca = CertificateDer::from_pem_slice(ca.as_bytes()).unwrap();
@@ -75,9 +77,8 @@
     Some((endpoint, connection))
 }
 
-/// A host, and a connection to it by someone with the fleet's keys who speaks
-/// no sense.
-async fn member() -> (Host, Endpoint, Connection) {
+/// Returns a host, and a connection to it with a valid certificate.
+async fn host_and_connection() -> (Host, Endpoint, Connection) {
     let authority = Authority::generate("test").unwrap();
     let host = Host::new(&authority);
     let keys = authority.issue(&"broken".into()).unwrap();
@@ -88,69 +89,69 @@
     (host, endpoint, connection)
 }
 
-async fn stream(connection: &Connection, bytes: &[u8]) {
+async fn send_on_stream(connection: &Connection, bytes: &[u8]) {
     let mut stream = connection.open_uni().await.unwrap();
-    // The host may stop reading, and it may do so before all is written.
+    // The host may stop reading before all bytes are written.
     let _ = stream.write_all(bytes).await;
     let _ = stream.finish();
 }
 
 #[test]
-fn a_datagram_that_is_no_frame_is_dropped() {
+fn a_datagram_that_is_not_a_frame_is_rejected() {
     block_on(async {
-        let (host, _endpoint, connection) = member().await;
+        let (host, _endpoint, connection) = host_and_connection().await;
         connection
             .send_datagram(b"nonsense".to_vec().into())
             .unwrap();
-        host.check(Rejection::Malformed).await;
+        host.check_rejected(Rejection::Malformed).await;
     });
 }
 
 #[test]
-fn a_stream_that_is_no_frame_is_dropped() {
+fn a_stream_that_is_not_a_frame_is_rejected() {
     block_on(async {
-        let (host, _endpoint, connection) = member().await;
-        stream(&connection, &[1, 0xff, 0xff]).await;
-        host.check(Rejection::Malformed).await;
+        let (host, _endpoint, connection) = host_and_connection().await;
+        send_on_stream(&connection, &[1, 0xff, 0xff]).await;
+        host.check_rejected(Rejection::Malformed).await;
     });
 }
 
 #[test]
-fn a_stream_that_never_ends_is_cut_at_the_largest_frame() {
+fn a_stream_longer_than_the_largest_frame_is_rejected() {
     block_on(async {
-        let (host, _endpoint, connection) = member().await;
-        stream(&connection, &vec![1; MAX_FRAME_BYTES + 1]).await;
-        host.check(Rejection::TooLarge).await;
+        let (host, _endpoint, connection) = host_and_connection().await;
+        send_on_stream(&connection, &vec![1; MAX_FRAME_BYTES + 1]).await;
+        host.check_rejected(Rejection::TooLarge).await;
     });
 }
 
 #[test]
-fn sense_after_nonsense_is_heard() {
+fn a_valid_frame_after_a_malformed_one_is_received() {
     block_on(async {
-        let (host, _endpoint, connection) = member().await;
-        stream(&connection, b"").await;
-        host.check(Rejection::Malformed).await;
-        stream(&connection, &Frame::Done.encode().unwrap()).await;
-        let incoming = timeout(PATIENCE, host.inbox.recv()).await.unwrap().unwrap();
+        let (host, _endpoint, connection) = host_and_connection().await;
+        send_on_stream(&connection, b"").await;
+        host.check_rejected(Rejection::Malformed).await;
+        send_on_stream(&connection, &Frame::Done.encode().unwrap()).await;
+        let incoming = timeout(TIMEOUT, host.inbox.recv()).await.unwrap().unwrap();
         assert_eq!(incoming.host().as_str(), "broken");
     });
 }
 
 #[test]
-fn one_without_a_certificate_is_dropped() {
+fn a_client_without_a_certificate_is_rejected() {
     block_on(async {
         let authority = Authority::generate("test").unwrap();
         let host = Host::new(&authority);
         let to = host.link.address().unwrap();
         let _opened = connect(&authority.certificate, None, to).await;
-        host.check(Rejection::Handshake).await;
+        host.check_rejected(Rejection::Handshake).await;
     });
 }
 
 #[test]
-fn one_with_two_names_is_dropped() {
-    // A certificate with two names could speak for two hosts. The fleet's tool
-    // makes none, but whoever holds the CA's key may have made one.
+fn a_certificate_with_two_names_is_rejected() {
+    // The holder of such a certificate could act as two hosts. `Authority` issues none,
+    // but other tools can sign one with the CA's key.
     block_on(async {
         let authority = Authority::generate("test").unwrap();
         let host = Host::new(&authority);
@@ -166,17 +167,17 @@
         };
         let to = host.link.address().unwrap();
         let _opened = connect(&authority.certificate, Some(&keys), to).await;
-        host.check(Rejection::Nameless).await;
+        host.check_rejected(Rejection::CertificateName).await;
     });
 }
 
 #[test]
-fn one_that_sends_faster_than_it_is_heard_loses_frames_only() {
+fn frames_beyond_the_inbox_capacity_are_rejected() {
     block_on(async {
         let authority = Authority::generate("test").unwrap();
         let keys = authority.issue(&"host".into()).unwrap();
         let mut settings = Settings::new("127.0.0.1:0".parse().unwrap(), keys);
-        settings.inbox = 1;
+        settings.inbox_capacity = 1;
         let (link, inbox) = Link::bind(&settings).unwrap();
         let keys = authority.issue(&"eager".into()).unwrap();
         let to = link.address().unwrap();
@@ -184,12 +185,12 @@
         let (_endpoint, connection) = opened.unwrap();
         let done = Frame::Done.encode().unwrap();
         let counted = async {
-            while link.counters().rejected(Rejection::Flooded) == 0 {
-                stream(&connection, &done).await;
+            while link.counters().rejected(Rejection::InboxFull) == 0 {
+                send_on_stream(&connection, &done).await;
                 yield_now().await;
             }
         };
-        timeout(PATIENCE, counted).await.unwrap();
+        timeout(TIMEOUT, counted).await.unwrap();
         assert_eq!(inbox.len(), 1);
     });
 }
--- a/crates/link/tests/restart.rs
+++ b/crates/link/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A host is killed and restarted under its name and address.
+//! Sending to a host that was restarted under the same address, or that isn't running.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex, Weak};
@@ -13,9 +13,10 @@
 use link::{Incoming, Keys, Link, Peer, Settings};
 use wire::{Frame, Identity};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Fails a test that would otherwise wait forever.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn frame(number: u64) -> Frame {
+fn numbered_frame(number: u64) -> Frame {
     Frame::Drain(Identity {
         host: "b".into(),
         incarnation: Incarnation(number),
@@ -24,42 +25,42 @@
 
 fn bind(keys: &Keys) -> (Link, Receiver<Incoming>) {
     let mut settings = Settings::new("127.0.0.1:0".parse().unwrap(), keys.clone());
-    settings.stall = Duration::from_millis(100);
+    settings.stall_timeout = Duration::from_millis(100);
     Link::bind(&settings).unwrap()
 }
 
-/// One address behind which the process can be exchanged. What the old process
-/// still says is dropped, as if it had been killed.
-struct Place {
+/// A UDP proxy whose target process can be replaced. Packets from the replaced process
+/// are dropped, as if it had been killed.
+struct Proxy {
     address: SocketAddr,
-    process: Arc<Mutex<SocketAddr>>,
+    target: Arc<Mutex<SocketAddr>>,
     _caller: Arc<Mutex<SocketAddr>>,
 }
 
-impl Place {
-    fn new(process: SocketAddr) -> Self {
+impl Proxy {
+    fn new(target: SocketAddr) -> Self {
         let front = Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap());
         let back = Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap());
         let address = front.local_addr().unwrap();
-        let process = Arc::new(Mutex::new(process));
+        let target = Arc::new(Mutex::new(target));
         let caller = Arc::new(Mutex::new(address));
-        pass(&front, &back, &caller, &process);
-        pass(&back, &front, &process, &caller);
+        forward(&front, &back, &caller, &target);
+        forward(&back, &front, &target, &caller);
         Self {
             address,
-            process,
+            target,
             _caller: caller,
         }
     }
 
-    fn exchange(&self, process: SocketAddr) {
-        *self.process.lock().unwrap() = process;
+    fn set_target(&self, target: SocketAddr) {
+        *self.target.lock().unwrap() = target;
     }
 }
 
-/// Passes packets on until the place is gone. The front learns who calls; the
-/// back takes packets of the present process only.
-fn pass(
+/// Starts a thread that forwards packets until the proxy is dropped. The front socket
+/// records the caller's address; the back socket accepts packets of the target only.
+fn forward(
     from: &Arc<UdpSocket>,
     to: &Arc<UdpSocket>,
     source: &Arc<Mutex<SocketAddr>>,
@@ -94,39 +95,38 @@
 }
 
 #[test]
-fn a_peer_that_was_killed_and_restarted_is_reached_again() {
-    // Host b dies without closing its connections and comes back under the
-    // same address. Host a has a connection to the old process, which looks
-    // open, and all that is sent on it is lost. A live host would pass for dead.
+fn a_peer_restarted_without_closing_its_connections_is_reached_again() {
+    // The connection to the old process looks open, but frames sent on it are lost, so
+    // that a live host would be taken for dead.
     block_on(async {
         let authority = Authority::generate("test").unwrap();
         let (a, _a_inbox) = bind(&authority.issue(&"a".into()).unwrap());
         let b_keys = authority.issue(&"b".into()).unwrap();
         let (old, old_inbox) = bind(&b_keys);
-        let place = Place::new(old.address().unwrap());
+        let proxy = Proxy::new(old.address().unwrap());
         let b = Peer {
             host: "b".into(),
-            address: place.address,
+            address: proxy.address,
         };
-        a.send(&b, &frame(1));
-        assert_eq!(old_inbox.recv().await.unwrap().frame, frame(1));
+        a.send(&b, &numbered_frame(1));
+        assert_eq!(old_inbox.recv().await.unwrap().frame, numbered_frame(1));
 
         let (new, new_inbox) = bind(&b_keys);
-        place.exchange(new.address().unwrap());
+        proxy.set_target(new.address().unwrap());
         let reached = async {
             while new_inbox.is_empty() {
-                a.send(&b, &frame(2));
+                a.send(&b, &numbered_frame(2));
                 yield_now().await;
             }
             new_inbox.recv().await.unwrap().frame
         };
-        assert_eq!(timeout(PATIENCE, reached).await.unwrap(), frame(2));
+        assert_eq!(timeout(TIMEOUT, reached).await.unwrap(), numbered_frame(2));
         assert_eq!(a.counters().snapshot().handshakes, 2);
     });
 }
 
 #[test]
-fn a_frame_for_a_host_that_is_not_there_is_counted_as_unsent() {
+fn frames_to_a_host_that_is_not_running_are_counted_as_unsent() {
     block_on(async {
         let authority = Authority::generate("test").unwrap();
         let mut settings = Settings::new(
@@ -134,7 +134,7 @@
             authority.issue(&"a".into()).unwrap(),
         );
         settings.connect_timeout = Duration::from_millis(50);
-        settings.waiting = 2;
+        settings.max_queued_frames = 2;
         let (a, _inbox) = Link::bind(&settings).unwrap();
         let silent = UdpSocket::bind("127.0.0.1:0").unwrap();
         let b = Peer {
@@ -142,14 +142,14 @@
             address: silent.local_addr().unwrap(),
         };
         for number in 0..5 {
-            a.send(&b, &frame(number));
+            a.send(&b, &numbered_frame(number));
         }
         let counted = async {
             while a.counters().snapshot().unsent < 5 {
                 yield_now().await;
             }
         };
-        timeout(PATIENCE, counted).await.unwrap();
+        timeout(TIMEOUT, counted).await.unwrap();
         assert_eq!(a.counters().snapshot().frames_sent, 0);
     });
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,19 +1,18 @@
-//! The binary form: one version byte, then `postcard`.
+//! Encoding and decoding of frames: one version byte, then `postcard`.
 
 use crate::{Error, Frame};
 
-/// The version byte that leads each frame.
+/// The first byte of each frame.
 pub const VERSION: u8 = 1;
 
-/// The largest frame that is taken, in bytes. A configuration document is the
-/// largest thing that hosts pass on.
+/// The maximum size of a frame. Configuration documents are the largest content.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
 impl Frame {
-    /// The frame's bytes, version byte first.
+    /// Encodes the frame.
     ///
     /// # Errors
-    /// [`Error::TooLarge`] when they would exceed [`MAX_FRAME_BYTES`].
+    /// [`Error::TooLarge`] if it exceeds [`MAX_FRAME_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let bytes = postcard::to_extend(self, vec![VERSION]).map_err(|_| Error::Malformed)?;
         if bytes.len() > MAX_FRAME_BYTES {
@@ -22,10 +21,10 @@
         Ok(bytes)
     }
 
-    /// Reads one frame that must fill `bytes` to its end.
+    /// Decodes `bytes`, which must be exactly one frame. Never panics.
     ///
     /// # Errors
-    /// Says why the bytes aren't a frame; no input makes it panic.
+    /// The reason for which the bytes aren't a frame.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(Error::TooLarge(bytes.len()));
--- a/crates/wire/src/counts.rs
+++ b/crates/wire/src/counts.rs
@@ -1,23 +1,23 @@
-//! Counters that add up.
+//! A set of counters.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Counters by number; the decision core gives each number its meaning. Those
-/// at zero take no room.
+/// Counters by number; the decision core defines the meaning of each number. Counters
+/// at zero are not stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Counts(BTreeMap<u8, u64>);
 
 impl Counts {
-    /// The counter's value.
+    /// Returns the value of a counter, zero if it isn't stored.
     #[must_use]
     pub fn get(&self, counter: u8) -> u64 {
         self.0.get(&counter).copied().unwrap_or(0)
     }
 
-    /// Adds to a counter.
+    /// Adds to a counter, saturating.
     pub fn add(&mut self, counter: u8, value: u64) {
         if value > 0 {
             let sum = self.0.entry(counter).or_default();
@@ -25,14 +25,14 @@
         }
     }
 
-    /// Adds all of `other`.
+    /// Adds all counters of `other`, saturating.
     pub fn merge(&mut self, other: &Self) {
         for (counter, value) in &other.0 {
             self.add(*counter, *value);
         }
     }
 
-    /// Takes away `other` as far as it is there.
+    /// Subtracts the counters of `other`, each at most down to zero.
     pub fn subtract(&mut self, other: &Self) {
         for (counter, value) in &mut self.0 {
             *value = value.saturating_sub(other.get(*counter));
@@ -40,7 +40,7 @@
         self.0.retain(|_, value| *value > 0);
     }
 
-    /// Whether all are zero.
+    /// Returns whether all counters are zero.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.values().all(|it| *it == 0)
--- a/crates/wire/src/delta.rs
+++ b/crates/wire/src/delta.rs
@@ -1,4 +1,4 @@
-//! Counts about one topic.
+//! Changes of the counts of one topic.
 
 use std::collections::BTreeSet;
 
@@ -7,62 +7,62 @@
 
 use crate::{Counts, Topic};
 
-/// How many marks a delta keeps.
-const MAX_MARKS: usize = 4;
+/// Maximum number of failed endpoints in a merged delta.
+const MAX_FAILED_ENDPOINTS: usize = 4;
 
-/// What was counted about one topic. Deltas add up, whoever adds them in
-/// whichever order.
+/// The counts of one topic over some time. Hosts merge deltas; the order doesn't affect
+/// the counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// What the counts are about.
+    /// The topic.
     pub topic: Topic,
-    /// Whether it tells of something bad, which must not wait.
+    /// Whether it reports a failure, which is sent with a shorter delay.
     pub is_urgent: bool,
     /// The counts.
     pub counts: Counts,
-    /// Some of the endpoints where something bad happened, so that one broken
-    /// endpoint isn't taken for a broken version.
-    pub marks: BTreeSet<Mark>,
+    /// Some of the endpoints that failed, so that one failing endpoint can be
+    /// distinguished from a bad version.
+    pub failed_endpoints: BTreeSet<FailedEndpoint>,
 }
 
-/// One life of an endpoint, its host by a hash of the name.
+/// One incarnation of an endpoint that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Mark {
-    /// The hash of the host's name.
+pub struct FailedEndpoint {
+    /// A hash of the host's name.
     pub host: u64,
-    /// Which life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
 }
 
 impl Delta {
-    /// Nothing counted yet.
+    /// Creates an empty delta.
     #[must_use]
     pub fn new(topic: Topic) -> Self {
         Self {
             topic,
             is_urgent: false,
             counts: Counts::default(),
-            marks: BTreeSet::new(),
+            failed_endpoints: BTreeSet::new(),
         }
     }
 
-    /// Adds `other`, which must be about the same topic.
+    /// Adds `other`, which must have the same topic.
     pub fn merge(&mut self, other: &Self) {
         self.is_urgent |= other.is_urgent;
         self.counts.merge(&other.counts);
-        for mark in &other.marks {
-            if self.marks.len() < MAX_MARKS {
-                self.marks.insert(*mark);
+        for endpoint in &other.failed_endpoints {
+            if self.failed_endpoints.len() < MAX_FAILED_ENDPOINTS {
+                self.failed_endpoints.insert(*endpoint);
             }
         }
     }
 
-    /// Takes away the counts of `other` as far as they are there.
+    /// Subtracts the counts of `other`, each at most down to zero.
     pub fn subtract(&mut self, other: &Self) {
         self.counts.subtract(&other.counts);
     }
 
-    /// Whether nothing was counted.
+    /// Returns whether all counts are zero.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -1,20 +1,22 @@
-//! The comparison of two hosts' views, so that lost news is repaired.
+//! The message by which two hosts compare their views (anti-entropy).
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Bulletin, Identity};
 
-/// A summary of the sender's view. The receiver answers with the news of those
-/// buckets that differ, and with its own digest where `reply` asks for it.
+/// A summary of the sender's view. The receiver responds with its records in the buckets
+/// that differ, which repairs lost gossip updates. If `reply` is set, the response is a
+/// digest of the receiver's differing buckets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Who compares.
+    /// The sender.
     pub from: Identity,
-    /// The fingerprint of each non-empty bucket.
+    /// The fingerprints of the sender's non-empty buckets. A response contains only the
+    /// differing ones.
     pub buckets: Vec<Bucket>,
-    /// What the sender knows in the buckets that the other's digest showed to differ.
+    /// The sender's own record, or in a response its records in the differing buckets.
     pub bulletin: Bulletin,
-    /// Whether the receiver is asked for the news of the differing buckets.
+    /// Whether the receiver is asked to respond with a digest.
     pub reply: bool,
 }
 
@@ -23,6 +25,6 @@
 pub struct Bucket {
     /// The bucket's number.
     pub index: u8,
-    /// A hash over its records; equal records give equal hashes on all hosts.
+    /// A hash of its records, the same on all hosts that have the same records.
     pub hash: u32,
 }
--- a/crates/wire/src/document.rs
+++ b/crates/wire/src/document.rs
@@ -1,29 +1,29 @@
-//! How the configuration passes between hosts.
+//! Messages that transfer the configuration between hosts.
 
 use kernel::Revision;
 use serde::{Deserialize, Serialize};
 
 use crate::{Age, Identity};
 
-/// Asks for the configuration if it is newer than the asker's.
+/// Requests the configuration if it is newer than the sender's.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fetch {
-    /// Names this question among those of its sender.
+    /// Identifies the request among those of its sender.
     pub sequence: u32,
-    /// Who asks.
+    /// The sender.
     pub from: Identity,
-    /// The revision in force at the asker; zero when it has none.
+    /// The revision in force at the sender, zero if it has none.
     pub newer_than: Revision,
 }
 
-/// The configuration, in answer to [`Fetch`].
+/// The configuration, in response to [`Fetch`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The question that is answered.
+    /// The sequence number of the request.
     pub sequence: u32,
     /// The document's revision.
     pub revision: Revision,
-    /// The age of the answerer's proof that the revision is the newest.
+    /// The age of the sender's proof that the revision is the newest, see [`crate::Proof`].
     pub age: Option<Age>,
     /// The document as JSON.
     pub json: Vec<u8>,
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,23 +1,23 @@
-//! Why bytes aren't a frame.
+//! Errors of encoding and decoding.
 
 use derive_more::{Display, Error};
 
-/// Why bytes aren't a frame.
+/// The reason for which a frame can't be encoded or decoded.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// There are no bytes at all.
-    #[display("no bytes")]
+    /// The input is empty.
+    #[display("the frame is empty")]
     Empty,
-    /// The sender speaks a version that this host doesn't know.
-    #[display("unknown version {_0}")]
+    /// The version byte is not [`crate::VERSION`].
+    #[display("unknown frame version {_0}")]
     UnknownVersion(#[error(not(source))] u8),
     /// The frame exceeds [`crate::MAX_FRAME_BYTES`].
-    #[display("{_0} bytes are more than a frame may have")]
+    #[display("{_0} bytes exceed the maximum size of a frame")]
     TooLarge(#[error(not(source))] usize),
-    /// The body isn't any known frame.
-    #[display("the body is no known frame")]
+    /// The body can't be decoded as a frame.
+    #[display("the frame's body is malformed")]
     Malformed,
-    /// A whole frame is followed by more bytes.
+    /// The frame is followed by further bytes.
     #[display("{_0} bytes follow the frame")]
     TrailingBytes(#[error(not(source))] usize),
 }
--- a/crates/wire/src/evidence.rs
+++ b/crates/wire/src/evidence.rs
@@ -1,34 +1,35 @@
-//! What hosts saw of versions and of customers' demand.
+//! The message that distributes evidence about versions and customers' demand.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Delta, Identity};
 
-/// What was counted since the sender's last evidence.
+/// Counts that have not been sent before on the same hop.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Who sends it.
+    /// The sender.
     pub from: Identity,
-    /// How many hosts it speaks for, and where it goes next.
+    /// The hop on which the counts are sent.
     pub reach: Reach,
     /// The counts.
     pub deltas: Vec<Delta>,
 }
 
-/// Which part of the pooling a frame of evidence is on.
+/// A hop on the path of evidence from the host that counted it to all hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reach {
-    /// One host's own counts, to be used by the receiver and passed to nobody.
+    /// From a host to another in a small fleet. The receiver doesn't forward the counts.
     Direct,
-    /// One host's own counts, to be added up by the relay of its data centre.
+    /// From a host to the relay of its data centre, which aggregates the counts.
     Host,
-    /// A data centre's counts, to be added up by the topic's first home, which
-    /// also gives them back to all.
+    /// From a relay to the topic's first home, which aggregates the counts of all data
+    /// centres and returns the totals to all hosts.
     DataCentre,
-    /// The same for the topic's other homes, which give nothing back.
+    /// From a relay to the topic's other homes, which don't return totals.
     Standby,
-    /// All counts, to be passed on by the relay to the hosts of its data centre.
+    /// The totals, from the first home to a relay, which forwards them to the hosts of its
+    /// data centre.
     Fleet,
-    /// All counts, at their last stop.
+    /// The totals, from a relay to a host of its data centre.
     Final,
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The closed set of what one host may say to another.
+//! The messages between hosts.
 
 use derive_more::{From, IsVariant};
 use serde::{Deserialize, Serialize};
@@ -9,41 +9,41 @@
 
 /// One message between two hosts.
 ///
-/// The order of the variants is part of the binary form: new ones go to the end.
+/// The order of the variants is part of the encoding: add new ones at the end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, From, IsVariant)]
 pub enum Frame {
-    /// Asks whether a host lives.
+    /// Checks whether a host is alive.
     Probe(Probe),
-    /// Answers a probe.
+    /// Responds to a probe.
     Ack(Ack),
-    /// Asks a third host to probe.
+    /// Asks a third host to probe the target.
     ProbeRequest(ProbeRequest),
-    /// News, pushed at once.
+    /// Gossip updates sent at once rather than on a probe.
     News(Bulletin),
-    /// Compares views.
+    /// Compares two hosts' views.
     Digest(Digest),
-    /// Asks for the configuration.
+    /// Requests the configuration.
     Fetch(Fetch),
     /// The configuration.
     Document(Document),
-    /// Counts to be pooled.
+    /// Counts for aggregation.
     Evidence(Evidence),
-    /// Orders this incarnation to drain.
+    /// Orders the given incarnation to drain.
     #[from(skip)]
     Drain(Identity),
-    /// Answers a frame that needs no other answer.
+    /// Confirms a frame that has no other response.
     #[from(skip)]
     Done,
-    /// A message between the ledgers of two hosts, in the ledger's form.
+    /// A message between the ledgers of two hosts, encoded by the ledger.
     #[from(skip)]
     Ledger(Payload),
-    /// What the decision core of a host tells those of the others, in its form.
+    /// A message between the decision cores of two hosts, encoded by them.
     #[from(skip)]
     Decide(Payload),
 }
 
 impl Frame {
-    /// A name for counters.
+    /// Returns the name of the variant in snake case.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
--- a/crates/wire/src/identity.rs
+++ b/crates/wire/src/identity.rs
@@ -1,15 +1,15 @@
-//! Who speaks.
+//! The identity of a host's process.
 
 use derive_more::Display;
 use kernel::{HostName, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// One life of a host's process.
+/// A host and one incarnation of its process.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{host}#{incarnation}")]
 pub struct Identity {
-    /// The host, as its certificate names it.
+    /// The name in the host's certificate.
     pub host: HostName,
-    /// Which life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,7 @@
-//! What hosts say to each other: the frames and their binary form.
+//! The frames that hosts send to each other, and their encoding.
 //!
-//! This crate knows the shape of each message and nothing of when it is sent;
-//! `fleet` decides that for membership, news and evidence, and `ledger` for
-//! records. See `docs/design/membership.md`.
+//! This crate defines the messages only. `fleet` decides when those for membership,
+//! gossip and evidence are sent, `ledger` when those for its records are. See `docs/design/membership.md`.
 
 mod codec;
 mod counts;
@@ -25,7 +24,7 @@
 
 pub use codec::{MAX_FRAME_BYTES, VERSION};
 pub use counts::Counts;
-pub use delta::{Delta, Mark};
+pub use delta::{Delta, FailedEndpoint};
 pub use digest::{Bucket, Digest};
 pub use document::{Document, Fetch};
 pub use error::Error;
--- a/crates/wire/src/load.rs
+++ b/crates/wire/src/load.rs
@@ -1,18 +1,18 @@
-//! How busy a host is.
+//! The load of a host.
 
 use std::time::Duration;
 
 use kernel::HostName;
 use serde::{Deserialize, Serialize};
 
-/// A host's load as a neighbour passes it on.
+/// The load of a host, as its neighbours forward it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// The host.
     pub host: HostName,
-    /// From 0 (idle) to 255 (full).
+    /// The load, from 0 (idle) to 255 (full).
     pub level: u8,
-    /// How long ago the host said so.
+    /// Time since the host reported it.
     #[serde(with = "crate::millis")]
     pub age: Duration,
 }
--- a/crates/wire/src/member.rs
+++ b/crates/wire/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of a member of the fleet.
+//! Membership records.
 
 use std::net::SocketAddr;
 
@@ -8,39 +8,40 @@
 
 use crate::Identity;
 
-/// How a member is, from best known to last; a later state overrides an
-/// earlier one of the same incarnation and refutation.
+/// The state of a member. A later variant overrides an earlier one of the same
+/// incarnation and refutation.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum State {
-    /// It answers.
+    /// It responds to probes.
     Alive,
-    /// It answers, and has asked to be omitted from hand-outs because it drains.
+    /// It responds to probes, but drains and is not offered to callers.
     Leaving,
-    /// It has not answered a probe, neither directly nor through others.
+    /// It didn't respond to a probe, neither directly nor via other hosts.
     Suspect,
-    /// Its suspicion ran out. It may be cut off rather than dead, so it may
-    /// come back by itself as the same incarnation.
+    /// It didn't refute the suspicion in time. It may be partitioned rather than dead, so
+    /// the same incarnation may become alive again.
     Unreachable,
-    /// It said goodbye, was replaced by a higher incarnation, or was fenced in
-    /// the table. This is final for the incarnation.
+    /// It announced its exit, was replaced by a higher incarnation, or was fenced in the
+    /// store. The state is final for the incarnation.
     Dead,
 }
 
-/// A member's record as hosts pass it on.
+/// A member's record, as hosts send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The host and the life of its process.
+    /// The host and the incarnation of its process.
     pub identity: Identity,
-    /// How often this incarnation has contradicted news of itself.
+    /// A number that the host increases to override what others report of this
+    /// incarnation.
     pub refutation: u32,
-    /// How it is.
+    /// The state.
     pub state: State,
-    /// Where it takes frames. A scope isn't passed on, as it means nothing on
-    /// another machine.
+    /// The address at which it receives frames. An IPv6 scope isn't encoded, as it has no
+    /// meaning on other hosts.
     pub fleet_address: SocketAddr,
-    /// Where callers connect.
+    /// The address to which callers connect.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentre,
--- a/crates/wire/src/millis.rs
+++ b/crates/wire/src/millis.rs
@@ -1,5 +1,5 @@
-//! Durations as whole milliseconds, which take two or three bytes where the
-//! derived form takes up to ten.
+//! Encodes durations as whole milliseconds, which takes fewer bytes than the derived
+//! encoding.
 
 use std::time::Duration;
 
@@ -15,7 +15,8 @@
     u64::deserialize(deserializer).map(Duration::from_millis)
 }
 
-/// Rounds up, because an age that is stated too low would pass for a newer proof.
+/// Returns whole milliseconds, rounded up: an age that is too low would make a proof look
+/// newer than it is.
 fn round_up(it: Duration) -> u64 {
     u64::try_from(it.as_nanos().div_ceil(1_000_000)).unwrap_or(u64::MAX)
 }
--- a/crates/wire/src/news.rs
+++ b/crates/wire/src/news.rs
@@ -1,34 +1,34 @@
-//! What spreads from host to host until all know it.
+//! Gossip updates, which hosts forward to each other until all have them.
 
 use kernel::{HostName, Incarnation, Revision};
 use serde::{Deserialize, Serialize};
 
 use crate::{Identity, Member, Verdict};
 
-/// News as one host tells them.
+/// The gossip updates that a host sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bulletin {
-    /// How many hosts the teller reaches, itself included. What a host that
-    /// reaches few says of others' absence tells more of itself.
+    /// Number of hosts that the sender reaches, including itself. If it reaches far fewer
+    /// than the receiver, it is probably partitioned and its accusations are ignored.
     pub reach: u32,
-    /// The pieces.
+    /// The updates.
     pub news: Vec<News>,
 }
 
-/// One piece of news.
+/// A gossip update.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum News {
     /// A member joined or changed its state.
     Member(Member),
     /// A newer configuration exists.
     Revision(Newest),
-    /// A version was quarantined or freed.
+    /// A version was quarantined or released from quarantine.
     Verdict(Verdict),
-    /// An endpoint is leaving, gone, or was replaced.
+    /// An endpoint is leaving, is gone, or was replaced.
     Endpoint(Endpoint),
 }
 
-/// Says that a revision exists and who holds its document.
+/// The newest revision that the sender knows, and a host that has its document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Newest {
     /// The revision.
@@ -37,24 +37,25 @@
     pub holder: Identity,
 }
 
-/// What a host learned of an endpoint before the lagging host list shows it.
+/// The state of an endpoint. Updates arrive before the host list shows the change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// The endpoint.
+    /// The endpoint's host name.
     pub host: HostName,
-    /// Which life of its process; a higher one replaces a lower one.
+    /// The incarnation of its process; a higher one replaces a lower one.
     pub incarnation: Incarnation,
-    /// How it is.
+    /// The state.
     pub state: EndpointState,
 }
 
-/// How an endpoint is; a later state overrides an earlier one of the same incarnation.
+/// The state of an endpoint. A later variant overrides an earlier one of the same
+/// incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It takes work.
+    /// It accepts requests.
     Live,
-    /// It ends its work and takes none.
+    /// It finishes its requests and accepts no new ones.
     Leaving,
-    /// This incarnation has ended.
+    /// This incarnation has exited.
     Gone,
 }
--- a/crates/wire/src/payload.rs
+++ b/crates/wire/src/payload.rs
@@ -1,14 +1,14 @@
-//! What one core says to its like on another host.
+//! Messages that other crates encode.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Identity;
 
-/// A message whose meaning is its core's business.
+/// An encoded message to the same core on another host, opaque to this crate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Payload {
-    /// Who sends it.
+    /// The sender.
     pub from: Identity,
-    /// The message.
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
--- a/crates/wire/src/probe.rs
+++ b/crates/wire/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes and what answers them.
+//! Probes of the failure detector, and the responses to them.
 
 use std::net::SocketAddr;
 
@@ -6,54 +6,54 @@
 
 use crate::{Bulletin, Identity, Load, Proof};
 
-/// Asks a host whether it lives.
+/// Checks whether a host is alive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
-    /// Names this probe among those of its sender.
+    /// Identifies the probe among those of its sender.
     pub sequence: u32,
-    /// Who asks.
+    /// The sender.
     pub from: Identity,
-    /// Where the asker takes frames, because a host that was just found may
-    /// not know it yet.
+    /// The address at which the sender receives frames. The receiver may not know the
+    /// sender yet.
     pub address: SocketAddr,
-    /// The asker's view of the configuration.
+    /// The sender's configuration revision, and the age of the proof that it is the newest.
     pub proof: Proof,
-    /// A fingerprint of the asker's view of the members; a difference starts a
-    /// comparison.
+    /// A fingerprint of the sender's view. A lasting difference starts a comparison of the
+    /// views, see [`crate::Digest`].
     pub view: u64,
-    /// News that is still being spread.
+    /// Gossip updates that ride on the probe.
     pub bulletin: Bulletin,
-    /// The freshest loads that the asker knows.
+    /// The newest loads that the sender knows.
     pub loads: Vec<Load>,
 }
 
-/// Answers a probe.
+/// Responds to a probe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
-    /// The probe that is answered.
+    /// The sequence number of the probe.
     pub sequence: u32,
-    /// Who lives: the target of the probe, also where a helper passes it on.
+    /// The target of the probe, also if another host forwards the ack.
     pub from: Identity,
-    /// The answerer's view of the configuration.
+    /// The sender's configuration revision, and the age of the proof that it is the newest.
     pub proof: Proof,
-    /// As in [`Probe::view`].
+    /// See [`Probe::view`].
     pub view: u64,
-    /// News that is still being spread.
+    /// Gossip updates that ride on the ack.
     pub bulletin: Bulletin,
-    /// The freshest loads that the answerer knows.
+    /// The newest loads that the sender knows.
     pub loads: Vec<Load>,
 }
 
-/// Asks a third host to probe a target that didn't answer, so that one broken
-/// path doesn't pass for a dead host.
+/// Asks a third host to probe a target that didn't respond, so that one broken network
+/// path doesn't make the target look dead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeRequest {
-    /// The probe that wasn't answered; the helper's ack repeats it.
+    /// The sequence number of the failed probe; the ack that is forwarded repeats it.
     pub sequence: u32,
-    /// Who asks.
+    /// The sender.
     pub from: Identity,
-    /// Who didn't answer.
+    /// The host that didn't respond.
     pub target: Identity,
-    /// Where the target takes frames.
+    /// The address at which the target receives frames.
     pub address: SocketAddr,
 }
--- a/crates/wire/src/topic.rs
+++ b/crates/wire/src/topic.rs
@@ -1,11 +1,11 @@
-//! What counts are about.
+//! The topics of evidence.
 
 use std::sync::Arc;
 
 use kernel::{Customer, VersionId};
 use serde::{Deserialize, Serialize};
 
-/// What counts are about.
+/// The subject of counts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Topic {
     /// A version, for one request class.
--- a/crates/wire/src/verdict.rs
+++ b/crates/wire/src/verdict.rs
@@ -5,26 +5,26 @@
 
 use crate::Identity;
 
-/// Whether a version may be used.
+/// A decision about a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Ruling {
-    /// The version may be used again.
+    /// Releases the version from quarantine.
     Lift,
-    /// The version is to be kept from callers.
+    /// Quarantines the version.
     Quarantine,
 }
 
-/// A verdict on a version, made from pooled evidence.
+/// A verdict on a version, based on aggregated evidence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
     /// The version.
     pub version: VersionId,
-    /// Rises with each verdict on the version; the highest counts.
+    /// Increases with each verdict on the version; the highest is in force.
     pub round: u64,
-    /// What was decided.
+    /// The decision.
     pub ruling: Ruling,
-    /// Who decided.
+    /// The host that decided.
     pub by: Identity,
-    /// What it was decided on, in the form of the decision core.
+    /// The evidence for the decision, encoded by the decision core.
     pub evidence: Vec<u8>,
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The decoder takes nothing but whole frames, and no input makes it panic.
+//! Frames decode to what was encoded; the decoder rejects anything else without a panic.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use proptest::prelude::*;
 use wire::{
     Ack, Age, Bucket, Bulletin, Delta, Digest, Document, Endpoint, EndpointState, Error, Evidence,
-    Fetch, Frame, Identity, Load, MAX_FRAME_BYTES, Mark, Member, Newest, News, Payload, Probe,
-    ProbeRequest, Proof, Reach, Ruling, State, Topic, VERSION, Verdict,
+    FailedEndpoint, Fetch, Frame, Identity, Load, MAX_FRAME_BYTES, Member, Newest, News, Payload,
+    Probe, ProbeRequest, Proof, Reach, Ruling, State, Topic, VERSION, Verdict,
 };
 
 fn text() -> impl Strategy<Value = String> {
@@ -38,8 +38,7 @@
     })
 }
 
-/// Addresses have no scope: hosts speak by plain IP numbers, and a scope means
-/// nothing on another machine.
+/// Generates addresses without an IPv6 scope, which isn't encoded.
 fn address() -> impl Strategy<Value = SocketAddr> {
     (any::<IpAddr>(), any::<u16>()).prop_map(SocketAddr::from)
 }
@@ -56,8 +55,8 @@
 
 fn member() -> impl Strategy<Value = Member> {
     let addresses = (address(), address());
-    let places = (text(), text());
-    (identity(), any::<u32>(), state(), addresses, places).prop_map(
+    let locations = (text(), text());
+    (identity(), any::<u32>(), state(), addresses, locations).prop_map(
         |(identity, refutation, state, (fleet_address, address), (data_centre, region))| Member {
             identity,
             refutation,
@@ -119,11 +118,11 @@
     vec(one, 0..4)
 }
 
-fn membership() -> impl Strategy<Value = Frame> {
-    let extras = || (proof(), any::<u64>(), bulletin(), loads());
+fn membership_frame() -> impl Strategy<Value = Frame> {
+    let common_fields = || (proof(), any::<u64>(), bulletin(), loads());
     let buckets = vec((any::<u8>(), any::<u32>()), 0..8);
     prop_oneof![
-        (any::<u32>(), identity(), address(), extras()).prop_map(
+        (any::<u32>(), identity(), address(), common_fields()).prop_map(
             |(sequence, from, address, (proof, view, bulletin, loads))| {
                 Frame::Probe(Probe {
                     sequence,
@@ -136,7 +135,7 @@
                 })
             }
         ),
-        (any::<u32>(), identity(), extras()).prop_map(
+        (any::<u32>(), identity(), common_fields()).prop_map(
             |(sequence, from, (proof, view, bulletin, loads))| {
                 Frame::Ack(Ack {
                     sequence,
@@ -176,7 +175,7 @@
     ]
 }
 
-fn configuration() -> impl Strategy<Value = Frame> {
+fn configuration_frame() -> impl Strategy<Value = Frame> {
     let ids = (any::<u32>(), any::<u64>());
     prop_oneof![
         (ids, identity()).prop_map(|((sequence, revision), from)| {
@@ -199,7 +198,7 @@
     ]
 }
 
-fn evidence() -> impl Strategy<Value = Frame> {
+fn evidence_frame() -> impl Strategy<Value = Frame> {
     let reach = prop_oneof![
         Just(Reach::Direct),
         Just(Reach::Host),
@@ -216,17 +215,18 @@
         text().prop_map(|it| Topic::Customer(it.into())),
     ];
     let counts = vec((any::<u8>(), any::<u64>()), 0..4);
-    let marks = btree_set((any::<u64>(), any::<u64>()), 0..4);
-    let delta =
-        (topic, any::<bool>(), counts, marks).prop_map(|(topic, is_urgent, counts, marks)| {
+    let failed_endpoints = btree_set((any::<u64>(), any::<u64>()), 0..4);
+    let delta = (topic, any::<bool>(), counts, failed_endpoints).prop_map(
+        |(topic, is_urgent, counts, failed_endpoints)| {
             let mut delta = Delta::new(topic);
             delta.is_urgent = is_urgent;
             for (counter, value) in counts {
                 delta.counts.add(counter, value);
             }
-            delta.marks = marks.into_iter().map(mark).collect();
+            delta.failed_endpoints = failed_endpoints.into_iter().map(failed_endpoint).collect();
             delta
-        });
+        },
+    );
     (identity(), reach, vec(delta, 0..4)).prop_map(|(from, reach, deltas)| {
         Frame::Evidence(Evidence {
             from,
@@ -236,14 +236,14 @@
     })
 }
 
-fn mark((host, incarnation): (u64, u64)) -> Mark {
-    Mark {
+fn failed_endpoint((host, incarnation): (u64, u64)) -> FailedEndpoint {
+    FailedEndpoint {
         host,
         incarnation: Incarnation(incarnation),
     }
 }
 
-fn others() -> impl Strategy<Value = Frame> {
+fn other_frame() -> impl Strategy<Value = Frame> {
     prop_oneof![
         payload().prop_map(Frame::Ledger),
         payload().prop_map(Frame::Decide),
@@ -257,12 +257,17 @@
 }
 
 fn frame() -> impl Strategy<Value = Frame> {
-    prop_oneof![membership(), configuration(), evidence(), others()]
+    prop_oneof![
+        membership_frame(),
+        configuration_frame(),
+        evidence_frame(),
+        other_frame()
+    ]
 }
 
 proptest! {
     #[test]
-    fn what_is_encoded_decodes_to_the_same(frame in frame()) {
+    fn an_encoded_frame_decodes_to_itself(frame in frame()) {
         let bytes = frame.encode().unwrap();
         prop_assert_eq!(Frame::decode(&bytes), Ok(frame));
     }
@@ -279,54 +284,54 @@
     }
 
     #[test]
-    fn a_cut_frame_is_refused(frame in frame(), cut in any::<prop::sample::Index>()) {
+    fn a_truncated_frame_is_rejected(frame in frame(), end in any::<prop::sample::Index>()) {
         let bytes = frame.encode().unwrap();
-        let cut = cut.index(bytes.len());
-        prop_assert!(Frame::decode(&bytes[..cut]).is_err());
+        let end = end.index(bytes.len());
+        prop_assert!(Frame::decode(&bytes[..end]).is_err());
     }
 
     #[test]
     fn a_changed_byte_never_panics(
         frame in frame(),
-        at in any::<prop::sample::Index>(),
+        position in any::<prop::sample::Index>(),
         byte in any::<u8>(),
     ) {
         let mut bytes = frame.encode().unwrap();
-        let at = at.index(bytes.len());
-        bytes[at] = byte;
+        let position = position.index(bytes.len());
+        bytes[position] = byte;
         let _ = Frame::decode(&bytes);
     }
 }
 
-fn check(bytes: &[u8], expected: Error) {
+fn check_error(bytes: &[u8], expected: Error) {
     assert_eq!(Frame::decode(bytes), Err(expected));
 }
 
 #[test]
-fn each_fault_has_its_error() {
+fn invalid_bytes_are_rejected_with_the_matching_error() {
     let done = Frame::Done.encode().unwrap();
-    check(&[], Error::Empty);
-    check(&[VERSION + 1, 0], Error::UnknownVersion(VERSION + 1));
-    check(&[VERSION, 0xff], Error::Malformed);
-    check(&[done, vec![0]].concat(), Error::TrailingBytes(1));
-    check(
+    check_error(&[], Error::Empty);
+    check_error(&[VERSION + 1, 0], Error::UnknownVersion(VERSION + 1));
+    check_error(&[VERSION, 0xff], Error::Malformed);
+    check_error(&[done, vec![0]].concat(), Error::TrailingBytes(1));
+    check_error(
         &vec![VERSION; MAX_FRAME_BYTES + 1],
         Error::TooLarge(MAX_FRAME_BYTES + 1),
     );
 }
 
 #[test]
-fn a_length_that_promises_too_much_is_refused() {
-    // A news frame that claims u32::MAX items and holds none must not reserve
-    // memory for them.
-    check(
+fn a_length_beyond_the_end_of_the_frame_is_rejected() {
+    // A frame that claims u32::MAX gossip updates and contains none must not make the
+    // decoder allocate memory for them.
+    check_error(
         &[VERSION, 3, 0, 0xff, 0xff, 0xff, 0xff, 0x0f],
         Error::Malformed,
     );
 }
 
 #[test]
-fn an_age_never_gets_younger_on_the_wire() {
+fn an_age_is_rounded_up() {
     let age = Age(Duration::from_micros(1500));
     let document = Document {
         sequence: 1,
@@ -336,13 +341,13 @@
     };
     let bytes = Frame::Document(document).encode().unwrap();
     let Ok(Frame::Document(document)) = Frame::decode(&bytes) else {
-        panic!("no document");
+        panic!("not a document");
     };
     assert_eq!(document.age, Some(Age(Duration::from_millis(2))));
 }
 
 #[test]
-fn a_frame_over_the_limit_is_not_sent() {
+fn a_frame_over_the_size_limit_is_not_encoded() {
     let frame = Frame::Ledger(Payload {
         from: Identity {
             host: "a".into(),
