--- a/crates/fleet/src/announcements.rs
+++ b/crates/fleet/src/announcements.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kernel::{HostName, VersionId};
-use wire::{Endpoint, EndpointState, News, Verdict};
+use wire::{Endpoint, EndpointState, GossipUpdate, Verdict};
 
 use crate::view::{View, bucket_of};
 
@@ -88,17 +88,17 @@
     }
 
     /// Returns the compared records of the buckets for which `wanted` returns true.
-    pub(crate) fn records(&self, wanted: impl Fn(u8) -> bool) -> Vec<News> {
+    pub(crate) fn records(&self, wanted: impl Fn(u8) -> bool) -> Vec<GossipUpdate> {
         let verdicts = self
             .verdicts
             .values()
             .filter(|it| wanted(bucket_of(it.version.as_str())))
-            .map(|it| News::Verdict(it.clone()));
+            .map(|it| GossipUpdate::Verdict(it.clone()));
         let endpoints = self
             .endpoints
             .values()
             .filter(|it| it.is_compared && wanted(bucket_of(it.endpoint.host.as_str())))
-            .map(|it| News::Endpoint(it.endpoint.clone()));
+            .map(|it| GossipUpdate::Endpoint(it.endpoint.clone()));
         verdicts.chain(endpoints).collect()
     }
 
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -223,7 +223,7 @@
             Frame::Probe(probe) => self.handle_probe(cx, from, probe),
             Frame::Ack(ack) => self.handle_ack(cx, from, ack),
             Frame::ProbeRequest(request) => self.handle_probe_request(cx, from, request),
-            Frame::News(news) => self.apply_bulletin(cx, news, from),
+            Frame::Gossip(message) => self.apply_gossip_message(cx, message, from),
             Frame::Digest(digest) => self.handle_digest(cx, from, digest),
             Frame::Fetch(fetch) => self.handle_fetch(cx, from, &fetch),
             Frame::Document(document) => self.handle_document(cx, document),
--- a/crates/fleet/src/fleet/anti_entropy.rs
+++ b/crates/fleet/src/fleet/anti_entropy.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kernel::HostName;
-use wire::{Bucket, Bulletin, Digest, Member, Newest, News, State};
+use wire::{Bucket, Digest, GossipMessage, GossipUpdate, Member, NewestRevision, State};
 
 use crate::cx::Cx;
 use crate::view::bucket_of;
@@ -93,7 +93,7 @@
         let digest = Digest {
             from: self.me.identity.clone(),
             buckets: self.view.listing(),
-            bulletin: self.bulletin(cx, vec![News::Member(self.me.clone())]),
+            gossip_message: self.gossip_message(cx, vec![GossipUpdate::Member(self.me.clone())]),
             reply: true,
         };
         cx.push(Action::Send {
@@ -137,8 +137,8 @@
         } else {
             self.still_differing(&digest.buckets)
         };
-        let theirs = digest.bulletin.news.clone();
-        self.apply_bulletin(cx, digest.bulletin, from);
+        let theirs = digest.gossip_message.updates.clone();
+        self.apply_gossip_message(cx, digest.gossip_message, from);
         if is_joining && !digest.reply {
             self.queue_only_own_record();
         }
@@ -146,27 +146,27 @@
             return;
         };
         let to = entry.member.clone();
-        let mut news = self.updates_in(&differing);
-        news.retain(|it| !theirs.contains(it));
+        let mut updates = self.updates_in(&differing);
+        updates.retain(|it| !theirs.contains(it));
         if digest.reply {
-            news.extend(self.revision_update());
+            updates.extend(self.revision_update());
             let response = Digest {
                 from: self.me.identity.clone(),
                 buckets: differing,
-                bulletin: self.bulletin(cx, news),
+                gossip_message: self.gossip_message(cx, updates),
                 reply: false,
             };
             cx.send(&to, response);
-        } else if !news.is_empty() {
-            let bulletin = self.bulletin(cx, news);
-            cx.send(&to, bulletin);
+        } else if !updates.is_empty() {
+            let gossip_message = self.gossip_message(cx, updates);
+            cx.send(&to, gossip_message);
         }
     }
 
-    fn bulletin(&self, cx: &Cx, news: Vec<News>) -> Bulletin {
-        Bulletin {
+    fn gossip_message(&self, cx: &Cx, updates: Vec<GossipUpdate>) -> GossipMessage {
+        GossipMessage {
             reach: self.reported_reach(cx.now),
-            news,
+            updates,
         }
     }
 
@@ -174,9 +174,9 @@
     /// members already know what a joining host learns from its first response.
     fn queue_only_own_record(&mut self) {
         self.gossip = crate::gossip::Gossip::default();
-        let news = News::Member(self.me.clone());
+        let update = GossipUpdate::Member(self.me.clone());
         self.gossip
-            .add(news, None, self.tuning.piggybacks_per_update);
+            .add(update, None, self.tuning.piggybacks_per_update);
     }
 
     /// Returns the buckets in the other host's response that differ from this
@@ -187,7 +187,7 @@
         differing
     }
 
-    fn updates_in(&self, buckets: &[Bucket]) -> Vec<News> {
+    fn updates_in(&self, buckets: &[Bucket]) -> Vec<GossipUpdate> {
         let wanted = |index: u8| buckets.iter().any(|it| it.index == index);
         let members = self
             .members
@@ -195,13 +195,13 @@
             .map(|it| &it.member)
             .chain([&self.me])
             .filter(|it| it.state != State::Dead && wanted(bucket_of(it.identity.host.as_str())))
-            .map(|it| News::Member(it.clone()));
+            .map(|it| GossipUpdate::Member(it.clone()));
         members.chain(self.announcements.records(wanted)).collect()
     }
 
-    fn revision_update(&self) -> Option<News> {
+    fn revision_update(&self) -> Option<GossipUpdate> {
         self.configuration.json()?;
-        Some(News::Revision(Newest {
+        Some(GossipUpdate::Revision(NewestRevision {
             revision: self.configuration.revision(),
             holder: self.me.identity.clone(),
         }))
--- a/crates/fleet/src/fleet/config_sync.rs
+++ b/crates/fleet/src/fleet/config_sync.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kernel::{HostName, Revision};
-use wire::{Age, Document, Fetch, Newest};
+use wire::{Age, Document, Fetch, NewestRevision};
 
 use crate::configuration::Fetching;
 use crate::cx::Cx;
@@ -60,7 +60,7 @@
         }
     }
 
-    pub(super) fn apply_revision(&mut self, cx: &mut Cx, newest: &Newest) {
+    pub(super) fn apply_revision(&mut self, cx: &mut Cx, newest: &NewestRevision) {
         self.record_revision_holder(cx, &newest.holder.host, newest.revision);
     }
 
--- a/crates/fleet/src/fleet/dissemination.rs
+++ b/crates/fleet/src/fleet/dissemination.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use kernel::HostName;
-use wire::{Bulletin, Endpoint, Identity, Member, Newest, News, State, Verdict};
+use wire::{
+    Endpoint, GossipMessage, GossipUpdate, Identity, Member, NewestRevision, State, Verdict,
+};
 
 use crate::cx::Cx;
 use crate::members::{Merge, is_accused};
@@ -17,19 +19,24 @@
     /// a host ignores accusations by a host that reaches far fewer members, and
     /// retracts all accusations in its records when a host reaches far more. Neither applies between
     /// hosts on the same side of a partition, whose views are nearly the same.
-    pub(super) fn apply_bulletin(&mut self, cx: &mut Cx, bulletin: Bulletin, from: &HostName) {
+    pub(super) fn apply_gossip_message(
+        &mut self,
+        cx: &mut Cx,
+        gossip_message: GossipMessage,
+        from: &HostName,
+    ) {
         let reach = self.reported_reach(cx.now);
-        if is_far_fewer(reach, bulletin.reach) {
+        if is_far_fewer(reach, gossip_message.reach) {
             self.retract_accusations(cx);
         }
-        let is_sender_isolated = is_far_fewer(bulletin.reach, reach);
-        for update in bulletin.news {
+        let is_sender_isolated = is_far_fewer(gossip_message.reach, reach);
+        for update in gossip_message.updates {
             match update {
-                News::Member(member) if is_sender_isolated && is_accused(member.state) => {}
-                News::Member(member) => self.apply_member(cx, &member, Some(from)),
-                News::Revision(newest) => self.apply_revision(cx, &newest),
-                News::Verdict(verdict) => self.apply_verdict(cx, &verdict, Some(from)),
-                News::Endpoint(endpoint) => self.apply_endpoint(cx, &endpoint, Some(from)),
+                GossipUpdate::Member(member) if is_sender_isolated && is_accused(member.state) => {}
+                GossipUpdate::Member(member) => self.apply_member(cx, &member, Some(from)),
+                GossipUpdate::Revision(newest) => self.apply_revision(cx, &newest),
+                GossipUpdate::Verdict(verdict) => self.apply_verdict(cx, &verdict, Some(from)),
+                GossipUpdate::Endpoint(endpoint) => self.apply_endpoint(cx, &endpoint, Some(from)),
             }
         }
     }
@@ -52,7 +59,7 @@
         if record.state > State::Suspect {
             self.configuration.forget_holder(&record.identity.host);
         }
-        self.queue_update(News::Member(record.clone()), from);
+        self.queue_update(GossipUpdate::Member(record.clone()), from);
     }
 
     /// Retracts all accusations. Correct ones return when views are compared
@@ -91,7 +98,7 @@
     ) {
         if self.announcements.merge_verdict(&mut self.view, verdict) {
             cx.push(Action::Verdict(verdict.clone()));
-            self.queue_update(News::Verdict(verdict.clone()), from);
+            self.queue_update(GossipUpdate::Verdict(verdict.clone()), from);
         }
     }
 
@@ -106,7 +113,7 @@
             .merge_endpoint(cx.now, &mut self.view, endpoint)
         {
             cx.push(Action::Endpoint(endpoint.clone()));
-            self.queue_update(News::Endpoint(endpoint.clone()), from);
+            self.queue_update(GossipUpdate::Endpoint(endpoint.clone()), from);
         }
     }
 
@@ -167,11 +174,11 @@
 
     /// Gossips that this host has the document of the revision in force.
     pub(super) fn announce_revision(&mut self) {
-        let news = News::Revision(Newest {
+        let update = GossipUpdate::Revision(NewestRevision {
             revision: self.configuration.revision(),
             holder: self.me.identity.clone(),
         });
-        self.queue_update(news, None);
+        self.queue_update(update, None);
     }
 
     pub(super) fn push_updates(&mut self, cx: &mut Cx) {
@@ -188,9 +195,9 @@
             let Some(entry) = self.members.get(*key) else {
                 continue;
             };
-            let news = push.updates_for(&entry.member.identity.host);
-            if !news.is_empty() {
-                cx.send(&entry.member, Bulletin { reach, news });
+            let updates = push.updates_for(&entry.member.identity.host);
+            if !updates.is_empty() {
+                cx.send(&entry.member, GossipMessage { reach, updates });
             }
         }
     }
@@ -224,9 +231,9 @@
         self.size().next_power_of_two().ilog2().max(1)
     }
 
-    fn queue_update(&mut self, news: News, from: Option<&HostName>) {
+    fn queue_update(&mut self, update: GossipUpdate, from: Option<&HostName>) {
         self.gossip
-            .add(news, from, self.tuning.piggybacks_per_update);
+            .add(update, from, self.tuning.piggybacks_per_update);
     }
 
     /// Handles another host's record of this host, and refutes it if it is wrong.
@@ -246,7 +253,7 @@
         if is_not_older && record != &self.me {
             self.update_own_record(record.refutation, self.me.state);
         } else if theirs < mine {
-            self.queue_update(News::Member(self.me.clone()), None);
+            self.queue_update(GossipUpdate::Member(self.me.clone()), None);
         }
     }
 
@@ -257,7 +264,7 @@
         self.me.state = state;
         self.me.refutation = self.me.refutation.max(refutation.saturating_add(1));
         self.view.toggle_member(&self.me);
-        self.queue_update(News::Member(self.me.clone()), None);
+        self.queue_update(GossipUpdate::Member(self.me.clone()), None);
     }
 
     /// Sends the newer record to a host that forwarded an outdated one.
@@ -268,11 +275,11 @@
         let Some(to) = from.and_then(|it| self.members.find(it)) else {
             return;
         };
-        let bulletin = Bulletin {
+        let gossip_message = GossipMessage {
             reach: self.reported_reach(cx.now),
-            news: vec![News::Member(entry.member.clone())],
+            updates: vec![GossipUpdate::Member(entry.member.clone())],
         };
-        cx.send(&to.member, bulletin);
+        cx.send(&to.member, gossip_message);
     }
 }
 
--- a/crates/fleet/src/fleet/evidence.rs
+++ b/crates/fleet/src/fleet/evidence.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use kernel::{DataCentre, HostName};
-use wire::{Delta, Evidence, Member, Reach, State};
+use wire::{Delta, Evidence, Hop, Member, State};
 
 use crate::cx::Cx;
 use crate::pool::{BatchDelays, GROUPS, OwnContributions, Pool, group_of};
@@ -62,16 +62,16 @@
 
     pub(super) fn handle_evidence(&mut self, cx: &mut Cx, evidence: Evidence) {
         let deltas = evidence.deltas;
-        match evidence.reach {
-            Reach::Direct => report_evidence(cx, deltas),
-            Reach::Host => self.evidence.relayed.add(cx.now, &deltas),
-            Reach::DataCentre => self.handle_as_home(cx, deltas, Reach::DataCentre),
-            Reach::Standby => self.handle_as_home(cx, deltas, Reach::Standby),
-            Reach::Fleet => {
+        match evidence.hop {
+            Hop::Direct => report_evidence(cx, deltas),
+            Hop::Host => self.evidence.relayed.add(cx.now, &deltas),
+            Hop::DataCentre => self.handle_as_home(cx, deltas, Hop::DataCentre),
+            Hop::Standby => self.handle_as_home(cx, deltas, Hop::Standby),
+            Hop::Fleet => {
                 self.evidence.returned.add(cx.now, &deltas);
                 self.report_returned(cx, deltas);
             }
-            Reach::Final => self.report_returned(cx, deltas),
+            Hop::Final => self.report_returned(cx, deltas),
         }
     }
 
@@ -104,7 +104,7 @@
             }
             let members: Vec<_> = self.members.reachable().map(|it| it.1).collect();
             for entry in members {
-                let frame = self.build_evidence(Reach::Direct, deltas.clone());
+                let frame = self.build_evidence(Hop::Direct, deltas.clone());
                 cx.send(&entry.member, frame);
             }
             return;
@@ -119,7 +119,7 @@
             self.evidence.own_contributions.add(&deltas);
             frames.add(&self.route_of(group).relay, deltas);
         }
-        self.dispatch(cx, frames, Reach::Host);
+        self.dispatch(cx, frames, Hop::Host);
     }
 
     fn send_relayed(&mut self, cx: &mut Cx) {
@@ -137,8 +137,8 @@
                 frames.add(home, deltas.clone());
             }
         }
-        self.dispatch(cx, first, Reach::DataCentre);
-        self.dispatch(cx, others, Reach::Standby);
+        self.dispatch(cx, first, Hop::DataCentre);
+        self.dispatch(cx, others, Hop::Standby);
     }
 
     fn send_home(&mut self, cx: &mut Cx) {
@@ -150,7 +150,7 @@
                 frames.add(&relay, deltas.clone());
             }
         }
-        self.dispatch(cx, frames, Reach::Fleet);
+        self.dispatch(cx, frames, Hop::Fleet);
     }
 
     fn send_returned(&mut self, cx: &mut Cx) {
@@ -167,14 +167,14 @@
             .cloned()
             .collect();
         for member in local {
-            cx.send(&member, self.build_evidence(Reach::Final, deltas.clone()));
+            cx.send(&member, self.build_evidence(Hop::Final, deltas.clone()));
         }
     }
 
     /// Sends one frame to each host. Evidence for this host is handled directly.
-    fn dispatch(&mut self, cx: &mut Cx, frames: OutgoingFrames, reach: Reach) {
+    fn dispatch(&mut self, cx: &mut Cx, frames: OutgoingFrames, hop: Hop) {
         for (host, (member, deltas)) in frames.by_host {
-            let evidence = self.build_evidence(reach, deltas);
+            let evidence = self.build_evidence(hop, deltas);
             if host == self.me.identity.host {
                 self.handle_evidence(cx, evidence);
             } else {
@@ -186,8 +186,8 @@
     /// Handles counts as a home; the first home also queues them for their return to
     /// all hosts. This host's decision core gets them at once, so that a bad version
     /// is detected before the totals are returned.
-    fn handle_as_home(&mut self, cx: &mut Cx, deltas: Vec<Delta>, reach: Reach) {
-        if reach == Reach::DataCentre {
+    fn handle_as_home(&mut self, cx: &mut Cx, deltas: Vec<Delta>, hop: Hop) {
+        if hop == Hop::DataCentre {
             self.evidence.home.add(cx.now, &deltas);
         }
         let others = self.evidence.own_contributions.subtract_own(deltas);
@@ -206,10 +206,10 @@
         report_evidence(cx, others);
     }
 
-    fn build_evidence(&self, reach: Reach, deltas: Vec<Delta>) -> Evidence {
+    fn build_evidence(&self, hop: Hop, deltas: Vec<Delta>) -> Evidence {
         Evidence {
             from: self.me.identity.clone(),
-            reach,
+            hop,
             deltas,
         }
     }
--- a/crates/fleet/src/fleet/failure_detection.rs
+++ b/crates/fleet/src/fleet/failure_detection.rs
@@ -4,7 +4,7 @@
 
 use kernel::HostName;
 use rand::RngExt;
-use wire::{Ack, Bulletin, Identity, Load, Member, News, Probe, ProbeRequest, State};
+use wire::{Ack, GossipMessage, GossipUpdate, Identity, Load, Member, Probe, ProbeRequest, State};
 
 use crate::Fleet;
 use crate::cx::Cx;
@@ -124,7 +124,7 @@
             from: self.me.identity.clone(),
             proof: self.configuration.proof(cx.now),
             view: self.view.fingerprint(),
-            bulletin: self.piggyback_updates(cx.now, accusation),
+            gossip_message: self.piggyback_updates(cx.now, accusation),
             loads: self.piggyback_loads(cx.now),
         };
         cx.push(crate::Action::Send {
@@ -133,7 +133,7 @@
             frame: ack.into(),
         });
         self.record_loads(cx.now, &probe.loads);
-        self.apply_bulletin(cx, probe.bulletin, from);
+        self.apply_gossip_message(cx, probe.gossip_message, from);
         self.record_revision_holder(cx, from, probe.proof.revision);
         if known.is_some() {
             self.check_fingerprint(cx, from, probe.view);
@@ -152,7 +152,7 @@
         self.record_response(cx);
         let host = &ack.from.host;
         self.record_loads(cx.now, &ack.loads);
-        self.apply_bulletin(cx, ack.bulletin, from);
+        self.apply_gossip_message(cx, ack.gossip_message, from);
         self.record_revision_holder(cx, host, ack.proof.revision);
         self.configuration
             .accept_proof(pending_probe.sent, ack.proof);
@@ -202,7 +202,7 @@
             address: self.me.fleet_address,
             proof: self.configuration.proof(cx.now),
             view: self.view.fingerprint(),
-            bulletin: self.piggyback_updates(cx.now, accusation),
+            gossip_message: self.piggyback_updates(cx.now, accusation),
             loads: self.piggyback_loads(cx.now),
         };
         cx.send(to, probe);
@@ -280,22 +280,22 @@
 
     /// Sends an accusation to the accused host, so that it can refute it.
     fn notify_accused(&self, cx: &mut Cx, accused: &Member) {
-        let bulletin = Bulletin {
+        let gossip_message = GossipMessage {
             reach: self.reported_reach(cx.now),
-            news: vec![News::Member(accused.clone())],
+            updates: vec![GossipUpdate::Member(accused.clone())],
         };
-        cx.send(accused, bulletin);
+        cx.send(accused, gossip_message);
     }
 
     fn suspicion_timeout(&self) -> Duration {
         self.tuning.suspicion * self.log_size()
     }
 
-    fn piggyback_updates(&mut self, now: Duration, accusation: Option<Member>) -> Bulletin {
+    fn piggyback_updates(&mut self, now: Duration, accusation: Option<Member>) -> GossipMessage {
         let reach = self.reported_reach(now);
-        let mut news = self.gossip.take_carried(self.tuning.news_bytes);
-        news.extend(accusation.map(News::Member));
-        Bulletin { reach, news }
+        let mut updates = self.gossip.take_carried(self.tuning.news_bytes);
+        updates.extend(accusation.map(GossipUpdate::Member));
+        GossipMessage { reach, updates }
     }
 
     fn piggyback_loads(&mut self, now: Duration) -> Vec<Load> {
@@ -334,7 +334,7 @@
     /// Forwards the ack of an indirect probe with the requester's sequence number.
     fn relay_ack(cx: &mut Cx, relayed_probe: RelayedProbe, mut ack: Ack) {
         ack.sequence = relayed_probe.sequence;
-        ack.bulletin.news.clear();
+        ack.gossip_message.updates.clear();
         ack.loads.clear();
         cx.push(crate::Action::Send {
             host: relayed_probe.host,
--- a/crates/fleet/src/measure/traffic.rs
+++ b/crates/fleet/src/measure/traffic.rs
@@ -44,7 +44,7 @@
     pub(super) fn add_frame_bytes(&mut self, frame: &Frame, bytes: u64) {
         let sum = match frame {
             Frame::Probe(_) | Frame::Ack(_) | Frame::ProbeRequest(_) => &mut self.probe_bytes,
-            Frame::News(_) | Frame::Digest(_) => &mut self.news_bytes,
+            Frame::Gossip(_) | Frame::Digest(_) => &mut self.news_bytes,
             Frame::Evidence(_) => &mut self.evidence_bytes,
             Frame::Document(_) => &mut self.document_bytes,
             _ => return,
--- a/crates/fleet/tests/cut_off.rs
+++ b/crates/fleet/tests/cut_off.rs
@@ -6,13 +6,13 @@
 
 use fleet::{Event, Fleet, Tuning};
 use kernel::Incarnation;
-use wire::{Bulletin, Frame, Identity, Member, News, State};
+use wire::{Frame, GossipMessage, GossipUpdate, Identity, Member, State};
 
 const HOSTS: [&str; 10] = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"];
 
-fn member(host: &str, state: State) -> News {
+fn member(host: &str, state: State) -> GossipUpdate {
     let address = ([127, 0, 0, 1], 1).into();
-    News::Member(Member {
+    GossipUpdate::Member(Member {
         identity: Identity {
             host: host.into(),
             incarnation: Incarnation(1),
@@ -26,18 +26,18 @@
     })
 }
 
-fn receive(fleet: &mut Fleet, reach: u32, news: Vec<News>) {
-    let bulletin = Bulletin { reach, news };
+fn receive(fleet: &mut Fleet, reach: u32, updates: Vec<GossipUpdate>) {
+    let gossip_message = GossipMessage { reach, updates };
     let event = Event::Frame {
         from: "b".into(),
-        frame: Frame::News(bulletin),
+        frame: Frame::Gossip(gossip_message),
     };
     fleet.handle(Duration::ZERO, event, &mut Vec::new());
 }
 
 /// Returns host a, which knows all others and considers `lost` of them unreachable.
 fn host_with_lost(lost: usize) -> Fleet {
-    let News::Member(me) = member("a", State::Alive) else {
+    let GossipUpdate::Member(me) = member("a", State::Alive) else {
         unreachable!("`member` returns a member record");
     };
     let mut fleet = Fleet::new(me, 1, Tuning::default());
--- a/crates/fleet/tests/freshness.rs
+++ b/crates/fleet/tests/freshness.rs
@@ -5,7 +5,9 @@
 
 use fleet::{Action, Event, Fleet, Polled, Tuning};
 use kernel::{Incarnation, Revision};
-use wire::{Ack, Age, Bulletin, Document, Frame, Identity, Member, News, Proof, State};
+use wire::{
+    Ack, Age, Document, Frame, GossipMessage, GossipUpdate, Identity, Member, Proof, State,
+};
 
 fn secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -40,11 +42,11 @@
     fn new() -> Self {
         let fleet = Fleet::new(member("a"), 1, Tuning::default());
         let mut case = Self { fleet };
-        let bulletin = Bulletin {
+        let gossip_message = GossipMessage {
             reach: 2,
-            news: vec![News::Member(member("b"))],
+            updates: vec![GossipUpdate::Member(member("b"))],
         };
-        case.receive(0.0, Frame::News(bulletin));
+        case.receive(0.0, Frame::Gossip(gossip_message));
         case.poll(0.0, 0.0, 1);
         case
     }
@@ -93,9 +95,9 @@
                 age: Some(Age(secs(age))),
             },
             view: 0,
-            bulletin: Bulletin {
+            gossip_message: GossipMessage {
                 reach: 2,
-                news: vec![],
+                updates: vec![],
             },
             loads: vec![],
         };
--- a/crates/fleet/tests/merge.rs
+++ b/crates/fleet/tests/merge.rs
@@ -7,7 +7,7 @@
 use kernel::Incarnation;
 use proptest::collection::vec;
 use proptest::prelude::*;
-use wire::{Bulletin, Frame, Identity, Member, News, State};
+use wire::{Frame, GossipMessage, GossipUpdate, Identity, Member, State};
 
 /// Enough hosts that reports stay credible while two of them are unreachable.
 const OTHERS: [&str; 9] = ["b", "c", "d", "e", "f", "g", "h", "i", "j"];
@@ -54,13 +54,13 @@
     let mut fleet = Fleet::new(me, 1, Tuning::default());
     let first = OTHERS.map(|it| member(it, 1, 0, State::Alive));
     for it in first.iter().chain(records) {
-        let bulletin = Bulletin {
+        let gossip_message = GossipMessage {
             reach: REACH,
-            news: vec![News::Member(it.clone())],
+            updates: vec![GossipUpdate::Member(it.clone())],
         };
         let event = Event::Frame {
             from: "b".into(),
-            frame: Frame::News(bulletin),
+            frame: Frame::Gossip(gossip_message),
         };
         fleet.handle(Duration::ZERO, event, &mut Vec::new());
     }
--- a/crates/fleet/tests/scripts.rs
+++ b/crates/fleet/tests/scripts.rs
@@ -14,7 +14,8 @@
 use fleet::{Action, Event, Fleet, Ruled, Tuning};
 use kernel::{HostName, Incarnation};
 use wire::{
-    Bulletin, Delta, Endpoint, EndpointState, Frame, Identity, Member, News, Ruling, State, Topic,
+    Delta, Endpoint, EndpointState, Frame, GossipMessage, GossipUpdate, Identity, Member, Ruling,
+    State, Topic,
 };
 
 #[test]
@@ -165,9 +166,9 @@
         };
         let from: String = case.take_arg("from").unwrap();
         for to in hosts(case, "to") {
-            let frame = Frame::News(Bulletin {
+            let frame = Frame::Gossip(GossipMessage {
                 reach: u32::try_from(self.running_hosts().len()).unwrap(),
-                news: vec![News::Member(member.clone())],
+                updates: vec![GossipUpdate::Member(member.clone())],
             });
             let from = from.as_str().into();
             self.network.deliver(&to, Event::Frame { from, frame });
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -346,7 +346,7 @@
         self.recorder()
             .log_event(Event::Joined, &[("address", Value::Text(&self.own.link))]);
         let mut settings = link::Settings::new(self.own.link, keys);
-        settings.idle = LINK_IDLE_TIMEOUT;
+        settings.idle_timeout = LINK_IDLE_TIMEOUT;
         settings.connect_timeout = LINK_CONNECT_TIMEOUT;
         Link::bind(&settings).ok()
     }
--- a/crates/host/src/messaging/request.rs
+++ b/crates/host/src/messaging/request.rs
@@ -52,7 +52,7 @@
         _ => RESPONSE_TIMEOUT,
     };
     let frame = host.frame(&Message::Request(request))?;
-    let Ok(Frame::Decide(payload)) = link.ask(peer, &frame, timeout).await else {
+    let Ok(Frame::Decide(payload)) = link.request(peer, &frame, timeout).await else {
         return None;
     };
     postcard::from_bytes(&payload.bytes).ok()
--- a/crates/link/src/link.rs
+++ b/crates/link/src/link.rs
@@ -118,7 +118,7 @@
     /// # Errors
     /// [`Error::Unreachable`] if the frame was not sent. After any other error the peer
     /// may have received it.
-    pub async fn ask(
+    pub async fn request(
         &self,
         peer: &Peer,
         frame: &Frame,
--- a/crates/link/tests/loopback.rs
+++ b/crates/link/tests/loopback.rs
@@ -97,7 +97,7 @@
         let (a, b) = pair();
         let response = async_std::task::spawn({
             let (link, peer) = (a.link.clone(), b.peer());
-            async move { link.ask(&peer, &payload(10), TIMEOUT).await }
+            async move { link.request(&peer, &payload(10), TIMEOUT).await }
         });
         let incoming = b.receive().await;
         incoming.reply.unwrap().send(&Frame::Done).await;
@@ -114,7 +114,7 @@
         let (a, b) = pair();
         let response = async_std::task::spawn({
             let (link, peer) = (a.link.clone(), b.peer());
-            async move { link.ask(&peer, &payload(10), TIMEOUT).await }
+            async move { link.request(&peer, &payload(10), TIMEOUT).await }
         });
         drop(b.receive().await);
         let error = response.await.unwrap_err();
@@ -132,7 +132,10 @@
         let mut keys = foreign.issue(&"a".into()).unwrap();
         keys.ca.clone_from(&authority.certificate);
         let outsider = Host::new(keys, "a");
-        let response = outsider.link.ask(&b.peer(), &Frame::Done, TIMEOUT).await;
+        let response = outsider
+            .link
+            .request(&b.peer(), &Frame::Done, TIMEOUT)
+            .await;
         assert!(response.is_err());
         wait_for_rejection(&b, Rejection::Handshake).await;
         assert!(b.inbox.is_empty());
@@ -147,7 +150,7 @@
         let (a, b) = pair();
         let mut peer = b.peer();
         peer.host = "c".into();
-        let response = a.link.ask(&peer, &Frame::Done, TIMEOUT).await;
+        let response = a.link.request(&peer, &Frame::Done, TIMEOUT).await;
         let error = response.unwrap_err();
         assert_eq!(*error.current_context(), Error::Unreachable);
         assert!(b.inbox.is_empty());
--- a/crates/scenario/src/stage/stranger.rs
+++ b/crates/scenario/src/stage/stranger.rs
@@ -32,7 +32,7 @@
             host: HostName::from(host),
             address: self.world().host(host).fleet(),
         };
-        let asked = link.ask(&peer, &wire::Frame::Done, args.within()).await;
+        let asked = link.request(&peer, &wire::Frame::Done, args.within()).await;
         link.close().await;
         match asked {
             Ok(_) => "answered",
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Bulletin, Identity};
+use crate::{GossipMessage, Identity};
 
 /// A summary of the sender's view. The receiver responds with its records in the buckets
 /// that differ, which repairs lost gossip updates. If `reply` is set, the response is a
@@ -15,7 +15,7 @@
     /// differing ones.
     pub buckets: Vec<Bucket>,
     /// The sender's own record, or in a response its records in the differing buckets.
-    pub bulletin: Bulletin,
+    pub gossip_message: GossipMessage,
     /// Whether the receiver is asked to respond with a digest.
     pub reply: bool,
 }
--- a/crates/wire/src/evidence.rs
+++ b/crates/wire/src/evidence.rs
@@ -10,14 +10,14 @@
     /// The sender.
     pub from: Identity,
     /// The hop on which the counts are sent.
-    pub reach: Reach,
+    pub hop: Hop,
     /// The counts.
     pub deltas: Vec<Delta>,
 }
 
 /// A hop on the path of evidence from the host that counted it to all hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reach {
+pub enum Hop {
     /// From a host to another in a small fleet. The receiver doesn't forward the counts.
     Direct,
     /// From a host to the relay of its data centre, which aggregates the counts.
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Ack, Bulletin, Digest, Document, Evidence, Fetch, Identity, Payload, Probe, ProbeRequest,
+    Ack, Digest, Document, Evidence, Fetch, GossipMessage, Identity, Payload, Probe, ProbeRequest,
 };
 
 /// One message between two hosts.
@@ -19,7 +19,7 @@
     /// Asks a third host to probe the target.
     ProbeRequest(ProbeRequest),
     /// Gossip updates sent at once rather than on a probe.
-    News(Bulletin),
+    Gossip(GossipMessage),
     /// Compares two hosts' views.
     Digest(Digest),
     /// Requests the configuration.
@@ -50,7 +50,7 @@
             Self::Probe(_) => "probe",
             Self::Ack(_) => "ack",
             Self::ProbeRequest(_) => "probe_request",
-            Self::News(_) => "news",
+            Self::Gossip(_) => "news",
             Self::Digest(_) => "digest",
             Self::Fetch(_) => "fetch",
             Self::Document(_) => "document",
--- a/crates/wire/src/news.rs
+++ b/crates/wire/src/gossip.rs
@@ -7,21 +7,21 @@
 
 /// The gossip updates that a host sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bulletin {
+pub struct GossipMessage {
     /// Number of hosts that the sender reaches, including itself. If it reaches far fewer
     /// than the receiver, it is probably partitioned and its accusations are ignored.
     pub reach: u32,
     /// The updates.
-    pub news: Vec<News>,
+    pub updates: Vec<GossipUpdate>,
 }
 
 /// A gossip update.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum GossipUpdate {
     /// A member joined or changed its state.
     Member(Member),
     /// A newer configuration exists.
-    Revision(Newest),
+    Revision(NewestRevision),
     /// A version was quarantined or released from quarantine.
     Verdict(Verdict),
     /// An endpoint is leaving, is gone, or was replaced.
@@ -30,7 +30,7 @@
 
 /// The newest revision that the sender knows, and a host that has its document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Newest {
+pub struct NewestRevision {
     /// The revision.
     pub revision: Revision,
     /// A host that has it in force.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,8 @@
 //! The frames that hosts send to each other, and their encoding.
 //!
 //! This crate defines the messages only. `fleet` decides when those for membership,
-//! gossip and evidence are sent, `ledger` when those for its records are. See `docs/design/membership.md`.
+//! gossip and evidence are sent, `ledger` when those for its records are. See
+//! `docs/design/membership.md`.
 
 mod codec;
 mod counts;
@@ -11,11 +12,11 @@
 mod error;
 mod evidence;
 mod frame;
+mod gossip;
 mod identity;
 mod load;
 mod member;
 mod millis;
-mod news;
 mod payload;
 mod probe;
 mod proof;
@@ -28,12 +29,12 @@
 pub use digest::{Bucket, Digest};
 pub use document::{Document, Fetch};
 pub use error::Error;
-pub use evidence::{Evidence, Reach};
+pub use evidence::{Evidence, Hop};
 pub use frame::Frame;
+pub use gossip::{Endpoint, EndpointState, GossipMessage, GossipUpdate, NewestRevision};
 pub use identity::Identity;
 pub use load::Load;
 pub use member::{Member, State};
-pub use news::{Bulletin, Endpoint, EndpointState, Newest, News};
 pub use payload::Payload;
 pub use probe::{Ack, Probe, ProbeRequest};
 pub use proof::{Age, Proof};
--- a/crates/wire/src/probe.rs
+++ b/crates/wire/src/probe.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Bulletin, Identity, Load, Proof};
+use crate::{GossipMessage, Identity, Load, Proof};
 
 /// Checks whether a host is alive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
     /// views, see [`crate::Digest`].
     pub view: u64,
     /// Gossip updates that ride on the probe.
-    pub bulletin: Bulletin,
+    pub gossip_message: GossipMessage,
     /// The newest loads that the sender knows.
     pub loads: Vec<Load>,
 }
@@ -39,7 +39,7 @@
     /// See [`Probe::view`].
     pub view: u64,
     /// Gossip updates that ride on the ack.
-    pub bulletin: Bulletin,
+    pub gossip_message: GossipMessage,
     /// The newest loads that the sender knows.
     pub loads: Vec<Load>,
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -7,9 +7,10 @@
 use proptest::collection::{btree_set, vec};
 use proptest::prelude::*;
 use wire::{
-    Ack, Age, Bucket, Bulletin, Delta, Digest, Document, Endpoint, EndpointState, Error, Evidence,
-    FailedEndpoint, Fetch, Frame, Identity, Load, MAX_FRAME_BYTES, Member, Newest, News, Payload,
-    Probe, ProbeRequest, Proof, Reach, Ruling, State, Topic, VERSION, Verdict,
+    Ack, Age, Bucket, Delta, Digest, Document, Endpoint, EndpointState, Error, Evidence,
+    FailedEndpoint, Fetch, Frame, GossipMessage, GossipUpdate, Hop, Identity, Load,
+    MAX_FRAME_BYTES, Member, NewestRevision, Payload, Probe, ProbeRequest, Proof, Ruling, State,
+    Topic, VERSION, Verdict,
 };
 
 fn text() -> impl Strategy<Value = String> {
@@ -95,18 +96,18 @@
     })
 }
 
-fn bulletin() -> impl Strategy<Value = Bulletin> {
-    let newest = (any::<u64>(), identity()).prop_map(|(revision, holder)| Newest {
+fn gossip_message() -> impl Strategy<Value = GossipMessage> {
+    let newest = (any::<u64>(), identity()).prop_map(|(revision, holder)| NewestRevision {
         revision: Revision(revision),
         holder,
     });
     let one = prop_oneof![
-        member().prop_map(News::Member),
-        newest.prop_map(News::Revision),
-        verdict().prop_map(News::Verdict),
-        endpoint().prop_map(News::Endpoint),
+        member().prop_map(GossipUpdate::Member),
+        newest.prop_map(GossipUpdate::Revision),
+        verdict().prop_map(GossipUpdate::Verdict),
+        endpoint().prop_map(GossipUpdate::Endpoint),
     ];
-    (any::<u32>(), vec(one, 0..4)).prop_map(|(reach, news)| Bulletin { reach, news })
+    (any::<u32>(), vec(one, 0..4)).prop_map(|(reach, updates)| GossipMessage { reach, updates })
 }
 
 fn loads() -> impl Strategy<Value = Vec<Load>> {
@@ -119,30 +120,30 @@
 }
 
 fn membership_frame() -> impl Strategy<Value = Frame> {
-    let common_fields = || (proof(), any::<u64>(), bulletin(), loads());
+    let common_fields = || (proof(), any::<u64>(), gossip_message(), loads());
     let buckets = vec((any::<u8>(), any::<u32>()), 0..8);
     prop_oneof![
         (any::<u32>(), identity(), address(), common_fields()).prop_map(
-            |(sequence, from, address, (proof, view, bulletin, loads))| {
+            |(sequence, from, address, (proof, view, gossip_message, loads))| {
                 Frame::Probe(Probe {
                     sequence,
                     from,
                     address,
                     proof,
                     view,
-                    bulletin,
+                    gossip_message,
                     loads,
                 })
             }
         ),
         (any::<u32>(), identity(), common_fields()).prop_map(
-            |(sequence, from, (proof, view, bulletin, loads))| {
+            |(sequence, from, (proof, view, gossip_message, loads))| {
                 Frame::Ack(Ack {
                     sequence,
                     from,
                     proof,
                     view,
-                    bulletin,
+                    gossip_message,
                     loads,
                 })
             }
@@ -157,9 +158,9 @@
                 })
             }
         ),
-        bulletin().prop_map(Frame::News),
-        (identity(), buckets, bulletin(), any::<bool>()).prop_map(
-            |(from, buckets, bulletin, reply)| {
+        gossip_message().prop_map(Frame::Gossip),
+        (identity(), buckets, gossip_message(), any::<bool>()).prop_map(
+            |(from, buckets, gossip_message, reply)| {
                 let buckets = buckets
                     .into_iter()
                     .map(|(index, hash)| Bucket { index, hash })
@@ -167,7 +168,7 @@
                 Frame::Digest(Digest {
                     from,
                     buckets,
-                    bulletin,
+                    gossip_message,
                     reply,
                 })
             }
@@ -199,13 +200,13 @@
 }
 
 fn evidence_frame() -> impl Strategy<Value = Frame> {
-    let reach = prop_oneof![
-        Just(Reach::Direct),
-        Just(Reach::Host),
-        Just(Reach::DataCentre),
-        Just(Reach::Standby),
-        Just(Reach::Fleet),
-        Just(Reach::Final),
+    let hop = prop_oneof![
+        Just(Hop::Direct),
+        Just(Hop::Host),
+        Just(Hop::DataCentre),
+        Just(Hop::Standby),
+        Just(Hop::Fleet),
+        Just(Hop::Final),
     ];
     let topic = prop_oneof![
         (text(), text()).prop_map(|(version, class)| Topic::Version {
@@ -227,13 +228,8 @@
             delta
         },
     );
-    (identity(), reach, vec(delta, 0..4)).prop_map(|(from, reach, deltas)| {
-        Frame::Evidence(Evidence {
-            from,
-            reach,
-            deltas,
-        })
-    })
+    (identity(), hop, vec(delta, 0..4))
+        .prop_map(|(from, hop, deltas)| Frame::Evidence(Evidence { from, hop, deltas }))
 }
 
 fn failed_endpoint((host, incarnation): (u64, u64)) -> FailedEndpoint {
