--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! What hosts say to each other: the frames and their binary form.
+//! The frames that hosts send to each other, and their encoding.
 //!
-//! This crate knows the shape of each message and nothing of when it is sent;
-//! `fleet` decides that for membership, news and evidence, and `ledger` for
-//! records. See `docs/design/membership.md`.
+//! This crate defines the messages only. `fleet` decides when those for membership,
+//! gossip and evidence are sent, `ledger` when those for its records are. See
+//! `docs/design/membership.md`.
 
 mod codec;
 mod counts;
@@ -12,11 +12,11 @@
 mod error;
 mod evidence;
 mod frame;
+mod gossip;
 mod identity;
 mod load;
 mod member;
 mod millis;
-mod news;
 mod payload;
 mod probe;
 mod proof;
@@ -25,16 +25,16 @@
 
 pub use codec::{MAX_FRAME_BYTES, VERSION};
 pub use counts::Counts;
-pub use delta::{Delta, Mark};
+pub use delta::{Delta, FailedEndpoint};
 pub use digest::{Bucket, Digest};
 pub use document::{Document, Fetch};
 pub use error::Error;
-pub use evidence::{Evidence, Reach};
+pub use evidence::{Evidence, Hop};
 pub use frame::Frame;
+pub use gossip::{Endpoint, EndpointState, GossipMessage, GossipUpdate, NewestRevision};
 pub use identity::Identity;
 pub use load::Load;
 pub use member::{Member, State};
-pub use news::{Bulletin, Endpoint, EndpointState, Newest, News};
 pub use payload::Payload;
 pub use probe::{Ack, Probe, ProbeRequest};
 pub use proof::{Age, Proof};
