--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,42 +1,42 @@
-//! An operator's change.
+//! Changes to the configuration by operators.
 
 use kernel::{ChangeId, ProfileName, Revision, ServiceName, VersionId};
 use serde::{Deserialize, Serialize};
 
 use crate::{Customer, Entry, Name, Profile, Rollout, Service, Version};
 
-/// One change to one entry of the document.
+/// A change to one entry of the document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Names the change, so that its repeat after a lost answer is recognised.
+    /// The idempotency key of the change: a retry after a lost response has the same id.
     pub id: ChangeId,
-    /// The revision of the entry that the change was made from; zero when the
-    /// entry is to be new.
+    /// The revision of the entry that the author edited; zero if the change
+    /// creates the entry.
     pub base: Revision,
-    /// Who made it.
+    /// The operator who made the change.
     pub author: String,
-    /// Whether the guards against accidents apply.
+    /// Whether the safety checks apply.
     #[serde(default)]
     pub mode: Mode,
-    /// What it does.
+    /// The edit of the entry.
     pub edit: Edit,
 }
 
-/// Whether the guards against accidents apply to a change.
+/// Whether the safety checks apply to a change.
 ///
-/// It never switches off what the document needs to make sense.
+/// The checks of the document's consistency apply in both modes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// A withdrawal that leaves a profile or one of its customers with no
-    /// version is refused.
+    /// Rejects the withdrawal of a version if it leaves a profile or one of its
+    /// customers without an active version.
     #[default]
     Guarded,
-    /// It is accepted: the operator prefers refusals to answers of that version.
+    /// Accepts such a withdrawal: requests are refused rather than sent to that version.
     Forced,
 }
 
-/// What a change does.
+/// The edit that a change makes to its entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit {
@@ -56,14 +56,14 @@
     PutService(ServiceName, Service),
     /// Removes a plain service.
     RemoveService(ServiceName),
-    /// Creates, moves on, pauses or aborts the roll-out of a version.
+    /// Creates or replaces the roll-out of a version.
     PutRollout(VersionId, Rollout),
-    /// Forgets a roll-out.
+    /// Removes a roll-out.
     RemoveRollout(VersionId),
 }
 
 impl Edit {
-    /// Puts `entry` under `name`; nothing comes back when they are of different kinds.
+    /// The edit that stores `entry` under `name`; `None` if they are of different kinds.
     #[must_use]
     pub fn put(name: Name, entry: Entry) -> Option<Self> {
         match (name, entry) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Removes the entry `name`.
+    /// The edit that removes the entry `name`.
     #[must_use]
     pub fn remove(name: Name) -> Self {
         match name {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The entry that it touches.
+    /// The name of the edited entry.
     #[must_use]
     pub fn name(&self) -> Name {
         match self {
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,5 +1,4 @@
-//! What a document has to satisfy, and what a change may do to it; see
-//! docs/reference/profiles.md.
+//! Validation of documents and of changes to them; see docs/reference/profiles.md.
 
 use kernel::{Customer, VersionId};
 
@@ -8,31 +7,33 @@
     Change, Document, Edit, Fault, Faults, Found, Mode, Name, Place, Profile, RolloutState, Version,
 };
 
-/// Every fault of the document as it stands.
-pub(crate) fn document(document: &Document) -> Faults {
-    let faults = document.names().flat_map(|name| entry(document, &name));
+/// Returns all faults of the document.
+pub(crate) fn document_faults(document: &Document) -> Faults {
+    let faults = document
+        .names()
+        .flat_map(|name| entry_faults(document, &name));
     Faults(faults.collect())
 }
 
-/// Every fault for which `change`, which makes `next` out of `current`, is refused.
+/// Returns all faults for which `change` from `current` to `next` is rejected.
 ///
-/// Faults of other entries count only when the change brings them about: a
-/// document that an earlier release accepted under milder rules can still be
-/// changed, one entry after the other.
-pub(crate) fn change(current: &Document, change: &Change, next: &Document) -> Faults {
+/// A fault of another entry counts only if `current` doesn't have it. Otherwise
+/// a document that an earlier release accepted under weaker rules couldn't be
+/// changed any more.
+pub(crate) fn change_faults(current: &Document, change: &Change, next: &Document) -> Faults {
     let name = change.edit.name();
-    let earlier = document(current);
-    let mut faults = document(next);
+    let existing = document_faults(current);
+    let mut faults = document_faults(next);
     faults
         .0
-        .retain(|fault| fault.place == Place::Entry(name.clone()) || !earlier.0.contains(fault));
+        .retain(|fault| fault.place == Place::Entry(name.clone()) || !existing.0.contains(fault));
     let mut check = EntryCheck::new(name);
-    edit(&mut check, current, change, next);
+    check_edit(&mut check, current, change, next);
     faults.0.extend(check.finish());
     faults
 }
 
-fn entry(document: &Document, name: &Name) -> Vec<Fault> {
+fn entry_faults(document: &Document, name: &Name) -> Vec<Fault> {
     let mut check = EntryCheck::new(name.clone());
     match name {
         Name::Version(id) => document.versions[id].check(&mut check),
@@ -46,10 +47,10 @@
     faults
 }
 
-/// What a change may not do although the next document makes sense.
-fn edit(check: &mut EntryCheck, current: &Document, change: &Change, next: &Document) {
+/// Checks the rules for changes that go beyond a valid next document.
+fn check_edit(check: &mut EntryCheck, current: &Document, change: &Change, next: &Document) {
     match &change.edit {
-        Edit::PutProfile(_, profile) => name_no_withdrawn(check, profile, next),
+        Edit::PutProfile(_, profile) => check_allowed_versions(check, profile, next),
         Edit::PutRollout(id, rollout) => {
             let withdrawn = next.versions.get(id).is_some_and(|it| !it.is_active());
             if withdrawn && rollout.state == RolloutState::Running {
@@ -59,7 +60,7 @@
         }
         Edit::PutVersion(id, version) => {
             if change.mode == Mode::Guarded && !version.is_active() {
-                leave_none_without(check, id, current, next);
+                check_withdrawal(check, id, current, next);
             }
         }
         Edit::PutCustomer(..) | Edit::PutService(..) => {}
@@ -75,7 +76,7 @@
     }
 }
 
-fn name_no_withdrawn(check: &mut EntryCheck, profile: &Profile, next: &Document) {
+fn check_allowed_versions(check: &mut EntryCheck, profile: &Profile, next: &Document) {
     let withdrawn = |id: &&VersionId| next.versions.get(*id).is_some_and(|it| !it.is_active());
     for id in profile.allow.iter().filter(withdrawn) {
         let found = Found::Value(format!("`{id}`"));
@@ -83,33 +84,35 @@
     }
 }
 
-/// Refuses a withdrawal after which somebody who could be answered can't.
-fn leave_none_without(check: &mut EntryCheck, id: &VersionId, current: &Document, next: &Document) {
+/// Rejects a withdrawal that takes the last active version from a profile or
+/// from a customer of a profile.
+fn check_withdrawal(check: &mut EntryCheck, id: &VersionId, current: &Document, next: &Document) {
     if !current.versions.get(id).is_some_and(Version::is_active) {
         return;
     }
     for (name, profile) in &current.profiles {
-        let mut stranded: Vec<&Customer> = Vec::new();
+        let mut without_version: Vec<&Customer> = Vec::new();
         for customer in profile.customers.keys() {
-            let before = current.usable(name, customer);
-            if !before.is_empty() && next.usable(name, customer).is_empty() {
-                stranded.push(customer);
+            let usable = current.usable_versions(name, customer);
+            if !usable.is_empty() && next.usable_versions(name, customer).is_empty() {
+                without_version.push(customer);
             }
         }
-        let whole_profile = !profile.has_active(current) || profile.has_active(next);
-        if stranded.is_empty() && whole_profile {
+        let profile_keeps_version =
+            !profile.has_active_version(current) || profile.has_active_version(next);
+        if without_version.is_empty() && profile_keeps_version {
             continue;
         }
-        let whom = match stranded.as_slice() {
+        let for_customers = match without_version.as_slice() {
             [] => String::new(),
-            some => format!(" for {}", join(some)),
+            customers => format!(" for {}", join(customers)),
         };
         check.add(
             "state",
             Found::Harmful,
             format!(
-                "profile {name} would have no version left{whom}: give it another version first, \
-                 or force the withdrawal"
+                "profile {name} would have no version left{for_customers}: give it another version \
+                 first, or force the withdrawal"
             ),
         );
     }
--- a/crates/config/src/commit.rs
+++ b/crates/config/src/commit.rs
@@ -1,4 +1,4 @@
-//! A line of the history.
+//! The history of accepted changes.
 
 use std::time::Duration;
 
@@ -8,27 +8,28 @@
 
 use crate::{Change, Edit, Name, VersionState};
 
-/// One accepted change, as the history keeps it.
+/// An accepted change in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Commit {
-    /// The revision that it made.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// The change.
+    /// The id of the change.
     pub change: ChangeId,
-    /// The entry that it touched.
+    /// The name of the changed entry.
     pub entry: Name,
-    /// What it did to the entry.
+    /// The effect on the entry.
     pub action: Action,
-    /// When it was accepted, since the Unix epoch.
+    /// The wall-clock time of acceptance, since the Unix epoch.
     #[serde(rename = "when_ms", with = "crate::millis")]
     pub when: Duration,
-    /// Who made it.
+    /// The operator who made the change.
     pub author: String,
 }
 
 impl Commit {
-    /// The history's line for a change that made `revision` at the wall time `when`.
+    /// Creates the history record of a change that created `revision` at the wall-clock
+    /// time `when`.
     #[must_use]
     pub fn new(change: &Change, revision: Revision, when: Duration) -> Self {
         Self {
@@ -42,17 +43,17 @@
     }
 }
 
-/// What a change did to its entry.
+/// The effect of a change on its entry.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Created or replaced it.
+    /// The entry was created or replaced.
     #[display("put")]
     Put,
-    /// Removed it.
+    /// The entry was removed.
     #[display("removed")]
     Removed,
-    /// Put a version as withdrawn.
+    /// A version was created or replaced with the state `withdrawn`.
     #[display("withdrawn")]
     Withdrawn,
 }
--- a/crates/config/src/customer.rs
+++ b/crates/config/src/customer.rs
@@ -1,4 +1,4 @@
-//! What is known of a customer.
+//! Customers: credentials and quotas.
 
 use kernel::Revision;
 use serde::{Deserialize, Serialize};
@@ -6,26 +6,26 @@
 use crate::entry_check::EntryCheck;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
-use crate::{Document, Found, form};
+use crate::{Document, Found, validate};
 
-/// How a customer is recognised and how much it may ask for.
+/// The credentials and quotas of a customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     /// The BLAKE3 hash of the customer's bearer key, 64 lower-case hex digits.
     /// The key itself is never part of the configuration.
     pub key_blake3: String,
-    /// Requests a second over all hosts.
+    /// The sustained rate limit, in requests per second over all hosts.
     #[serde(rename = "rate_per_s", default = "Customer::default_rate")]
     pub rate: u32,
-    /// Requests that may come at once above the rate.
+    /// The requests that may arrive at once above the rate.
     #[serde(default = "Customer::default_burst")]
     pub burst: u32,
-    /// Requests that may run at the same time over all hosts.
+    /// The limit of concurrent requests over all hosts.
     #[serde(default = "Customer::default_concurrency")]
     pub concurrency: u32,
-    /// The customer's share when there is too little for all, against the
-    /// weights of the others.
+    /// The customer's share of scarce capacity, relative to the weights of the
+    /// other customers.
     #[serde(default = "Customer::default_weight")]
     pub weight: u32,
     /// The revision that last changed this entry; set by [`crate::Document::apply`].
@@ -34,16 +34,16 @@
 }
 
 impl Customer {
-    /// The rate of a customer whose entry names none, in requests a second.
+    /// The default rate, in requests per second.
     pub const DEFAULT_RATE: u32 = 100;
-    /// The burst of a customer whose entry names none, in requests.
+    /// The default burst, in requests.
     pub const DEFAULT_BURST: u32 = 200;
-    /// The concurrency of a customer whose entry names none, in requests.
+    /// The default concurrency, in requests.
     pub const DEFAULT_CONCURRENCY: u32 = 200;
-    /// The weight of a customer whose entry names none.
+    /// The default weight.
     pub const DEFAULT_WEIGHT: u32 = 1;
 
-    /// The hash to be kept in `key_blake3` for a bearer key.
+    /// Returns the value of `key_blake3` for a bearer key.
     #[must_use]
     pub fn hash(key: &[u8]) -> String {
         blake3::hash(key).to_hex().to_string()
@@ -74,18 +74,18 @@
         name: &kernel::Customer,
         document: &Document,
     ) {
-        if !form::is_hash(&self.key_blake3) {
-            // Somebody may have sent the key instead of its hash.
-            check.refuse(&KEY_BLAKE3, "a text that isn't shown");
+        if !validate::is_hash(&self.key_blake3) {
+            // The value isn't shown: it may be the key itself, sent instead of its hash.
+            check.report_value(&KEY_BLAKE3, "a text that isn't shown");
         }
-        // Of two with the same key, the one that came later is at fault.
+        // Of two customers with the same key, the later change has the fault.
         let mut others = document
             .customers
             .iter()
             .filter(|(other, _)| *other != name);
-        let twin =
+        let same_key =
             others.find(|(_, it)| it.key_blake3 == self.key_blake3 && it.changed <= self.changed);
-        if let Some((other, _)) = twin {
+        if let Some((other, _)) = same_key {
             let found = Found::Value(format!("the key of customer {other}"));
             let accepted = "a key that no other customer has".into();
             check.add(KEY_BLAKE3.name, found, accepted);
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,26 +1,26 @@
-//! What differs between two entries or documents, as unified text.
+//! Unified diffs of entries and documents.
 
 use similar::TextDiff;
 
 use crate::{Document, Entry, Name, file};
 
-/// What differs between two states of an entry; empty when nothing does. A
-/// state in which the entry doesn't exist is nothing.
+/// Returns the unified diff between two states of an entry; empty if they are
+/// equal. `None` stands for an entry that doesn't exist.
 #[must_use]
 pub fn entries(name: &Name, old: Option<&Entry>, new: Option<&Entry>) -> String {
-    let old_text = old.map(file::body).unwrap_or_default();
-    let new_text = new.map(file::body).unwrap_or_default();
+    let old_text = old.map(file::to_toml).unwrap_or_default();
+    let new_text = new.map(file::to_toml).unwrap_or_default();
     if old_text == new_text && old.is_some() == new.is_some() {
         return String::new();
     }
-    let text = TextDiff::from_lines(&old_text, &new_text);
-    text.unified_diff()
-        .context_radius(CONTEXT)
+    let diff = TextDiff::from_lines(&old_text, &new_text);
+    diff.unified_diff()
+        .context_radius(CONTEXT_LINES)
         .header(&label(name, old), &label(name, new))
         .to_string()
 }
 
-/// What differs between two documents, entry by entry.
+/// Returns the unified diffs of all entries that differ between two documents.
 #[must_use]
 pub fn documents(old: &Document, new: &Document) -> String {
     let mut names: Vec<Name> = old.names().chain(new.names()).collect();
@@ -32,8 +32,8 @@
         .collect()
 }
 
-/// The lines around a difference; the entries are short.
-const CONTEXT: usize = 3;
+/// Context lines around each difference.
+const CONTEXT_LINES: usize = 3;
 
 fn label(name: &Name, entry: Option<&Entry>) -> String {
     match entry {
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! The whole configuration, and how a change makes the next one.
+//! The configuration document and the application of changes to it.
 
 use std::collections::BTreeMap;
 
@@ -15,64 +15,64 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// The number of this configuration; zero is the empty one that nobody committed.
+    /// The revision of the document; zero is the empty document before the first change.
     pub revision: Revision,
-    /// The versions of models, as `model@version`.
+    /// The versions of models, by `model@version`.
     #[serde(default)]
     pub versions: BTreeMap<VersionId, Version>,
-    /// The profiles.
+    /// The profiles, by name.
     #[serde(default)]
     pub profiles: BTreeMap<ProfileName, Profile>,
-    /// The customers.
+    /// The customers, by name.
     #[serde(default)]
     pub customers: BTreeMap<CustomerName, Customer>,
-    /// The plain services.
+    /// The plain services, by name.
     #[serde(default)]
     pub services: BTreeMap<ServiceName, Service>,
-    /// The roll-outs, by the version that is rolled out.
+    /// The roll-outs, by the id of the new version.
     #[serde(default)]
     pub rollouts: BTreeMap<VersionId, Rollout>,
 }
 
 impl Document {
-    /// Reads the value of the table row `config/head`.
+    /// Parses the value of the table row `config/head`.
     ///
     /// # Errors
-    /// The first place where the text isn't a document.
+    /// The first syntax error, or the first field that is unknown, missing or of
+    /// the wrong type.
     pub fn parse(text: &str) -> Result<Self, serde_json::Error> {
         serde_json::from_str(text)
     }
 
-    /// The value of the table row `config/head`.
+    /// Returns the document as the value of the table row `config/head`.
     #[must_use]
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).expect("every map of a document has text keys")
     }
 
-    /// The document after `change`, at the next revision.
+    /// Returns the document after `change`, at the next revision.
     ///
-    /// A change conflicts when its *entry* changed since the change's base,
-    /// so that operators who edit two different entries don't disturb each
-    /// other. The caller makes the result durable by a conditional write
-    /// against the revision that it read, and applies the change again to
-    /// the newer document when that write fails.
+    /// Conflicts are detected by entry, so changes to different entries never
+    /// conflict. The caller stores the result with a conditional write on the
+    /// revision that it read. If that write fails, it reads the newer document
+    /// and applies the change again.
     ///
     /// # Errors
-    /// [`Refused::Conflict`] when the entry isn't as the change's author saw
-    /// it, [`Refused::Faults`] with every fault that the next document would have.
+    /// [`Refused::Conflict`] if the entry isn't at the change's base revision,
+    /// [`Refused::Faults`] with all faults for which the change is rejected.
     pub fn apply(&self, change: &Change) -> Result<Self, Refused> {
         let name = change.edit.name();
         let current = self.entry(&name);
-        let changed = current.as_ref().map_or(Revision(0), Entry::changed);
-        if changed != change.base {
+        let current_revision = current.as_ref().map_or(Revision(0), Entry::changed);
+        if current_revision != change.base {
             return Err(Refused::Conflict(Box::new(Conflict {
                 entry: name,
                 current,
-                current_revision: changed,
+                current_revision,
             })));
         }
-        let next = self.with(&change.edit);
-        let faults = check::change(self, change, &next);
+        let next = self.with_edit(&change.edit);
+        let faults = check::change_faults(self, change, &next);
         if faults.0.is_empty() {
             Ok(next)
         } else {
@@ -80,14 +80,13 @@
         }
     }
 
-    /// Every fault of the document as it stands; none in one that
-    /// [`Document::apply`] made out of one that had none.
+    /// Returns all faults of the document. [`Document::apply`] never adds a fault.
     #[must_use]
     pub fn faults(&self) -> Faults {
-        check::document(self)
+        check::document_faults(self)
     }
 
-    /// The entry of that name.
+    /// Returns the entry of that name.
     #[must_use]
     pub fn entry(&self, name: &Name) -> Option<Entry> {
         match name {
@@ -99,7 +98,7 @@
         }
     }
 
-    /// The names of all entries, by kind and name.
+    /// Returns the names of all entries, ordered by kind and name.
     pub fn names(&self) -> impl Iterator<Item = Name> {
         let versions = self.versions.keys().cloned().map(Name::Version);
         let profiles = self.profiles.keys().cloned().map(Name::Profile);
@@ -113,10 +112,14 @@
             .chain(rollouts)
     }
 
-    /// The versions that may answer `customer` under `profile` now: allowed
-    /// to it, known and not withdrawn. Empty also when there is no such profile.
+    /// Returns the active versions that `profile` allows to `customer`. Empty if
+    /// the profile doesn't exist or the customer may not use it.
     #[must_use]
-    pub fn usable(&self, profile: &ProfileName, customer: &CustomerName) -> Vec<VersionId> {
+    pub fn usable_versions(
+        &self,
+        profile: &ProfileName,
+        customer: &CustomerName,
+    ) -> Vec<VersionId> {
         let allowed = self
             .profiles
             .get(profile)
@@ -126,11 +129,11 @@
         allowed.iter().filter(active).cloned().collect()
     }
 
-    /// The customer whose bearer key this is.
+    /// Returns the customer with this bearer key.
     ///
-    /// The lookup compares hashes, so its time tells nothing of the key.
+    /// The lookup compares hashes, so its timing doesn't leak the key.
     #[must_use]
-    pub fn customer_of(&self, key: &[u8]) -> Option<&CustomerName> {
+    pub fn customer_by_key(&self, key: &[u8]) -> Option<&CustomerName> {
         let hash = Customer::hash(key);
         let mut customers = self.customers.iter();
         customers
@@ -138,7 +141,7 @@
             .map(|(name, _)| name)
     }
 
-    fn with(&self, edit: &Edit) -> Self {
+    fn with_edit(&self, edit: &Edit) -> Self {
         let mut next = self.clone();
         next.revision = self.revision.next();
         let changed = next.revision;
@@ -168,7 +171,7 @@
                 next.services.remove(&name);
             }
             Edit::PutRollout(id, it) => {
-                let begun = self.begun(&id, &it).unwrap_or(changed);
+                let begun = self.unchanged_step_revision(&id, &it).unwrap_or(changed);
                 let rollout = Rollout {
                     begun,
                     changed,
@@ -183,34 +186,35 @@
         next
     }
 
-    /// The revision with which the roll-out's step began, when the step stays the same.
-    fn begun(&self, id: &VersionId, next: &Rollout) -> Option<Revision> {
+    /// Returns the revision at which the roll-out's step began, if `next` keeps the step
+    /// and the state.
+    fn unchanged_step_revision(&self, id: &VersionId, next: &Rollout) -> Option<Revision> {
         let current = self.rollouts.get(id)?;
-        let stays = current.step == next.step && current.state == next.state;
-        stays.then_some(current.begun)
+        let is_unchanged = current.step == next.step && current.state == next.state;
+        is_unchanged.then_some(current.begun)
     }
 }
 
-/// Why a change was not accepted.
+/// The reason for which a change was rejected.
 #[derive(Clone, Debug, Display, Error, From, PartialEq)]
 pub enum Refused {
-    /// The entry changed since the change's base.
+    /// The entry isn't at the change's base revision.
     #[display("{_0}")]
     Conflict(#[error(not(source))] Box<Conflict>),
-    /// The next document would make no sense.
+    /// The next document, or the change itself, has faults.
     #[display("{_0}")]
     Faults(#[error(not(source))] Faults),
 }
 
-/// The entry as it is, where the change's author saw another.
+/// A conflict: the current entry isn't at the change's base revision.
 #[derive(Clone, Debug, Display, PartialEq)]
 #[display("{}", self.describe())]
 pub struct Conflict {
-    /// Which entry.
+    /// The name of the entry.
     pub entry: Name,
-    /// The entry now; nothing when it doesn't exist.
+    /// The current entry; `None` if it doesn't exist.
     pub current: Option<Entry>,
-    /// The revision that last changed it; zero when it doesn't exist.
+    /// The revision that last changed the entry; zero if it doesn't exist.
     pub current_revision: Revision,
 }
 
--- a/crates/config/src/entry.rs
+++ b/crates/config/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry of any kind.
+//! Entries of the document.
 
 use derive_more::From;
 use kernel::Revision;
@@ -7,8 +7,8 @@
 
 use crate::{Customer, Kind, Profile, Rollout, Service, Version};
 
-/// An entry of any kind; on the wire it is the entry alone, since the place
-/// where it stands tells its kind.
+/// An entry of any kind. It is serialized without its kind, which the path of
+/// the request gives.
 #[derive(Clone, Debug, From, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Entry {
@@ -25,10 +25,11 @@
 }
 
 impl Entry {
-    /// Reads the body of a `PUT /operator/v1/{kind}/{name}`.
+    /// Parses the body of a `PUT /operator/v1/{kind}/{name}`.
     ///
     /// # Errors
-    /// The first field that is unknown, missing or of the wrong type.
+    /// The first syntax error, or the first field that is unknown, missing or of
+    /// the wrong type.
     pub fn from_json(kind: Kind, body: &[u8]) -> Result<Self, serde_json::Error> {
         match kind {
             Kind::Version => read::<Version>(body),
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The kind of the entry.
+    /// Returns the kind of the entry.
     #[must_use]
     pub fn kind(&self) -> Kind {
         match self {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The revision that last changed the entry.
+    /// Returns the revision that last changed the entry.
     #[must_use]
     pub fn changed(&self) -> Revision {
         match self {
--- a/crates/config/src/entry_check.rs
+++ b/crates/config/src/entry_check.rs
@@ -1,4 +1,4 @@
-//! The faults of one entry while it is being checked.
+//! Validation of one entry.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use crate::schema::{Accepts, Key};
 use crate::{Fault, Found, Name, Place};
 
-/// The faults of one entry while it is being checked.
+/// Collects the faults of one entry during its validation.
 ///
-/// What is accepted comes from the schema, so that a file and a change are
-/// judged alike.
+/// The accepted values come from the schema, so that files and changes are
+/// validated by the same rules.
 pub(crate) struct EntryCheck {
     name: Name,
     faults: Vec<Fault>,
@@ -27,19 +27,19 @@
         self.faults
     }
 
-    /// Checks a number against the key's bounds; zero where the least is more
-    /// counts as missing.
+    /// Checks a number against the key's bounds. Zero below the lower bound is
+    /// reported as missing, since an absent price deserializes to zero.
     pub(crate) fn whole(&mut self, key: &Key, number: u64) {
         if key.accepts.admits(number) {
             return;
         }
         match number {
             0 => self.add(key.name, Found::Missing, key.accepts.to_string()),
-            _ => self.refuse(key, number),
+            _ => self.report_value(key, number),
         }
     }
 
-    /// Checks a time against the key's bounds.
+    /// Checks a duration against the key's bounds.
     pub(crate) fn duration(&mut self, key: &Key, duration: Duration) {
         let number = match key.accepts {
             Accepts::Seconds { .. } => u128::from(duration.as_secs()),
@@ -48,8 +48,8 @@
         self.whole(key, u64::try_from(number).unwrap_or(u64::MAX));
     }
 
-    /// Refuses a value that the key doesn't accept.
-    pub(crate) fn refuse(&mut self, key: &Key, value: impl Display) {
+    /// Reports a value that the key doesn't accept.
+    pub(crate) fn report_value(&mut self, key: &Key, value: impl Display) {
         let found = Found::Value(value.to_string());
         self.add(key.name, found, key.accepts.to_string());
     }
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a text or a change.
+//! Validation errors of texts and changes.
 
 use std::fmt;
 
@@ -7,18 +7,19 @@
 
 use crate::Name;
 
-/// One fault: where it is, what was found there and what is accepted.
+/// A validation error: its location, the value found there and the accepted values.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display("{place}: {}{found}{accepted}", Self::label(field))]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Where it is.
+    /// The location of the fault.
     pub place: Place,
-    /// The key or field with its path; empty when it is the whole text.
+    /// The path of the key or field; empty for a syntax error.
     pub field: String,
-    /// What was found there.
+    /// The value, or the lack of one, that was found there.
     pub found: Found,
-    /// What is accepted instead, or how to get the change through.
+    /// The accepted values, or advice on how to correct the fault; the parser's
+    /// message for a syntax error.
     pub accepted: String,
 }
 
@@ -32,51 +33,51 @@
     }
 }
 
-/// Where a fault is.
+/// The location of a fault.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Place {
-    /// In a line of a file, counted from one.
+    /// A line of a file.
     #[display("{file}:{line}")]
     Line {
-        /// The file as its reader named it.
+        /// The name of the file as given to the parser.
         file: String,
-        /// The line.
+        /// The line number, from 1.
         line: usize,
     },
-    /// In an entry of the document.
+    /// An entry of the document.
     #[display("{_0}")]
     Entry(Name),
 }
 
-/// What was found where something else is accepted.
+/// The kind of a fault, with the value found.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Found {
-    /// Nothing.
+    /// A required value is missing.
     #[display("missing; expected ")]
     Missing,
-    /// This value.
+    /// The value, or a description of it, isn't accepted.
     #[display("{_0} is not accepted; expected ")]
     Value(String),
-    /// A key that isn't known.
+    /// The key is unknown.
     #[display("unknown key; ")]
     UnknownKey,
-    /// Text that isn't TOML.
+    /// The text isn't valid TOML.
     #[display("not TOML; ")]
     Syntax,
-    /// A value that is sound by itself, but would do harm.
+    /// The value is valid, but a safety check rejects the change.
     #[display("refused; ")]
     Harmful,
 }
 
-/// Every fault that was found.
+/// All faults of a text, document or change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// Whether there is none.
+    /// Returns whether there are no faults.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1,4 +1,4 @@
-//! An entry as operators write it in a file.
+//! Files that hold one entry, as operators edit them.
 
 use std::fmt::Write as _;
 
@@ -9,27 +9,26 @@
 use crate::source::Source;
 use crate::{Customer, Entry, Faults, Kind, Name, Profile, Rollout, Service, Version};
 
-/// An entry as operators write it in a file: TOML, below a comment that names
-/// the entry and the revision it was read at.
+/// A file that holds one entry as TOML, below a header comment with the entry's
+/// name and the revision at which it was read.
 ///
-/// The comment is what lets `barleyctl apply` notice that somebody else
-/// changed the entry meanwhile, without the operator having to remember the
-/// revision.
+/// `barleyctl apply` takes the change's base revision from the header, and so
+/// detects that another operator changed the entry in the meantime.
 #[derive(Clone, Debug, PartialEq)]
 pub struct File {
-    /// The name that the comment gives.
+    /// The name in the header; `None` if there is no header for this kind of entry.
     pub name: Option<Name>,
-    /// The revision that the comment gives.
+    /// The revision in the header; `None` if there is no header for this kind of entry.
     pub revision: Option<Revision>,
     /// The entry.
     pub entry: Entry,
 }
 
 impl File {
-    /// Reads the text of a file, which errors call `file`.
+    /// Parses the text of a file. `file` is its name in errors.
     ///
     /// # Errors
-    /// Every fault of the text, by line.
+    /// All faults of the text, ordered by line.
     pub fn parse(kind: Kind, text: &str, file: &str) -> Result<Self, Faults> {
         let entry = Source::read(file, text, Self::schema(kind), |table| match kind {
             Kind::Version => Version::read(table).into(),
@@ -47,15 +46,15 @@
         })
     }
 
-    /// The text of a file that holds `entry` as it is in the document.
+    /// Returns the text of a file that holds `entry`, with the header.
     #[must_use]
     pub fn show(name: &Name, entry: &Entry) -> String {
         let revision = entry.changed();
-        format!("{HEADER}{name}, revision {revision}\n{}", body(entry))
+        format!("{HEADER}{name}, revision {revision}\n{}", to_toml(entry))
     }
 
-    /// The keys of the files of a kind, from which docs/reference/profiles.md
-    /// is checked.
+    /// Returns the schema of the files of a kind. A test compares
+    /// docs/reference/profiles.md with it.
     #[must_use]
     pub fn schema(kind: Kind) -> &'static Section {
         match kind {
@@ -70,8 +69,8 @@
 
 const HEADER: &str = "# barleypin ";
 
-/// The entry as TOML, without what the operator doesn't set.
-pub(crate) fn body(entry: &Entry) -> String {
+/// Returns the entry as TOML, without the fields that operators can't set.
+pub(crate) fn to_toml(entry: &Entry) -> String {
     let mut text = String::new();
     let value = serde_json::to_value(entry).expect("an entry holds only text keys and numbers");
     if let Value::Object(fields) = value {
@@ -91,21 +90,21 @@
 fn write_table(text: &mut String, section: &Section, fields: &Map<String, Value>) {
     for key in section.keys {
         if let Some(value) = fields.get(key.name) {
-            line(text, format_args!("{} = {}", key.name, inline(value)));
+            push_line(text, format_args!("{} = {}", key.name, inline_value(value)));
         }
     }
     for child in section.sections {
         match (child.shape, fields.get(child.name)) {
             (Shape::Named, Some(Value::Object(tables))) => {
                 for (name, fields) in tables {
-                    let name = quoted(name);
-                    line(text, format_args!("\n[{}.{name}]", child.name));
+                    let name = table_key(name);
+                    push_line(text, format_args!("\n[{}.{name}]", child.name));
                     write_child(text, child, fields);
                 }
             }
             (Shape::List, Some(Value::Array(tables))) => {
                 for fields in tables {
-                    line(text, format_args!("\n[[{}]]", child.name));
+                    push_line(text, format_args!("\n[[{}]]", child.name));
                     write_child(text, child, fields);
                 }
             }
@@ -120,26 +119,27 @@
     }
 }
 
-fn line(text: &mut String, line: std::fmt::Arguments<'_>) {
-    writeln!(text, "{line}").expect("a String takes all text");
+fn push_line(text: &mut String, line: std::fmt::Arguments<'_>) {
+    writeln!(text, "{line}").expect("writing to a String cannot fail");
 }
 
-/// Numbers and words read the same in TOML and JSON; other text may not.
-fn inline(value: &Value) -> String {
+/// Formats a value as inline TOML. Numbers are the same in JSON and TOML, strings
+/// need the quoting of TOML.
+fn inline_value(value: &Value) -> String {
     match value {
         Value::String(text) => toml::Value::from(text.as_str()).to_string(),
         Value::Array(items) => {
-            let items: Vec<_> = items.iter().map(inline).collect();
+            let items: Vec<_> = items.iter().map(inline_value).collect();
             format!("[{}]", items.join(", "))
         }
         _ => value.to_string(),
     }
 }
 
-/// A name with a dot would otherwise read as a path of two.
-fn quoted(name: &str) -> String {
-    let bare = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
-    if !name.is_empty() && name.bytes().all(bare) {
+/// Quotes a key that isn't a bare TOML key: a dot in a bare key would separate two keys.
+fn table_key(name: &str) -> String {
+    let is_bare = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
+    if !name.is_empty() && name.bytes().all(is_bare) {
         name.to_owned()
     } else {
         toml::Value::from(name).to_string()
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
-//! Profiles, versions, customers, services and roll-outs, checked and
-//! revisioned, and the settings of a host.
+//! Validation and revisions of the fleet's configuration (versions, profiles,
+//! customers, services and roll-outs), and the settings of a host.
 //!
-//! The crate does no input or output: it turns text into checked values, and a
-//! [`Document`] and a [`Change`] into the next [`Document`] or a reason why not.
-//! The operators' reference is in docs/reference/profiles.md and
-//! docs/reference/settings.md; what the other crates rely on is in
+//! The crate does no input or output: it parses text into validated values, and
+//! applies a [`Change`] to a [`Document`], which gives the next [`Document`] or
+//! an error. The operators' reference is in docs/reference/profiles.md and
+//! docs/reference/settings.md; the guarantees for other crates are in
 //! docs/design/contracts.md.
 
 mod change;
@@ -17,7 +17,6 @@
 mod entry_check;
 mod fault;
 mod file;
-mod form;
 mod millis;
 mod name;
 mod priority;
@@ -29,6 +28,7 @@
 pub mod settings;
 mod source;
 mod table;
+mod validate;
 mod version;
 
 pub use change::{Change, Edit, Mode};
--- a/crates/config/src/millis.rs
+++ b/crates/config/src/millis.rs
@@ -1,4 +1,5 @@
-//! Durations as whole milliseconds, for `#[serde(with = "crate::millis")]`.
+//! Serialization of durations as integers of milliseconds, for
+//! `#[serde(with = "crate::millis")]`.
 
 use std::time::Duration;
 
--- a/crates/config/src/name.rs
+++ b/crates/config/src/name.rs
@@ -1,11 +1,11 @@
-//! The name of an entry.
+//! Names and kinds of entries.
 
 use derive_more::Display;
 use kernel::{Customer, ProfileName, ServiceName, VersionId};
 use serde::{Deserialize, Serialize};
 
 use crate::schema::Accepts;
-use crate::{Fault, Found, Place, form};
+use crate::{Fault, Found, Place, validate};
 
 /// The kind and name of an entry of the document.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
 }
 
 impl Name {
-    /// The name of an entry of that kind.
+    /// Creates the name of an entry of that kind. The name isn't validated.
     #[must_use]
     pub fn new(kind: Kind, name: &str) -> Self {
         match kind {
@@ -41,17 +41,17 @@
         }
     }
 
-    /// Whether it has the form of a name, which is also what a path can hold.
+    /// Checks that the name is valid. Valid names need no escaping in a path.
     ///
     /// # Errors
-    /// The fault, with the form that is accepted.
+    /// The fault, with a description of valid names.
     pub fn check(&self) -> Result<(), Fault> {
         let (fits, accepted) = match self {
             Self::Version(id) | Self::Rollout(id) => {
-                (form::is_version(id.as_str()), Accepts::Version)
+                (validate::is_version(id.as_str()), Accepts::Version)
             }
             Self::Profile(_) | Self::Customer(_) | Self::Service(_) => {
-                (form::is_name(self.as_str()), Accepts::Name)
+                (validate::is_name(self.as_str()), Accepts::Name)
             }
         };
         if fits {
@@ -65,7 +65,7 @@
         })
     }
 
-    /// The kind of the entry.
+    /// Returns the kind of the entry.
     #[must_use]
     pub fn kind(&self) -> Kind {
         match self {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The name without its kind.
+    /// Returns the name without its kind.
     #[must_use]
     pub fn as_str(&self) -> &str {
         match self {
@@ -89,7 +89,7 @@
     }
 }
 
-/// The kinds of entries, in the order in which the document keeps them.
+/// The kinds of entries, in the order of the document's fields.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// Versions.
@@ -119,7 +119,7 @@
         Self::Rollout,
     ];
 
-    /// The plural that stands in paths (`/operator/v1/profiles/…`) and in the document.
+    /// Returns the plural in paths (`/operator/v1/profiles/…`) and in the document's fields.
     #[must_use]
     pub fn plural(self) -> &'static str {
         match self {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The kind that a path segment names.
+    /// Returns the kind with that plural, as in a path segment.
     #[must_use]
     pub fn from_plural(plural: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.plural() == plural)
--- a/crates/config/src/priority.rs
+++ b/crates/config/src/priority.rs
@@ -1,11 +1,11 @@
-//! How urgent a request is.
+//! Priorities of requests.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::schema::{Accepts, Fallback, Key};
 
-/// How urgent a request is; the most urgent sorts first.
+/// The priority of a request; the highest priority sorts first.
 #[derive(
     Clone,
     Copy,
@@ -22,14 +22,14 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Seat holds and gate scans, which can't wait.
+    /// Requests that can't wait, such as seat holds and gate scans.
     #[display("urgent")]
     Urgent,
-    /// A person waits for the answer.
+    /// A person waits for the response.
     #[default]
     #[display("interactive")]
     Interactive,
-    /// Nobody waits: summaries overnight.
+    /// No one waits for the response, such as for nightly summaries.
     #[display("batch")]
     Batch,
 }
@@ -41,7 +41,7 @@
         ("batch", Self::Batch),
     ];
 
-    /// The key that says it, in profiles and in the routes of services.
+    /// Returns the key of the priority in profiles and in routes of services.
     pub(crate) const fn key(about: &'static str) -> Key {
         Key {
             name: "priority",
--- a/crates/config/src/profile.rs
+++ b/crates/config/src/profile.rs
@@ -1,4 +1,4 @@
-//! What a profile states.
+//! Profiles: allowed versions, quality and cost of requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,36 +10,36 @@
 use crate::entry_check::EntryCheck;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
-use crate::{Document, Found, Priority, Repeat, form};
+use crate::{Document, Found, Priority, Repeat, validate};
 
-/// Which versions may answer, how good the answer has to be and what it may cost.
+/// The versions that may serve a request, with the required quality and the cost limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Profile {
-    /// The versions that may answer, in no particular order.
+    /// The versions that may serve requests, in no particular order.
     pub allow: Vec<VersionId>,
-    /// The share of answers, 0 to 1, that have to be rated good.
+    /// The share of responses, 0 to 1, that have to be rated good.
     pub quality: f64,
-    /// What one request may cost at most, in microcents.
+    /// The maximum cost of a request, in microcents.
     #[serde(rename = "cost_cap_microcents")]
     pub cost_cap: Money,
-    /// Whether a request may run again.
+    /// The retry policy of requests.
     pub repeat: Repeat,
-    /// The priority of a request that states none.
+    /// The default priority of requests.
     #[serde(default)]
     pub priority: Priority,
-    /// The time to the whole answer for a request that states none.
+    /// The default deadline of requests: the time to the end of the response.
     #[serde(
         rename = "deadline_ms",
         with = "crate::millis",
         default = "Profile::default_deadline"
     )]
     pub deadline: Duration,
-    /// The most completion tokens that a request may ask for, and what it gets
-    /// when it asks for none.
+    /// The maximum of completion tokens of a request, and the default if the
+    /// request doesn't set it.
     #[serde(default = "Profile::default_max_tokens")]
     pub max_tokens: u32,
-    /// What a host does that can't prove its configuration to be the newest.
+    /// The behaviour of a host that can't confirm that its configuration is current.
     #[serde(default)]
     pub when_stale: WhenStale,
     /// The customers who may use the profile.
@@ -51,14 +51,14 @@
 }
 
 impl Profile {
-    /// The deadline of a profile that names none, in milliseconds.
+    /// The default of `deadline`, in milliseconds.
     pub const DEFAULT_DEADLINE_MS: u64 = 30_000;
-    /// The `max_tokens` of a profile that names none.
+    /// The default of `max_tokens`.
     pub const DEFAULT_MAX_TOKENS: u32 = 1_024;
 
-    /// The versions that `customer` may be answered by, or nothing when it
-    /// may not use this profile. Withdrawn versions are not taken out here;
-    /// see [`crate::Document::usable`].
+    /// Returns the versions that may serve `customer`, or `None` if it may not use
+    /// this profile. Withdrawn versions are included; see
+    /// [`crate::Document::usable_versions`].
     #[must_use]
     pub fn allowed(&self, customer: &Customer) -> Option<&[VersionId]> {
         let grant = self.customers.get(customer)?;
@@ -104,8 +104,8 @@
             let found = Found::Value(format!("`{id}`"));
             check.add("allow", found, "a version that is configured".into());
         }
-        if !form::is_fraction(self.quality) {
-            check.refuse(&QUALITY, self.quality);
+        if !validate::is_fraction(self.quality) {
+            check.report_value(&QUALITY, self.quality);
         }
         check.whole(&COST_CAP, self.cost_cap.0);
         check.duration(&DEADLINE, self.deadline);
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Whether one of its versions may get new work.
-    pub(crate) fn has_active(&self, document: &Document) -> bool {
+    /// Returns whether one of the allowed versions is active.
+    pub(crate) fn has_active_version(&self, document: &Document) -> bool {
         let versions = self.allow.iter().filter_map(|id| document.versions.get(id));
         versions.into_iter().any(crate::Version::is_active)
     }
@@ -155,12 +155,12 @@
     }
 }
 
-/// One customer's leave to use a profile.
+/// The permission of a customer to use a profile.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
-    /// The part of the profile's versions that may answer this customer; all
-    /// of them when absent.
+    /// The subset of the profile's versions that may serve this customer; all
+    /// of them if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub allow: Option<Vec<VersionId>>,
 }
@@ -185,23 +185,24 @@
     }
 }
 
-/// What a host does with a request while it can't prove that its
-/// configuration is the newest one.
+/// The behaviour of a host towards requests while it can't confirm that its
+/// configuration is current.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WhenStale {
-    /// Answers by the configuration it has.
+    /// Serves requests with the configuration that it has.
     #[display("serve")]
     Serve,
-    /// Answers while it hears from the host list or another host, and refuses
-    /// with the reason `stale` when it is cut off from everything.
+    /// Serves requests while the host list or another host is reachable, and
+    /// refuses them with the reason `stale` otherwise.
     ///
-    /// A table that is out for everyone must not stop the service, and nobody
-    /// can change the configuration meanwhile; a host that is cut off can't know.
+    /// An outage of the table must not stop the service: no one can change the
+    /// configuration during it. An isolated host can't tell an outage from its
+    /// own isolation.
     #[default]
     #[display("refuse_alone")]
     RefuseAlone,
-    /// Refuses with the reason `stale`.
+    /// Refuses requests with the reason `stale`.
     #[display("refuse")]
     Refuse,
 }
@@ -218,7 +219,7 @@
     if versions.is_empty() {
         check.add(field, Found::Missing, Accepts::Versions.to_string());
     }
-    if !form::are_distinct(versions) {
+    if !validate::are_distinct(versions) {
         let found = Found::Value("a version twice".into());
         check.add(field, found, Accepts::Versions.to_string());
     }
--- a/crates/config/src/repeat.rs
+++ b/crates/config/src/repeat.rs
@@ -1,18 +1,18 @@
-//! Whether a request may run again.
+//! Retry policies of requests.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::schema::{Accepts, Fallback, Key};
 
-/// Whether a request may run a second time after an attempt of unknown end.
+/// Whether a request may be sent again when the outcome of an attempt is unknown.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// Running it twice is harmless, so it may be retried and hedged.
+    /// The request may run twice, so it may be retried and hedged.
     #[display("idempotent")]
     Idempotent,
-    /// It runs once or not at all: a booking, a catalogue entry, a seat hold.
+    /// The request must not run twice, such as a booking or a seat hold.
     #[display("at_most_once")]
     AtMostOnce,
 }
@@ -23,7 +23,7 @@
         ("at_most_once", Self::AtMostOnce),
     ];
 
-    /// The key that says it, in profiles and in the routes of services.
+    /// Returns the key of the retry policy in profiles and in routes of services.
     pub(crate) const fn key(about: &'static str) -> Key {
         Key {
             name: "repeat",
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -1,4 +1,4 @@
-//! The roll-out of a version.
+//! Roll-outs of versions.
 
 use derive_more::Display;
 use kernel::{Revision, VersionId};
@@ -7,25 +7,26 @@
 use crate::entry_check::EntryCheck;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
-use crate::{Document, Found, form};
+use crate::{Document, Found, validate};
 
-/// A version that takes over another's work in steps; the document keeps it
-/// under the id of the new version.
+/// A roll-out that shifts the traffic of a version to a new one in steps. The
+/// document stores it under the id of the new version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// The version whose work is taken over.
+    /// The version that the new one replaces.
     pub replaces: VersionId,
-    /// The share of that work, above 0 to 1, that each step gives to the new
-    /// version; rising.
+    /// The new version's share of the traffic at each step: above 0, at most 1,
+    /// strictly increasing.
     pub steps: Vec<f64>,
-    /// How the roll-out stands.
+    /// The state of the roll-out.
     #[serde(default)]
     pub state: RolloutState,
-    /// The index of the step in force.
+    /// The index of the current step.
     #[serde(default)]
     pub step: usize,
-    /// The revision with which that step began; set by [`crate::Document::apply`].
+    /// The revision at which the current step and state began; set by
+    /// [`crate::Document::apply`].
     #[serde(default)]
     pub begun: Revision,
     /// The revision that last changed this entry; set by [`crate::Document::apply`].
@@ -34,10 +35,10 @@
 }
 
 impl Rollout {
-    /// The steps of a roll-out that names none.
+    /// The default of `steps`.
     pub const DEFAULT_STEPS: &[f64] = &[0.01, 0.1, 0.5, 1.0];
 
-    /// The share of the work that the new version gets now.
+    /// Returns the new version's current share of the traffic.
     #[must_use]
     pub fn share(&self) -> f64 {
         match self.state {
@@ -81,8 +82,8 @@
                 "another version that is configured".into(),
             );
         }
-        if !form::are_steps(&self.steps) {
-            check.refuse(&STEPS, format_args!("{:?}", self.steps));
+        if !validate::are_steps(&self.steps) {
+            check.report_value(&STEPS, format_args!("{:?}", self.steps));
         }
         if self.step >= self.steps.len() {
             let found = Found::Value(self.step.to_string());
@@ -92,20 +93,20 @@
                 "the index of one of the `steps`, from 0 on".into(),
             );
         }
-        self.check_alone(check, id, document);
+        self.check_overlap(check, id, document);
     }
 
-    /// Two roll-outs that take over the same version's work at the same time
-    /// would both claim their shares of it; the one that came later is at fault.
-    fn check_alone(&self, check: &mut EntryCheck, id: &VersionId, document: &Document) {
+    /// Checks that no other open roll-out replaces the same version, since their
+    /// shares of its traffic would overlap. The later change has the fault.
+    fn check_overlap(&self, check: &mut EntryCheck, id: &VersionId, document: &Document) {
         if !self.state.is_open() {
             return;
         }
         let mut others = document.rollouts.iter().filter(|(other, _)| *other != id);
-        let same = |it: &Self| {
+        let overlaps = |it: &Self| {
             it.state.is_open() && it.replaces == self.replaces && it.changed <= self.changed
         };
-        if let Some((other, _)) = others.find(|(_, it)| same(it)) {
+        if let Some((other, _)) = others.find(|(_, it)| overlaps(it)) {
             let found = Found::Value(format!("`{}`", self.replaces));
             let accepted = format!("a version that the roll-out of {other} doesn't replace now");
             check.add("replaces", found, accepted);
@@ -113,21 +114,21 @@
     }
 }
 
-/// How a roll-out stands.
+/// The state of a roll-out.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutState {
-    /// It goes on to the next step when the evidence allows it.
+    /// The roll-out continues with the next step when the evidence allows it.
     #[default]
     #[display("running")]
     Running,
-    /// It stays at its step until an operator resumes it.
+    /// The roll-out stays at its step until an operator resumes it.
     #[display("paused")]
     Paused,
-    /// The new version gets none of the replaced version's work.
+    /// The new version gets none of the replaced version's traffic.
     #[display("aborted")]
     Aborted,
-    /// The new version gets all of it.
+    /// The new version gets all of the replaced version's traffic.
     #[display("done")]
     Done,
 }
@@ -140,7 +141,7 @@
         ("done", Self::Done),
     ];
 
-    /// Whether it may still move.
+    /// Returns whether the roll-out is running or paused.
     #[must_use]
     pub fn is_open(self) -> bool {
         matches!(self, Self::Running | Self::Paused)
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,36 +1,36 @@
-//! The keys of the files that people write, as data: what each accepts, and
-//! what stands for it when it is absent.
+//! Schemas of settings files and entry files: the accepted values and the
+//! default of each key.
 //!
-//! The reader, the errors and the reference pages all follow from these, so
-//! that they can't tell different things; a test compares the pages.
+//! The parser and the errors use the schemas, and a test compares the reference
+//! pages with them.
 
 use derive_more::Display;
 
 /// A table of a file.
 #[derive(Debug)]
 pub struct Section {
-    /// Its name; empty for the file itself.
+    /// The name of the table; empty for the root of the file.
     pub name: &'static str,
-    /// What it is for, as a phrase.
+    /// The description in the reference page, as a phrase.
     pub about: &'static str,
-    /// Whether it stands alone, by name or in a list.
+    /// Whether the table is single, named or an element of a list.
     pub shape: Shape,
-    /// Its keys, in the order of the reference.
+    /// The keys, in the order of the reference page.
     pub keys: &'static [&'static Key],
-    /// The tables inside it.
+    /// The tables nested in it.
     pub sections: &'static [&'static Section],
 }
 
-/// How often a table stands in the one around it.
+/// The way in which a table occurs in its parent.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Shape {
-    /// Once: `[name]`.
+    /// A single table: `[name]`.
     #[display("one")]
     One,
-    /// Any number of times, each under a name of its own: `[name.NAME]`.
+    /// Any number of tables, each with its own name: `[name.NAME]`.
     #[display("named")]
     Named,
-    /// Any number of times, in order: `[[name]]`.
+    /// A list of tables: `[[name]]`.
     #[display("list")]
     List,
 }
@@ -38,83 +38,83 @@
 /// A key of a table.
 #[derive(Debug)]
 pub struct Key {
-    /// Its name.
+    /// The name of the key.
     pub name: &'static str,
-    /// What it accepts.
+    /// The accepted values.
     pub accepts: Accepts,
-    /// What stands for it when it is absent.
+    /// The default if the key is absent.
     pub fallback: Fallback,
-    /// What it is for, as a phrase.
+    /// The description in the reference page, as a phrase.
     pub about: &'static str,
 }
 
-/// What a key accepts.
+/// The values that a key accepts.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
 pub enum Accepts {
-    /// A name that stands in paths and logs.
+    /// A name that may appear in paths and logs.
     #[display(
         "a name of 1 to {} letters, digits, `-`, `_` or `.`, the first one a letter or digit",
-        crate::form::MAX_NAME
+        crate::validate::MAX_NAME
     )]
     Name,
     /// One version.
     #[display("a version as `model@version`")]
     Version,
-    /// Some versions.
+    /// A list of versions.
     #[display("a list of at least one version as `model@version`, each once")]
     Versions,
-    /// An address to connect to or to listen on.
+    /// A socket address.
     #[display("an IP address and port, such as `127.0.0.1:7000` or `[::1]:7000`")]
     Address,
     /// The path of a file.
     #[display("the path of a file")]
     Path,
-    /// A count or an amount.
+    /// An integer within bounds.
     #[display("a whole number from {min} to {max}")]
     Whole {
-        /// The least.
+        /// The minimum.
         min: u64,
-        /// The greatest.
+        /// The maximum.
         max: u64,
     },
-    /// A time in milliseconds.
+    /// A duration in milliseconds.
     #[display("a whole number of milliseconds from {min} to {max}")]
     Millis {
-        /// The least.
+        /// The minimum.
         min: u64,
-        /// The greatest.
+        /// The maximum.
         max: u64,
     },
-    /// A time in seconds.
+    /// A duration in seconds.
     #[display("a whole number of seconds from {min} to {max}")]
     Seconds {
-        /// The least.
+        /// The minimum.
         min: u64,
-        /// The greatest.
+        /// The maximum.
         max: u64,
     },
-    /// A share of a whole.
+    /// A fraction from 0 to 1.
     #[display("a number from 0 to 1")]
     Fraction,
-    /// The shares of a roll-out's steps.
+    /// The traffic shares of a roll-out's steps.
     #[display("a list of rising numbers above 0, at most 1")]
     Steps,
-    /// One of a closed set of words.
+    /// One of a fixed set of words.
     #[display("{}", list(_0))]
     OneOf(&'static [&'static str]),
-    /// The hash of a key.
+    /// The BLAKE3 hash of a bearer key.
     #[display("the BLAKE3 hash of the key, 64 lower-case hex digits")]
     Hash,
-    /// A method of HTTP.
+    /// An HTTP method.
     #[display("a method in upper case, or `ANY`")]
     Method,
-    /// The beginning of a path.
+    /// A path prefix.
     #[display("the beginning of a path, from its `/` on")]
     Prefix,
 }
 
 impl Accepts {
-    /// Whether a number is within the bounds; what isn't a number has none.
+    /// Returns whether a number is within the bounds; false for kinds without bounds.
     pub(crate) fn admits(self, number: u64) -> bool {
         match self {
             Self::Whole { min, max } | Self::Millis { min, max } | Self::Seconds { min, max } => {
@@ -125,25 +125,25 @@
     }
 }
 
-/// What stands for a key that is absent.
+/// The default of an absent key.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
 pub enum Fallback {
-    /// Nothing can: the key has to be there.
+    /// No default: the key is required.
     #[display("required")]
     Required,
-    /// Nothing needs to.
+    /// No default: the key is optional.
     #[display("none")]
     Optional,
-    /// A number.
+    /// An integer.
     #[display("{_0}")]
     Whole(u64),
-    /// A share.
+    /// A fraction.
     #[display("{_0}")]
     Fraction(f64),
-    /// Shares.
+    /// The traffic shares of a roll-out's steps.
     #[display("{_0:?}")]
     Steps(&'static [f64]),
-    /// A word.
+    /// One of a fixed set of words.
     #[display("{_0:?}")]
     Word(&'static str),
 }
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -1,4 +1,4 @@
-//! What is known of a plain service.
+//! Plain services and their routes.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 use crate::entry_check::EntryCheck;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
-use crate::{Found, Priority, Repeat, form};
+use crate::{Found, Priority, Repeat, validate};
 
-/// A plain service beside the model engines, and which of its calls may run again.
+/// A plain service, that is, one that isn't a model engine: its timeouts and routes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The time to the first byte of the answer.
+    /// Timeout of the first byte of a response.
     #[serde(
         rename = "first_byte_ms",
         with = "crate::millis",
         default = "Service::default_first_byte"
     )]
     pub first_byte: Duration,
-    /// The time to the whole answer.
+    /// Timeout of a whole response.
     #[serde(
         rename = "total_ms",
         with = "crate::millis",
         default = "Service::default_total"
     )]
     pub total: Duration,
-    /// Its calls. The longest matching prefix decides; a call that no route
-    /// matches runs at most once.
+    /// The routes; see [`Service::route`]. A call that matches no route runs at
+    /// most once.
     #[serde(default)]
     pub routes: Vec<Route>,
     /// The revision that last changed this entry; set by [`crate::Document::apply`].
@@ -38,13 +38,13 @@
 }
 
 impl Service {
-    /// The time to the first byte for a service that names none, in milliseconds.
+    /// The default of `first_byte`, in milliseconds.
     pub const DEFAULT_FIRST_BYTE_MS: u64 = 2_000;
-    /// The time to the whole answer for a service that names none, in milliseconds.
+    /// The default of `total`, in milliseconds.
     pub const DEFAULT_TOTAL_MS: u64 = 10_000;
 
-    /// The route of a call: of those that match, the one with the longest
-    /// prefix, and among these the one that names the method.
+    /// Returns the route of a call: the match with the longest prefix. For equal
+    /// prefixes, a route with the call's method takes precedence over `ANY`.
     #[must_use]
     pub fn route(&self, method: &str, path: &str) -> Option<&Route> {
         self.routes
@@ -99,23 +99,23 @@
     }
 }
 
-/// The calls of a service with one method below one path.
+/// A route of a service: the calls with one method and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// The method in upper case, or `ANY`.
     pub method: String,
-    /// The beginning of the path, which ends at a whole segment.
+    /// The path prefix. It matches whole segments only.
     pub prefix: String,
-    /// Whether such a call may run again.
+    /// The retry policy of the calls.
     pub repeat: Repeat,
-    /// The priority of a call that states none.
+    /// The default priority of the calls.
     #[serde(default)]
     pub priority: Priority,
 }
 
 impl Route {
-    /// The method that stands for all methods.
+    /// The value of `method` that matches all methods.
     pub const ANY: &str = "ANY";
 
     const SECTION: Section = Section {
@@ -141,10 +141,10 @@
             let field = format!("routes[{idx}].{}", key.name);
             check.add(field, found, key.accepts.to_string());
         };
-        if !form::is_method(&self.method) {
+        if !validate::is_method(&self.method) {
             refuse(&METHOD, &self.method);
         }
-        if !form::is_prefix(&self.prefix) {
+        if !validate::is_prefix(&self.prefix) {
             refuse(&PREFIX, &self.prefix);
         }
     }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings of a host: the file that `barleypind --settings` reads.
+//! The settings of a host, from the file given to `barleypind --settings`.
 //!
-//! docs/reference/settings.md lists every key.
+//! docs/reference/settings.md lists all keys.
 
 mod decide;
 mod freshness;
@@ -29,33 +29,33 @@
 use crate::source::Source;
 use crate::table::Table;
 
-/// The settings of a host, checked.
+/// The validated settings of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Who the host is.
+    /// The identity of the host.
     pub host: Host,
-    /// Where it listens.
+    /// The listening addresses.
     pub listen: Listen,
-    /// Where the platform's services are.
+    /// The addresses and timeouts of the platform's services.
     pub platform: Platform,
-    /// The files that hold its keys.
+    /// The files with the host's keys.
     pub keys: Keys,
-    /// How it logs.
+    /// The log format and level.
     pub log: Log,
-    /// What it takes from callers at most.
+    /// The limits on connections and requests of callers.
     pub limits: Limits,
-    /// How it decides.
+    /// The attempts, timeouts and sampling of requests.
     pub decide: Decide,
-    /// How it keeps its configuration the newest.
+    /// The freshness of the configuration.
     pub freshness: Freshness,
-    /// How it keeps billing records.
+    /// The storage of billing records.
     pub ledger: Ledger,
-    /// The connections to endpoints and to the platform.
+    /// The pool of outgoing HTTP connections.
     pub http: Pool,
 }
 
 impl Settings {
-    /// Every table and key, from which docs/reference/settings.md is checked.
+    /// All tables and keys. A test compares docs/reference/settings.md with them.
     pub const SCHEMA: Section = Section {
         name: "",
         about: "the settings of a host",
@@ -75,10 +75,10 @@
         ],
     };
 
-    /// Reads the text of a settings file, which errors call `file`.
+    /// Parses the text of a settings file. `file` is its name in errors.
     ///
     /// # Errors
-    /// Every fault of the text, by line.
+    /// All faults of the text, ordered by line.
     pub fn parse(text: &str, file: &str) -> Result<Self, Faults> {
         Source::read(file, text, &Self::SCHEMA, |root| {
             let settings = Self {
@@ -98,15 +98,15 @@
         })
     }
 
-    /// Checks what has to hold between keys.
+    /// Checks the constraints between keys.
     fn check(&self, root: &Table<'_>) {
         if self.host.drain_limit < self.limits.hosts_keep {
             let accepted = "at least `limits.hosts_keep_ms`, for which callers may still come";
-            root.reject(&Host::SECTION, &host::DRAIN_LIMIT_S, accepted);
+            root.report_inconsistent_value(&Host::SECTION, &host::DRAIN_LIMIT_S, accepted);
         }
         if self.freshness.bound <= self.freshness.poll {
             let accepted = "more than `freshness.poll_ms`, after which a proof can be renewed";
-            root.reject(&Freshness::SECTION, &freshness::BOUND_MS, accepted);
+            root.report_inconsistent_value(&Freshness::SECTION, &freshness::BOUND_MS, accepted);
         }
     }
 }
--- a/crates/config/src/settings/decide.rs
+++ b/crates/config/src/settings/decide.rs
@@ -1,30 +1,30 @@
-//! `[decide]`.
+//! The section `[decide]`.
 
 use std::time::Duration;
 
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// How the host decides.
+/// The attempts, timeouts and sampling of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Decide {
-    /// The attempts that a request may take, the first one counted.
+    /// The maximum of attempts of a request, including the first one.
     pub max_attempts: u32,
-    /// Retries and hedges as a share of first attempts.
+    /// The limit on retries and hedges, as a fraction of first attempts.
     pub retry_budget: f64,
-    /// The share of answers that is sent to the rating service where enough
-    /// is known of a version already.
+    /// The maximum fraction of responses sent to the rating service once a version
+    /// has enough ratings.
     pub rating_share: f64,
-    /// The share of requests on which a version that isn't believed to be the
-    /// best is tried beside it, where little is known of it.
+    /// The fraction of requests that explore a version outside the plan, before the
+    /// factors for its ratings and cost.
     pub explore_share: f64,
-    /// The time to the first byte after which an attempt is given up.
+    /// Timeout of the first byte of an attempt.
     pub first_byte: Duration,
-    /// The time between two bytes after which a stream is given up.
+    /// Timeout between two bytes of a stream.
     pub stall: Duration,
-    /// The time between two reads of an endpoint's load.
+    /// Interval between two polls of an endpoint's load.
     pub load_poll: Duration,
-    /// The time between two ticks of the decisions' clock.
+    /// Interval between two ticks of the decider.
     pub tick: Duration,
 }
 
--- a/crates/config/src/settings/freshness.rs
+++ b/crates/config/src/settings/freshness.rs
@@ -1,17 +1,17 @@
-//! `[freshness]`.
+//! The section `[freshness]`.
 
 use std::time::Duration;
 
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// How the host keeps its configuration the newest.
+/// The freshness of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
-    /// The age of the last proof that the configuration is the newest, past
-    /// which a profile's `when_stale` decides.
+    /// The maximum age of the last confirmation that the configuration is current.
+    /// Beyond it, the `when_stale` of a profile applies.
     pub bound: Duration,
-    /// The time between two reads of the table by the hosts that poll it.
+    /// Interval between two reads of the table by the hosts that poll it.
     pub poll: Duration,
 }
 
--- a/crates/config/src/settings/host.rs
+++ b/crates/config/src/settings/host.rs
@@ -1,4 +1,4 @@
-//! `[host]`.
+//! The section `[host]`.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// Who the host is.
+/// The identity of the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Host {
-    /// Its name, unique in the fleet.
+    /// The name of the host, unique in the fleet.
     pub name: HostName,
-    /// Its data centre.
+    /// The data centre of the host.
     pub data_centre: DataCentre,
-    /// Its region.
+    /// The region of the host.
     pub region: Region,
-    /// The longest that a drain may take: the longest request and the time
-    /// for which callers keep the answer to `GET /v1/hosts`.
+    /// Timeout of a drain. It has to cover the longest request and the time for
+    /// which callers cache the response to `GET /v1/hosts`.
     pub drain_limit: Duration,
 }
 
--- a/crates/config/src/settings/keys.rs
+++ b/crates/config/src/settings/keys.rs
@@ -1,14 +1,14 @@
-//! `[keys]`.
+//! The section `[keys]`.
 
 use std::path::PathBuf;
 
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// The files that hold the host's keys; see docs/operate/keys.md.
+/// The files with the host's keys; see docs/operate/keys.md.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keys {
-    /// The certificate of the authority that vouches for the fleet's hosts, PEM.
+    /// The certificate of the fleet's certificate authority, PEM.
     pub fleet_ca: PathBuf,
     /// This host's certificate, PEM.
     pub host_certificate: PathBuf,
@@ -16,7 +16,7 @@
     pub host_key: PathBuf,
     /// The operators' bearer key.
     pub operator_key: PathBuf,
-    /// What signs session tokens, the same on all hosts.
+    /// The key that signs session tokens, the same on all hosts.
     pub session_key: PathBuf,
 }
 
--- a/crates/config/src/settings/ledger.rs
+++ b/crates/config/src/settings/ledger.rs
@@ -1,26 +1,27 @@
-//! `[ledger]`.
+//! The section `[ledger]`.
 
 use std::time::Duration;
 
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// How the host keeps billing records until the table has them.
+/// The storage of billing records on the host until they are in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ledger {
-    /// The time for which records are gathered into one batch.
+    /// The minimum interval between two batches.
     pub batch: Duration,
-    /// The records of a batch at most.
+    /// The maximum of records in a batch.
     pub batch_records: usize,
-    /// The records that may wait for the table before new work is refused.
+    /// The maximum of the host's records that aren't in the table yet. At this
+    /// limit, the host refuses new billable requests.
     pub held_records: usize,
-    /// The time within which the partner has to acknowledge a copy before
-    /// another host is asked.
+    /// Timeout of a partner's acknowledgement of a copy, after which another host
+    /// is asked.
     pub partner: Duration,
-    /// The time for which the answer to an idempotency key is remembered.
+    /// The retention of idempotency keys and their responses.
     pub remember: Duration,
-    /// The time for which a host has to be gone before its records are settled
-    /// without it.
+    /// The time for which a host has to be gone before it is fenced and its records
+    /// are settled without it.
     pub fence_after: Duration,
 }
 
--- a/crates/config/src/settings/limits.rs
+++ b/crates/config/src/settings/limits.rs
@@ -1,26 +1,26 @@
-//! `[limits]`.
+//! The section `[limits]`.
 
 use std::time::Duration;
 
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// What the host takes from callers at most.
+/// The limits on connections and requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The bytes of a body.
+    /// The maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// The time within which a request's head has to come.
+    /// Timeout of the head of a request.
     pub header_time: Duration,
-    /// The time within which a request's body has to come.
+    /// Timeout of the body of a request.
     pub body_time: Duration,
-    /// The time for which an idle connection stays open.
+    /// Timeout after which an idle connection is closed.
     pub idle_time: Duration,
-    /// The connections that are open at a time.
+    /// The maximum of open connections.
     pub max_connections: usize,
-    /// The requests that are in flight at a time.
+    /// The maximum of requests in flight.
     pub max_in_flight: usize,
-    /// The time for which callers may keep the answer to `GET /v1/hosts`.
+    /// The time for which callers may cache the response to `GET /v1/hosts`.
     pub hosts_keep: Duration,
 }
 
--- a/crates/config/src/settings/listen.rs
+++ b/crates/config/src/settings/listen.rs
@@ -1,18 +1,18 @@
-//! `[listen]`.
+//! The section `[listen]`.
 
 use std::net::SocketAddr;
 
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// Where the host listens.
+/// The listening addresses of the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listen {
-    /// TCP, for callers.
+    /// The TCP address for callers.
     pub callers: SocketAddr,
-    /// TCP, for operators; may be the same as for callers.
+    /// The TCP address for operators; it may be the same as for callers.
     pub operators: SocketAddr,
-    /// UDP, for the other hosts.
+    /// The UDP address for the other hosts.
     pub fleet: SocketAddr,
 }
 
--- a/crates/config/src/settings/log.rs
+++ b/crates/config/src/settings/log.rs
@@ -1,14 +1,14 @@
-//! `[log]`.
+//! The section `[log]`.
 
 use derive_more::Display;
 
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// How the host logs; the events are listed in docs/reference/events.md.
+/// The log format and level. docs/reference/events.md lists the events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// The shape of a line.
+    /// The format of a log line.
     pub format: Format,
     /// The least severe level that is logged.
     pub level: Level,
@@ -45,13 +45,13 @@
     about: "the least severe level that is logged",
 };
 
-/// The shape of a log line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Plain text.
     #[display("text")]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[display("json")]
     Json,
     /// Text on a terminal, otherwise JSON.
@@ -62,16 +62,16 @@
 /// The levels of log events, the most severe first.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// Something failed that an operator should see to.
+    /// A failure that needs the attention of an operator.
     #[display("error")]
     Error,
-    /// Something failed that the host got over.
+    /// A failure that the host recovered from.
     #[display("warning")]
     Warning,
-    /// What happens to the host.
+    /// An event of the host.
     #[display("info")]
     Info,
-    /// What happens to each request.
+    /// An event of a single request.
     #[display("debug")]
     Debug,
 }
--- a/crates/config/src/settings/platform.rs
+++ b/crates/config/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! `[platform]`.
+//! The section `[platform]`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,24 +6,24 @@
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// Where the platform's services are, and how long the host waits for them.
+/// The addresses of the platform's services, with their timeouts and poll intervals.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Platform {
-    /// The table service.
+    /// The address of the table service.
     pub table: SocketAddr,
-    /// The object store.
+    /// The address of the object store.
     pub objects: SocketAddr,
-    /// The host list.
+    /// The address of the host list.
     pub host_list: SocketAddr,
-    /// The rating service.
+    /// The address of the rating service.
     pub ratings: SocketAddr,
-    /// The time to connect to any of them.
+    /// Timeout of a connection to any of these services.
     pub connect: Duration,
-    /// The time to the whole answer of any of them.
+    /// Timeout of a whole response of any of these services.
     pub request: Duration,
-    /// The time between two reads of the host list.
+    /// Interval between two reads of the host list.
     pub host_list_poll: Duration,
-    /// The time between two reads of ratings.
+    /// Interval between two reads of ratings.
     pub ratings_poll: Duration,
 }
 
--- a/crates/config/src/settings/pool.rs
+++ b/crates/config/src/settings/pool.rs
@@ -1,18 +1,19 @@
-//! `[http]`.
+//! The section `[http]`.
 
 use std::time::Duration;
 
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// The pooled connections to endpoints.
+/// The pool of outgoing HTTP connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// The time to connect.
+    /// Timeout of a connection to an endpoint or another host; for the platform's
+    /// services, see [`crate::settings::Platform`].
     pub connect: Duration,
-    /// The idle connections that are kept to each address.
+    /// The maximum of idle connections to each address.
     pub idle_connections: usize,
-    /// The time for which an idle connection is kept.
+    /// Timeout after which an idle connection is closed.
     pub idle: Duration,
 }
 
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -1,4 +1,4 @@
-//! A text that a person wrote, and the faults found in it so far.
+//! Parsing of TOML texts with the collection of their faults.
 
 use std::cell::RefCell;
 
@@ -10,7 +10,7 @@
 use crate::table::Table;
 use crate::{Fault, Faults, Place};
 
-/// A text that a person wrote, and the faults found in it so far.
+/// A TOML text that is being parsed, with the faults found so far.
 pub(crate) struct Source<'a> {
     file: &'a str,
     text: &'a str,
@@ -18,11 +18,10 @@
 }
 
 impl<'a> Source<'a> {
-    /// Reads `text` as TOML by `section`, whose keys `read` takes out.
+    /// Parses `text` as TOML with the schema `section`, and converts it with `read`.
     ///
-    /// `read` always gets to its end, so that every fault is found in one
-    /// run: a key with a fault reads as a placeholder, which is dropped with
-    /// the result.
+    /// `read` gets a placeholder for each key with a fault, so that it runs to its
+    /// end and all faults are reported at once. Its result is then discarded.
     pub(crate) fn read<T>(
         file: &'a str,
         text: &'a str,
@@ -36,17 +35,17 @@
         };
         let (root, errors) = DeTable::parse_recoverable(text);
         for error in &errors {
-            let at = error.span().map_or(0, |span| span.start);
-            source.add(at, String::new(), Found::Syntax, error.message().into());
+            let offset = error.span().map_or(0, |span| span.start);
+            source.add(offset, String::new(), Found::Syntax, error.message().into());
         }
         let value = read(&Table::root(&source, root.get_ref(), section));
         source.finish(value)
     }
 
-    pub(crate) fn add(&self, at: usize, field: String, found: Found, accepted: String) {
+    pub(crate) fn add(&self, offset: usize, field: String, found: Found, accepted: String) {
         let place = Place::Line {
             file: self.file.to_owned(),
-            line: self.line(at),
+            line: self.line(offset),
         };
         self.faults.borrow_mut().push(Fault {
             place,
@@ -56,7 +55,7 @@
         });
     }
 
-    /// How a value is shown in a fault.
+    /// Formats a value for a fault.
     pub(crate) fn show(&self, value: &Spanned<DeValue<'_>>) -> String {
         match value.get_ref() {
             DeValue::Table(_) => "a table".to_owned(),
@@ -65,8 +64,8 @@
         }
     }
 
-    fn line(&self, at: usize) -> usize {
-        let before = self.text.as_bytes().iter().take(at);
+    fn line(&self, offset: usize) -> usize {
+        let before = self.text.as_bytes().iter().take(offset);
         1 + before.filter(|byte| **byte == b'\n').count()
     }
 
@@ -75,8 +74,8 @@
         if faults.is_empty() {
             return Ok(value);
         }
-        // A key behind a broken line may be there, so only what is really
-        // known to be wrong is told.
+        // After a syntax error, a key that seems missing may be in the text that
+        // wasn't parsed.
         if faults.iter().any(|fault| fault.found == Found::Syntax) {
             faults.retain(|fault| fault.found != Found::Missing);
         }
@@ -88,13 +87,13 @@
     }
 }
 
-/// Keeps an error on one line, whatever was pasted into the file.
+/// Shortens a value to one line of limited length.
 fn shorten(text: &str) -> String {
-    const LONGEST: usize = 60;
+    const MAX_CHARS: usize = 60;
     let mut chars = text
         .chars()
         .map(|it| if it.is_control() { ' ' } else { it });
-    let mut head: String = chars.by_ref().take(LONGEST).collect();
+    let mut head: String = chars.by_ref().take(MAX_CHARS).collect();
     if chars.next().is_some() {
         head.push('…');
     }
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -1,4 +1,4 @@
-//! A table of a text, read by its schema.
+//! Access to the tables of a TOML text by their schema.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,21 +9,24 @@
 use toml::de::{DeTable, DeValue};
 
 use crate::Found;
-use crate::form;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::source::Source;
+use crate::validate;
 
-/// A table of a text, read by its schema.
+/// A table of a TOML text with its schema; it may be absent.
+///
+/// The accessors report a fault for a value that the key doesn't accept, or for
+/// the absence of a required key, and return a placeholder then.
 pub(crate) struct Table<'a> {
     source: &'a Source<'a>,
-    rows: Option<&'a DeTable<'a>>,
+    values: Option<&'a DeTable<'a>>,
     section: &'static Section,
     path: String,
-    at: usize,
+    offset: usize,
 }
 
 impl<'a> Table<'a> {
-    /// The table that is the whole file.
+    /// Creates the root table, and reports its unknown keys.
     pub(crate) fn root(
         source: &'a Source<'a>,
         table: &'a DeTable<'a>,
@@ -31,38 +34,38 @@
     ) -> Self {
         let root = Self {
             source,
-            rows: Some(table),
+            values: Some(table),
             section,
             path: String::new(),
-            at: 0,
+            offset: 0,
         };
-        root.refuse_unknown_keys();
+        root.report_unknown_keys();
         root
     }
 
-    /// A table that stands once; when it is absent, each of its keys is.
+    /// Returns a single table. If it is absent, all its keys are.
     pub(crate) fn one(&self, section: &'static Section) -> Self {
         debug_assert_eq!(section.shape, Shape::One);
         match self.get(section.name) {
-            Some((at, value)) => self.child(section, section.name, at, value),
+            Some((offset, value)) => self.child(section, section.name, offset, value),
             None => Self {
                 source: self.source,
-                rows: None,
+                values: None,
                 section,
                 path: self.path_of(section.name),
-                at: self.at,
+                offset: self.offset,
             },
         }
     }
 
-    /// The tables of a section that stand under names of their own.
+    /// Returns the named tables of a section.
     pub(crate) fn named(&self, section: &'static Section) -> Vec<(String, Self)> {
         debug_assert_eq!(section.shape, Shape::Named);
         let Some((_, value)) = self.get(section.name) else {
             return Vec::new();
         };
         let Some(tables) = value.get_ref().as_table() else {
-            self.refuse(section.name, value, "a table for each name");
+            self.report_value(section.name, value, "a table for each name");
             return Vec::new();
         };
         tables
@@ -75,14 +78,14 @@
             .collect()
     }
 
-    /// The tables of a section that stand in a list.
+    /// Returns the tables of a list.
     pub(crate) fn list(&self, section: &'static Section) -> Vec<Self> {
         debug_assert_eq!(section.shape, Shape::List);
         let Some((_, value)) = self.get(section.name) else {
             return Vec::new();
         };
         let Some(array) = value.get_ref().as_array() else {
-            self.refuse(section.name, value, "a list of tables");
+            self.report_value(section.name, value, "a list of tables");
             return Vec::new();
         };
         array
@@ -95,7 +98,7 @@
             .collect()
     }
 
-    /// A time, in the unit that the key names.
+    /// Returns a duration, in the unit of the key's accepted values.
     pub(crate) fn duration(&self, key: &'static Key) -> Duration {
         match key.accepts {
             Accepts::Seconds { .. } => Duration::from_secs(self.whole(key)),
@@ -103,17 +106,17 @@
         }
     }
 
-    /// A count that fits a `u32`, as the key's bounds have to make sure.
+    /// Returns an integer; the key's bounds have to fit a `u32`.
     pub(crate) fn count(&self, key: &'static Key) -> u32 {
         u32::try_from(self.whole(key)).unwrap_or(u32::MAX)
     }
 
-    /// A count of things in memory.
+    /// Returns an integer as a `usize`.
     pub(crate) fn size(&self, key: &'static Key) -> usize {
         usize::try_from(self.whole(key)).unwrap_or(usize::MAX)
     }
 
-    /// A whole number.
+    /// Returns an integer within the bounds of the key.
     pub(crate) fn whole(&self, key: &'static Key) -> u64 {
         self.value(key, |value| {
             whole(value).filter(|number| key.accepts.admits(*number))
@@ -124,10 +127,10 @@
         })
     }
 
-    /// A share of a whole.
+    /// Returns a fraction from 0 to 1.
     pub(crate) fn fraction(&self, key: &'static Key) -> f64 {
         self.value(key, |value| {
-            fraction(value).filter(|it| form::is_fraction(*it))
+            fraction(value).filter(|it| validate::is_fraction(*it))
         })
         .unwrap_or(match key.fallback {
             Fallback::Fraction(share) => share,
@@ -135,11 +138,11 @@
         })
     }
 
-    /// The shares of a roll-out's steps.
+    /// Returns the traffic shares of a roll-out's steps.
     pub(crate) fn steps(&self, key: &'static Key) -> Vec<f64> {
         self.value(key, |value| {
             let steps: Option<Vec<f64>> = value.as_array()?.iter().map(number).collect();
-            steps.filter(|steps| form::are_steps(steps))
+            steps.filter(|steps| validate::are_steps(steps))
         })
         .unwrap_or_else(|| match key.fallback {
             Fallback::Steps(steps) => steps.to_vec(),
@@ -147,7 +150,7 @@
         })
     }
 
-    /// One of a closed set of words, as the value that it stands for.
+    /// Returns the value for one of a fixed set of words.
     pub(crate) fn word<T: Copy>(&self, key: &'static Key, words: &[(&str, T)]) -> T {
         let find = |text: &str| words.iter().find(|(word, _)| *word == text);
         self.value(key, |value| find(value.as_str()?).map(|(_, it)| *it))
@@ -160,16 +163,16 @@
             })
     }
 
-    /// A text that has the form which the key asks for.
+    /// Returns a string that is valid for the key.
     pub(crate) fn text(&self, key: &'static Key) -> String {
         self.value(key, |value| {
             let text = value.as_str()?;
             let fits = match key.accepts {
-                Accepts::Name => form::is_name(text),
-                Accepts::Version => form::is_version(text),
-                Accepts::Hash => form::is_hash(text),
-                Accepts::Method => form::is_method(text),
-                Accepts::Prefix => form::is_prefix(text),
+                Accepts::Name => validate::is_name(text),
+                Accepts::Version => validate::is_version(text),
+                Accepts::Hash => validate::is_hash(text),
+                Accepts::Method => validate::is_method(text),
+                Accepts::Prefix => validate::is_prefix(text),
                 _ => !text.is_empty(),
             };
             fits.then(|| text.to_owned())
@@ -177,46 +180,47 @@
         .unwrap_or_default()
     }
 
-    /// Some versions; nothing when the key may be absent and is.
+    /// Returns a list of versions; `None` if the key is absent or has a fault.
     pub(crate) fn versions(&self, key: &'static Key) -> Option<Vec<VersionId>> {
         self.value(key, |value| {
             let version = |value: &Spanned<DeValue<'_>>| {
                 let text = value.get_ref().as_str()?;
-                form::is_version(text).then(|| VersionId::from(text))
+                validate::is_version(text).then(|| VersionId::from(text))
             };
             let versions: Option<Vec<VersionId>> = value.as_array()?.iter().map(version).collect();
-            versions.filter(|versions| !versions.is_empty() && form::are_distinct(versions))
+            versions.filter(|versions| !versions.is_empty() && validate::are_distinct(versions))
         })
     }
 
-    /// An address.
+    /// Returns a socket address.
     pub(crate) fn address(&self, key: &'static Key) -> SocketAddr {
         self.value(key, |value| value.as_str()?.parse().ok())
             .unwrap_or_else(|| ([0, 0, 0, 0], 0).into())
     }
 
-    /// The path of a file.
+    /// Returns the path of a file.
     pub(crate) fn path(&self, key: &'static Key) -> PathBuf {
         self.text(key).into()
     }
 
-    /// Refuses a value that doesn't go with the value of another key.
-    pub(crate) fn reject(&self, section: &Section, key: &Key, accepted: &str) {
+    /// Reports a value that is inconsistent with the value of another key.
+    pub(crate) fn report_inconsistent_value(&self, section: &Section, key: &Key, accepted: &str) {
         let table = self.get(section.name);
-        let rows = table.and_then(|(_, value)| value.get_ref().as_table());
-        let value = rows.and_then(|rows| rows.get(key.name));
-        let (at, shown) = match (value, table) {
+        let values = table.and_then(|(_, value)| value.get_ref().as_table());
+        let value = values.and_then(|values| values.get(key.name));
+        let (offset, shown) = match (value, table) {
             (Some(value), _) => (value.span().start, self.source.show(value)),
-            (None, Some((at, _))) => (at, key.fallback.to_string()),
-            (None, None) => (self.at, key.fallback.to_string()),
+            (None, Some((offset, _))) => (offset, key.fallback.to_string()),
+            (None, None) => (self.offset, key.fallback.to_string()),
         };
         let field = format!("{}.{}", section.name, key.name);
         self.source
-            .add(at, field, Found::Value(shown), accepted.to_owned());
+            .add(offset, field, Found::Value(shown), accepted.to_owned());
     }
 
-    /// The value of a key as `parse` takes it; nothing, and a fault where one
-    /// is due, when it is absent or `parse` doesn't take it.
+    /// Returns the value of a key as converted by `parse`. Returns `None` and
+    /// reports a fault if `parse` does or if a required key is absent, and `None`
+    /// alone if another key is absent.
     fn value<T>(
         &self,
         key: &'static Key,
@@ -232,20 +236,21 @@
             if key.fallback == Fallback::Required {
                 let field = self.path_of(key.name);
                 let accepted = key.accepts.to_string();
-                self.source.add(self.at, field, Found::Missing, accepted);
+                self.source
+                    .add(self.offset, field, Found::Missing, accepted);
             }
             return None;
         };
         let parsed = parse(value.get_ref());
         if parsed.is_none() {
-            self.refuse_as(key, value);
+            self.report_key_value(key, value);
         }
         parsed
     }
 
-    fn refuse_as(&self, key: &Key, value: &Spanned<DeValue<'_>>) {
+    fn report_key_value(&self, key: &Key, value: &Spanned<DeValue<'_>>) {
         let shown = match key.accepts {
-            // Somebody may have pasted the key instead of its hash.
+            // The value isn't shown: it may be the key itself instead of its hash.
             Accepts::Hash => "a text that isn't shown".to_owned(),
             _ => self.source.show(value),
         };
@@ -257,7 +262,7 @@
         );
     }
 
-    fn refuse(&self, name: &str, value: &Spanned<DeValue<'_>>, accepted: &str) {
+    fn report_value(&self, name: &str, value: &Spanned<DeValue<'_>>, accepted: &str) {
         let found = Found::Value(self.source.show(value));
         let field = self.path_of(name);
         self.source
@@ -268,26 +273,26 @@
         &self,
         section: &'static Section,
         name: &str,
-        at: usize,
+        offset: usize,
         value: &'a Spanned<DeValue<'a>>,
     ) -> Self {
         let table = value.get_ref().as_table();
         if table.is_none() {
-            self.refuse(name, value, "a table");
+            self.report_value(name, value, "a table");
         }
         let child = Self {
             source: self.source,
-            rows: table,
+            values: table,
             section,
             path: self.path_of(name),
-            at,
+            offset,
         };
-        child.refuse_unknown_keys();
+        child.report_unknown_keys();
         child
     }
 
-    fn refuse_unknown_keys(&self) {
-        let Some(table) = self.rows else { return };
+    fn report_unknown_keys(&self) {
+        let Some(table) = self.values else { return };
         let keys = self.section.keys.iter().map(|key| key.name);
         let sections = self.section.sections.iter().map(|section| section.name);
         let known: Vec<_> = keys.chain(sections).collect();
@@ -303,7 +308,7 @@
     }
 
     fn get(&self, name: &str) -> Option<(usize, &'a Spanned<DeValue<'a>>)> {
-        let (key, value) = self.rows?.get_key_value(name)?;
+        let (key, value) = self.values?.get_key_value(name)?;
         Some((key.span().start, value))
     }
 
@@ -321,7 +326,7 @@
     u64::from_str_radix(integer.as_str(), integer.radix()).ok()
 }
 
-/// A share may be written as a whole number, `0` or `1`.
+/// Parses a float, or an integer such as `0` or `1`, as a float.
 fn fraction(value: &DeValue<'_>) -> Option<f64> {
     let text = value
         .as_float()
@@ -335,12 +340,12 @@
 }
 
 fn suggest(name: &str, known: &[&str]) -> String {
-    /// Below this, another name is no likely slip of the pen.
-    const ALIKE: f64 = 0.7;
+    /// Lower limit on the Jaro-Winkler similarity of a suggested name.
+    const MIN_SIMILARITY: f64 = 0.7;
     let nearest = known
         .iter()
         .map(|known| (strsim::jaro_winkler(name, known), known))
-        .filter(|(alike, _)| *alike >= ALIKE)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|(left, _), (right, _)| left.total_cmp(right));
     match nearest {
         Some((_, known)) => format!("did you mean `{known}`?"),
--- a/crates/config/src/form.rs
+++ b/crates/config/src/validate.rs
@@ -1,17 +1,20 @@
-//! The forms that texts and numbers of a configuration have to have.
+//! Validation of single values of a configuration.
 
 use std::collections::BTreeSet;
 
-/// The longest name of an entry, in bytes.
+/// Limit on the length of a name, in bytes.
 pub(crate) const MAX_NAME: usize = 64;
 
-/// A name stands in paths, where `.` and `..` would lead elsewhere, and on
-/// command lines, where a leading `-` begins an option.
+/// Returns whether `text` is a valid name.
+///
+/// Names appear in paths and on command lines. The first character is a letter
+/// or digit, since `.` and `..` have a meaning in paths and a leading `-` begins
+/// an option.
 pub(crate) fn is_name(text: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     text.len() <= MAX_NAME
         && text.starts_with(|first: char| first.is_ascii_alphanumeric())
-        && text.bytes().all(fits)
+        && text.bytes().all(is_allowed)
 }
 
 pub(crate) fn is_version(text: &str) -> bool {
@@ -20,8 +23,8 @@
 }
 
 pub(crate) fn is_hash(text: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
-    text.len() == 64 && text.bytes().all(fits)
+    let is_allowed = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
+    text.len() == 64 && text.bytes().all(is_allowed)
 }
 
 pub(crate) fn is_method(text: &str) -> bool {
@@ -37,9 +40,9 @@
 }
 
 pub(crate) fn are_steps(steps: &[f64]) -> bool {
-    let rising = steps.windows(2).all(|pair| pair[0] < pair[1]);
-    let shares = steps.iter().all(|share| *share > 0.0 && *share <= 1.0);
-    !steps.is_empty() && rising && shares
+    let is_increasing = steps.windows(2).all(|pair| pair[0] < pair[1]);
+    let in_range = steps.iter().all(|share| *share > 0.0 && *share <= 1.0);
+    !steps.is_empty() && is_increasing && in_range
 }
 
 pub(crate) fn are_distinct<T: Ord>(items: &[T]) -> bool {
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -1,4 +1,4 @@
-//! What is known of one version of a model.
+//! Versions of models: state and token prices.
 
 use derive_more::Display;
 use kernel::{Money, Revision};
@@ -8,17 +8,17 @@
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// One version of a model: whether it may get work, and what its tokens cost.
+/// A version of a model, with its state and token prices.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// Whether it may get new work.
+    /// The state of the version.
     #[serde(default)]
     pub state: VersionState,
-    /// Microcents for a million prompt tokens; zero means that the price is missing.
+    /// The price of a million prompt tokens, in microcents; zero if it is missing.
     #[serde(rename = "prompt_microcents_per_million", default)]
     pub prompt: Money,
-    /// Microcents for a million completion tokens; zero means that the price is missing.
+    /// The price of a million completion tokens, in microcents; zero if it is missing.
     #[serde(rename = "completion_microcents_per_million", default)]
     pub completion: Money,
     /// The revision that last changed this entry; set by [`crate::Document::apply`].
@@ -27,13 +27,13 @@
 }
 
 impl Version {
-    /// What a request of this size costs.
+    /// Returns the cost of a request with these token counts.
     #[must_use]
     pub fn cost(&self, prompt_tokens: u64, completion_tokens: u64) -> Money {
         self.prompt.per_million(prompt_tokens) + self.completion.per_million(completion_tokens)
     }
 
-    /// Whether it may get new work.
+    /// Returns whether the version may get new requests.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.state == VersionState::Active
@@ -62,15 +62,15 @@
     }
 }
 
-/// Whether a version may get new work.
+/// The state of a version.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionState {
-    /// It may.
+    /// The version may get new requests.
     #[default]
     #[display("active")]
     Active,
-    /// It may not, whatever profile names it.
+    /// The version gets no new requests, even if a profile allows it.
     #[display("withdrawn")]
     Withdrawn,
 }
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -1,10 +1,10 @@
-//! Sessions of operators on one document.
+//! Changes of operators to one document: accepted, conflicting and rejected ones.
 
 use config::{Change, Document, Edit, File, Kind, Mode, Name, Refused, diff};
 use datadriven::TestCase;
 use kernel::Revision;
 
-/// Three versions, two customers, and the profile `dossier` made from them.
+/// Returns a document with three versions, two customers and the profile `dossier`.
 fn document() -> Document {
     let mut document = Document::default();
     let prices = "prompt_microcents_per_million = 100\ncompletion_microcents_per_million = 400\n";
@@ -19,11 +19,11 @@
         (Kind::Customer, "portal", &customer("0b")),
         (Kind::Profile, "dossier", profile),
     ] {
-        let file = File::parse(kind, text, "start").expect("the start is sound");
-        let edit = Edit::put(Name::new(kind, name), file.entry).expect("the kinds agree");
+        let file = File::parse(kind, text, "start").expect("the initial entries are valid");
+        let edit = Edit::put(Name::new(kind, name), file.entry).expect("the kinds match");
         document = document
             .apply(&change(edit, 0))
-            .expect("the start is sound");
+            .expect("the initial entries are valid");
     }
     document
 }
@@ -42,7 +42,7 @@
     let kind: String = case.take_arg("kind").expect("a kind");
     let kind = Kind::ALL.into_iter().find(|it| it.to_string() == kind);
     let name: String = case.take_arg("name").expect("a name");
-    // An argument can't hold an `@`.
+    // An argument can't contain `@`, so the scripts write `.` instead.
     Name::new(kind.expect("a known kind"), &name.replace('.', "@"))
 }
 
@@ -50,8 +50,8 @@
     let name = name_of(case);
     let edit = match case.directive.as_str() {
         "put" => {
-            let file = File::parse(name.kind(), &case.input, "file.toml").expect("sound files");
-            Edit::put(name.clone(), file.entry).expect("the kinds agree")
+            let file = File::parse(name.kind(), &case.input, "file.toml").expect("a valid file");
+            Edit::put(name.clone(), file.entry).expect("the kinds match")
         }
         "remove" => Edit::remove(name.clone()),
         "show" => {
@@ -60,7 +60,7 @@
         }
         other => panic!("unknown directive {other}"),
     };
-    let base = case.take_arg("base").expect("a base");
+    let base = case.take_arg("base").expect("a base revision");
     let mut change = change(edit, base);
     if case.take_flag("forced").expect("a flag") {
         change.mode = Mode::Forced;
@@ -73,12 +73,12 @@
         }
         Err(Refused::Conflict(conflict)) => {
             let Change { edit, .. } = change;
-            let mine = match edit {
+            let proposed = match edit {
                 Edit::PutProfile(_, profile) => Some(profile.into()),
                 Edit::PutVersion(_, version) => Some(version.into()),
                 _ => None,
             };
-            let text = diff::entries(&name, conflict.current.as_ref(), mine.as_ref());
+            let text = diff::entries(&name, conflict.current.as_ref(), proposed.as_ref());
             format!("conflict: {conflict}\n{text}")
         }
         Err(Refused::Faults(faults)) => format!("{faults}\n"),
@@ -86,15 +86,15 @@
 }
 
 #[test]
-fn changes_are_accepted_in_conflict_or_at_fault() {
+fn changes_are_accepted_or_rejected_as_expected() {
     datadriven::walk("tests/changes", |file| {
         let mut document = document();
-        file.run(|case| without_trailing_space(&run(&mut document, case)));
+        file.run(|case| trim_line_ends(&run(&mut document, case)));
     });
 }
 
-/// A fixture can hold a blank line, but no line of one space.
-fn without_trailing_space(text: &str) -> String {
+/// Trims the end of each line: an expected output can't contain a line of one space.
+fn trim_line_ends(text: &str) -> String {
     let mut lines: Vec<_> = text.lines().map(str::trim_end).collect();
     lines.push("");
     lines.join("\n")
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -1,4 +1,4 @@
-//! What the rest of the product asks a document.
+//! Queries of documents, and changes to documents that have faults.
 
 use config::{Change, Edit, Mode, Repeat, Service};
 use config::{Document, Refused, Route};
@@ -24,36 +24,36 @@
 
 fn document() -> Document {
     let key = config::Customer::hash(b"desk-key");
-    Document::parse(&DOCUMENT.replace("KEY", &key)).expect("a sound document")
+    Document::parse(&DOCUMENT.replace("KEY", &key)).expect("a valid document")
 }
 
 #[gtest]
-fn a_customer_gets_the_active_versions_it_may_use() {
-    let usable = |customer: &str| document().usable(&"dossier".into(), &customer.into());
+fn usable_versions_are_active_and_allowed_to_the_customer() {
+    let usable = |customer: &str| document().usable_versions(&"dossier".into(), &customer.into());
     expect_that!(usable("desk"), elements_are![eq(&"oak@1".into())]);
     expect_that!(usable("portal"), is_empty());
     expect_that!(usable("stranger"), is_empty());
 }
 
 #[gtest]
-fn a_customer_is_recognised_by_its_key_alone() {
+fn a_customer_is_identified_by_its_exact_key() {
     let document = document();
     expect_that!(
-        document.customer_of(b"desk-key"),
+        document.customer_by_key(b"desk-key"),
         some(eq(&Customer::from("desk")))
     );
-    expect_that!(document.customer_of(b"desk-key "), none());
+    expect_that!(document.customer_by_key(b"desk-key "), none());
 }
 
 #[gtest]
-fn no_used_token_is_free() {
+fn token_costs_round_up() {
     let document = document();
     let cost = document.versions["oak@1"].cost(1, 1);
     expect_that!(cost.0, eq(1 + 2));
 }
 
 #[gtest]
-fn the_longest_prefix_of_whole_segments_decides() {
+fn a_call_takes_the_route_with_the_longest_prefix_of_whole_segments() {
     let route = |method: &str, prefix: &str, repeat| Route {
         method: method.to_owned(),
         prefix: prefix.to_owned(),
@@ -77,11 +77,10 @@
     expect_that!(repeat("GET", "holds"), none());
 }
 
-/// An operator can't save anything any more after an update, although the
-/// change is sound: a document that an earlier release accepted has a fault
-/// by the rules of the new one, in an entry that the change doesn't touch.
+/// Guards against an upgrade that blocks all changes: a document accepted by an
+/// earlier release may have faults by the rules of the new one.
 #[gtest]
-fn an_old_fault_elsewhere_does_not_block_a_change() {
+fn an_existing_fault_of_another_entry_does_not_block_a_change() {
     let document = document();
     expect_that!(document.faults().0, not(is_empty()));
     let service = Service {
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,23 +1,23 @@
-//! Entries as operators write them, and every fault that is told of them.
+//! Parsing and formatting of entry files, and the faults reported for them.
 
 use config::{File, Kind};
 
 fn check(kind: Kind, text: &str) -> String {
     match File::parse(kind, text, "file.toml") {
         Ok(file) => {
-            let read_at = match (&file.name, file.revision) {
+            let header = match (&file.name, file.revision) {
                 (Some(name), Some(revision)) => format!("{name} read at {revision}\n"),
                 _ => String::new(),
             };
             let name = config::Name::new(kind, "some");
-            format!("{read_at}{}", File::show(&name, &file.entry))
+            format!("{header}{}", File::show(&name, &file.entry))
         }
         Err(faults) => format!("{faults}\n"),
     }
 }
 
 #[test]
-fn files_are_read_and_shown_and_every_fault_is_told() {
+fn files_are_formatted_or_all_faults_are_reported() {
     datadriven::walk("tests/files", |file| {
         file.run(|case| {
             let kind = Kind::ALL
--- a/crates/config/tests/pages.rs
+++ b/crates/config/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The reference pages tell what the code does.
+//! Comparison of the reference pages with the schemas.
 
 use std::fmt::Write as _;
 
@@ -12,13 +12,13 @@
     let expected = table(section, heading);
     assert!(
         page.contains(&expected),
-        "the page lacks this part or tells it differently:\n{expected}"
+        "the page doesn't contain this part:\n{expected}"
     );
 }
 
-/// A section's keys as the pages list them.
+/// Formats a section and its keys as in the pages.
 fn table(section: &Section, heading: &str) -> String {
-    let mut text = format!("{heading}\n{}.\n\n", capital(section.about));
+    let mut text = format!("{heading}\n{}.\n\n", capitalize(section.about));
     if !section.keys.is_empty() {
         text.push_str("| key | accepts | default | meaning |\n|---|---|---|---|\n");
     }
@@ -33,12 +33,12 @@
             "| `{}` | {} | {default} | {} |",
             key.name, key.accepts, key.about
         )
-        .expect("a String takes all text");
+        .expect("writing to a String cannot fail");
     }
     text
 }
 
-fn capital(text: &str) -> String {
+fn capitalize(text: &str) -> String {
     let (first, rest) = text.split_at(1);
     first.to_uppercase() + rest
 }
@@ -51,13 +51,13 @@
     }
 }
 
-/// How many keys a page lists; with each known key found, it lists no other.
-fn rows(page: &str) -> usize {
+/// Counts the keys in a page, to detect keys that the schema doesn't have.
+fn count_keys(page: &str) -> usize {
     page.lines().filter(|line| line.starts_with("| `")).count()
 }
 
 #[test]
-fn settings_are_listed_as_the_code_knows_them() {
+fn settings_page_matches_the_schema() {
     let schema = &Settings::SCHEMA;
     for section in schema.sections {
         check(SETTINGS, section, &heading(section));
@@ -67,20 +67,24 @@
         .iter()
         .map(|section| section.keys.len())
         .sum();
-    assert_eq!(rows(SETTINGS), known);
+    assert_eq!(count_keys(SETTINGS), known);
 }
 
 #[test]
-fn entries_are_listed_as_the_code_knows_them() {
+fn profiles_page_matches_the_schemas() {
     let mut known = 0;
     for kind in Kind::ALL {
         let section = File::schema(kind);
-        check(PROFILES, section, &format!("## {}", capital(kind.plural())));
+        check(
+            PROFILES,
+            section,
+            &format!("## {}", capitalize(kind.plural())),
+        );
         known += section.keys.len();
         for child in section.sections {
             check(PROFILES, child, &heading(child));
             known += child.keys.len();
         }
     }
-    assert_eq!(rows(PROFILES), known);
+    assert_eq!(count_keys(PROFILES), known);
 }
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for every text and every change.
+//! Properties of the parsers for arbitrary texts, and of arbitrary changes.
 
 use config::{Change, Document, Edit, Entry, File, Kind, Mode, Name, Refused, Settings};
 use config::{Customer, Grant, Priority, Profile, Repeat, Rollout, RolloutState, Service, Version};
@@ -6,8 +6,8 @@
 use kernel::{Money, Revision, VersionId};
 use proptest::prelude::*;
 
-/// Lines that are nearly settings or entries, so that the parsers get past
-/// the first token.
+/// Generates texts that resemble settings or entries, so that the parsers get
+/// beyond the first token.
 fn text() -> impl Strategy<Value = String> {
     let line = prop_oneof![
         Just("[limits]".to_owned()),
@@ -89,7 +89,7 @@
     prop_oneof![4 => version_entry, 3 => profile(), 2 => customer, 2 => rollout, 1 => service]
 }
 
-/// An edit of an entry, and whether its base is the entry's own revision.
+/// Generates an edit of an entry, and whether its base is the entry's revision.
 fn edit() -> impl Strategy<Value = (Name, Option<Entry>, Mode, bool)> {
     let name = prop::sample::select(vec!["oak@1", "oak@2", "fern@1", "desk", "portal"]);
     let mode = prop::sample::select(vec![Mode::Guarded, Mode::Forced]);
@@ -102,13 +102,13 @@
 
 proptest! {
     #[test]
-    fn no_text_stops_a_parser(text in text()) {
+    fn parsers_accept_any_text_without_panic(text in text()) {
         for kind in Kind::ALL {
             let name = Name::new(kind, "some");
             if let Ok(file) = File::parse(kind, &text, "file.toml") {
                 let shown = File::show(&name, &file.entry);
-                let again = File::parse(kind, &shown, "shown.toml").expect("what is shown is read");
-                prop_assert_eq!(again.entry, file.entry);
+                let reparsed = File::parse(kind, &shown, "shown.toml").expect("a valid file");
+                prop_assert_eq!(reparsed.entry, file.entry);
             }
             let _ = Entry::from_json(kind, text.as_bytes());
         }
@@ -117,13 +117,13 @@
     }
 
     #[test]
-    fn a_revision_rises_by_one_or_nothing_changes(edits in prop::collection::vec(edit(), 1..40)) {
+    fn accepted_changes_increment_the_revision(edits in prop::collection::vec(edit(), 1..40)) {
         let mut document = Document::default();
         for (name, entry, mode, fresh) in edits {
             let current = document.entry(&name).map_or(Revision(0), |entry| entry.changed());
             let base = if fresh { current } else { Revision(3) };
             let edit = match entry {
-                Some(entry) => Edit::put(name.clone(), entry).expect("the kinds agree"),
+                Some(entry) => Edit::put(name.clone(), entry).expect("the kinds match"),
                 None => Edit::remove(name.clone()),
             };
             let change = Change { id: "c".into(), base, author: String::new(), mode, edit };
@@ -135,8 +135,8 @@
                     if let Some(entry) = next.entry(&name) {
                         prop_assert_eq!(entry.changed(), next.revision);
                     }
-                    let read = Document::parse(&next.to_json()).expect("what is written is read");
-                    prop_assert_eq!(&read, &next);
+                    let reparsed = Document::parse(&next.to_json()).expect("a valid document");
+                    prop_assert_eq!(&reparsed, &next);
                     document = next;
                 }
                 Err(Refused::Conflict(conflict)) => {
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings files and every fault that is told of them.
+//! Parsing of settings files, and the faults reported for them.
 
 use config::Settings;
 
-/// What a host needs that has no fallback.
+/// The settings that have no default.
 const REQUIRED: &str = r#"
 [host]
 name = "e1"
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn every_fault_is_told_in_one_run() {
+fn files_are_parsed_or_all_faults_are_reported() {
     datadriven::walk("tests/settings", |file| {
         file.run(|case| match case.directive.as_str() {
             "settings" => check(&case.input),
