--- a/crates/barleyctl/src/cli.rs
+++ b/crates/barleyctl/src/cli.rs
@@ -8,7 +8,7 @@
 use clap::builder::PossibleValuesParser;
 use clap::{Arg, ArgAction, Command, value_parser};
 use clap_complete::Shell;
-use config::{Kind, Rollout};
+use config::{EntryKind, Rollout};
 
 /// The names of arguments.
 pub(crate) mod arg {
@@ -75,10 +75,10 @@
         .subcommand_required(true)
         .arg_required_else_help(true)
         .args(global())
-        .subcommand(kind(Kind::Profile, "Profiles: what callers name"))
+        .subcommand(kind(EntryKind::Profile, "Profiles: what callers name"))
         .subcommand(versions())
         .subcommand(customers())
-        .subcommand(kind(Kind::Service, "Plain services"))
+        .subcommand(kind(EntryKind::Service, "Plain services"))
         .subcommand(explain())
         .subcommand(hosts())
         .subcommand(Command::new(verb::STATUS).about("Shows the fleet as one host knows it"))
@@ -126,7 +126,7 @@
     ]
 }
 
-fn kind(kind: Kind, about: &'static str) -> Command {
+fn kind(kind: EntryKind, about: &'static str) -> Command {
     Command::new(kind.plural())
         .about(about)
         .subcommand_required(true)
@@ -172,7 +172,7 @@
 }
 
 fn versions() -> Command {
-    kind(Kind::Version, "Versions of models")
+    kind(EntryKind::Version, "Versions of models")
         .subcommand(writes(
             Command::new(verb::PUT)
                 .about("Puts an active version with its prices")
@@ -246,7 +246,7 @@
 }
 
 fn customers() -> Command {
-    kind(Kind::Customer, "Customers").subcommand(
+    kind(EntryKind::Customer, "Customers").subcommand(
         Command::new(verb::HASH)
             .about("Prints the hash of the bearer key in a file")
             .arg(file()),
--- a/crates/barleyctl/src/client/change.rs
+++ b/crates/barleyctl/src/client/change.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use async_std::task::sleep;
-use config::{Entry, Mode, Name, diff};
+use config::{ChangeMode, Entry, EntryName, diff};
 use error_stack::Report;
 use gate::operator::{AUTHOR, Accepted, CHANGE, IF_MATCH, MODE, Refusal};
 use gate::problem::{Reason, Run};
@@ -31,9 +31,9 @@
     /// Who makes it.
     pub(crate) author: String,
     /// Whether the guards against accidents apply.
-    pub(crate) mode: Mode,
+    pub(crate) mode: ChangeMode,
     /// The entry.
-    pub(crate) name: Name,
+    pub(crate) name: EntryName,
     /// What the entry becomes; nothing when it is removed.
     pub(crate) entry: Option<Entry>,
 }
@@ -121,8 +121,8 @@
             None => Request::new(Method::Delete, target),
         };
         let mode = match self.mode {
-            Mode::Guarded => "guarded",
-            Mode::Forced => "forced",
+            ChangeMode::Guarded => "guarded",
+            ChangeMode::Forced => "forced",
         };
         request
             .header(IF_MATCH, self.base.to_string())
--- a/crates/barleyctl/src/command.rs
+++ b/crates/barleyctl/src/command.rs
@@ -11,7 +11,7 @@
 mod versions;
 
 use clap::ArgMatches;
-use config::{Faults, Kind, Name};
+use config::{EntryKind, EntryName, Faults};
 use error_stack::Report;
 
 use crate::cli::{arg, verb};
@@ -35,14 +35,15 @@
         verb::STATUS => status::run(&mut Session::open(matches, console)?).await,
         verb::HOSTS => hosts::run(matches, &mut Session::open(matches, console)?).await,
         plural => {
-            let kind = Kind::from_plural(plural).expect("the command line has no other command");
+            let kind =
+                EntryKind::from_plural(plural).expect("the command line has no other command");
             of_kind(kind, matches, console).await
         }
     }
 }
 
 async fn of_kind(
-    kind: Kind,
+    kind: EntryKind,
     matches: &ArgMatches,
     console: &mut Console<'_>,
 ) -> Result<(), Report<Error>> {
@@ -74,11 +75,11 @@
 }
 
 /// The name that the command line gives, in the form that a path can hold.
-fn name(kind: Kind, matches: &ArgMatches) -> Result<Name, Report<Error>> {
+fn name(kind: EntryKind, matches: &ArgMatches) -> Result<EntryName, Report<Error>> {
     let name: &String = matches
         .get_one(arg::NAME)
         .expect("the command line asks for a name");
-    let name = Name::new(kind, name);
+    let name = EntryName::new(kind, name);
     match name.check() {
         Ok(()) => Ok(name),
         Err(fault) => Err(Error::Faults(Faults(vec![fault])).into()),
--- a/crates/barleyctl/src/command/entries.rs
+++ b/crates/barleyctl/src/command/entries.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use clap::ArgMatches;
-use config::{Commit, Document, Entry, File, Kind, Name, diff};
+use config::{Commit, Document, Entry, EntryFile, EntryKind, EntryName, diff};
 use error_stack::{Report, ResultExt};
 use kernel::Revision;
 use serde_json::{Value, json};
@@ -17,7 +17,10 @@
 mod columns;
 
 /// Lists the entries of a kind.
-pub(super) async fn list(kind: Kind, session: &mut Session<'_, '_>) -> Result<(), Report<Error>> {
+pub(super) async fn list(
+    kind: EntryKind,
+    session: &mut Session<'_, '_>,
+) -> Result<(), Report<Error>> {
     let document = session.client.document().await?.document;
     let entries: Vec<_> = entries(&document, kind).collect();
     let rows: Vec<_> = entries
@@ -33,15 +36,22 @@
 }
 
 /// Prints an entry as a file that [`apply`] takes.
-pub(super) async fn show(name: &Name, session: &mut Session<'_, '_>) -> Result<(), Report<Error>> {
+pub(super) async fn show(
+    name: &EntryName,
+    session: &mut Session<'_, '_>,
+) -> Result<(), Report<Error>> {
     let entry = current(name, session).await?;
-    output::text(session, &File::show(name, &entry), &as_json(name, &entry));
+    output::text(
+        session,
+        &EntryFile::show(name, &entry),
+        &as_json(name, &entry),
+    );
     Ok(())
 }
 
 /// Puts what a file says.
 pub(super) async fn apply(
-    name: Name,
+    name: EntryName,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
@@ -66,7 +76,7 @@
 
 /// Shows what a file would change.
 pub(super) async fn diff(
-    name: &Name,
+    name: &EntryName,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
@@ -82,7 +92,7 @@
 
 /// Removes an entry, as it is now unless a revision is given.
 pub(super) async fn remove(
-    name: Name,
+    name: EntryName,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
@@ -95,7 +105,7 @@
 
 /// Lists the changes of a kind's entries, or of one, newest first.
 pub(super) async fn history(
-    kind: Kind,
+    kind: EntryKind,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
@@ -127,7 +137,7 @@
 
 /// The entry as it is in the document.
 pub(super) async fn current(
-    name: &Name,
+    name: &EntryName,
     session: &mut Session<'_, '_>,
 ) -> Result<Entry, Report<Error>> {
     let document = session.client.document().await?.document;
@@ -151,7 +161,7 @@
 }
 
 async fn removable(
-    name: &Name,
+    name: &EntryName,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<Revision, Report<Error>> {
@@ -190,17 +200,17 @@
 }
 
 /// The history of versions is also that of their roll-outs.
-fn is_of(kind: Kind, name: &Name) -> bool {
-    name.kind() == kind || (kind == Kind::Version && name.kind() == Kind::Rollout)
+fn is_of(kind: EntryKind, name: &EntryName) -> bool {
+    name.kind() == kind || (kind == EntryKind::Version && name.kind() == EntryKind::Rollout)
 }
 
 fn read_file(
-    name: &Name,
+    name: &EntryName,
     matches: &ArgMatches,
     console: &mut Console<'_>,
-) -> Result<(String, File), Report<Error>> {
+) -> Result<(String, EntryFile), Report<Error>> {
     let (path, text) = read(matches, console)?;
-    let file = File::parse(name.kind(), &text, &path).map_err(Error::Faults)?;
+    let file = EntryFile::parse(name.kind(), &text, &path).map_err(Error::Faults)?;
     Ok((path, file))
 }
 
@@ -208,7 +218,7 @@
     matches.get_one(arg::REVISION).copied().map(Revision)
 }
 
-fn entries(document: &Document, kind: Kind) -> impl Iterator<Item = (Name, Entry)> {
+fn entries(document: &Document, kind: EntryKind) -> impl Iterator<Item = (EntryName, Entry)> {
     let names = document.names().filter(move |name| name.kind() == kind);
     names.filter_map(|name| {
         let entry = document.entry(&name)?;
@@ -216,6 +226,6 @@
     })
 }
 
-fn as_json(name: &Name, entry: &Entry) -> Value {
+fn as_json(name: &EntryName, entry: &Entry) -> Value {
     json!({"name": name.as_str(), "revision": entry.changed(), "entry": entry})
 }
--- a/crates/barleyctl/src/command/entries/columns.rs
+++ b/crates/barleyctl/src/command/entries/columns.rs
@@ -1,12 +1,12 @@
 //! What a list shows of each kind of entry.
 
-use config::{Entry, Kind, Name};
+use config::{Entry, EntryKind, EntryName};
 
 /// The heads of the columns.
-pub(super) fn head(kind: Kind) -> &'static [&'static str] {
+pub(super) fn head(kind: EntryKind) -> &'static [&'static str] {
     match kind {
-        Kind::Version => &["VERSION", "STATE", "PROMPT", "COMPLETION", "REVISION"],
-        Kind::Profile => &[
+        EntryKind::Version => &["VERSION", "STATE", "PROMPT", "COMPLETION", "REVISION"],
+        EntryKind::Profile => &[
             "PROFILE",
             "VERSIONS",
             "QUALITY",
@@ -16,7 +16,7 @@
             "CUSTOMERS",
             "REVISION",
         ],
-        Kind::Customer => &[
+        EntryKind::Customer => &[
             "CUSTOMER",
             "RATE",
             "BURST",
@@ -24,13 +24,13 @@
             "WEIGHT",
             "REVISION",
         ],
-        Kind::Service => &["SERVICE", "ROUTES", "FIRST BYTE", "TOTAL", "REVISION"],
-        Kind::Rollout => &["VERSION", "REPLACES", "STATE", "STEP", "SHARE", "REVISION"],
+        EntryKind::Service => &["SERVICE", "ROUTES", "FIRST BYTE", "TOTAL", "REVISION"],
+        EntryKind::Rollout => &["VERSION", "REPLACES", "STATE", "STEP", "SHARE", "REVISION"],
     }
 }
 
 /// The columns of an entry.
-pub(super) fn row(name: &Name, entry: &Entry) -> Vec<String> {
+pub(super) fn row(name: &EntryName, entry: &Entry) -> Vec<String> {
     let mut row = vec![name.as_str().to_owned()];
     match entry {
         Entry::Version(it) => row.extend([
@@ -42,7 +42,7 @@
             join(&it.allow),
             it.quality.to_string(),
             it.cost_cap.to_string(),
-            it.repeat.to_string(),
+            it.retry_policy.to_string(),
             it.priority.to_string(),
             join(it.customers.keys()),
         ]),
--- a/crates/barleyctl/src/command/rollout.rs
+++ b/crates/barleyctl/src/command/rollout.rs
@@ -1,7 +1,7 @@
 //! `versions rollout`.
 
 use clap::ArgMatches;
-use config::{Entry, Kind, Name, Rollout, RolloutState};
+use config::{Entry, EntryKind, EntryName, Rollout, RolloutState};
 use error_stack::Report;
 use kernel::Revision;
 
@@ -16,19 +16,19 @@
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
     let (verb, matches) = subcommand(matches);
-    let rollout = || name(Kind::Rollout, matches);
+    let rollout = || name(EntryKind::Rollout, matches);
     match verb {
         verb::START => start(rollout()?, matches, session).await,
         verb::PAUSE => turn(rollout()?, RolloutState::Paused, matches, session).await,
         verb::RESUME => turn(rollout()?, RolloutState::Running, matches, session).await,
         verb::ABORT => turn(rollout()?, RolloutState::Aborted, matches, session).await,
-        _ => entries::list(Kind::Rollout, session).await,
+        _ => entries::list(EntryKind::Rollout, session).await,
     }
 }
 
 /// Starts a roll-out from its first step, also where an earlier one ended.
 async fn start(
-    name: Name,
+    name: EntryName,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
@@ -48,7 +48,7 @@
         steps: steps.into_iter().flatten().copied().collect(),
         state: RolloutState::Running,
         step: 0,
-        begun: Revision(0),
+        step_revision: Revision(0),
         changed: Revision(0),
     };
     session
@@ -58,7 +58,7 @@
 
 /// Pauses, resumes or aborts a roll-out at the step that it has reached.
 async fn turn(
-    name: Name,
+    name: EntryName,
     state: RolloutState,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
@@ -82,7 +82,7 @@
 /// the change itself brought it there: a host that knows the change's id takes
 /// it as a repeat, and for any other one it is a conflict.
 fn base_of_repeat(
-    name: &Name,
+    name: &EntryName,
     state: RolloutState,
     matches: &ArgMatches,
 ) -> Result<Revision, Report<Error>> {
--- a/crates/barleyctl/src/command/versions.rs
+++ b/crates/barleyctl/src/command/versions.rs
@@ -1,7 +1,7 @@
 //! What only versions have.
 
 use clap::ArgMatches;
-use config::{Entry, Name, Version, VersionState};
+use config::{Entry, EntryName, Version, VersionState};
 use error_stack::Report;
 use kernel::{Money, Revision};
 
@@ -12,7 +12,7 @@
 
 /// Puts an active version with its prices, new or as it is now.
 pub(super) async fn put(
-    name: Name,
+    name: EntryName,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
@@ -38,7 +38,7 @@
 
 /// Withdraws a version.
 pub(super) async fn withdraw(
-    name: Name,
+    name: EntryName,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
--- a/crates/barleyctl/src/error.rs
+++ b/crates/barleyctl/src/error.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use config::{Faults, Name};
+use config::{EntryName, Faults};
 use derive_more::{Display, Error};
 use gate::problem::{Problem, Reason};
 use kernel::{ChangeId, Revision};
@@ -34,7 +34,7 @@
     Faults(#[error(not(source))] Faults),
     /// There is no entry of that name.
     #[display("there is no {_0}")]
-    Absent(#[error(not(source))] Name),
+    Absent(#[error(not(source))] EntryName),
     /// Somebody else changed the entry.
     #[display("{_0}")]
     Conflict(#[error(not(source))] Conflict),
@@ -90,7 +90,7 @@
 )]
 pub(crate) struct Conflict {
     /// The entry.
-    pub(crate) entry: Name,
+    pub(crate) entry: EntryName,
     /// The revision of its last change; zero when it is gone.
     pub(crate) current_revision: Revision,
     /// What differs between the entry as it stands and as this change wants it.
--- a/crates/barleyctl/src/session.rs
+++ b/crates/barleyctl/src/session.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clap::ArgMatches;
-use config::{Entry, Mode, Name};
+use config::{ChangeMode, Entry, EntryName};
 use error_stack::{Report, ResultExt};
 use kernel::{ChangeId, Revision};
 
@@ -64,7 +64,7 @@
         &mut self,
         matches: &ArgMatches,
         base: Revision,
-        name: Name,
+        name: EntryName,
         entry: Option<Entry>,
     ) -> Result<(), Report<Error>> {
         let change = Change {
@@ -147,9 +147,9 @@
     author.chars().filter(printable).take(MAX_AUTHOR).collect()
 }
 
-fn mode(matches: &ArgMatches) -> Mode {
+fn mode(matches: &ArgMatches) -> ChangeMode {
     match matches.try_get_one::<bool>(arg::FORCE) {
-        Ok(Some(true)) => Mode::Forced,
-        _ => Mode::Guarded,
+        Ok(Some(true)) => ChangeMode::Forced,
+        _ => ChangeMode::Guarded,
     }
 }
--- a/crates/barleyctl/tests/sessions/main.rs
+++ b/crates/barleyctl/tests/sessions/main.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 
 use barleyctl::{Console, run};
-use config::{Change, Document, Edit, File, Kind, Mode, Name};
+use config::{Change, ChangeMode, Document, Edit, EntryFile, EntryKind, EntryName};
 use datadriven::TestCase;
 use http::Server;
 use kernel::Revision;
@@ -134,19 +134,19 @@
     let profile = "allow = [\"oak@1\", \"oak@2\"]\nquality = 0.9\ncost_cap_microcents = 500\n\
                    repeat = \"idempotent\"\n[customers.desk]\nallow = [\"oak@1\"]\n";
     let entries = [
-        (Kind::Version, "oak@1", prices),
-        (Kind::Version, "oak@2", prices),
-        (Kind::Customer, "desk", &customer),
-        (Kind::Profile, "dossier", profile),
+        (EntryKind::Version, "oak@1", prices),
+        (EntryKind::Version, "oak@2", prices),
+        (EntryKind::Customer, "desk", &customer),
+        (EntryKind::Profile, "dossier", profile),
     ];
     for (idx, (kind, name, text)) in entries.into_iter().enumerate() {
-        let file = File::parse(kind, text, "start").expect("the start is sound");
+        let file = EntryFile::parse(kind, text, "start").expect("the start is sound");
         let change = Change {
             id: format!("start-{idx}").into(),
             base: Revision(0),
             author: "installation".to_owned(),
-            mode: Mode::Guarded,
-            edit: Edit::put(Name::new(kind, name), file.entry).expect("the kinds agree"),
+            mode: ChangeMode::Guarded,
+            edit: Edit::put(EntryName::new(kind, name), file.entry).expect("the kinds agree"),
         };
         fleet.commit(&change).expect("the start is sound");
     }
--- a/crates/barleyctl/tests/sessions/operator.rs
+++ b/crates/barleyctl/tests/sessions/operator.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use async_std::task::block_on;
-use config::{Change, Commit, Document, Edit, Entry, Kind, Name};
+use config::{Change, Commit, Document, Edit, Entry, EntryKind, EntryName};
 use gate::operator::{
     Accepted, Backlog, Condition, Health, History, Host, Refusal, Rollout, Snapshot, State, Status,
 };
@@ -132,8 +132,8 @@
                 Ok(Response::new(Code::Accepted))
             }
             (method, [plural, name]) => {
-                let kind = Kind::from_plural(plural).expect("a known kind");
-                self.write(method, Name::new(kind, name), request, body)
+                let kind = EntryKind::from_plural(plural).expect("a known kind");
+                self.write(method, EntryName::new(kind, name), request, body)
             }
             (method, path) => panic!("no such call: {method} {path:?}"),
         }
@@ -142,7 +142,7 @@
     fn write(
         &mut self,
         method: Method,
-        name: Name,
+        name: EntryName,
         request: &Request,
         body: &[u8],
     ) -> Result<Response, Box<Refusal>> {
--- a/crates/barleypind/src/call/start.rs
+++ b/crates/barleypind/src/call/start.rs
@@ -72,7 +72,9 @@
     };
     let path = target.split('?').next().unwrap_or_default();
     let route = known.route(method.as_ref(), path);
-    let repeat = route.map_or(Repeat::AtMostOnce, |it| crate::policy::repeat(it.repeat));
+    let repeat = route.map_or(Repeat::AtMostOnce, |it| {
+        crate::policy::repeat(it.retry_policy)
+    });
     let mut call = call;
     if let Some(route) = route {
         call.headers.priority.get_or_insert(route.priority);
@@ -249,7 +251,7 @@
         mode: request.mode,
         max_tokens,
         class: request.class,
-        repeat: crate::policy::repeat(profile.repeat),
+        repeat: crate::policy::repeat(profile.retry_policy),
         pin,
     })
 }
--- a/crates/barleypind/src/operate.rs
+++ b/crates/barleypind/src/operate.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, PoisonError};
 
-use config::{Change, Edit, Entry, Kind, Name};
+use config::{Change, Edit, Entry, EntryKind, EntryName};
 use gate::call;
 use gate::operator::{
     Backlog, Condition, Health, History, Host as Shown, Refusal, Rollout, Snapshot, State, Status,
@@ -72,8 +72,8 @@
         (Method::Get, ["operator", "v1", "status"]) => status(cx).await,
         (Method::Post, ["operator", "v1", "hosts", name, "drain"]) => drain(cx, name).await,
         (Method::Put | Method::Delete, ["operator", "v1", kind, name]) => {
-            match Kind::from_plural(kind) {
-                Some(kind) => change(cx, Name::new(kind, name), request).await,
+            match EntryKind::from_plural(kind) {
+                Some(kind) => change(cx, EntryName::new(kind, name), request).await,
                 None => Err(callers::not_found(&request).into()),
             }
         }
@@ -110,7 +110,7 @@
     Ok(Response::json(http::Status::Ok, &History { entries }))
 }
 
-async fn change(cx: &Arc<Context>, name: Name, request: Request) -> Result<Response, Refusal> {
+async fn change(cx: &Arc<Context>, name: EntryName, request: Request) -> Result<Response, Refusal> {
     let condition = Condition::parse(|header| request.headers.get(header))?;
     let edit = if request.method == Method::Delete {
         Edit::remove(name)
--- a/crates/barleypind/src/policy.rs
+++ b/crates/barleypind/src/policy.rs
@@ -41,7 +41,7 @@
                 allowed: allowances(it, &customers, &versions),
                 target: it.quality,
                 cap: Some(it.cost_cap),
-                repeat: repeat(it.repeat),
+                repeat: repeat(it.retry_policy),
                 priority: priority(it.priority),
                 deadline: it.deadline,
             })
@@ -78,10 +78,10 @@
 
 /// The decider's word for a repeat setting.
 #[must_use]
-pub(crate) fn repeat(repeat: config::Repeat) -> Repeat {
+pub(crate) fn repeat(repeat: config::RetryPolicy) -> Repeat {
     match repeat {
-        config::Repeat::Idempotent => Repeat::Idempotent,
-        config::Repeat::AtMostOnce => Repeat::AtMostOnce,
+        config::RetryPolicy::Idempotent => Repeat::Idempotent,
+        config::RetryPolicy::AtMostOnce => Repeat::AtMostOnce,
     }
 }
 
--- a/crates/barleypind/src/service/configure.rs
+++ b/crates/barleypind/src/service/configure.rs
@@ -9,7 +9,7 @@
 
 use clients::row::Key;
 use clients::{Condition, Error, Transaction, Version};
-use config::{Change, Commit, Document, Refused};
+use config::{ApplyError, Change, Commit, Document};
 use gate::operator::{Accepted, Refusal};
 use gate::problem::{Problem, Reason, Run};
 use kernel::{ChangeId, Revision};
@@ -219,8 +219,8 @@
     }
 }
 
-fn refuse(cx: &Context, change: &Change, refused: Refused) -> Refusal {
-    if let Refused::Conflict(conflict) = &refused {
+fn refuse(cx: &Context, change: &Change, refused: ApplyError) -> Refusal {
+    if let ApplyError::Conflict(conflict) = &refused {
         cx.host.log.emit(
             Event::ChangeConflict,
             &[("change", &change.id), ("entry", &conflict.entry)],
--- a/crates/barleypind/src/service/rollout/step.rs
+++ b/crates/barleypind/src/service/rollout/step.rs
@@ -1,6 +1,6 @@
 //! The steps of roll-outs.
 
-use config::{Change, Edit, Mode, Rollout, RolloutState};
+use config::{Change, ChangeMode, Edit, Rollout, RolloutState};
 use decide::action::Step;
 use kernel::{ChangeId, VersionId};
 
@@ -27,7 +27,7 @@
         // The id follows from the step alone. A holder that lost its lease
         // while it was frozen and the one after it make the same change, and
         // the table takes it once.
-        let id = format!("step-{version}-{}-{}", rollout.begun, next.step);
+        let id = format!("step-{version}-{}-{}", rollout.step_revision, next.step);
         let id = match next.state {
             RolloutState::Running | RolloutState::Paused => id,
             state => format!("{id}-{state}"),
@@ -36,7 +36,7 @@
             id: ChangeId::from(id),
             base: rollout.changed,
             author: format!("roll-out on {}", self.cx.host.settings.host.name),
-            mode: Mode::Guarded,
+            mode: ChangeMode::Guarded,
             edit: Edit::PutRollout(version.clone(), next.clone()),
         };
         // A step that isn't made now is asked for again by the decider.
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -3,7 +3,7 @@
 use kernel::{ChangeId, ProfileName, Revision, ServiceName, VersionId};
 use serde::{Deserialize, Serialize};
 
-use crate::{Customer, Entry, Name, Profile, Rollout, Service, Version};
+use crate::{Customer, Entry, EntryName, Profile, Rollout, Service, Version};
 
 /// A change to one entry of the document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
     pub author: String,
     /// Whether the safety checks apply.
     #[serde(default)]
-    pub mode: Mode,
+    pub mode: ChangeMode,
     /// The edit of the entry.
     pub edit: Edit,
 }
@@ -27,7 +27,7 @@
 /// The checks of the document's consistency apply in both modes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Mode {
+pub enum ChangeMode {
     /// Rejects the withdrawal of a version if it leaves a profile or one of its
     /// customers without an active version.
     #[default]
@@ -65,38 +65,44 @@
 impl Edit {
     /// The edit that stores `entry` under `name`; `None` if they are of different kinds.
     #[must_use]
-    pub fn put(name: Name, entry: Entry) -> Option<Self> {
+    pub fn put(name: EntryName, entry: Entry) -> Option<Self> {
         match (name, entry) {
-            (Name::Version(id), Entry::Version(it)) => Some(Self::PutVersion(id, it)),
-            (Name::Profile(name), Entry::Profile(it)) => Some(Self::PutProfile(name, it)),
-            (Name::Customer(name), Entry::Customer(it)) => Some(Self::PutCustomer(name, it)),
-            (Name::Service(name), Entry::Service(it)) => Some(Self::PutService(name, it)),
-            (Name::Rollout(id), Entry::Rollout(it)) => Some(Self::PutRollout(id, it)),
+            (EntryName::Version(id), Entry::Version(it)) => Some(Self::PutVersion(id, it)),
+            (EntryName::Profile(name), Entry::Profile(it)) => Some(Self::PutProfile(name, it)),
+            (EntryName::Customer(name), Entry::Customer(it)) => Some(Self::PutCustomer(name, it)),
+            (EntryName::Service(name), Entry::Service(it)) => Some(Self::PutService(name, it)),
+            (EntryName::Rollout(id), Entry::Rollout(it)) => Some(Self::PutRollout(id, it)),
             _ => None,
         }
     }
 
     /// The edit that removes the entry `name`.
     #[must_use]
-    pub fn remove(name: Name) -> Self {
+    pub fn remove(name: EntryName) -> Self {
         match name {
-            Name::Version(id) => Self::RemoveVersion(id),
-            Name::Profile(name) => Self::RemoveProfile(name),
-            Name::Customer(name) => Self::RemoveCustomer(name),
-            Name::Service(name) => Self::RemoveService(name),
-            Name::Rollout(id) => Self::RemoveRollout(id),
+            EntryName::Version(id) => Self::RemoveVersion(id),
+            EntryName::Profile(name) => Self::RemoveProfile(name),
+            EntryName::Customer(name) => Self::RemoveCustomer(name),
+            EntryName::Service(name) => Self::RemoveService(name),
+            EntryName::Rollout(id) => Self::RemoveRollout(id),
         }
     }
 
     /// The name of the edited entry.
     #[must_use]
-    pub fn name(&self) -> Name {
+    pub fn name(&self) -> EntryName {
         match self {
-            Self::PutVersion(id, _) | Self::RemoveVersion(id) => Name::Version(id.clone()),
-            Self::PutProfile(name, _) | Self::RemoveProfile(name) => Name::Profile(name.clone()),
-            Self::PutCustomer(name, _) | Self::RemoveCustomer(name) => Name::Customer(name.clone()),
-            Self::PutService(name, _) | Self::RemoveService(name) => Name::Service(name.clone()),
-            Self::PutRollout(id, _) | Self::RemoveRollout(id) => Name::Rollout(id.clone()),
+            Self::PutVersion(id, _) | Self::RemoveVersion(id) => EntryName::Version(id.clone()),
+            Self::PutProfile(name, _) | Self::RemoveProfile(name) => {
+                EntryName::Profile(name.clone())
+            }
+            Self::PutCustomer(name, _) | Self::RemoveCustomer(name) => {
+                EntryName::Customer(name.clone())
+            }
+            Self::PutService(name, _) | Self::RemoveService(name) => {
+                EntryName::Service(name.clone())
+            }
+            Self::PutRollout(id, _) | Self::RemoveRollout(id) => EntryName::Rollout(id.clone()),
         }
     }
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -4,7 +4,8 @@
 
 use crate::entry_check::EntryCheck;
 use crate::{
-    Change, Document, Edit, Fault, Faults, Found, Mode, Name, Place, Profile, RolloutState, Version,
+    Change, ChangeMode, Document, Edit, EntryName, Fault, FaultKind, FaultLocation, Faults,
+    Profile, RolloutState, Version,
 };
 
 /// Returns all faults of the document.
@@ -24,23 +25,23 @@
     let name = change.edit.name();
     let existing = document_faults(current);
     let mut faults = document_faults(next);
-    faults
-        .0
-        .retain(|fault| fault.place == Place::Entry(name.clone()) || !existing.0.contains(fault));
+    faults.0.retain(|fault| {
+        fault.place == FaultLocation::Entry(name.clone()) || !existing.0.contains(fault)
+    });
     let mut check = EntryCheck::new(name);
     check_edit(&mut check, current, change, next);
     faults.0.extend(check.finish());
     faults
 }
 
-fn entry_faults(document: &Document, name: &Name) -> Vec<Fault> {
+fn entry_faults(document: &Document, name: &EntryName) -> Vec<Fault> {
     let mut check = EntryCheck::new(name.clone());
     match name {
-        Name::Version(id) => document.versions[id].check(&mut check),
-        Name::Profile(name) => document.profiles[name].check(&mut check, document),
-        Name::Customer(name) => document.customers[name].check(&mut check, name, document),
-        Name::Service(name) => document.services[name].check(&mut check),
-        Name::Rollout(id) => document.rollouts[id].check(&mut check, id, document),
+        EntryName::Version(id) => document.versions[id].check(&mut check),
+        EntryName::Profile(name) => document.profiles[name].check(&mut check, document),
+        EntryName::Customer(name) => document.customers[name].check(&mut check, name, document),
+        EntryName::Service(name) => document.services[name].check(&mut check),
+        EntryName::Rollout(id) => document.rollouts[id].check(&mut check, id, document),
     }
     let mut faults = check.finish();
     faults.extend(name.check().err());
@@ -54,12 +55,12 @@
         Edit::PutRollout(id, rollout) => {
             let withdrawn = next.versions.get(id).is_some_and(|it| !it.is_active());
             if withdrawn && rollout.state == RolloutState::Running {
-                let found = Found::Value(format!("`{id}`"));
+                let found = FaultKind::Value(format!("`{id}`"));
                 check.add("name", found, "a version that isn't withdrawn".into());
             }
         }
         Edit::PutVersion(id, version) => {
-            if change.mode == Mode::Guarded && !version.is_active() {
+            if change.mode == ChangeMode::Guarded && !version.is_active() {
                 check_withdrawal(check, id, current, next);
             }
         }
@@ -70,7 +71,7 @@
         | Edit::RemoveService(_)
         | Edit::RemoveRollout(_) => {
             if current.entry(&change.edit.name()).is_none() {
-                check.add("name", Found::Missing, "the name of an entry".into());
+                check.add("name", FaultKind::Missing, "the name of an entry".into());
             }
         }
     }
@@ -79,7 +80,7 @@
 fn check_allowed_versions(check: &mut EntryCheck, profile: &Profile, next: &Document) {
     let withdrawn = |id: &&VersionId| next.versions.get(*id).is_some_and(|it| !it.is_active());
     for id in profile.allow.iter().filter(withdrawn) {
-        let found = Found::Value(format!("`{id}`"));
+        let found = FaultKind::Value(format!("`{id}`"));
         check.add("allow", found, "a version that isn't withdrawn".into());
     }
 }
@@ -109,7 +110,7 @@
         };
         check.add(
             "state",
-            Found::Harmful,
+            FaultKind::Harmful,
             format!(
                 "profile {name} would have no version left{for_customers}: give it another version \
                  first, or force the withdrawal"
--- a/crates/config/src/commit.rs
+++ b/crates/config/src/commit.rs
@@ -6,7 +6,7 @@
 use kernel::{ChangeId, Revision};
 use serde::{Deserialize, Serialize};
 
-use crate::{Change, Edit, Name, VersionState};
+use crate::{Change, Edit, EntryName, VersionState};
 
 /// An accepted change in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
     /// The id of the change.
     pub change: ChangeId,
     /// The name of the changed entry.
-    pub entry: Name,
+    pub entry: EntryName,
     /// The effect on the entry.
     pub action: Action,
     /// The wall-clock time of acceptance, since the Unix epoch.
--- a/crates/config/src/customer.rs
+++ b/crates/config/src/customer.rs
@@ -6,7 +6,7 @@
 use crate::entry_check::EntryCheck;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
-use crate::{Document, Found, validate};
+use crate::{Document, FaultKind, validate};
 
 /// The credentials and quotas of a customer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -86,7 +86,7 @@
         let same_key =
             others.find(|(_, it)| it.key_blake3 == self.key_blake3 && it.changed <= self.changed);
         if let Some((other, _)) = same_key {
-            let found = Found::Value(format!("the key of customer {other}"));
+            let found = FaultKind::Value(format!("the key of customer {other}"));
             let accepted = "a key that no other customer has".into();
             check.add(KEY_BLAKE3.name, found, accepted);
         }
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -2,12 +2,12 @@
 
 use similar::TextDiff;
 
-use crate::{Document, Entry, Name, file};
+use crate::{Document, Entry, EntryName, file};
 
 /// Returns the unified diff between two states of an entry; empty if they are
 /// equal. `None` stands for an entry that doesn't exist.
 #[must_use]
-pub fn entries(name: &Name, old: Option<&Entry>, new: Option<&Entry>) -> String {
+pub fn entries(name: &EntryName, old: Option<&Entry>, new: Option<&Entry>) -> String {
     let old_text = old.map(file::to_toml).unwrap_or_default();
     let new_text = new.map(file::to_toml).unwrap_or_default();
     if old_text == new_text && old.is_some() == new.is_some() {
@@ -23,7 +23,7 @@
 /// Returns the unified diffs of all entries that differ between two documents.
 #[must_use]
 pub fn documents(old: &Document, new: &Document) -> String {
-    let mut names: Vec<Name> = old.names().chain(new.names()).collect();
+    let mut names: Vec<EntryName> = old.names().chain(new.names()).collect();
     names.sort();
     names.dedup();
     names
@@ -35,7 +35,7 @@
 /// Context lines around each difference.
 const CONTEXT_LINES: usize = 3;
 
-fn label(name: &Name, entry: Option<&Entry>) -> String {
+fn label(name: &EntryName, entry: Option<&Entry>) -> String {
     match entry {
         Some(entry) if entry.changed().0 > 0 => format!("{name}, revision {}", entry.changed()),
         Some(_) => format!("{name}, as given"),
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Change, Customer, Edit, Entry, Faults, Name, Profile, Rollout, Service, Version, check,
+    Change, Customer, Edit, Entry, EntryName, Faults, Profile, Rollout, Service, Version, check,
 };
 
 /// The whole configuration at one revision: the value of the table row
@@ -58,14 +58,14 @@
     /// and applies the change again.
     ///
     /// # Errors
-    /// [`Refused::Conflict`] if the entry isn't at the change's base revision,
-    /// [`Refused::Faults`] with all faults for which the change is rejected.
-    pub fn apply(&self, change: &Change) -> Result<Self, Refused> {
+    /// [`ApplyError::Conflict`] if the entry isn't at the change's base revision,
+    /// [`ApplyError::Faults`] with all faults for which the change is rejected.
+    pub fn apply(&self, change: &Change) -> Result<Self, ApplyError> {
         let name = change.edit.name();
         let current = self.entry(&name);
         let current_revision = current.as_ref().map_or(Revision(0), Entry::changed);
         if current_revision != change.base {
-            return Err(Refused::Conflict(Box::new(Conflict {
+            return Err(ApplyError::Conflict(Box::new(Conflict {
                 entry: name,
                 current,
                 current_revision,
@@ -76,7 +76,7 @@
         if faults.0.is_empty() {
             Ok(next)
         } else {
-            Err(Refused::Faults(faults))
+            Err(ApplyError::Faults(faults))
         }
     }
 
@@ -88,23 +88,23 @@
 
     /// Returns the entry of that name.
     #[must_use]
-    pub fn entry(&self, name: &Name) -> Option<Entry> {
+    pub fn entry(&self, name: &EntryName) -> Option<Entry> {
         match name {
-            Name::Version(id) => self.versions.get(id).cloned().map(Entry::from),
-            Name::Profile(name) => self.profiles.get(name).cloned().map(Entry::from),
-            Name::Customer(name) => self.customers.get(name).cloned().map(Entry::from),
-            Name::Service(name) => self.services.get(name).cloned().map(Entry::from),
-            Name::Rollout(id) => self.rollouts.get(id).cloned().map(Entry::from),
+            EntryName::Version(id) => self.versions.get(id).cloned().map(Entry::from),
+            EntryName::Profile(name) => self.profiles.get(name).cloned().map(Entry::from),
+            EntryName::Customer(name) => self.customers.get(name).cloned().map(Entry::from),
+            EntryName::Service(name) => self.services.get(name).cloned().map(Entry::from),
+            EntryName::Rollout(id) => self.rollouts.get(id).cloned().map(Entry::from),
         }
     }
 
     /// Returns the names of all entries, ordered by kind and name.
-    pub fn names(&self) -> impl Iterator<Item = Name> {
-        let versions = self.versions.keys().cloned().map(Name::Version);
-        let profiles = self.profiles.keys().cloned().map(Name::Profile);
-        let customers = self.customers.keys().cloned().map(Name::Customer);
-        let services = self.services.keys().cloned().map(Name::Service);
-        let rollouts = self.rollouts.keys().cloned().map(Name::Rollout);
+    pub fn names(&self) -> impl Iterator<Item = EntryName> {
+        let versions = self.versions.keys().cloned().map(EntryName::Version);
+        let profiles = self.profiles.keys().cloned().map(EntryName::Profile);
+        let customers = self.customers.keys().cloned().map(EntryName::Customer);
+        let services = self.services.keys().cloned().map(EntryName::Service);
+        let rollouts = self.rollouts.keys().cloned().map(EntryName::Rollout);
         versions
             .chain(profiles)
             .chain(customers)
@@ -171,9 +171,9 @@
                 next.services.remove(&name);
             }
             Edit::PutRollout(id, it) => {
-                let begun = self.unchanged_step_revision(&id, &it).unwrap_or(changed);
+                let step_revision = self.unchanged_step_revision(&id, &it).unwrap_or(changed);
                 let rollout = Rollout {
-                    begun,
+                    step_revision,
                     changed,
                     ..it
                 };
@@ -191,13 +191,13 @@
     fn unchanged_step_revision(&self, id: &VersionId, next: &Rollout) -> Option<Revision> {
         let current = self.rollouts.get(id)?;
         let is_unchanged = current.step == next.step && current.state == next.state;
-        is_unchanged.then_some(current.begun)
+        is_unchanged.then_some(current.step_revision)
     }
 }
 
 /// The reason for which a change was rejected.
 #[derive(Clone, Debug, Display, Error, From, PartialEq)]
-pub enum Refused {
+pub enum ApplyError {
     /// The entry isn't at the change's base revision.
     #[display("{_0}")]
     Conflict(#[error(not(source))] Box<Conflict>),
@@ -211,7 +211,7 @@
 #[display("{}", self.describe())]
 pub struct Conflict {
     /// The name of the entry.
-    pub entry: Name,
+    pub entry: EntryName,
     /// The current entry; `None` if it doesn't exist.
     pub current: Option<Entry>,
     /// The revision that last changed the entry; zero if it doesn't exist.
--- a/crates/config/src/entry.rs
+++ b/crates/config/src/entry.rs
@@ -5,7 +5,7 @@
 use serde::de::Error as _;
 use serde::{Deserialize, Serialize};
 
-use crate::{Customer, Kind, Profile, Rollout, Service, Version};
+use crate::{Customer, EntryKind, Profile, Rollout, Service, Version};
 
 /// An entry of any kind. It is serialized without its kind, which the path of
 /// the request gives.
@@ -30,25 +30,25 @@
     /// # Errors
     /// The first syntax error, or the first field that is unknown, missing or of
     /// the wrong type.
-    pub fn from_json(kind: Kind, body: &[u8]) -> Result<Self, serde_json::Error> {
+    pub fn from_json(kind: EntryKind, body: &[u8]) -> Result<Self, serde_json::Error> {
         match kind {
-            Kind::Version => read::<Version>(body),
-            Kind::Profile => read::<Profile>(body),
-            Kind::Customer => read::<Customer>(body),
-            Kind::Service => read::<Service>(body),
-            Kind::Rollout => read::<Rollout>(body),
+            EntryKind::Version => read::<Version>(body),
+            EntryKind::Profile => read::<Profile>(body),
+            EntryKind::Customer => read::<Customer>(body),
+            EntryKind::Service => read::<Service>(body),
+            EntryKind::Rollout => read::<Rollout>(body),
         }
     }
 
     /// Returns the kind of the entry.
     #[must_use]
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> EntryKind {
         match self {
-            Self::Version(_) => Kind::Version,
-            Self::Profile(_) => Kind::Profile,
-            Self::Customer(_) => Kind::Customer,
-            Self::Service(_) => Kind::Service,
-            Self::Rollout(_) => Kind::Rollout,
+            Self::Version(_) => EntryKind::Version,
+            Self::Profile(_) => EntryKind::Profile,
+            Self::Customer(_) => EntryKind::Customer,
+            Self::Service(_) => EntryKind::Service,
+            Self::Rollout(_) => EntryKind::Rollout,
         }
     }
 
--- a/crates/config/src/entry_check.rs
+++ b/crates/config/src/entry_check.rs
@@ -4,19 +4,19 @@
 use std::time::Duration;
 
 use crate::schema::{Accepts, Key};
-use crate::{Fault, Found, Name, Place};
+use crate::{EntryName, Fault, FaultKind, FaultLocation};
 
 /// Collects the faults of one entry during its validation.
 ///
 /// The accepted values come from the schema, so that files and changes are
 /// validated by the same rules.
 pub(crate) struct EntryCheck {
-    name: Name,
+    name: EntryName,
     faults: Vec<Fault>,
 }
 
 impl EntryCheck {
-    pub(crate) fn new(name: Name) -> Self {
+    pub(crate) fn new(name: EntryName) -> Self {
         Self {
             name,
             faults: Vec::new(),
@@ -34,7 +34,7 @@
             return;
         }
         match number {
-            0 => self.add(key.name, Found::Missing, key.accepts.to_string()),
+            0 => self.add(key.name, FaultKind::Missing, key.accepts.to_string()),
             _ => self.report_value(key, number),
         }
     }
@@ -50,13 +50,13 @@
 
     /// Reports a value that the key doesn't accept.
     pub(crate) fn report_value(&mut self, key: &Key, value: impl Display) {
-        let found = Found::Value(value.to_string());
+        let found = FaultKind::Value(value.to_string());
         self.add(key.name, found, key.accepts.to_string());
     }
 
-    pub(crate) fn add(&mut self, field: impl Into<String>, found: Found, accepted: String) {
+    pub(crate) fn add(&mut self, field: impl Into<String>, found: FaultKind, accepted: String) {
         self.faults.push(Fault {
-            place: Place::Entry(self.name.clone()),
+            place: FaultLocation::Entry(self.name.clone()),
             field: field.into(),
             found,
             accepted,
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -5,7 +5,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::Name;
+use crate::EntryName;
 
 /// A validation error: its location, the value found there and the accepted values.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
@@ -13,11 +13,11 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// The location of the fault.
-    pub place: Place,
+    pub place: FaultLocation,
     /// The path of the key or field; empty for a syntax error.
     pub field: String,
     /// The value, or the lack of one, that was found there.
-    pub found: Found,
+    pub found: FaultKind,
     /// The accepted values, or advice on how to correct the fault; the parser's
     /// message for a syntax error.
     pub accepted: String,
@@ -36,7 +36,7 @@
 /// The location of a fault.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Place {
+pub enum FaultLocation {
     /// A line of a file.
     #[display("{file}:{line}")]
     Line {
@@ -47,13 +47,13 @@
     },
     /// An entry of the document.
     #[display("{_0}")]
-    Entry(Name),
+    Entry(EntryName),
 }
 
 /// The kind of a fault, with the value found.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Found {
+pub enum FaultKind {
     /// A required value is missing.
     #[display("missing; expected ")]
     Missing,
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -7,7 +7,7 @@
 
 use crate::schema::{Section, Shape};
 use crate::source::Source;
-use crate::{Customer, Entry, Faults, Kind, Name, Profile, Rollout, Service, Version};
+use crate::{Customer, Entry, EntryKind, EntryName, Faults, Profile, Rollout, Service, Version};
 
 /// A file that holds one entry as TOML, below a header comment with the entry's
 /// name and the revision at which it was read.
@@ -15,27 +15,27 @@
 /// `barleyctl apply` takes the change's base revision from the header, and so
 /// detects that another operator changed the entry in the meantime.
 #[derive(Clone, Debug, PartialEq)]
-pub struct File {
+pub struct EntryFile {
     /// The name in the header; `None` if there is no header for this kind of entry.
-    pub name: Option<Name>,
+    pub name: Option<EntryName>,
     /// The revision in the header; `None` if there is no header for this kind of entry.
     pub revision: Option<Revision>,
     /// The entry.
     pub entry: Entry,
 }
 
-impl File {
+impl EntryFile {
     /// Parses the text of a file. `file` is its name in errors.
     ///
     /// # Errors
     /// All faults of the text, ordered by line.
-    pub fn parse(kind: Kind, text: &str, file: &str) -> Result<Self, Faults> {
+    pub fn parse(kind: EntryKind, text: &str, file: &str) -> Result<Self, Faults> {
         let entry = Source::read(file, text, Self::schema(kind), |table| match kind {
-            Kind::Version => Version::read(table).into(),
-            Kind::Profile => Profile::read(table).into(),
-            Kind::Customer => Customer::read(table).into(),
-            Kind::Service => Service::read(table).into(),
-            Kind::Rollout => Rollout::read(table).into(),
+            EntryKind::Version => Version::read(table).into(),
+            EntryKind::Profile => Profile::read(table).into(),
+            EntryKind::Customer => Customer::read(table).into(),
+            EntryKind::Service => Service::read(table).into(),
+            EntryKind::Rollout => Rollout::read(table).into(),
         })?;
         let header = text.lines().next().and_then(parse_header);
         let header = header.filter(|(name, _)| name.kind() == kind);
@@ -48,7 +48,7 @@
 
     /// Returns the text of a file that holds `entry`, with the header.
     #[must_use]
-    pub fn show(name: &Name, entry: &Entry) -> String {
+    pub fn show(name: &EntryName, entry: &Entry) -> String {
         let revision = entry.changed();
         format!("{HEADER}{name}, revision {revision}\n{}", to_toml(entry))
     }
@@ -56,13 +56,13 @@
     /// Returns the schema of the files of a kind. A test compares
     /// docs/reference/profiles.md with it.
     #[must_use]
-    pub fn schema(kind: Kind) -> &'static Section {
+    pub fn schema(kind: EntryKind) -> &'static Section {
         match kind {
-            Kind::Version => &Version::SECTION,
-            Kind::Profile => &Profile::SECTION,
-            Kind::Customer => &Customer::SECTION,
-            Kind::Service => &Service::SECTION,
-            Kind::Rollout => &Rollout::SECTION,
+            EntryKind::Version => &Version::SECTION,
+            EntryKind::Profile => &Profile::SECTION,
+            EntryKind::Customer => &Customer::SECTION,
+            EntryKind::Service => &Service::SECTION,
+            EntryKind::Rollout => &Rollout::SECTION,
         }
     }
 }
@@ -74,17 +74,19 @@
     let mut text = String::new();
     let value = serde_json::to_value(entry).expect("an entry holds only text keys and numbers");
     if let Value::Object(fields) = value {
-        write_table(&mut text, File::schema(entry.kind()), &fields);
+        write_table(&mut text, EntryFile::schema(entry.kind()), &fields);
     }
     text
 }
 
-fn parse_header(line: &str) -> Option<(Name, Revision)> {
+fn parse_header(line: &str) -> Option<(EntryName, Revision)> {
     let (name, revision) = line.strip_prefix(HEADER)?.rsplit_once(", revision ")?;
     let (kind, name) = name.split_once(' ')?;
-    let kind = Kind::ALL.into_iter().find(|it| it.to_string() == kind)?;
+    let kind = EntryKind::ALL
+        .into_iter()
+        .find(|it| it.to_string() == kind)?;
     let revision = revision.trim_end().parse().ok()?;
-    Some((Name::new(kind, name), Revision(revision)))
+    Some((EntryName::new(kind, name), Revision(revision)))
 }
 
 fn write_table(text: &mut String, section: &Section, fields: &Map<String, Value>) {
--- a/crates/config/src/name.rs
+++ b/crates/config/src/name.rs
@@ -5,12 +5,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::schema::Accepts;
-use crate::{Fault, Found, Place, validate};
+use crate::{Fault, FaultKind, FaultLocation, validate};
 
 /// The kind and name of an entry of the document.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind", content = "name")]
-pub enum Name {
+pub enum EntryName {
     /// A version.
     #[display("version {_0}")]
     Version(VersionId),
@@ -28,16 +28,16 @@
     Rollout(VersionId),
 }
 
-impl Name {
+impl EntryName {
     /// Creates the name of an entry of that kind. The name isn't validated.
     #[must_use]
-    pub fn new(kind: Kind, name: &str) -> Self {
+    pub fn new(kind: EntryKind, name: &str) -> Self {
         match kind {
-            Kind::Version => Self::Version(name.into()),
-            Kind::Profile => Self::Profile(name.into()),
-            Kind::Customer => Self::Customer(name.into()),
-            Kind::Service => Self::Service(name.into()),
-            Kind::Rollout => Self::Rollout(name.into()),
+            EntryKind::Version => Self::Version(name.into()),
+            EntryKind::Profile => Self::Profile(name.into()),
+            EntryKind::Customer => Self::Customer(name.into()),
+            EntryKind::Service => Self::Service(name.into()),
+            EntryKind::Rollout => Self::Rollout(name.into()),
         }
     }
 
@@ -58,22 +58,22 @@
             return Ok(());
         }
         Err(Fault {
-            place: Place::Entry(self.clone()),
+            place: FaultLocation::Entry(self.clone()),
             field: "name".to_owned(),
-            found: Found::Value(format!("{:?}", self.as_str())),
+            found: FaultKind::Value(format!("{:?}", self.as_str())),
             accepted: accepted.to_string(),
         })
     }
 
     /// Returns the kind of the entry.
     #[must_use]
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> EntryKind {
         match self {
-            Self::Version(_) => Kind::Version,
-            Self::Profile(_) => Kind::Profile,
-            Self::Customer(_) => Kind::Customer,
-            Self::Service(_) => Kind::Service,
-            Self::Rollout(_) => Kind::Rollout,
+            Self::Version(_) => EntryKind::Version,
+            Self::Profile(_) => EntryKind::Profile,
+            Self::Customer(_) => EntryKind::Customer,
+            Self::Service(_) => EntryKind::Service,
+            Self::Rollout(_) => EntryKind::Rollout,
         }
     }
 
@@ -91,7 +91,7 @@
 
 /// The kinds of entries, in the order of the document's fields.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum EntryKind {
     /// Versions.
     #[display("version")]
     Version,
@@ -109,7 +109,7 @@
     Rollout,
 }
 
-impl Kind {
+impl EntryKind {
     /// All kinds.
     pub const ALL: [Self; 5] = [
         Self::Version,
--- a/crates/config/src/profile.rs
+++ b/crates/config/src/profile.rs
@@ -10,7 +10,7 @@
 use crate::entry_check::EntryCheck;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
-use crate::{Document, Found, Priority, Repeat, validate};
+use crate::{Document, FaultKind, Priority, RetryPolicy, validate};
 
 /// The versions that may serve a request, with the required quality and the cost limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -24,7 +24,8 @@
     #[serde(rename = "cost_cap_microcents")]
     pub cost_cap: Money,
     /// The retry policy of requests.
-    pub repeat: Repeat,
+    #[serde(rename = "repeat")]
+    pub retry_policy: RetryPolicy,
     /// The default priority of requests.
     #[serde(default)]
     pub priority: Priority,
@@ -73,7 +74,7 @@
             &ALLOW,
             &QUALITY,
             &COST_CAP,
-            &REPEAT,
+            &RETRY_POLICY,
             &PRIORITY,
             &DEADLINE,
             &MAX_TOKENS,
@@ -87,7 +88,7 @@
             allow: table.versions(&ALLOW).unwrap_or_default(),
             quality: table.fraction(&QUALITY),
             cost_cap: Money(table.whole(&COST_CAP)),
-            repeat: table.word(&REPEAT, &Repeat::WORDS),
+            retry_policy: table.word(&RETRY_POLICY, &RetryPolicy::WORDS),
             priority: table.word(&PRIORITY, &Priority::WORDS),
             deadline: table.duration(&DEADLINE),
             max_tokens: table.count(&MAX_TOKENS),
@@ -101,7 +102,7 @@
         check_versions(check, "allow", &self.allow);
         let unknown = |id: &&VersionId| !document.versions.contains_key(*id);
         for id in self.allow.iter().filter(unknown) {
-            let found = Found::Value(format!("`{id}`"));
+            let found = FaultKind::Value(format!("`{id}`"));
             check.add("allow", found, "a version that is configured".into());
         }
         if !validate::is_fraction(self.quality) {
@@ -130,14 +131,14 @@
     ) {
         let field = format!("customers.{customer}");
         if !document.customers.contains_key(customer) {
-            let found = Found::Value(format!("`{customer}`"));
+            let found = FaultKind::Value(format!("`{customer}`"));
             check.add(&field, found, "a customer that is configured".into());
         }
         let Some(allow) = &grant.allow else { return };
         let field = format!("{field}.allow");
         check_versions(check, &field, allow);
         for id in allow.iter().filter(|id| !self.allow.contains(id)) {
-            let found = Found::Value(format!("`{id}`"));
+            let found = FaultKind::Value(format!("`{id}`"));
             check.add(
                 &field,
                 found,
@@ -217,10 +218,10 @@
 
 fn check_versions(check: &mut EntryCheck, field: &str, versions: &[VersionId]) {
     if versions.is_empty() {
-        check.add(field, Found::Missing, Accepts::Versions.to_string());
+        check.add(field, FaultKind::Missing, Accepts::Versions.to_string());
     }
     if !validate::are_distinct(versions) {
-        let found = Found::Value("a version twice".into());
+        let found = FaultKind::Value("a version twice".into());
         check.add(field, found, Accepts::Versions.to_string());
     }
 }
@@ -249,8 +250,9 @@
     about: "what one request may cost at most, in microcents",
 };
 
-const REPEAT: Key =
-    Repeat::key("whether a request may run again; `at_most_once` for what must not be doubled");
+const RETRY_POLICY: Key = RetryPolicy::key(
+    "whether a request may run again; `at_most_once` for what must not be doubled",
+);
 
 const PRIORITY: Key = Priority::key("the priority of a request that states none");
 
--- a/crates/config/src/repeat.rs
+++ b/crates/config/src/retry_policy.rs
@@ -8,7 +8,7 @@
 /// Whether a request may be sent again when the outcome of an attempt is unknown.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// The request may run twice, so it may be retried and hedged.
     #[display("idempotent")]
     Idempotent,
@@ -17,7 +17,7 @@
     AtMostOnce,
 }
 
-impl Repeat {
+impl RetryPolicy {
     pub(crate) const WORDS: [(&str, Self); 2] = [
         ("idempotent", Self::Idempotent),
         ("at_most_once", Self::AtMostOnce),
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -7,7 +7,7 @@
 use crate::entry_check::EntryCheck;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
-use crate::{Document, Found, validate};
+use crate::{Document, FaultKind, validate};
 
 /// A roll-out that shifts the traffic of a version to a new one in steps. The
 /// document stores it under the id of the new version.
@@ -27,8 +27,8 @@
     pub step: usize,
     /// The revision at which the current step and state began; set by
     /// [`crate::Document::apply`].
-    #[serde(default)]
-    pub begun: Revision,
+    #[serde(rename = "begun", default)]
+    pub step_revision: Revision,
     /// The revision that last changed this entry; set by [`crate::Document::apply`].
     #[serde(default)]
     pub changed: Revision,
@@ -64,18 +64,18 @@
             steps: table.steps(&STEPS),
             state: table.word(&STATE, &RolloutState::WORDS),
             step: table.size(&STEP),
-            begun: Revision(0),
+            step_revision: Revision(0),
             changed: Revision(0),
         }
     }
 
     pub(crate) fn check(&self, check: &mut EntryCheck, id: &VersionId, document: &Document) {
         if !document.versions.contains_key(id) {
-            let found = Found::Value(format!("`{id}`"));
+            let found = FaultKind::Value(format!("`{id}`"));
             check.add("name", found, "a version that is configured".into());
         }
         if !document.versions.contains_key(&self.replaces) || self.replaces == *id {
-            let found = Found::Value(format!("`{}`", self.replaces));
+            let found = FaultKind::Value(format!("`{}`", self.replaces));
             check.add(
                 "replaces",
                 found,
@@ -86,7 +86,7 @@
             check.report_value(&STEPS, format_args!("{:?}", self.steps));
         }
         if self.step >= self.steps.len() {
-            let found = Found::Value(self.step.to_string());
+            let found = FaultKind::Value(self.step.to_string());
             check.add(
                 "step",
                 found,
@@ -107,7 +107,7 @@
             it.state.is_open() && it.replaces == self.replaces && it.changed <= self.changed
         };
         if let Some((other, _)) = others.find(|(_, it)| overlaps(it)) {
-            let found = Found::Value(format!("`{}`", self.replaces));
+            let found = FaultKind::Value(format!("`{}`", self.replaces));
             let accepted = format!("a version that the roll-out of {other} doesn't replace now");
             check.add("replaces", found, accepted);
         }
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -8,7 +8,7 @@
 use crate::entry_check::EntryCheck;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
-use crate::{Found, Priority, Repeat, validate};
+use crate::{FaultKind, Priority, RetryPolicy, validate};
 
 /// A plain service, that is, one that isn't a model engine: its timeouts and routes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -75,7 +75,7 @@
         check.duration(&FIRST_BYTE, self.first_byte);
         check.duration(&TOTAL, self.total);
         if self.first_byte > self.total {
-            let found = Found::Value(self.first_byte.as_millis().to_string());
+            let found = FaultKind::Value(self.first_byte.as_millis().to_string());
             check.add(FIRST_BYTE.name, found, "no more than `total_ms`".into());
         }
         for (idx, route) in self.routes.iter().enumerate() {
@@ -83,7 +83,7 @@
             let earlier = &self.routes[..idx];
             let same = |it: &Route| it.method == route.method && it.prefix == route.prefix;
             if earlier.iter().any(same) {
-                let found = Found::Value(format!("{} {}", route.method, route.prefix));
+                let found = FaultKind::Value(format!("{} {}", route.method, route.prefix));
                 let accepted = "each method and prefix once".into();
                 check.add(format!("routes[{idx}]"), found, accepted);
             }
@@ -108,7 +108,8 @@
     /// The path prefix. It matches whole segments only.
     pub prefix: String,
     /// The retry policy of the calls.
-    pub repeat: Repeat,
+    #[serde(rename = "repeat")]
+    pub retry_policy: RetryPolicy,
     /// The default priority of the calls.
     #[serde(default)]
     pub priority: Priority,
@@ -122,7 +123,7 @@
         name: "routes",
         about: "calls with one method below one path",
         shape: Shape::List,
-        keys: &[&METHOD, &PREFIX, &REPEAT, &PRIORITY],
+        keys: &[&METHOD, &PREFIX, &RETRY_POLICY, &PRIORITY],
         sections: &[],
     };
 
@@ -130,14 +131,14 @@
         Self {
             method: table.text(&METHOD),
             prefix: table.text(&PREFIX),
-            repeat: table.word(&REPEAT, &Repeat::WORDS),
+            retry_policy: table.word(&RETRY_POLICY, &RetryPolicy::WORDS),
             priority: table.word(&PRIORITY, &Priority::WORDS),
         }
     }
 
     fn check(&self, check: &mut EntryCheck, idx: usize) {
         let mut refuse = |key: &Key, value: &str| {
-            let found = Found::Value(format!("{value:?}"));
+            let found = FaultKind::Value(format!("{value:?}"));
             let field = format!("routes[{idx}].{}", key.name);
             check.add(field, found, key.accepts.to_string());
         };
@@ -192,6 +193,6 @@
     about: "the beginning of their paths, which ends at a whole segment",
 };
 
-const REPEAT: Key = Repeat::key("whether such a call may run again");
+const RETRY_POLICY: Key = RetryPolicy::key("whether such a call may run again");
 
 const PRIORITY: Key = Priority::key("the priority of a call that states none");
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -5,10 +5,10 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-use crate::Found;
+use crate::FaultKind;
 use crate::schema::Section;
 use crate::table::Table;
-use crate::{Fault, Faults, Place};
+use crate::{Fault, FaultLocation, Faults};
 
 /// A TOML text that is being parsed, with the faults found so far.
 pub(crate) struct Source<'a> {
@@ -36,14 +36,19 @@
         let (root, errors) = DeTable::parse_recoverable(text);
         for error in &errors {
             let offset = error.span().map_or(0, |span| span.start);
-            source.add(offset, String::new(), Found::Syntax, error.message().into());
+            source.add(
+                offset,
+                String::new(),
+                FaultKind::Syntax,
+                error.message().into(),
+            );
         }
         let value = read(&Table::root(&source, root.get_ref(), section));
         source.finish(value)
     }
 
-    pub(crate) fn add(&self, offset: usize, field: String, found: Found, accepted: String) {
-        let place = Place::Line {
+    pub(crate) fn add(&self, offset: usize, field: String, found: FaultKind, accepted: String) {
+        let place = FaultLocation::Line {
             file: self.file.to_owned(),
             line: self.line(offset),
         };
@@ -76,12 +81,12 @@
         }
         // After a syntax error, a key that seems missing may be in the text that
         // wasn't parsed.
-        if faults.iter().any(|fault| fault.found == Found::Syntax) {
-            faults.retain(|fault| fault.found != Found::Missing);
+        if faults.iter().any(|fault| fault.found == FaultKind::Syntax) {
+            faults.retain(|fault| fault.found != FaultKind::Missing);
         }
         faults.sort_by_key(|fault| match &fault.place {
-            Place::Line { line, .. } => *line,
-            Place::Entry(_) => 0,
+            FaultLocation::Line { line, .. } => *line,
+            FaultLocation::Entry(_) => 0,
         });
         Err(Faults(faults))
     }
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -8,7 +8,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-use crate::Found;
+use crate::FaultKind;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::source::Source;
 use crate::validate;
@@ -215,7 +215,7 @@
         };
         let field = format!("{}.{}", section.name, key.name);
         self.source
-            .add(offset, field, Found::Value(shown), accepted.to_owned());
+            .add(offset, field, FaultKind::Value(shown), accepted.to_owned());
     }
 
     /// Returns the value of a key as converted by `parse`. Returns `None` and
@@ -237,7 +237,7 @@
                 let field = self.path_of(key.name);
                 let accepted = key.accepts.to_string();
                 self.source
-                    .add(self.offset, field, Found::Missing, accepted);
+                    .add(self.offset, field, FaultKind::Missing, accepted);
             }
             return None;
         };
@@ -257,13 +257,13 @@
         self.source.add(
             value.span().start,
             self.path_of(key.name),
-            Found::Value(shown),
+            FaultKind::Value(shown),
             key.accepts.to_string(),
         );
     }
 
     fn report_value(&self, name: &str, value: &Spanned<DeValue<'_>>, accepted: &str) {
-        let found = Found::Value(self.source.show(value));
+        let found = FaultKind::Value(self.source.show(value));
         let field = self.path_of(name);
         self.source
             .add(value.span().start, field, found, accepted.to_owned());
@@ -303,7 +303,7 @@
             let field = self.path_of(name.get_ref());
             let accepted = suggest(name.get_ref(), &known);
             self.source
-                .add(name.span().start, field, Found::UnknownKey, accepted);
+                .add(name.span().start, field, FaultKind::UnknownKey, accepted);
         }
     }
 
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -1,6 +1,8 @@
 //! Changes of operators to one document: accepted, conflicting and rejected ones.
 
-use config::{Change, Document, Edit, File, Kind, Mode, Name, Refused, diff};
+use config::{
+    ApplyError, Change, ChangeMode, Document, Edit, EntryFile, EntryKind, EntryName, diff,
+};
 use datadriven::TestCase;
 use kernel::Revision;
 
@@ -12,15 +14,15 @@
                    repeat = \"idempotent\"\n[customers.desk]\n[customers.portal]\nallow = [\"oak@1\"]\n";
     let customer = |hash: &str| format!("key_blake3 = \"{}\"\n", hash.repeat(32));
     for (kind, name, text) in [
-        (Kind::Version, "oak@1", prices),
-        (Kind::Version, "oak@2", prices),
-        (Kind::Version, "fern@1", prices),
-        (Kind::Customer, "desk", &customer("0a")),
-        (Kind::Customer, "portal", &customer("0b")),
-        (Kind::Profile, "dossier", profile),
+        (EntryKind::Version, "oak@1", prices),
+        (EntryKind::Version, "oak@2", prices),
+        (EntryKind::Version, "fern@1", prices),
+        (EntryKind::Customer, "desk", &customer("0a")),
+        (EntryKind::Customer, "portal", &customer("0b")),
+        (EntryKind::Profile, "dossier", profile),
     ] {
-        let file = File::parse(kind, text, "start").expect("the initial entries are valid");
-        let edit = Edit::put(Name::new(kind, name), file.entry).expect("the kinds match");
+        let file = EntryFile::parse(kind, text, "start").expect("the initial entries are valid");
+        let edit = Edit::put(EntryName::new(kind, name), file.entry).expect("the kinds match");
         document = document
             .apply(&change(edit, 0))
             .expect("the initial entries are valid");
@@ -33,37 +35,40 @@
         id: "c1".into(),
         base: Revision(base),
         author: "salma".to_owned(),
-        mode: Mode::Guarded,
+        mode: ChangeMode::Guarded,
         edit,
     }
 }
 
-fn name_of(case: &mut TestCase) -> Name {
+fn name_of(case: &mut TestCase) -> EntryName {
     let kind: String = case.take_arg("kind").expect("a kind");
-    let kind = Kind::ALL.into_iter().find(|it| it.to_string() == kind);
+    let kind = EntryKind::ALL.into_iter().find(|it| it.to_string() == kind);
     let name: String = case.take_arg("name").expect("a name");
     // An argument can't contain `@`, so the scripts write `.` instead.
-    Name::new(kind.expect("a known kind"), &name.replace('.', "@"))
+    EntryName::new(kind.expect("a known kind"), &name.replace('.', "@"))
 }
 
 fn run(document: &mut Document, case: &mut TestCase) -> String {
     let name = name_of(case);
     let edit = match case.directive.as_str() {
         "put" => {
-            let file = File::parse(name.kind(), &case.input, "file.toml").expect("a valid file");
+            let file =
+                EntryFile::parse(name.kind(), &case.input, "file.toml").expect("a valid file");
             Edit::put(name.clone(), file.entry).expect("the kinds match")
         }
         "remove" => Edit::remove(name.clone()),
         "show" => {
             let entry = document.entry(&name);
-            return entry.map_or("absent\n".to_owned(), |entry| File::show(&name, &entry));
+            return entry.map_or("absent\n".to_owned(), |entry| {
+                EntryFile::show(&name, &entry)
+            });
         }
         other => panic!("unknown directive {other}"),
     };
     let base = case.take_arg("base").expect("a base revision");
     let mut change = change(edit, base);
     if case.take_flag("forced").expect("a flag") {
-        change.mode = Mode::Forced;
+        change.mode = ChangeMode::Forced;
     }
     match document.apply(&change) {
         Ok(next) => {
@@ -71,7 +76,7 @@
             *document = next;
             format!("revision {}\n{text}", document.revision)
         }
-        Err(Refused::Conflict(conflict)) => {
+        Err(ApplyError::Conflict(conflict)) => {
             let Change { edit, .. } = change;
             let proposed = match edit {
                 Edit::PutProfile(_, profile) => Some(profile.into()),
@@ -81,7 +86,7 @@
             let text = diff::entries(&name, conflict.current.as_ref(), proposed.as_ref());
             format!("conflict: {conflict}\n{text}")
         }
-        Err(Refused::Faults(faults)) => format!("{faults}\n"),
+        Err(ApplyError::Faults(faults)) => format!("{faults}\n"),
     }
 }
 
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -1,7 +1,7 @@
 //! Queries of documents, and changes to documents that have faults.
 
-use config::{Change, Edit, Mode, Repeat, Service};
-use config::{Document, Refused, Route};
+use config::{ApplyError, Document, Route};
+use config::{Change, ChangeMode, Edit, RetryPolicy, Service};
 use googletest::prelude::*;
 use kernel::{Customer, Revision};
 
@@ -54,27 +54,37 @@
 
 #[gtest]
 fn a_call_takes_the_route_with_the_longest_prefix_of_whole_segments() {
-    let route = |method: &str, prefix: &str, repeat| Route {
+    let route = |method: &str, prefix: &str, retry_policy| Route {
         method: method.to_owned(),
         prefix: prefix.to_owned(),
-        repeat,
+        retry_policy,
         priority: config::Priority::Urgent,
     };
     let service = Service {
         first_byte: std::time::Duration::from_secs(1),
         total: std::time::Duration::from_secs(1),
         routes: vec![
-            route("ANY", "/", Repeat::AtMostOnce),
-            route("ANY", "/holds", Repeat::Idempotent),
-            route("POST", "/holds", Repeat::AtMostOnce),
+            route("ANY", "/", RetryPolicy::AtMostOnce),
+            route("ANY", "/holds", RetryPolicy::Idempotent),
+            route("POST", "/holds", RetryPolicy::AtMostOnce),
         ],
         changed: Revision(1),
     };
-    let repeat = |method: &str, path: &str| service.route(method, path).map(|it| it.repeat);
-    expect_that!(repeat("GET", "/holds/7"), some(eq(Repeat::Idempotent)));
-    expect_that!(repeat("POST", "/holds"), some(eq(Repeat::AtMostOnce)));
-    expect_that!(repeat("GET", "/holdsall"), some(eq(Repeat::AtMostOnce)));
-    expect_that!(repeat("GET", "holds"), none());
+    let retry_policy =
+        |method: &str, path: &str| service.route(method, path).map(|it| it.retry_policy);
+    expect_that!(
+        retry_policy("GET", "/holds/7"),
+        some(eq(RetryPolicy::Idempotent))
+    );
+    expect_that!(
+        retry_policy("POST", "/holds"),
+        some(eq(RetryPolicy::AtMostOnce))
+    );
+    expect_that!(
+        retry_policy("GET", "/holdsall"),
+        some(eq(RetryPolicy::AtMostOnce))
+    );
+    expect_that!(retry_policy("GET", "holds"), none());
 }
 
 /// Guards against an upgrade that blocks all changes: a document accepted by an
@@ -93,13 +103,13 @@
         id: "c1".into(),
         base: Revision(0),
         author: "salma".to_owned(),
-        mode: Mode::Guarded,
+        mode: ChangeMode::Guarded,
         edit: Edit::PutService("tickets".into(), service),
     };
     expect_that!(document.apply(&change), ok(anything()));
     change.edit = Edit::PutProfile("dossier".into(), document.profiles["dossier"].clone());
     expect_that!(
         document.apply(&change),
-        err(matches_pattern!(Refused::Faults(_)))
+        err(matches_pattern!(ApplyError::Faults(_)))
     );
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,16 +1,16 @@
 //! Parsing and formatting of entry files, and the faults reported for them.
 
-use config::{File, Kind};
+use config::{EntryFile, EntryKind};
 
-fn check(kind: Kind, text: &str) -> String {
-    match File::parse(kind, text, "file.toml") {
+fn check(kind: EntryKind, text: &str) -> String {
+    match EntryFile::parse(kind, text, "file.toml") {
         Ok(file) => {
             let header = match (&file.name, file.revision) {
                 (Some(name), Some(revision)) => format!("{name} read at {revision}\n"),
                 _ => String::new(),
             };
-            let name = config::Name::new(kind, "some");
-            format!("{header}{}", File::show(&name, &file.entry))
+            let name = config::EntryName::new(kind, "some");
+            format!("{header}{}", EntryFile::show(&name, &file.entry))
         }
         Err(faults) => format!("{faults}\n"),
     }
@@ -20,7 +20,7 @@
 fn files_are_formatted_or_all_faults_are_reported() {
     datadriven::walk("tests/files", |file| {
         file.run(|case| {
-            let kind = Kind::ALL
+            let kind = EntryKind::ALL
                 .into_iter()
                 .find(|kind| kind.to_string() == case.directive);
             check(kind.expect("the directive is a kind"), &case.input)
--- a/crates/config/tests/pages.rs
+++ b/crates/config/tests/pages.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 
 use config::schema::{Fallback, Section, Shape};
-use config::{File, Kind, Settings};
+use config::{EntryFile, EntryKind, Settings};
 
 const SETTINGS: &str = include_str!("../../../docs/reference/settings.md");
 const PROFILES: &str = include_str!("../../../docs/reference/profiles.md");
@@ -73,8 +73,8 @@
 #[test]
 fn profiles_page_matches_the_schemas() {
     let mut known = 0;
-    for kind in Kind::ALL {
-        let section = File::schema(kind);
+    for kind in EntryKind::ALL {
+        let section = EntryFile::schema(kind);
         check(
             PROFILES,
             section,
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -1,7 +1,12 @@
 //! Properties of the parsers for arbitrary texts, and of arbitrary changes.
 
-use config::{Change, Document, Edit, Entry, File, Kind, Mode, Name, Refused, Settings};
-use config::{Customer, Grant, Priority, Profile, Repeat, Rollout, RolloutState, Service, Version};
+use config::{
+    ApplyError, Change, ChangeMode, Document, Edit, Entry, EntryFile, EntryKind, EntryName,
+    Settings,
+};
+use config::{
+    Customer, Grant, Priority, Profile, RetryPolicy, Rollout, RolloutState, Service, Version,
+};
 use config::{VersionState, WhenStale};
 use kernel::{Money, Revision, VersionId};
 use proptest::prelude::*;
@@ -37,7 +42,7 @@
             allow,
             quality,
             cost_cap: Money(cap),
-            repeat: Repeat::Idempotent,
+            retry_policy: RetryPolicy::Idempotent,
             priority: Priority::Interactive,
             deadline: std::time::Duration::from_secs(1),
             max_tokens: 10,
@@ -74,7 +79,7 @@
             steps: vec![0.5, 1.0],
             state: RolloutState::Running,
             step,
-            begun: Revision(77),
+            step_revision: Revision(77),
             changed: Revision(77),
         })
     });
@@ -90,12 +95,12 @@
 }
 
 /// Generates an edit of an entry, and whether its base is the entry's revision.
-fn edit() -> impl Strategy<Value = (Name, Option<Entry>, Mode, bool)> {
+fn edit() -> impl Strategy<Value = (EntryName, Option<Entry>, ChangeMode, bool)> {
     let name = prop::sample::select(vec!["oak@1", "oak@2", "fern@1", "desk", "portal"]);
-    let mode = prop::sample::select(vec![Mode::Guarded, Mode::Forced]);
+    let mode = prop::sample::select(vec![ChangeMode::Guarded, ChangeMode::Forced]);
     let kept = prop::option::weighted(0.8, Just(()));
     (name, entry(), mode, kept, any::<bool>()).prop_map(|(name, entry, mode, kept, fresh)| {
-        let name = Name::new(entry.kind(), name);
+        let name = EntryName::new(entry.kind(), name);
         (name, kept.map(|()| entry), mode, fresh)
     })
 }
@@ -103,11 +108,11 @@
 proptest! {
     #[test]
     fn parsers_accept_any_text_without_panic(text in text()) {
-        for kind in Kind::ALL {
-            let name = Name::new(kind, "some");
-            if let Ok(file) = File::parse(kind, &text, "file.toml") {
-                let shown = File::show(&name, &file.entry);
-                let reparsed = File::parse(kind, &shown, "shown.toml").expect("a valid file");
+        for kind in EntryKind::ALL {
+            let name = EntryName::new(kind, "some");
+            if let Ok(file) = EntryFile::parse(kind, &text, "file.toml") {
+                let shown = EntryFile::show(&name, &file.entry);
+                let reparsed = EntryFile::parse(kind, &shown, "shown.toml").expect("a valid file");
                 prop_assert_eq!(reparsed.entry, file.entry);
             }
             let _ = Entry::from_json(kind, text.as_bytes());
@@ -139,11 +144,11 @@
                     prop_assert_eq!(&reparsed, &next);
                     document = next;
                 }
-                Err(Refused::Conflict(conflict)) => {
+                Err(ApplyError::Conflict(conflict)) => {
                     prop_assert_eq!(conflict.current_revision, current);
                     prop_assert_ne!(base, current);
                 }
-                Err(Refused::Faults(faults)) => prop_assert!(!faults.is_empty()),
+                Err(ApplyError::Faults(faults)) => prop_assert!(!faults.is_empty()),
             }
         }
     }
--- a/crates/gate/src/operator.rs
+++ b/crates/gate/src/operator.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use config::{Commit, Document, Faults, Mode, Refused};
+use config::{ApplyError, ChangeMode, Commit, Document, Faults};
 use derive_more::Display;
 use kernel::{ChangeId, DataCentre, HostName, Incarnation, Revision, VersionId};
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
 
 /// The name of the header that names the author of a change.
 pub const AUTHOR: &str = "barleypin-author";
-/// The name of the header that sets the [`Mode`]: `guarded` or `forced`.
+/// The name of the header that sets the [`ChangeMode`]: `guarded` or `forced`.
 pub const MODE: &str = "barleypin-mode";
 
 const MAX_AUTHOR_BYTES: usize = 64;
@@ -70,10 +70,10 @@
     }
 }
 
-impl From<Refused> for Refusal {
-    fn from(refused: Refused) -> Self {
+impl From<ApplyError> for Refusal {
+    fn from(refused: ApplyError) -> Self {
         match refused {
-            Refused::Conflict(conflict) => Self {
+            ApplyError::Conflict(conflict) => Self {
                 current: conflict
                     .current
                     .as_ref()
@@ -81,7 +81,7 @@
                 current_revision: Some(conflict.current_revision),
                 ..Problem::not_run(Reason::Conflict, conflict.to_string()).into()
             },
-            Refused::Faults(faults) => Self {
+            ApplyError::Faults(faults) => Self {
                 problem: Problem::not_run(Reason::BadRequest, faults.to_string()),
                 current: None,
                 current_revision: None,
@@ -103,7 +103,7 @@
     pub author: String,
     /// Whether a withdrawal that leaves a profile or one of its customers without a
     /// version is refused.
-    pub mode: Mode,
+    pub mode: ChangeMode,
 }
 
 impl Condition {
@@ -138,7 +138,7 @@
                 .map(parse_author)
                 .transpose()?
                 .unwrap_or_default(),
-            mode: get(MODE).map_or(Ok(Mode::default()), parse_mode)?,
+            mode: get(MODE).map_or(Ok(ChangeMode::default()), parse_mode)?,
         })
     }
 }
@@ -269,10 +269,10 @@
     }
 }
 
-fn parse_mode(text: &str) -> Result<Mode, Problem> {
+fn parse_mode(text: &str) -> Result<ChangeMode, Problem> {
     match text {
-        "guarded" => Ok(Mode::Guarded),
-        "forced" => Ok(Mode::Forced),
+        "guarded" => Ok(ChangeMode::Guarded),
+        "forced" => Ok(ChangeMode::Forced),
         _ => Err(invalid_header(MODE, "expected `guarded` or `forced`")),
     }
 }
