--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
-//! Profiles, versions, customers, services and roll-outs, checked and
-//! revisioned, and the settings of a host.
+//! Validation and revisions of the fleet's configuration (versions, profiles,
+//! customers, services and roll-outs), and the settings of a host.
 //!
-//! The crate does no input or output: it turns text into checked values, and a
-//! [`Document`] and a [`Change`] into the next [`Document`] or a reason why not.
-//! The operators' reference is in docs/reference/profiles.md and
-//! docs/reference/settings.md; what the other crates rely on is in
+//! The crate does no input or output: it parses text into validated values, and
+//! applies a [`Change`] to a [`Document`], which gives the next [`Document`] or
+//! an error. The operators' reference is in docs/reference/profiles.md and
+//! docs/reference/settings.md; the guarantees for other crates are in
 //! docs/design/contracts.md.
 
 mod change;
@@ -17,31 +17,31 @@
 mod entry_check;
 mod fault;
 mod file;
-mod form;
 mod millis;
 mod name;
 mod priority;
 mod profile;
-mod repeat;
+mod retry_policy;
 mod rollout;
 pub mod schema;
 mod service;
 pub mod settings;
 mod source;
 mod table;
+mod validate;
 mod version;
 
-pub use change::{Change, Edit, Mode};
+pub use change::{Change, ChangeMode, Edit};
 pub use commit::{Action, Commit};
 pub use customer::Customer;
-pub use document::{Conflict, Document, Refused};
+pub use document::{ApplyError, Conflict, Document};
 pub use entry::Entry;
-pub use fault::{Fault, Faults, Found, Place};
-pub use file::File;
-pub use name::{Kind, Name};
+pub use fault::{Fault, FaultKind, FaultLocation, Faults};
+pub use file::EntryFile;
+pub use name::{EntryKind, EntryName};
 pub use priority::Priority;
 pub use profile::{Grant, Profile, WhenStale};
-pub use repeat::Repeat;
+pub use retry_policy::RetryPolicy;
 pub use rollout::{Rollout, RolloutState};
 pub use service::{Route, Service};
 pub use settings::Settings;
--- a/crates/config/src/name.rs
+++ b/crates/config/src/name.rs
@@ -1,16 +1,16 @@
-//! The name of an entry.
+//! Names and kinds of entries.
 
 use derive_more::Display;
 use kernel::{Customer, ProfileName, ServiceName, VersionId};
 use serde::{Deserialize, Serialize};
 
 use crate::schema::Accepts;
-use crate::{Fault, Found, Place, form};
+use crate::{Fault, FaultKind, FaultLocation, validate};
 
 /// The kind and name of an entry of the document.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind", content = "name")]
-pub enum Name {
+pub enum EntryName {
     /// A version.
     #[display("version {_0}")]
     Version(VersionId),
@@ -28,56 +28,56 @@
     Rollout(VersionId),
 }
 
-impl Name {
-    /// The name of an entry of that kind.
+impl EntryName {
+    /// Creates the name of an entry of that kind. The name isn't validated.
     #[must_use]
-    pub fn new(kind: Kind, name: &str) -> Self {
+    pub fn new(kind: EntryKind, name: &str) -> Self {
         match kind {
-            Kind::Version => Self::Version(name.into()),
-            Kind::Profile => Self::Profile(name.into()),
-            Kind::Customer => Self::Customer(name.into()),
-            Kind::Service => Self::Service(name.into()),
-            Kind::Rollout => Self::Rollout(name.into()),
+            EntryKind::Version => Self::Version(name.into()),
+            EntryKind::Profile => Self::Profile(name.into()),
+            EntryKind::Customer => Self::Customer(name.into()),
+            EntryKind::Service => Self::Service(name.into()),
+            EntryKind::Rollout => Self::Rollout(name.into()),
         }
     }
 
-    /// Whether it has the form of a name, which is also what a path can hold.
+    /// Checks that the name is valid. Valid names need no escaping in a path.
     ///
     /// # Errors
-    /// The fault, with the form that is accepted.
+    /// The fault, with a description of valid names.
     pub fn check(&self) -> Result<(), Fault> {
         let (fits, accepted) = match self {
             Self::Version(id) | Self::Rollout(id) => {
-                (form::is_version(id.as_str()), Accepts::Version)
+                (validate::is_version(id.as_str()), Accepts::Version)
             }
             Self::Profile(_) | Self::Customer(_) | Self::Service(_) => {
-                (form::is_name(self.as_str()), Accepts::Name)
+                (validate::is_name(self.as_str()), Accepts::Name)
             }
         };
         if fits {
             return Ok(());
         }
         Err(Fault {
-            place: Place::Entry(self.clone()),
+            place: FaultLocation::Entry(self.clone()),
             field: "name".to_owned(),
-            found: Found::Value(format!("{:?}", self.as_str())),
+            found: FaultKind::Value(format!("{:?}", self.as_str())),
             accepted: accepted.to_string(),
         })
     }
 
-    /// The kind of the entry.
+    /// Returns the kind of the entry.
     #[must_use]
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> EntryKind {
         match self {
-            Self::Version(_) => Kind::Version,
-            Self::Profile(_) => Kind::Profile,
-            Self::Customer(_) => Kind::Customer,
-            Self::Service(_) => Kind::Service,
-            Self::Rollout(_) => Kind::Rollout,
+            Self::Version(_) => EntryKind::Version,
+            Self::Profile(_) => EntryKind::Profile,
+            Self::Customer(_) => EntryKind::Customer,
+            Self::Service(_) => EntryKind::Service,
+            Self::Rollout(_) => EntryKind::Rollout,
         }
     }
 
-    /// The name without its kind.
+    /// Returns the name without its kind.
     #[must_use]
     pub fn as_str(&self) -> &str {
         match self {
@@ -89,9 +89,9 @@
     }
 }
 
-/// The kinds of entries, in the order in which the document keeps them.
+/// The kinds of entries, in the order of the document's fields.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum EntryKind {
     /// Versions.
     #[display("version")]
     Version,
@@ -109,7 +109,7 @@
     Rollout,
 }
 
-impl Kind {
+impl EntryKind {
     /// All kinds.
     pub const ALL: [Self; 5] = [
         Self::Version,
@@ -119,7 +119,7 @@
         Self::Rollout,
     ];
 
-    /// The plural that stands in paths (`/operator/v1/profiles/…`) and in the document.
+    /// Returns the plural in paths (`/operator/v1/profiles/…`) and in the document's fields.
     #[must_use]
     pub fn plural(self) -> &'static str {
         match self {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The kind that a path segment names.
+    /// Returns the kind with that plural, as in a path segment.
     #[must_use]
     pub fn from_plural(plural: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.plural() == plural)
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -1,4 +1,4 @@
-//! What is known of a plain service.
+//! Plain services and their routes.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 use crate::entry_check::EntryCheck;
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
-use crate::{Found, Priority, Repeat, form};
+use crate::{FaultKind, Priority, RetryPolicy, validate};
 
-/// A plain service beside the model engines, and which of its calls may run again.
+/// A plain service, that is, one that isn't a model engine: its timeouts and routes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The time to the first byte of the answer.
+    /// Timeout of the first byte of a response.
     #[serde(
         rename = "first_byte_ms",
         with = "crate::millis",
         default = "Service::default_first_byte"
     )]
     pub first_byte: Duration,
-    /// The time to the whole answer.
+    /// Timeout of a whole response.
     #[serde(
         rename = "total_ms",
         with = "crate::millis",
         default = "Service::default_total"
     )]
     pub total: Duration,
-    /// Its calls. The longest matching prefix decides; a call that no route
-    /// matches runs at most once.
+    /// The routes; see [`Service::route`]. A call that matches no route runs at
+    /// most once.
     #[serde(default)]
     pub routes: Vec<Route>,
     /// The revision that last changed this entry; set by [`crate::Document::apply`].
@@ -38,13 +38,13 @@
 }
 
 impl Service {
-    /// The time to the first byte for a service that names none, in milliseconds.
+    /// The default of `first_byte`, in milliseconds.
     pub const DEFAULT_FIRST_BYTE_MS: u64 = 2_000;
-    /// The time to the whole answer for a service that names none, in milliseconds.
+    /// The default of `total`, in milliseconds.
     pub const DEFAULT_TOTAL_MS: u64 = 10_000;
 
-    /// The route of a call: of those that match, the one with the longest
-    /// prefix, and among these the one that names the method.
+    /// Returns the route of a call: the match with the longest prefix. For equal
+    /// prefixes, a route with the call's method takes precedence over `ANY`.
     #[must_use]
     pub fn route(&self, method: &str, path: &str) -> Option<&Route> {
         self.routes
@@ -75,7 +75,7 @@
         check.duration(&FIRST_BYTE, self.first_byte);
         check.duration(&TOTAL, self.total);
         if self.first_byte > self.total {
-            let found = Found::Value(self.first_byte.as_millis().to_string());
+            let found = FaultKind::Value(self.first_byte.as_millis().to_string());
             check.add(FIRST_BYTE.name, found, "no more than `total_ms`".into());
         }
         for (idx, route) in self.routes.iter().enumerate() {
@@ -83,7 +83,7 @@
             let earlier = &self.routes[..idx];
             let same = |it: &Route| it.method == route.method && it.prefix == route.prefix;
             if earlier.iter().any(same) {
-                let found = Found::Value(format!("{} {}", route.method, route.prefix));
+                let found = FaultKind::Value(format!("{} {}", route.method, route.prefix));
                 let accepted = "each method and prefix once".into();
                 check.add(format!("routes[{idx}]"), found, accepted);
             }
@@ -99,30 +99,31 @@
     }
 }
 
-/// The calls of a service with one method below one path.
+/// A route of a service: the calls with one method and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// The method in upper case, or `ANY`.
     pub method: String,
-    /// The beginning of the path, which ends at a whole segment.
+    /// The path prefix. It matches whole segments only.
     pub prefix: String,
-    /// Whether such a call may run again.
-    pub repeat: Repeat,
-    /// The priority of a call that states none.
+    /// The retry policy of the calls.
+    #[serde(rename = "repeat")]
+    pub retry_policy: RetryPolicy,
+    /// The default priority of the calls.
     #[serde(default)]
     pub priority: Priority,
 }
 
 impl Route {
-    /// The method that stands for all methods.
+    /// The value of `method` that matches all methods.
     pub const ANY: &str = "ANY";
 
     const SECTION: Section = Section {
         name: "routes",
         about: "calls with one method below one path",
         shape: Shape::List,
-        keys: &[&METHOD, &PREFIX, &REPEAT, &PRIORITY],
+        keys: &[&METHOD, &PREFIX, &RETRY_POLICY, &PRIORITY],
         sections: &[],
     };
 
@@ -130,21 +131,21 @@
         Self {
             method: table.text(&METHOD),
             prefix: table.text(&PREFIX),
-            repeat: table.word(&REPEAT, &Repeat::WORDS),
+            retry_policy: table.word(&RETRY_POLICY, &RetryPolicy::WORDS),
             priority: table.word(&PRIORITY, &Priority::WORDS),
         }
     }
 
     fn check(&self, check: &mut EntryCheck, idx: usize) {
         let mut refuse = |key: &Key, value: &str| {
-            let found = Found::Value(format!("{value:?}"));
+            let found = FaultKind::Value(format!("{value:?}"));
             let field = format!("routes[{idx}].{}", key.name);
             check.add(field, found, key.accepts.to_string());
         };
-        if !form::is_method(&self.method) {
+        if !validate::is_method(&self.method) {
             refuse(&METHOD, &self.method);
         }
-        if !form::is_prefix(&self.prefix) {
+        if !validate::is_prefix(&self.prefix) {
             refuse(&PREFIX, &self.prefix);
         }
     }
@@ -192,6 +193,6 @@
     about: "the beginning of their paths, which ends at a whole segment",
 };
 
-const REPEAT: Key = Repeat::key("whether such a call may run again");
+const RETRY_POLICY: Key = RetryPolicy::key("whether such a call may run again");
 
 const PRIORITY: Key = Priority::key("the priority of a call that states none");
