--- a/crates/ledger/examples/measure.rs
+++ b/crates/ledger/examples/measure.rs
@@ -1,15 +1,15 @@
-//! Prints what the ledger costs a host: `cargo run --release -p ledger --example measure`.
+//! Prints the ledger's cost per host: `cargo run --release -p ledger --example measure`.
 
 use kernel::SystemClock;
 use ledger::measure::{self, Load};
 
-/// The size of a page of memory on the machines that this runs on.
+/// Size of a memory page in bytes.
 const PAGE: usize = 4096;
 const HELD: usize = 20_000;
 
 fn main() {
-    // Memory first, and nothing is freed in between: what an allocator has
-    // kept from earlier work would hide what is measured.
+    // Measures memory before anything else and frees nothing in between, because the allocator
+    // would reuse freed memory and hide the growth.
     let held = show("records and as many copies", || measure::outage(HELD));
     let remembering = show("remembered keys", || measure::remembering(HELD));
     times();
@@ -47,7 +47,7 @@
     }
 }
 
-/// The resident memory of this process in bytes.
+/// Returns the resident memory of this process in bytes.
 fn resident() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1);
--- a/crates/ledger/src/action.rs
+++ b/crates/ledger/src/action.rs
@@ -1,4 +1,4 @@
-//! What the ledger wants done.
+//! Actions that the ledger requests from the daemon.
 
 use std::time::Duration;
 
@@ -6,112 +6,111 @@
 
 use crate::{Message, Outcome, Refusal, Run, table};
 
-/// One thing that the daemon performs for the ledger.
+/// An action that the daemon performs for the ledger.
 ///
-/// Every arrival gets exactly one of [`Action::Permit`], [`Action::Replay`],
-/// [`Action::Forward`] and [`Action::Refuse`]; every permit that was ended
-/// gets exactly one of [`Action::Release`] and [`Action::Close`].
+/// Every arrival gets exactly one of [`Action::Permit`], [`Action::Replay`], [`Action::Forward`]
+/// and [`Action::Refuse`]. Every permitted request that was reported as finished gets exactly one
+/// of [`Action::Release`] and [`Action::Close`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The request may be dispatched; the daemon reports each attempt and the end.
+    /// Dispatch the request. The daemon reports each attempt and the end.
     Permit {
         /// The request that arrived.
         request: RequestId,
     },
-    /// The request was run before: its answer is repeated, nothing is billed.
+    /// Send the stored response of an earlier run. Nothing is billed.
     Replay {
         /// The request that arrived.
         request: RequestId,
-        /// The answer of the first run.
+        /// The response of the first run.
         outcome: Outcome,
     },
-    /// The whole call is passed to its home, which alone may run it.
+    /// Forward the whole call to its home, the only incarnation that may run it.
     Forward {
         /// The request that arrived.
         request: RequestId,
-        /// The incarnation whose ticket the caller presented.
+        /// The incarnation that minted the caller's ticket.
         home: Incarnation,
     },
-    /// The request isn't dispatched.
+    /// Refuse the request without dispatching it.
     Refuse {
         /// The request that arrived.
         request: RequestId,
-        /// Why, and what is known about its execution.
+        /// The reason, and whether the request may have run.
         refusal: Refusal,
     },
-    /// The end of the answer may go out.
+    /// Send the end of the response, which was held back until its billing record was safe.
     Release {
         /// The request that was answered.
         request: RequestId,
-        /// Where its billing record is held by now.
+        /// Where the billing record is stored.
         safety: Safety,
     },
-    /// A permitted request ended without an answer.
+    /// Close a permitted request that ended without a response.
     Close {
         /// The request that was permitted.
         request: RequestId,
-        /// What its refusal has to say about its execution.
+        /// Whether the request may have run, to be reported in its refusal.
         run: Run,
     },
-    /// A message to the ledger of another host.
+    /// Send a message to the ledger of another host.
     Send {
-        /// The incarnation it is for.
+        /// The incarnation of the receiver.
         to: Incarnation,
-        /// The message, to be sent once; the ledger repeats what matters.
+        /// The message. It is sent once; the ledger itself retries where delivery matters.
         message: Message,
     },
-    /// A transaction on the table.
+    /// Run a transaction on the table.
     Transact {
-        /// Named again in [`crate::Event::Transacted`].
+        /// Identifies the operation in [`crate::Event::Transacted`].
         op: table::Op,
-        /// What to write and under which conditions.
+        /// The writes and their conditions.
         transaction: table::Transaction,
     },
-    /// One row of the table is needed.
+    /// Read one row of the table.
     Read {
-        /// Named again in [`crate::Event::Read`].
+        /// Identifies the operation in [`crate::Event::Read`].
         op: table::Op,
         /// The row's key.
         key: String,
     },
-    /// A range of rows is needed.
+    /// Read a range of rows.
     Scan {
-        /// Named again in [`crate::Event::Scanned`].
+        /// Identifies the operation in [`crate::Event::Scanned`].
         op: table::Op,
-        /// What the rows' keys begin with.
+        /// The common prefix of the rows' keys.
         prefix: String,
-        /// The key after which the range begins.
+        /// The exclusive lower bound of the rows' keys.
         after: String,
-        /// How many rows at most.
+        /// The maximum number of rows.
         limit: usize,
     },
-    /// Another host fenced this incarnation: the process has to take a new one
-    /// and report it by [`crate::Event::Renew`].
+    /// Take a new incarnation and report it by [`crate::Event::Renew`], because another host fenced
+    /// this one.
     Retire {
         /// The fenced incarnation.
         fenced: Incarnation,
     },
-    /// Nothing is held any more: the process may end.
+    /// The drain is complete: the process may exit.
     Drained,
-    /// [`crate::Event::Tick`] is wanted at this time, sooner than asked for before.
+    /// Send [`crate::Event::Tick`] at this time, which is earlier than requested before.
     Wake {
         /// Monotonic time of this process.
         at: Duration,
     },
 }
 
-/// Where the billing record of an answered request is held when the end of
-/// its answer goes out.
+/// Where the billing record of a request is stored when the end of its response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Safety {
-    /// On this host and on one in another data centre.
+    /// On this host and on a host in another data centre.
     TwoDataCentres,
-    /// On this host and on another one in the same data centre.
+    /// On this host and on another host in the same data centre.
     TwoHosts,
     /// In the table.
     Table,
-    /// On this host alone: neither a partner nor the table answered in time.
+    /// On this host only: neither another host nor the table confirmed it in time.
     SingleCopy,
-    /// The request was billed before; nothing had to be kept.
+    /// The request had been billed before, so no record had to be stored.
     Billed,
 }
--- a/crates/ledger/src/arrival.rs
+++ b/crates/ledger/src/arrival.rs
@@ -1,4 +1,4 @@
-//! A call as it arrives.
+//! An incoming call.
 
 use std::sync::Arc;
 
@@ -8,22 +8,25 @@
 
 use crate::Ticket;
 
-/// A call as it arrives, before anything was decided about it.
+/// An incoming call, before any decision about it.
+///
+/// One request may arrive several times, at one host or at several; each arrival is a call of its
+/// own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// This host's name for it.
+    /// The identifier of this arrival on this host.
     pub request: RequestId,
-    /// The customer on whose account it runs.
+    /// The customer that is billed.
     pub customer: Customer,
     /// The caller's idempotency key.
     pub key: Option<Arc<str>>,
-    /// The ticket that came with the key, its signature checked.
+    /// The ticket that came with the key. Its signature has been verified.
     pub ticket: Option<Ticket>,
-    /// What it asks for, so that a key used twice for different bodies is noticed.
+    /// The hash of path and body, which detects a key that is reused for another body.
     pub fingerprint: Fingerprint,
-    /// Whether a second run does harm.
+    /// Whether the request may run a second time.
     pub repeat: Repeat,
-    /// Who brought it.
+    /// The sender of the call.
     pub via: Via,
 }
 
@@ -33,21 +36,21 @@
 #[serde(transparent)]
 pub struct Fingerprint(pub u64);
 
-/// Whether a call may run a second time.
+/// Whether a request may run a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Repeat {
-    /// A second run does no harm and is billed with the first one.
+    /// A second run is harmless, and both runs are billed once.
     Idempotent,
-    /// It runs at most once, such as a booking or a catalogue entry.
+    /// It runs at most once, such as a booking.
     NonIdempotent,
 }
 
-/// Who brought a call to this host.
+/// The sender of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Via {
     /// The caller.
     Caller,
-    /// Another host, on [`crate::Action::Forward`]. It isn't forwarded again,
-    /// so that hosts with different views can't pass a call in a circle.
+    /// Another host, after [`crate::Action::Forward`]. Such a call isn't forwarded again, so hosts
+    /// with different membership views can't forward a call in a loop.
     Peer,
 }
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -1,4 +1,4 @@
-//! What is remembered of the keys that this host decides about.
+//! The idempotency keys that this host decides about.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -10,43 +10,43 @@
 use crate::{Fingerprint, Outcome, Serial};
 
 new_key_type! {
-    /// A remembered key.
+    /// Identifies a remembered key.
     pub(crate) struct EntryKey;
 }
 
-/// What is remembered of one key.
+/// The state of one key.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) key: RequestKey,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) state: State,
-    /// The claim's nonce, if the key is decided in the table.
+    /// The claim in the table, for a key without a ticket.
     pub(crate) claim: Option<Claiming>,
-    /// How many permitted calls there are of it.
+    /// The number of permitted calls that haven't ended.
     pub(crate) running: u32,
-    /// How many attempts of all its calls may have run.
+    /// The number of attempts that may have run, over all calls.
     pub(crate) sent: u32,
-    /// The record that bills it.
+    /// The serial of the record that bills the key.
     pub(crate) billed: Option<Serial>,
-    /// Whether the table says that its outcome is unknown.
+    /// Whether the claim's row says that the outcome is unknown.
     pub(crate) marked: bool,
     pub(crate) waiters: VecDeque<CallKey>,
-    /// How long it is remembered at least.
+    /// The earliest time at which the key may be forgotten.
     until: Duration,
 }
 
-/// What came of a key.
+/// The execution state of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum State {
-    /// Its claim is being written.
+    /// The claim is being written.
     Claiming,
-    /// Nothing of it ever ran: it may run.
+    /// No attempt has run, so a call may start.
     Free,
-    /// It is running.
+    /// A call is running.
     Running,
-    /// It was answered.
+    /// A call ran to a response.
     Answered(Option<Outcome>),
-    /// It was sent and never answered: it may have run.
+    /// An attempt was sent and got no response, so it may have run.
     Unknown,
 }
 
@@ -54,11 +54,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Claiming {
     pub(crate) nonce: u64,
-    /// When the claim's write is given up.
+    /// The time at which the claim's write is abandoned.
     pub(crate) until: Duration,
 }
 
-/// The remembered keys, with a bound on the bytes of their answers.
+/// The remembered keys. The bytes of their stored responses are limited.
 #[derive(Debug, Default)]
 pub(crate) struct Book {
     entries: SlotMap<EntryKey, Entry>,
@@ -66,7 +66,7 @@
     expiries: BTreeSet<(Duration, EntryKey)>,
     answered: VecDeque<EntryKey>,
     outcome_bytes: usize,
-    /// The highest record number among the forgotten keys.
+    /// The highest billing serial among the forgotten keys.
     forgotten: Serial,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether any arrival of the key was sent, or may yet be.
+    /// Whether any attempt of the key was sent or may still be sent.
     pub(crate) fn may_have_run(&self) -> bool {
         self.sent > 0 || self.running > 0
     }
@@ -118,7 +118,7 @@
         self.entries.get_mut(entry)
     }
 
-    /// Forgets an entry for which nothing ever ran.
+    /// Removes an entry without recording its billing serial.
     pub(crate) fn remove(&mut self, entry: EntryKey) -> Option<Entry> {
         let removed = self.entries.remove(entry)?;
         self.keys.remove(&removed.key);
@@ -128,7 +128,7 @@
         Some(removed)
     }
 
-    /// Keeps the answer of `entry`, and drops the oldest answers beyond `total` bytes.
+    /// Stores the response of `entry`, and drops the oldest stored responses beyond `total` bytes.
     pub(crate) fn answer(&mut self, entry: EntryKey, outcome: Option<Outcome>, total: usize) {
         let Some(it) = self.entries.get_mut(entry) else {
             return;
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Takes one entry whose time to be remembered is over. It is removed by
-    /// [`Book::forget`] or put back by [`Book::extend`].
+    /// Returns one entry whose retention time is over. The caller must then call [`Book::forget`]
+    /// or [`Book::extend`] for it.
     pub(crate) fn take_expired(&mut self, now: Duration) -> Option<EntryKey> {
         loop {
             let &(at, entry) = self.expiries.first().filter(|(at, _)| *at <= now)?;
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Remembers an entry until then at least.
+    /// Extends the retention time of an entry to at least `until`.
     pub(crate) fn extend(&mut self, entry: EntryKey, until: Duration) {
         let Some(it) = self.entries.get_mut(entry) else {
             return;
@@ -188,14 +188,14 @@
         }
     }
 
-    /// Forgets an entry, but not that keys of its age have been forgotten.
+    /// Removes an entry and records its billing serial; see [`Book::is_whole_since`].
     pub(crate) fn forget(&mut self, entry: EntryKey) {
         if let Some(removed) = self.remove(entry) {
             self.forgotten = self.forgotten.max(removed.billed.unwrap_or_default());
         }
     }
 
-    /// Whether every key that was billed under a number from `floor` on is still remembered.
+    /// Whether every key that was billed at serial `floor` or later is still remembered.
     pub(crate) fn is_whole_since(&self, floor: Serial) -> bool {
         self.forgotten < floor
     }
--- a/crates/ledger/src/calls.rs
+++ b/crates/ledger/src/calls.rs
@@ -12,7 +12,7 @@
 use crate::{Arrival, Fingerprint, Repeat, Run, Serial, Via};
 
 new_key_type! {
-    /// A call that has arrived and not ended.
+    /// Identifies a call.
     pub(crate) struct CallKey;
 }
 
@@ -25,36 +25,35 @@
     pub(crate) fingerprint: Fingerprint,
     pub(crate) repeat: Repeat,
     pub(crate) via: Via,
-    /// From where the home's batches may hold a record of the key.
+    /// The lowest serial that a record of the key can have in the home's batches.
     pub(crate) floor: Serial,
     pub(crate) entry: Option<EntryKey>,
     pub(crate) stage: Stage,
 }
 
-/// Where it is decided whether a key was run before.
+/// Which host or store decides whether a key may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scope {
-    /// Nowhere: the call has no key, so no other arrival is the same request.
+    /// None: the call has no key, so no other arrival is the same request.
     Keyless,
-    /// Here: the ticket is of this incarnation and starts calls until then.
+    /// This incarnation, which minted the ticket. The ticket starts no call from `expires` on.
     Home { expires: Duration },
-    /// At the incarnation of the ticket.
+    /// The incarnation that minted the ticket.
     Foreign { expires: Duration },
-    /// In the table.
+    /// The table, by a claim.
     Unticketed,
 }
 
-/// How far a call is.
+/// The processing stage of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It waits for what becomes of its key's entry.
+    /// Waiting for a decision about its key.
     Waiting,
-    /// The claim's row is read for the answer of an earlier run.
+    /// Reading the claim's row for the response of an earlier run.
     Reading,
-    /// Its home has it.
+    /// Forwarded to its home.
     Forwarded,
-    /// It may be dispatched. The number is of the attempts that were sent and
-    /// aren't proved not to have run.
+    /// Permitted. `sent` counts the attempts that were sent and aren't proved not to have run.
     Permitted { sent: u32 },
 }
 
@@ -98,12 +97,11 @@
         }
     }
 
-    /// What is known about the execution of the call's key at other arrivals.
+    /// Whether the request may have run at any arrival of its key, this call's own attempts aside.
     ///
-    /// It is `not_run` only where every arrival of the key that may run is
-    /// known here: a call without a key has no other, and a key that is
-    /// decided by this host runs nowhere else. An idempotent call runs
-    /// wherever it arrives, so nothing is proved about it.
+    /// Returns [`Run::NotRun`] only if this host knows every arrival that may run: a call without a
+    /// key has no other arrival, and a key that this host decides about runs nowhere else. An
+    /// idempotent call may run at any host, so nothing can be proved about it.
     pub(crate) fn run(&self, book: &Book) -> Run {
         let decided = match (self.scope, self.repeat) {
             (Scope::Keyless, _) => return Run::NotRun,
@@ -127,13 +125,12 @@
     }
 }
 
-/// What makes two arrivals the same request.
+/// Returns the name that identifies the request among all arrivals.
 ///
-/// Idempotent calls are the same only when their bodies are: a key that is
-/// used again for another body there names another request, which is billed
-/// by itself. No host has to know of the other to tell. The parts of a row's
-/// key are split at `/`, so the two are joined by a `~`, and one that the
-/// caller wrote is doubled: else a booking could be named like a chat.
+/// The name of an idempotent call includes the fingerprint, so a key that is reused for another
+/// body is another request with its own bill, and no host has to know of the other call. The
+/// separator is `~`, because `/` separates the parts of a row's key. A `~` in the caller's key is
+/// doubled, so that a key of an at-most-once call can't equal the name of an idempotent one.
 fn name(arrival: &Arrival) -> Arc<str> {
     match (&arrival.key, arrival.repeat) {
         (None, _) => arrival.request.as_str().into(),
--- a/crates/ledger/src/chores.rs
+++ b/crates/ledger/src/chores.rs
@@ -1,4 +1,4 @@
-//! Rows of claims that are brought up to date when there is time.
+//! Background updates of claim rows.
 
 use std::collections::VecDeque;
 
@@ -10,11 +10,10 @@
 use crate::timers::Timer;
 use crate::{Fingerprint, rows};
 
-/// How many claims are marked in one transaction.
+/// Maximum number of claims that one transaction marks as unknown.
 const MARKED: usize = 100;
 
-/// Rows of claims that are brought up to date when there is time. Nobody
-/// waits for it, and it is done one step at a time.
+/// Background updates of claim rows, one operation at a time. No caller waits for them.
 #[derive(Debug, Default)]
 pub(crate) struct Chores {
     marks: VecDeque<Mark>,
@@ -23,15 +22,15 @@
     waits: bool,
 }
 
-/// A claim whose outcome nobody will ever know: its row says so, so that the
-/// key may be forgotten here.
+/// A claim whose outcome is permanently unknown. Once its row says so, this host may forget the
+/// key.
 #[derive(Clone, Debug)]
 struct Mark {
     key: RequestKey,
     fingerprint: Fingerprint,
 }
 
-/// A claim under which nothing ran: its row is deleted, so that any host may run the key.
+/// A claim under which nothing ran. Its row is deleted, so that any host may run the key.
 #[derive(Clone, Debug)]
 struct Free {
     key: RequestKey,
@@ -57,7 +56,7 @@
         self.frees.push_back(Free { key, nonce });
     }
 
-    /// Its timer: the last try is long enough ago.
+    /// Ends the retry delay.
     pub(crate) fn resume(&mut self) {
         self.waits = false;
     }
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Takes the answer to a marking; gives the keys whose rows are marked.
+    /// Handles the result of a marking transaction. Returns the keys whose rows are marked.
     pub(crate) fn marked(&mut self, cx: &mut Cx, result: &Written) -> Vec<RequestKey> {
         let Some(Busy::Marking(marks)) = self.busy.take() else {
             return Vec::new();
@@ -92,10 +91,10 @@
         Vec::new()
     }
 
-    /// Takes the row of a claim that is to be deleted.
+    /// Handles the row of a claim that is to be deleted.
     ///
-    /// It is deleted only at the version at which it was read: this host may
-    /// have claimed the key again meanwhile, under another nonce.
+    /// The deletion requires the version that was read: this host may have claimed the key again
+    /// since, under another nonce.
     pub(crate) fn read(&mut self, cx: &mut Cx, result: Result<Option<Row>, Unavailable>) {
         let Some(Busy::Freeing(free)) = self.busy.take() else {
             return;
@@ -119,7 +118,7 @@
         self.busy = Some(Busy::Freeing(free));
     }
 
-    /// Takes the answer to a deletion.
+    /// Handles the result of a deletion.
     pub(crate) fn freed(&mut self, cx: &mut Cx, result: &Written) {
         let Some(Busy::Freeing(free)) = self.busy.take() else {
             return;
--- a/crates/ledger/src/core.rs
+++ b/crates/ledger/src/core.rs
@@ -1,4 +1,4 @@
-//! The parts of the ledger, and which of them takes which event.
+//! The components of the ledger, and the routing of events to them.
 
 use kernel::Incarnation;
 
@@ -14,7 +14,7 @@
 use crate::writer::{Finding, Writer};
 use crate::{Action, Event, Message, Peer};
 
-/// The parts of the ledger.
+/// The components of the ledger.
 #[derive(Debug, Default)]
 pub(crate) struct Core {
     pub(crate) peers: Peers,
@@ -83,12 +83,12 @@
             Timer::Chore => self.intake.chores.resume(),
             Timer::Ask => self.vault.ask(cx, &self.peers),
             Timer::Sweep => self.intake.sweep(cx, &self.holdings),
-            // What is due then is found by the pump.
+            // These only cause the call of `pump`, which finds the due work.
             Timer::Flush | Timer::Partners => {}
         }
     }
 
-    /// Moves on whatever can move.
+    /// Starts all work that is due.
     fn pump(&mut self, cx: &mut Cx) {
         let urgent = self.holdings.copy(cx, &self.peers);
         self.writer.pump(cx, &self.peers, &self.holdings, urgent);
@@ -112,7 +112,8 @@
         self.holdings.review(cx, &self.peers);
     }
 
-    /// Sees to the copies of an owner once it has been gone for long enough.
+    /// Arms the timer after which the copies of a missing owner are taken over, or disarms it if
+    /// the owner is alive. A draining host takes them over at once.
     fn watch(&mut self, cx: &mut Cx, owner: Incarnation) {
         if self.peers.is_live(owner) {
             cx.shared.timers.disarm(Timer::Orphan(owner));
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Takes the records of an owner that is gone as this host's own: they
-    /// are copied on to a partner and settled under the homes of their keys.
+    /// Takes over the records of an owner that is gone: they are copied to another host and settled
+    /// under the homes of their keys.
     fn inherit(&mut self, cx: &mut Cx, owner: Incarnation) {
         let mut later = Vec::new();
         for record in self.vault.take(owner) {
@@ -157,8 +158,8 @@
         self.give_back(cx);
     }
 
-    /// A home that was taken for gone and isn't fenced turns out to live:
-    /// its records are its own again, and copies here.
+    /// Returns inherited records to homes that are alive after all and weren't fenced. They become
+    /// copies again.
     fn give_back(&mut self, cx: &mut Cx) {
         for home in self.holdings.homes() {
             if cx.shared.may_adopt(&self.peers, home) {
@@ -261,15 +262,15 @@
         } else {
             cx.table_failed();
         }
-        // Without the table, records are handed over to more than one host.
+        // The number of copies that a draining host needs depends on whether the table is
+        // available.
         if cx.shared.draining && before != cx.table_out() {
             self.holdings.requeue(cx, |_| true);
         }
     }
 
-    /// Another host has fenced this incarnation: it was cut off or frozen for
-    /// long enough to be taken for dead. It writes no batch any more, since
-    /// none would take effect, and settles what it holds like everyone else.
+    /// Handles a fence on this incarnation, set by a host that took this one for dead. No further
+    /// batch would be applied, so all records are settled one by one.
     fn found(&mut self, cx: &mut Cx, finding: Finding) {
         if finding == Finding::None {
             return;
@@ -299,7 +300,7 @@
         }
     }
 
-    /// Whether nothing depends on this process any more.
+    /// Whether no other host and no caller depends on this process any more.
     fn is_drained(&self, cx: &Cx) -> bool {
         let out = cx.table_out();
         let chores = out || self.intake.chores.is_empty();
--- a/crates/ledger/src/cx.rs
+++ b/crates/ledger/src/cx.rs
@@ -1,4 +1,4 @@
-//! What every part of the ledger needs while it handles an event.
+//! The context of an event handler.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,20 +14,20 @@
 use crate::timers::{Timer, Timers};
 use crate::{Action, Message, Reason, Refusal, Run, Serial, Tuning, rows};
 
-/// How many writes in a row must fail before the table counts as out.
+/// Number of consecutive failed operations after which the table counts as unavailable.
 const FAILURES: u32 = 2;
 
-/// How long a refused caller is asked to wait where nothing better is known.
+/// The delay that a refused caller is asked to wait.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// State that the parts share.
+/// State that the components share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) me: Incarnation,
     pub(crate) data_centre: DataCentre,
     pub(crate) tuning: Tuning,
     pub(crate) draining: bool,
-    /// Incarnations whose fence is known to be in the table.
+    /// Incarnations known to be fenced in the table.
     pub(crate) fenced: BTreeSet<Incarnation>,
     /// Earlier incarnations of this process.
     pub(crate) former: BTreeSet<Incarnation>,
@@ -39,7 +39,7 @@
     nonce: u64,
 }
 
-/// What an operation on the table is for.
+/// The purpose of a table operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
     Claim(EntryKey),
@@ -55,7 +55,7 @@
     Free,
 }
 
-/// One event's time and actions, with the shared state.
+/// The context of one event: its time, the resulting actions, and the shared state.
 #[derive(Debug)]
 pub(crate) struct Cx<'a> {
     pub(crate) now: Duration,
@@ -86,14 +86,14 @@
         home == self.me && !self.fenced.contains(&home)
     }
 
-    /// Whether `home` is alive and sees to its own records.
+    /// Whether `home` is alive and can adopt its records itself.
     pub(crate) fn may_adopt(&self, peers: &Peers, home: Incarnation) -> bool {
         peers.is_live(home) && !self.is_closed(home) && !self.former.contains(&home)
     }
 
-    /// Whether no other host will ever write a batch of `home`, and `home` neither.
+    /// Whether no batch of `home` can be written any more, except by this process.
     ///
-    /// For this host's own incarnation the same process decides, so no fence is needed.
+    /// The current incarnation needs no fence, because the same process writes its batches.
     pub(crate) fn is_closed(&self, home: Incarnation) -> bool {
         home == self.me || self.fenced.contains(&home)
     }
@@ -145,12 +145,12 @@
         self.shared.timers.arm(self.now + after, timer);
     }
 
-    /// When a failed write is repeated.
+    /// The time of the next try of a failed write.
     pub(crate) fn retry_at(&self) -> Duration {
         self.now + self.shared.tuning.retry_interval
     }
 
-    /// A number that no other claim of this process has.
+    /// Returns a claim nonce that is unique within this process.
     pub(crate) fn nonce(&mut self) -> u64 {
         self.shared.nonce += 1;
         self.shared.nonce
@@ -165,20 +165,20 @@
         self.shared.failed_at = self.now;
     }
 
-    /// Whether the table didn't answer the last writes.
+    /// Whether the last operations on the table failed.
     pub(crate) fn table_out(&self) -> bool {
         self.shared.failures >= FAILURES
     }
 
-    /// Whether asking the table now would only make a caller wait: it failed
-    /// just before. One call a retry interval still asks, and finds out when it is back.
+    /// Whether a table operation would probably only delay the caller. One operation per retry
+    /// interval is still tried, to notice when the table is available again.
     pub(crate) fn table_hopeless(&self) -> bool {
         self.table_out() && self.now < self.shared.failed_at + self.shared.tuning.retry_interval
     }
 }
 
 impl Cx<'_> {
-    /// Asks for the batches of `home` after the one that ends with `after`.
+    /// Requests the batches of `home` after the one that ends at serial `after`.
     pub(crate) fn scan(
         &mut self,
         purpose: Purpose,
--- a/crates/ledger/src/event.rs
+++ b/crates/ledger/src/event.rs
@@ -1,49 +1,49 @@
-//! What happened.
+//! Events that the daemon reports to the ledger.
 
 use kernel::{Incarnation, RequestId};
 
 use crate::{Arrival, Charge, Message, Outcome, Peer, table};
 
-/// One thing that happened, as the daemon reports it.
+/// An event that the daemon reports to the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A call arrived, from a caller or forwarded by another host.
+    /// A call arrived, from a caller or from another host.
     Arrive(Arrival),
-    /// Bytes of an attempt may leave from now on. Reported before the first write.
+    /// An attempt is about to be sent. Reported before the first byte is written.
     Sending {
         /// A permitted request.
         request: RequestId,
     },
-    /// The attempt is proved not to have run: nothing left, or the endpoint refused it.
+    /// An attempt is proved not to have run: nothing was sent, or the endpoint refused it.
     Returned {
         /// A permitted request.
         request: RequestId,
     },
-    /// A permitted request has ended. Reported exactly once a permit.
+    /// A permitted request has ended. Reported exactly once per permit.
     Finished {
         /// A permitted request.
         request: RequestId,
-        /// How it ended.
+        /// The way in which it ended.
         end: End,
     },
-    /// The caller has gone before its request was dispatched, and it never will be.
-    /// A permit that crosses this is given back, closed like any other.
+    /// The caller disconnected before its request was dispatched, and it won't be dispatched any
+    /// more. If the request was permitted at the same moment, the ledger closes it.
     Cancelled {
-        /// A request that arrived and of which nothing was sent.
+        /// A request of which no attempt was sent.
         request: RequestId,
     },
     /// A forwarded call has ended.
     Forwarded {
         /// The request of [`crate::Action::Forward`].
         request: RequestId,
-        /// How it ended.
+        /// The result of forwarding.
         end: Forward,
     },
-    /// The other hosts that are alive, each time that this changes.
+    /// The other live hosts. Reported after each change.
     Hosts(Vec<Peer>),
     /// A message from the ledger of another host.
     Received {
-        /// The incarnation that sent it.
+        /// The incarnation of the sender.
         from: Incarnation,
         /// The message.
         message: Message,
@@ -52,54 +52,55 @@
     Transacted {
         /// The operation of [`crate::Action::Transact`].
         op: table::Op,
-        /// What came of it.
+        /// The result.
         result: table::Written,
     },
     /// A read has ended.
     Read {
         /// The operation of [`crate::Action::Read`].
         op: table::Op,
-        /// The row, or that there is none, or that the table didn't answer.
+        /// The row, or `None` if it doesn't exist.
         result: Result<Option<table::Row>, table::Unavailable>,
     },
     /// A scan has ended.
     Scanned {
         /// The operation of [`crate::Action::Scan`].
         op: table::Op,
-        /// The rows, or that the table didn't answer.
+        /// The rows.
         result: Result<table::Page, table::Unavailable>,
     },
-    /// The process is asked to leave: hold nothing any more, then say so.
+    /// The process was asked to shut down. The ledger hands over everything it holds and then
+    /// returns [`crate::Action::Drained`].
     Drain,
     /// The process took a new incarnation.
     Renew {
-        /// The new one.
+        /// The new incarnation.
         me: Incarnation,
     },
-    /// Time has passed.
+    /// The time requested by [`crate::Action::Wake`] has come.
     Tick,
 }
 
-/// How a permitted request ended.
+/// The way in which a permitted request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
-    /// An endpoint answered it in whole.
+    /// An endpoint sent a complete response.
     Answered {
-        /// The answer for later repeats, or none where it is too large or not text.
+        /// The response for later retries, or `None` if it is too large or not text.
         outcome: Option<Outcome>,
-        /// What is billed.
+        /// The charge to bill.
         charge: Charge,
     },
-    /// It was refused, or all its attempts failed. Whether it may have run
-    /// follows from the attempts that were reported.
+    /// It was refused, or all its attempts failed. Whether it may have run follows from the
+    /// reported attempts.
     Unanswered,
 }
 
-/// How a forwarded call ended.
+/// The result of forwarding a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Forward {
-    /// Its home answered or refused it, and the caller was told.
+    /// The home responded, and its response was relayed to the caller.
     Relayed,
-    /// The home didn't answer.
+    /// The home didn't respond.
     Failed,
 }
--- a/crates/ledger/src/holdings.rs
+++ b/crates/ledger/src/holdings.rs
@@ -43,7 +43,7 @@
 }
 
 impl Holdings {
-    /// The number of the next record.
+    /// The serial of the next record.
     pub(crate) fn floor(&self) -> Serial {
         self.next
     }
@@ -60,7 +60,7 @@
         self.held.get(&serial)
     }
 
-    /// Takes in a record under a new number.
+    /// Adds a record under a new serial.
     pub(crate) fn hold(
         &mut self,
         cx: &mut Cx,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The records that go to the table in batches, oldest first.
+    /// The serials of the records to write in batches, in ascending order.
     pub(crate) fn batch(&self) -> impl ExactSizeIterator<Item = Serial> {
         self.batch.iter().copied()
     }
@@ -124,7 +124,7 @@
         self.single.keys().copied().collect()
     }
 
-    /// The records of `home` that are settled one by one, oldest first.
+    /// The records of `home` that are settled one by one, by ascending serial.
     pub(crate) fn single(&self, home: Incarnation) -> impl Iterator<Item = &Held> {
         self.single
             .get(&home)
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Takes out what was inherited from `home`, under its own numbers again.
+    /// Removes the records inherited from `home` and returns them under their original serials.
     pub(crate) fn give_back(&mut self, cx: &mut Cx, home: Incarnation) -> Vec<Record> {
         let inherited = self.single(home).filter(|it| it.phase == Phase::Inherited);
         let records: Vec<Record> = inherited.map(|held| held.record.unpack()).collect();
@@ -155,15 +155,15 @@
         records.into_iter().map(renumber).collect()
     }
 
-    /// Whether a record of `key` is held in the lane of its home.
+    /// Returns the serial of the record of `key` that is settled by itself, if there is one.
     pub(crate) fn find_single(&self, key: &RequestKey) -> Option<Serial> {
         self.single(key.home)
             .find(|held| held.record.unpack().key == *key)
             .map(|held| held.record.serial)
     }
 
-    /// Moves everything that was to go out in batches to settlement one by
-    /// one: this incarnation writes no batch any more.
+    /// Moves all records from batches to settlement one by one, because this incarnation may write
+    /// no more batches.
     pub(crate) fn stop_batches(&mut self) {
         for serial in std::mem::take(&mut self.batch) {
             let Some(held) = self.held.get_mut(&serial) else {
@@ -176,9 +176,8 @@
         }
     }
 
-    /// The end of an answer has waited long enough: it goes out with a single
-    /// copy, which is counted. A host that can reach neither a partner nor
-    /// the table must not stop answering.
+    /// Releases a response with a single copy after the release timeout, and counts it. A host that
+    /// reaches neither another host nor the table must still respond.
     pub(crate) fn release_late(&mut self, cx: &mut Cx, serial: Serial) {
         let Some(held) = self.held.get_mut(&serial) else {
             return;
@@ -191,12 +190,13 @@
             cx.shared.counters.single_copy += 1;
             release(cx, held, Safety::SingleCopy);
         }
-        // The host that ran the work keeps its own record until there is a
-        // second copy: it has no caller that waits.
+        // The host that ran the work waits on: no caller waits for its record, and it keeps the
+        // record until this host has a second copy.
         held.waiting = adopters;
     }
 
-    /// Lets `waiting` wait for a record to be safe, or gives it back where that is past.
+    /// Adds `waiting` to those that wait for the record, or returns it as an error if the record is
+    /// already safe.
     pub(crate) fn wait(&mut self, serial: Serial, waiting: Waiting) -> Result<(), Waiting> {
         match self.held.get_mut(&serial) {
             Some(held) if !held.waiting.is_empty() => {
@@ -207,7 +207,7 @@
         }
     }
 
-    /// The records are in the table: nobody has to hold them any more.
+    /// Removes records that are in the table, and releases their copies.
     pub(crate) fn settle(&mut self, cx: &mut Cx, serials: &[Serial]) {
         let mut copies: BTreeMap<Incarnation, Vec<Serial>> = BTreeMap::new();
         for &serial in serials {
@@ -238,7 +238,7 @@
     }
 }
 
-/// Lets everything go out that waited for `held` to be safe.
+/// Releases everything that waits for `held` to be safe.
 fn release(cx: &mut Cx, held: &mut Held, safety: Safety) {
     for waiting in held.waiting.drain(..) {
         match waiting {
--- a/crates/ledger/src/holdings/copies.rs
+++ b/crates/ledger/src/holdings/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of this host's records on partners in other data centres.
+//! Copies of this host's records on other hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::timers::Timer;
 use crate::{Message, Safety, Serial};
 
-/// How many records one copy carries at most.
+/// Maximum number of records in one copy message.
 const COPY_RECORDS: usize = 128;
-/// For how long a partner that didn't confirm is passed over.
+/// Time for which a partner that didn't confirm a copy is avoided.
 const AVOIDED: Duration = Duration::from_secs(5);
-/// How many partners a record is handed to when this host leaves while the table is out.
+/// Number of copies that a record needs when this host shuts down while the table is unavailable.
 const HANDED_OVER: usize = 2;
 
-/// A copy that isn't confirmed yet.
+/// A copy message that isn't confirmed yet.
 #[derive(Debug)]
 pub(super) struct Copying {
     to: Incarnation,
@@ -26,11 +26,12 @@
 }
 
 impl Holdings {
-    /// Sends copies of what has none yet; tells whether there is nobody to send them to.
+    /// Sends copies of records that need one. Returns `true` if a record has no copy and there is
+    /// no host to copy it to.
     ///
-    /// Group commit: while a few copies are on their way, further records
-    /// wait and go together with the next confirmation. Without load a record
-    /// leaves at once.
+    /// Records are grouped: while `copy_window` messages to a partner are unconfirmed, further
+    /// records wait and are sent together after the next confirmation. Below that limit a record is
+    /// sent at once.
     pub(crate) fn copy(&mut self, cx: &mut Cx, peers: &Peers) -> bool {
         while let Some(serial) = self.next_uncopied(cx) {
             let except = self.held[&serial].holders();
@@ -47,7 +48,7 @@
         false
     }
 
-    /// Drops from the queue what needs no copy any more.
+    /// Returns the next record that needs a copy, and removes those before it that don't.
     fn next_uncopied(&mut self, cx: &Cx) -> Option<Serial> {
         while let Some(&serial) = self.uncopied.front() {
             let wanted = wanted(cx);
@@ -88,7 +89,7 @@
         cx.send(to, Message::Copy { batch, records });
     }
 
-    /// A partner holds the records of a copy: the ends of their answers may go out.
+    /// Handles a confirmation: the records are safe, so their responses are released.
     pub(crate) fn confirm(&mut self, cx: &mut Cx, peers: &Peers, from: Incarnation, batch: u64) {
         if self.copies.get(&batch).is_none_or(|it| it.to != from) {
             return;
@@ -122,7 +123,8 @@
         }
     }
 
-    /// A copy wasn't confirmed in time or was refused: another partner gets it.
+    /// Handles a copy that wasn't confirmed in time or was refused: its records are copied to
+    /// another partner.
     pub(crate) fn reject(&mut self, cx: &mut Cx, peers: &mut Peers, batch: u64) {
         let Some(copying) = self.copies.remove(&batch) else {
             return;
@@ -135,7 +137,7 @@
         }
     }
 
-    /// A copy was refused by the host that it went to.
+    /// Handles the refusal of a copy by its receiver.
     pub(crate) fn refuse(&mut self, cx: &mut Cx, peers: &mut Peers, from: Incarnation, batch: u64) {
         if self.copies.get(&batch).is_some_and(|it| it.to == from) {
             cx.shared.timers.disarm(Timer::Copy(batch));
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Answers a host that asks which of these records it still has to hold.
+    /// Tells a host that asks about its copies which of them it may delete.
     pub(crate) fn held_by(&mut self, cx: &mut Cx, from: Incarnation, mut serials: Vec<Serial>) {
         let wanted = wanted(cx);
         serials.retain(|serial| match self.held.get_mut(serial) {
@@ -156,7 +158,7 @@
         self.send_release(cx, from, serials);
     }
 
-    /// Copies anew what was held only by hosts that are gone or leaving.
+    /// Queues new copies of records whose copies are on hosts that are gone or shutting down.
     pub(crate) fn review(&mut self, cx: &mut Cx, peers: &Peers) {
         let lost: Vec<u64> = self
             .copies
@@ -171,7 +173,8 @@
         self.requeue(cx, |holder| peers.stays(holder));
     }
 
-    /// Forgets every copy: the partners know them under an earlier incarnation.
+    /// Forgets all copies, because the partners hold them under an earlier incarnation. Queues new
+    /// ones.
     pub(crate) fn forget_copies(&mut self, cx: &mut Cx) {
         for (batch, _) in self.copies.drain() {
             cx.shared.timers.disarm(Timer::Copy(batch));
@@ -179,7 +182,8 @@
         self.requeue(cx, |_| false);
     }
 
-    /// Queues what still wants a copy, oldest first.
+    /// Keeps only copies on hosts for which `keeps` holds, and queues the records that need another
+    /// copy, by ascending serial.
     pub(crate) fn requeue(&mut self, cx: &Cx, keeps: impl Fn(Incarnation) -> bool) {
         let wanted = wanted(cx);
         self.uncopied.clear();
@@ -196,8 +200,8 @@
         }
     }
 
-    /// Whether this process may end while it holds what it holds: everything
-    /// is with as many other hosts as can be had.
+    /// Whether the process may exit with unwritten records: each of them has as many copies as
+    /// there are hosts for, up to `HANDED_OVER`.
     pub(crate) fn is_handed_over(&self, peers: &Peers) -> bool {
         let wanted = HANDED_OVER.min(peers.staying());
         self.held.is_empty()
@@ -205,7 +209,7 @@
     }
 }
 
-/// How many copies a record should have beside this host's own.
+/// The number of copies that a record needs on other hosts.
 fn wanted(cx: &Cx) -> usize {
     if cx.shared.draining && cx.table_out() {
         HANDED_OVER
--- a/crates/ledger/src/holdings/held.rs
+++ b/crates/ledger/src/holdings/held.rs
@@ -1,4 +1,4 @@
-//! One record that isn't in the table yet.
+//! A record that isn't in the table yet.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::packed::Packed;
 use crate::{Outcome, Record, Serial};
 
-/// One record that isn't in the table yet.
+/// A record that isn't in the table yet.
 #[derive(Debug)]
 pub(crate) struct Held {
     pub(crate) record: Packed,
@@ -19,38 +19,37 @@
     copies: Vec<Copied>,
 }
 
-/// How a record gets into the table.
+/// The way in which a record is written to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lane {
     /// In the next batch of this incarnation.
     Batch,
-    /// By itself, under the home that its key names.
+    /// By itself, under the home of its key.
     Single(Incarnation),
 }
 
-/// How far a record is that gets into the table by itself.
+/// The settlement phase of a record that is written by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Nothing was done.
+    /// Nothing was done yet.
     New,
-    /// It is its home's own, taken over while the home seems to be gone. If
-    /// the home turns out to live, it still has the record: it must not adopt
-    /// it a second time.
+    /// The record was made by its home and taken over because the home seemed to be gone. If the
+    /// home is alive it still has the record, so the record must not be offered to it for adoption.
     Inherited,
-    /// Its home was asked to adopt it.
+    /// The home was asked to adopt it.
     Offered,
-    /// No batch of its home has its key, and none ever will.
+    /// No batch of the home contains the key, and none ever will.
     Absent,
 }
 
-/// What waits for a record to be safe.
+/// Someone who waits until a record is safe.
 #[derive(Debug)]
 pub(crate) enum Waiting {
-    /// The end of the answer that it bills.
+    /// A caller whose response the record bills.
     Answer(RequestId),
-    /// A repeat that gets the same answer.
+    /// A retry that gets the same response.
     Repeat(RequestId, Outcome),
-    /// The host at which the work ran, and its number of the record.
+    /// The host that ran the work, and its serial of the record.
     Adopter(Incarnation, Serial),
 }
 
@@ -87,12 +86,12 @@
         }
     }
 
-    /// How many other hosts hold it for sure.
+    /// The number of other hosts that confirmed a copy.
     pub(crate) fn confirmed(&self) -> usize {
         self.copies.iter().filter(|it| it.confirmed).count()
     }
 
-    /// The hosts that hold it for sure.
+    /// The hosts that confirmed a copy.
     pub(crate) fn holders(&self) -> Vec<Incarnation> {
         self.copies
             .iter()
@@ -101,7 +100,7 @@
             .collect()
     }
 
-    /// The hosts that may hold it.
+    /// The hosts to which a copy was sent.
     pub(crate) fn receivers(&self) -> impl Iterator<Item = Incarnation> {
         self.copies.iter().map(|it| it.to)
     }
@@ -121,7 +120,7 @@
         }
     }
 
-    /// Forgets the hosts that may hold it and aren't counted on; gives them.
+    /// Removes the hosts that didn't confirm their copy, and returns them.
     pub(crate) fn forsake(&mut self) -> Vec<Incarnation> {
         let (kept, forsaken) = self.copies.iter().partition(|it| it.confirmed);
         self.copies = kept;
@@ -129,12 +128,12 @@
         forsaken.into_iter().map(|it| it.to).collect()
     }
 
-    /// Whether `holder` is counted on to hold it.
+    /// Whether `holder` confirmed a copy.
     pub(crate) fn counts_on(&self, holder: Incarnation) -> bool {
         self.copies.iter().any(|it| it.confirmed && it.to == holder)
     }
 
-    /// Counts on no host any more that `keeps` doesn't name.
+    /// Clears the confirmation of each host for which `keeps` is false.
     pub(crate) fn lose(&mut self, keeps: impl Fn(Incarnation) -> bool) {
         for copy in &mut self.copies {
             copy.confirmed &= keeps(copy.to);
--- a/crates/ledger/src/intake.rs
+++ b/crates/ledger/src/intake.rs
@@ -1,4 +1,4 @@
-//! Decides for each call whether it may run here.
+//! Admission: decides whether a call may run on this host.
 
 mod adopt;
 mod claim;
@@ -20,17 +20,16 @@
 use crate::timers::Timer;
 use crate::{Action, Arrival, End, Forward, Reason, Repeat, Run, Serial, Via};
 
-/// How often expired keys are looked for.
+/// Interval between checks for expired keys.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
-/// For how long a key is kept on that can't be forgotten yet.
+/// Additional retention time of an expired key that can't be forgotten yet.
 const EXTENSION: Duration = Duration::from_mins(1);
 
-/// Decides for each call whether it may run here.
+/// Decides whether a call may run on this host.
 ///
-/// The rule that everything follows from: a key that may not run twice is
-/// decided by one incarnation alone. That is the one that minted the
-/// ticket; without a ticket it is the one whose claim is in the table. No
-/// other ever runs it, also when the decider is gone.
+/// Invariant: exactly one incarnation decides about an at-most-once key. It is the one that minted
+/// the ticket or, without a ticket, the one whose claim is in the table. No other incarnation ever
+/// runs the key, not even after the deciding one is gone.
 #[derive(Debug, Default)]
 pub(crate) struct Intake {
     calls: Calls,
@@ -38,7 +37,7 @@
     pub(crate) chores: Chores,
 }
 
-/// What the parts of the ledger that a call is checked against know.
+/// The other components that admission needs.
 pub(crate) struct View<'a> {
     pub(crate) peers: &'a Peers,
     pub(crate) holdings: &'a mut Holdings,
@@ -67,7 +66,7 @@
         match (scope, repeat) {
             (Scope::Keyless, _) => self.begin(cx, view, call),
             (Scope::Home { expires } | Scope::Foreign { expires }, _) if expires <= cx.now => {
-                // Its home may have run it and forgotten it since.
+                // The home may have run the key and forgotten it since.
                 self.refuse(cx, call, Reason::HolderGone, Run::Unknown);
             }
             (Scope::Home { expires }, _) => self.begin_at_home(cx, view, call, expires),
@@ -94,9 +93,8 @@
         }
     }
 
-    /// Starts the first call of a key under a ticket of this incarnation:
-    /// nobody else ever ran it, and what ran here is remembered for longer
-    /// than the ticket is good.
+    /// Starts the first call of a key under a ticket of this incarnation. No other host can have
+    /// run the key, and this host remembers its keys for longer than the ticket is valid.
     fn begin_at_home(&mut self, cx: &mut Cx, view: &View, call: CallKey, expires: Duration) {
         let full = self.is_full(cx).then_some(Reason::Overloaded);
         if let Some(reason) = closed(cx, view).or(full) {
@@ -124,14 +122,14 @@
         Some(entry)
     }
 
-    /// A call whose key is remembered.
+    /// Handles a call whose key is remembered.
     fn revisit(&mut self, cx: &mut Cx, view: &mut View, entry: EntryKey, key: CallKey) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
         call.entry = Some(entry);
         if let Scope::Home { expires } = call.scope {
-            // A newer ticket of this host names the same request for longer.
+            // A newer ticket of this host extends the time in which the key may be used.
             let until = expires + cx.shared.tuning.key_linger;
             self.book.extend(entry, until);
         }
@@ -144,7 +142,8 @@
         };
         let repeat = call.repeat;
         if repeat == Repeat::NonIdempotent && it.fingerprint != call.fingerprint {
-            // Once the key is decided here, every run of it was for the other body.
+            // Once the claim is settled, the other body is the only one that can have run under the
+            // key.
             let run = if it.state == State::Claiming {
                 Run::Unknown
             } else {
@@ -173,7 +172,7 @@
         }
     }
 
-    /// Starts a call of a key of which nothing ever ran to an end.
+    /// Starts a call of a key of which no attempt has run.
     fn restart(&mut self, cx: &mut Cx, view: &View, entry: EntryKey, call: CallKey) {
         let run = self.run(call);
         match closed(cx, view) {
@@ -182,7 +181,7 @@
         }
     }
 
-    /// What is known about the execution of a call's key, when it isn't started.
+    /// Whether the request of a call that isn't started may have run.
     fn run(&self, call: CallKey) -> Run {
         match self.calls.get(call) {
             Some(call) => call.run(&self.book),
@@ -212,7 +211,7 @@
         cx.permit(call.request.clone());
     }
 
-    /// Starts the first call that waits for a key of which nothing ran.
+    /// Starts the first waiting call of a key of which no attempt has run.
     fn start_next(&mut self, cx: &mut Cx, entry: EntryKey) {
         while let Some(it) = self.book.get_mut(entry) {
             let fingerprint = it.fingerprint;
@@ -229,7 +228,7 @@
         }
     }
 
-    /// Takes the calls that wait for a key.
+    /// Removes and returns the calls that wait for a key.
     fn take_waiters(&mut self, entry: EntryKey) -> Vec<CallKey> {
         self.book
             .get_mut(entry)
@@ -237,7 +236,7 @@
             .unwrap_or_default()
     }
 
-    /// Passes a call on to its home, or looks for its answer where the home is gone.
+    /// Forwards a call to its home, or looks up its response in the table if the home is gone.
     fn pass_on(&mut self, cx: &mut Cx, view: &View, key: CallKey) {
         let Some(call) = self.calls.get(key) else {
             return;
@@ -262,7 +261,7 @@
         cx.push(Action::Forward { request, home });
     }
 
-    /// A forwarded call has ended.
+    /// Handles the result of a forwarded call.
     pub(crate) fn forwarded(&mut self, cx: &mut Cx, request: &RequestId, end: Forward) {
         let Some(key) = self.find(request, |call| call.stage == Stage::Forwarded) else {
             return;
@@ -275,13 +274,13 @@
         }
     }
 
-    /// The caller has gone before the call was dispatched.
+    /// Handles a caller that disconnected before its call was dispatched.
     pub(crate) fn cancel(&mut self, cx: &mut Cx, view: &mut View, request: &RequestId) {
         let Some(key) = self.calls.find(request) else {
             return;
         };
         if self.calls.get(key).is_some_and(Call::is_permitted) {
-            // The permit and the caller's leaving crossed: nobody takes it.
+            // The permit and the cancellation crossed: the permit won't be used.
             return self.finish(cx, view, request, End::Unanswered);
         }
         let entry = self.calls.remove(key).and_then(|call| call.entry);
@@ -301,7 +300,7 @@
         }
     }
 
-    /// Repeats an answer once the record that bills it is safe.
+    /// Sends the stored response once the record that bills it is safe.
     fn replay(
         &mut self,
         cx: &mut Cx,
@@ -320,7 +319,7 @@
         }
     }
 
-    /// Forgets the keys whose time is over and that nothing depends on.
+    /// Removes the expired keys that can be forgotten, and extends the others.
     pub(crate) fn sweep(&mut self, cx: &mut Cx, holdings: &Holdings) {
         while let Some(entry) = self.book.take_expired(cx.now) {
             if self.can_forget(entry, holdings) {
@@ -335,8 +334,8 @@
         }
     }
 
-    /// Whether what came of a key can still be told once it is forgotten
-    /// here: by its expired ticket, or by its claim's row.
+    /// Whether a later arrival is still decided correctly without the entry: the call is refused
+    /// because its ticket has expired, or the claim's row has the outcome.
     fn can_forget(&self, entry: EntryKey, holdings: &Holdings) -> bool {
         let Some(it) = self.book.get(entry) else {
             return true;
@@ -348,7 +347,7 @@
         it.is_idle() && in_table && told
     }
 
-    /// Deletes the claim of a key of which nothing ran.
+    /// Queues the deletion of the claim of a key of which no attempt has run.
     fn give_back(&mut self, entry: EntryKey) {
         let Some(it) = self.book.get(entry) else {
             return;
@@ -358,7 +357,8 @@
         }
     }
 
-    /// Gives back every claim of which nothing ran: this host leaves.
+    /// Queues the deletion of all claims under which nothing ran, because this host is shutting
+    /// down.
     pub(crate) fn give_back_all(&mut self) {
         let free: Vec<EntryKey> = self
             .book
@@ -373,7 +373,7 @@
     }
 }
 
-/// Why no new call is started now.
+/// Returns the reason why no new call is started, if there is one.
 fn closed(cx: &mut Cx, view: &View) -> Option<Reason> {
     if cx.shared.draining {
         return Some(Reason::Leaving);
--- a/crates/ledger/src/intake/adopt.rs
+++ b/crates/ledger/src/intake/adopt.rs
@@ -1,4 +1,4 @@
-//! Records of work that ran elsewhere under this host's tickets.
+//! Adoption of records of work that ran on another host under this host's tickets.
 
 use kernel::Incarnation;
 
@@ -9,18 +9,18 @@
 use crate::timers::Timer;
 use crate::{Fingerprint, Message, Record, Serial};
 
-/// Whether a record that belongs to this host was taken over.
+/// The result of offering a record to its home.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Adoption {
-    /// It was, or it had been billed before.
+    /// The record was taken over, or its key had been billed before.
     Taken,
-    /// There is no room: whoever has it keeps it and tries again.
+    /// There is no room. The holder keeps the record and offers it again.
     Later(Box<Record>),
 }
 
 impl Intake {
-    /// Takes over records of idempotent work that ran at `from` under tickets
-    /// of this incarnation, each once a key.
+    /// Adopts records of idempotent work that ran at `from` under tickets of this incarnation. Each
+    /// key is billed once.
     pub(crate) fn adopt(
         &mut self,
         cx: &mut Cx,
@@ -29,20 +29,19 @@
         records: Vec<Record>,
     ) {
         for record in records {
-            // A fenced or former incarnation decides nothing any more; its
-            // records are settled by whoever holds them.
+            // A fenced or former incarnation decides about no key. The holder settles its records.
             if cx.shared.decides(record.key.home) {
                 let adopter = Waiting::Adopter(from, record.serial);
-                // Where there is no room it is offered again.
+                // Without room nothing is confirmed, and `from` offers the record again.
                 let _ = self.adopt_one(cx, holdings, vec![adopter], record);
             }
         }
     }
 
-    /// Takes over a record of this incarnation's that a host held which is gone.
+    /// Adopts a record of this incarnation's tickets from the copies of a host that is gone.
     ///
-    /// It isn't settled by itself like others: the host that is gone, or who
-    /// inherits from it as well, may offer the same key again.
+    /// It must be remembered by key and not settled by itself, because the lost host, or another
+    /// host that inherits from it, may offer the same key again.
     pub(crate) fn inherit(
         &mut self,
         cx: &mut Cx,
@@ -60,7 +59,7 @@
         record: Record,
     ) -> Adoption {
         if record.is_homes_own() {
-            // It is here already, or in the table.
+            // This process made the record, so it already has it or has written it to the table.
             confirm(cx, adopter);
             return Adoption::Taken;
         }
@@ -81,12 +80,12 @@
             return Adoption::Taken;
         }
         if self.is_full(cx) {
-            // Once it were billed without being remembered, a second record of
-            // the key could be billed as well.
+            // Without an entry for the key, a second record of the same key would be billed as
+            // well.
             return Adoption::Later(Box::new(record));
         }
-        // Nothing that this host billed since the ticket was minted has been
-        // forgotten, so this key wasn't billed.
+        // No key billed since the ticket was minted has been forgotten, so this key hasn't been
+        // billed.
         let mut entry = Entry::new(record.key.clone(), Fingerprint(0), State::Free);
         entry.sent = 1;
         let serial = holdings.hold(cx, record, Lane::Batch, adopter);
@@ -97,8 +96,8 @@
     }
 }
 
-/// Settles a record by itself: its key may have been billed and forgotten, so
-/// this host's own batches are searched for it.
+/// Settles a record by itself: its key may have been billed and forgotten, so this host's own
+/// batches must be searched for it.
 fn search(cx: &mut Cx, holdings: &mut Holdings, record: Record, adopter: Vec<Waiting>) {
     if let Some(serial) = holdings.find_single(&record.key) {
         return wait(cx, holdings, serial, adopter);
@@ -115,7 +114,7 @@
     }
 }
 
-/// Answers an adopter whose record doesn't have to wait.
+/// Confirms the adoption of a record that doesn't have to wait for a copy.
 fn confirm(cx: &mut Cx, adopter: Vec<Waiting>) {
     for waiting in adopter {
         if let Waiting::Adopter(to, serial) = waiting {
--- a/crates/ledger/src/intake/claim.rs
+++ b/crates/ledger/src/intake/claim.rs
@@ -10,12 +10,12 @@
 use crate::{Reason, Run, rows};
 
 impl Intake {
-    /// Claims the key of a call in the table. The call waits for it.
+    /// Claims the key of a call in the table. The call waits for the result.
     pub(super) fn claim(&mut self, cx: &mut Cx, view: &View, key: CallKey) {
         let hopeless = cx.table_hopeless().then_some(Reason::StoreOut);
         let full = self.is_full(cx).then_some(Reason::Overloaded);
         if let Some(reason) = closed(cx, view).or(hopeless).or(full) {
-            // Another host may have run the key before; only the table knows.
+            // Another host may have run the key before, and only the table knows.
             return self.refuse(cx, key, reason, Run::Unknown);
         }
         let expires = cx.now + cx.shared.tuning.key_linger;
@@ -33,7 +33,7 @@
         self.write_claim(cx, entry, Expect::Absent);
     }
 
-    /// Writes the claim, for the first time or again.
+    /// Writes the claim, for the first time or as a retry.
     fn write_claim(&mut self, cx: &mut Cx, entry: EntryKey, expect: Expect) {
         let Some(it) = self.book.get(entry) else {
             return;
@@ -58,7 +58,7 @@
         cx.transact(Purpose::Claim(entry), transaction);
     }
 
-    /// Takes the answer to a claim's write.
+    /// Handles the result of a claim's write.
     pub(crate) fn claimed(&mut self, cx: &mut Cx, entry: EntryKey, result: &Written) {
         let Some(it) = self.book.get(entry) else {
             return;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A claim's timer: it is written again.
+    /// Retries a claim's write.
     pub(crate) fn retry_claim(&mut self, cx: &mut Cx, entry: EntryKey) {
         if self
             .book
@@ -92,9 +92,8 @@
         }
     }
 
-    /// Gives up a claim that couldn't be settled. If its write took effect all
-    /// the same, or does so later, the row names this host, and whoever finds
-    /// it passes the call on to here.
+    /// Abandons a claim that couldn't be confirmed. If its write is applied after all, the row
+    /// names this host, so other hosts forward calls of the key to it.
     fn give_up(&mut self, cx: &mut Cx, entry: EntryKey) {
         for waiter in self.take_waiters(entry) {
             self.refuse(cx, waiter, Reason::StoreOut, Run::Unknown);
@@ -102,7 +101,7 @@
         self.book.remove(entry);
     }
 
-    /// The claim is in the table: only this host may run the key.
+    /// Handles a successful claim: only this host may run the key.
     fn won(&mut self, cx: &mut Cx, entry: EntryKey) {
         if let Some(it) = self.book.get_mut(entry) {
             it.state = State::Free;
@@ -110,7 +109,7 @@
         self.start_next(cx, entry);
     }
 
-    /// Takes the row that was there before the claim.
+    /// Handles the row that already existed when the claim was written.
     pub(crate) fn read_claim(
         &mut self,
         cx: &mut Cx,
@@ -123,16 +122,15 @@
         }
         let row = match result {
             Ok(Some(row)) => row,
-            // It was given back meanwhile.
+            // The claim was deleted since.
             Ok(None) => return self.write_claim(cx, entry, Expect::Absent),
             Err(Unavailable) => return self.wait_for_table(cx, entry),
         };
         match serde_json::from_str(&row.value) {
-            // This host's own: the write before this one, whose answer was
-            // lost, or one that it gave up and that took effect all the same.
-            // Nothing ran under it, since a key that ran is remembered until
-            // its row says so. It is written anew, so that a deletion of the
-            // old one under way can't hit it.
+            // The row is this host's own claim: either this write was applied and its response was
+            // lost, or an abandoned one was applied later. Nothing ran under it, because a key that
+            // ran is remembered until its row says so. The claim is written again under a new
+            // version, so that a pending deletion of the old claim fails.
             Ok(Claim::Claimed { holder, .. }) if holder == cx.shared.me => {
                 cx.shared.counters.lost_answers += 1;
                 self.write_claim(cx, entry, Expect::Version(row.version));
@@ -141,7 +139,8 @@
         }
     }
 
-    /// The key is decided elsewhere: every call that waits for it is told so.
+    /// Handles a key that another host decides about: forwards or refuses every call that waits for
+    /// it.
     fn lost(&mut self, cx: &mut Cx, view: &View, entry: EntryKey, claim: Option<&Claim>) {
         for waiter in self.take_waiters(entry) {
             if let Some(call) = self.calls.get_mut(waiter) {
--- a/crates/ledger/src/intake/finish.rs
+++ b/crates/ledger/src/intake/finish.rs
@@ -1,4 +1,4 @@
-//! How permitted calls go on and end.
+//! Attempts and ends of permitted calls.
 
 use kernel::{Incarnation, RequestId};
 
@@ -10,12 +10,12 @@
 use crate::{Action, Charge, End, Outcome, Reason, Record, Repeat, Replay, Run, Safety, Serial};
 
 impl Intake {
-    /// An attempt may leave from now on.
+    /// Counts an attempt that is about to be sent.
     pub(crate) fn sending(&mut self, request: &RequestId) {
         self.count_sent(request, u32::checked_add);
     }
 
-    /// An attempt is proved not to have run.
+    /// Subtracts an attempt that is proved not to have run.
     pub(crate) fn returned(&mut self, request: &RequestId) {
         self.count_sent(request, u32::checked_sub);
     }
@@ -31,7 +31,7 @@
         let Stage::Permitted { sent } = &mut call.stage else {
             return;
         };
-        // A return without a send before proves nothing and changes nothing.
+        // An unmatched report is ignored.
         let Some(count) = step(*sent, 1) else {
             return;
         };
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A permitted call has ended.
+    /// Handles the end of a permitted call.
     pub(crate) fn finish(&mut self, cx: &mut Cx, view: &mut View, request: &RequestId, end: End) {
         let Some(key) = self.find(request, Call::is_permitted) else {
             return;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The key was sent and not answered: it stays unknown for ever.
+    /// Records that a key was sent without a response. It stays unknown permanently.
     fn note_unknown(&mut self, cx: &mut Cx, entry: EntryKey) {
         if let Some(it) = self.book.get_mut(entry) {
             it.state = State::Unknown;
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Rows say by now that the outcome of these keys is unknown.
+    /// Records that the rows of these keys say that their outcome is unknown.
     pub(crate) fn note_marked(&mut self, keys: &[kernel::RequestKey]) {
         for key in keys {
             let entry = self.book.find(key);
--- a/crates/ledger/src/intake/outcome.rs
+++ b/crates/ledger/src/intake/outcome.rs
@@ -1,4 +1,4 @@
-//! Answers of earlier runs that are looked up in the table.
+//! Lookup of the responses of earlier runs in the table.
 
 use crate::calls::{CallKey, Stage};
 use crate::cx::{Cx, Purpose};
@@ -8,7 +8,7 @@
 use crate::{Action, Reason, Run, rows};
 
 impl Intake {
-    /// Looks in the table for the answer of an earlier run.
+    /// Reads the claim's row for the response of an earlier run.
     pub(super) fn read_outcome(&mut self, cx: &mut Cx, key: CallKey) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
@@ -21,7 +21,7 @@
         cx.read(Purpose::ReadOutcome(key), row);
     }
 
-    /// Takes the row that was looked up.
+    /// Handles the row that was read.
     pub(crate) fn outcome_read(
         &mut self,
         cx: &mut Cx,
@@ -46,7 +46,8 @@
         self.tell(cx, key, None, reason);
     }
 
-    /// Tells a call what the table says of its key; `missing` where it says nothing of use.
+    /// Responds to a call according to its key's row, or refuses it with `missing` if the row
+    /// decides nothing.
     pub(super) fn tell(
         &mut self,
         cx: &mut Cx,
--- a/crates/ledger/src/lease.rs
+++ b/crates/ledger/src/lease.rs
@@ -1,7 +1,7 @@
 //! Leases for single-holder jobs; see `docs/design/lease.md`.
 //!
-//! A [`Lease`] is the state of one candidate. It does no IO: the caller feeds
-//! what the table answered and performs the actions.
+//! A [`Lease`] is the state machine of one candidate. It does no IO: the driver passes in the
+//! table's responses and performs the actions.
 
 mod action;
 mod event;
--- a/crates/ledger/src/lease/action.rs
+++ b/crates/ledger/src/lease/action.rs
@@ -1,27 +1,27 @@
-//! What a lease wants done.
+//! Actions that a lease requests from its driver.
 
 use std::time::Duration;
 
 use crate::{lease::Row, table::Expect};
 
-/// One thing that the driver performs for a lease.
+/// An action that the driver performs for a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The row is needed; answered by [`super::Event::Read`].
+    /// Read the row. The result is reported by [`super::Event::Read`].
     Read,
-    /// The row is to be written on this condition; answered by [`super::Event::Written`].
+    /// Write the row on this condition. The result is reported by [`super::Event::Written`].
     Write {
-        /// What must hold for the row as it is.
+        /// The condition on the current row.
         expect: Expect,
         /// The row's new value.
         row: Row,
     },
-    /// The lease was taken over: the state that earlier orders left is to be
-    /// read from the endpoints before the first order, then [`super::Event::ReadBack`] reported.
+    /// Read back the state that earlier orders left at the endpoints, then report
+    /// [`super::Event::ReadBack`]. Requested after a takeover, before the first order.
     ReadBack,
-    /// The lease is no longer held.
+    /// Stop: the lease is no longer held.
     Lost,
-    /// [`super::Event::Tick`] is wanted at this time.
+    /// Send [`super::Event::Tick`] at this time.
     Wake {
         /// Monotonic time of this process.
         at: Duration,
--- a/crates/ledger/src/lease/event.rs
+++ b/crates/ledger/src/lease/event.rs
@@ -1,34 +1,34 @@
-//! What happens to a lease.
+//! Events that the driver reports to a lease.
 
 use crate::{lease::Row, table};
 
-/// One thing that happened, as the driver reports it.
+/// An event that the driver reports to a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Time has passed.
+    /// The time requested by [`super::Action::Wake`] has come.
     Tick,
-    /// The read that was asked for has ended: the row with its version, or none.
+    /// A read has ended, with the row and its version, or `None` if there is no row.
     Read(Result<Option<(u64, Row)>, table::Unavailable>),
-    /// The write that was asked for has ended; an applied one with the row's new version.
+    /// A write has ended.
     Written(Written),
-    /// The actual state was read back after [`super::Action::ReadBack`].
+    /// The state of the endpoints was read back after [`super::Action::ReadBack`].
     ReadBack,
-    /// The job is done or the process leaves: give the lease back.
+    /// The job is done or the process shuts down: release the lease.
     Resign,
 }
 
-/// What came of a lease's write.
+/// The result of a lease's write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Written {
-    /// It took effect.
+    /// It was applied.
     Applied {
         /// The row's new version.
         version: u64,
     },
-    /// Another candidate or holder wrote first.
+    /// It was not applied, because another write came first.
     Failed,
-    /// It never reached the table.
+    /// It was not applied, because it never reached the table.
     NotApplied,
-    /// It may have taken effect, now or later.
+    /// It may be applied, already or later.
     Unknown,
 }
--- a/crates/ledger/src/lease/row.rs
+++ b/crates/ledger/src/lease/row.rs
@@ -7,15 +7,15 @@
 
 /// The value of the row `lease/{name}`.
 ///
-/// It names no time: each candidate measures on its own clock how long the
-/// row's version hasn't changed.
+/// It contains no time: each candidate measures on its own clock for how long the row hasn't
+/// changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Who holds it, or none when it was given back.
+    /// The holder, or `None` after a release.
     pub holder: Option<Incarnation>,
-    /// Rises with each new holder.
+    /// The fencing number, higher for each new holder.
     pub fencing: Fencing,
-    /// Differs with each write of one holder, so that a holder recognises its
-    /// own write after a lost answer, and knows when it sent it.
+    /// Differs for each write of one holder, so that the holder recognises its own write after a
+    /// lost response.
     pub renewal: u64,
 }
--- a/crates/ledger/src/lease/state.rs
+++ b/crates/ledger/src/lease/state.rs
@@ -1,4 +1,4 @@
-//! The state of one candidate.
+//! The state machine of one candidate.
 
 use std::time::Duration;
 
@@ -9,50 +9,50 @@
 use crate::lease::{Action, Event, Row, Tuning, Written};
 use crate::table::{Expect, Unavailable};
 
-/// The number by which an endpoint tells a newer holder's order from an older one's.
+/// The fencing number, by which an endpoint rejects orders of earlier holders.
 #[derive(
     Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Fencing(pub u64);
 
-/// Whether an endpoint refuses an order with an old fencing number.
+/// Whether an endpoint checks fencing numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
-    /// It refuses it.
+    /// It refuses an order with an old number.
     Checks,
-    /// It obeys whoever asks last.
+    /// It carries out every order.
     Ignores,
 }
 
-/// Why an order may not be issued.
+/// The reason why an order may not be issued.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Denied {
-    /// This candidate doesn't hold the lease, or it has lapsed by its own clock.
+    /// This candidate doesn't hold the lease, or the lease expired on its own clock.
     #[display("not held")]
     NotHeld,
-    /// An order of the last holder may still be on its way, or the state that
-    /// it left hasn't been read back.
+    /// An order of the last holder may still be in transit, or the state that it left hasn't been
+    /// read back.
     #[display("settling")]
     Settling,
 }
 
-/// One candidate for the lease of one job.
+/// A candidate for the lease of one job.
 ///
-/// It needs no clock in common with the others. The holder stops by its own
-/// clock, counted from before it asked for its last renewal; the next one has
-/// to see the row unchanged for longer than that on its own.
+/// The candidates need no common clock. The holder's lease ends on its own clock, counted from
+/// before it sent its last successful renewal. Another candidate takes over only after it has seen
+/// the row unchanged for longer than that on its own clock.
 #[derive(Debug)]
 pub struct Lease {
     me: Incarnation,
     tuning: Tuning,
     seen: Option<Seen>,
     held: Option<Held>,
-    /// The write that hasn't been answered.
+    /// The write in flight.
     writing: Option<Pending>,
-    /// Writes whose answers were lost and that may still take effect.
+    /// Writes whose responses were lost and that may still be applied.
     lost: Vec<Pending>,
-    /// Counts the writes, so that each writes a row that no other does.
+    /// The number of writes, which makes each written row unique.
     writes: u64,
     reading: bool,
     next: Duration,
@@ -66,15 +66,15 @@
     Resigned,
 }
 
-/// The row as it was last seen.
+/// The row as last read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Seen {
     row: Option<(u64, Row)>,
-    /// When it was first seen like this.
+    /// The time at which it was first read in this state.
     since: Duration,
 }
 
-/// What the holder knows.
+/// The state of a held lease.
 #[derive(Clone, Debug)]
 struct Held {
     version: u64,
@@ -83,30 +83,30 @@
     settling: Settling,
 }
 
-/// How far a new holder is with what the last one left.
+/// The progress of a new holder after a takeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Settling {
-    /// Orders of the last holder may be on their way until then.
+    /// Orders of the last holder may be in transit until this time.
     Until(Duration),
     /// The state that they left is being read back.
     ReadingBack,
-    /// Nothing of the last holder can surprise any more.
+    /// The takeover is complete.
     Done,
 }
 
-/// A write that hasn't been answered, or whose answer was lost.
+/// A write in flight, or one whose response was lost.
 #[derive(Clone, Debug)]
 struct Pending {
     expect: Expect,
     row: Row,
-    /// When it was sent: what it grants counts from then.
+    /// The time at which it was sent, from which the lease's duration counts.
     started: Duration,
-    /// Whether the row belonged to somebody before.
+    /// Whether the row names a holder that the write replaces.
     takes_over: bool,
 }
 
 impl Lease {
-    /// A candidate that has seen nothing.
+    /// Creates a candidate that hasn't read the row yet.
     #[must_use]
     pub fn new(me: Incarnation, tuning: Tuning) -> Self {
         Self {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.lapse(now, actions);
         match event {
@@ -140,12 +140,13 @@
         }
     }
 
-    /// Whether an order may be issued now, and under which number. To be
-    /// asked before each order, with the time of that moment: a holder that
-    /// was frozen finds its lease lapsed here before it has handled any event.
+    /// Returns the fencing number for an order that is issued now.
+    ///
+    /// Must be called before each order with the current time: a holder that was frozen then finds
+    /// its lease expired before it has handled any event.
     ///
     /// # Errors
-    /// Why not; see [`Denied`].
+    /// [`Denied`] if no order may be issued.
     pub fn order(&self, now: Duration, endpoint: Endpoint) -> Result<Fencing, Denied> {
         let held = self
             .held
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Gives up what lapsed by this host's clock.
+    /// Gives up a lease that expired on this host's clock.
     fn lapse(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.held.as_ref().is_some_and(|held| now >= held.deadline) {
             self.lose(actions);
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Takes the row as the table has it.
+    /// Handles the result of a read.
     fn read(
         &mut self,
         now: Duration,
@@ -186,7 +187,7 @@
         if let Some((version, found)) = &row
             && let Some(index) = self.lost.iter().position(|it| it.row == *found)
         {
-            // The write took effect and its answer was lost.
+            // The write was applied and its response was lost.
             let pending = self.lost.swap_remove(index);
             return self.hold(now, *version, pending, actions);
         }
@@ -210,14 +211,14 @@
     }
 
     fn written(&mut self, now: Duration, result: Written, actions: &mut Vec<Action>) {
-        // The answer to giving the lease back changes nothing.
+        // The result of the write that releases the lease is ignored.
         let Some(pending) = self.writing.take() else {
             return;
         };
         match result {
             Written::Applied { version } => self.hold(now, version, pending, actions),
-            // Somebody else wrote, or an earlier write of this candidate took
-            // effect late. The row tells.
+            // Another candidate wrote, or an earlier write of this one was applied late. Reading
+            // the row tells which.
             Written::Failed => {
                 self.next = now;
                 self.seek(actions);
@@ -231,9 +232,8 @@
         }
     }
 
-    /// The row is this candidate's. The grant counts from before the write
-    /// was sent: however long the answer took, the table can't have shown the
-    /// row to anybody before that.
+    /// Takes the lease after a successful write. Its duration counts from before the write was
+    /// sent, because other candidates may have read the row from that time on.
     fn hold(&mut self, now: Duration, version: u64, pending: Pending, actions: &mut Vec<Action>) {
         let deadline = pending.started + self.tuning.length.saturating_sub(self.tuning.margin);
         self.lost.clear();
@@ -256,7 +256,7 @@
         self.lapse(now, actions);
     }
 
-    /// Starts reading back once no order of the last holder can be on its way.
+    /// Requests the read-back once no order of the last holder can be in transit.
     fn settle(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(held) = &mut self.held else {
             return;
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Renews, takes over or looks, whichever is due.
+    /// Renews the lease, takes it over or reads the row, if that is due.
     fn step(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let busy = self.reading || self.writing.is_some();
         if now < self.next || busy || self.stage == Stage::Resigned {
@@ -295,14 +295,14 @@
         self.seek(actions);
     }
 
-    /// When the holder that was last seen will have lapsed for sure.
+    /// The time at which the lease of the holder that was last seen has surely expired.
     fn lapses(&self) -> Option<Duration> {
         let seen = self.seen.as_ref()?;
         Some(seen.since + self.tuning.length + self.tuning.margin)
     }
 
-    /// On which condition and under which number the lease can be taken, and
-    /// whether from somebody, if the row as last seen is free to be taken.
+    /// Returns the condition and the fencing number of a takeover, and whether it replaces another
+    /// holder, if the lease is free.
     fn claim(&self, now: Duration) -> Option<(Expect, Fencing, bool)> {
         let seen = self.seen.as_ref()?;
         let Some((version, row)) = &seen.row else {
@@ -347,8 +347,8 @@
         }
     }
 
-    /// Gives the lease back, so that the next holder need not wait. To be
-    /// asked for once no order is on its way any more.
+    /// Releases the lease, so that the next holder need not wait. No order may be in transit any
+    /// more.
     fn resign(&mut self, actions: &mut Vec<Action>) {
         self.stage = Stage::Resigned;
         self.writing = None;
--- a/crates/ledger/src/lease/tuning.rs
+++ b/crates/ledger/src/lease/tuning.rs
@@ -1,19 +1,18 @@
-//! The times of a lease.
+//! Timing parameters of a lease.
 
 use std::time::Duration;
 
-/// The times of a lease, the same on every host.
+/// Timing parameters of a lease, the same on every host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// How long the holder may act after it began a renewal that succeeded.
+    /// Duration of the lease, counted from when the holder sent its last successful renewal.
     pub length: Duration,
-    /// By how much the holder stops earlier and the next one waits longer, so
-    /// that clocks that run at slightly different speeds do no harm.
+    /// Safety margin for clocks that run at different speeds. The holder stops earlier by this
+    /// time, and the next holder waits longer.
     pub margin: Duration,
-    /// How long after a renewal the holder begins the next one, and how often
-    /// a candidate reads the row.
+    /// Interval between the holder's renewals, and between a candidate's reads of the row.
     pub renew_every: Duration,
-    /// How long an order may be on its way before its connection is given up.
+    /// Timeout of an order, after which its connection is closed.
     pub order_bound: Duration,
 }
 
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger itself.
+//! The ledger's public interface.
 
 use std::time::Duration;
 
@@ -8,10 +8,9 @@
 use crate::cx::{Cx, Shared};
 use crate::{Action, Event, Serial, Status, Tuning};
 
-/// At-most-once execution and billing on one host, without any IO.
+/// At-most-once execution and billing on one host, without IO.
 ///
-/// The daemon feeds it what happened and performs its actions. It may be
-/// driven by any clock that only moves forward.
+/// The daemon passes in events and performs the returned actions. Any monotonic clock will do.
 #[derive(Debug)]
 pub struct Ledger {
     shared: Shared,
@@ -19,7 +18,7 @@
 }
 
 impl Ledger {
-    /// A ledger of the incarnation `me` that holds nothing.
+    /// Creates an empty ledger for the incarnation `me`.
     #[must_use]
     pub fn new(me: Incarnation, data_centre: DataCentre, tuning: Tuning) -> Self {
         Self {
@@ -28,7 +27,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let mut cx = Cx {
             now,
@@ -38,13 +37,13 @@
         self.core.handle(&mut cx, event);
     }
 
-    /// The number that goes into a ticket minted now.
+    /// Returns the serial to put into a ticket that is minted now.
     #[must_use]
     pub fn floor(&self) -> Serial {
         self.core.holdings.floor()
     }
 
-    /// What it holds and has counted.
+    /// Returns the current state and the counters.
     #[must_use]
     pub fn status(&self) -> Status {
         self.core.status(&self.shared)
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,8 +1,7 @@
-//! At-most-once execution and billing, as a pure core.
+//! At-most-once execution and billing, as a state machine without IO.
 //!
-//! [`Ledger::handle`] takes what happened and says what to do; it does no IO,
-//! so that a test or the daemon can drive it alike. See
-//! [ledger.md](../../../docs/design/ledger.md) for the ways weighed and
+//! [`Ledger::handle`] takes an event and returns actions, so tests and the daemon drive it alike.
+//! For the design see [ledger.md](../../../docs/design/ledger.md), and
 //! [lease.md](../../../docs/design/lease.md) for single-holder jobs.
 
 pub mod lease;
--- a/crates/ledger/src/measure.rs
+++ b/crates/ledger/src/measure.rs
@@ -1,7 +1,7 @@
-//! What the ledger costs a host, for the capacity page.
+//! Measurements of the ledger's cost per host, for the capacity page.
 //!
-//! A host and its partner run against a table that does what it is asked,
-//! on a virtual clock; only the processor time is real.
+//! A host and its partner run against a simulated table on a virtual clock; only the processor time
+//! is real.
 
 mod pair;
 
@@ -12,34 +12,34 @@
 use crate::{Ledger, Tuning};
 use pair::Pair;
 
-/// How long a measured run lasts on its virtual clock.
+/// Duration of a run in virtual time.
 const SPAN: Duration = Duration::from_mins(1);
 
-/// What a host and its fleet have to bear.
+/// The load on a host and its fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Answered requests a second on each host.
+    /// Requests with a response per second and host.
     pub rate: f64,
     /// Hosts in the fleet.
     pub hosts: usize,
 }
 
-/// What that costs one host, which keeps as many copies as it makes records.
+/// The measured cost of one host, which stores as many copies as it makes records.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figures {
-    /// Records made in the run.
+    /// Number of records made in the run.
     pub records: u64,
-    /// Processor time a record, with its copy and the encoding of both.
+    /// Processor time per record, including its copy and the encoding of both.
     pub processor: Duration,
-    /// Messages sent a second.
+    /// Messages sent per second.
     pub messages_per_second: f64,
-    /// Bytes of messages sent a second; as many are received.
+    /// Bytes of messages sent per second. As many are received.
     pub bytes_per_second: f64,
-    /// Table transactions a second.
+    /// Table transactions per second.
     pub writes_per_second: f64,
-    /// Bytes written to the table a second.
+    /// Bytes written to the table per second.
     pub table_bytes_per_second: f64,
-    /// Table transactions a second of the whole fleet.
+    /// Table transactions per second of the whole fleet.
     pub fleet_writes_per_second: f64,
 }
 
@@ -63,8 +63,8 @@
     }
 }
 
-/// A host and its partner that hold `records` records while the table is out.
-/// Their memory is that of one host with as many records and copies.
+/// Returns a host and its partner that hold `records` records while the table is unavailable.
+/// Together they use as much memory as one host with that many records and copies.
 #[must_use]
 pub fn outage(records: usize) -> (Ledger, Ledger) {
     let tuning = Tuning {
@@ -77,8 +77,8 @@
     pair.into_ledgers()
 }
 
-/// A host that remembers `keys` keys of non-idempotent calls, each run under
-/// one of its tickets, with its records in the table.
+/// Returns a host that remembers `keys` keys of at-most-once calls, each run under one of its
+/// tickets, with all records in the table.
 #[must_use]
 pub fn remembering(keys: usize) -> Ledger {
     let tuning = Tuning {
@@ -90,8 +90,7 @@
     pair.into_ledgers().0
 }
 
-/// Counts of a run are far below the numbers that `f64` holds exactly.
-#[expect(clippy::cast_precision_loss, reason = "counts stay below 2^53")]
+#[expect(clippy::cast_precision_loss, reason = "counts of a run stay below 2^53")]
 fn to_f64(count: u64) -> f64 {
     count as f64
 }
--- a/crates/ledger/src/measure/pair.rs
+++ b/crates/ledger/src/measure/pair.rs
@@ -1,4 +1,4 @@
-//! A host and its partner, with a table that only counts.
+//! A host and its partner, with a table that only counts writes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 
 const HOST: Incarnation = Incarnation(0x5eed_0000_0000_0001);
 const PARTNER: Incarnation = Incarnation(0x5eed_0000_0000_0002);
-/// How long a message or a write takes.
+/// Delay of a message and of a write.
 const DELAY: Duration = Duration::from_millis(2);
 
-/// A host and its partner, with a table that only counts.
+/// A host and its partner, with a table that only counts writes.
 pub(super) struct Pair {
     host: Ledger,
     partner: Ledger,
@@ -59,7 +59,7 @@
         self.made
     }
 
-    /// Answers `rate` requests a second for `span`.
+    /// Runs `rate` requests per second for `span`.
     pub(super) fn run(&mut self, rate: f64, span: Duration) {
         let pause = Duration::from_secs(1).div_f64(rate);
         while self.now < span {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Answers `records` requests while the table is out.
+    /// Runs `records` requests while the table is unavailable.
     pub(super) fn fill(&mut self, records: usize) {
         self.table = Written::NotApplied;
         for _ in 0..records {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Answers `keys` non-idempotent calls under tickets of the host.
+    /// Runs `keys` at-most-once calls under tickets of the host.
     pub(super) fn remember(&mut self, keys: usize) {
         for idx in 0..keys {
             let request = self.request();
@@ -125,7 +125,7 @@
         self.feed(HOST, Event::Finished { request, end });
     }
 
-    /// Lets time pass, with what is on its way and what is due.
+    /// Advances the time by `span`, and delivers the events that become due.
     fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
@@ -198,8 +198,8 @@
     }
 }
 
-/// The partner, and hosts that are only there to be counted: they are leaving,
-/// so no copy goes to them.
+/// The partner, and further hosts that only count towards the fleet's size. These are shutting
+/// down, so no copies are sent to them.
 fn fleet(hosts: usize) -> Vec<Peer> {
     let mut peers = vec![peer(PARTNER, "dar-2")];
     for idx in 2..hosts as u64 {
@@ -220,7 +220,7 @@
     }
 }
 
-/// A call as most are: without a key, so that no key has to be remembered.
+/// A call without a key, so that no key has to be remembered.
 fn arrival(request: RequestId) -> Arrival {
     Arrival {
         request,
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,51 +1,51 @@
-//! What the ledgers of two hosts say to each other.
+//! Messages between the ledgers of two hosts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Record, Serial};
 
-/// A message from one ledger to another. Each may be lost, doubled or late.
+/// A message from one ledger to another. It may be lost, duplicated or delayed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Keep these records of the sender until they are released.
+    /// Store copies of these records of the sender until they are released.
     Copy {
-        /// Names this message in its confirmation.
+        /// Identifies the message in its confirmation.
         batch: u64,
         /// The records.
         records: Vec<Record>,
     },
-    /// The records of a [`Message::Copy`] are held.
+    /// The records of a [`Message::Copy`] are stored.
     Copied {
-        /// The message that is confirmed.
+        /// The confirmed message.
         batch: u64,
     },
-    /// The records of a [`Message::Copy`] are not held: there is no room.
+    /// The records of a [`Message::Copy`] are refused, for lack of room or because of a shutdown.
     Full {
-        /// The message that is refused.
+        /// The refused message.
         batch: u64,
     },
-    /// Records of the sender are in the table or held elsewhere: forget them.
+    /// Delete copies of records of the sender that are in the table or stored elsewhere.
     Release {
-        /// The lowest number that the sender still holds.
+        /// All copies below this serial can be deleted.
         below: Serial,
-        /// The numbers of further records.
+        /// The serials of further copies to delete.
         serials: Vec<Serial>,
     },
-    /// The sender has held these copies of the receiver's records for long: it
-    /// asks which of them it may forget, in case a release was lost.
+    /// Asks which of these copies of the receiver's records are still needed. The sender has stored
+    /// them for long, and a release may have been lost.
     Holds {
-        /// The records' numbers.
+        /// The serials of the records.
         serials: Vec<Serial>,
     },
-    /// Records of work that ran at the sender under the receiver's tickets:
-    /// the receiver bills each, unless it has billed the key before.
+    /// Adopt the records of work that ran at the sender under the receiver's tickets. The receiver
+    /// bills each key once.
     Adopt {
-        /// The records, numbered by the sender.
+        /// The records, under the sender's serials.
         records: Vec<Record>,
     },
-    /// The receiver of an [`Message::Adopt`] sees to these records from now on.
+    /// The receiver of an [`Message::Adopt`] is now responsible for these records.
     Adopted {
-        /// The sender's numbers of the records.
+        /// The sender's serials of the records.
         serials: Vec<Serial>,
     },
 }
--- a/crates/ledger/src/outcome.rs
+++ b/crates/ledger/src/outcome.rs
@@ -1,10 +1,10 @@
-//! The answer of a run, kept to be repeated.
+//! The stored response of a request, for retries.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A whole answer as it is repeated to a caller that asks again.
+/// A complete response, as it is sent again to a retry of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The HTTP status.
@@ -16,13 +16,13 @@
 }
 
 impl Outcome {
-    /// The bytes that it takes in memory and in a row.
+    /// Returns the size in memory and in a row, in bytes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.media_type.len() + self.body.len()
     }
 
-    /// Whether the answer has neither a media type nor a body.
+    /// Whether the response has neither a media type nor a body.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
--- a/crates/ledger/src/packed.rs
+++ b/crates/ledger/src/packed.rs
@@ -1,12 +1,11 @@
-//! Records as they are held: encoded, since there may be tens of thousands.
+//! Encoded records.
 
 use kernel::Incarnation;
 
 use crate::{Record, Serial};
 
-/// A record in its encoded form. In an outage of the table an hour's worth of
-/// them is held, and as many copies; what that saves is measured in
-/// `docs/design/ledger.md`.
+/// A record in encoded form, which saves memory: while the table is unavailable a host may hold
+/// tens of thousands of records and as many copies.
 #[derive(Debug)]
 pub(crate) struct Packed {
     pub(crate) serial: Serial,
@@ -19,7 +18,7 @@
 impl Packed {
     pub(crate) fn new(record: &Record) -> Self {
         let bytes =
-            postcard::to_stdvec(record).expect("a record has nothing that can't be encoded");
+            postcard::to_stdvec(record).expect("every record can be encoded");
         Self {
             serial: record.serial,
             home: record.key.home,
@@ -30,10 +29,10 @@
     }
 
     pub(crate) fn unpack(&self) -> Record {
-        postcard::from_bytes(&self.bytes).expect("it was encoded from a record")
+        postcard::from_bytes(&self.bytes).expect("the bytes are an encoded record")
     }
 
-    /// The bytes of the answer that is kept with it.
+    /// Returns the size of the stored response in bytes.
     pub(crate) fn outcome_bytes(&self) -> usize {
         self.outcome_bytes as usize
     }
--- a/crates/ledger/src/peer.rs
+++ b/crates/ledger/src/peer.rs
@@ -2,20 +2,20 @@
 
 use kernel::{DataCentre, Incarnation};
 
-/// A host that may hold copies and answer for its claims.
+/// Another live host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Its data centre.
     pub data_centre: DataCentre,
-    /// How far it is.
+    /// Its distance from this host.
     pub reach: Reach,
-    /// Whether it stays.
+    /// Whether it is shutting down.
     pub state: State,
 }
 
-/// How far another host is from this one.
+/// The distance of another host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reach {
     /// In the same region.
@@ -24,11 +24,11 @@
     Far,
 }
 
-/// Whether another host stays.
+/// Whether another host is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// It stays.
+    /// It isn't shutting down.
     Live,
-    /// It is shutting down and takes no copies.
+    /// It is shutting down and accepts no copies.
     Leaving,
 }
--- a/crates/ledger/src/peers.rs
+++ b/crates/ledger/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other hosts: who is alive, who is gone since when, who keeps copies.
+//! The other hosts: which are alive, which are gone and since when, and which receive copies.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -8,10 +8,10 @@
 
 use crate::{Peer, State};
 
-/// How long the moment of a disappearance is remembered.
+/// Time for which the disappearance of a host is remembered.
 const REMEMBERED: Duration = Duration::from_hours(1);
 
-/// What is known of the other hosts.
+/// The known state of the other hosts.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     live: BTreeMap<Incarnation, Peer>,
@@ -20,7 +20,7 @@
 }
 
 impl Peers {
-    /// Replaces what is known by `peers`.
+    /// Replaces the live hosts by `peers`.
     pub(crate) fn replace(&mut self, now: Duration, peers: Vec<Peer>) {
         let live: BTreeMap<_, _> = peers
             .into_iter()
@@ -40,7 +40,7 @@
         self.live.contains_key(&incarnation)
     }
 
-    /// Whether `incarnation` is alive and stays.
+    /// Whether `incarnation` is alive and not shutting down.
     pub(crate) fn stays(&self, incarnation: Incarnation) -> bool {
         self.live
             .get(&incarnation)
@@ -51,12 +51,12 @@
         self.live.get(&incarnation).map(|peer| &peer.data_centre)
     }
 
-    /// All hosts, this one included.
+    /// The number of live hosts, including this one.
     pub(crate) fn hosts(&self) -> usize {
         self.live.len() + 1
     }
 
-    /// How many hosts could keep a copy.
+    /// The number of other hosts that accept copies.
     pub(crate) fn staying(&self) -> usize {
         self.live
             .values()
@@ -64,30 +64,30 @@
             .count()
     }
 
-    /// When `incarnation` disappeared; now, if it was never seen.
+    /// Returns when `incarnation` disappeared, or `now` if it was never seen.
     ///
-    /// A host that has just started knows nobody. It counts from its own
-    /// first look, so that it fences nobody before it has heard from the fleet.
+    /// A host that has just started knows no other host. It counts from its own first look, so it
+    /// fences no host before it has heard from the fleet.
     pub(crate) fn gone_since(&mut self, now: Duration, incarnation: Incarnation) -> Duration {
         *self.gone.entry(incarnation).or_insert(now)
     }
 
-    /// A message came from `incarnation`: it is alive, whatever the fleet says so far.
+    /// Restarts the count for a missing `incarnation` that sent a message: it is alive, whatever
+    /// the membership says.
     pub(crate) fn heard(&mut self, now: Duration, incarnation: Incarnation) {
         if let Some(since) = self.gone.get_mut(&incarnation) {
             *since = now;
         }
     }
 
-    /// Chooses no more copies for `incarnation` until `until`.
+    /// Excludes `incarnation` as a partner until `until`.
     pub(crate) fn avoid(&mut self, incarnation: Incarnation, until: Duration) {
         self.avoided.insert(incarnation, until);
     }
 
-    /// The host that keeps the copies of `me`: in another data centre and near
-    /// before far, in the same one only when there is no other. Within a rank
-    /// the choice is by rendezvous hashing, so that hosts spread over their
-    /// partners and a partner's loss moves only those who had chosen it.
+    /// Selects the host that stores the copies of `me`. Another data centre comes before the same
+    /// one, then a near host before a far one. Among equals the choice is by rendezvous hashing,
+    /// which spreads the hosts over partners and moves only a lost partner's copies.
     pub(crate) fn partner(
         &self,
         now: Duration,
@@ -112,7 +112,7 @@
     }
 }
 
-/// The weight of `peer` for `me`: the finaliser of `splitmix64` over both.
+/// The rendezvous weight of `peer` for `me`: the `splitmix64` finaliser of both.
 fn score(me: Incarnation, peer: Incarnation) -> u64 {
     let mut hash = me.0.rotate_left(32) ^ peer.0.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,4 +1,4 @@
-//! The billing record of an answered request.
+//! The billing record of a request.
 
 use derive_more::{Display, From, Into};
 use kernel::{Incarnation, Money, ProfileName, RequestKey, Revision, VersionId};
@@ -6,7 +6,7 @@
 
 use crate::{Fingerprint, Outcome};
 
-/// The number of a record in the incarnation that made it; it only rises.
+/// The serial number of a record in the incarnation that holds it. It only rises.
 #[derive(
     Clone,
     Copy,
@@ -26,53 +26,53 @@
 #[serde(transparent)]
 pub struct Serial(pub u64);
 
-/// What an answered request costs, and by which configuration.
+/// The charge for a request, and the configuration that priced it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Charge {
-    /// The profile, or none for a plain service.
+    /// The profile, or `None` for a plain service.
     pub profile: Option<ProfileName>,
-    /// Every version that worked on the answer, in order.
+    /// The versions that contributed to the response, in order.
     pub versions: Vec<VersionId>,
-    /// The tokens read.
+    /// The number of prompt tokens.
     pub prompt_tokens: u64,
-    /// The tokens generated.
+    /// The number of generated tokens.
     pub completion_tokens: u64,
     /// The amount.
     pub money: Money,
-    /// The configuration by which it was priced.
+    /// The revision of the configuration that priced it.
     pub revision: Revision,
 }
 
-/// The billing record of an answered request. There is one a [`RequestKey`].
+/// The billing record of a request. There is at most one per [`RequestKey`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its number in the incarnation that holds it.
+    /// Its serial in the incarnation that holds it.
     pub serial: Serial,
-    /// The request; it names the customer.
+    /// The request key, which includes the customer.
     pub key: RequestKey,
-    /// The incarnation in whose batches it is to stand, or at which the work
-    /// ran where it isn't the home. A home never adopts a record of its own:
-    /// it has it, or has put it into the table.
+    /// The incarnation that puts the record into one of its batches or, if the work ran elsewhere
+    /// than at its home, the one that ran it. A home never adopts a record that it made itself: it
+    /// still has the record, or has written it to the table.
     pub maker: Incarnation,
-    /// The number from which the home's batches may hold a record of the same key.
+    /// The lowest serial that a record of the same key can have in the home's batches.
     pub floor: Serial,
-    /// What is billed.
+    /// The charge.
     pub charge: Charge,
-    /// For a call that may not run again, what a repeat is told.
+    /// The data for retries of an at-most-once call.
     pub replay: Option<Replay>,
 }
 
-/// What a repeat of a non-idempotent call is told when its host is gone.
+/// The data from which a retry of an at-most-once call is handled once its host is gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replay {
-    /// What the call asks for.
+    /// The hash of path and body.
     pub fingerprint: Fingerprint,
-    /// The answer, unless it was too large to keep.
+    /// The response, or `None` if it was too large to store.
     pub outcome: Option<Outcome>,
 }
 
 impl Record {
-    /// The bytes of the answer that is kept with it.
+    /// Returns the size of the stored response in bytes.
     pub(crate) fn outcome_bytes(&self) -> usize {
         self.replay
             .as_ref()
@@ -80,12 +80,12 @@
             .map_or(0, Outcome::len)
     }
 
-    /// Whether it is of the home's own making.
+    /// Whether its home made it.
     pub(crate) fn is_homes_own(&self) -> bool {
         self.maker == self.key.home
     }
 
-    /// Gives up the answer, so that what is billed can still be kept.
+    /// Drops the stored response, so that at least the charge can be stored.
     pub(crate) fn drop_outcome(&mut self) {
         if let Some(replay) = &mut self.replay {
             replay.outcome = None;
--- a/crates/ledger/src/refusal.rs
+++ b/crates/ledger/src/refusal.rs
@@ -1,39 +1,39 @@
-//! Why a call isn't dispatched.
+//! The refusal of a call.
 
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// Why a call isn't dispatched, and what is known about its execution.
+/// The refusal of a call, and whether its request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The reason.
     pub reason: Reason,
-    /// Whether the request may have run, now or at an earlier arrival of its key.
+    /// Whether the request may have run, at this or an earlier arrival of its key.
     pub run: Run,
-    /// When a repeat may go better.
+    /// The recommended delay before a retry.
     pub retry_after: Option<Duration>,
 }
 
-/// The reasons for which the ledger refuses; each is one of the callers' reasons.
+/// The reason of a refusal. Each is also a reason in the callers' interface.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// The table is needed and doesn't answer, or too much waits for it.
+    /// The table is needed and unavailable, or too many records wait for it.
     #[display("store_out")]
     StoreOut,
     /// Another arrival of the same key is running.
     #[display("in_progress")]
     InProgress,
-    /// The host that held the key is gone, or it no longer remembers.
+    /// The host that decided about the key is gone, or has forgotten it.
     #[display("holder_gone")]
     HolderGone,
     /// The key was used for another body.
     #[display("key_reused")]
     KeyReused,
-    /// The request was answered, and the answer is no longer kept.
+    /// The request got a response that is no longer stored.
     #[display("answer_cut")]
     AnswerCut,
-    /// An earlier arrival of the key was sent and never answered.
+    /// An earlier arrival of the key was sent and got no response.
     #[display("upstream_failed")]
     UpstreamFailed,
     /// Too many keys are remembered.
@@ -44,10 +44,10 @@
     Leaving,
 }
 
-/// What is known about the execution of a request.
+/// Whether a request may have run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Run {
-    /// It is proved that no endpoint ran the request, at this arrival or an earlier one.
+    /// No endpoint ran the request, at this or an earlier arrival.
     #[display("not_run")]
     NotRun,
     /// An endpoint may have run it.
--- a/crates/ledger/src/rows.rs
+++ b/crates/ledger/src/rows.rs
@@ -7,26 +7,26 @@
 use crate::table::{Condition, Expect, Put};
 use crate::{Fingerprint, Outcome, Record, Serial};
 
-/// The home of a request key that came without a ticket.
+/// The home in request keys without a ticket.
 pub(crate) const NO_HOME: Incarnation = Incarnation(0);
 
 /// The value of `claim/{request key}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub(crate) enum Claim {
-    /// Only the holder may run it.
+    /// The key may run only at the holder.
     Claimed {
         holder: Incarnation,
-        /// Tells two claims of one holder apart.
+        /// Distinguishes the claims of one holder.
         nonce: u64,
         fingerprint: Fingerprint,
     },
-    /// It ran and was answered.
+    /// It ran to a response.
     Answered {
         fingerprint: Fingerprint,
         outcome: Option<Outcome>,
     },
-    /// It was sent and never answered.
+    /// It was sent and got no response.
     Unknown { fingerprint: Fingerprint },
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// The value of `bill/{incarnation}/{number of the last record}`.
+/// The value of `bill/{incarnation}/{serial of the last record}`.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Batch {
     pub(crate) records: Vec<Record>,
@@ -54,24 +54,23 @@
     format!("fence/{incarnation}")
 }
 
-/// What the keys of all batches of `home` begin with.
+/// Returns the key prefix of all batches of `home`.
 pub(crate) fn batches(home: Incarnation) -> String {
     format!("bill/{home}/")
 }
 
-/// The key of the batch whose last record is `last`. A record with a lower
-/// number than that and a higher one than the batch before is in this batch,
-/// which bounds a search.
+/// Returns the key of the batch that ends with the record `last`. Batches are sorted by their last
+/// serials, so a search for a record may start at its serial.
 pub(crate) fn batch(home: Incarnation, last: Serial) -> String {
     format!("bill/{home}/{:020}", last.0)
 }
 
-/// The number of the last record of the batch under `key`, if it is a batch's.
+/// Returns the last serial of the batch under `key`, or `None` if `key` isn't a batch's.
 pub(crate) fn batch_serial(home: Incarnation, key: &str) -> Option<Serial> {
     key.strip_prefix(&batches(home))?.parse().ok().map(Serial)
 }
 
-/// The key of a record that is billed by itself.
+/// Returns the row key of a record that is settled by itself.
 pub(crate) fn single(key: &RequestKey) -> String {
     format!("bill/{}/key/{key}", key.home)
 }
@@ -90,7 +89,8 @@
     }
 }
 
-/// The row that answers repeats of a non-idempotent call once its host is gone.
+/// Returns the claim row from which retries of an at-most-once call are handled once its host is
+/// gone.
 pub(crate) fn outcome(record: &Record) -> Option<Put> {
     let replay = record.replay.as_ref()?;
     let value = Claim::Answered {
@@ -101,5 +101,5 @@
 }
 
 fn to_json<T: Serialize>(value: &T) -> String {
-    serde_json::to_string(value).expect("rows have text keys and no failing serializer")
+    serde_json::to_string(value).expect("every row value can be serialized")
 }
--- a/crates/ledger/src/settler.rs
+++ b/crates/ledger/src/settler.rs
@@ -1,4 +1,4 @@
-//! Brings records into the table that no batch of this incarnation may carry.
+//! Settlement of records that no batch of this incarnation may contain.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -13,17 +13,17 @@
 use crate::timers::Timer;
 use crate::{Message, Record, Serial, rows};
 
-/// How many batches a search reads at a time.
+/// Number of batches that a search reads at a time.
 const PAGE: usize = 32;
-/// How many records are billed in one transaction when each has its own row.
+/// Maximum number of records that one transaction inserts.
 const INSERTED: usize = 100;
 
-/// Settles records of other homes one by one.
+/// Settles the records of other homes one by one.
 ///
-/// A home that is alive adopts its record. For one that is gone the steps are:
-/// fence it, so that none of its batches can come any more; search its
-/// batches for the keys; insert a row a key for those that weren't found. The
-/// row must be absent, so any number of hosts may do this at the same time.
+/// A live home adopts its records. For a home that is gone, the settler fences it, so that it can
+/// write no further batch, searches its batches for the keys, and inserts one row for each key that
+/// wasn't found. Each insert requires that the row is absent, so several hosts may settle the same
+/// records at the same time.
 #[derive(Debug, Default)]
 pub(crate) struct Settler {
     homes: BTreeMap<Incarnation, Settlement>,
@@ -51,7 +51,7 @@
 }
 
 impl Settler {
-    /// Moves the records of every home on by a step, where one is possible.
+    /// Starts the next step for every home that has one due.
     pub(crate) fn pump(
         &mut self,
         cx: &mut Cx,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Takes the answer to a fence.
+    /// Handles the result of writing a fence.
     pub(crate) fn fenced(&mut self, cx: &mut Cx, home: Incarnation, result: &Written) {
         let Some(it) = self.homes.get_mut(&home) else {
             return;
@@ -117,14 +117,14 @@
         it.step = Step::Idle;
         match result {
             Written::Applied => cx.shared.counters.fences += 1,
-            // Another host was first.
+            // Another host has already fenced the home.
             Written::Failed { .. } => {}
             Written::NotApplied | Written::Unknown => return it.wait(cx, home),
         }
         cx.shared.fenced.insert(home);
     }
 
-    /// Takes a page of a home's batches.
+    /// Handles a page of a home's batches.
     pub(crate) fn scanned(
         &mut self,
         cx: &mut Cx,
@@ -152,8 +152,8 @@
                 it.step = Step::Idle;
                 sort_out(cx, holdings, &serials, &found);
             }
-            // A row that can't be read may hold any of the keys: nothing is
-            // billed until an operator has seen to it.
+            // An unreadable row may contain any of the keys, so nothing is billed until an operator
+            // has repaired it.
             Err(_) => {
                 it.step = Step::Idle;
                 it.wait(cx, home);
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Takes the answer to an insertion.
+    /// Handles the result of an insertion.
     pub(crate) fn inserted(
         &mut self,
         cx: &mut Cx,
@@ -180,8 +180,8 @@
                 cx.shared.counters.settled += serials.len() as u64;
                 holdings.settle(cx, &serials);
             }
-            // These keys are billed, by another host or by this one in a write
-            // whose answer was lost. The rest is sent again without them.
+            // These keys are billed already, by another host or by a write of this one whose
+            // response was lost. The others are inserted in the next try.
             Written::Failed { keys } => {
                 let billed: Vec<Serial> = serials
                     .into_iter()
@@ -198,7 +198,7 @@
         }
     }
 
-    /// A home has taken over these records.
+    /// Handles the adoption of records by their home.
     pub(crate) fn adopted(
         cx: &mut Cx,
         holdings: &mut Holdings,
@@ -281,7 +281,8 @@
 }
 
 impl Scan {
-    /// Notes the keys of a page; tells after which batch the search goes on.
+    /// Collects the keys of a page. Returns the serial after which the search continues, or `None`
+    /// at its end.
     fn take(
         &mut self,
         home: Incarnation,
@@ -301,7 +302,7 @@
     }
 }
 
-/// A home's timer: what was offered and not taken is offered again.
+/// Marks the records that were offered to `home` and not adopted, so that they are offered again.
 pub(crate) fn offer_again(holdings: &mut Holdings, home: Incarnation) {
     let offered: Vec<Serial> = holdings
         .single(home)
@@ -311,7 +312,7 @@
     holdings.set_phase(&offered, Phase::New);
 }
 
-/// Drops the records whose keys were found and lets the others be inserted.
+/// Drops the records whose keys were found, and marks the others for insertion.
 fn sort_out(cx: &mut Cx, holdings: &mut Holdings, serials: &[Serial], found: &HashSet<RequestKey>) {
     let is_found = |held: &Held| found.contains(&held.record.unpack().key);
     let (billed, absent): (Vec<Serial>, Vec<Serial>) = serials
@@ -322,7 +323,7 @@
     holdings.set_phase(&absent, Phase::Absent);
 }
 
-/// When the records without a home are written: at the pace of the batches.
+/// The time at which the records without a home are written, at the same rate as batches.
 fn due(cx: &Cx, peers: &Peers, holdings: &Holdings, urgent: bool) -> Duration {
     let mut waiting = holdings.single(NO_HOME);
     let Some(first) = waiting.next() else {
@@ -334,7 +335,7 @@
     first.since + cx.shared.tuning.interval(peers.hosts())
 }
 
-/// Asks a home that is alive to adopt the records of its keys.
+/// Offers the records of a live home to it for adoption.
 fn offer(cx: &mut Cx, holdings: &mut Holdings, home: Incarnation) {
     let records: Vec<Record> = holdings
         .single(home)
--- a/crates/ledger/src/status.rs
+++ b/crates/ledger/src/status.rs
@@ -1,48 +1,48 @@
-//! What the ledger tells operators about itself.
+//! Status of the ledger for operators.
 
 use kernel::Incarnation;
 
-/// What a ledger holds and has counted, for the status page and the metrics.
+/// The state and counters of a ledger, for the status page and the metrics.
 ///
-/// The counters only rise; the rest is as of now.
+/// The counters only rise; the other values are current.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// The incarnation under which new records are made.
+    /// The current incarnation.
     pub me: Incarnation,
-    /// Records of this host that aren't in the table yet.
+    /// Number of records of this host that aren't in the table yet.
     pub held: usize,
-    /// The bound of [`Status::held`].
+    /// Limit of [`Status::held`].
     pub held_bound: usize,
-    /// Records that are held for other hosts.
+    /// Number of copies stored for other hosts.
     pub copies: usize,
-    /// Keys that are remembered.
+    /// Number of remembered keys.
     pub keys: usize,
-    /// Bytes of the answers that are kept for repeats.
+    /// Size of the responses stored for retries, in bytes.
     pub outcome_bytes: usize,
-    /// What has been counted.
+    /// The counters.
     pub counters: Counters,
 }
 
-/// What a ledger has counted since it began.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Records made.
     pub records: u64,
-    /// Answers whose end went out while the record was on this host alone.
+    /// Responses released while the record was on this host alone.
     pub single_copy: u64,
-    /// Answers repeated from memory or from the table.
+    /// Stored responses sent to retries, from memory or from the table.
     pub replays: u64,
-    /// Copies sent again because a partner didn't confirm in time.
+    /// Copies sent again because a partner refused them or didn't confirm in time.
     pub copy_repeats: u64,
     /// Batches written.
     pub batches: u64,
-    /// Writes whose answer was lost and that were settled by repeating them.
+    /// Writes that were found applied after their response was lost.
     pub lost_answers: u64,
-    /// Fences that this host put up.
+    /// Fences set by this host.
     pub fences: u64,
-    /// Records settled one by one for an incarnation that is gone.
+    /// Records settled in rows of their own.
     pub settled: u64,
-    /// Records that turned out to be billed already and were dropped.
+    /// Records dropped because their keys had been billed before.
     pub billed_before: u64,
     /// Calls refused because too many records wait for the table.
     pub refused_full: u64,
--- a/crates/ledger/src/table.rs
+++ b/crates/ledger/src/table.rs
@@ -1,16 +1,16 @@
-//! The table service as the ledger sees it: what it asks for and what comes back.
+//! The table service's interface, as the ledger uses it.
 
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// An operation on the table that hasn't ended yet.
+    /// Identifies a table operation in flight.
     pub struct Op;
 }
 
-/// An atomic write. It takes effect when every condition holds.
+/// An atomic write. It is applied if every condition holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// What must hold.
+    /// The conditions.
     pub conditions: Vec<Condition>,
     /// The rows to write.
     pub puts: Vec<Put>,
@@ -23,14 +23,14 @@
 pub struct Condition {
     /// The row's key.
     pub key: String,
-    /// What must hold for it.
+    /// The expected state of the row.
     pub expect: Expect,
 }
 
-/// What must hold for a row.
+/// The expected state of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// There is no such row.
+    /// The row doesn't exist.
     Absent,
     /// The row has this version.
     Version(u64),
@@ -41,18 +41,18 @@
 pub struct Put {
     /// The row's key.
     pub key: String,
-    /// The row's value, a JSON text.
+    /// The row's value in JSON.
     pub value: String,
 }
 
-/// A row as read.
+/// A row that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// The row's key.
     pub key: String,
-    /// The version that its last write got.
+    /// The version that its last write assigned.
     pub version: u64,
-    /// The row's value, a JSON text.
+    /// The row's value in JSON.
     pub value: String,
 }
 
@@ -61,26 +61,26 @@
 pub struct Page {
     /// The rows.
     pub rows: Vec<Row>,
-    /// Whether the range goes on.
+    /// Whether the range has further rows.
     pub more: bool,
 }
 
-/// What came of a transaction.
+/// The result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Written {
-    /// It took effect.
+    /// It was applied.
     Applied,
-    /// It took no effect: the conditions on these rows don't hold.
+    /// It was not applied, because the conditions on these rows don't hold.
     Failed {
         /// The rows' keys.
         keys: Vec<String>,
     },
-    /// It took no effect: it never reached the table.
+    /// It was not applied, because it never reached the table.
     NotApplied,
-    /// It may have taken effect, now or later.
+    /// It may be applied, already or later.
     Unknown,
 }
 
-/// The table gave no answer to a read.
+/// The table didn't respond to a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unavailable;
--- a/crates/ledger/src/ticket.rs
+++ b/crates/ledger/src/ticket.rs
@@ -1,4 +1,4 @@
-//! What a ticket claims, once its signature is checked.
+//! The contents of a verified ticket.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 
 use crate::Serial;
 
-/// What a ticket claims. `gate` signs and reads it.
+/// The contents of a ticket. The `gate` crate signs and verifies tickets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// The incarnation that minted it and alone may run what is non-idempotent under it.
+    /// The incarnation that minted the ticket, the only one that may run at-most-once requests
+    /// under it.
     pub home: Incarnation,
-    /// The home's next record number when it was minted: a record of any call
-    /// under this ticket has this number or a higher one, which bounds a search.
+    /// The home's next serial when the ticket was minted. Records of calls under this ticket have
+    /// this serial or a higher one, which limits a search.
     pub floor: Serial,
-    /// The monotonic time of this process from which on it starts no call.
+    /// The monotonic time of this process from which on the ticket starts no call.
     ///
-    /// It isn't the time left, since a host may be frozen between reading a
-    /// call and passing it in. To be computed as the present time, read first,
-    /// and what is left by wall time: a freeze between the two then makes the
-    /// ticket expire sooner, which does no harm.
+    /// It isn't a remaining duration, because the host may be frozen between reading a call and
+    /// passing it in. To compute it, read the monotonic time first, then add the remaining wall
+    /// time: a freeze in between makes the ticket expire earlier, which is safe.
     pub expires: Duration,
 }
--- a/crates/ledger/src/timers.rs
+++ b/crates/ledger/src/timers.rs
@@ -1,4 +1,4 @@
-//! What is due when.
+//! Timers of the ledger.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,32 +8,32 @@
 use crate::Serial;
 use crate::book::EntryKey;
 
-/// What happens at a time, unless it was settled before.
+/// A timer, named by the action that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The write of a claim is repeated or given up.
+    /// Retry or abandon the write of a claim.
     Claim(EntryKey),
-    /// A partner should have confirmed a copy by now.
+    /// Copy the records of an unconfirmed copy message to another host.
     Copy(u64),
-    /// The end of an answer has waited long enough for a second copy.
+    /// Release a response that has waited for a second copy.
     Release(Serial),
-    /// The next batch is due.
+    /// Write the next batch.
     Flush,
-    /// The records of a home are moved on.
+    /// Continue the settlement for a home.
     Settle(Incarnation),
-    /// The copies held for an owner that is gone are settled.
+    /// Take over the copies of an owner that is gone.
     Orphan(Incarnation),
-    /// Rows of claims are marked or given back.
+    /// Retry the updates of claim rows.
     Chore,
-    /// A partner that was passed over may be chosen again.
+    /// Consider an avoided partner again.
     Partners,
-    /// Owners are asked which copies are still needed.
+    /// Ask owners which copies are still needed.
     Ask,
-    /// Keys are forgotten.
+    /// Remove expired keys.
     Sweep,
 }
 
-/// A queue of timers, at most one of a kind.
+/// A queue of timers. Each timer is armed at most once.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     at: BTreeMap<Timer, Duration>,
@@ -42,7 +42,7 @@
 }
 
 impl Timers {
-    /// Arms `timer`; one that is due sooner stays as it is.
+    /// Arms `timer`, unless it is already due sooner.
     pub(crate) fn arm(&mut self, at: Duration, timer: Timer) {
         match self.at.get(&timer) {
             Some(&armed) if armed <= at => return,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Takes one timer that is due.
+    /// Removes and returns a timer that is due.
     pub(crate) fn take_due(&mut self, now: Duration) -> Option<Timer> {
         let &(at, timer) = self.queue.first().filter(|(at, _)| *at <= now)?;
         self.queue.remove(&(at, timer));
@@ -69,7 +69,8 @@
         Some(timer)
     }
 
-    /// The time to ask a tick for, if the one asked for before isn't soon enough.
+    /// Returns the time of the next tick to request, or `None` if a tick that was already requested
+    /// is early enough.
     pub(crate) fn wake(&mut self, now: Duration) -> Option<Duration> {
         let &(at, _) = self.queue.first()?;
         if self.asked.is_some_and(|asked| asked > now && asked <= at) {
--- a/crates/ledger/src/tuning.rs
+++ b/crates/ledger/src/tuning.rs
@@ -1,42 +1,44 @@
-//! The ledger's limits and times.
+//! Limits and times of the ledger.
 
 use std::time::Duration;
 
-/// The ledger's limits and times. Figures and reasons are in `docs/design/ledger.md`.
+/// Limits and times of the ledger. The reasons are in `docs/design/ledger.md`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// The shortest time between two batches of a host.
+    /// Minimum interval between two batches of a host.
     pub flush_interval: Duration,
-    /// How many transactions a second all hosts together may spend on batches;
-    /// with many hosts each waits longer between two batches.
+    /// Maximum number of batch transactions per second of all hosts together. In a large fleet each
+    /// host waits longer between batches.
     pub fleet_batches_per_second: u32,
-    /// How many records a batch holds at most.
+    /// Maximum number of records in a batch.
     pub batch_records: usize,
-    /// How many records of its own a host holds before it refuses billable calls.
+    /// Number of its own unwritten records at which a host refuses billable calls.
     pub held_records: usize,
-    /// How many records of other hosts a host holds at most.
+    /// Maximum number of copies that a host stores for other hosts.
     pub held_copies: usize,
-    /// How long a partner has to confirm a copy.
+    /// Time within which a partner must confirm a copy.
     pub copy_timeout: Duration,
-    /// How many copies may be on their way to a partner; further records join the next one.
+    /// Maximum number of unconfirmed copy messages to a partner. Further records wait for a
+    /// confirmation.
     pub copy_window: usize,
-    /// How long the end of an answer waits for a second copy, wherever it is sought.
+    /// Maximum time for which a response waits for a second copy of its record.
     pub release_bound: Duration,
-    /// How long a host must be gone before it is fenced.
+    /// Time for which a host must be gone before it is fenced.
     pub fence_after: Duration,
-    /// How long a claim's write may take, repeats included.
+    /// Maximum time to write a claim, retries included.
     pub claim_bound: Duration,
-    /// How long a failed write waits before it is repeated.
+    /// Delay before a failed write is retried.
     pub retry_interval: Duration,
-    /// How many keys are remembered at most.
+    /// Maximum number of remembered keys.
     pub keys: usize,
-    /// How long a key is remembered after its ticket has expired.
+    /// Time for which a key is remembered after its ticket has expired or, without a ticket, after
+    /// its first call.
     pub key_linger: Duration,
-    /// How large an answer may be to be kept for repeats, in bytes.
+    /// Maximum size of a response that is stored for retries, in bytes.
     pub outcome_bytes: usize,
-    /// How many bytes all kept answers may take.
+    /// Maximum size of all stored responses, in bytes.
     pub outcome_total: usize,
-    /// How many repeats of one running key may wait for its answer.
+    /// Maximum number of retries that wait for the response of one key.
     pub waiters: usize,
 }
 
@@ -64,8 +66,8 @@
 }
 
 impl Tuning {
-    /// The time between two batches of a host in a fleet of `hosts`: long
-    /// enough that all of them together stay within their share of the table's writes.
+    /// Returns the interval between two batches of a host in a fleet of `hosts`, such that the
+    /// whole fleet stays within `fleet_batches_per_second`.
     #[must_use]
     pub fn interval(&self, hosts: usize) -> Duration {
         let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
--- a/crates/ledger/src/vault.rs
+++ b/crates/ledger/src/vault.rs
@@ -1,4 +1,4 @@
-//! Records that are held for other hosts.
+//! Copies of other hosts' records.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::timers::Timer;
 use crate::{Message, Record, Serial};
 
-/// How long a copy is held before its owner is asked whether it is needed.
+/// Interval between questions to the owners about old copies.
 const ASK_INTERVAL: Duration = Duration::from_secs(30);
-/// The same, once this host only waits for that.
+/// The same interval while this host is shutting down.
 const ASK_LEAVING: Duration = Duration::from_secs(1);
-/// How many copies an owner is asked about at a time.
+/// Maximum number of copies that one question to an owner lists.
 const ASKED: usize = 256;
 
-/// Records that are held for other hosts, until these release them or are gone.
+/// Copies of other hosts' records, kept until their owners release them or are gone.
 #[derive(Debug, Default)]
 pub(crate) struct Vault {
     owners: BTreeMap<Incarnation, Owner>,
@@ -28,9 +28,9 @@
 
 #[derive(Debug, Default)]
 struct Owner {
-    /// Everything below is released, also what arrives late.
+    /// All serials below this are released, even if their copies arrive later.
     below: Serial,
-    /// What was held when the owner was last asked.
+    /// The highest serial that was stored when the owner was last asked.
     old: Serial,
     records: BTreeMap<Serial, Packed>,
 }
@@ -51,7 +51,8 @@
             .map(|(&owner, _)| owner)
     }
 
-    /// Takes copies of another host's records, or refuses them when there is no room.
+    /// Stores copies of another host's records, or refuses them for lack of room or because of a
+    /// shutdown.
     pub(crate) fn copy(
         &mut self,
         cx: &mut Cx,
@@ -70,7 +71,7 @@
         cx.send(from, Message::Copied { batch });
     }
 
-    /// Holds records for `owner`, other than what it has released.
+    /// Stores records of `owner`, except those it has released.
     pub(crate) fn restore(&mut self, cx: &mut Cx, owner: Incarnation, records: Vec<Record>) {
         if records.is_empty() {
             return;
@@ -105,15 +106,14 @@
         }
     }
 
-    /// Forgets owners that are gone and have left nothing.
+    /// Removes owners that are gone and have no copies here.
     pub(crate) fn prune(&mut self, lives: impl Fn(Incarnation) -> bool) {
         self.owners
             .retain(|&it, owner| lives(it) || !owner.records.is_empty());
     }
 
-    /// Asks the owners that are alive about copies that have been held for
-    /// long. A release may have been lost, or the owner may have taken this
-    /// host for dead and copied to another one.
+    /// Asks the live owners about old copies. A release may have been lost, or the owner may have
+    /// taken this host for dead and copied its records to another one.
     pub(crate) fn ask(&mut self, cx: &mut Cx, peers: &Peers) {
         if self.is_empty() {
             return;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Takes out everything that is held for `owner`.
+    /// Removes and returns all copies of `owner`.
     pub(crate) fn take(&mut self, owner: Incarnation) -> Vec<Record> {
         let Some(owner) = self.owners.remove(&owner) else {
             return Vec::new();
@@ -147,7 +147,7 @@
     }
 }
 
-/// Drops the answers that don't fit into `left` bytes; what is billed stays.
+/// Drops the stored responses that don't fit into `left` bytes. The charges stay.
 fn bounded(mut records: Vec<Record>, mut left: usize) -> Vec<Record> {
     for record in &mut records {
         if record.outcome_bytes() > left {
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -9,16 +9,15 @@
 use crate::timers::Timer;
 use crate::{Record, Serial, rows};
 
-/// The shortest time between two batches when an answer waits for the table,
-/// because there is no host to copy to.
+/// Minimum interval between two batches when responses wait for the table because there is no host
+/// to copy to.
 const URGENT_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Writes batches, one at a time.
 ///
-/// A batch is a row of its own that must be absent, on the condition that
-/// this incarnation isn't fenced. Its contents never change once it was sent:
-/// after a lost answer the same transaction is repeated, and a row that is
-/// there already with these contents is the batch itself.
+/// Each batch is a new row that must be absent, and its write requires that this incarnation isn't
+/// fenced. Once sent, a batch never changes: after a lost response the same transaction is retried,
+/// and an existing row with the same contents is that batch.
 #[derive(Debug, Default)]
 pub(crate) struct Writer {
     flight: Option<Flight>,
@@ -32,23 +31,23 @@
     serials: Vec<Serial>,
     transaction: Transaction,
     stage: Stage,
-    /// Whether an answer of the table was lost before.
+    /// Whether the response of an earlier write of this batch was lost.
     lost: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// To be sent, for the first time or again.
+    /// To be sent, for the first time or as a retry.
     Ready,
-    /// Sent.
+    /// Sent, without a result yet.
     Writing,
-    /// The row that was there already is read.
+    /// The existing row under the batch's key is being read.
     Reading,
 }
 
 impl Flight {
-    /// Whether `row` is this batch. What they say is compared, not how the
-    /// table writes it.
+    /// Whether `row` is this batch. Compares the parsed contents, because the table may format JSON
+    /// differently.
     fn is(&self, row: &Row) -> bool {
         let parse = |text| serde_json::from_str::<rows::Batch>(text).ok();
         let sent = self.transaction.puts.last();
@@ -57,17 +56,17 @@
     }
 }
 
-/// What a batch's answer means for everyone else.
+/// Whether a batch showed that this incarnation is fenced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Finding {
-    /// Nothing.
+    /// It isn't known to be fenced.
     None,
-    /// Another host has fenced this incarnation.
+    /// Another host has fenced it.
     Fenced,
 }
 
 impl Writer {
-    /// Sends the next batch if it is due.
+    /// Writes the next batch if it is due.
     pub(crate) fn pump(&mut self, cx: &mut Cx, peers: &Peers, holdings: &Holdings, urgent: bool) {
         if let Some(flight) = &mut self.flight {
             let waits = self.retry_at.is_some_and(|at| cx.now < at);
@@ -87,7 +86,7 @@
         self.start(cx, holdings);
     }
 
-    /// When the next batch is due, if there is anything to write.
+    /// Returns the time of the next batch, or `None` if there is nothing to write.
     fn due(&self, cx: &Cx, peers: &Peers, holdings: &Holdings, urgent: bool) -> Option<Duration> {
         let first = holdings.batch().next()?;
         let since = holdings.get(first)?.since;
@@ -136,7 +135,7 @@
         self.written_at = Some(cx.now);
     }
 
-    /// Takes the answer to a batch.
+    /// Handles the result of a batch's write.
     pub(crate) fn written(
         &mut self,
         cx: &mut Cx,
@@ -162,7 +161,7 @@
         Finding::None
     }
 
-    /// Takes the row that was there already.
+    /// Handles the existing row under the batch's key.
     pub(crate) fn read(
         &mut self,
         cx: &mut Cx,
@@ -181,9 +180,8 @@
                 self.settle(cx, holdings);
                 Finding::None
             }
-            // Someone else writes in this incarnation's name. Nothing may be
-            // taken as written any more: the records are settled one by one,
-            // each against what the table has.
+            // Another process writes under this incarnation. No batch can be trusted any more, so
+            // the records are settled one by one against the table's contents.
             Some(_) => self.fenced(),
             None => {
                 self.retry(cx);
@@ -215,8 +213,7 @@
         Finding::Fenced
     }
 
-    /// Writes no batch of the present incarnation any more. An answer that
-    /// is still to come changes nothing: the batch is looked for in the table.
+    /// Discards the batch in flight. Settlement looks for its records in the table.
     pub(crate) fn stop(&mut self) {
         *self = Self::default();
     }
--- a/crates/ledger/tests/lease.rs
+++ b/crates/ledger/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: scripted failures under `leases/`, and schedules drawn by proptest.
+//! Leases: scripted failures under `leases/`, and random fault schedules drawn by proptest.
 
 mod site;
 
@@ -20,7 +20,7 @@
 fn run(site: &mut Site, case: &TestCase) -> String {
     assert_eq!(
         case.directive, "step",
-        "a step's commands stand below `step`"
+        "commands must stand below `step`"
     );
     for line in case.input.lines() {
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -61,7 +61,7 @@
     Duration::from_secs_f64(text.trim_end_matches('s').parse().unwrap())
 }
 
-/// What goes wrong next in a drawn schedule.
+/// A fault of a random schedule.
 #[derive(Clone, Debug)]
 enum Trouble {
     Freeze(usize),
@@ -90,8 +90,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Whatever freezes and whatever the table does, no two hosts may order
-    /// at the same time, and fencing numbers never fall from one holder to the next.
+    /// Guards against two hosts that issue orders at the same time, and against fencing numbers
+    /// that fall from one holder to the next, whatever hosts freeze and however the table fails.
     #[test]
     fn one_holder_at_a_time(
         schedule in prop::collection::vec((0_u64..12_000, trouble()), 1..12),
@@ -119,6 +119,6 @@
         }
         (site.out, site.slow, site.lose, site.late) = (false, false, 0, 0);
         site.watch(Duration::from_mins(1))?;
-        prop_assert_eq!(site.holders().len(), 1, "somebody holds it in the end");
+        prop_assert_eq!(site.holders().len(), 1, "exactly one candidate holds the lease in the end");
     }
 }
--- a/crates/ledger/tests/lease/site.rs
+++ b/crates/ledger/tests/lease/site.rs
@@ -1,4 +1,4 @@
-//! Candidates for one lease, its row, and two endpoints that take orders.
+//! A simulation of candidates for one lease, its row, and two endpoints that take orders.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -11,14 +11,14 @@
 
 const TABLE: Duration = Duration::from_millis(5);
 const PATIENCE: Duration = Duration::from_secs(1);
-/// How long a slow table takes to answer what it has done.
+/// Response time of a slow table, which applies writes at once.
 const SLOW: Duration = Duration::from_secs(6);
 const LATE: Duration = Duration::from_secs(3);
 const READ_BACK: Duration = Duration::from_millis(100);
-/// How often a drawn schedule looks whether two hold the lease.
+/// Interval between the checks for two holders.
 const WATCH: Duration = Duration::from_millis(20);
 
-/// A host that wants the lease. Its clock may run fast or slow.
+/// A candidate for the lease. Its clock may run fast or slow.
 #[derive(Debug)]
 pub(super) struct Candidate {
     name: String,
@@ -26,7 +26,7 @@
     rate: f64,
     frozen: bool,
     inbox: Vec<Event>,
-    /// An order that was decided and not sent.
+    /// An order that was decided and not sent yet.
     decided: Option<Fencing>,
 }
 
@@ -37,7 +37,7 @@
     LateWrite(Expect, Row),
 }
 
-/// Candidates for one lease, its row, and two endpoints that take orders.
+/// A simulation of candidates for one lease, its row, and two endpoints that take orders.
 #[derive(Debug, Default)]
 pub(super) struct Site {
     now: Duration,
@@ -47,12 +47,12 @@
     row: Option<(u64, Row)>,
     versions: u64,
     pub(super) out: bool,
-    /// The table does what it is asked at once, and answers much later.
+    /// The table applies writes at once and responds after `SLOW`.
     pub(super) slow: bool,
     pub(super) lose: u32,
     pub(super) late: u32,
     pub(super) trace: String,
-    /// The highest number that the checking endpoint has seen.
+    /// The highest fencing number that the checking endpoint has received.
     newest: Fencing,
     seen: Fencing,
 }
@@ -81,7 +81,7 @@
         let mut candidates = self.candidates.iter();
         candidates
             .position(|it| it.name == name)
-            .expect("a candidate")
+            .expect("the candidate exists")
     }
 
     fn at(&mut self, after: Duration, happening: Happening) {
@@ -89,7 +89,7 @@
         self.queue.insert((self.now + after, self.order), happening);
     }
 
-    /// What a candidate's clock shows.
+    /// The time on a candidate's clock.
     fn clock(&self, idx: usize) -> Duration {
         self.now.mul_f64(self.candidates[idx].rate)
     }
@@ -204,7 +204,7 @@
         candidate.lease.order(self.clock(idx), endpoint)
     }
 
-    /// A candidate orders something of both endpoints.
+    /// Sends an order to both endpoints.
     pub(super) fn order(&mut self, name: &str) {
         let idx = self.idx(name);
         for endpoint in [Endpoint::Checks, Endpoint::Ignores] {
@@ -226,13 +226,13 @@
         self.say(idx, &format!("orders with {fencing} where it {endpoint:?}"));
     }
 
-    /// A candidate decides to order, and gets no further.
+    /// Decides on an order without sending it.
     pub(super) fn decide(&mut self, name: &str) {
         let idx = self.idx(name);
         self.candidates[idx].decided = self.ask(idx, Endpoint::Ignores).ok();
     }
 
-    /// The order that was decided is sent.
+    /// Sends the order that was decided on.
     pub(super) fn deliver(&mut self, name: &str) {
         let idx = self.idx(name);
         let Some(fencing) = self.candidates[idx].decided.take() else {
@@ -242,14 +242,16 @@
         self.execute(idx, Endpoint::Ignores, fencing);
     }
 
-    /// Who may order now. A frozen host counts: it may wake at this moment.
+    /// The candidates that may issue orders now. A frozen host counts, because it may resume at any
+    /// moment.
     pub(super) fn holders(&self) -> Vec<(usize, Fencing)> {
         (0..self.candidates.len())
             .filter_map(|idx| Some((idx, self.ask(idx, Endpoint::Checks).ok()?)))
             .collect()
     }
 
-    /// Runs on, and looks at each moment that there is one holder at most.
+    /// Advances the time and checks at short intervals that there is at most one holder and that
+    /// its fencing number doesn't fall.
     pub(super) fn watch(&mut self, span: Duration) -> Result<(), TestCaseError> {
         let end = self.now + span;
         while self.now < end {
--- a/crates/ledger/tests/pairs.rs
+++ b/crates/ledger/tests/pairs.rs
@@ -1,7 +1,7 @@
-//! Pairs of faults, drawn by seed, against callers that repeat.
+//! Random pairs of faults against callers that retry.
 //!
-//! A failure names its seed; `LEDGER_SEEDS=17..18` runs just that one again,
-//! and a longer range is a soak.
+//! A failure names its seed; `LEDGER_SEEDS=17..18` runs that seed alone, and a longer range is a
+//! soak test.
 
 mod check;
 mod fault;
@@ -26,17 +26,17 @@
     ("d", "dar-4"),
 ];
 const JOBS: usize = 50;
-/// Jobs and faults begin within this time.
+/// Jobs and faults start within this time.
 const BUSY: Duration = Duration::from_secs(10);
-/// Callers repeat for this long, then everything is mended.
+/// End of the retries and the faults.
 const TROUBLE: Duration = Duration::from_mins(1);
-/// What is left has settled by then.
+/// Time allowed for settling everything after the faults have ended.
 const REST: Duration = Duration::from_mins(3);
-/// How long a caller waits before it tries another host.
+/// Time after which a caller tries another host.
 const PATIENCE: Duration = Duration::from_secs(4);
 const REPEATS: u32 = 6;
 
-/// A step of a call or job, as [`Happening::Step`] carries it.
+/// Steps of a call, as [`Happening::Step`] carries them.
 const SEND: u32 = 0;
 const BOUNCE: u32 = 1;
 const ANSWER: u32 = 2;
@@ -61,10 +61,10 @@
         answers += verdict.answers;
         lost += verdict.lost;
     }
-    // A record is lost when every host dies that holds it. What that takes is
-    // stated in docs/design/ledger.md; how often it is, is counted here.
-    println!("{answers} answers, {lost} records lost with all their holders");
-    assert!(answers > 1000, "the runs answer calls");
+    // A record is lost if all hosts that hold it die. The conditions are stated in
+    // docs/design/ledger.md; this prints the count.
+    println!("{answers} responses, {lost} records lost with all their holders");
+    assert!(answers > 1000, "too few calls got a response");
 }
 
 fn seeds() -> std::ops::Range<u64> {
@@ -75,13 +75,13 @@
     from.parse().unwrap()..to.parse().unwrap()
 }
 
-/// One run: a site, its callers and two faults.
+/// One simulation run with its callers and two faults.
 struct Run {
     world: World,
     rng: Pcg64Mcg,
     faults: Vec<(Duration, Fault)>,
     jobs: Vec<Job>,
-    /// What is still to come of each permitted call: after which time, which step.
+    /// The remaining steps of each permitted call, each with its delay.
     plans: BTreeMap<String, VecDeque<(Duration, u32)>>,
 }
 
@@ -148,7 +148,7 @@
         }
     }
 
-    /// A job's caller sends its call, for the first time or again.
+    /// Sends a job's call, for the first time or as a retry.
     fn start(&mut self, idx: usize) {
         let job = &mut self.jobs[idx];
         if job.done || job.arrivals > REPEATS || self.world.now >= TROUBLE {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Sees to what was permitted and what ended.
+    /// Dispatches calls that were permitted, and retries jobs whose calls were refused or lost.
     fn follow(&mut self) {
         for request in std::mem::take(&mut self.world.permitted) {
             self.dispatch(&request);
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Draws what becomes of a permitted call.
+    /// Draws the steps of a permitted call.
     fn dispatch(&mut self, request: &str) {
         let millis = |rng: &mut Pcg64Mcg, from, to| {
             span(rng, Duration::from_millis(from), Duration::from_millis(to))
@@ -236,7 +236,7 @@
         self.go_on(request);
     }
 
-    /// Sets off the next step of a permitted call.
+    /// Schedules the next step of a permitted call.
     fn go_on(&mut self, request: &str) {
         let next = self.plans.get_mut(request).and_then(VecDeque::pop_front);
         if let Some((after, step)) = next {
@@ -275,7 +275,7 @@
     }
 }
 
-/// Every other run has bounds and times that are reached.
+/// Returns the defaults in half of the runs, and limits low enough to be reached in the others.
 fn draw_tuning(rng: &mut Pcg64Mcg) -> Tuning {
     if rng.random_bool(0.5) {
         return Tuning::default();
--- a/crates/ledger/tests/pairs/check.rs
+++ b/crates/ledger/tests/pairs/check.rs
@@ -1,4 +1,4 @@
-//! What must hold after each run.
+//! Invariants that are checked after each run.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 use super::Run;
 use crate::sim::{Call, Power, Reply, is_not_run};
 
-/// What was found.
+/// The result of the checks.
 #[derive(Debug, Default)]
 pub(super) struct Verdict {
     pub(super) faults: Vec<String>,
     pub(super) answers: usize,
-    /// Records of answers whose every holder died: both of two hosts, or the
-    /// only one where the ledger had said that there was a single copy.
+    /// Number of billing records lost because all hosts that held them died: two hosts, or one if
+    /// the ledger had reported a single copy.
     pub(super) lost: usize,
 }
 
@@ -60,7 +60,7 @@
             verdict.lost += 1;
         } else {
             let request = &call.arrival.request;
-            verdict.faults.push(format!("{request} isn't billed"));
+            verdict.faults.push(format!("{request} is not billed"));
         }
     }
     for bill in &bills {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Whether every host died that held the record of a call.
+/// Whether all hosts that held the record of a call died.
 fn is_lost_with_holders(run: &Run, call: &Call) -> bool {
     let hosts = &run.world.hosts;
     let holders = run.world.holders.of(|key| bills_call(key, call));
@@ -83,7 +83,7 @@
     if !holders.is_empty() {
         return holders.iter().all(is_dead);
     }
-    // No other host ever had it: it was where the call ran.
+    // No other host ever had the record, so only the host that ran the call held it.
     let request = call.arrival.request.as_str();
     let ran_for = |it: &&Call| {
         it.arrival.request.as_str() == request || it.relays.as_deref() == Some(request)
@@ -103,8 +103,8 @@
     }
 }
 
-/// A refusal says "not run" only when no arrival of the key had run, and none
-/// that was already permitted ran later.
+/// A refusal may say "not run" only if no arrival of the key ran before, and no arrival permitted
+/// before runs later.
 fn not_run_is_true(run: &Run, verdict: &mut Verdict) {
     for call in run.world.calls.values() {
         let Some((at, reply)) = &call.result else {
@@ -126,7 +126,7 @@
             let request = &call.arrival.request;
             verdict
                 .faults
-                .push(format!("{request} was refused as not run, {other} ran"));
+                .push(format!("{request} was refused as not run, but {other} ran"));
         }
     }
 }
--- a/crates/ledger/tests/pairs/fault.rs
+++ b/crates/ledger/tests/pairs/fault.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn by chance.
+//! Random faults.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::{HOSTS, span};
 use crate::sim::{Mode, Power, World};
 
-/// Something that goes wrong. Hosts are numbers.
+/// A fault. Hosts are given by index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
     Kill(usize),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// After which time it is over, if it is ever.
+    /// The duration of the fault, if it has one.
     pub(super) fn end(&self) -> Option<Duration> {
         match *self {
             Self::Freeze(_, span)
@@ -95,7 +95,7 @@
     }
 }
 
-/// Ends every fault that can end.
+/// Ends all faults.
 pub(super) fn mend(world: &mut World) {
     world.table.mode = Mode::Fine;
     world.table.lose = 0;
--- a/crates/ledger/tests/pairs/job.rs
+++ b/crates/ledger/tests/pairs/job.rs
@@ -1,4 +1,4 @@
-//! What a caller wants done, and how it repeats.
+//! Jobs of callers, and their retries.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::sim::{World, mint};
 
-/// For how long a ticket is good: some callers repeat for longer.
+/// Validity of a ticket, shorter than some callers keep retrying.
 const TICKET_LIFE: Duration = Duration::from_secs(25);
 
-/// What a caller wants done.
+/// A request that a caller wants to be executed.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     idx: usize,
@@ -51,7 +51,7 @@
         self.kind != Kind::Keyless
     }
 
-    /// A caller gets its ticket from any host and keeps it for its repeats.
+    /// Gets a ticket from any host and keeps it for retries.
     pub(super) fn get_ticket(&mut self, rng: &mut Pcg64Mcg, world: &World, hosts: &[usize]) {
         if matches!(self.kind, Kind::Ticketed(_)) {
             let host = hosts[rng.random_range(0..hosts.len())];
@@ -81,8 +81,8 @@
     }
 }
 
-/// The job of a request.
+/// Returns the index of the job that a request belongs to.
 pub(super) fn index(request: &str) -> usize {
-    let (idx, _) = request.split_once('.').expect("requests name their job");
-    idx.parse().expect("jobs are numbered")
+    let (idx, _) = request.split_once('.').expect("request IDs start with the job index");
+    idx.parse().expect("the job index is a number")
 }
--- a/crates/ledger/tests/scripts.rs
+++ b/crates/ledger/tests/scripts.rs
@@ -1,5 +1,5 @@
-//! Scripted failures: each file under `scripts/` tells a story, its commands
-//! and what the hosts do. `REWRITE=1 cargo test -p ledger` writes them anew.
+//! Scripted failures: each file under `scripts/` lists commands and the expected actions of the
+//! hosts. `REWRITE=1 cargo test -p ledger` updates the expectations.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 
 use crate::sim::{Call, Mode, World, answered, mint};
 
-/// How long a ticket is good.
+/// Validity of a ticket.
 const TICKET_LIFE: Duration = Duration::from_mins(10);
-/// How long the world goes on after a command that names no time.
+/// Time that passes after a command that names none.
 const AFTER: Duration = Duration::from_millis(20);
 
 #[test]
@@ -30,11 +30,11 @@
 }
 
 impl Script {
-    /// Runs the commands of one step, a line each.
+    /// Runs the commands of one step, one per line.
     fn run(&mut self, case: &TestCase) -> String {
         assert_eq!(
             case.directive, "step",
-            "a step's commands stand below `step`"
+            "commands must stand below `step`"
         );
         for line in case.input.lines() {
             self.command(&Command::parse(line));
@@ -204,7 +204,7 @@
     Duration::from_secs(text.trim_end_matches('s').parse().unwrap())
 }
 
-/// A command: words, then options and flags.
+/// A command: words and `name=value` options.
 struct Command<'a> {
     words: Vec<&'a str>,
     options: Vec<(&'a str, &'a str)>,
--- a/crates/ledger/tests/sim.rs
+++ b/crates/ledger/tests/sim.rs
@@ -1,4 +1,5 @@
-//! Several ledgers, a table, a service that counts, and a network, on one virtual clock.
+//! A simulation of several ledgers, the table, a service that counts executions, and the network,
+//! on one virtual clock.
 
 mod call;
 mod holders;
@@ -22,12 +23,12 @@
 
 const NETWORK: Duration = Duration::from_millis(1);
 const TABLE: Duration = Duration::from_millis(2);
-/// How long a client of the table waits for an answer.
+/// Timeout of the table's client.
 const TABLE_PATIENCE: Duration = Duration::from_secs(1);
-/// How long after its client gave up a late write takes effect.
+/// Delay after which a late write is applied, from when it was sent.
 const TABLE_LATE: Duration = Duration::from_secs(4);
 
-/// Something that happens at a time.
+/// A scheduled event of the simulation.
 #[derive(Clone, Debug)]
 pub(crate) enum Happening {
     Event(Incarnation, Event),
@@ -37,24 +38,24 @@
     Tick(Incarnation),
     Look(usize),
     Forwarded(String),
-    /// The next step of a call that the driver of the test sees to.
+    /// A step of a call, handled by the test driver.
     Step(String, u32),
-    /// A plan of the driver of the test.
+    /// The start of a job or fault, handled by the test driver.
     Plan(usize),
 }
 
-/// What came next.
+/// The result of advancing the simulation by one event.
 #[derive(Clone, Debug)]
 pub(crate) enum Next {
-    /// Nothing, within the time.
+    /// No event is due within the time.
     Nothing,
-    /// Something between the hosts.
+    /// The simulation handled an event.
     Done,
-    /// Something that the driver of the test sees to.
+    /// The test driver must handle the event.
     Driver(Happening),
 }
 
-/// The whole site.
+/// The state of the simulation.
 #[derive(Debug, Default)]
 pub(crate) struct World {
     pub(crate) now: Duration,
@@ -68,14 +69,14 @@
     pub(crate) trace: String,
     incarnations: u64,
     pub(crate) holders: Holders,
-    /// Requests permitted since the driver last looked.
+    /// Requests permitted since the test driver last took them.
     pub(crate) permitted: Vec<String>,
-    /// Requests that ended since the driver last looked.
+    /// Requests that ended since the test driver last took them.
     pub(crate) ended: Vec<String>,
 }
 
 impl World {
-    /// Adds a host, known to everybody at once.
+    /// Adds a host and tells all hosts of it at once.
     pub(crate) fn add(&mut self, name: &str, data_centre: &str, tuning: Tuning) -> usize {
         self.incarnations += 1;
         let host = Host::new(name, data_centre, Incarnation(self.incarnations), tuning);
@@ -88,7 +89,7 @@
         self.hosts
             .iter()
             .rposition(|host| host.name == name)
-            .unwrap_or_else(|| panic!("no host {name}"))
+            .unwrap_or_else(|| panic!("unknown host {name}"))
     }
 
     fn name(&self, incarnation: Incarnation) -> String {
@@ -103,14 +104,14 @@
         self.queue.insert((self.now + after, self.order), happening);
     }
 
-    /// Lets everything happen that is due within `span`.
+    /// Handles all events that are due within `span`.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while !matches!(self.next(end), Next::Nothing) {}
         self.now = end;
     }
 
-    /// Lets one thing happen and returns it where it is the driver's.
+    /// Handles the next event that is due by `end`, or returns it if it is the test driver's.
     pub(crate) fn next(&mut self, end: Duration) -> Next {
         let Some(entry) = self.queue.first_entry().filter(|it| it.key().0 <= end) else {
             return Next::Nothing;
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Gives an event to a host, now or when it wakes.
+    /// Passes an event to a host. A frozen host handles it when it resumes.
     pub(crate) fn feed(&mut self, to: Incarnation, event: Event) {
         let Some(idx) = self.find(to) else {
             return;
@@ -267,7 +268,7 @@
         let _ = writeln!(self.trace, "{name} {what}");
     }
 
-    /// The keys of all billing records in the table, batches included.
+    /// Returns the keys of all billing records in the table, including those in batches.
     pub(crate) fn bills(&self) -> Vec<String> {
         let key = |record: &serde_json::Value| {
             let key = &record["key"];
@@ -288,7 +289,7 @@
     }
 }
 
-/// What the service answers and what it costs.
+/// A complete response with this body, and its charge.
 pub(crate) fn answered(body: &str) -> End {
     End::Answered {
         outcome: Some(Outcome {
@@ -307,7 +308,7 @@
     }
 }
 
-/// A ticket as a host mints it now.
+/// Mints a ticket at a host.
 pub(crate) fn mint(host: &Host, expires: Duration) -> Ticket {
     Ticket {
         home: host.incarnation,
@@ -316,7 +317,7 @@
     }
 }
 
-/// Whether a refusal says that nothing ran.
+/// Whether the result is a refusal that says "not run".
 pub(crate) fn is_not_run(reply: &Reply) -> bool {
     matches!(
         reply,
--- a/crates/ledger/tests/sim/call.rs
+++ b/crates/ledger/tests/sim/call.rs
@@ -1,4 +1,4 @@
-//! Calls as the callers see them.
+//! Calls and their results.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 pub(crate) struct Call {
     pub(crate) arrival: Arrival,
     pub(crate) host: usize,
-    /// The call at another host that was forwarded to here.
+    /// The call that another host forwarded as this one.
     pub(crate) relays: Option<String>,
-    /// When it was permitted.
+    /// The time at which it was permitted.
     pub(crate) permitted: Option<Duration>,
-    /// What came of it, and when.
+    /// The time and kind of its result.
     pub(crate) result: Option<(Duration, Reply)>,
 }
 
-/// What a caller gets.
+/// The result of a call for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Reply {
     Answer,
@@ -37,7 +37,7 @@
 }
 
 impl Call {
-    /// What callers mean by "the same request".
+    /// Returns the identity of the request, equal for all arrivals of the same request.
     pub(crate) fn identity(&self) -> String {
         let home = self.arrival.ticket.map_or(0, |ticket| ticket.home.0);
         let key = self.arrival.key.as_deref();
--- a/crates/ledger/tests/sim/holders.rs
+++ b/crates/ledger/tests/sim/holders.rs
@@ -1,23 +1,23 @@
-//! Who holds which record, as the messages between the hosts tell.
+//! The hosts that hold each record, derived from the messages between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use kernel::Incarnation;
 use ledger::{Message, Serial};
 
-/// Who holds which record, as the messages between the hosts tell.
+/// The hosts that hold each record, derived from the messages between them.
 #[derive(Debug, Default)]
 pub(crate) struct Holders {
-    /// The key of each record, by its owner and number.
+    /// The key of each record, by owner and serial.
     keys: BTreeMap<(Incarnation, Serial), String>,
-    /// The numbers in each copy, by owner, receiver and number of the copy.
+    /// The serials in each unconfirmed copy message, by owner, receiver and message number.
     copies: BTreeMap<(Incarnation, Incarnation, u64), Vec<Serial>>,
-    /// Holder, owner and number.
+    /// Holder, owner and serial.
     held: BTreeSet<(Incarnation, Incarnation, Serial)>,
 }
 
 impl Holders {
-    /// Takes a message that is being delivered.
+    /// Updates the holders by a message that is being delivered.
     pub(crate) fn note(&mut self, from: Incarnation, to: Incarnation, message: &Message) {
         match message {
             Message::Copy { batch, records } => {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The hosts that hold a record of a key that `is` accepts.
+    /// Returns the hosts that hold a record whose key `is` accepts.
     pub(crate) fn of(&self, is: impl Fn(&str) -> bool) -> BTreeSet<Incarnation> {
         self.held
             .iter()
--- a/crates/ledger/tests/sim/host.rs
+++ b/crates/ledger/tests/sim/host.rs
@@ -1,21 +1,21 @@
-//! A host with its ledger, and what befalls it.
+//! A simulated host.
 
 use kernel::{DataCentre, Incarnation};
 use ledger::{Event, Ledger, Peer, Reach, State, Tuning};
 
-/// Whether a host runs.
+/// The run state of a host's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Power {
     On,
-    /// Stopped, with all that arrives waiting.
+    /// Suspended; events wait until it resumes.
     Frozen,
-    /// It was drained and has ended.
+    /// Exited after a drain.
     Left,
-    /// It died.
+    /// Killed.
     Off,
 }
 
-/// A host with its ledger.
+/// A simulated host.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) name: String,
@@ -26,7 +26,7 @@
     pub(crate) inbox: Vec<Event>,
     pub(crate) state: State,
     pub(crate) tuning: Tuning,
-    /// Whether it takes a new incarnation as soon as it was fenced.
+    /// Whether it takes a new incarnation as soon as it is fenced.
     pub(crate) renews: bool,
 }
 
--- a/crates/ledger/tests/sim/table.rs
+++ b/crates/ledger/tests/sim/table.rs
@@ -1,4 +1,4 @@
-//! A tiny model of the table service, with its faults.
+//! A small model of the table service and its faults.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,25 @@
 
 use ledger::table::{Expect, Page, Row, Transaction, Unavailable, Written};
 
-/// How the table behaves.
+/// The state of the table service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Mode {
     #[default]
     Fine,
-    /// Nothing reaches it, and clients notice.
+    /// Operations fail at once.
     Out,
-    /// Nothing reaches it, and clients wait until they give up.
+    /// Operations fail when the client's timeout expires.
     Hanging,
 }
 
-/// The rows, and how many of the next writes lose their answers.
+/// The rows and the faults to inject.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     pub(crate) rows: BTreeMap<String, (u64, String)>,
     pub(crate) mode: Mode,
-    /// That many writes take effect while their answers are lost.
+    /// The number of next writes that are applied while their responses are lost.
     pub(crate) lose: u32,
-    /// That many writes take effect long after their clients gave up.
+    /// The number of next writes that are applied after their clients gave up.
     pub(crate) late: u32,
     versions: u64,
 }
@@ -92,7 +92,7 @@
     }
 }
 
-/// The client of the real table knows each key, and writes it alike.
+/// Checks that the real table's client parses this key and formats it identically.
 fn assert_is_row(key: &str) {
     let parsed = Key::parse(key).map(|it| it.to_string());
     assert_eq!(parsed.as_deref(), Some(key));
@@ -106,8 +106,7 @@
     }
 }
 
-/// A value as a table of JSON values gives it back: the same fields, in an
-/// order of its own.
+/// Returns the value as a JSON table stores it, with the fields in an order of its own.
 fn stored(value: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(value).expect("rows are JSON");
     value.to_string()
--- a/crates/ledger/tests/sim/traffic.rs
+++ b/crates/ledger/tests/sim/traffic.rs
@@ -1,4 +1,4 @@
-//! What calls do to the site.
+//! Calls, attempts and forwarding in the simulation.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 
 use super::{Call, Execution, Happening, NETWORK, Power, Reply, World};
 
-/// How long a host waits for the home of a call it forwarded.
+/// Timeout of a forwarded call.
 const FORWARD_PATIENCE: Duration = Duration::from_secs(2);
 
 impl World {
-    /// A call arrives at a host.
+    /// Delivers a call to a host.
     pub(crate) fn call(&mut self, call: Call) {
         let host = call.host;
         let arrival = call.arrival.clone();
@@ -86,7 +86,7 @@
         self.end(&RequestId::from(origin), reply);
     }
 
-    /// An attempt of a permitted call leaves and is run by the service.
+    /// Sends an attempt of a permitted call, which the service executes.
     pub(crate) fn send(&mut self, request: &str) {
         let call = &self.calls[request];
         assert!(call.permitted.is_some(), "{request} isn't permitted");
@@ -108,7 +108,7 @@
         });
     }
 
-    /// An attempt of a permitted call is refused by the service itself.
+    /// Sends an attempt of a permitted call, which the service refuses without executing it.
     pub(crate) fn bounce(&mut self, request: &str) {
         let to = self.hosts[self.calls[request].host].incarnation;
         let request = RequestId::from(request);
--- a/crates/ledger/tests/sim/trouble.rs
+++ b/crates/ledger/tests/sim/trouble.rs
@@ -1,4 +1,4 @@
-//! What befalls hosts, and how the others learn of it.
+//! Faults of hosts and network, and how membership views follow them.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::{Happening, Power, Reply, World};
 
-/// How long the fleet takes to notice.
+/// Delay until the fleet detects a failure.
 const DETECTION: Duration = Duration::from_secs(3);
 
 impl World {
@@ -26,7 +26,7 @@
         self.look_soon();
     }
 
-    /// Starts a host of the same name anew, with nothing but a new incarnation.
+    /// Starts a new process of a killed host, without state and under a new incarnation.
     pub(crate) fn restart(&mut self, idx: usize) {
         let host = &self.hosts[idx];
         let (name, data_centre) = (host.name.clone(), host.data_centre.to_string());
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Wakes a host: it handles what has arrived, in order.
+    /// Resumes a host. It handles the events that waited, in order.
     pub(crate) fn thaw(&mut self, idx: usize) {
         if self.hosts[idx].power != Power::Frozen {
             return;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Tells a host whom the fleet takes for alive.
+    /// Reports to a host which other hosts are reachable.
     pub(super) fn look(&mut self, idx: usize) {
         let me = &self.hosts[idx];
         let peers: Vec<_> = self
@@ -99,14 +99,14 @@
         self.feed(to, Event::Hosts(peers));
     }
 
-    /// Gives a process a new incarnation.
+    /// Gives a running process a new incarnation.
     pub(crate) fn renew(&mut self, idx: usize) {
         self.incarnations += 1;
         let me = Incarnation(self.incarnations);
         let before = self.hosts[idx].incarnation;
         self.hosts[idx].incarnation = me;
         for happening in self.queue.values_mut() {
-            // The process is the same: its timers and the table's answers reach it.
+            // The process is the same, so its timers and table responses must still reach it.
             match happening {
                 Happening::Event(to, _) | Happening::Tick(to) | Happening::Write(to, ..)
                     if *to == before =>
