--- a/crates/ledger/examples/measure.rs
+++ b/crates/ledger/examples/measure.rs
@@ -4,31 +4,31 @@
 use ledger::measure::{self, Load};
 
 /// Size of a memory page in bytes.
-const PAGE: usize = 4096;
-const HELD: usize = 20_000;
+const PAGE_BYTES: usize = 4096;
+const RECORDS: usize = 20_000;
 
 fn main() {
     // Measures memory before anything else and frees nothing in between, because the allocator
     // would reuse freed memory and hide the growth.
-    let held = show("records and as many copies", || measure::outage(HELD));
-    let remembering = show("remembered keys", || measure::remembering(HELD));
-    times();
+    let held = print_growth("records and as many copies", || measure::outage(RECORDS));
+    let remembering = print_growth("remembered keys", || measure::remembering(RECORDS));
+    print_costs();
     drop((held, remembering));
 }
 
-fn show<T>(what: &str, make: impl FnOnce() -> T) -> T {
+fn print_growth<T>(what: &str, make: impl FnOnce() -> T) -> T {
     let before = resident();
     let result = make();
     let bytes = resident().saturating_sub(before);
     println!(
-        "{HELD} {what}: {} kB, {} bytes each",
+        "{RECORDS} {what}: {} kB, {} bytes each",
         bytes / 1000,
-        bytes / HELD
+        bytes / RECORDS
     );
     result
 }
 
-fn times() {
+fn print_costs() {
     let clock = SystemClock::new();
     println!("rate/s hosts  us/record  messages/s  bytes/s  writes/s  table B/s  fleet writes/s");
     for hosts in [8, 32, 110, 330] {
@@ -51,5 +51,5 @@
 fn resident() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1);
-    pages.and_then(|it| it.parse::<usize>().ok()).unwrap_or(0) * PAGE
+    pages.and_then(|it| it.parse::<usize>().ok()).unwrap_or(0) * PAGE_BYTES
 }
--- a/crates/ledger/src/intake.rs
+++ b/crates/ledger/src/admission.rs
@@ -5,23 +5,23 @@
 mod finish;
 mod outcome;
 
-pub(crate) use adopt::Adoption;
+pub(crate) use adopt::AdoptionResult;
 
 use std::time::Duration;
 
 use kernel::RequestId;
 
-use crate::book::{Book, Entry, EntryKey, State};
 use crate::calls::{Call, CallKey, Calls, Scope, Stage};
-use crate::chores::Chores;
-use crate::cx::Cx;
-use crate::holdings::{Holdings, Waiting};
+use crate::claim_updates::ClaimUpdates;
+use crate::context::Context;
 use crate::peers::Peers;
+use crate::pending::{PendingRecords, Waiter};
+use crate::registry::{Entry, EntryKey, KeyRegistry, State};
 use crate::timers::Timer;
 use crate::{Action, Arrival, End, Forward, Reason, Repeat, Run, Serial, Via};
 
 /// Interval between checks for expired keys.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 /// Additional retention time of an expired key that can't be forgotten yet.
 const EXTENSION: Duration = Duration::from_mins(1);
 
@@ -31,62 +31,64 @@
 /// the ticket or, without a ticket, the one whose claim is in the table. No other incarnation ever
 /// runs the key, not even after the deciding one is gone.
 #[derive(Debug, Default)]
-pub(crate) struct Intake {
+pub(crate) struct Admission {
     calls: Calls,
-    book: Book,
-    pub(crate) chores: Chores,
+    registry: KeyRegistry,
+    pub(crate) claim_updates: ClaimUpdates,
 }
 
 /// The other components that admission needs.
 pub(crate) struct View<'a> {
     pub(crate) peers: &'a Peers,
-    pub(crate) holdings: &'a mut Holdings,
+    pub(crate) pending: &'a mut PendingRecords,
 }
 
-impl Intake {
-    pub(crate) fn book(&self) -> &Book {
-        &self.book
+impl Admission {
+    pub(crate) fn registry(&self) -> &KeyRegistry {
+        &self.registry
     }
 
     pub(crate) fn is_idle(&self) -> bool {
         self.calls.is_empty()
     }
 
-    pub(crate) fn arrive(&mut self, cx: &mut Cx, view: &mut View, arrival: Arrival) {
+    pub(crate) fn arrive(&mut self, cx: &mut Context, view: &mut View, arrival: Arrival) {
         let call = Call::new(cx.shared.me, arrival);
         let found = match call.scope {
             Scope::Keyless => None,
-            _ => self.book.find(&call.key),
+            _ => self.registry.find(&call.key),
         };
         let (scope, repeat) = (call.scope, call.repeat);
         let call = self.calls.add(call);
         if let Some(entry) = found {
-            return self.revisit(cx, view, entry, call);
+            return self.handle_known_key(cx, view, entry, call);
         }
         match (scope, repeat) {
-            (Scope::Keyless, _) => self.begin(cx, view, call),
+            (Scope::Keyless, _) => self.start_unremembered(cx, view, call),
             (Scope::Home { expires } | Scope::Foreign { expires }, _) if expires <= cx.now => {
                 // The home may have run the key and forgotten it since.
                 self.refuse(cx, call, Reason::HolderGone, Run::Unknown);
             }
-            (Scope::Home { expires }, _) => self.begin_at_home(cx, view, call, expires),
+            (Scope::Home { expires }, _) => self.start_at_home(cx, view, call, expires),
             (Scope::Foreign { .. } | Scope::Unticketed, Repeat::Idempotent) => {
-                self.begin(cx, view, call);
+                self.start_unremembered(cx, view, call);
+            }
+            (Scope::Foreign { .. }, Repeat::NonIdempotent) => {
+                self.forward_or_look_up(cx, view, call);
             }
-            (Scope::Foreign { .. }, Repeat::NonIdempotent) => self.pass_on(cx, view, call),
             (Scope::Unticketed, Repeat::NonIdempotent) => self.claim(cx, view, call),
         }
     }
 
-    fn is_full(&self, cx: &Cx) -> bool {
-        self.book.len() >= cx.shared.tuning.keys
+    fn is_full(&self, cx: &Context) -> bool {
+        self.registry.len() >= cx.shared.tuning.keys
     }
 
     /// Starts a call whose key isn't remembered.
-    fn begin(&mut self, cx: &mut Cx, view: &View, call: CallKey) {
-        match closed(cx, view) {
+    fn start_unremembered(&mut self, cx: &mut Context, view: &View, call: CallKey) {
+        match refusal_reason(cx, view) {
             Some(reason) => {
-                let run = self.run(call);
+                let run = self.run_state(call);
                 self.refuse(cx, call, reason, run);
             }
             None => self.start(cx, call, None),
@@ -95,35 +97,41 @@
 
     /// Starts the first call of a key under a ticket of this incarnation. No other host can have
     /// run the key, and this host remembers its keys for longer than the ticket is valid.
-    fn begin_at_home(&mut self, cx: &mut Cx, view: &View, call: CallKey, expires: Duration) {
+    fn start_at_home(&mut self, cx: &mut Context, view: &View, call: CallKey, expires: Duration) {
         let full = self.is_full(cx).then_some(Reason::Overloaded);
-        if let Some(reason) = closed(cx, view).or(full) {
-            let run = self.run(call);
+        if let Some(reason) = refusal_reason(cx, view).or(full) {
+            let run = self.run_state(call);
             return self.refuse(cx, call, reason, run);
         }
         let expires = expires + cx.shared.tuning.key_linger;
-        if let Some(entry) = self.remember(cx, call, State::Free, expires) {
+        if let Some(entry) = self.remember(cx, call, State::Runnable, expires) {
             self.start(cx, call, Some(entry));
         }
     }
 
     fn remember(
         &mut self,
-        cx: &mut Cx,
+        cx: &mut Context,
         call: CallKey,
         state: State,
         expires: Duration,
     ) -> Option<EntryKey> {
         let call = self.calls.get_mut(call)?;
         let entry = Entry::new(call.key.clone(), call.fingerprint, state);
-        let entry = self.book.add(entry, expires);
+        let entry = self.registry.add(entry, expires);
         call.entry = Some(entry);
-        cx.arm(SWEEP_INTERVAL, Timer::Sweep);
+        cx.arm(EXPIRY_INTERVAL, Timer::ExpireKeys);
         Some(entry)
     }
 
     /// Handles a call whose key is remembered.
-    fn revisit(&mut self, cx: &mut Cx, view: &mut View, entry: EntryKey, key: CallKey) {
+    fn handle_known_key(
+        &mut self,
+        cx: &mut Context,
+        view: &mut View,
+        entry: EntryKey,
+        key: CallKey,
+    ) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
@@ -131,13 +139,19 @@
         if let Scope::Home { expires } = call.scope {
             // A newer ticket of this host extends the time in which the key may be used.
             let until = expires + cx.shared.tuning.key_linger;
-            self.book.extend(entry, until);
+            self.registry.extend(entry, until);
         }
-        self.decide_again(cx, view, entry, key);
+        self.decide_known_key(cx, view, entry, key);
     }
 
-    fn decide_again(&mut self, cx: &mut Cx, view: &mut View, entry: EntryKey, key: CallKey) {
-        let (Some(it), Some(call)) = (self.book.get_mut(entry), self.calls.get(key)) else {
+    fn decide_known_key(
+        &mut self,
+        cx: &mut Context,
+        view: &mut View,
+        entry: EntryKey,
+        key: CallKey,
+    ) {
+        let (Some(it), Some(call)) = (self.registry.get_mut(entry), self.calls.get(key)) else {
             return;
         };
         let repeat = call.repeat;
@@ -156,8 +170,8 @@
                 let billed = it.billed.unwrap_or_default();
                 self.replay(cx, view, key, billed, outcome);
             }
-            (State::Free, _) => self.restart(cx, view, entry, key),
-            (_, Repeat::Idempotent) => self.begin_again(cx, view, entry, key),
+            (State::Runnable, _) => self.start_runnable(cx, view, entry, key),
+            (_, Repeat::Idempotent) => self.start_idempotent(cx, view, entry, key),
             (State::Claiming | State::Running, Repeat::NonIdempotent) => {
                 if it.waiters.len() < cx.shared.tuning.waiters {
                     it.waiters.push_back(key);
@@ -173,36 +187,36 @@
     }
 
     /// Starts a call of a key of which no attempt has run.
-    fn restart(&mut self, cx: &mut Cx, view: &View, entry: EntryKey, call: CallKey) {
-        let run = self.run(call);
-        match closed(cx, view) {
+    fn start_runnable(&mut self, cx: &mut Context, view: &View, entry: EntryKey, call: CallKey) {
+        let run = self.run_state(call);
+        match refusal_reason(cx, view) {
             Some(reason) => self.refuse(cx, call, reason, run),
             None => self.start(cx, call, Some(entry)),
         }
     }
 
     /// Whether the request of a call that isn't started may have run.
-    fn run(&self, call: CallKey) -> Run {
+    fn run_state(&self, call: CallKey) -> Run {
         match self.calls.get(call) {
-            Some(call) => call.run(&self.book),
+            Some(call) => call.run_state(&self.registry),
             None => Run::Unknown,
         }
     }
 
-    fn begin_again(&mut self, cx: &mut Cx, view: &View, entry: EntryKey, call: CallKey) {
-        match closed(cx, view) {
+    fn start_idempotent(&mut self, cx: &mut Context, view: &View, entry: EntryKey, call: CallKey) {
+        match refusal_reason(cx, view) {
             Some(reason) => self.refuse(cx, call, reason, Run::Unknown),
             None => self.start(cx, call, Some(entry)),
         }
     }
 
-    fn start(&mut self, cx: &mut Cx, key: CallKey, entry: Option<EntryKey>) {
+    fn start(&mut self, cx: &mut Context, key: CallKey, entry: Option<EntryKey>) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
         call.stage = Stage::Permitted { sent: 0 };
         call.entry = entry;
-        if let Some(it) = entry.and_then(|entry| self.book.get_mut(entry)) {
+        if let Some(it) = entry.and_then(|entry| self.registry.get_mut(entry)) {
             it.running += 1;
             if call.repeat == Repeat::NonIdempotent {
                 it.state = State::Running;
@@ -212,8 +226,8 @@
     }
 
     /// Starts the first waiting call of a key of which no attempt has run.
-    fn start_next(&mut self, cx: &mut Cx, entry: EntryKey) {
-        while let Some(it) = self.book.get_mut(entry) {
+    fn start_next(&mut self, cx: &mut Context, entry: EntryKey) {
+        while let Some(it) = self.registry.get_mut(entry) {
             let fingerprint = it.fingerprint;
             let Some(key) = it.waiters.pop_front() else {
                 return;
@@ -230,14 +244,14 @@
 
     /// Removes and returns the calls that wait for a key.
     fn take_waiters(&mut self, entry: EntryKey) -> Vec<CallKey> {
-        self.book
+        self.registry
             .get_mut(entry)
             .map(|it| it.waiters.drain(..).collect())
             .unwrap_or_default()
     }
 
     /// Forwards a call to its home, or looks up its response in the table if the home is gone.
-    fn pass_on(&mut self, cx: &mut Cx, view: &View, key: CallKey) {
+    fn forward_or_look_up(&mut self, cx: &mut Context, view: &View, key: CallKey) {
         let Some(call) = self.calls.get(key) else {
             return;
         };
@@ -249,7 +263,7 @@
         }
     }
 
-    fn forward(&mut self, cx: &mut Cx, key: CallKey, home: kernel::Incarnation) {
+    fn forward(&mut self, cx: &mut Context, key: CallKey, home: kernel::Incarnation) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
@@ -262,7 +276,7 @@
     }
 
     /// Handles the result of a forwarded call.
-    pub(crate) fn forwarded(&mut self, cx: &mut Cx, request: &RequestId, end: Forward) {
+    pub(crate) fn forwarded(&mut self, cx: &mut Context, request: &RequestId, end: Forward) {
         let Some(key) = self.find(request, |call| call.stage == Stage::Forwarded) else {
             return;
         };
@@ -275,7 +289,7 @@
     }
 
     /// Handles a caller that disconnected before its call was dispatched.
-    pub(crate) fn cancel(&mut self, cx: &mut Cx, view: &mut View, request: &RequestId) {
+    pub(crate) fn cancel(&mut self, cx: &mut Context, view: &mut View, request: &RequestId) {
         let Some(key) = self.calls.find(request) else {
             return;
         };
@@ -284,7 +298,7 @@
             return self.finish(cx, view, request, End::Unanswered);
         }
         let entry = self.calls.remove(key).and_then(|call| call.entry);
-        if let Some(it) = entry.and_then(|entry| self.book.get_mut(entry)) {
+        if let Some(it) = entry.and_then(|entry| self.registry.get_mut(entry)) {
             it.waiters.retain(|waiter| *waiter != key);
         }
     }
@@ -294,7 +308,7 @@
         is(self.calls.get(key)?).then_some(key)
     }
 
-    fn refuse(&mut self, cx: &mut Cx, key: CallKey, reason: Reason, run: Run) {
+    fn refuse(&mut self, cx: &mut Context, key: CallKey, reason: Reason, run: Run) {
         if let Some(call) = self.calls.remove(key) {
             cx.refuse(call.request, reason, run);
         }
@@ -303,7 +317,7 @@
     /// Sends the stored response once the record that bills it is safe.
     fn replay(
         &mut self,
-        cx: &mut Cx,
+        cx: &mut Context,
         view: &mut View,
         key: CallKey,
         billed: Serial,
@@ -312,73 +326,71 @@
         let Some(call) = self.calls.remove(key) else {
             return;
         };
-        let waiting = Waiting::Repeat(call.request, outcome);
-        if let Err(Waiting::Repeat(request, outcome)) = view.holdings.wait(billed, waiting) {
+        let waiting = Waiter::Retry(call.request, outcome);
+        if let Err(Waiter::Retry(request, outcome)) = view.pending.wait(billed, waiting) {
             cx.shared.counters.replays += 1;
             cx.push(Action::Replay { request, outcome });
         }
     }
 
     /// Removes the expired keys that can be forgotten, and extends the others.
-    pub(crate) fn sweep(&mut self, cx: &mut Cx, holdings: &Holdings) {
-        while let Some(entry) = self.book.take_expired(cx.now) {
-            if self.can_forget(entry, holdings) {
-                self.give_back(entry);
-                self.book.forget(entry);
+    pub(crate) fn expire_keys(&mut self, cx: &mut Context, pending: &PendingRecords) {
+        while let Some(entry) = self.registry.take_expired(cx.now) {
+            if self.can_forget(entry, pending) {
+                self.delete_claim(entry);
+                self.registry.forget(entry);
             } else {
-                self.book.extend(entry, cx.now + EXTENSION);
+                self.registry.extend(entry, cx.now + EXTENSION);
             }
         }
-        if self.book.len() > 0 {
-            cx.arm(SWEEP_INTERVAL, Timer::Sweep);
+        if self.registry.len() > 0 {
+            cx.arm(EXPIRY_INTERVAL, Timer::ExpireKeys);
         }
     }
 
     /// Whether a later arrival is still decided correctly without the entry: the call is refused
     /// because its ticket has expired, or the claim's row has the outcome.
-    fn can_forget(&self, entry: EntryKey, holdings: &Holdings) -> bool {
-        let Some(it) = self.book.get(entry) else {
+    fn can_forget(&self, entry: EntryKey, pending: &PendingRecords) -> bool {
+        let Some(it) = self.registry.get(entry) else {
             return true;
         };
-        let in_table = it
-            .billed
-            .is_none_or(|serial| holdings.get(serial).is_none());
-        let told = it.state != State::Unknown || it.claim.is_none() || it.marked;
-        it.is_idle() && in_table && told
+        let in_table = it.billed.is_none_or(|serial| pending.get(serial).is_none());
+        let row_is_final = it.state != State::Unknown || it.claim.is_none() || it.marked;
+        it.is_idle() && in_table && row_is_final
     }
 
     /// Queues the deletion of the claim of a key of which no attempt has run.
-    fn give_back(&mut self, entry: EntryKey) {
-        let Some(it) = self.book.get(entry) else {
+    fn delete_claim(&mut self, entry: EntryKey) {
+        let Some(it) = self.registry.get(entry) else {
             return;
         };
-        if let (State::Free, Some(claim)) = (&it.state, it.claim) {
-            self.chores.free(it.key.clone(), claim.nonce);
+        if let (State::Runnable, Some(claim)) = (&it.state, it.claim) {
+            self.claim_updates.delete(it.key.clone(), claim.nonce);
         }
     }
 
     /// Queues the deletion of all claims under which nothing ran, because this host is shutting
     /// down.
-    pub(crate) fn give_back_all(&mut self) {
-        let free: Vec<EntryKey> = self
-            .book
+    pub(crate) fn delete_unused_claims(&mut self) {
+        let unused: Vec<EntryKey> = self
+            .registry
             .entries()
-            .filter(|(_, it)| it.state == State::Free && it.claim.is_some())
+            .filter(|(_, it)| it.state == State::Runnable && it.claim.is_some())
             .map(|(entry, _)| entry)
             .collect();
-        for entry in free {
-            self.give_back(entry);
-            self.book.remove(entry);
+        for entry in unused {
+            self.delete_claim(entry);
+            self.registry.remove(entry);
         }
     }
 }
 
 /// Returns the reason why no new call is started, if there is one.
-fn closed(cx: &mut Cx, view: &View) -> Option<Reason> {
+fn refusal_reason(cx: &mut Context, view: &View) -> Option<Reason> {
     if cx.shared.draining {
         return Some(Reason::Leaving);
     }
-    if view.holdings.len() >= cx.shared.tuning.held_records {
+    if view.pending.len() >= cx.shared.tuning.held_records {
         cx.shared.counters.refused_full += 1;
         return Some(Reason::StoreOut);
     }
--- a/crates/ledger/src/intake/finish.rs
+++ b/crates/ledger/src/admission/finish.rs
@@ -2,14 +2,14 @@
 
 use kernel::{Incarnation, RequestId};
 
-use crate::book::{EntryKey, State};
+use crate::admission::{Admission, View};
 use crate::calls::{Call, Scope, Stage};
-use crate::cx::Cx;
-use crate::holdings::{Lane, Waiting};
-use crate::intake::{Intake, View};
+use crate::context::Context;
+use crate::pending::{Waiter, WritePath};
+use crate::registry::{EntryKey, State};
 use crate::{Action, Charge, End, Outcome, Reason, Record, Repeat, Replay, Run, Safety, Serial};
 
-impl Intake {
+impl Admission {
     /// Counts an attempt that is about to be sent.
     pub(crate) fn sending(&mut self, request: &RequestId) {
         self.count_sent(request, u32::checked_add);
@@ -36,21 +36,27 @@
             return;
         };
         *sent = count;
-        let entry = call.entry.and_then(|entry| self.book.get_mut(entry));
+        let entry = call.entry.and_then(|entry| self.registry.get_mut(entry));
         if let Some(it) = entry {
             it.sent = step(it.sent, 1).unwrap_or(it.sent);
         }
     }
 
     /// Handles the end of a permitted call.
-    pub(crate) fn finish(&mut self, cx: &mut Cx, view: &mut View, request: &RequestId, end: End) {
+    pub(crate) fn finish(
+        &mut self,
+        cx: &mut Context,
+        view: &mut View,
+        request: &RequestId,
+        end: End,
+    ) {
         let Some(key) = self.find(request, Call::is_permitted) else {
             return;
         };
         let Some(call) = self.calls.remove(key) else {
             return;
         };
-        if let Some(it) = call.entry.and_then(|entry| self.book.get_mut(entry)) {
+        if let Some(it) = call.entry.and_then(|entry| self.registry.get_mut(entry)) {
             it.running = it.running.saturating_sub(1);
         }
         match end {
@@ -61,23 +67,23 @@
 
     fn answered(
         &mut self,
-        cx: &mut Cx,
+        cx: &mut Context,
         view: &mut View,
         call: &Call,
         outcome: Option<Outcome>,
         charge: Charge,
     ) {
         let outcome = outcome.filter(|it| it.len() <= cx.shared.tuning.outcome_bytes);
-        let answer = Waiting::Answer(call.request.clone());
+        let waiter = Waiter::Response(call.request.clone());
         let record = to_record(cx.shared.me, call, charge, outcome.clone());
-        let lane = Lane::of(cx, &record);
+        let write_path = WritePath::of(cx, &record);
         let Some(entry) = call.entry else {
-            view.holdings.hold(cx, record, lane, vec![answer]);
+            view.pending.add(cx, record, write_path, vec![waiter]);
             return;
         };
-        let billed = self.book.get(entry).and_then(|it| it.billed);
+        let billed = self.registry.get(entry).and_then(|it| it.billed);
         let serial = if let Some(serial) = billed {
-            if view.holdings.wait(serial, answer).is_err() {
+            if view.pending.wait(serial, waiter).is_err() {
                 cx.push(Action::Release {
                     request: call.request.clone(),
                     safety: Safety::Billed,
@@ -85,32 +91,32 @@
             }
             serial
         } else {
-            view.holdings.hold(cx, record, lane, vec![answer])
+            view.pending.add(cx, record, write_path, vec![waiter])
         };
-        self.note_answer(cx, entry, serial, call.repeat, outcome.clone());
-        self.tell_waiters(cx, view, entry, serial, outcome.as_ref());
+        self.record_response(cx, entry, serial, call.repeat, outcome.clone());
+        self.respond_to_waiters(cx, view, entry, serial, outcome.as_ref());
     }
 
-    fn note_answer(
+    fn record_response(
         &mut self,
-        cx: &Cx,
+        cx: &Context,
         entry: EntryKey,
         serial: Serial,
         repeat: Repeat,
         outcome: Option<Outcome>,
     ) {
-        if let Some(it) = self.book.get_mut(entry) {
+        if let Some(it) = self.registry.get_mut(entry) {
             it.billed = Some(serial);
         }
         if outcome.is_some() || repeat == Repeat::NonIdempotent {
             let total = cx.shared.tuning.outcome_total;
-            self.book.answer(entry, outcome, total);
+            self.registry.store_response(entry, outcome, total);
         }
     }
 
-    fn tell_waiters(
+    fn respond_to_waiters(
         &mut self,
-        cx: &mut Cx,
+        cx: &mut Context,
         view: &mut View,
         entry: EntryKey,
         serial: Serial,
@@ -124,12 +130,12 @@
         }
     }
 
-    fn unanswered(&mut self, cx: &mut Cx, call: &Call) {
+    fn unanswered(&mut self, cx: &mut Context, call: &Call) {
         let sent = call.stage != Stage::Permitted { sent: 0 };
         let run = if sent {
             Run::Unknown
         } else {
-            call.run(&self.book)
+            call.run_state(&self.registry)
         };
         cx.push(Action::Close {
             request: call.request.clone(),
@@ -142,21 +148,22 @@
             return;
         }
         if sent {
-            self.note_unknown(cx, entry);
+            self.record_unknown(cx, entry);
         } else {
-            if let Some(it) = self.book.get_mut(entry) {
-                it.state = State::Free;
+            if let Some(it) = self.registry.get_mut(entry) {
+                it.state = State::Runnable;
             }
             self.start_next(cx, entry);
         }
     }
 
     /// Records that a key was sent without a response. It stays unknown permanently.
-    fn note_unknown(&mut self, cx: &mut Cx, entry: EntryKey) {
-        if let Some(it) = self.book.get_mut(entry) {
+    fn record_unknown(&mut self, cx: &mut Context, entry: EntryKey) {
+        if let Some(it) = self.registry.get_mut(entry) {
             it.state = State::Unknown;
             if it.claim.is_some() {
-                self.chores.mark(it.key.clone(), it.fingerprint);
+                self.claim_updates
+                    .mark_unknown(it.key.clone(), it.fingerprint);
             }
         }
         for waiter in self.take_waiters(entry) {
@@ -165,10 +172,10 @@
     }
 
     /// Records that the rows of these keys say that their outcome is unknown.
-    pub(crate) fn note_marked(&mut self, keys: &[kernel::RequestKey]) {
+    pub(crate) fn record_marked(&mut self, keys: &[kernel::RequestKey]) {
         for key in keys {
-            let entry = self.book.find(key);
-            if let Some(it) = entry.and_then(|entry| self.book.get_mut(entry)) {
+            let entry = self.registry.find(key);
+            if let Some(it) = entry.and_then(|entry| self.registry.get_mut(entry)) {
                 it.marked = true;
             }
         }
--- a/crates/ledger/src/intake/outcome.rs
+++ b/crates/ledger/src/admission/outcome.rs
@@ -1,56 +1,56 @@
 //! Lookup of the responses of earlier runs in the table.
 
+use crate::admission::Admission;
 use crate::calls::{CallKey, Stage};
-use crate::cx::{Cx, Purpose};
-use crate::intake::Intake;
+use crate::context::{Context, Purpose};
 use crate::rows::Claim;
 use crate::table::{Row, Unavailable};
 use crate::{Action, Reason, Run, rows};
 
-impl Intake {
+impl Admission {
     /// Reads the claim's row for the response of an earlier run.
-    pub(super) fn read_outcome(&mut self, cx: &mut Cx, key: CallKey) {
+    pub(super) fn read_outcome(&mut self, cx: &mut Context, key: CallKey) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
         call.stage = Stage::Reading;
-        let row = rows::claim(&call.key);
-        if cx.table_hopeless() {
-            return self.tell_missing(cx, key);
+        let row = rows::claim_key(&call.key);
+        if cx.table_recently_failed() {
+            return self.respond_without_row(cx, key);
         }
         cx.read(Purpose::ReadOutcome(key), row);
     }
 
     /// Handles the row that was read.
-    pub(crate) fn outcome_read(
+    pub(crate) fn handle_outcome_row(
         &mut self,
-        cx: &mut Cx,
+        cx: &mut Context,
         key: CallKey,
         result: Result<Option<Row>, Unavailable>,
     ) {
         let row = result.ok().flatten();
         let claim = row.and_then(|row| serde_json::from_str::<Claim>(&row.value).ok());
         match claim {
-            Some(claim) => self.tell(cx, key, Some(&claim), Reason::HolderGone),
-            None => self.tell_missing(cx, key),
+            Some(claim) => self.respond_from_row(cx, key, Some(&claim), Reason::HolderGone),
+            None => self.respond_without_row(cx, key),
         }
     }
 
-    fn tell_missing(&mut self, cx: &mut Cx, key: CallKey) {
+    fn respond_without_row(&mut self, cx: &mut Context, key: CallKey) {
         let is_own = self.calls.get(key).is_some_and(|call| call.entry.is_some());
         let reason = if is_own {
             Reason::AnswerCut
         } else {
             Reason::HolderGone
         };
-        self.tell(cx, key, None, reason);
+        self.respond_from_row(cx, key, None, reason);
     }
 
     /// Responds to a call according to its key's row, or refuses it with `missing` if the row
     /// decides nothing.
-    pub(super) fn tell(
+    pub(super) fn respond_from_row(
         &mut self,
-        cx: &mut Cx,
+        cx: &mut Context,
         key: CallKey,
         claim: Option<&Claim>,
         missing: Reason,
--- a/crates/ledger/src/calls.rs
+++ b/crates/ledger/src/calls.rs
@@ -7,7 +7,7 @@
 use kernel::{Incarnation, RequestId, RequestKey};
 use slotmap::{SlotMap, new_key_type};
 
-use crate::book::{Book, Entry, EntryKey};
+use crate::registry::{Entry, EntryKey, KeyRegistry};
 use crate::rows::NO_HOME;
 use crate::{Arrival, Fingerprint, Repeat, Run, Serial, Via};
 
@@ -102,7 +102,7 @@
     /// Returns [`Run::NotRun`] only if this host knows every arrival that may run: a call without a
     /// key has no other arrival, and a key that this host decides about runs nowhere else. An
     /// idempotent call may run at any host, so nothing can be proved about it.
-    pub(crate) fn run(&self, book: &Book) -> Run {
+    pub(crate) fn run_state(&self, registry: &KeyRegistry) -> Run {
         let decided = match (self.scope, self.repeat) {
             (Scope::Keyless, _) => return Run::NotRun,
             (_, Repeat::Idempotent) => false,
@@ -111,7 +111,7 @@
                 self.entry.is_some()
             }
         };
-        let entry = self.entry.and_then(|entry| book.get(entry));
+        let entry = self.entry.and_then(|entry| registry.get(entry));
         let may_have_run = entry.is_some_and(Entry::may_have_run);
         if decided && !may_have_run {
             Run::NotRun
--- a/crates/ledger/src/chores.rs
+++ b/crates/ledger/src/claim_updates.rs
@@ -4,22 +4,22 @@
 
 use kernel::RequestKey;
 
-use crate::cx::{Cx, Purpose};
+use crate::context::{Context, Purpose};
 use crate::rows::Claim;
 use crate::table::{Condition, Expect, Row, Transaction, Unavailable, Written};
 use crate::timers::Timer;
 use crate::{Fingerprint, rows};
 
 /// Maximum number of claims that one transaction marks as unknown.
-const MARKED: usize = 100;
+const MAX_MARKED: usize = 100;
 
 /// Background updates of claim rows, one operation at a time. No caller waits for them.
 #[derive(Debug, Default)]
-pub(crate) struct Chores {
+pub(crate) struct ClaimUpdates {
     marks: VecDeque<Mark>,
-    frees: VecDeque<Free>,
-    busy: Option<Busy>,
-    waits: bool,
+    deletions: VecDeque<Deletion>,
+    in_flight: Option<InFlight>,
+    backing_off: bool,
 }
 
 /// A claim whose outcome is permanently unknown. Once its row says so, this host may forget the
@@ -32,53 +32,53 @@
 
 /// A claim under which nothing ran. Its row is deleted, so that any host may run the key.
 #[derive(Clone, Debug)]
-struct Free {
+struct Deletion {
     key: RequestKey,
     nonce: u64,
 }
 
 #[derive(Debug)]
-enum Busy {
+enum InFlight {
     Marking(Vec<Mark>),
-    Freeing(Free),
+    Deleting(Deletion),
 }
 
-impl Chores {
+impl ClaimUpdates {
     pub(crate) fn is_empty(&self) -> bool {
-        self.marks.is_empty() && self.frees.is_empty() && self.busy.is_none()
+        self.marks.is_empty() && self.deletions.is_empty() && self.in_flight.is_none()
     }
 
-    pub(crate) fn mark(&mut self, key: RequestKey, fingerprint: Fingerprint) {
+    pub(crate) fn mark_unknown(&mut self, key: RequestKey, fingerprint: Fingerprint) {
         self.marks.push_back(Mark { key, fingerprint });
     }
 
-    pub(crate) fn free(&mut self, key: RequestKey, nonce: u64) {
-        self.frees.push_back(Free { key, nonce });
+    pub(crate) fn delete(&mut self, key: RequestKey, nonce: u64) {
+        self.deletions.push_back(Deletion { key, nonce });
     }
 
     /// Ends the retry delay.
-    pub(crate) fn resume(&mut self) {
-        self.waits = false;
+    pub(crate) fn end_backoff(&mut self) {
+        self.backing_off = false;
     }
 
-    pub(crate) fn pump(&mut self, cx: &mut Cx) {
-        if self.busy.is_some() || self.waits {
+    pub(crate) fn advance(&mut self, cx: &mut Context) {
+        if self.in_flight.is_some() || self.backing_off {
             return;
         }
         if !self.marks.is_empty() {
-            let count = self.marks.len().min(MARKED);
+            let count = self.marks.len().min(MAX_MARKED);
             let marks: Vec<Mark> = self.marks.drain(..count).collect();
-            cx.transact(Purpose::Mark, mark_rows(&marks));
-            self.busy = Some(Busy::Marking(marks));
-        } else if let Some(free) = self.frees.pop_front() {
-            cx.read(Purpose::ReadFree, rows::claim(&free.key));
-            self.busy = Some(Busy::Freeing(free));
+            cx.transact(Purpose::MarkUnknown, mark_rows(&marks));
+            self.in_flight = Some(InFlight::Marking(marks));
+        } else if let Some(deletion) = self.deletions.pop_front() {
+            cx.read(Purpose::ReadForDeletion, rows::claim_key(&deletion.key));
+            self.in_flight = Some(InFlight::Deleting(deletion));
         }
     }
 
     /// Handles the result of a marking transaction. Returns the keys whose rows are marked.
-    pub(crate) fn marked(&mut self, cx: &mut Cx, result: &Written) -> Vec<RequestKey> {
-        let Some(Busy::Marking(marks)) = self.busy.take() else {
+    pub(crate) fn marked(&mut self, cx: &mut Context, result: &Written) -> Vec<RequestKey> {
+        let Some(InFlight::Marking(marks)) = self.in_flight.take() else {
             return Vec::new();
         };
         if *result == Written::Applied {
@@ -87,7 +87,7 @@
         for mark in marks.into_iter().rev() {
             self.marks.push_front(mark);
         }
-        self.wait(cx);
+        self.back_off(cx);
         Vec::new()
     }
 
@@ -95,15 +95,15 @@
     ///
     /// The deletion requires the version that was read: this host may have claimed the key again
     /// since, under another nonce.
-    pub(crate) fn read(&mut self, cx: &mut Cx, result: Result<Option<Row>, Unavailable>) {
-        let Some(Busy::Freeing(free)) = self.busy.take() else {
+    pub(crate) fn read(&mut self, cx: &mut Context, result: Result<Option<Row>, Unavailable>) {
+        let Some(InFlight::Deleting(deletion)) = self.in_flight.take() else {
             return;
         };
         let Ok(row) = result else {
-            self.frees.push_back(free);
-            return self.wait(cx);
+            self.deletions.push_back(deletion);
+            return self.back_off(cx);
         };
-        let Some(row) = row.filter(|row| is_claimed(cx, row, free.nonce)) else {
+        let Some(row) = row.filter(|row| is_claimed(cx, row, deletion.nonce)) else {
             return;
         };
         let transaction = Transaction {
@@ -114,25 +114,25 @@
             puts: Vec::new(),
             deletes: vec![row.key],
         };
-        cx.transact(Purpose::Free, transaction);
-        self.busy = Some(Busy::Freeing(free));
+        cx.transact(Purpose::DeleteClaim, transaction);
+        self.in_flight = Some(InFlight::Deleting(deletion));
     }
 
     /// Handles the result of a deletion.
-    pub(crate) fn freed(&mut self, cx: &mut Cx, result: &Written) {
-        let Some(Busy::Freeing(free)) = self.busy.take() else {
+    pub(crate) fn deleted(&mut self, cx: &mut Context, result: &Written) {
+        let Some(InFlight::Deleting(deletion)) = self.in_flight.take() else {
             return;
         };
         if matches!(result, Written::NotApplied | Written::Unknown) {
-            self.frees.push_back(free);
-            self.wait(cx);
+            self.deletions.push_back(deletion);
+            self.back_off(cx);
         }
     }
 
-    fn wait(&mut self, cx: &mut Cx) {
-        self.waits = true;
+    fn back_off(&mut self, cx: &mut Context) {
+        self.backing_off = true;
         let at = cx.retry_at();
-        cx.shared.timers.arm(at, Timer::Chore);
+        cx.shared.timers.arm(at, Timer::RetryClaimUpdates);
     }
 }
 
@@ -141,7 +141,7 @@
         let value = Claim::Unknown {
             fingerprint: mark.fingerprint,
         };
-        rows::put(rows::claim(&mark.key), &value)
+        rows::put(rows::claim_key(&mark.key), &value)
     };
     Transaction {
         puts: marks.iter().map(put).collect(),
@@ -149,10 +149,10 @@
     }
 }
 
-fn is_claimed(cx: &Cx, row: &Row, mine: u64) -> bool {
+fn is_claimed(cx: &Context, row: &Row, own_nonce: u64) -> bool {
     let own = |holder| holder == cx.shared.me || cx.shared.former.contains(&holder);
     matches!(
         serde_json::from_str(&row.value),
-        Ok(Claim::Claimed { holder, nonce, .. }) if own(holder) && nonce == mine
+        Ok(Claim::Claimed { holder, nonce, .. }) if own(holder) && nonce == own_nonce
     )
 }
--- a/crates/ledger/src/cx.rs
+++ b/crates/ledger/src/context.rs
@@ -6,16 +6,16 @@
 use kernel::{DataCentre, Incarnation, RequestId};
 use slotmap::SlotMap;
 
-use crate::book::EntryKey;
 use crate::calls::CallKey;
 use crate::peers::Peers;
+use crate::registry::EntryKey;
 use crate::status::Counters;
 use crate::table::{Op, Transaction};
 use crate::timers::{Timer, Timers};
 use crate::{Action, Message, Reason, Refusal, Run, Serial, Tuning, rows};
 
 /// Number of consecutive failed operations after which the table counts as unavailable.
-const FAILURES: u32 = 2;
+const FAILURES_UNTIL_UNAVAILABLE: u32 = 2;
 
 /// The delay that a refused caller is asked to wait.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -50,14 +50,14 @@
     Fence(Incarnation),
     Scan(Incarnation),
     Insert(Incarnation),
-    Mark,
-    ReadFree,
-    Free,
+    MarkUnknown,
+    ReadForDeletion,
+    DeleteClaim,
 }
 
 /// The context of one event: its time, the resulting actions, and the shared state.
 #[derive(Debug)]
-pub(crate) struct Cx<'a> {
+pub(crate) struct Context<'a> {
     pub(crate) now: Duration,
     pub(crate) actions: &'a mut Vec<Action>,
     pub(crate) shared: &'a mut Shared,
@@ -87,19 +87,19 @@
     }
 
     /// Whether `home` is alive and can adopt its records itself.
-    pub(crate) fn may_adopt(&self, peers: &Peers, home: Incarnation) -> bool {
-        peers.is_live(home) && !self.is_closed(home) && !self.former.contains(&home)
+    pub(crate) fn can_adopt(&self, peers: &Peers, home: Incarnation) -> bool {
+        peers.is_live(home) && !self.has_no_more_batches(home) && !self.former.contains(&home)
     }
 
     /// Whether no batch of `home` can be written any more, except by this process.
     ///
     /// The current incarnation needs no fence, because the same process writes its batches.
-    pub(crate) fn is_closed(&self, home: Incarnation) -> bool {
+    pub(crate) fn has_no_more_batches(&self, home: Incarnation) -> bool {
         home == self.me || self.fenced.contains(&home)
     }
 }
 
-impl Cx<'_> {
+impl Context<'_> {
     pub(crate) fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
@@ -156,7 +156,7 @@
         self.shared.nonce
     }
 
-    pub(crate) fn table_answered(&mut self) {
+    pub(crate) fn table_responded(&mut self) {
         self.shared.failures = 0;
     }
 
@@ -166,18 +166,19 @@
     }
 
     /// Whether the last operations on the table failed.
-    pub(crate) fn table_out(&self) -> bool {
-        self.shared.failures >= FAILURES
+    pub(crate) fn table_unavailable(&self) -> bool {
+        self.shared.failures >= FAILURES_UNTIL_UNAVAILABLE
     }
 
     /// Whether a table operation would probably only delay the caller. One operation per retry
     /// interval is still tried, to notice when the table is available again.
-    pub(crate) fn table_hopeless(&self) -> bool {
-        self.table_out() && self.now < self.shared.failed_at + self.shared.tuning.retry_interval
+    pub(crate) fn table_recently_failed(&self) -> bool {
+        self.table_unavailable()
+            && self.now < self.shared.failed_at + self.shared.tuning.retry_interval
     }
 }
 
-impl Cx<'_> {
+impl Context<'_> {
     /// Requests the batches of `home` after the one that ends at serial `after`.
     pub(crate) fn scan(
         &mut self,
@@ -189,8 +190,8 @@
         let op = self.shared.ops.insert(purpose);
         self.push(Action::Scan {
             op,
-            prefix: rows::batches(home),
-            after: rows::batch(home, after),
+            prefix: rows::batch_prefix(home),
+            after: rows::batch_key(home, after),
             limit,
         });
     }
--- a/crates/ledger/src/core.rs
+++ b/crates/ledger/src/core.rs
@@ -2,37 +2,37 @@
 
 use kernel::Incarnation;
 
-use crate::cx::{Cx, Purpose, Shared};
-use crate::holdings::{Holdings, Lane};
-use crate::intake::{Adoption, Intake, View};
+use crate::admission::{Admission, AdoptionResult, View};
+use crate::batch_writer::{BatchWriter, FenceStatus};
+use crate::context::{Context, Purpose, Shared};
 use crate::peers::Peers;
+use crate::pending::{PendingRecords, WritePath};
+use crate::received_copies::ReceivedCopies;
 use crate::settler::{self, Settler};
 use crate::status::Status;
 use crate::table::{Op, Page, Row, Unavailable, Written};
 use crate::timers::Timer;
-use crate::vault::Vault;
-use crate::writer::{Finding, Writer};
 use crate::{Action, Event, Message, Peer};
 
 /// The components of the ledger.
 #[derive(Debug, Default)]
 pub(crate) struct Core {
     pub(crate) peers: Peers,
-    pub(crate) intake: Intake,
-    pub(crate) holdings: Holdings,
-    vault: Vault,
-    writer: Writer,
+    pub(crate) admission: Admission,
+    pub(crate) pending: PendingRecords,
+    received_copies: ReceivedCopies,
+    batch_writer: BatchWriter,
     settler: Settler,
     drained: bool,
 }
 
 impl Core {
-    pub(crate) fn handle(&mut self, cx: &mut Cx, event: Event) {
+    pub(crate) fn handle(&mut self, cx: &mut Context, event: Event) {
         while let Some(timer) = cx.shared.timers.take_due(cx.now) {
-            self.fire(cx, timer);
+            self.handle_timer(cx, timer);
         }
-        self.take(cx, event);
-        self.pump(cx);
+        self.dispatch(cx, event);
+        self.advance(cx);
         if let Some(at) = cx.shared.timers.wake(cx.now) {
             cx.push(Action::Wake { at });
         }
@@ -41,28 +41,28 @@
     pub(crate) fn status(&self, shared: &Shared) -> Status {
         Status {
             me: shared.me,
-            held: self.holdings.len(),
+            held: self.pending.len(),
             held_bound: shared.tuning.held_records,
-            copies: self.vault.len(),
-            keys: self.intake.book().len(),
-            outcome_bytes: self.intake.book().outcome_bytes(),
+            copies: self.received_copies.len(),
+            keys: self.admission.registry().len(),
+            outcome_bytes: self.admission.registry().outcome_bytes(),
             counters: shared.counters,
         }
     }
 
-    fn take(&mut self, cx: &mut Cx, event: Event) {
+    fn dispatch(&mut self, cx: &mut Context, event: Event) {
         let mut view = View {
             peers: &self.peers,
-            holdings: &mut self.holdings,
+            pending: &mut self.pending,
         };
         match event {
-            Event::Arrive(arrival) => self.intake.arrive(cx, &mut view, arrival),
-            Event::Sending { request } => self.intake.sending(&request),
-            Event::Returned { request } => self.intake.returned(&request),
-            Event::Finished { request, end } => self.intake.finish(cx, &mut view, &request, end),
-            Event::Cancelled { request } => self.intake.cancel(cx, &mut view, &request),
-            Event::Forwarded { request, end } => self.intake.forwarded(cx, &request, end),
-            Event::Hosts(peers) => self.hosts(cx, peers),
+            Event::Arrive(arrival) => self.admission.arrive(cx, &mut view, arrival),
+            Event::Sending { request } => self.admission.sending(&request),
+            Event::Returned { request } => self.admission.returned(&request),
+            Event::Finished { request, end } => self.admission.finish(cx, &mut view, &request, end),
+            Event::Cancelled { request } => self.admission.cancel(cx, &mut view, &request),
+            Event::Forwarded { request, end } => self.admission.forwarded(cx, &request, end),
+            Event::Hosts(peers) => self.update_hosts(cx, peers),
             Event::Received { from, message } => self.receive(cx, from, message),
             Event::Transacted { op, result } => self.written(cx, op, &result),
             Event::Read { op, result } => self.read(cx, op, result),
@@ -73,238 +73,249 @@
         }
     }
 
-    fn fire(&mut self, cx: &mut Cx, timer: Timer) {
+    fn handle_timer(&mut self, cx: &mut Context, timer: Timer) {
         match timer {
-            Timer::Claim(entry) => self.intake.retry_claim(cx, entry),
-            Timer::Copy(batch) => self.holdings.reject(cx, &mut self.peers, batch),
-            Timer::Release(serial) => self.holdings.release_late(cx, serial),
-            Timer::Settle(home) => settler::offer_again(&mut self.holdings, home),
-            Timer::Orphan(owner) => self.orphan(cx, owner),
-            Timer::Chore => self.intake.chores.resume(),
-            Timer::Ask => self.vault.ask(cx, &self.peers),
-            Timer::Sweep => self.intake.sweep(cx, &self.holdings),
-            // These only cause the call of `pump`, which finds the due work.
-            Timer::Flush | Timer::Partners => {}
+            Timer::RetryClaim(entry) => self.admission.retry_claim(cx, entry),
+            Timer::CopyTimeout(batch) => self.pending.retry_copy(cx, &mut self.peers, batch),
+            Timer::ReleaseTimeout(serial) => self.pending.release_on_timeout(cx, serial),
+            Timer::Settle(home) => settler::reset_offers(&mut self.pending, home),
+            Timer::OwnerGone(owner) => self.owner_gone(cx, owner),
+            Timer::RetryClaimUpdates => self.admission.claim_updates.end_backoff(),
+            Timer::QueryOwners => self.received_copies.query_owners(cx, &self.peers),
+            Timer::ExpireKeys => self.admission.expire_keys(cx, &self.pending),
+            // These only cause the call of `advance`, which finds the due work.
+            Timer::Flush | Timer::RetryPartner => {}
         }
     }
 
     /// Starts all work that is due.
-    fn pump(&mut self, cx: &mut Cx) {
-        let urgent = self.holdings.copy(cx, &self.peers);
-        self.writer.pump(cx, &self.peers, &self.holdings, urgent);
+    fn advance(&mut self, cx: &mut Context) {
+        let urgent = self.pending.send_copies(cx, &self.peers);
+        self.batch_writer
+            .advance(cx, &self.peers, &self.pending, urgent);
         self.settler
-            .pump(cx, &mut self.peers, &mut self.holdings, urgent);
-        self.intake.chores.pump(cx);
+            .advance(cx, &mut self.peers, &mut self.pending, urgent);
+        self.admission.claim_updates.advance(cx);
         if !self.drained && self.is_drained(cx) {
             self.drained = true;
             cx.push(Action::Drained);
         }
     }
 
-    fn hosts(&mut self, cx: &mut Cx, peers: Vec<Peer>) {
+    fn update_hosts(&mut self, cx: &mut Context, peers: Vec<Peer>) {
         self.peers.replace(cx.now, peers);
-        self.give_back(cx);
-        let owners: Vec<Incarnation> = self.vault.owners().collect();
+        self.return_inherited(cx);
+        let owners: Vec<Incarnation> = self.received_copies.owners().collect();
         for owner in owners {
-            self.watch(cx, owner);
+            self.watch_owner(cx, owner);
         }
-        self.vault.prune(|owner| self.peers.is_live(owner));
-        self.holdings.review(cx, &self.peers);
+        self.received_copies
+            .prune(|owner| self.peers.is_live(owner));
+        self.pending.replace_lost_copies(cx, &self.peers);
     }
 
     /// Arms the timer after which the copies of a missing owner are taken over, or disarms it if
     /// the owner is alive. A draining host takes them over at once.
-    fn watch(&mut self, cx: &mut Cx, owner: Incarnation) {
+    fn watch_owner(&mut self, cx: &mut Context, owner: Incarnation) {
         if self.peers.is_live(owner) {
-            cx.shared.timers.disarm(Timer::Orphan(owner));
+            cx.shared.timers.disarm(Timer::OwnerGone(owner));
         } else if cx.shared.draining {
-            self.inherit(cx, owner);
+            self.take_over(cx, owner);
         } else {
             let at = self.peers.gone_since(cx.now, owner) + cx.shared.tuning.fence_after;
-            cx.shared.timers.arm(at, Timer::Orphan(owner));
+            cx.shared.timers.arm(at, Timer::OwnerGone(owner));
         }
     }
 
-    fn orphan(&mut self, cx: &mut Cx, owner: Incarnation) {
+    fn owner_gone(&mut self, cx: &mut Context, owner: Incarnation) {
         let gone = self.peers.gone_since(cx.now, owner) + cx.shared.tuning.fence_after;
         if self.peers.is_live(owner) || cx.now < gone {
-            self.watch(cx, owner);
+            self.watch_owner(cx, owner);
         } else {
-            self.inherit(cx, owner);
+            self.take_over(cx, owner);
         }
     }
 
     /// Takes over the records of an owner that is gone: they are copied to another host and settled
     /// under the homes of their keys.
-    fn inherit(&mut self, cx: &mut Cx, owner: Incarnation) {
-        let mut later = Vec::new();
-        for record in self.vault.take(owner) {
+    fn take_over(&mut self, cx: &mut Context, owner: Incarnation) {
+        let mut rejected = Vec::new();
+        for record in self.received_copies.take_owned(owner) {
             let home = record.key.home;
             if cx.shared.decides(home) {
-                let adoption = self.intake.inherit(cx, &mut self.holdings, record);
-                if let Adoption::Later(record) = adoption {
-                    later.push(*record);
+                let adoption = self
+                    .admission
+                    .adopt_inherited(cx, &mut self.pending, record);
+                if let AdoptionResult::NoRoom(record) = adoption {
+                    rejected.push(*record);
                 }
             } else {
-                self.holdings
-                    .hold(cx, record, Lane::Single(home), Vec::new());
+                self.pending
+                    .add(cx, record, WritePath::Single(home), Vec::new());
             }
         }
-        if !later.is_empty() {
+        if !rejected.is_empty() {
             let at = cx.retry_at();
-            cx.shared.timers.arm(at, Timer::Orphan(owner));
-            self.vault.restore(cx, owner, later);
+            cx.shared.timers.arm(at, Timer::OwnerGone(owner));
+            self.received_copies.store(cx, owner, rejected);
         }
-        self.give_back(cx);
+        self.return_inherited(cx);
     }
 
     /// Returns inherited records to homes that are alive after all and weren't fenced. They become
     /// copies again.
-    fn give_back(&mut self, cx: &mut Cx) {
-        for home in self.holdings.homes() {
-            if cx.shared.may_adopt(&self.peers, home) {
-                let records = self.holdings.give_back(cx, home);
-                self.vault.restore(cx, home, records);
+    fn return_inherited(&mut self, cx: &mut Context) {
+        for home in self.pending.homes() {
+            if cx.shared.can_adopt(&self.peers, home) {
+                let records = self.pending.take_inherited(cx, home);
+                self.received_copies.store(cx, home, records);
             }
         }
     }
 
-    fn receive(&mut self, cx: &mut Cx, from: Incarnation, message: Message) {
-        self.peers.heard(cx.now, from);
+    fn receive(&mut self, cx: &mut Context, from: Incarnation, message: Message) {
+        self.peers.record_contact(cx.now, from);
         match message {
             Message::Copy { batch, records } => {
-                self.vault.copy(cx, from, batch, records);
-                self.watch(cx, from);
+                self.received_copies.copy(cx, from, batch, records);
+                self.watch_owner(cx, from);
             }
-            Message::Copied { batch } => self.holdings.confirm(cx, &self.peers, from, batch),
-            Message::Full { batch } => self.holdings.refuse(cx, &mut self.peers, from, batch),
-            Message::Release { below, serials } => self.vault.release(from, below, &serials),
-            Message::Holds { serials } => self.holdings.held_by(cx, from, serials),
+            Message::Copied { batch } => self.pending.confirm(cx, &self.peers, from, batch),
+            Message::Full { batch } => self.pending.copy_refused(cx, &mut self.peers, from, batch),
+            Message::Release { below, serials } => {
+                self.received_copies.release(from, below, &serials);
+            }
+            Message::Holds { serials } => self.pending.handle_copy_query(cx, from, serials),
             Message::Adopt { records } => {
-                self.intake.adopt(cx, &mut self.holdings, from, records);
+                self.admission.adopt(cx, &mut self.pending, from, records);
             }
             Message::Adopted { serials } => {
-                Settler::adopted(cx, &mut self.holdings, from, &serials);
+                Settler::adopted(cx, &mut self.pending, from, &serials);
             }
         }
     }
 
-    fn written(&mut self, cx: &mut Cx, op: Op, result: &Written) {
+    fn written(&mut self, cx: &mut Context, op: Op, result: &Written) {
         let Some(purpose) = cx.shared.ops.remove(op) else {
             return;
         };
-        let answered = matches!(result, Written::Applied | Written::Failed { .. });
-        self.note_table(cx, answered);
+        let responded = matches!(result, Written::Applied | Written::Failed { .. });
+        self.record_table_result(cx, responded);
         match purpose {
-            Purpose::Claim(entry) => self.intake.claimed(cx, entry, result),
+            Purpose::Claim(entry) => self.admission.claimed(cx, entry, result),
             Purpose::Batch => {
-                let finding = self.writer.written(cx, &mut self.holdings, result);
-                self.found(cx, finding);
+                let status = self.batch_writer.written(cx, &mut self.pending, result);
+                self.on_fence_status(cx, status);
             }
             Purpose::Fence(home) => self.settler.fenced(cx, home, result),
             Purpose::Insert(home) => {
-                self.settler.inserted(cx, &mut self.holdings, home, result);
+                self.settler.inserted(cx, &mut self.pending, home, result);
             }
-            Purpose::Mark => {
-                let keys = self.intake.chores.marked(cx, result);
-                self.intake.note_marked(&keys);
+            Purpose::MarkUnknown => {
+                let keys = self.admission.claim_updates.marked(cx, result);
+                self.admission.record_marked(&keys);
             }
-            Purpose::Free => self.intake.chores.freed(cx, result),
+            Purpose::DeleteClaim => self.admission.claim_updates.deleted(cx, result),
             Purpose::ReadClaim(_)
             | Purpose::ReadOutcome(_)
             | Purpose::ReadBatch
-            | Purpose::ReadFree
+            | Purpose::ReadForDeletion
             | Purpose::Scan(_) => {}
         }
     }
 
-    fn read(&mut self, cx: &mut Cx, op: Op, result: Result<Option<Row>, Unavailable>) {
+    fn read(&mut self, cx: &mut Context, op: Op, result: Result<Option<Row>, Unavailable>) {
         let Some(purpose) = cx.shared.ops.remove(op) else {
             return;
         };
-        self.note_table(cx, result.is_ok());
+        self.record_table_result(cx, result.is_ok());
         let view = View {
             peers: &self.peers,
-            holdings: &mut self.holdings,
+            pending: &mut self.pending,
         };
         match purpose {
-            Purpose::ReadClaim(entry) => self.intake.read_claim(cx, &view, entry, result),
-            Purpose::ReadOutcome(call) => self.intake.outcome_read(cx, call, result),
+            Purpose::ReadClaim(entry) => self.admission.read_claim(cx, &view, entry, result),
+            Purpose::ReadOutcome(call) => self.admission.handle_outcome_row(cx, call, result),
             Purpose::ReadBatch => {
-                let finding = self.writer.read(cx, &mut self.holdings, result);
-                self.found(cx, finding);
+                let status = self.batch_writer.read(cx, &mut self.pending, result);
+                self.on_fence_status(cx, status);
             }
-            Purpose::ReadFree => self.intake.chores.read(cx, result),
+            Purpose::ReadForDeletion => self.admission.claim_updates.read(cx, result),
             Purpose::Claim(_)
             | Purpose::Batch
             | Purpose::Fence(_)
             | Purpose::Scan(_)
             | Purpose::Insert(_)
-            | Purpose::Mark
-            | Purpose::Free => {}
+            | Purpose::MarkUnknown
+            | Purpose::DeleteClaim => {}
         }
     }
 
-    fn scanned(&mut self, cx: &mut Cx, op: Op, result: Result<Page, Unavailable>) {
+    fn scanned(&mut self, cx: &mut Context, op: Op, result: Result<Page, Unavailable>) {
         let Some(purpose) = cx.shared.ops.remove(op) else {
             return;
         };
-        self.note_table(cx, result.is_ok());
+        self.record_table_result(cx, result.is_ok());
         if let Purpose::Scan(home) = purpose {
-            self.settler.scanned(cx, &mut self.holdings, home, result);
+            self.settler.scanned(cx, &mut self.pending, home, result);
         }
     }
 
-    fn note_table(&mut self, cx: &mut Cx, answered: bool) {
-        let before = cx.table_out();
-        if answered {
-            cx.table_answered();
+    fn record_table_result(&mut self, cx: &mut Context, responded: bool) {
+        let before = cx.table_unavailable();
+        if responded {
+            cx.table_responded();
         } else {
             cx.table_failed();
         }
         // The number of copies that a draining host needs depends on whether the table is
         // available.
-        if cx.shared.draining && before != cx.table_out() {
-            self.holdings.requeue(cx, |_| true);
+        if cx.shared.draining && before != cx.table_unavailable() {
+            self.pending.requeue(cx, |_| true);
         }
     }
 
     /// Handles a fence on this incarnation, set by a host that took this one for dead. No further
     /// batch would be applied, so all records are settled one by one.
-    fn found(&mut self, cx: &mut Cx, finding: Finding) {
-        if finding == Finding::None {
+    fn on_fence_status(&mut self, cx: &mut Context, status: FenceStatus) {
+        if status == FenceStatus::NotSeen {
             return;
         }
         let fenced = cx.shared.me;
         if cx.shared.fenced.insert(fenced) {
             cx.push(Action::Retire { fenced });
         }
-        self.holdings.stop_batches();
+        self.pending.stop_batches();
     }
 
-    fn renew(&mut self, cx: &mut Cx, me: Incarnation) {
+    fn renew(&mut self, cx: &mut Context, me: Incarnation) {
         cx.shared.former.insert(cx.shared.me);
         cx.shared.me = me;
-        self.writer.stop();
-        self.holdings.stop_batches();
-        self.holdings.forget_copies(cx);
+        self.batch_writer.stop();
+        self.pending.stop_batches();
+        self.pending.forget_copies(cx);
     }
 
-    fn drain(&mut self, cx: &mut Cx) {
+    fn drain(&mut self, cx: &mut Context) {
         cx.shared.draining = true;
-        self.intake.give_back_all();
-        self.vault.ask(cx, &self.peers);
-        let owners: Vec<Incarnation> = self.vault.owners().collect();
+        self.admission.delete_unused_claims();
+        self.received_copies.query_owners(cx, &self.peers);
+        let owners: Vec<Incarnation> = self.received_copies.owners().collect();
         for owner in owners {
-            self.watch(cx, owner);
+            self.watch_owner(cx, owner);
         }
     }
 
     /// Whether no other host and no caller depends on this process any more.
-    fn is_drained(&self, cx: &Cx) -> bool {
-        let out = cx.table_out();
-        let chores = out || self.intake.chores.is_empty();
-        let records = self.holdings.is_empty() || out && self.holdings.is_handed_over(&self.peers);
-        cx.shared.draining && self.intake.is_idle() && chores && records && self.vault.is_empty()
+    fn is_drained(&self, cx: &Context) -> bool {
+        let unavailable = cx.table_unavailable();
+        let updates_done = unavailable || self.admission.claim_updates.is_empty();
+        let records_done =
+            self.pending.is_empty() || unavailable && self.pending.is_handed_over(&self.peers);
+        cx.shared.draining
+            && self.admission.is_idle()
+            && updates_done
+            && records_done
+            && self.received_copies.is_empty()
     }
 }
--- a/crates/ledger/src/packed.rs
+++ b/crates/ledger/src/encoded_record.rs
@@ -7,7 +7,7 @@
 /// A record in encoded form, which saves memory: while the table is unavailable a host may hold
 /// tens of thousands of records and as many copies.
 #[derive(Debug)]
-pub(crate) struct Packed {
+pub(crate) struct EncodedRecord {
     pub(crate) serial: Serial,
     pub(crate) home: Incarnation,
     pub(crate) floor: Serial,
@@ -15,10 +15,9 @@
     bytes: Box<[u8]>,
 }
 
-impl Packed {
+impl EncodedRecord {
     pub(crate) fn new(record: &Record) -> Self {
-        let bytes =
-            postcard::to_stdvec(record).expect("every record can be encoded");
+        let bytes = postcard::to_stdvec(record).expect("every record can be encoded");
         Self {
             serial: record.serial,
             home: record.key.home,
@@ -28,7 +27,7 @@
         }
     }
 
-    pub(crate) fn unpack(&self) -> Record {
+    pub(crate) fn decode(&self) -> Record {
         postcard::from_bytes(&self.bytes).expect("the bytes are an encoded record")
     }
 
--- a/crates/ledger/src/lease/state.rs
+++ b/crates/ledger/src/lease/state.rs
@@ -53,9 +53,9 @@
     /// Writes whose responses were lost and that may still be applied.
     lost: Vec<Pending>,
     /// The number of writes, which makes each written row unique.
-    writes: u64,
+    write_count: u64,
     reading: bool,
-    next: Duration,
+    next_at: Duration,
     stage: Stage,
 }
 
@@ -116,16 +116,16 @@
             held: None,
             writing: None,
             lost: Vec::new(),
-            writes: 0,
+            write_count: 0,
             reading: false,
-            next: Duration::ZERO,
+            next_at: Duration::ZERO,
             stage: Stage::Wanting,
         }
     }
 
     /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        self.lapse(now, actions);
+        self.expire(now, actions);
         match event {
             Event::Tick => {}
             Event::Read(result) => self.read(now, result, actions),
@@ -133,8 +133,8 @@
             Event::ReadBack => self.read_back(),
             Event::Resign => self.resign(actions),
         }
-        self.settle(now, actions);
-        self.step(now, actions);
+        self.begin_read_back(now, actions);
+        self.advance(now, actions);
         if self.stage == Stage::Wanting {
             actions.push(Action::Wake { at: self.wake(now) });
         }
@@ -160,13 +160,13 @@
     }
 
     /// Gives up a lease that expired on this host's clock.
-    fn lapse(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn expire(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.held.as_ref().is_some_and(|held| now >= held.deadline) {
-            self.lose(actions);
+            self.drop_lease(actions);
         }
     }
 
-    fn lose(&mut self, actions: &mut Vec<Action>) {
+    fn drop_lease(&mut self, actions: &mut Vec<Action>) {
         if self.held.take().is_some() {
             actions.push(Action::Lost);
         }
@@ -181,7 +181,7 @@
     ) {
         self.reading = false;
         let Ok(row) = result else {
-            self.next = now + self.retry();
+            self.next_at = now + self.retry_delay();
             return;
         };
         if let Some((version, found)) = &row
@@ -189,24 +189,24 @@
         {
             // The write was applied and its response was lost.
             let pending = self.lost.swap_remove(index);
-            return self.hold(now, *version, pending, actions);
+            return self.acquire(now, *version, pending, actions);
         }
         let expect = row
             .as_ref()
             .map_or(Expect::Absent, |(version, _)| Expect::Version(*version));
         self.lost.retain(|it| it.expect == expect);
-        let gone = self.held.as_ref().is_some_and(|held| {
+        let replaced = self.held.as_ref().is_some_and(|held| {
             row.as_ref()
                 .is_none_or(|(version, _)| *version != held.version)
         });
-        if gone {
-            self.lose(actions);
+        if replaced {
+            self.drop_lease(actions);
         }
         if self.seen.as_ref().is_none_or(|seen| seen.row != row) {
             self.seen = Some(Seen { row, since: now });
         }
-        if self.held.is_none() && self.claim(now).is_some() {
-            self.next = now;
+        if self.held.is_none() && self.takeover(now).is_some() {
+            self.next_at = now;
         }
     }
 
@@ -216,25 +216,31 @@
             return;
         };
         match result {
-            Written::Applied { version } => self.hold(now, version, pending, actions),
+            Written::Applied { version } => self.acquire(now, version, pending, actions),
             // Another candidate wrote, or an earlier write of this one was applied late. Reading
             // the row tells which.
             Written::Failed => {
-                self.next = now;
-                self.seek(actions);
+                self.next_at = now;
+                self.request_read(actions);
             }
-            Written::NotApplied => self.next = now + self.retry(),
+            Written::NotApplied => self.next_at = now + self.retry_delay(),
             Written::Unknown => {
                 self.lost.push(pending);
-                self.next = now;
-                self.seek(actions);
+                self.next_at = now;
+                self.request_read(actions);
             }
         }
     }
 
     /// Takes the lease after a successful write. Its duration counts from before the write was
     /// sent, because other candidates may have read the row from that time on.
-    fn hold(&mut self, now: Duration, version: u64, pending: Pending, actions: &mut Vec<Action>) {
+    fn acquire(
+        &mut self,
+        now: Duration,
+        version: u64,
+        pending: Pending,
+        actions: &mut Vec<Action>,
+    ) {
         let deadline = pending.started + self.tuning.length.saturating_sub(self.tuning.margin);
         self.lost.clear();
         let settling = match &self.held {
@@ -246,18 +252,18 @@
             row: Some((version, pending.row.clone())),
             since: now,
         });
-        self.next = pending.started + self.tuning.renew_every;
+        self.next_at = pending.started + self.tuning.renew_interval;
         self.held = Some(Held {
             version,
             row: pending.row,
             deadline,
             settling,
         });
-        self.lapse(now, actions);
+        self.expire(now, actions);
     }
 
     /// Requests the read-back once no order of the last holder can be in transit.
-    fn settle(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn begin_read_back(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(held) = &mut self.held else {
             return;
         };
@@ -278,40 +284,42 @@
     }
 
     /// Renews the lease, takes it over or reads the row, if that is due.
-    fn step(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let busy = self.reading || self.writing.is_some();
-        if now < self.next || busy || self.stage == Stage::Resigned {
+        if now < self.next_at || busy || self.stage == Stage::Resigned {
             return;
         }
-        self.next = now + self.tuning.renew_every;
+        self.next_at = now + self.tuning.renew_interval;
         if let Some(held) = &self.held {
             let (expect, fencing) = (Expect::Version(held.version), held.row.fencing);
             return self.write(now, expect, fencing, false, actions);
         }
-        if let Some((expect, fencing, over)) = self.claim(now) {
-            return self.write(now, expect, fencing, over, actions);
+        if let Some((expect, fencing, takes_over)) = self.takeover(now) {
+            return self.write(now, expect, fencing, takes_over, actions);
         }
-        self.next = self.next.min(self.lapses().unwrap_or(self.next).max(now));
-        self.seek(actions);
+        self.next_at = self
+            .next_at
+            .min(self.safe_expiry().unwrap_or(self.next_at).max(now));
+        self.request_read(actions);
     }
 
     /// The time at which the lease of the holder that was last seen has surely expired.
-    fn lapses(&self) -> Option<Duration> {
+    fn safe_expiry(&self) -> Option<Duration> {
         let seen = self.seen.as_ref()?;
         Some(seen.since + self.tuning.length + self.tuning.margin)
     }
 
     /// Returns the condition and the fencing number of a takeover, and whether it replaces another
     /// holder, if the lease is free.
-    fn claim(&self, now: Duration) -> Option<(Expect, Fencing, bool)> {
+    fn takeover(&self, now: Duration) -> Option<(Expect, Fencing, bool)> {
         let seen = self.seen.as_ref()?;
         let Some((version, row)) = &seen.row else {
             return Some((Expect::Absent, Fencing(1), false));
         };
-        let lapsed = self.lapses().is_some_and(|at| now >= at);
+        let expired = self.safe_expiry().is_some_and(|at| now >= at);
         let free = match row.holder {
             None => true,
-            Some(holder) => holder == self.me || lapsed,
+            Some(holder) => holder == self.me || expired,
         };
         let next = Fencing(row.fencing.0 + 1);
         free.then(|| (Expect::Version(*version), next, row.holder.is_some()))
@@ -325,11 +333,11 @@
         takes_over: bool,
         actions: &mut Vec<Action>,
     ) {
-        self.writes += 1;
+        self.write_count += 1;
         let row = Row {
             holder: Some(self.me),
             fencing,
-            renewal: self.writes,
+            renewal: self.write_count,
         };
         self.writing = Some(Pending {
             expect,
@@ -340,7 +348,7 @@
         actions.push(Action::Write { expect, row });
     }
 
-    fn seek(&mut self, actions: &mut Vec<Action>) {
+    fn request_read(&mut self, actions: &mut Vec<Action>) {
         if !self.reading {
             self.reading = true;
             actions.push(Action::Read);
@@ -357,7 +365,7 @@
         };
         let row = Row {
             holder: None,
-            renewal: self.writes + 1,
+            renewal: self.write_count + 1,
             ..held.row
         };
         let expect = Expect::Version(held.version);
@@ -365,8 +373,8 @@
         actions.push(Action::Write { expect, row });
     }
 
-    fn retry(&self) -> Duration {
-        self.tuning.renew_every / 4
+    fn retry_delay(&self) -> Duration {
+        self.tuning.renew_interval / 4
     }
 
     fn wake(&self, now: Duration) -> Duration {
@@ -376,8 +384,8 @@
             Settling::ReadingBack | Settling::Done => None,
         });
         let deadline = held.map(|held| held.deadline);
-        let soonest = now + self.retry();
-        [Some(self.next.max(now)), deadline, settling]
+        let soonest = now + self.retry_delay();
+        [Some(self.next_at.max(now)), deadline, settling]
             .into_iter()
             .flatten()
             .min()
--- a/crates/ledger/src/lease/tuning.rs
+++ b/crates/ledger/src/lease/tuning.rs
@@ -11,7 +11,7 @@
     /// time, and the next holder waits longer.
     pub margin: Duration,
     /// Interval between the holder's renewals, and between a candidate's reads of the row.
-    pub renew_every: Duration,
+    pub renew_interval: Duration,
     /// Timeout of an order, after which its connection is closed.
     pub order_bound: Duration,
 }
@@ -21,7 +21,7 @@
         Self {
             length: Duration::from_secs(15),
             margin: Duration::from_secs(1),
-            renew_every: Duration::from_secs(4),
+            renew_interval: Duration::from_secs(4),
             order_bound: Duration::from_secs(5),
         }
     }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -4,8 +4,8 @@
 
 use kernel::{DataCentre, Incarnation};
 
+use crate::context::{Context, Shared};
 use crate::core::Core;
-use crate::cx::{Cx, Shared};
 use crate::{Action, Event, Serial, Status, Tuning};
 
 /// At-most-once execution and billing on one host, without IO.
@@ -29,7 +29,7 @@
 
     /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        let mut cx = Cx {
+        let mut cx = Context {
             now,
             actions,
             shared: &mut self.shared,
@@ -40,7 +40,7 @@
     /// Returns the serial to put into a ticket that is minted now.
     #[must_use]
     pub fn floor(&self) -> Serial {
-        self.core.holdings.floor()
+        self.core.pending.floor()
     }
 
     /// Returns the current state and the counters.
--- a/crates/ledger/src/measure.rs
+++ b/crates/ledger/src/measure.rs
@@ -13,7 +13,7 @@
 use pair::Pair;
 
 /// Duration of a run in virtual time.
-const SPAN: Duration = Duration::from_mins(1);
+const RUN_TIME: Duration = Duration::from_mins(1);
 
 /// The load on a host and its fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -47,10 +47,10 @@
 pub fn run(clock: &dyn Clock, load: Load) -> Figures {
     let mut pair = Pair::new(Tuning::default(), load.hosts);
     let start = clock.now();
-    pair.run(load.rate, SPAN);
+    pair.run(load.rate, RUN_TIME);
     let taken = clock.now().saturating_sub(start);
     let records = pair.records().max(1);
-    let per_second = |count: u64| to_f64(count) / SPAN.as_secs_f64();
+    let per_second = |count: u64| to_f64(count) / RUN_TIME.as_secs_f64();
     let writes_per_second = per_second(pair.writes);
     Figures {
         records,
@@ -90,7 +90,10 @@
     pair.into_ledgers().0
 }
 
-#[expect(clippy::cast_precision_loss, reason = "counts of a run stay below 2^53")]
+#[expect(
+    clippy::cast_precision_loss,
+    reason = "counts of a run stay below 2^53"
+)]
 fn to_f64(count: u64) -> f64 {
     count as f64
 }
--- a/crates/ledger/src/measure/pair.rs
+++ b/crates/ledger/src/measure/pair.rs
@@ -26,7 +26,7 @@
     queue: VecDeque<(Duration, Incarnation, Event)>,
     wake: Option<Duration>,
     actions: Vec<Action>,
-    made: u64,
+    request_count: u64,
     pub(super) messages: u64,
     pub(super) message_bytes: u64,
     pub(super) writes: u64,
@@ -43,28 +43,28 @@
             queue: VecDeque::new(),
             wake: None,
             actions: Vec::new(),
-            made: 0,
+            request_count: 0,
             messages: 0,
             message_bytes: 0,
             writes: 0,
             table_bytes: 0,
             table: Written::Applied,
         };
-        pair.feed(HOST, Event::Hosts(fleet(hosts)));
-        pair.feed(PARTNER, Event::Hosts(vec![peer(HOST, "dar-1")]));
+        pair.handle_event(HOST, Event::Hosts(fleet(hosts)));
+        pair.handle_event(PARTNER, Event::Hosts(vec![peer(HOST, "dar-1")]));
         pair
     }
 
     pub(super) fn records(&self) -> u64 {
-        self.made
+        self.request_count
     }
 
     /// Runs `rate` requests per second for `span`.
     pub(super) fn run(&mut self, rate: f64, span: Duration) {
         let pause = Duration::from_secs(1).div_f64(rate);
         while self.now < span {
-            self.answer_next();
-            self.pass(pause);
+            self.run_next();
+            self.advance(pause);
         }
     }
 
@@ -72,8 +72,8 @@
     pub(super) fn fill(&mut self, records: usize) {
         self.table = Written::NotApplied;
         for _ in 0..records {
-            self.answer_next();
-            self.pass(DELAY);
+            self.run_next();
+            self.advance(DELAY);
         }
     }
 
@@ -86,15 +86,15 @@
                 floor: self.host.floor(),
                 expires: self.now + Duration::from_mins(10),
             };
-            self.answer(Arrival {
+            self.run_call(Arrival {
                 key: Some(format!("3f2504e0-4f89-41d3-9a0c-{idx:012}").into()),
                 ticket: Some(ticket),
                 repeat: Repeat::NonIdempotent,
                 ..arrival(request)
             });
-            self.pass(DELAY);
+            self.advance(DELAY);
         }
-        self.pass(Duration::from_secs(5));
+        self.advance(Duration::from_secs(5));
     }
 
     pub(super) fn into_ledgers(self) -> (Ledger, Ledger) {
@@ -102,31 +102,31 @@
     }
 
     fn request(&mut self) -> RequestId {
-        self.made += 1;
-        RequestId::from(format!("01JDZ8Q3K5V7{:014}", self.made))
+        self.request_count += 1;
+        RequestId::from(format!("01JDZ8Q3K5V7{:014}", self.request_count))
     }
 
-    fn answer_next(&mut self) {
+    fn run_next(&mut self) {
         let request = self.request();
-        self.answer(arrival(request));
+        self.run_call(arrival(request));
     }
 
-    fn answer(&mut self, arrival: Arrival) {
+    fn run_call(&mut self, arrival: Arrival) {
         let request = arrival.request.clone();
-        self.feed(HOST, Event::Arrive(arrival));
+        self.handle_event(HOST, Event::Arrive(arrival));
         let sending = Event::Sending {
             request: request.clone(),
         };
-        self.feed(HOST, sending);
+        self.handle_event(HOST, sending);
         let end = End::Answered {
             outcome: None,
             charge: charge(),
         };
-        self.feed(HOST, Event::Finished { request, end });
+        self.handle_event(HOST, Event::Finished { request, end });
     }
 
     /// Advances the time by `span`, and delivers the events that become due.
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
             let next = self.queue.front().map(|(at, ..)| *at);
@@ -137,17 +137,17 @@
             self.now = self.now.max(at);
             if next == Some(at) {
                 if let Some((_, to, event)) = self.queue.pop_front() {
-                    self.feed(to, event);
+                    self.handle_event(to, event);
                 }
             } else {
                 self.wake = None;
-                self.feed(HOST, Event::Tick);
+                self.handle_event(HOST, Event::Tick);
             }
         }
         self.now = end;
     }
 
-    fn feed(&mut self, to: Incarnation, event: Event) {
+    fn handle_event(&mut self, to: Incarnation, event: Event) {
         let ledger = if to == HOST {
             &mut self.host
         } else {
@@ -167,7 +167,7 @@
             Action::Transact { op, transaction } => {
                 self.count_write(&transaction);
                 let result = self.table.clone();
-                self.later(from, Event::Transacted { op, result });
+                self.schedule(from, Event::Transacted { op, result });
             }
             Action::Wake { at } if from == HOST => self.wake = Some(at),
             _ => {}
@@ -179,7 +179,7 @@
         self.messages += 1;
         self.message_bytes += bytes as u64;
         if to == HOST || to == PARTNER {
-            self.later(to, Event::Received { from, message });
+            self.schedule(to, Event::Received { from, message });
         }
     }
 
@@ -193,7 +193,7 @@
         self.table_bytes += bytes as u64;
     }
 
-    fn later(&mut self, to: Incarnation, event: Event) {
+    fn schedule(&mut self, to: Incarnation, event: Event) {
         self.queue.push_back((self.now + DELAY, to, event));
     }
 }
--- a/crates/ledger/src/peers.rs
+++ b/crates/ledger/src/peers.rs
@@ -9,7 +9,7 @@
 use crate::{Peer, State};
 
 /// Time for which the disappearance of a host is remembered.
-const REMEMBERED: Duration = Duration::from_hours(1);
+const GONE_RETENTION: Duration = Duration::from_hours(1);
 
 /// The known state of the other hosts.
 #[derive(Debug, Default)]
@@ -32,7 +32,7 @@
             }
         }
         self.gone
-            .retain(|it, since| !live.contains_key(it) && now < *since + REMEMBERED);
+            .retain(|it, since| !live.contains_key(it) && now < *since + GONE_RETENTION);
         self.live = live;
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Whether `incarnation` is alive and not shutting down.
-    pub(crate) fn stays(&self, incarnation: Incarnation) -> bool {
+    pub(crate) fn accepts_copies(&self, incarnation: Incarnation) -> bool {
         self.live
             .get(&incarnation)
             .is_some_and(|peer| peer.state == State::Live)
@@ -52,12 +52,12 @@
     }
 
     /// The number of live hosts, including this one.
-    pub(crate) fn hosts(&self) -> usize {
+    pub(crate) fn host_count(&self) -> usize {
         self.live.len() + 1
     }
 
     /// The number of other hosts that accept copies.
-    pub(crate) fn staying(&self) -> usize {
+    pub(crate) fn accepting_count(&self) -> usize {
         self.live
             .values()
             .filter(|peer| peer.state == State::Live)
@@ -74,7 +74,7 @@
 
     /// Restarts the count for a missing `incarnation` that sent a message: it is alive, whatever
     /// the membership says.
-    pub(crate) fn heard(&mut self, now: Duration, incarnation: Incarnation) {
+    pub(crate) fn record_contact(&mut self, now: Duration, incarnation: Incarnation) {
         if let Some(since) = self.gone.get_mut(&incarnation) {
             *since = now;
         }
@@ -106,14 +106,18 @@
             })
             .min_by_key(|peer| {
                 let same = peer.data_centre == *data_centre;
-                (same, peer.reach, Reverse(score(me, peer.incarnation)))
+                (
+                    same,
+                    peer.reach,
+                    Reverse(rendezvous_weight(me, peer.incarnation)),
+                )
             })
             .map(|peer| peer.incarnation)
     }
 }
 
 /// The rendezvous weight of `peer` for `me`: the `splitmix64` finaliser of both.
-fn score(me: Incarnation, peer: Incarnation) -> u64 {
+fn rendezvous_weight(me: Incarnation, peer: Incarnation) -> u64 {
     let mut hash = me.0.rotate_left(32) ^ peer.0.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/ledger/src/holdings.rs
+++ b/crates/ledger/src/pending.rs
@@ -1,37 +1,37 @@
 //! The records of this host that aren't in the table yet, and their copies.
 
 mod copies;
-mod held;
+mod record;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use kernel::{Incarnation, RequestKey};
 
-use crate::cx::Cx;
+use crate::context::Context;
 use crate::timers::Timer;
 use crate::{Action, Message, Record, Safety, Serial};
 
-use copies::Copying;
-pub(crate) use held::{Held, Lane, Phase, Waiting};
+use copies::CopyInFlight;
+pub(crate) use record::{PendingRecord, SettlementPhase, Waiter, WritePath};
 
 /// The records of this host that aren't in the table yet, and their copies.
 #[derive(Debug)]
-pub(crate) struct Holdings {
+pub(crate) struct PendingRecords {
     next: Serial,
-    held: BTreeMap<Serial, Held>,
+    by_serial: BTreeMap<Serial, PendingRecord>,
     batch: BTreeSet<Serial>,
     single: BTreeMap<Incarnation, BTreeSet<Serial>>,
     uncopied: VecDeque<Serial>,
-    copies: HashMap<u64, Copying>,
+    copies: HashMap<u64, CopyInFlight>,
     next_copy: u64,
     outcome_bytes: usize,
 }
 
-impl Default for Holdings {
+impl Default for PendingRecords {
     fn default() -> Self {
         Self {
             next: Serial(1),
-            held: BTreeMap::new(),
+            by_serial: BTreeMap::new(),
             batch: BTreeSet::new(),
             single: BTreeMap::new(),
             uncopied: VecDeque::new(),
@@ -42,31 +42,31 @@
     }
 }
 
-impl Holdings {
+impl PendingRecords {
     /// The serial of the next record.
     pub(crate) fn floor(&self) -> Serial {
         self.next
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.held.len()
+        self.by_serial.len()
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.by_serial.is_empty()
     }
 
-    pub(crate) fn get(&self, serial: Serial) -> Option<&Held> {
-        self.held.get(&serial)
+    pub(crate) fn get(&self, serial: Serial) -> Option<&PendingRecord> {
+        self.by_serial.get(&serial)
     }
 
     /// Adds a record under a new serial.
-    pub(crate) fn hold(
+    pub(crate) fn add(
         &mut self,
-        cx: &mut Cx,
+        cx: &mut Context,
         mut record: Record,
-        lane: Lane,
-        waiting: Vec<Waiting>,
+        write_path: WritePath,
+        waiting: Vec<Waiter>,
     ) -> Serial {
         let serial = self.next;
         self.next.0 += 1;
@@ -77,32 +77,37 @@
         }
         self.outcome_bytes += record.outcome_bytes();
         if !waiting.is_empty() {
-            cx.arm(cx.shared.tuning.release_bound, Timer::Release(serial));
+            cx.arm(
+                cx.shared.tuning.release_timeout,
+                Timer::ReleaseTimeout(serial),
+            );
         }
-        if lane == Lane::Batch {
+        if write_path == WritePath::Batch {
             record.floor = serial;
             record.maker = cx.shared.me;
         }
-        self.held
-            .insert(serial, Held::new(&record, lane, waiting, cx.now));
-        self.enter(serial, lane);
+        self.by_serial.insert(
+            serial,
+            PendingRecord::new(&record, write_path, waiting, cx.now),
+        );
+        self.add_to_path(serial, write_path);
         self.uncopied.push_back(serial);
         serial
     }
 
-    fn enter(&mut self, serial: Serial, lane: Lane) {
-        match lane {
-            Lane::Batch => self.batch.insert(serial),
-            Lane::Single(home) => self.single.entry(home).or_default().insert(serial),
+    fn add_to_path(&mut self, serial: Serial, write_path: WritePath) {
+        match write_path {
+            WritePath::Batch => self.batch.insert(serial),
+            WritePath::Single(home) => self.single.entry(home).or_default().insert(serial),
         };
     }
 
-    fn leave(&mut self, serial: Serial, lane: Lane) {
-        match lane {
-            Lane::Batch => {
+    fn remove_from_path(&mut self, serial: Serial, write_path: WritePath) {
+        match write_path {
+            WritePath::Batch => {
                 self.batch.remove(&serial);
             }
-            Lane::Single(home) => {
+            WritePath::Single(home) => {
                 let Some(serials) = self.single.get_mut(&home) else {
                     return;
                 };
@@ -125,27 +130,29 @@
     }
 
     /// The records of `home` that are settled one by one, by ascending serial.
-    pub(crate) fn single(&self, home: Incarnation) -> impl Iterator<Item = &Held> {
+    pub(crate) fn single(&self, home: Incarnation) -> impl Iterator<Item = &PendingRecord> {
         self.single
             .get(&home)
             .into_iter()
             .flatten()
-            .filter_map(|serial| self.held.get(serial))
+            .filter_map(|serial| self.by_serial.get(serial))
     }
 
     /// Sets the phase of records that are settled one by one.
-    pub(crate) fn set_phase(&mut self, serials: &[Serial], phase: Phase) {
+    pub(crate) fn set_phase(&mut self, serials: &[Serial], phase: SettlementPhase) {
         for serial in serials {
-            if let Some(held) = self.held.get_mut(serial) {
-                held.phase = phase;
+            if let Some(record) = self.by_serial.get_mut(serial) {
+                record.phase = phase;
             }
         }
     }
 
     /// Removes the records inherited from `home` and returns them under their original serials.
-    pub(crate) fn give_back(&mut self, cx: &mut Cx, home: Incarnation) -> Vec<Record> {
-        let inherited = self.single(home).filter(|it| it.phase == Phase::Inherited);
-        let records: Vec<Record> = inherited.map(|held| held.record.unpack()).collect();
+    pub(crate) fn take_inherited(&mut self, cx: &mut Context, home: Incarnation) -> Vec<Record> {
+        let inherited = self
+            .single(home)
+            .filter(|it| it.phase == SettlementPhase::Inherited);
+        let records: Vec<Record> = inherited.map(|it| it.encoded.decode()).collect();
         let serials: Vec<Serial> = records.iter().map(|record| record.serial).collect();
         self.settle(cx, &serials);
         let renumber = |mut record: Record| {
@@ -158,49 +165,49 @@
     /// Returns the serial of the record of `key` that is settled by itself, if there is one.
     pub(crate) fn find_single(&self, key: &RequestKey) -> Option<Serial> {
         self.single(key.home)
-            .find(|held| held.record.unpack().key == *key)
-            .map(|held| held.record.serial)
+            .find(|it| it.encoded.decode().key == *key)
+            .map(|record| record.encoded.serial)
     }
 
     /// Moves all records from batches to settlement one by one, because this incarnation may write
     /// no more batches.
     pub(crate) fn stop_batches(&mut self) {
         for serial in std::mem::take(&mut self.batch) {
-            let Some(held) = self.held.get_mut(&serial) else {
+            let Some(record) = self.by_serial.get_mut(&serial) else {
                 continue;
             };
-            let lane = Lane::Single(held.record.home);
-            held.lane = lane;
-            held.phase = Phase::New;
-            self.enter(serial, lane);
+            let write_path = WritePath::Single(record.encoded.home);
+            record.write_path = write_path;
+            record.phase = SettlementPhase::Pending;
+            self.add_to_path(serial, write_path);
         }
     }
 
     /// Releases a response with a single copy after the release timeout, and counts it. A host that
     /// reaches neither another host nor the table must still respond.
-    pub(crate) fn release_late(&mut self, cx: &mut Cx, serial: Serial) {
-        let Some(held) = self.held.get_mut(&serial) else {
+    pub(crate) fn release_on_timeout(&mut self, cx: &mut Context, serial: Serial) {
+        let Some(record) = self.by_serial.get_mut(&serial) else {
             return;
         };
-        let (adopters, answers) = std::mem::take(&mut held.waiting)
+        let (adopters, callers) = std::mem::take(&mut record.waiting)
             .into_iter()
-            .partition(|it| matches!(it, Waiting::Adopter(..)));
-        held.waiting = answers;
-        if !held.waiting.is_empty() {
+            .partition(|it| matches!(it, Waiter::Adopter(..)));
+        record.waiting = callers;
+        if !record.waiting.is_empty() {
             cx.shared.counters.single_copy += 1;
-            release(cx, held, Safety::SingleCopy);
+            release(cx, record, Safety::SingleCopy);
         }
         // The host that ran the work waits on: no caller waits for its record, and it keeps the
         // record until this host has a second copy.
-        held.waiting = adopters;
+        record.waiting = adopters;
     }
 
     /// Adds `waiting` to those that wait for the record, or returns it as an error if the record is
     /// already safe.
-    pub(crate) fn wait(&mut self, serial: Serial, waiting: Waiting) -> Result<(), Waiting> {
-        match self.held.get_mut(&serial) {
-            Some(held) if !held.waiting.is_empty() => {
-                held.waiting.push(waiting);
+    pub(crate) fn wait(&mut self, serial: Serial, waiting: Waiter) -> Result<(), Waiter> {
+        match self.by_serial.get_mut(&serial) {
+            Some(record) if !record.waiting.is_empty() => {
+                record.waiting.push(waiting);
                 Ok(())
             }
             _ => Err(waiting),
@@ -208,17 +215,17 @@
     }
 
     /// Removes records that are in the table, and releases their copies.
-    pub(crate) fn settle(&mut self, cx: &mut Cx, serials: &[Serial]) {
+    pub(crate) fn settle(&mut self, cx: &mut Context, serials: &[Serial]) {
         let mut copies: BTreeMap<Incarnation, Vec<Serial>> = BTreeMap::new();
         for &serial in serials {
-            let Some(mut held) = self.held.remove(&serial) else {
+            let Some(mut record) = self.by_serial.remove(&serial) else {
                 continue;
             };
-            cx.shared.timers.disarm(Timer::Release(serial));
-            self.leave(serial, held.lane);
-            self.outcome_bytes -= held.record.outcome_bytes();
-            release(cx, &mut held, Safety::Table);
-            for holder in held.receivers() {
+            cx.shared.timers.disarm(Timer::ReleaseTimeout(serial));
+            self.remove_from_path(serial, record.write_path);
+            self.outcome_bytes -= record.encoded.outcome_bytes();
+            release(cx, &mut record, Safety::Table);
+            for holder in record.receivers() {
                 copies.entry(holder).or_default().push(serial);
             }
         }
@@ -227,27 +234,27 @@
         }
     }
 
-    fn send_release(&self, cx: &mut Cx, to: Incarnation, mut serials: Vec<Serial>) {
+    fn send_release(&self, cx: &mut Context, to: Incarnation, mut serials: Vec<Serial>) {
         let below = self.lowest();
         serials.retain(|serial| *serial >= below);
         cx.send(to, Message::Release { below, serials });
     }
 
     fn lowest(&self) -> Serial {
-        self.held.keys().next().copied().unwrap_or(self.next)
+        self.by_serial.keys().next().copied().unwrap_or(self.next)
     }
 }
 
-/// Releases everything that waits for `held` to be safe.
-fn release(cx: &mut Cx, held: &mut Held, safety: Safety) {
-    for waiting in held.waiting.drain(..) {
+/// Releases everything that waits for `record` to be safe.
+fn release(cx: &mut Context, record: &mut PendingRecord, safety: Safety) {
+    for waiting in record.waiting.drain(..) {
         match waiting {
-            Waiting::Answer(request) => cx.push(Action::Release { request, safety }),
-            Waiting::Repeat(request, outcome) => {
+            Waiter::Response(request) => cx.push(Action::Release { request, safety }),
+            Waiter::Retry(request, outcome) => {
                 cx.shared.counters.replays += 1;
                 cx.push(Action::Replay { request, outcome });
             }
-            Waiting::Adopter(to, serial) => cx.send(
+            Waiter::Adopter(to, serial) => cx.send(
                 to,
                 Message::Adopted {
                     serials: vec![serial],
--- a/crates/ledger/src/holdings/copies.rs
+++ b/crates/ledger/src/pending/copies.rs
@@ -5,36 +5,36 @@
 
 use kernel::Incarnation;
 
-use crate::cx::Cx;
-use crate::holdings::{Holdings, release};
+use crate::context::Context;
 use crate::peers::Peers;
+use crate::pending::{PendingRecords, release};
 use crate::timers::Timer;
 use crate::{Message, Safety, Serial};
 
 /// Maximum number of records in one copy message.
-const COPY_RECORDS: usize = 128;
+const MAX_COPY_RECORDS: usize = 128;
 /// Time for which a partner that didn't confirm a copy is avoided.
-const AVOIDED: Duration = Duration::from_secs(5);
+const AVOID_DURATION: Duration = Duration::from_secs(5);
 /// Number of copies that a record needs when this host shuts down while the table is unavailable.
-const HANDED_OVER: usize = 2;
+const HANDOVER_COPIES: usize = 2;
 
 /// A copy message that isn't confirmed yet.
 #[derive(Debug)]
-pub(super) struct Copying {
+pub(super) struct CopyInFlight {
     to: Incarnation,
     serials: Vec<Serial>,
 }
 
-impl Holdings {
+impl PendingRecords {
     /// Sends copies of records that need one. Returns `true` if a record has no copy and there is
     /// no host to copy it to.
     ///
     /// Records are grouped: while `copy_window` messages to a partner are unconfirmed, further
     /// records wait and are sent together after the next confirmation. Below that limit a record is
     /// sent at once.
-    pub(crate) fn copy(&mut self, cx: &mut Cx, peers: &Peers) -> bool {
+    pub(crate) fn send_copies(&mut self, cx: &mut Context, peers: &Peers) -> bool {
         while let Some(serial) = self.next_uncopied(cx) {
-            let except = self.held[&serial].holders();
+            let except = self.by_serial[&serial].holders();
             let me = cx.shared.me;
             let Some(to) = peers.partner(cx.now, me, &cx.shared.data_centre, &except) else {
                 return except.is_empty();
@@ -49,13 +49,13 @@
     }
 
     /// Returns the next record that needs a copy, and removes those before it that don't.
-    fn next_uncopied(&mut self, cx: &Cx) -> Option<Serial> {
+    fn next_uncopied(&mut self, cx: &Context) -> Option<Serial> {
         while let Some(&serial) = self.uncopied.front() {
-            let wanted = wanted(cx);
+            let copies_needed = copies_needed(cx);
             if self
-                .held
+                .by_serial
                 .get(&serial)
-                .is_some_and(|held| held.confirmed() < wanted)
+                .is_some_and(|record| record.confirmed() < copies_needed)
             {
                 return Some(serial);
             }
@@ -64,93 +64,110 @@
         None
     }
 
-    fn copy_to(&mut self, cx: &mut Cx, to: Incarnation, except: &[Incarnation]) {
+    fn copy_to(&mut self, cx: &mut Context, to: Incarnation, except: &[Incarnation]) {
         let mut serials = Vec::new();
         let mut records = Vec::new();
-        while serials.len() < COPY_RECORDS {
+        while serials.len() < MAX_COPY_RECORDS {
             let Some(serial) = self.next_uncopied(cx) else {
                 break;
             };
-            let Some(held) = self.held.get_mut(&serial) else {
+            let Some(record) = self.by_serial.get_mut(&serial) else {
                 break;
             };
-            if held.holders() != except {
+            if record.holders() != except {
                 break;
             }
             self.uncopied.pop_front();
-            held.sent(to);
-            records.push(held.record.unpack());
+            record.add_receiver(to);
+            records.push(record.encoded.decode());
             serials.push(serial);
         }
         let batch = self.next_copy;
         self.next_copy += 1;
-        cx.arm(cx.shared.tuning.copy_timeout, Timer::Copy(batch));
-        self.copies.insert(batch, Copying { to, serials });
+        cx.arm(cx.shared.tuning.copy_timeout, Timer::CopyTimeout(batch));
+        self.copies.insert(batch, CopyInFlight { to, serials });
         cx.send(to, Message::Copy { batch, records });
     }
 
     /// Handles a confirmation: the records are safe, so their responses are released.
-    pub(crate) fn confirm(&mut self, cx: &mut Cx, peers: &Peers, from: Incarnation, batch: u64) {
+    pub(crate) fn confirm(
+        &mut self,
+        cx: &mut Context,
+        peers: &Peers,
+        from: Incarnation,
+        batch: u64,
+    ) {
         if self.copies.get(&batch).is_none_or(|it| it.to != from) {
             return;
         }
-        let Some(copying) = self.copies.remove(&batch) else {
+        let Some(copy) = self.copies.remove(&batch) else {
             return;
         };
-        cx.shared.timers.disarm(Timer::Copy(batch));
+        cx.shared.timers.disarm(Timer::CopyTimeout(batch));
         let safety = if peers.data_centre(from) == Some(&cx.shared.data_centre) {
             Safety::TwoHosts
         } else {
             Safety::TwoDataCentres
         };
-        let wanted = wanted(cx);
-        let mut needless: BTreeMap<Incarnation, Vec<Serial>> = BTreeMap::new();
-        for serial in copying.serials {
-            let Some(held) = self.held.get_mut(&serial) else {
-                needless.entry(from).or_default().push(serial);
+        let copies_needed = copies_needed(cx);
+        let mut deletable: BTreeMap<Incarnation, Vec<Serial>> = BTreeMap::new();
+        for serial in copy.serials {
+            let Some(record) = self.by_serial.get_mut(&serial) else {
+                deletable.entry(from).or_default().push(serial);
                 continue;
             };
-            held.confirm(from);
-            release(cx, held, safety);
-            if held.confirmed() >= wanted {
-                for holder in held.forsake() {
-                    needless.entry(holder).or_default().push(serial);
+            record.confirm(from);
+            release(cx, record, safety);
+            if record.confirmed() >= copies_needed {
+                for holder in record.take_unconfirmed() {
+                    deletable.entry(holder).or_default().push(serial);
                 }
             }
         }
-        for (holder, serials) in needless {
+        for (holder, serials) in deletable {
             self.send_release(cx, holder, serials);
         }
     }
 
     /// Handles a copy that wasn't confirmed in time or was refused: its records are copied to
     /// another partner.
-    pub(crate) fn reject(&mut self, cx: &mut Cx, peers: &mut Peers, batch: u64) {
-        let Some(copying) = self.copies.remove(&batch) else {
+    pub(crate) fn retry_copy(&mut self, cx: &mut Context, peers: &mut Peers, batch: u64) {
+        let Some(copy) = self.copies.remove(&batch) else {
             return;
         };
-        cx.shared.counters.copy_repeats += 1;
-        peers.avoid(copying.to, cx.now + AVOIDED);
-        cx.arm(AVOIDED, Timer::Partners);
-        for &serial in copying.serials.iter().rev() {
+        cx.shared.counters.copy_retries += 1;
+        peers.avoid(copy.to, cx.now + AVOID_DURATION);
+        cx.arm(AVOID_DURATION, Timer::RetryPartner);
+        for &serial in copy.serials.iter().rev() {
             self.uncopied.push_front(serial);
         }
     }
 
     /// Handles the refusal of a copy by its receiver.
-    pub(crate) fn refuse(&mut self, cx: &mut Cx, peers: &mut Peers, from: Incarnation, batch: u64) {
+    pub(crate) fn copy_refused(
+        &mut self,
+        cx: &mut Context,
+        peers: &mut Peers,
+        from: Incarnation,
+        batch: u64,
+    ) {
         if self.copies.get(&batch).is_some_and(|it| it.to == from) {
-            cx.shared.timers.disarm(Timer::Copy(batch));
-            self.reject(cx, peers, batch);
+            cx.shared.timers.disarm(Timer::CopyTimeout(batch));
+            self.retry_copy(cx, peers, batch);
         }
     }
 
     /// Tells a host that asks about its copies which of them it may delete.
-    pub(crate) fn held_by(&mut self, cx: &mut Cx, from: Incarnation, mut serials: Vec<Serial>) {
-        let wanted = wanted(cx);
-        serials.retain(|serial| match self.held.get_mut(serial) {
-            Some(held) if held.counts_on(from) || held.confirmed() < wanted => {
-                held.sent(from);
+    pub(crate) fn handle_copy_query(
+        &mut self,
+        cx: &mut Context,
+        from: Incarnation,
+        mut serials: Vec<Serial>,
+    ) {
+        let copies_needed = copies_needed(cx);
+        serials.retain(|serial| match self.by_serial.get_mut(serial) {
+            Some(record) if record.is_confirmed_by(from) || record.confirmed() < copies_needed => {
+                record.add_receiver(from);
                 false
             }
             _ => true,
@@ -159,60 +176,64 @@
     }
 
     /// Queues new copies of records whose copies are on hosts that are gone or shutting down.
-    pub(crate) fn review(&mut self, cx: &mut Cx, peers: &Peers) {
+    pub(crate) fn replace_lost_copies(&mut self, cx: &mut Context, peers: &Peers) {
         let lost: Vec<u64> = self
             .copies
             .iter()
-            .filter(|(_, it)| !peers.stays(it.to))
+            .filter(|(_, it)| !peers.accepts_copies(it.to))
             .map(|(&batch, _)| batch)
             .collect();
         for batch in lost {
-            cx.shared.timers.disarm(Timer::Copy(batch));
+            cx.shared.timers.disarm(Timer::CopyTimeout(batch));
             self.copies.remove(&batch);
         }
-        self.requeue(cx, |holder| peers.stays(holder));
+        self.requeue(cx, |holder| peers.accepts_copies(holder));
     }
 
     /// Forgets all copies, because the partners hold them under an earlier incarnation. Queues new
     /// ones.
-    pub(crate) fn forget_copies(&mut self, cx: &mut Cx) {
+    pub(crate) fn forget_copies(&mut self, cx: &mut Context) {
         for (batch, _) in self.copies.drain() {
-            cx.shared.timers.disarm(Timer::Copy(batch));
+            cx.shared.timers.disarm(Timer::CopyTimeout(batch));
         }
         self.requeue(cx, |_| false);
     }
 
     /// Keeps only copies on hosts for which `keeps` holds, and queues the records that need another
     /// copy, by ascending serial.
-    pub(crate) fn requeue(&mut self, cx: &Cx, keeps: impl Fn(Incarnation) -> bool) {
-        let wanted = wanted(cx);
+    pub(crate) fn requeue(&mut self, cx: &Context, keeps: impl Fn(Incarnation) -> bool) {
+        let copies_needed = copies_needed(cx);
         self.uncopied.clear();
-        let on_their_way: BTreeSet<Serial> = self
+        let in_flight: BTreeSet<Serial> = self
             .copies
             .values()
             .flat_map(|it| it.serials.iter().copied())
             .collect();
-        for (&serial, held) in &mut self.held {
-            held.lose(&keeps);
-            if held.confirmed() < wanted && !on_their_way.contains(&serial) {
+        for (&serial, record) in &mut self.by_serial {
+            record.retain_confirmations(&keeps);
+            if record.confirmed() < copies_needed && !in_flight.contains(&serial) {
                 self.uncopied.push_back(serial);
             }
         }
     }
 
     /// Whether the process may exit with unwritten records: each of them has as many copies as
-    /// there are hosts for, up to `HANDED_OVER`.
+    /// there are hosts for, up to `HANDOVER_COPIES`.
     pub(crate) fn is_handed_over(&self, peers: &Peers) -> bool {
-        let wanted = HANDED_OVER.min(peers.staying());
-        self.held.is_empty()
-            || wanted > 0 && self.held.values().all(|held| held.confirmed() >= wanted)
+        let copies_needed = HANDOVER_COPIES.min(peers.accepting_count());
+        self.by_serial.is_empty()
+            || copies_needed > 0
+                && self
+                    .by_serial
+                    .values()
+                    .all(|record| record.confirmed() >= copies_needed)
     }
 }
 
 /// The number of copies that a record needs on other hosts.
-fn wanted(cx: &Cx) -> usize {
-    if cx.shared.draining && cx.table_out() {
-        HANDED_OVER
+fn copies_needed(cx: &Context) -> usize {
+    if cx.shared.draining && cx.table_unavailable() {
+        HANDOVER_COPIES
     } else {
         1
     }
--- a/crates/ledger/src/holdings/held.rs
+++ b/crates/ledger/src/pending/record.rs
@@ -4,24 +4,24 @@
 
 use kernel::{Incarnation, RequestId};
 
-use crate::cx::Cx;
-use crate::packed::Packed;
+use crate::context::Context;
+use crate::encoded_record::EncodedRecord;
 use crate::{Outcome, Record, Serial};
 
 /// A record that isn't in the table yet.
 #[derive(Debug)]
-pub(crate) struct Held {
-    pub(crate) record: Packed,
-    pub(crate) lane: Lane,
-    pub(crate) phase: Phase,
-    pub(crate) since: Duration,
-    pub(crate) waiting: Vec<Waiting>,
-    copies: Vec<Copied>,
+pub(crate) struct PendingRecord {
+    pub(crate) encoded: EncodedRecord,
+    pub(crate) write_path: WritePath,
+    pub(crate) phase: SettlementPhase,
+    pub(crate) added_at: Duration,
+    pub(crate) waiting: Vec<Waiter>,
+    copies: Vec<CopyState>,
 }
 
 /// The way in which a record is written to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lane {
+pub(crate) enum WritePath {
     /// In the next batch of this incarnation.
     Batch,
     /// By itself, under the home of its key.
@@ -30,37 +30,37 @@
 
 /// The settlement phase of a record that is written by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Phase {
+pub(crate) enum SettlementPhase {
     /// Nothing was done yet.
-    New,
+    Pending,
     /// The record was made by its home and taken over because the home seemed to be gone. If the
     /// home is alive it still has the record, so the record must not be offered to it for adoption.
     Inherited,
     /// The home was asked to adopt it.
     Offered,
     /// No batch of the home contains the key, and none ever will.
-    Absent,
+    NotBilled,
 }
 
 /// Someone who waits until a record is safe.
 #[derive(Debug)]
-pub(crate) enum Waiting {
+pub(crate) enum Waiter {
     /// A caller whose response the record bills.
-    Answer(RequestId),
+    Response(RequestId),
     /// A retry that gets the same response.
-    Repeat(RequestId, Outcome),
+    Retry(RequestId, Outcome),
     /// The host that ran the work, and its serial of the record.
     Adopter(Incarnation, Serial),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Copied {
+struct CopyState {
     to: Incarnation,
     confirmed: bool,
 }
 
-impl Lane {
-    pub(crate) fn of(cx: &Cx, record: &Record) -> Self {
+impl WritePath {
+    pub(crate) fn of(cx: &Context, record: &Record) -> Self {
         let home = record.key.home;
         if cx.shared.decides(home) {
             Self::Batch
@@ -70,17 +70,22 @@
     }
 }
 
-impl Held {
-    pub(crate) fn new(record: &Record, lane: Lane, waiting: Vec<Waiting>, since: Duration) -> Self {
+impl PendingRecord {
+    pub(crate) fn new(
+        record: &Record,
+        write_path: WritePath,
+        waiting: Vec<Waiter>,
+        added_at: Duration,
+    ) -> Self {
         Self {
-            record: Packed::new(record),
-            lane,
+            encoded: EncodedRecord::new(record),
+            write_path,
             phase: if record.is_homes_own() {
-                Phase::Inherited
+                SettlementPhase::Inherited
             } else {
-                Phase::New
+                SettlementPhase::Pending
             },
-            since,
+            added_at,
             waiting,
             copies: Vec::new(),
         }
@@ -105,9 +110,9 @@
         self.copies.iter().map(|it| it.to)
     }
 
-    pub(crate) fn sent(&mut self, to: Incarnation) {
+    pub(crate) fn add_receiver(&mut self, to: Incarnation) {
         if self.copies.iter().all(|it| it.to != to) {
-            self.copies.push(Copied {
+            self.copies.push(CopyState {
                 to,
                 confirmed: false,
             });
@@ -121,20 +126,20 @@
     }
 
     /// Removes the hosts that didn't confirm their copy, and returns them.
-    pub(crate) fn forsake(&mut self) -> Vec<Incarnation> {
-        let (kept, forsaken) = self.copies.iter().partition(|it| it.confirmed);
+    pub(crate) fn take_unconfirmed(&mut self) -> Vec<Incarnation> {
+        let (kept, unconfirmed) = self.copies.iter().partition(|it| it.confirmed);
         self.copies = kept;
-        let forsaken: Vec<Copied> = forsaken;
-        forsaken.into_iter().map(|it| it.to).collect()
+        let unconfirmed: Vec<CopyState> = unconfirmed;
+        unconfirmed.into_iter().map(|it| it.to).collect()
     }
 
     /// Whether `holder` confirmed a copy.
-    pub(crate) fn counts_on(&self, holder: Incarnation) -> bool {
+    pub(crate) fn is_confirmed_by(&self, holder: Incarnation) -> bool {
         self.copies.iter().any(|it| it.confirmed && it.to == holder)
     }
 
     /// Clears the confirmation of each host for which `keeps` is false.
-    pub(crate) fn lose(&mut self, keeps: impl Fn(Incarnation) -> bool) {
+    pub(crate) fn retain_confirmations(&mut self, keeps: impl Fn(Incarnation) -> bool) {
         for copy in &mut self.copies {
             copy.confirmed &= keeps(copy.to);
         }
--- a/crates/ledger/src/vault.rs
+++ b/crates/ledger/src/received_copies.rs
@@ -5,22 +5,22 @@
 
 use kernel::Incarnation;
 
-use crate::cx::Cx;
-use crate::packed::Packed;
+use crate::context::Context;
+use crate::encoded_record::EncodedRecord;
 use crate::peers::Peers;
 use crate::timers::Timer;
 use crate::{Message, Record, Serial};
 
 /// Interval between questions to the owners about old copies.
-const ASK_INTERVAL: Duration = Duration::from_secs(30);
+const QUERY_INTERVAL: Duration = Duration::from_secs(30);
 /// The same interval while this host is shutting down.
-const ASK_LEAVING: Duration = Duration::from_secs(1);
+const DRAINING_QUERY_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum number of copies that one question to an owner lists.
-const ASKED: usize = 256;
+const MAX_QUERIED: usize = 256;
 
 /// Copies of other hosts' records, kept until their owners release them or are gone.
 #[derive(Debug, Default)]
-pub(crate) struct Vault {
+pub(crate) struct ReceivedCopies {
     owners: BTreeMap<Incarnation, Owner>,
     len: usize,
     outcome_bytes: usize,
@@ -31,11 +31,11 @@
     /// All serials below this are released, even if their copies arrive later.
     below: Serial,
     /// The highest serial that was stored when the owner was last asked.
-    old: Serial,
-    records: BTreeMap<Serial, Packed>,
+    at_last_query: Serial,
+    records: BTreeMap<Serial, EncodedRecord>,
 }
 
-impl Vault {
+impl ReceivedCopies {
     pub(crate) fn len(&self) -> usize {
         self.len
     }
@@ -55,7 +55,7 @@
     /// shutdown.
     pub(crate) fn copy(
         &mut self,
-        cx: &mut Cx,
+        cx: &mut Context,
         from: Incarnation,
         batch: u64,
         records: Vec<Record>,
@@ -65,25 +65,28 @@
             cx.send(from, Message::Full { batch });
             return;
         }
-        let left = cx.shared.tuning.outcome_total;
-        let left = left.saturating_sub(self.outcome_bytes);
-        self.restore(cx, from, bounded(records, left));
+        let bytes_left = cx.shared.tuning.outcome_total;
+        let bytes_left = bytes_left.saturating_sub(self.outcome_bytes);
+        self.store(cx, from, drop_excess_outcomes(records, bytes_left));
         cx.send(from, Message::Copied { batch });
     }
 
     /// Stores records of `owner`, except those it has released.
-    pub(crate) fn restore(&mut self, cx: &mut Cx, owner: Incarnation, records: Vec<Record>) {
+    pub(crate) fn store(&mut self, cx: &mut Context, owner: Incarnation, records: Vec<Record>) {
         if records.is_empty() {
             return;
         }
-        cx.arm(ASK_INTERVAL, Timer::Ask);
+        cx.arm(QUERY_INTERVAL, Timer::QueryOwners);
         let owner = self.owners.entry(owner).or_default();
         for record in records {
             if record.serial < owner.below {
                 continue;
             }
             self.outcome_bytes += record.outcome_bytes();
-            match owner.records.insert(record.serial, Packed::new(&record)) {
+            match owner
+                .records
+                .insert(record.serial, EncodedRecord::new(&record))
+            {
                 Some(before) => self.outcome_bytes -= before.outcome_bytes(),
                 None => self.len += 1,
             }
@@ -107,28 +110,31 @@
     }
 
     /// Removes owners that are gone and have no copies here.
-    pub(crate) fn prune(&mut self, lives: impl Fn(Incarnation) -> bool) {
+    pub(crate) fn prune(&mut self, is_live: impl Fn(Incarnation) -> bool) {
         self.owners
-            .retain(|&it, owner| lives(it) || !owner.records.is_empty());
+            .retain(|&it, owner| is_live(it) || !owner.records.is_empty());
     }
 
     /// Asks the live owners about old copies. A release may have been lost, or the owner may have
     /// taken this host for dead and copied its records to another one.
-    pub(crate) fn ask(&mut self, cx: &mut Cx, peers: &Peers) {
+    pub(crate) fn query_owners(&mut self, cx: &mut Context, peers: &Peers) {
         if self.is_empty() {
             return;
         }
         let interval = if cx.shared.draining {
-            ASK_LEAVING
+            DRAINING_QUERY_INTERVAL
         } else {
-            ASK_INTERVAL
+            QUERY_INTERVAL
         };
-        cx.arm(interval, Timer::Ask);
+        cx.arm(interval, Timer::QueryOwners);
         for (&to, owner) in &mut self.owners {
-            let old = owner.records.range(..=owner.old).take(ASKED);
-            let serials: Vec<Serial> = old.map(|(&serial, _)| serial).collect();
+            let due = owner
+                .records
+                .range(..=owner.at_last_query)
+                .take(MAX_QUERIED);
+            let serials: Vec<Serial> = due.map(|(&serial, _)| serial).collect();
             let last = owner.records.last_key_value();
-            owner.old = last.map_or(owner.old, |(&serial, _)| serial);
+            owner.at_last_query = last.map_or(owner.at_last_query, |(&serial, _)| serial);
             if !serials.is_empty() && peers.is_live(to) {
                 cx.send(to, Message::Holds { serials });
             }
@@ -136,24 +142,24 @@
     }
 
     /// Removes and returns all copies of `owner`.
-    pub(crate) fn take(&mut self, owner: Incarnation) -> Vec<Record> {
+    pub(crate) fn take_owned(&mut self, owner: Incarnation) -> Vec<Record> {
         let Some(owner) = self.owners.remove(&owner) else {
             return Vec::new();
         };
-        let records: Vec<_> = owner.records.values().map(Packed::unpack).collect();
+        let records: Vec<_> = owner.records.values().map(EncodedRecord::decode).collect();
         self.len -= records.len();
         self.outcome_bytes -= records.iter().map(Record::outcome_bytes).sum::<usize>();
         records
     }
 }
 
-/// Drops the stored responses that don't fit into `left` bytes. The charges stay.
-fn bounded(mut records: Vec<Record>, mut left: usize) -> Vec<Record> {
+/// Drops the stored responses that don't fit into `bytes_left` bytes. The charges stay.
+fn drop_excess_outcomes(mut records: Vec<Record>, mut bytes_left: usize) -> Vec<Record> {
     for record in &mut records {
-        if record.outcome_bytes() > left {
+        if record.outcome_bytes() > bytes_left {
             record.drop_outcome();
         }
-        left -= record.outcome_bytes();
+        bytes_left -= record.outcome_bytes();
     }
     records
 }
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/registry.rs
@@ -21,7 +21,7 @@
     pub(crate) fingerprint: Fingerprint,
     pub(crate) state: State,
     /// The claim in the table, for a key without a ticket.
-    pub(crate) claim: Option<Claiming>,
+    pub(crate) claim: Option<OwnClaim>,
     /// The number of permitted calls that haven't ended.
     pub(crate) running: u32,
     /// The number of attempts that may have run, over all calls.
@@ -41,7 +41,7 @@
     /// The claim is being written.
     Claiming,
     /// No attempt has run, so a call may start.
-    Free,
+    Runnable,
     /// A call is running.
     Running,
     /// A call ran to a response.
@@ -52,15 +52,15 @@
 
 /// A claim in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Claiming {
+pub(crate) struct OwnClaim {
     pub(crate) nonce: u64,
     /// The time at which the claim's write is abandoned.
-    pub(crate) until: Duration,
+    pub(crate) deadline: Duration,
 }
 
 /// The remembered keys. The bytes of their stored responses are limited.
 #[derive(Debug, Default)]
-pub(crate) struct Book {
+pub(crate) struct KeyRegistry {
     entries: SlotMap<EntryKey, Entry>,
     keys: HashMap<RequestKey, EntryKey>,
     expiries: BTreeSet<(Duration, EntryKey)>,
@@ -96,7 +96,7 @@
     }
 }
 
-impl Book {
+impl KeyRegistry {
     pub(crate) fn add(&mut self, mut entry: Entry, expires: Duration) -> EntryKey {
         let key = entry.key.clone();
         entry.until = expires;
@@ -129,7 +129,12 @@
     }
 
     /// Stores the response of `entry`, and drops the oldest stored responses beyond `total` bytes.
-    pub(crate) fn answer(&mut self, entry: EntryKey, outcome: Option<Outcome>, total: usize) {
+    pub(crate) fn store_response(
+        &mut self,
+        entry: EntryKey,
+        outcome: Option<Outcome>,
+        total: usize,
+    ) {
         let Some(it) = self.entries.get_mut(entry) else {
             return;
         };
@@ -165,8 +170,8 @@
         }
     }
 
-    /// Returns one entry whose retention time is over. The caller must then call [`Book::forget`]
-    /// or [`Book::extend`] for it.
+    /// Returns one entry whose retention time is over. The caller must then call
+    /// [`KeyRegistry::forget`] or [`KeyRegistry::extend`] for it.
     pub(crate) fn take_expired(&mut self, now: Duration) -> Option<EntryKey> {
         loop {
             let &(at, entry) = self.expiries.first().filter(|(at, _)| *at <= now)?;
@@ -188,7 +193,7 @@
         }
     }
 
-    /// Removes an entry and records its billing serial; see [`Book::is_whole_since`].
+    /// Removes an entry and records its billing serial; see [`KeyRegistry::is_whole_since`].
     pub(crate) fn forget(&mut self, entry: EntryKey) {
         if let Some(removed) = self.remove(entry) {
             self.forgotten = self.forgotten.max(removed.billed.unwrap_or_default());
--- a/crates/ledger/src/rows.rs
+++ b/crates/ledger/src/rows.rs
@@ -46,32 +46,35 @@
     pub(crate) records: Vec<Record>,
 }
 
-pub(crate) fn claim(key: &RequestKey) -> String {
+pub(crate) fn claim_key(key: &RequestKey) -> String {
     format!("claim/{key}")
 }
 
-pub(crate) fn fence(incarnation: Incarnation) -> String {
+pub(crate) fn fence_key(incarnation: Incarnation) -> String {
     format!("fence/{incarnation}")
 }
 
 /// Returns the key prefix of all batches of `home`.
-pub(crate) fn batches(home: Incarnation) -> String {
+pub(crate) fn batch_prefix(home: Incarnation) -> String {
     format!("bill/{home}/")
 }
 
 /// Returns the key of the batch that ends with the record `last`. Batches are sorted by their last
 /// serials, so a search for a record may start at its serial.
-pub(crate) fn batch(home: Incarnation, last: Serial) -> String {
+pub(crate) fn batch_key(home: Incarnation, last: Serial) -> String {
     format!("bill/{home}/{:020}", last.0)
 }
 
 /// Returns the last serial of the batch under `key`, or `None` if `key` isn't a batch's.
 pub(crate) fn batch_serial(home: Incarnation, key: &str) -> Option<Serial> {
-    key.strip_prefix(&batches(home))?.parse().ok().map(Serial)
+    key.strip_prefix(&batch_prefix(home))?
+        .parse()
+        .ok()
+        .map(Serial)
 }
 
 /// Returns the row key of a record that is settled by itself.
-pub(crate) fn single(key: &RequestKey) -> String {
+pub(crate) fn single_key(key: &RequestKey) -> String {
     format!("bill/{}/key/{key}", key.home)
 }
 
@@ -91,13 +94,13 @@
 
 /// Returns the claim row from which retries of an at-most-once call are handled once its host is
 /// gone.
-pub(crate) fn outcome(record: &Record) -> Option<Put> {
+pub(crate) fn claim_outcome(record: &Record) -> Option<Put> {
     let replay = record.replay.as_ref()?;
     let value = Claim::Answered {
         fingerprint: replay.fingerprint,
         outcome: replay.outcome.clone(),
     };
-    Some(put(claim(&record.key), &value))
+    Some(put(claim_key(&record.key), &value))
 }
 
 fn to_json<T: Serialize>(value: &T) -> String {
--- a/crates/ledger/src/settler.rs
+++ b/crates/ledger/src/settler.rs
@@ -5,18 +5,18 @@
 
 use kernel::{Incarnation, RequestKey};
 
-use crate::cx::{Cx, Purpose};
-use crate::holdings::{Held, Holdings, Phase};
+use crate::context::{Context, Purpose};
 use crate::peers::Peers;
+use crate::pending::{PendingRecord, PendingRecords, SettlementPhase};
 use crate::rows::NO_HOME;
 use crate::table::{Page, Transaction, Unavailable, Written};
 use crate::timers::Timer;
 use crate::{Message, Record, Serial, rows};
 
 /// Number of batches that a search reads at a time.
-const PAGE: usize = 32;
+const SCAN_LIMIT: usize = 32;
 /// Maximum number of records that one transaction inserts.
-const INSERTED: usize = 100;
+const MAX_INSERTS: usize = 100;
 
 /// Settles the records of other homes one by one.
 ///
@@ -52,74 +52,77 @@
 
 impl Settler {
     /// Starts the next step for every home that has one due.
-    pub(crate) fn pump(
+    pub(crate) fn advance(
         &mut self,
-        cx: &mut Cx,
+        cx: &mut Context,
         peers: &mut Peers,
-        holdings: &mut Holdings,
+        pending: &mut PendingRecords,
         urgent: bool,
     ) {
-        let homes = holdings.homes();
+        let homes = pending.homes();
         if homes.is_empty() && self.homes.is_empty() {
             return;
         }
-        self.homes
-            .retain(|home, it| homes.contains(home) || !matches!(it.step, Step::Idle));
+        self.homes.retain(|home, settlement| {
+            homes.contains(home) || !matches!(settlement.step, Step::Idle)
+        });
         for home in homes {
-            self.drive(cx, peers, holdings, home, urgent);
+            self.advance_home(cx, peers, pending, home, urgent);
         }
     }
 
-    fn drive(
+    fn advance_home(
         &mut self,
-        cx: &mut Cx,
+        cx: &mut Context,
         peers: &mut Peers,
-        holdings: &mut Holdings,
+        pending: &mut PendingRecords,
         home: Incarnation,
         urgent: bool,
     ) {
-        let it = self.homes.entry(home).or_default();
-        if !matches!(it.step, Step::Idle) {
+        let settlement = self.homes.entry(home).or_default();
+        if !matches!(settlement.step, Step::Idle) {
             return;
         }
-        if cx.now < it.retry_at {
-            cx.shared.timers.arm(it.retry_at, Timer::Settle(home));
+        if cx.now < settlement.retry_at {
+            cx.shared
+                .timers
+                .arm(settlement.retry_at, Timer::Settle(home));
             return;
         }
         if home == NO_HOME {
-            let due = due(cx, peers, holdings, urgent);
+            let due = due(cx, peers, pending, urgent);
             if due > cx.now {
                 cx.shared.timers.arm(due, Timer::Settle(home));
             } else {
-                it.insert(cx, holdings, home);
+                settlement.insert(cx, pending, home);
             }
-        } else if cx.shared.is_closed(home) {
-            if holdings
+        } else if cx.shared.has_no_more_batches(home) {
+            if pending
                 .single(home)
-                .any(|held| held.phase != Phase::Absent)
+                .any(|record| record.phase != SettlementPhase::NotBilled)
             {
-                it.scan(cx, holdings, home);
+                settlement.scan(cx, pending, home);
             } else {
-                it.insert(cx, holdings, home);
+                settlement.insert(cx, pending, home);
             }
-        } else if cx.shared.may_adopt(peers, home) {
-            offer(cx, holdings, home);
+        } else if cx.shared.can_adopt(peers, home) {
+            offer(cx, pending, home);
         } else {
-            it.fence(cx, peers, home);
+            settlement.fence(cx, peers, home);
         }
     }
 
     /// Handles the result of writing a fence.
-    pub(crate) fn fenced(&mut self, cx: &mut Cx, home: Incarnation, result: &Written) {
-        let Some(it) = self.homes.get_mut(&home) else {
+    pub(crate) fn fenced(&mut self, cx: &mut Context, home: Incarnation, result: &Written) {
+        let Some(settlement) = self.homes.get_mut(&home) else {
             return;
         };
-        it.step = Step::Idle;
+        settlement.step = Step::Idle;
         match result {
             Written::Applied => cx.shared.counters.fences += 1,
             // Another host has already fenced the home.
             Written::Failed { .. } => {}
-            Written::NotApplied | Written::Unknown => return it.wait(cx, home),
+            Written::NotApplied | Written::Unknown => return settlement.retry_later(cx, home),
         }
         cx.shared.fenced.insert(home);
     }
@@ -127,36 +130,36 @@
     /// Handles a page of a home's batches.
     pub(crate) fn scanned(
         &mut self,
-        cx: &mut Cx,
-        holdings: &mut Holdings,
+        cx: &mut Context,
+        pending: &mut PendingRecords,
         home: Incarnation,
         result: Result<Page, Unavailable>,
     ) {
-        let Some(it) = self.homes.get_mut(&home) else {
+        let Some(settlement) = self.homes.get_mut(&home) else {
             return;
         };
-        let Step::Scanning(scan) = &mut it.step else {
+        let Step::Scanning(scan) = &mut settlement.step else {
             return;
         };
         let Ok(page) = result else {
-            it.step = Step::Idle;
-            return it.wait(cx, home);
+            settlement.step = Step::Idle;
+            return settlement.retry_later(cx, home);
         };
-        match scan.take(home, &page) {
-            Ok(Some(last)) => cx.scan(Purpose::Scan(home), home, last, PAGE),
+        match scan.collect_keys(home, &page) {
+            Ok(Some(last)) => cx.scan(Purpose::Scan(home), home, last, SCAN_LIMIT),
             Ok(None) => {
                 let (serials, found) = (
                     std::mem::take(&mut scan.serials),
                     std::mem::take(&mut scan.found),
                 );
-                it.step = Step::Idle;
-                sort_out(cx, holdings, &serials, &found);
+                settlement.step = Step::Idle;
+                apply_search(cx, pending, &serials, &found);
             }
             // An unreadable row may contain any of the keys, so nothing is billed until an operator
             // has repaired it.
             Err(_) => {
-                it.step = Step::Idle;
-                it.wait(cx, home);
+                settlement.step = Step::Idle;
+                settlement.retry_later(cx, home);
             }
         }
     }
@@ -164,21 +167,21 @@
     /// Handles the result of an insertion.
     pub(crate) fn inserted(
         &mut self,
-        cx: &mut Cx,
-        holdings: &mut Holdings,
+        cx: &mut Context,
+        pending: &mut PendingRecords,
         home: Incarnation,
         result: &Written,
     ) {
-        let Some(it) = self.homes.get_mut(&home) else {
+        let Some(settlement) = self.homes.get_mut(&home) else {
             return;
         };
-        let Step::Inserting(serials) = std::mem::take(&mut it.step) else {
+        let Step::Inserting(serials) = std::mem::take(&mut settlement.step) else {
             return;
         };
         match result {
             Written::Applied => {
                 cx.shared.counters.settled += serials.len() as u64;
-                holdings.settle(cx, &serials);
+                pending.settle(cx, &serials);
             }
             // These keys are billed already, by another host or by a write of this one whose
             // response was lost. The others are inserted in the next try.
@@ -186,22 +189,22 @@
                 let billed: Vec<Serial> = serials
                     .into_iter()
                     .filter(|serial| {
-                        holdings.get(*serial).is_some_and(|held| {
-                            keys.contains(&rows::single(&held.record.unpack().key))
+                        pending.get(*serial).is_some_and(|record| {
+                            keys.contains(&rows::single_key(&record.encoded.decode().key))
                         })
                     })
                     .collect();
                 cx.shared.counters.billed_before += billed.len() as u64;
-                holdings.settle(cx, &billed);
+                pending.settle(cx, &billed);
             }
-            Written::NotApplied | Written::Unknown => it.wait(cx, home),
+            Written::NotApplied | Written::Unknown => settlement.retry_later(cx, home),
         }
     }
 
     /// Handles the adoption of records by their home.
     pub(crate) fn adopted(
-        cx: &mut Cx,
-        holdings: &mut Holdings,
+        cx: &mut Context,
+        pending: &mut PendingRecords,
         from: Incarnation,
         serials: &[Serial],
     ) {
@@ -209,17 +212,17 @@
             .iter()
             .copied()
             .filter(|serial| {
-                holdings
+                pending
                     .get(*serial)
-                    .is_some_and(|held| held.record.home == from)
+                    .is_some_and(|record| record.encoded.home == from)
             })
             .collect();
-        holdings.settle(cx, &known);
+        pending.settle(cx, &known);
     }
 }
 
 impl Settlement {
-    fn fence(&mut self, cx: &mut Cx, peers: &mut Peers, home: Incarnation) {
+    fn fence(&mut self, cx: &mut Context, peers: &mut Peers, home: Incarnation) {
         let due = if cx.shared.former.contains(&home) {
             cx.now
         } else {
@@ -229,7 +232,7 @@
             cx.shared.timers.arm(due, Timer::Settle(home));
             return;
         }
-        let key = rows::fence(home);
+        let key = rows::fence_key(home);
         let transaction = Transaction {
             conditions: vec![rows::absent(key.clone())],
             puts: vec![rows::put(key, &cx.shared.me)],
@@ -239,42 +242,42 @@
         cx.transact(Purpose::Fence(home), transaction);
     }
 
-    fn scan(&mut self, cx: &mut Cx, holdings: &Holdings, home: Incarnation) {
+    fn scan(&mut self, cx: &mut Context, pending: &PendingRecords, home: Incarnation) {
         let unknown = || {
-            holdings
+            pending
                 .single(home)
-                .filter(|held| held.phase != Phase::Absent)
+                .filter(|record| record.phase != SettlementPhase::NotBilled)
         };
-        let serials = unknown().map(|held| held.record.serial).collect();
-        let floor = unknown().map(|held| held.record.floor).min();
+        let serials = unknown().map(|record| record.encoded.serial).collect();
+        let floor = unknown().map(|record| record.encoded.floor).min();
         self.step = Step::Scanning(Scan {
             serials,
             found: HashSet::new(),
         });
         let after = Serial(floor.unwrap_or_default().0.saturating_sub(1));
-        cx.scan(Purpose::Scan(home), home, after, PAGE);
+        cx.scan(Purpose::Scan(home), home, after, SCAN_LIMIT);
     }
 
-    fn insert(&mut self, cx: &mut Cx, holdings: &Holdings, home: Incarnation) {
+    fn insert(&mut self, cx: &mut Context, pending: &PendingRecords, home: Incarnation) {
         let mut keys = HashSet::new();
-        let records: Vec<Record> = holdings
+        let records: Vec<Record> = pending
             .single(home)
-            .map(|held| held.record.unpack())
+            .map(|it| it.encoded.decode())
             .filter(|record| keys.insert(record.key.clone()))
-            .take(INSERTED)
+            .take(MAX_INSERTS)
             .collect();
         let mut transaction = Transaction::default();
         for record in &records {
-            let key = rows::single(&record.key);
+            let key = rows::single_key(&record.key);
             transaction.conditions.push(rows::absent(key.clone()));
             transaction.puts.push(rows::put(key, record));
-            transaction.puts.extend(rows::outcome(record));
+            transaction.puts.extend(rows::claim_outcome(record));
         }
         self.step = Step::Inserting(records.iter().map(|record| record.serial).collect());
         cx.transact(Purpose::Insert(home), transaction);
     }
 
-    fn wait(&mut self, cx: &mut Cx, home: Incarnation) {
+    fn retry_later(&mut self, cx: &mut Context, home: Incarnation) {
         self.retry_at = cx.retry_at();
         cx.shared.timers.arm(self.retry_at, Timer::Settle(home));
     }
@@ -283,7 +286,7 @@
 impl Scan {
     /// Collects the keys of a page. Returns the serial after which the search continues, or `None`
     /// at its end.
-    fn take(
+    fn collect_keys(
         &mut self,
         home: Incarnation,
         page: &Page,
@@ -303,51 +306,56 @@
 }
 
 /// Marks the records that were offered to `home` and not adopted, so that they are offered again.
-pub(crate) fn offer_again(holdings: &mut Holdings, home: Incarnation) {
-    let offered: Vec<Serial> = holdings
+pub(crate) fn reset_offers(pending: &mut PendingRecords, home: Incarnation) {
+    let offered: Vec<Serial> = pending
         .single(home)
-        .filter(|held| held.phase == Phase::Offered)
-        .map(|held| held.record.serial)
+        .filter(|record| record.phase == SettlementPhase::Offered)
+        .map(|record| record.encoded.serial)
         .collect();
-    holdings.set_phase(&offered, Phase::New);
+    pending.set_phase(&offered, SettlementPhase::Pending);
 }
 
 /// Drops the records whose keys were found, and marks the others for insertion.
-fn sort_out(cx: &mut Cx, holdings: &mut Holdings, serials: &[Serial], found: &HashSet<RequestKey>) {
-    let is_found = |held: &Held| found.contains(&held.record.unpack().key);
+fn apply_search(
+    cx: &mut Context,
+    pending: &mut PendingRecords,
+    serials: &[Serial],
+    found: &HashSet<RequestKey>,
+) {
+    let is_found = |record: &PendingRecord| found.contains(&record.encoded.decode().key);
     let (billed, absent): (Vec<Serial>, Vec<Serial>) = serials
         .iter()
-        .partition(|serial| holdings.get(**serial).is_some_and(is_found));
+        .partition(|serial| pending.get(**serial).is_some_and(is_found));
     cx.shared.counters.billed_before += billed.len() as u64;
-    holdings.settle(cx, &billed);
-    holdings.set_phase(&absent, Phase::Absent);
+    pending.settle(cx, &billed);
+    pending.set_phase(&absent, SettlementPhase::NotBilled);
 }
 
 /// The time at which the records without a home are written, at the same rate as batches.
-fn due(cx: &Cx, peers: &Peers, holdings: &Holdings, urgent: bool) -> Duration {
-    let mut waiting = holdings.single(NO_HOME);
+fn due(cx: &Context, peers: &Peers, pending: &PendingRecords, urgent: bool) -> Duration {
+    let mut waiting = pending.single(NO_HOME);
     let Some(first) = waiting.next() else {
         return Duration::MAX;
     };
-    if urgent || cx.shared.draining || waiting.nth(INSERTED).is_some() {
+    if urgent || cx.shared.draining || waiting.nth(MAX_INSERTS).is_some() {
         return cx.now;
     }
-    first.since + cx.shared.tuning.interval(peers.hosts())
+    first.added_at + cx.shared.tuning.interval(peers.host_count())
 }
 
 /// Offers the records of a live home to it for adoption.
-fn offer(cx: &mut Cx, holdings: &mut Holdings, home: Incarnation) {
-    let records: Vec<Record> = holdings
+fn offer(cx: &mut Context, pending: &mut PendingRecords, home: Incarnation) {
+    let records: Vec<Record> = pending
         .single(home)
-        .filter(|held| held.phase == Phase::New)
-        .take(INSERTED)
-        .map(|held| held.record.unpack())
+        .filter(|record| record.phase == SettlementPhase::Pending)
+        .take(MAX_INSERTS)
+        .map(|it| it.encoded.decode())
         .collect();
     if records.is_empty() {
         return;
     }
     let serials: Vec<Serial> = records.iter().map(|record| record.serial).collect();
-    holdings.set_phase(&serials, Phase::Offered);
+    pending.set_phase(&serials, SettlementPhase::Offered);
     cx.send(home, Message::Adopt { records });
     cx.arm(cx.shared.tuning.retry_interval, Timer::Settle(home));
 }
--- a/crates/ledger/src/status.rs
+++ b/crates/ledger/src/status.rs
@@ -33,11 +33,11 @@
     /// Stored responses sent to retries, from memory or from the table.
     pub replays: u64,
     /// Copies sent again because a partner refused them or didn't confirm in time.
-    pub copy_repeats: u64,
+    pub copy_retries: u64,
     /// Batches written.
     pub batches: u64,
     /// Writes that were found applied after their response was lost.
-    pub lost_answers: u64,
+    pub lost_responses: u64,
     /// Fences set by this host.
     pub fences: u64,
     /// Records settled in rows of their own.
--- a/crates/ledger/src/timers.rs
+++ b/crates/ledger/src/timers.rs
@@ -6,31 +6,31 @@
 use kernel::Incarnation;
 
 use crate::Serial;
-use crate::book::EntryKey;
+use crate::registry::EntryKey;
 
 /// A timer, named by the action that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// Retry or abandon the write of a claim.
-    Claim(EntryKey),
+    /// Retry the write of a claim.
+    RetryClaim(EntryKey),
     /// Copy the records of an unconfirmed copy message to another host.
-    Copy(u64),
+    CopyTimeout(u64),
     /// Release a response that has waited for a second copy.
-    Release(Serial),
+    ReleaseTimeout(Serial),
     /// Write the next batch.
     Flush,
     /// Continue the settlement for a home.
     Settle(Incarnation),
     /// Take over the copies of an owner that is gone.
-    Orphan(Incarnation),
+    OwnerGone(Incarnation),
     /// Retry the updates of claim rows.
-    Chore,
+    RetryClaimUpdates,
     /// Consider an avoided partner again.
-    Partners,
+    RetryPartner,
     /// Ask owners which copies are still needed.
-    Ask,
+    QueryOwners,
     /// Remove expired keys.
-    Sweep,
+    ExpireKeys,
 }
 
 /// A queue of timers. Each timer is armed at most once.
@@ -38,7 +38,7 @@
 pub(crate) struct Timers {
     at: BTreeMap<Timer, Duration>,
     queue: BTreeSet<(Duration, Timer)>,
-    asked: Option<Duration>,
+    requested: Option<Duration>,
 }
 
 impl Timers {
@@ -73,10 +73,13 @@
     /// is early enough.
     pub(crate) fn wake(&mut self, now: Duration) -> Option<Duration> {
         let &(at, _) = self.queue.first()?;
-        if self.asked.is_some_and(|asked| asked > now && asked <= at) {
+        if self
+            .requested
+            .is_some_and(|requested| requested > now && requested <= at)
+        {
             return None;
         }
-        self.asked = Some(at);
+        self.requested = Some(at);
         Some(at)
     }
 }
--- a/crates/ledger/src/tuning.rs
+++ b/crates/ledger/src/tuning.rs
@@ -22,11 +22,11 @@
     /// confirmation.
     pub copy_window: usize,
     /// Maximum time for which a response waits for a second copy of its record.
-    pub release_bound: Duration,
+    pub release_timeout: Duration,
     /// Time for which a host must be gone before it is fenced.
     pub fence_after: Duration,
     /// Maximum time to write a claim, retries included.
-    pub claim_bound: Duration,
+    pub claim_timeout: Duration,
     /// Delay before a failed write is retried.
     pub retry_interval: Duration,
     /// Maximum number of remembered keys.
@@ -52,9 +52,9 @@
             held_copies: 40_000,
             copy_timeout: Duration::from_millis(250),
             copy_window: 4,
-            release_bound: Duration::from_secs(1),
+            release_timeout: Duration::from_secs(1),
             fence_after: Duration::from_secs(30),
-            claim_bound: Duration::from_secs(2),
+            claim_timeout: Duration::from_secs(2),
             retry_interval: Duration::from_millis(500),
             keys: 40_000,
             key_linger: Duration::from_hours(1),
--- a/crates/ledger/tests/lease.rs
+++ b/crates/ledger/tests/lease.rs
@@ -1,32 +1,29 @@
 //! Leases: scripted failures under `leases/`, and random fault schedules drawn by proptest.
 
-mod site;
+mod simulation;
 
 use std::time::Duration;
 
 use datadriven::TestCase;
 use proptest::prelude::*;
 
-use site::{Candidate, Site};
+use simulation::{Candidate, Simulation};
 
 #[test]
 fn leases() {
     datadriven::walk("tests/leases", |file| {
-        let mut site = Site::default();
-        file.run(|case| run(&mut site, case));
+        let mut simulation = Simulation::default();
+        file.run(|case| run(&mut simulation, case));
     });
 }
 
-fn run(site: &mut Site, case: &TestCase) -> String {
-    assert_eq!(
-        case.directive, "step",
-        "commands must stand below `step`"
-    );
+fn run(simulation: &mut Simulation, case: &TestCase) -> String {
+    assert_eq!(case.directive, "step", "commands must stand below `step`");
     for line in case.input.lines() {
         let words: Vec<&str> = line.split_whitespace().collect();
-        command(site, &words);
+        command(simulation, &words);
     }
-    let trace = std::mem::take(&mut site.trace);
+    let trace = std::mem::take(&mut simulation.trace);
     if trace.is_empty() {
         "nothing\n".to_owned()
     } else {
@@ -34,25 +31,27 @@
     }
 }
 
-fn command(site: &mut Site, words: &[&str]) {
+fn command(simulation: &mut Simulation, words: &[&str]) {
     match words {
-        ["candidate", name] => site.add(Candidate::new(name, site.candidates.len(), 1.0)),
+        ["candidate", name] => {
+            simulation.add(Candidate::new(name, simulation.candidates.len(), 1.0));
+        }
         ["candidate", name, "clock", rate] => {
             let rate = rate.parse().unwrap();
-            site.add(Candidate::new(name, site.candidates.len(), rate));
+            simulation.add(Candidate::new(name, simulation.candidates.len(), rate));
         }
-        ["run", span] => site.run(span_of(span)),
-        ["freeze", name] => site.freeze(name),
-        ["thaw", name] => site.thaw(name),
-        ["order", name] => site.order(name),
-        ["decide", name] => site.decide(name),
-        ["deliver", name] => site.deliver(name),
-        ["resign", name] => site.resign(name),
-        ["table", "fine"] => (site.out, site.slow) = (false, false),
-        ["table", "slow"] => site.slow = true,
-        ["table", "out"] => site.out = true,
-        ["table", "loses", count] => site.lose = count.parse().unwrap(),
-        ["table", "late", count] => site.late = count.parse().unwrap(),
+        ["run", span] => simulation.run(span_of(span)),
+        ["freeze", name] => simulation.freeze(name),
+        ["thaw", name] => simulation.thaw(name),
+        ["order", name] => simulation.order(name),
+        ["decide", name] => simulation.decide(name),
+        ["deliver", name] => simulation.deliver(name),
+        ["resign", name] => simulation.resign(name),
+        ["table", "fine"] => (simulation.unavailable, simulation.slow) = (false, false),
+        ["table", "slow"] => simulation.slow = true,
+        ["table", "out"] => simulation.unavailable = true,
+        ["table", "loses", count] => simulation.lost_responses = count.parse().unwrap(),
+        ["table", "late", count] => simulation.late_writes = count.parse().unwrap(),
         words => panic!("unknown command {words:?}"),
     }
 }
@@ -63,25 +62,25 @@
 
 /// A fault of a random schedule.
 #[derive(Clone, Debug)]
-enum Trouble {
+enum Fault {
     Freeze(usize),
     Thaw(usize),
-    Out,
-    Fine,
+    Unavailable,
+    Available,
     Slow,
     Lose(u32),
     Late(u32),
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        (0..3_usize).prop_map(Trouble::Freeze),
-        (0..3_usize).prop_map(Trouble::Thaw),
-        Just(Trouble::Out),
-        Just(Trouble::Fine),
-        Just(Trouble::Slow),
-        (1..4_u32).prop_map(Trouble::Lose),
-        (1..4_u32).prop_map(Trouble::Late),
+        (0..3_usize).prop_map(Fault::Freeze),
+        (0..3_usize).prop_map(Fault::Thaw),
+        Just(Fault::Unavailable),
+        Just(Fault::Available),
+        Just(Fault::Slow),
+        (1..4_u32).prop_map(Fault::Lose),
+        (1..4_u32).prop_map(Fault::Late),
     ]
 }
 
@@ -94,31 +93,33 @@
     /// that fall from one holder to the next, whatever hosts freeze and however the table fails.
     #[test]
     fn one_holder_at_a_time(
-        schedule in prop::collection::vec((0_u64..12_000, trouble()), 1..12),
+        schedule in prop::collection::vec((0_u64..12_000, fault()), 1..12),
         rates in prop::collection::vec(0.98_f64..1.02, 3),
     ) {
-        let mut site = Site::default();
+        let mut simulation = Simulation::default();
         for (idx, rate) in rates.iter().enumerate() {
-            site.add(Candidate::new(NAMES[idx], idx, *rate));
+            simulation.add(Candidate::new(NAMES[idx], idx, *rate));
         }
-        for (pause, trouble) in schedule {
-            site.watch(Duration::from_millis(pause))?;
-            match trouble {
-                Trouble::Freeze(idx) => site.freeze(NAMES[idx]),
-                Trouble::Thaw(idx) => site.thaw(NAMES[idx]),
-                Trouble::Out => site.out = true,
-                Trouble::Fine => (site.out, site.slow) = (false, false),
-                Trouble::Slow => site.slow = true,
-                Trouble::Lose(count) => site.lose = count,
-                Trouble::Late(count) => site.late = count,
+        for (pause, fault) in schedule {
+            simulation.run_checked(Duration::from_millis(pause))?;
+            match fault {
+                Fault::Freeze(idx) => simulation.freeze(NAMES[idx]),
+                Fault::Thaw(idx) => simulation.thaw(NAMES[idx]),
+                Fault::Unavailable => simulation.unavailable = true,
+                Fault::Available => (simulation.unavailable, simulation.slow) = (false, false),
+                Fault::Slow => simulation.slow = true,
+                Fault::Lose(count) => simulation.lost_responses = count,
+                Fault::Late(count) => simulation.late_writes = count,
             }
         }
-        site.watch(Duration::from_secs(5))?;
+        simulation.run_checked(Duration::from_secs(5))?;
         for name in NAMES {
-            site.thaw(name);
+            simulation.thaw(name);
         }
-        (site.out, site.slow, site.lose, site.late) = (false, false, 0, 0);
-        site.watch(Duration::from_mins(1))?;
-        prop_assert_eq!(site.holders().len(), 1, "exactly one candidate holds the lease in the end");
+        (simulation.unavailable, simulation.slow) = (false, false);
+        (simulation.lost_responses, simulation.late_writes) = (0, 0);
+        simulation.run_checked(Duration::from_mins(1))?;
+        let holders = simulation.holders().len();
+        prop_assert_eq!(holders, 1, "exactly one candidate holds the lease in the end");
     }
 }
--- a/crates/ledger/tests/lease/site.rs
+++ b/crates/ledger/tests/lease/simulation.rs
@@ -9,14 +9,14 @@
 use ledger::table::{Expect, Unavailable};
 use proptest::prelude::*;
 
-const TABLE: Duration = Duration::from_millis(5);
-const PATIENCE: Duration = Duration::from_secs(1);
+const TABLE_DELAY: Duration = Duration::from_millis(5);
+const TIMEOUT: Duration = Duration::from_secs(1);
 /// Response time of a slow table, which applies writes at once.
-const SLOW: Duration = Duration::from_secs(6);
-const LATE: Duration = Duration::from_secs(3);
-const READ_BACK: Duration = Duration::from_millis(100);
+const SLOW_RESPONSE: Duration = Duration::from_secs(6);
+const LATE_WRITE_DELAY: Duration = Duration::from_secs(3);
+const READ_BACK_TIME: Duration = Duration::from_millis(100);
 /// Interval between the checks for two holders.
-const WATCH: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A candidate for the lease. Its clock may run fast or slow.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
+enum Scheduled {
     Event(usize, Event),
     Write(usize, Expect, Row),
     LateWrite(Expect, Row),
@@ -39,22 +39,22 @@
 
 /// A simulation of candidates for one lease, its row, and two endpoints that take orders.
 #[derive(Debug, Default)]
-pub(super) struct Site {
+pub(super) struct Simulation {
     now: Duration,
-    queue: BTreeMap<(Duration, u64), Happening>,
-    order: u64,
+    queue: BTreeMap<(Duration, u64), Scheduled>,
+    sequence: u64,
     pub(super) candidates: Vec<Candidate>,
     row: Option<(u64, Row)>,
     versions: u64,
-    pub(super) out: bool,
-    /// The table applies writes at once and responds after `SLOW`.
+    pub(super) unavailable: bool,
+    /// The table applies writes at once and responds after `SLOW_RESPONSE`.
     pub(super) slow: bool,
-    pub(super) lose: u32,
-    pub(super) late: u32,
+    pub(super) lost_responses: u32,
+    pub(super) late_writes: u32,
     pub(super) trace: String,
     /// The highest fencing number that the checking endpoint has received.
-    newest: Fencing,
-    seen: Fencing,
+    highest_fencing: Fencing,
+    last_fencing: Fencing,
 }
 
 impl Candidate {
@@ -71,7 +71,7 @@
     }
 }
 
-impl Site {
+impl Simulation {
     pub(super) fn add(&mut self, candidate: Candidate) {
         self.candidates.push(candidate);
         self.feed(self.candidates.len() - 1, Event::Tick);
@@ -84,9 +84,10 @@
             .expect("the candidate exists")
     }
 
-    fn at(&mut self, after: Duration, happening: Happening) {
-        self.order += 1;
-        self.queue.insert((self.now + after, self.order), happening);
+    fn schedule(&mut self, after: Duration, scheduled: Scheduled) {
+        self.sequence += 1;
+        self.queue
+            .insert((self.now + after, self.sequence), scheduled);
     }
 
     /// The time on a candidate's clock.
@@ -97,12 +98,12 @@
     pub(super) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(entry) = self.queue.first_entry().filter(|it| it.key().0 <= end) {
-            let ((at, _), happening) = entry.remove_entry();
+            let ((at, _), scheduled) = entry.remove_entry();
             self.now = self.now.max(at);
-            match happening {
-                Happening::Event(idx, event) => self.feed(idx, event),
-                Happening::Write(idx, expect, row) => self.write(idx, expect, row),
-                Happening::LateWrite(expect, row) => {
+            match scheduled {
+                Scheduled::Event(idx, event) => self.feed(idx, event),
+                Scheduled::Write(idx, expect, row) => self.write(idx, expect, row),
+                Scheduled::LateWrite(expect, row) => {
                     self.apply(expect, row);
                 }
             }
@@ -126,44 +127,54 @@
     fn perform(&mut self, idx: usize, action: Action) {
         match action {
             Action::Read => {
-                let result = if self.out {
+                let result = if self.unavailable {
                     Err(Unavailable)
                 } else {
                     Ok(self.row.clone())
                 };
-                let after = if self.slow { SLOW } else { 2 * TABLE };
-                self.at(after, Happening::Event(idx, Event::Read(result)));
+                let after = if self.slow {
+                    SLOW_RESPONSE
+                } else {
+                    2 * TABLE_DELAY
+                };
+                self.schedule(after, Scheduled::Event(idx, Event::Read(result)));
+            }
+            Action::Write { expect, row } => {
+                self.schedule(TABLE_DELAY, Scheduled::Write(idx, expect, row));
             }
-            Action::Write { expect, row } => self.at(TABLE, Happening::Write(idx, expect, row)),
             Action::ReadBack => {
-                self.say(idx, "reads back");
-                self.at(READ_BACK, Happening::Event(idx, Event::ReadBack));
+                self.log(idx, "reads back");
+                self.schedule(READ_BACK_TIME, Scheduled::Event(idx, Event::ReadBack));
             }
-            Action::Lost => self.say(idx, "loses the lease"),
+            Action::Lost => self.log(idx, "loses the lease"),
             Action::Wake { at } => {
                 let at = at.div_f64(self.candidates[idx].rate);
                 let after = at.saturating_sub(self.now) + Duration::from_micros(1);
-                self.at(after, Happening::Event(idx, Event::Tick));
+                self.schedule(after, Scheduled::Event(idx, Event::Tick));
             }
         }
     }
 
     fn write(&mut self, idx: usize, expect: Expect, row: Row) {
-        let (result, after) = if self.out {
-            (Written::NotApplied, TABLE)
-        } else if self.late > 0 {
-            self.late -= 1;
-            self.at(LATE, Happening::LateWrite(expect, row));
-            (Written::Unknown, PATIENCE)
-        } else if self.lose > 0 {
-            self.lose -= 1;
+        let (result, after) = if self.unavailable {
+            (Written::NotApplied, TABLE_DELAY)
+        } else if self.late_writes > 0 {
+            self.late_writes -= 1;
+            self.schedule(LATE_WRITE_DELAY, Scheduled::LateWrite(expect, row));
+            (Written::Unknown, TIMEOUT)
+        } else if self.lost_responses > 0 {
+            self.lost_responses -= 1;
             self.apply(expect, row);
-            (Written::Unknown, PATIENCE)
+            (Written::Unknown, TIMEOUT)
         } else {
-            let after = if self.slow { SLOW } else { TABLE };
+            let after = if self.slow {
+                SLOW_RESPONSE
+            } else {
+                TABLE_DELAY
+            };
             (self.apply(expect, row), after)
         };
-        self.at(after, Happening::Event(idx, Event::Written(result)));
+        self.schedule(after, Scheduled::Event(idx, Event::Written(result)));
     }
 
     fn apply(&mut self, expect: Expect, row: Row) -> Written {
@@ -199,7 +210,7 @@
         self.feed(self.idx(name), Event::Resign);
     }
 
-    fn ask(&self, idx: usize, endpoint: Endpoint) -> Result<Fencing, Denied> {
+    fn check_order(&self, idx: usize, endpoint: Endpoint) -> Result<Fencing, Denied> {
         let candidate = &self.candidates[idx];
         candidate.lease.order(self.clock(idx), endpoint)
     }
@@ -208,9 +219,9 @@
     pub(super) fn order(&mut self, name: &str) {
         let idx = self.idx(name);
         for endpoint in [Endpoint::Checks, Endpoint::Ignores] {
-            match self.ask(idx, endpoint) {
+            match self.check_order(idx, endpoint) {
                 Ok(fencing) => self.execute(idx, endpoint, fencing),
-                Err(denied) => self.say(
+                Err(denied) => self.log(
                     idx,
                     &format!("may not order where it {endpoint:?}: {denied}"),
                 ),
@@ -219,24 +230,24 @@
     }
 
     fn execute(&mut self, idx: usize, endpoint: Endpoint, fencing: Fencing) {
-        if endpoint == Endpoint::Checks && fencing < self.newest {
-            return self.say(idx, &format!("is refused with {fencing} where it Checks"));
+        if endpoint == Endpoint::Checks && fencing < self.highest_fencing {
+            return self.log(idx, &format!("is refused with {fencing} where it Checks"));
         }
-        self.newest = self.newest.max(fencing);
-        self.say(idx, &format!("orders with {fencing} where it {endpoint:?}"));
+        self.highest_fencing = self.highest_fencing.max(fencing);
+        self.log(idx, &format!("orders with {fencing} where it {endpoint:?}"));
     }
 
     /// Decides on an order without sending it.
     pub(super) fn decide(&mut self, name: &str) {
         let idx = self.idx(name);
-        self.candidates[idx].decided = self.ask(idx, Endpoint::Ignores).ok();
+        self.candidates[idx].decided = self.check_order(idx, Endpoint::Ignores).ok();
     }
 
     /// Sends the order that was decided on.
     pub(super) fn deliver(&mut self, name: &str) {
         let idx = self.idx(name);
         let Some(fencing) = self.candidates[idx].decided.take() else {
-            return self.say(idx, "has decided nothing");
+            return self.log(idx, "has decided nothing");
         };
         self.execute(idx, Endpoint::Checks, fencing);
         self.execute(idx, Endpoint::Ignores, fencing);
@@ -246,27 +257,31 @@
     /// moment.
     pub(super) fn holders(&self) -> Vec<(usize, Fencing)> {
         (0..self.candidates.len())
-            .filter_map(|idx| Some((idx, self.ask(idx, Endpoint::Checks).ok()?)))
+            .filter_map(|idx| Some((idx, self.check_order(idx, Endpoint::Checks).ok()?)))
             .collect()
     }
 
     /// Advances the time and checks at short intervals that there is at most one holder and that
     /// its fencing number doesn't fall.
-    pub(super) fn watch(&mut self, span: Duration) -> Result<(), TestCaseError> {
+    pub(super) fn run_checked(&mut self, span: Duration) -> Result<(), TestCaseError> {
         let end = self.now + span;
         while self.now < end {
-            self.run(WATCH);
+            self.run(CHECK_INTERVAL);
             let holders = self.holders();
             prop_assert!(holders.len() <= 1, "{holders:?} at {:?}", self.now);
             if let Some((_, fencing)) = holders.first() {
-                prop_assert!(*fencing >= self.seen, "{fencing} after {}", self.seen);
-                self.seen = *fencing;
+                prop_assert!(
+                    *fencing >= self.last_fencing,
+                    "{fencing} after {}",
+                    self.last_fencing
+                );
+                self.last_fencing = *fencing;
             }
         }
         Ok(())
     }
 
-    fn say(&mut self, idx: usize, what: &str) {
+    fn log(&mut self, idx: usize, what: &str) {
         let name = &self.candidates[idx].name;
         let _ = writeln!(self.trace, "{name} {what}");
     }
--- a/crates/ledger/tests/pairs.rs
+++ b/crates/ledger/tests/pairs.rs
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::sim::{Call, Happening, Next, Power, Reply, World, answered};
+use crate::sim::{Call, Next, Reply, RunState, Scheduled, World, answered};
 use fault::Fault;
 use job::Job;
 
@@ -27,21 +27,21 @@
 ];
 const JOBS: usize = 50;
 /// Jobs and faults start within this time.
-const BUSY: Duration = Duration::from_secs(10);
+const START_WINDOW: Duration = Duration::from_secs(10);
 /// End of the retries and the faults.
-const TROUBLE: Duration = Duration::from_mins(1);
+const FAULT_PERIOD: Duration = Duration::from_mins(1);
 /// Time allowed for settling everything after the faults have ended.
-const REST: Duration = Duration::from_mins(3);
+const SETTLE_PERIOD: Duration = Duration::from_mins(3);
 /// Time after which a caller tries another host.
-const PATIENCE: Duration = Duration::from_secs(4);
-const REPEATS: u32 = 6;
+const CALLER_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_RETRIES: u32 = 6;
 
-/// Steps of a call, as [`Happening::Step`] carries them.
+/// Steps of a call, as [`Scheduled::Step`] carries them.
 const SEND: u32 = 0;
-const BOUNCE: u32 = 1;
+const REFUSE: u32 = 1;
 const ANSWER: u32 = 2;
 const FAIL: u32 = 3;
-const LEAVE: u32 = 4;
+const GIVE_UP: u32 = 4;
 
 #[test]
 fn pairs() {
@@ -50,16 +50,16 @@
     for seed in seeds() {
         let mut run = Run::new(seed);
         run.run();
-        let verdict = check::check(&run);
+        let report = check::check(&run);
         assert!(
-            verdict.faults.is_empty(),
+            report.violations.is_empty(),
             "seed {seed}, {:?}\n{}\n{}",
             run.faults,
-            verdict.faults.join("\n"),
+            report.violations.join("\n"),
             run.world.trace
         );
-        answers += verdict.answers;
-        lost += verdict.lost;
+        answers += report.answers;
+        lost += report.lost;
     }
     // A record is lost if all hosts that hold it die. The conditions are stated in
     // docs/design/ledger.md; this prints the count.
@@ -94,7 +94,12 @@
             world.add(name, data_centre, tuning.clone());
         }
         let mut faults: Vec<_> = (0..2)
-            .map(|_| (span(&mut rng, Duration::ZERO, BUSY), Fault::draw(&mut rng)))
+            .map(|_| {
+                (
+                    span(&mut rng, Duration::ZERO, START_WINDOW),
+                    Fault::draw(&mut rng),
+                )
+            })
             .collect();
         faults.sort_by_key(|(at, _)| *at);
         Self {
@@ -108,33 +113,33 @@
 
     fn run(&mut self) {
         for idx in 0..JOBS {
-            let start = span(&mut self.rng, Duration::ZERO, BUSY);
+            let start = span(&mut self.rng, Duration::ZERO, START_WINDOW);
             self.jobs.push(Job::draw(&mut self.rng, idx));
-            self.world.at(start, Happening::Plan(idx));
+            self.world.schedule(start, Scheduled::Plan(idx));
         }
         for (idx, (at, _)) in self.faults.iter().enumerate() {
-            self.world.at(*at, Happening::Plan(JOBS + idx));
+            self.world.schedule(*at, Scheduled::Plan(JOBS + idx));
         }
-        self.run_until(TROUBLE);
-        fault::mend(&mut self.world);
-        self.run_until(TROUBLE + REST);
+        self.run_until(FAULT_PERIOD);
+        fault::end_all(&mut self.world);
+        self.run_until(FAULT_PERIOD + SETTLE_PERIOD);
     }
 
     fn run_until(&mut self, end: Duration) {
         loop {
             match self.world.next(end) {
                 Next::Nothing => break,
-                Next::Driver(Happening::Plan(idx)) if idx < JOBS => self.start(idx),
-                Next::Driver(Happening::Plan(idx)) => self.break_something(idx - JOBS),
-                Next::Driver(Happening::Step(request, step)) => self.step(&request, step),
+                Next::Driver(Scheduled::Plan(idx)) if idx < JOBS => self.start(idx),
+                Next::Driver(Scheduled::Plan(idx)) => self.toggle_fault(idx - JOBS),
+                Next::Driver(Scheduled::Step(request, step)) => self.step(&request, step),
                 Next::Driver(_) | Next::Done => {}
             }
-            self.follow();
+            self.handle_results();
         }
         self.world.now = end;
     }
 
-    fn break_something(&mut self, idx: usize) {
+    fn toggle_fault(&mut self, idx: usize) {
         let fault = self.faults[idx].1.clone();
         match fault.end() {
             None if idx < 2 => fault.begin(&mut self.world),
@@ -142,7 +147,7 @@
                 fault.begin(&mut self.world);
                 let end = JOBS + self.faults.len();
                 self.faults.push((self.world.now + span, fault));
-                self.world.at(span, Happening::Plan(end));
+                self.world.schedule(span, Scheduled::Plan(end));
             }
             _ => fault.finish(&mut self.world),
         }
@@ -151,7 +156,7 @@
     /// Sends a job's call, for the first time or as a retry.
     fn start(&mut self, idx: usize) {
         let job = &mut self.jobs[idx];
-        if job.done || job.arrivals > REPEATS || self.world.now >= TROUBLE {
+        if job.done || job.arrivals > MAX_RETRIES || self.world.now >= FAULT_PERIOD {
             return;
         }
         let hosts: Vec<usize> = (0..self.world.hosts.len())
@@ -164,9 +169,10 @@
         let twice = job.arrivals == 0 && job.is_keyed() && self.rng.random_bool(0.2);
         for _ in 0..=u32::from(twice) {
             let host = hosts[self.rng.random_range(0..hosts.len())];
-            let arrival = self.jobs[idx].arrive();
+            let arrival = self.jobs[idx].next_arrival();
             let request = arrival.request.to_string();
-            self.world.at(PATIENCE, Happening::Step(request, LEAVE));
+            self.world
+                .schedule(CALLER_TIMEOUT, Scheduled::Step(request, GIVE_UP));
             self.world.call(Call {
                 arrival,
                 host,
@@ -178,7 +184,7 @@
     }
 
     /// Dispatches calls that were permitted, and retries jobs whose calls were refused or lost.
-    fn follow(&mut self) {
+    fn handle_results(&mut self) {
         for request in std::mem::take(&mut self.world.permitted) {
             self.dispatch(&request);
         }
@@ -191,19 +197,19 @@
             if matches!(call.result, Some((_, Reply::Answer))) {
                 self.jobs[idx].done = true;
             } else {
-                self.again(idx);
+                self.schedule_retry(idx);
             }
         }
     }
 
-    fn again(&mut self, idx: usize) {
+    fn schedule_retry(&mut self, idx: usize) {
         if self.jobs[idx].is_keyed() {
             let after = span(
                 &mut self.rng,
                 Duration::from_millis(200),
                 Duration::from_secs(2),
             );
-            self.world.at(after, Happening::Plan(idx));
+            self.world.schedule(after, Scheduled::Plan(idx));
         }
     }
 
@@ -214,7 +220,7 @@
         };
         let mut plan = VecDeque::new();
         if self.rng.random_bool(0.15) {
-            plan.push_back((millis(&mut self.rng, 0, 5), BOUNCE));
+            plan.push_back((millis(&mut self.rng, 0, 5), REFUSE));
         }
         let first = millis(&mut self.rng, 0, 5);
         match self.rng.random_range(0..20) {
@@ -233,44 +239,44 @@
             }
         }
         self.plans.insert(request.to_owned(), plan);
-        self.go_on(request);
+        self.schedule_next_step(request);
     }
 
     /// Schedules the next step of a permitted call.
-    fn go_on(&mut self, request: &str) {
+    fn schedule_next_step(&mut self, request: &str) {
         let next = self.plans.get_mut(request).and_then(VecDeque::pop_front);
         if let Some((after, step)) = next {
-            let happening = Happening::Step(request.to_owned(), step);
-            self.world.at(after, happening);
+            let scheduled = Scheduled::Step(request.to_owned(), step);
+            self.world.schedule(after, scheduled);
         }
     }
 
     fn step(&mut self, request: &str, step: u32) {
         let call = &self.world.calls[request];
-        match self.world.hosts[call.host].power {
-            Power::Left | Power::Off => return,
-            Power::Frozen if step != LEAVE => {
-                let again = Happening::Step(request.to_owned(), step);
-                return self.world.at(Duration::from_millis(200), again);
+        match self.world.hosts[call.host].run_state {
+            RunState::Exited | RunState::Killed => return,
+            RunState::Frozen if step != GIVE_UP => {
+                let retry = Scheduled::Step(request.to_owned(), step);
+                return self.world.schedule(Duration::from_millis(200), retry);
             }
             _ => {}
         }
         match step {
-            SEND | BOUNCE if call.result.is_some() => {}
+            SEND | REFUSE if call.result.is_some() => {}
             SEND => self.world.send(request),
-            BOUNCE => self.world.bounce(request),
+            REFUSE => self.world.refuse_attempt(request),
             ANSWER => self.world.finish(request, answered(request)),
             FAIL => self.world.finish(request, End::Unanswered),
             _ if call.result.is_none() => {
                 if call.permitted.is_none() {
                     self.world.cancel(request);
                 }
-                self.again(job::index(request));
+                self.schedule_retry(job::index(request));
             }
             _ => {}
         }
-        if step != LEAVE {
-            self.go_on(request);
+        if step != GIVE_UP {
+            self.schedule_next_step(request);
         }
     }
 }
--- a/crates/ledger/tests/pairs/check.rs
+++ b/crates/ledger/tests/pairs/check.rs
@@ -6,28 +6,28 @@
 use ledger::Repeat;
 
 use super::Run;
-use crate::sim::{Call, Power, Reply, is_not_run};
+use crate::sim::{Call, Reply, RunState, is_not_run};
 
-/// The result of the checks.
+/// The violations that the checks found, and counts.
 #[derive(Debug, Default)]
-pub(super) struct Verdict {
-    pub(super) faults: Vec<String>,
+pub(super) struct Report {
+    pub(super) violations: Vec<String>,
     pub(super) answers: usize,
     /// Number of billing records lost because all hosts that held them died: two hosts, or one if
     /// the ledger had reported a single copy.
     pub(super) lost: usize,
 }
 
-pub(super) fn check(run: &Run) -> Verdict {
-    let mut verdict = Verdict::default();
-    runs_at_most_once(run, &mut verdict);
-    billed_once(run, &mut verdict);
-    not_run_is_true(run, &mut verdict);
-    nothing_is_left(run, &mut verdict);
-    verdict
+pub(super) fn check(run: &Run) -> Report {
+    let mut report = Report::default();
+    runs_at_most_once(run, &mut report);
+    billed_once(run, &mut report);
+    not_run_is_true(run, &mut report);
+    nothing_is_left(run, &mut report);
+    report
 }
 
-fn runs_at_most_once(run: &Run, verdict: &mut Verdict) {
+fn runs_at_most_once(run: &Run, report: &mut Report) {
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     for execution in &run.world.executions {
         let call = &run.world.calls[&execution.request];
@@ -36,15 +36,17 @@
         }
     }
     let twice = counts.iter().filter(|(_, count)| **count > 1);
-    verdict
-        .faults
+    report
+        .violations
         .extend(twice.map(|(key, count)| format!("{key} ran {count} times")));
 }
 
-fn billed_once(run: &Run, verdict: &mut Verdict) {
+fn billed_once(run: &Run, report: &mut Report) {
     let bills = run.world.bills();
     for pair in bills.windows(2).filter(|pair| pair[0] == pair[1]) {
-        verdict.faults.push(format!("{} is billed twice", pair[0]));
+        report
+            .violations
+            .push(format!("{} is billed twice", pair[0]));
     }
     let answered = run
         .world
@@ -52,22 +54,22 @@
         .values()
         .filter(|call| matches!(call.result, Some((_, Reply::Answer))));
     for call in answered {
-        verdict.answers += 1;
+        report.answers += 1;
         if bills.iter().any(|bill| bills_call(bill, call)) {
             continue;
         }
         if is_lost_with_holders(run, call) {
-            verdict.lost += 1;
+            report.lost += 1;
         } else {
             let request = &call.arrival.request;
-            verdict.faults.push(format!("{request} is not billed"));
+            report.violations.push(format!("{request} is not billed"));
         }
     }
     for bill in &bills {
         let ran = |key: &str| bill == key || bill.starts_with(&format!("{key}~"));
         let mut executions = run.world.executions.iter();
         if !executions.any(|it| ran(&it.key) || bill.ends_with(&format!("/{}", it.request))) {
-            verdict.faults.push(format!("{bill} never ran"));
+            report.violations.push(format!("{bill} never ran"));
         }
     }
 }
@@ -78,7 +80,7 @@
     let holders = run.world.holders.of(|key| bills_call(key, call));
     let is_dead = |holder: &Incarnation| {
         let host = hosts.iter().find(|host| host.incarnation == *holder);
-        host.is_some_and(|host| host.power == Power::Off)
+        host.is_some_and(|host| host.run_state == RunState::Killed)
     };
     if !holders.is_empty() {
         return holders.iter().all(is_dead);
@@ -89,7 +91,7 @@
         it.arrival.request.as_str() == request || it.relays.as_deref() == Some(request)
     };
     let mut ran = run.world.calls.values().filter(ran_for);
-    ran.any(|it| it.permitted.is_some() && hosts[it.host].power == Power::Off)
+    ran.any(|it| it.permitted.is_some() && hosts[it.host].run_state == RunState::Killed)
 }
 
 fn bills_call(bill: &str, call: &Call) -> bool {
@@ -105,7 +107,7 @@
 
 /// A refusal may say "not run" only if no arrival of the key ran before, and no arrival permitted
 /// before runs later.
-fn not_run_is_true(run: &Run, verdict: &mut Verdict) {
+fn not_run_is_true(run: &Run, report: &mut Report) {
     for call in run.world.calls.values() {
         let Some((at, reply)) = &call.result else {
             continue;
@@ -124,20 +126,25 @@
             .map(|it| it.request.as_str());
         for other in false_by {
             let request = &call.arrival.request;
-            verdict
-                .faults
+            report
+                .violations
                 .push(format!("{request} was refused as not run, but {other} ran"));
         }
     }
 }
 
-fn nothing_is_left(run: &Run, verdict: &mut Verdict) {
-    for host in run.world.hosts.iter().filter(|it| it.power == Power::On) {
+fn nothing_is_left(run: &Run, report: &mut Report) {
+    for host in run
+        .world
+        .hosts
+        .iter()
+        .filter(|it| it.run_state == RunState::Running)
+    {
         let status = host.ledger.status();
         if (status.held, status.copies) != (0, 0) {
             let name = &host.name;
-            verdict
-                .faults
+            report
+                .violations
                 .push(format!("{name} still holds {status:?}"));
         }
     }
--- a/crates/ledger/tests/pairs/fault.rs
+++ b/crates/ledger/tests/pairs/fault.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::{HOSTS, span};
-use crate::sim::{Mode, Power, World};
+use crate::sim::{Mode, RunState, World};
 
 /// A fault. Hosts are given by index.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,8 +15,8 @@
     Restart(usize),
     Freeze(usize, Duration),
     Drain(usize),
-    Cut(usize, usize, Duration),
-    CutOff(usize, Duration),
+    Disconnect(usize, usize, Duration),
+    Isolate(usize, Duration),
     TableOut(Duration),
     TableHangs(Duration),
     TableLoses(u32),
@@ -34,8 +34,8 @@
             1 => Self::Restart(host),
             2 => Self::Freeze(host, long),
             3 => Self::Drain(host),
-            4 => Self::Cut(host, other, long),
-            5 => Self::CutOff(host, long),
+            4 => Self::Disconnect(host, other, long),
+            5 => Self::Isolate(host, long),
             6 => Self::TableOut(long),
             7 => Self::TableHangs(long),
             8 => Self::TableLoses(count),
@@ -47,8 +47,8 @@
     pub(super) fn end(&self) -> Option<Duration> {
         match *self {
             Self::Freeze(_, span)
-            | Self::Cut(_, _, span)
-            | Self::CutOff(_, span)
+            | Self::Disconnect(_, _, span)
+            | Self::Isolate(_, span)
             | Self::TableOut(span)
             | Self::TableHangs(span) => Some(span),
             Self::Kill(_)
@@ -68,27 +68,27 @@
             }
             Self::Freeze(host, _) => world.freeze(host),
             Self::Drain(host) => {
-                if world.hosts[host].power == Power::On {
+                if world.hosts[host].run_state == RunState::Running {
                     world.drain(host);
                 }
             }
-            Self::Cut(host, other, _) => world.cut(host, other),
-            Self::CutOff(host, _) => {
+            Self::Disconnect(host, other, _) => world.disconnect(host, other),
+            Self::Isolate(host, _) => {
                 for other in (0..world.hosts.len()).filter(|it| *it != host) {
-                    world.cut(host, other);
+                    world.disconnect(host, other);
                 }
             }
             Self::TableOut(_) => world.table.mode = Mode::Out,
             Self::TableHangs(_) => world.table.mode = Mode::Hanging,
-            Self::TableLoses(count) => world.table.lose = count,
-            Self::TableLate(count) => world.table.late = count,
+            Self::TableLoses(count) => world.table.lost_responses = count,
+            Self::TableLate(count) => world.table.late_writes = count,
         }
     }
 
     pub(super) fn finish(&self, world: &mut World) {
         match *self {
             Self::Freeze(host, _) => world.thaw(host),
-            Self::Cut(..) | Self::CutOff(..) => world.mend(),
+            Self::Disconnect(..) | Self::Isolate(..) => world.reconnect(),
             Self::TableOut(_) | Self::TableHangs(_) => world.table.mode = Mode::Fine,
             _ => {}
         }
@@ -96,11 +96,11 @@
 }
 
 /// Ends all faults.
-pub(super) fn mend(world: &mut World) {
+pub(super) fn end_all(world: &mut World) {
     world.table.mode = Mode::Fine;
-    world.table.lose = 0;
-    world.table.late = 0;
-    world.mend();
+    world.table.lost_responses = 0;
+    world.table.late_writes = 0;
+    world.reconnect();
     for host in 0..world.hosts.len() {
         world.thaw(host);
     }
--- a/crates/ledger/tests/pairs/job.rs
+++ b/crates/ledger/tests/pairs/job.rs
@@ -10,7 +10,7 @@
 use crate::sim::{World, mint};
 
 /// Validity of a ticket, shorter than some callers keep retrying.
-const TICKET_LIFE: Duration = Duration::from_secs(25);
+const TICKET_VALIDITY: Duration = Duration::from_secs(25);
 
 /// A request that a caller wants to be executed.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Keyless,
-    Claimed(Repeat),
+    Unticketed(Repeat),
     Ticketed(Repeat),
 }
 
@@ -33,8 +33,8 @@
     pub(super) fn draw(rng: &mut Pcg64Mcg, idx: usize) -> Self {
         let kind = match rng.random_range(0..20) {
             0..3 => Kind::Keyless,
-            3..8 => Kind::Claimed(Repeat::NonIdempotent),
-            8..11 => Kind::Claimed(Repeat::Idempotent),
+            3..8 => Kind::Unticketed(Repeat::NonIdempotent),
+            8..11 => Kind::Unticketed(Repeat::Idempotent),
             11..16 => Kind::Ticketed(Repeat::NonIdempotent),
             _ => Kind::Ticketed(Repeat::Idempotent),
         };
@@ -55,17 +55,17 @@
     pub(super) fn get_ticket(&mut self, rng: &mut Pcg64Mcg, world: &World, hosts: &[usize]) {
         if matches!(self.kind, Kind::Ticketed(_)) {
             let host = hosts[rng.random_range(0..hosts.len())];
-            let expires = world.now + TICKET_LIFE;
+            let expires = world.now + TICKET_VALIDITY;
             self.ticket = Some(mint(&world.hosts[host], expires));
         }
     }
 
-    pub(super) fn arrive(&mut self) -> Arrival {
+    pub(super) fn next_arrival(&mut self) -> Arrival {
         let request = format!("{}.{}", self.idx, self.arrivals);
         self.arrivals += 1;
         let (key, repeat) = match self.kind {
             Kind::Keyless => (None, Repeat::Idempotent),
-            Kind::Claimed(repeat) | Kind::Ticketed(repeat) => {
+            Kind::Unticketed(repeat) | Kind::Ticketed(repeat) => {
                 (Some(format!("k{}", self.idx).into()), repeat)
             }
         };
@@ -83,6 +83,8 @@
 
 /// Returns the index of the job that a request belongs to.
 pub(super) fn index(request: &str) -> usize {
-    let (idx, _) = request.split_once('.').expect("request IDs start with the job index");
+    let (idx, _) = request
+        .split_once('.')
+        .expect("request IDs start with the job index");
     idx.parse().expect("the job index is a number")
 }
--- a/crates/ledger/tests/scripts.rs
+++ b/crates/ledger/tests/scripts.rs
@@ -11,9 +11,9 @@
 use crate::sim::{Call, Mode, World, answered, mint};
 
 /// Validity of a ticket.
-const TICKET_LIFE: Duration = Duration::from_mins(10);
+const TICKET_VALIDITY: Duration = Duration::from_mins(10);
 /// Time that passes after a command that names none.
-const AFTER: Duration = Duration::from_millis(20);
+const DEFAULT_PAUSE: Duration = Duration::from_millis(20);
 
 #[test]
 fn scripts() {
@@ -32,10 +32,7 @@
 impl Script {
     /// Runs the commands of one step, one per line.
     fn run(&mut self, case: &TestCase) -> String {
-        assert_eq!(
-            case.directive, "step",
-            "commands must stand below `step`"
-        );
+        assert_eq!(case.directive, "step", "commands must stand below `step`");
         for line in case.input.lines() {
             self.command(&Command::parse(line));
         }
@@ -49,7 +46,7 @@
 
     fn command(&mut self, command: &Command) {
         let world = &mut self.world;
-        let mut after = command.option("after").map_or(AFTER, span_of);
+        let mut pause = command.option("after").map_or(DEFAULT_PAUSE, span_of);
         match command.words.as_slice() {
             ["host", name, data_centre] => {
                 let mut tuning = Tuning::default();
@@ -66,7 +63,7 @@
                 world.add(name, data_centre, tuning);
             }
             ["ticket", host] => {
-                let expires = world.now + TICKET_LIFE;
+                let expires = world.now + TICKET_VALIDITY;
                 let ticket = mint(&world.hosts[world.host(host)], expires);
                 self.tickets.insert((*host).to_owned(), ticket);
             }
@@ -80,7 +77,7 @@
                 world.send(request);
                 world.finish(request, answered(request));
             }
-            ["bounce", request] => world.bounce(request),
+            ["bounce", request] => world.refuse_attempt(request),
             ["fail", request] => world.finish(request, End::Unanswered),
             ["cancel", request] => world.cancel(request),
             ["kill", host] => world.kill(world.host(host)),
@@ -88,29 +85,29 @@
             ["freeze", host] => world.freeze(world.host(host)),
             ["thaw", host] => world.thaw(world.host(host)),
             ["drain", host] => world.drain(world.host(host)),
-            ["cut", one, other] => world.cut(world.host(one), world.host(other)),
+            ["cut", one, other] => world.disconnect(world.host(one), world.host(other)),
             ["keep-incarnation", host] => {
                 let host = world.host(host);
-                world.hosts[host].renews = false;
+                world.hosts[host].renews_when_fenced = false;
             }
             ["renew", host] => world.renew(world.host(host)),
-            ["mend"] => world.mend(),
+            ["mend"] => world.reconnect(),
             ["table", "fine"] => world.table.mode = Mode::Fine,
             ["table", "out"] => world.table.mode = Mode::Out,
             ["table", "hanging"] => world.table.mode = Mode::Hanging,
-            ["table", "loses", count] => world.table.lose = count.parse().unwrap(),
-            ["table", "late", count] => world.table.late = count.parse().unwrap(),
-            ["run", span] => after = span_of(span),
-            ["rows"] => self.show(Script::rows),
-            ["bills"] => self.show(|script| lines(script.world.bills())),
-            ["executions"] => self.show(Script::executions),
-            ["status", host] => self.show(|script| script.status(host)),
+            ["table", "loses", count] => world.table.lost_responses = count.parse().unwrap(),
+            ["table", "late", count] => world.table.late_writes = count.parse().unwrap(),
+            ["run", span] => pause = span_of(span),
+            ["rows"] => self.print(Script::rows),
+            ["bills"] => self.print(|script| lines(script.world.bills())),
+            ["executions"] => self.print(Script::executions),
+            ["status", host] => self.print(|script| script.status(host)),
             words => panic!("unknown command {words:?}"),
         }
-        self.world.run(after);
+        self.world.run(pause);
     }
 
-    fn show(&mut self, what: impl Fn(&Self) -> String) {
+    fn print(&mut self, what: impl Fn(&Self) -> String) {
         let shown = what(self);
         self.world.trace.push_str(&shown);
     }
