--- a/crates/ledger/tests/sim.rs
+++ b/crates/ledger/tests/sim.rs
@@ -2,11 +2,11 @@
 //! on one virtual clock.
 
 mod call;
+mod faults;
 mod holders;
 mod host;
 mod table;
 mod traffic;
-mod trouble;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -18,25 +18,25 @@
 
 pub(crate) use call::{Call, Execution, Reply};
 pub(crate) use holders::Holders;
-pub(crate) use host::{Host, Power};
+pub(crate) use host::{Host, RunState};
 pub(crate) use table::{Mode, Table};
 
-const NETWORK: Duration = Duration::from_millis(1);
-const TABLE: Duration = Duration::from_millis(2);
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
+const TABLE_DELAY: Duration = Duration::from_millis(2);
 /// Timeout of the table's client.
-const TABLE_PATIENCE: Duration = Duration::from_secs(1);
+const TABLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay after which a late write is applied, from when it was sent.
-const TABLE_LATE: Duration = Duration::from_secs(4);
+const LATE_WRITE_DELAY: Duration = Duration::from_secs(4);
 
 /// A scheduled event of the simulation.
 #[derive(Clone, Debug)]
-pub(crate) enum Happening {
+pub(crate) enum Scheduled {
     Event(Incarnation, Event),
     Message(Incarnation, Incarnation, Message),
     Write(Incarnation, Op, Transaction),
     LateWrite(Transaction),
     Tick(Incarnation),
-    Look(usize),
+    UpdateView(usize),
     Forwarded(String),
     /// A step of a call, handled by the test driver.
     Step(String, u32),
@@ -52,22 +52,22 @@
     /// The simulation handled an event.
     Done,
     /// The test driver must handle the event.
-    Driver(Happening),
+    Driver(Scheduled),
 }
 
 /// The state of the simulation.
 #[derive(Debug, Default)]
 pub(crate) struct World {
     pub(crate) now: Duration,
-    queue: BTreeMap<(Duration, u64), Happening>,
-    order: u64,
+    queue: BTreeMap<(Duration, u64), Scheduled>,
+    sequence: u64,
     pub(crate) hosts: Vec<Host>,
     pub(crate) table: Table,
     pub(crate) calls: BTreeMap<String, Call>,
     pub(crate) executions: Vec<Execution>,
-    pub(crate) cuts: BTreeSet<(usize, usize)>,
+    pub(crate) disconnected: BTreeSet<(usize, usize)>,
     pub(crate) trace: String,
-    incarnations: u64,
+    last_incarnation: u64,
     pub(crate) holders: Holders,
     /// Requests permitted since the test driver last took them.
     pub(crate) permitted: Vec<String>,
@@ -78,10 +78,15 @@
 impl World {
     /// Adds a host and tells all hosts of it at once.
     pub(crate) fn add(&mut self, name: &str, data_centre: &str, tuning: Tuning) -> usize {
-        self.incarnations += 1;
-        let host = Host::new(name, data_centre, Incarnation(self.incarnations), tuning);
+        self.last_incarnation += 1;
+        let host = Host::new(
+            name,
+            data_centre,
+            Incarnation(self.last_incarnation),
+            tuning,
+        );
         self.hosts.push(host);
-        self.look_now();
+        self.update_all_views();
         self.hosts.len() - 1
     }
 
@@ -99,9 +104,10 @@
             .map_or_else(|| format!("#{incarnation}"), |host| host.name.clone())
     }
 
-    pub(crate) fn at(&mut self, after: Duration, happening: Happening) {
-        self.order += 1;
-        self.queue.insert((self.now + after, self.order), happening);
+    pub(crate) fn schedule(&mut self, after: Duration, scheduled: Scheduled) {
+        self.sequence += 1;
+        self.queue
+            .insert((self.now + after, self.sequence), scheduled);
     }
 
     /// Handles all events that are due within `span`.
@@ -116,24 +122,24 @@
         let Some(entry) = self.queue.first_entry().filter(|it| it.key().0 <= end) else {
             return Next::Nothing;
         };
-        let ((at, _), happening) = entry.remove_entry();
+        let ((at, _), scheduled) = entry.remove_entry();
         self.now = self.now.max(at);
-        match happening {
-            Happening::Event(to, event) => self.feed(to, event),
-            Happening::Message(from, to, message) => {
+        match scheduled {
+            Scheduled::Event(to, event) => self.feed(to, event),
+            Scheduled::Message(from, to, message) => {
                 if self.connected(from, to) {
-                    self.holders.note(from, to, &message);
+                    self.holders.observe(from, to, &message);
                     self.feed(to, Event::Received { from, message });
                 }
             }
-            Happening::Write(from, op, transaction) => self.write(from, op, &transaction),
-            Happening::LateWrite(transaction) => {
+            Scheduled::Write(from, op, transaction) => self.write(from, op, &transaction),
+            Scheduled::LateWrite(transaction) => {
                 self.table.transact(&transaction);
             }
-            Happening::Tick(to) => self.feed(to, Event::Tick),
-            Happening::Look(host) => self.look(host),
-            Happening::Forwarded(request) => self.forward_failed(&request),
-            it @ (Happening::Step(..) | Happening::Plan(_)) => return Next::Driver(it),
+            Scheduled::Tick(to) => self.feed(to, Event::Tick),
+            Scheduled::UpdateView(host) => self.update_view(host),
+            Scheduled::Forwarded(request) => self.forward_failed(&request),
+            it @ (Scheduled::Step(..) | Scheduled::Plan(_)) => return Next::Driver(it),
         }
         Next::Done
     }
@@ -147,7 +153,7 @@
     fn connected(&self, from: Incarnation, to: Incarnation) -> bool {
         match (self.find(from), self.find(to)) {
             (Some(from), Some(to)) => {
-                !self.cuts.contains(&(from, to)) && !self.cuts.contains(&(to, from))
+                !self.disconnected.contains(&(from, to)) && !self.disconnected.contains(&(to, from))
             }
             _ => false,
         }
@@ -158,10 +164,10 @@
         let Some(idx) = self.find(to) else {
             return;
         };
-        match self.hosts[idx].power {
-            Power::On => self.handle(idx, event),
-            Power::Frozen => self.hosts[idx].inbox.push(event),
-            Power::Left | Power::Off => {}
+        match self.hosts[idx].run_state {
+            RunState::Running => self.handle(idx, event),
+            RunState::Frozen => self.hosts[idx].inbox.push(event),
+            RunState::Exited | RunState::Killed => {}
         }
     }
 
@@ -177,7 +183,7 @@
         let me = self.hosts[idx].incarnation;
         match action {
             Action::Permit { request } => {
-                self.say(idx, format_args!("permits {request}"));
+                self.log(idx, format_args!("permits {request}"));
                 let now = self.now;
                 if let Some(call) = self.calls.get_mut(request.as_str()) {
                     call.permitted = Some(now);
@@ -185,31 +191,36 @@
                 self.permitted.push(request.to_string());
             }
             Action::Replay { request, outcome } => {
-                self.say(idx, format_args!("replays {request}: {}", outcome.body));
+                self.log(idx, format_args!("replays {request}: {}", outcome.body));
                 self.end(&request, Reply::Answer);
             }
             Action::Refuse { request, refusal } => {
                 let (reason, run) = (refusal.reason, refusal.run);
-                self.say(idx, format_args!("refuses {request}: {reason}, {run}"));
+                self.log(idx, format_args!("refuses {request}: {reason}, {run}"));
                 let reason = Some(reason);
                 self.end(&request, Reply::Refusal { reason, run });
             }
             Action::Close { request, run } => {
-                self.say(idx, format_args!("closes {request}: {run}"));
+                self.log(idx, format_args!("closes {request}: {run}"));
                 self.end(&request, Reply::Refusal { reason: None, run });
             }
             Action::Release { request, safety } => {
-                self.say(idx, format_args!("releases {request}: {safety:?}"));
+                self.log(idx, format_args!("releases {request}: {safety:?}"));
                 self.end(&request, Reply::Answer);
             }
             Action::Forward { request, home } => self.forward(idx, &request, home),
-            Action::Send { to, message } => self.at(NETWORK, Happening::Message(me, to, message)),
+            Action::Send { to, message } => {
+                self.schedule(NETWORK_DELAY, Scheduled::Message(me, to, message));
+            }
             Action::Transact { op, transaction } => {
-                self.at(TABLE, Happening::Write(me, op, transaction));
+                self.schedule(TABLE_DELAY, Scheduled::Write(me, op, transaction));
             }
             Action::Read { op, key } => {
                 let result = self.table.read(&key);
-                self.at(2 * TABLE, Happening::Event(me, Event::Read { op, result }));
+                self.schedule(
+                    2 * TABLE_DELAY,
+                    Scheduled::Event(me, Event::Read { op, result }),
+                );
             }
             Action::Scan {
                 op,
@@ -218,52 +229,52 @@
                 limit,
             } => {
                 let result = self.table.scan(&prefix, &after, limit);
-                self.at(
-                    2 * TABLE,
-                    Happening::Event(me, Event::Scanned { op, result }),
+                self.schedule(
+                    2 * TABLE_DELAY,
+                    Scheduled::Event(me, Event::Scanned { op, result }),
                 );
             }
             Action::Retire { .. } => {
-                self.say(idx, format_args!("was fenced"));
-                if self.hosts[idx].renews {
+                self.log(idx, format_args!("was fenced"));
+                if self.hosts[idx].renews_when_fenced {
                     self.renew(idx);
                 }
             }
             Action::Drained => {
-                self.say(idx, format_args!("is drained"));
-                self.hosts[idx].power = Power::Left;
-                self.look_soon();
+                self.log(idx, format_args!("is drained"));
+                self.hosts[idx].run_state = RunState::Exited;
+                self.schedule_view_updates();
             }
             Action::Wake { at } => {
                 let after = at.saturating_sub(self.now);
-                self.at(after, Happening::Tick(me));
+                self.schedule(after, Scheduled::Tick(me));
             }
         }
     }
 
     fn write(&mut self, from: Incarnation, op: Op, transaction: &Transaction) {
         let (result, after) = match self.table.mode {
-            Mode::Out => (Written::NotApplied, TABLE),
-            Mode::Hanging => (Written::Unknown, TABLE_PATIENCE),
-            Mode::Fine if self.table.late > 0 => {
-                self.table.late -= 1;
-                self.at(TABLE_LATE, Happening::LateWrite(transaction.clone()));
-                (Written::Unknown, TABLE_PATIENCE)
+            Mode::Out => (Written::NotApplied, TABLE_DELAY),
+            Mode::Hanging => (Written::Unknown, TABLE_TIMEOUT),
+            Mode::Fine if self.table.late_writes > 0 => {
+                self.table.late_writes -= 1;
+                self.schedule(LATE_WRITE_DELAY, Scheduled::LateWrite(transaction.clone()));
+                (Written::Unknown, TABLE_TIMEOUT)
             }
-            Mode::Fine if self.table.lose > 0 => {
-                self.table.lose -= 1;
+            Mode::Fine if self.table.lost_responses > 0 => {
+                self.table.lost_responses -= 1;
                 self.table.transact(transaction);
-                (Written::Unknown, TABLE_PATIENCE)
+                (Written::Unknown, TABLE_TIMEOUT)
             }
-            Mode::Fine => (self.table.transact(transaction), TABLE),
+            Mode::Fine => (self.table.transact(transaction), TABLE_DELAY),
         };
-        self.at(
+        self.schedule(
             after,
-            Happening::Event(from, Event::Transacted { op, result }),
+            Scheduled::Event(from, Event::Transacted { op, result }),
         );
     }
 
-    fn say(&mut self, idx: usize, what: std::fmt::Arguments) {
+    fn log(&mut self, idx: usize, what: std::fmt::Arguments) {
         let name = self.hosts[idx].name.clone();
         let _ = writeln!(self.trace, "{name} {what}");
     }
--- a/crates/ledger/tests/sim/trouble.rs
+++ b/crates/ledger/tests/sim/faults.rs
@@ -5,14 +5,14 @@
 use kernel::{Incarnation, RequestId};
 use ledger::Event;
 
-use super::{Happening, Power, Reply, World};
+use super::{Reply, RunState, Scheduled, World};
 
 /// Delay until the fleet detects a failure.
-const DETECTION: Duration = Duration::from_secs(3);
+const DETECTION_DELAY: Duration = Duration::from_secs(3);
 
 impl World {
     pub(crate) fn kill(&mut self, idx: usize) {
-        self.hosts[idx].power = Power::Off;
+        self.hosts[idx].run_state = RunState::Killed;
         self.hosts[idx].inbox.clear();
         let lost: Vec<RequestId> = self
             .calls
@@ -23,7 +23,7 @@
         for request in lost {
             self.end(&request, Reply::Lost);
         }
-        self.look_soon();
+        self.schedule_view_updates();
     }
 
     /// Starts a new process of a killed host, without state and under a new incarnation.
@@ -34,19 +34,19 @@
     }
 
     pub(crate) fn freeze(&mut self, idx: usize) {
-        if self.hosts[idx].power == Power::On {
-            self.hosts[idx].power = Power::Frozen;
-            self.look_soon();
+        if self.hosts[idx].run_state == RunState::Running {
+            self.hosts[idx].run_state = RunState::Frozen;
+            self.schedule_view_updates();
         }
     }
 
     /// Resumes a host. It handles the events that waited, in order.
     pub(crate) fn thaw(&mut self, idx: usize) {
-        if self.hosts[idx].power != Power::Frozen {
+        if self.hosts[idx].run_state != RunState::Frozen {
             return;
         }
-        self.hosts[idx].power = Power::On;
-        self.look_soon();
+        self.hosts[idx].run_state = RunState::Running;
+        self.schedule_view_updates();
         for event in std::mem::take(&mut self.hosts[idx].inbox) {
             let to = self.hosts[idx].incarnation;
             self.feed(to, event);
@@ -55,43 +55,46 @@
 
     pub(crate) fn drain(&mut self, idx: usize) {
         self.hosts[idx].state = ledger::State::Leaving;
-        self.look_now();
+        self.update_all_views();
         let to = self.hosts[idx].incarnation;
         self.feed(to, Event::Drain);
     }
 
-    pub(crate) fn cut(&mut self, one: usize, other: usize) {
-        self.cuts.insert((one, other));
-        self.look_soon();
+    pub(crate) fn disconnect(&mut self, one: usize, other: usize) {
+        self.disconnected.insert((one, other));
+        self.schedule_view_updates();
     }
 
-    pub(crate) fn mend(&mut self) {
-        self.cuts.clear();
-        self.look_soon();
+    pub(crate) fn reconnect(&mut self) {
+        self.disconnected.clear();
+        self.schedule_view_updates();
     }
 
-    pub(super) fn look_soon(&mut self) {
+    pub(super) fn schedule_view_updates(&mut self) {
         for idx in 0..self.hosts.len() {
-            self.at(DETECTION, Happening::Look(idx));
+            self.schedule(DETECTION_DELAY, Scheduled::UpdateView(idx));
         }
     }
 
-    pub(super) fn look_now(&mut self) {
+    pub(super) fn update_all_views(&mut self) {
         for idx in 0..self.hosts.len() {
-            self.look(idx);
+            self.update_view(idx);
         }
     }
 
     /// Reports to a host which other hosts are reachable.
-    pub(super) fn look(&mut self, idx: usize) {
+    pub(super) fn update_view(&mut self, idx: usize) {
         let me = &self.hosts[idx];
         let peers: Vec<_> = self
             .hosts
             .iter()
             .enumerate()
-            .filter(|(_, host)| host.power == Power::On && host.incarnation != me.incarnation)
+            .filter(|(_, host)| {
+                host.run_state == RunState::Running && host.incarnation != me.incarnation
+            })
             .filter(|(other, _)| {
-                !self.cuts.contains(&(idx, *other)) && !self.cuts.contains(&(*other, idx))
+                !self.disconnected.contains(&(idx, *other))
+                    && !self.disconnected.contains(&(*other, idx))
             })
             .map(|(_, host)| host.as_peer())
             .collect();
@@ -101,14 +104,14 @@
 
     /// Gives a running process a new incarnation.
     pub(crate) fn renew(&mut self, idx: usize) {
-        self.incarnations += 1;
-        let me = Incarnation(self.incarnations);
+        self.last_incarnation += 1;
+        let me = Incarnation(self.last_incarnation);
         let before = self.hosts[idx].incarnation;
         self.hosts[idx].incarnation = me;
-        for happening in self.queue.values_mut() {
+        for scheduled in self.queue.values_mut() {
             // The process is the same, so its timers and table responses must still reach it.
-            match happening {
-                Happening::Event(to, _) | Happening::Tick(to) | Happening::Write(to, ..)
+            match scheduled {
+                Scheduled::Event(to, _) | Scheduled::Tick(to) | Scheduled::Write(to, ..)
                     if *to == before =>
                 {
                     *to = me;
@@ -117,6 +120,6 @@
             }
         }
         self.handle(idx, Event::Renew { me });
-        self.look_now();
+        self.update_all_views();
     }
 }
--- a/crates/ledger/tests/sim/holders.rs
+++ b/crates/ledger/tests/sim/holders.rs
@@ -18,7 +18,7 @@
 
 impl Holders {
     /// Updates the holders by a message that is being delivered.
-    pub(crate) fn note(&mut self, from: Incarnation, to: Incarnation, message: &Message) {
+    pub(crate) fn observe(&mut self, from: Incarnation, to: Incarnation, message: &Message) {
         match message {
             Message::Copy { batch, records } => {
                 for record in records {
--- a/crates/ledger/tests/sim/host.rs
+++ b/crates/ledger/tests/sim/host.rs
@@ -5,14 +5,14 @@
 
 /// The run state of a host's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Power {
-    On,
+pub(crate) enum RunState {
+    Running,
     /// Suspended; events wait until it resumes.
     Frozen,
     /// Exited after a drain.
-    Left,
+    Exited,
     /// Killed.
-    Off,
+    Killed,
 }
 
 /// A simulated host.
@@ -22,12 +22,12 @@
     pub(crate) data_centre: DataCentre,
     pub(crate) incarnation: Incarnation,
     pub(crate) ledger: Ledger,
-    pub(crate) power: Power,
+    pub(crate) run_state: RunState,
     pub(crate) inbox: Vec<Event>,
     pub(crate) state: State,
     pub(crate) tuning: Tuning,
     /// Whether it takes a new incarnation as soon as it is fenced.
-    pub(crate) renews: bool,
+    pub(crate) renews_when_fenced: bool,
 }
 
 impl Host {
@@ -43,16 +43,16 @@
             ledger: Ledger::new(incarnation, data_centre.clone(), tuning.clone()),
             data_centre,
             incarnation,
-            power: Power::On,
+            run_state: RunState::Running,
             inbox: Vec::new(),
             state: State::Live,
             tuning,
-            renews: true,
+            renews_when_fenced: true,
         }
     }
 
     pub(crate) fn is_gone(&self) -> bool {
-        matches!(self.power, Power::Left | Power::Off)
+        matches!(self.run_state, RunState::Exited | RunState::Killed)
     }
 
     pub(crate) fn as_peer(&self) -> Peer {
--- a/crates/ledger/tests/sim/table.rs
+++ b/crates/ledger/tests/sim/table.rs
@@ -23,9 +23,9 @@
     pub(crate) rows: BTreeMap<String, (u64, String)>,
     pub(crate) mode: Mode,
     /// The number of next writes that are applied while their responses are lost.
-    pub(crate) lose: u32,
+    pub(crate) lost_responses: u32,
     /// The number of next writes that are applied after their clients gave up.
-    pub(crate) late: u32,
+    pub(crate) late_writes: u32,
     versions: u64,
 }
 
--- a/crates/ledger/tests/sim/traffic.rs
+++ b/crates/ledger/tests/sim/traffic.rs
@@ -6,10 +6,10 @@
 use kernel::{Incarnation, RequestId};
 use ledger::{End, Event, Forward, Via};
 
-use super::{Call, Execution, Happening, NETWORK, Power, Reply, World};
+use super::{Call, Execution, NETWORK_DELAY, Reply, RunState, Scheduled, World};
 
 /// Timeout of a forwarded call.
-const FORWARD_PATIENCE: Duration = Duration::from_secs(2);
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl World {
     /// Delivers a call to a host.
@@ -25,12 +25,12 @@
     }
 
     pub(super) fn forward(&mut self, idx: usize, request: &RequestId, home: Incarnation) {
-        self.say(
+        self.log(
             idx,
             format_args!("forwards {request} to {}", self.name(home)),
         );
         let me = self.hosts[idx].incarnation;
-        self.at(FORWARD_PATIENCE, Happening::Forwarded(request.to_string()));
+        self.schedule(FORWARD_TIMEOUT, Scheduled::Forwarded(request.to_string()));
         let Some(to) = self.find(home).filter(|_| self.connected(me, home)) else {
             return;
         };
@@ -46,7 +46,10 @@
             result: None,
         };
         self.calls.insert(arrival.request.to_string(), call);
-        self.at(NETWORK, Happening::Event(home, Event::Arrive(arrival)));
+        self.schedule(
+            NETWORK_DELAY,
+            Scheduled::Event(home, Event::Arrive(arrival)),
+        );
     }
 
     pub(super) fn forward_failed(&mut self, request: &str) {
@@ -78,7 +81,8 @@
             return;
         };
         let (from, to) = (host, self.calls[&origin].host);
-        let cut = self.cuts.contains(&(from, to)) || self.cuts.contains(&(to, from));
+        let cut =
+            self.disconnected.contains(&(from, to)) || self.disconnected.contains(&(to, from));
         if cut || reply == Reply::Lost || self.hosts[to].is_gone() {
             return;
         }
@@ -91,7 +95,7 @@
         let call = &self.calls[request];
         assert!(call.permitted.is_some(), "{request} isn't permitted");
         let idx = call.host;
-        if self.hosts[idx].power != Power::On {
+        if self.hosts[idx].run_state != RunState::Running {
             return;
         }
         let key = call.identity();
@@ -109,7 +113,7 @@
     }
 
     /// Sends an attempt of a permitted call, which the service refuses without executing it.
-    pub(crate) fn bounce(&mut self, request: &str) {
+    pub(crate) fn refuse_attempt(&mut self, request: &str) {
         let to = self.hosts[self.calls[request].host].incarnation;
         let request = RequestId::from(request);
         self.feed(
