--- a/crates/barleypind/src/call/forward.rs
+++ b/crates/barleypind/src/call/forward.rs
@@ -7,7 +7,7 @@
 use gate::ticket;
 use http::{Body, Headers, Method, Options, Request, Response};
 use kernel::Incarnation;
-use ledger::{Event, Forward, Via};
+use ledger::{Event, ForwardResult, Via};
 
 use super::Call;
 use crate::context::Context;
@@ -54,8 +54,8 @@
 ) -> Response {
     let answer = ask(&cx, original, body, home).await;
     let end = match &answer {
-        Ok(_) => Forward::Relayed,
-        Err(_) => Forward::Failed,
+        Ok(_) => ForwardResult::Relayed,
+        Err(_) => ForwardResult::Failed,
     };
     let request = call.request.clone();
     cx.books.handle(Event::Forwarded { request, end });
--- a/crates/barleypind/src/call/run.rs
+++ b/crates/barleypind/src/call/run.rs
@@ -163,7 +163,7 @@
             priority: attempt::priority(dispatch.priority),
         };
         let request = self.call.request.clone();
-        cx.books.handle(ledger::Event::Sending { request });
+        cx.books.handle(ledger::Event::AttemptSending { request });
         let times = self.times(dispatch.timeout);
         let version = dispatch.version.clone();
         let progress = self
@@ -294,7 +294,7 @@
         }
         if end.outcome.not_run() {
             let request = self.call.request.clone();
-            cx.books.handle(ledger::Event::Returned { request });
+            cx.books.handle(ledger::Event::AttemptNotRun { request });
         }
         self.last_failure = Some(retry(end.outcome));
         if let Some(at) = self.position(id) {
--- a/crates/barleypind/src/call/start.rs
+++ b/crates/barleypind/src/call/start.rs
@@ -280,9 +280,9 @@
         key: call.headers.key.clone(),
         ticket,
         fingerprint: fingerprint(original, body),
-        repeat: match work.repeat() {
-            Repeat::Idempotent => ledger::Repeat::Idempotent,
-            Repeat::AtMostOnce => ledger::Repeat::NonIdempotent,
+        retry_policy: match work.repeat() {
+            Repeat::Idempotent => ledger::RetryPolicy::Idempotent,
+            Repeat::AtMostOnce => ledger::RetryPolicy::AtMostOnce,
         },
         via: original.via(host),
     })
--- a/crates/barleypind/src/service/fleet.rs
+++ b/crates/barleypind/src/service/fleet.rs
@@ -283,8 +283,8 @@
                     Reach::Far
                 },
                 state: match it.state {
-                    State::Leaving => ledger::State::Leaving,
-                    _ => ledger::State::Live,
+                    State::Leaving => ledger::PeerState::Leaving,
+                    _ => ledger::PeerState::Live,
                 },
             })
             .collect();
--- a/crates/barleypind/src/service/ledger.rs
+++ b/crates/barleypind/src/service/ledger.rs
@@ -9,7 +9,7 @@
 use futures::channel::oneshot;
 use kernel::{Incarnation, RequestId};
 use ledger::{
-    Action, Arrival, End, Event, Message, Outcome, Refusal, Run, Safety, Serial, Status, Tuning,
+    Action, Arrival, Durability, End, Event, Message, Outcome, Refusal, Run, Serial, Status, Tuning,
 };
 
 use crate::event::Event as Logged;
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Closing {
     /// The end of the answer may go out.
-    Release(Safety),
+    Release(Durability),
     /// There is no answer; this is what the refusal says.
     Close(Run),
 }
@@ -169,11 +169,14 @@
                 Action::Refuse { request, refusal } => {
                     self.admit(&request, Admission::Refuse(refusal));
                 }
-                Action::Release { request, safety } => {
-                    if safety == Safety::SingleCopy {
+                Action::Release {
+                    request,
+                    durability,
+                } => {
+                    if durability == Durability::SingleCopy {
                         host.log.emit(Logged::RecordAlone, &[("request", &request)]);
                     }
-                    self.close(&request, Closing::Release(safety));
+                    self.close(&request, Closing::Release(durability));
                 }
                 Action::Close { request, run } => self.close(&request, Closing::Close(run)),
                 Action::Send { to, message } => send(errands, Errand::Send(to, message)),
--- a/crates/barleypind/src/service/rollout/orders.rs
+++ b/crates/barleypind/src/service/rollout/orders.rs
@@ -54,7 +54,7 @@
         // An order that takes longer is given up, so that the next holder
         // knows when none of this one's can be on its way any more.
         let options = Options {
-            total: Tuning::default().order_bound,
+            total: Tuning::default().order_timeout,
             ..Options::default()
         };
         self.ordered.insert(name, now);
--- a/crates/barleypind/src/tuning.rs
+++ b/crates/barleypind/src/tuning.rs
@@ -29,7 +29,7 @@
         batch_records: it.batch_records,
         held_records: it.held_records,
         copy_timeout: it.partner,
-        key_linger: it.remember,
+        key_retention: it.remember,
         fence_after: it.fence_after,
         ..ledger::Tuning::default()
     }
--- a/crates/ledger/src/action.rs
+++ b/crates/ledger/src/action.rs
@@ -44,7 +44,7 @@
         /// The request that was answered.
         request: RequestId,
         /// Where the billing record is stored.
-        safety: Safety,
+        durability: Durability,
     },
     /// Close a permitted request that ended without a response.
     Close {
@@ -102,7 +102,7 @@
 
 /// Where the billing record of a request is stored when the end of its response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Safety {
+pub enum Durability {
     /// On this host and on a host in another data centre.
     TwoDataCentres,
     /// On this host and on another host in the same data centre.
--- a/crates/ledger/src/admission.rs
+++ b/crates/ledger/src/admission.rs
@@ -18,7 +18,7 @@
 use crate::pending::{PendingRecords, Waiter};
 use crate::registry::{Entry, EntryKey, KeyRegistry, State};
 use crate::timers::Timer;
-use crate::{Action, Arrival, End, Forward, Reason, Repeat, Run, Serial, Via};
+use crate::{Action, Arrival, End, ForwardResult, Reason, RetryPolicy, Run, Serial, Via};
 
 /// Interval between checks for expired keys.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
@@ -58,25 +58,25 @@
             Scope::Keyless => None,
             _ => self.registry.find(&call.key),
         };
-        let (scope, repeat) = (call.scope, call.repeat);
+        let (scope, retry_policy) = (call.scope, call.retry_policy);
         let call = self.calls.add(call);
         if let Some(entry) = found {
             return self.handle_known_key(cx, view, entry, call);
         }
-        match (scope, repeat) {
+        match (scope, retry_policy) {
             (Scope::Keyless, _) => self.start_unremembered(cx, view, call),
             (Scope::Home { expires } | Scope::Foreign { expires }, _) if expires <= cx.now => {
                 // The home may have run the key and forgotten it since.
                 self.refuse(cx, call, Reason::HolderGone, Run::Unknown);
             }
             (Scope::Home { expires }, _) => self.start_at_home(cx, view, call, expires),
-            (Scope::Foreign { .. } | Scope::Unticketed, Repeat::Idempotent) => {
+            (Scope::Foreign { .. } | Scope::Unticketed, RetryPolicy::Idempotent) => {
                 self.start_unremembered(cx, view, call);
             }
-            (Scope::Foreign { .. }, Repeat::NonIdempotent) => {
+            (Scope::Foreign { .. }, RetryPolicy::AtMostOnce) => {
                 self.forward_or_look_up(cx, view, call);
             }
-            (Scope::Unticketed, Repeat::NonIdempotent) => self.claim(cx, view, call),
+            (Scope::Unticketed, RetryPolicy::AtMostOnce) => self.claim(cx, view, call),
         }
     }
 
@@ -103,7 +103,7 @@
             let run = self.run_state(call);
             return self.refuse(cx, call, reason, run);
         }
-        let expires = expires + cx.shared.tuning.key_linger;
+        let expires = expires + cx.shared.tuning.key_retention;
         if let Some(entry) = self.remember(cx, call, State::Runnable, expires) {
             self.start(cx, call, Some(entry));
         }
@@ -138,7 +138,7 @@
         call.entry = Some(entry);
         if let Scope::Home { expires } = call.scope {
             // A newer ticket of this host extends the time in which the key may be used.
-            let until = expires + cx.shared.tuning.key_linger;
+            let until = expires + cx.shared.tuning.key_retention;
             self.registry.extend(entry, until);
         }
         self.decide_known_key(cx, view, entry, key);
@@ -154,8 +154,8 @@
         let (Some(it), Some(call)) = (self.registry.get_mut(entry), self.calls.get(key)) else {
             return;
         };
-        let repeat = call.repeat;
-        if repeat == Repeat::NonIdempotent && it.fingerprint != call.fingerprint {
+        let retry_policy = call.retry_policy;
+        if retry_policy == RetryPolicy::AtMostOnce && it.fingerprint != call.fingerprint {
             // Once the claim is settled, the other body is the only one that can have run under the
             // key.
             let run = if it.state == State::Claiming {
@@ -165,22 +165,22 @@
             };
             return self.refuse(cx, key, Reason::KeyReused, run);
         }
-        match (it.state.clone(), repeat) {
+        match (it.state.clone(), retry_policy) {
             (State::Answered(Some(outcome)), _) => {
                 let billed = it.billed.unwrap_or_default();
                 self.replay(cx, view, key, billed, outcome);
             }
             (State::Runnable, _) => self.start_runnable(cx, view, entry, key),
-            (_, Repeat::Idempotent) => self.start_idempotent(cx, view, entry, key),
-            (State::Claiming | State::Running, Repeat::NonIdempotent) => {
+            (_, RetryPolicy::Idempotent) => self.start_idempotent(cx, view, entry, key),
+            (State::Claiming | State::Running, RetryPolicy::AtMostOnce) => {
                 if it.waiters.len() < cx.shared.tuning.waiters {
                     it.waiters.push_back(key);
                 } else {
                     self.refuse(cx, key, Reason::InProgress, Run::Unknown);
                 }
             }
-            (State::Answered(None), Repeat::NonIdempotent) => self.read_outcome(cx, key),
-            (State::Unknown, Repeat::NonIdempotent) => {
+            (State::Answered(None), RetryPolicy::AtMostOnce) => self.read_outcome(cx, key),
+            (State::Unknown, RetryPolicy::AtMostOnce) => {
                 self.refuse(cx, key, Reason::UpstreamFailed, Run::Unknown);
             }
         }
@@ -218,7 +218,7 @@
         call.entry = entry;
         if let Some(it) = entry.and_then(|entry| self.registry.get_mut(entry)) {
             it.running += 1;
-            if call.repeat == Repeat::NonIdempotent {
+            if call.retry_policy == RetryPolicy::AtMostOnce {
                 it.state = State::Running;
             }
         }
@@ -276,15 +276,15 @@
     }
 
     /// Handles the result of a forwarded call.
-    pub(crate) fn forwarded(&mut self, cx: &mut Context, request: &RequestId, end: Forward) {
+    pub(crate) fn forwarded(&mut self, cx: &mut Context, request: &RequestId, end: ForwardResult) {
         let Some(key) = self.find(request, |call| call.stage == Stage::Forwarded) else {
             return;
         };
         match end {
-            Forward::Relayed => {
+            ForwardResult::Relayed => {
                 self.calls.remove(key);
             }
-            Forward::Failed => self.read_outcome(cx, key),
+            ForwardResult::Failed => self.read_outcome(cx, key),
         }
     }
 
--- a/crates/ledger/src/admission/adopt.rs
+++ b/crates/ledger/src/admission/adopt.rs
@@ -91,7 +91,7 @@
         let serial = pending.add(cx, record, WritePath::Batch, adopter);
         entry.billed = Some(serial);
         self.registry
-            .add(entry, cx.now + cx.shared.tuning.key_linger);
+            .add(entry, cx.now + cx.shared.tuning.key_retention);
         cx.arm(EXPIRY_INTERVAL, Timer::ExpireKeys);
         AdoptionResult::Accepted
     }
--- a/crates/ledger/src/admission/claim.rs
+++ b/crates/ledger/src/admission/claim.rs
@@ -18,7 +18,7 @@
             // Another host may have run the key before, and only the table knows.
             return self.refuse(cx, key, reason, Run::Unknown);
         }
-        let expires = cx.now + cx.shared.tuning.key_linger;
+        let expires = cx.now + cx.shared.tuning.key_retention;
         let Some(entry) = self.remember(cx, key, State::Claiming, expires) else {
             return;
         };
--- a/crates/ledger/src/admission/finish.rs
+++ b/crates/ledger/src/admission/finish.rs
@@ -7,16 +7,18 @@
 use crate::context::Context;
 use crate::pending::{Waiter, WritePath};
 use crate::registry::{EntryKey, State};
-use crate::{Action, Charge, End, Outcome, Reason, Record, Repeat, Replay, Run, Safety, Serial};
+use crate::{
+    Action, Charge, Durability, End, Outcome, Reason, Record, Replay, RetryPolicy, Run, Serial,
+};
 
 impl Admission {
     /// Counts an attempt that is about to be sent.
-    pub(crate) fn sending(&mut self, request: &RequestId) {
+    pub(crate) fn attempt_sending(&mut self, request: &RequestId) {
         self.count_sent(request, u32::checked_add);
     }
 
     /// Subtracts an attempt that is proved not to have run.
-    pub(crate) fn returned(&mut self, request: &RequestId) {
+    pub(crate) fn attempt_not_run(&mut self, request: &RequestId) {
         self.count_sent(request, u32::checked_sub);
     }
 
@@ -86,14 +88,14 @@
             if view.pending.wait(serial, waiter).is_err() {
                 cx.push(Action::Release {
                     request: call.request.clone(),
-                    safety: Safety::Billed,
+                    durability: Durability::Billed,
                 });
             }
             serial
         } else {
             view.pending.add(cx, record, write_path, vec![waiter])
         };
-        self.record_response(cx, entry, serial, call.repeat, outcome.clone());
+        self.record_response(cx, entry, serial, call.retry_policy, outcome.clone());
         self.respond_to_waiters(cx, view, entry, serial, outcome.as_ref());
     }
 
@@ -102,13 +104,13 @@
         cx: &Context,
         entry: EntryKey,
         serial: Serial,
-        repeat: Repeat,
+        retry_policy: RetryPolicy,
         outcome: Option<Outcome>,
     ) {
         if let Some(it) = self.registry.get_mut(entry) {
             it.billed = Some(serial);
         }
-        if outcome.is_some() || repeat == Repeat::NonIdempotent {
+        if outcome.is_some() || retry_policy == RetryPolicy::AtMostOnce {
             let total = cx.shared.tuning.outcome_total;
             self.registry.store_response(entry, outcome, total);
         }
@@ -144,7 +146,7 @@
         let Some(entry) = call.entry else {
             return;
         };
-        if call.repeat == Repeat::Idempotent {
+        if call.retry_policy == RetryPolicy::Idempotent {
             return;
         }
         if sent {
@@ -184,7 +186,7 @@
 
 fn to_record(maker: Incarnation, call: &Call, charge: Charge, outcome: Option<Outcome>) -> Record {
     let keyed = call.scope != Scope::Keyless;
-    let replay = (keyed && call.repeat == Repeat::NonIdempotent).then_some(Replay {
+    let replay = (keyed && call.retry_policy == RetryPolicy::AtMostOnce).then_some(Replay {
         fingerprint: call.fingerprint,
         outcome,
     });
--- a/crates/ledger/src/arrival.rs
+++ b/crates/ledger/src/arrival.rs
@@ -25,7 +25,7 @@
     /// The hash of path and body, which detects a key that is reused for another body.
     pub fingerprint: Fingerprint,
     /// Whether the request may run a second time.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// The sender of the call.
     pub via: Via,
 }
@@ -38,11 +38,11 @@
 
 /// Whether a request may run a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// A second run is harmless, and both runs are billed once.
     Idempotent,
     /// It runs at most once, such as a booking.
-    NonIdempotent,
+    AtMostOnce,
 }
 
 /// The sender of a call.
--- a/crates/ledger/src/calls.rs
+++ b/crates/ledger/src/calls.rs
@@ -9,7 +9,7 @@
 
 use crate::registry::{Entry, EntryKey, KeyRegistry};
 use crate::rows::NO_HOME;
-use crate::{Arrival, Fingerprint, Repeat, Run, Serial, Via};
+use crate::{Arrival, Fingerprint, RetryPolicy, Run, Serial, Via};
 
 new_key_type! {
     /// Identifies a call.
@@ -23,7 +23,7 @@
     pub(crate) key: RequestKey,
     pub(crate) scope: Scope,
     pub(crate) fingerprint: Fingerprint,
-    pub(crate) repeat: Repeat,
+    pub(crate) retry_policy: RetryPolicy,
     pub(crate) via: Via,
     /// The lowest serial that a record of the key can have in the home's batches.
     pub(crate) floor: Serial,
@@ -89,7 +89,7 @@
             key,
             scope,
             fingerprint: arrival.fingerprint,
-            repeat: arrival.repeat,
+            retry_policy: arrival.retry_policy,
             via: arrival.via,
             floor,
             entry: None,
@@ -103,11 +103,11 @@
     /// key has no other arrival, and a key that this host decides about runs nowhere else. An
     /// idempotent call may run at any host, so nothing can be proved about it.
     pub(crate) fn run_state(&self, registry: &KeyRegistry) -> Run {
-        let decided = match (self.scope, self.repeat) {
+        let decided = match (self.scope, self.retry_policy) {
             (Scope::Keyless, _) => return Run::NotRun,
-            (_, Repeat::Idempotent) => false,
-            (Scope::Home { .. }, Repeat::NonIdempotent) => true,
-            (Scope::Foreign { .. } | Scope::Unticketed, Repeat::NonIdempotent) => {
+            (_, RetryPolicy::Idempotent) => false,
+            (Scope::Home { .. }, RetryPolicy::AtMostOnce) => true,
+            (Scope::Foreign { .. } | Scope::Unticketed, RetryPolicy::AtMostOnce) => {
                 self.entry.is_some()
             }
         };
@@ -132,12 +132,12 @@
 /// separator is `~`, because `/` separates the parts of a row's key. A `~` in the caller's key is
 /// doubled, so that a key of an at-most-once call can't equal the name of an idempotent one.
 fn name(arrival: &Arrival) -> Arc<str> {
-    match (&arrival.key, arrival.repeat) {
+    match (&arrival.key, arrival.retry_policy) {
         (None, _) => arrival.request.as_str().into(),
-        (Some(key), Repeat::Idempotent) => {
+        (Some(key), RetryPolicy::Idempotent) => {
             format!("{}~{}", escape(key), arrival.fingerprint).into()
         }
-        (Some(key), Repeat::NonIdempotent) => escape(key),
+        (Some(key), RetryPolicy::AtMostOnce) => escape(key),
     }
 }
 
--- a/crates/ledger/src/core.rs
+++ b/crates/ledger/src/core.rs
@@ -57,8 +57,8 @@
         };
         match event {
             Event::Arrive(arrival) => self.admission.arrive(cx, &mut view, arrival),
-            Event::Sending { request } => self.admission.sending(&request),
-            Event::Returned { request } => self.admission.returned(&request),
+            Event::AttemptSending { request } => self.admission.attempt_sending(&request),
+            Event::AttemptNotRun { request } => self.admission.attempt_not_run(&request),
             Event::Finished { request, end } => self.admission.finish(cx, &mut view, &request, end),
             Event::Cancelled { request } => self.admission.cancel(cx, &mut view, &request),
             Event::Forwarded { request, end } => self.admission.forwarded(cx, &request, end),
@@ -181,11 +181,13 @@
                 self.watch_owner(cx, from);
             }
             Message::Copied { batch } => self.pending.confirm(cx, &self.peers, from, batch),
-            Message::Full { batch } => self.pending.copy_refused(cx, &mut self.peers, from, batch),
+            Message::CopyRefused { batch } => {
+                self.pending.copy_refused(cx, &mut self.peers, from, batch);
+            }
             Message::Release { below, serials } => {
                 self.received_copies.release(from, below, &serials);
             }
-            Message::Holds { serials } => self.pending.handle_copy_query(cx, from, serials),
+            Message::QueryCopies { serials } => self.pending.handle_copy_query(cx, from, serials),
             Message::Adopt { records } => {
                 self.admission.adopt(cx, &mut self.pending, from, records);
             }
--- a/crates/ledger/src/event.rs
+++ b/crates/ledger/src/event.rs
@@ -10,12 +10,12 @@
     /// A call arrived, from a caller or from another host.
     Arrive(Arrival),
     /// An attempt is about to be sent. Reported before the first byte is written.
-    Sending {
+    AttemptSending {
         /// A permitted request.
         request: RequestId,
     },
     /// An attempt is proved not to have run: nothing was sent, or the endpoint refused it.
-    Returned {
+    AttemptNotRun {
         /// A permitted request.
         request: RequestId,
     },
@@ -37,7 +37,7 @@
         /// The request of [`crate::Action::Forward`].
         request: RequestId,
         /// The result of forwarding.
-        end: Forward,
+        end: ForwardResult,
     },
     /// The other live hosts. Reported after each change.
     Hosts(Vec<Peer>),
@@ -98,7 +98,7 @@
 
 /// The result of forwarding a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Forward {
+pub enum ForwardResult {
     /// The home responded, and its response was relayed to the caller.
     Relayed,
     /// The home didn't respond.
--- a/crates/ledger/src/lease/state.rs
+++ b/crates/ledger/src/lease/state.rs
@@ -241,11 +241,11 @@
         pending: Pending,
         actions: &mut Vec<Action>,
     ) {
-        let deadline = pending.started + self.tuning.length.saturating_sub(self.tuning.margin);
+        let deadline = pending.started + self.tuning.duration.saturating_sub(self.tuning.margin);
         self.lost.clear();
         let settling = match &self.held {
             Some(held) if held.row.fencing == pending.row.fencing => held.settling,
-            _ if pending.takes_over => Settling::Until(now + self.tuning.order_bound),
+            _ if pending.takes_over => Settling::Until(now + self.tuning.order_timeout),
             _ => Settling::Done,
         };
         self.seen = Some(Seen {
@@ -306,7 +306,7 @@
     /// The time at which the lease of the holder that was last seen has surely expired.
     fn safe_expiry(&self) -> Option<Duration> {
         let seen = self.seen.as_ref()?;
-        Some(seen.since + self.tuning.length + self.tuning.margin)
+        Some(seen.since + self.tuning.duration + self.tuning.margin)
     }
 
     /// Returns the condition and the fencing number of a takeover, and whether it replaces another
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -35,13 +35,13 @@
 mod timers;
 mod tuning;
 
-pub use action::{Action, Safety};
-pub use arrival::{Arrival, Fingerprint, Repeat, Via};
-pub use event::{End, Event, Forward};
+pub use action::{Action, Durability};
+pub use arrival::{Arrival, Fingerprint, RetryPolicy, Via};
+pub use event::{End, Event, ForwardResult};
 pub use ledger::Ledger;
 pub use message::Message;
 pub use outcome::Outcome;
-pub use peer::{Peer, Reach, State};
+pub use peer::{Peer, PeerState, Reach};
 pub use record::{Charge, Record, Replay, Serial};
 pub use refusal::{Reason, Refusal, Run};
 pub use status::{Counters, Status};
--- a/crates/ledger/src/measure/pair.rs
+++ b/crates/ledger/src/measure/pair.rs
@@ -9,8 +9,8 @@
 
 use crate::table::{Transaction, Written};
 use crate::{
-    Action, Arrival, Charge, End, Event, Fingerprint, Ledger, Message, Peer, Reach, Repeat, State,
-    Ticket, Tuning, Via,
+    Action, Arrival, Charge, End, Event, Fingerprint, Ledger, Message, Peer, PeerState, Reach,
+    RetryPolicy, Ticket, Tuning, Via,
 };
 
 const HOST: Incarnation = Incarnation(0x5eed_0000_0000_0001);
@@ -89,7 +89,7 @@
             self.run_call(Arrival {
                 key: Some(format!("3f2504e0-4f89-41d3-9a0c-{idx:012}").into()),
                 ticket: Some(ticket),
-                repeat: Repeat::NonIdempotent,
+                retry_policy: RetryPolicy::AtMostOnce,
                 ..arrival(request)
             });
             self.advance(DELAY);
@@ -114,7 +114,7 @@
     fn run_call(&mut self, arrival: Arrival) {
         let request = arrival.request.clone();
         self.handle_event(HOST, Event::Arrive(arrival));
-        let sending = Event::Sending {
+        let sending = Event::AttemptSending {
             request: request.clone(),
         };
         self.handle_event(HOST, sending);
@@ -204,7 +204,7 @@
     let mut peers = vec![peer(PARTNER, "dar-2")];
     for idx in 2..hosts as u64 {
         peers.push(Peer {
-            state: State::Leaving,
+            state: PeerState::Leaving,
             ..peer(Incarnation(HOST.0 + idx), "dar-3")
         });
     }
@@ -216,7 +216,7 @@
         incarnation,
         data_centre: DataCentre::from(data_centre),
         reach: Reach::Near,
-        state: State::Live,
+        state: PeerState::Live,
     }
 }
 
@@ -228,7 +228,7 @@
         key: None,
         ticket: None,
         fingerprint: Fingerprint(0),
-        repeat: Repeat::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         via: Via::Caller,
     }
 }
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -20,7 +20,7 @@
         batch: u64,
     },
     /// The records of a [`Message::Copy`] are refused, for lack of room or because of a shutdown.
-    Full {
+    CopyRefused {
         /// The refused message.
         batch: u64,
     },
@@ -33,7 +33,7 @@
     },
     /// Asks which of these copies of the receiver's records are still needed. The sender has stored
     /// them for long, and a release may have been lost.
-    Holds {
+    QueryCopies {
         /// The serials of the records.
         serials: Vec<Serial>,
     },
--- a/crates/ledger/src/peer.rs
+++ b/crates/ledger/src/peer.rs
@@ -12,7 +12,7 @@
     /// Its distance from this host.
     pub reach: Reach,
     /// Whether it is shutting down.
-    pub state: State,
+    pub state: PeerState,
 }
 
 /// The distance of another host.
@@ -26,7 +26,7 @@
 
 /// Whether another host is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum PeerState {
     /// It isn't shutting down.
     Live,
     /// It is shutting down and accepts no copies.
--- a/crates/ledger/src/peers.rs
+++ b/crates/ledger/src/peers.rs
@@ -6,7 +6,7 @@
 
 use kernel::{DataCentre, Incarnation};
 
-use crate::{Peer, State};
+use crate::{Peer, PeerState};
 
 /// Time for which the disappearance of a host is remembered.
 const GONE_RETENTION: Duration = Duration::from_hours(1);
@@ -44,7 +44,7 @@
     pub(crate) fn accepts_copies(&self, incarnation: Incarnation) -> bool {
         self.live
             .get(&incarnation)
-            .is_some_and(|peer| peer.state == State::Live)
+            .is_some_and(|peer| peer.state == PeerState::Live)
     }
 
     pub(crate) fn data_centre(&self, incarnation: Incarnation) -> Option<&DataCentre> {
@@ -60,7 +60,7 @@
     pub(crate) fn accepting_count(&self) -> usize {
         self.live
             .values()
-            .filter(|peer| peer.state == State::Live)
+            .filter(|peer| peer.state == PeerState::Live)
             .count()
     }
 
@@ -97,7 +97,7 @@
     ) -> Option<Incarnation> {
         self.live
             .values()
-            .filter(|peer| peer.state == State::Live && peer.incarnation != me)
+            .filter(|peer| peer.state == PeerState::Live && peer.incarnation != me)
             .filter(|peer| !except.contains(&peer.incarnation))
             .filter(|peer| {
                 self.avoided
--- a/crates/ledger/src/pending.rs
+++ b/crates/ledger/src/pending.rs
@@ -9,7 +9,7 @@
 
 use crate::context::Context;
 use crate::timers::Timer;
-use crate::{Action, Message, Record, Safety, Serial};
+use crate::{Action, Durability, Message, Record, Serial};
 
 use copies::CopyInFlight;
 pub(crate) use record::{PendingRecord, SettlementPhase, Waiter, WritePath};
@@ -195,7 +195,7 @@
         record.waiting = callers;
         if !record.waiting.is_empty() {
             cx.shared.counters.single_copy += 1;
-            release(cx, record, Safety::SingleCopy);
+            release(cx, record, Durability::SingleCopy);
         }
         // The host that ran the work waits on: no caller waits for its record, and it keeps the
         // record until this host has a second copy.
@@ -224,7 +224,7 @@
             cx.shared.timers.disarm(Timer::ReleaseTimeout(serial));
             self.remove_from_path(serial, record.write_path);
             self.outcome_bytes -= record.encoded.outcome_bytes();
-            release(cx, &mut record, Safety::Table);
+            release(cx, &mut record, Durability::Table);
             for holder in record.receivers() {
                 copies.entry(holder).or_default().push(serial);
             }
@@ -246,10 +246,13 @@
 }
 
 /// Releases everything that waits for `record` to be safe.
-fn release(cx: &mut Context, record: &mut PendingRecord, safety: Safety) {
+fn release(cx: &mut Context, record: &mut PendingRecord, durability: Durability) {
     for waiting in record.waiting.drain(..) {
         match waiting {
-            Waiter::Response(request) => cx.push(Action::Release { request, safety }),
+            Waiter::Response(request) => cx.push(Action::Release {
+                request,
+                durability,
+            }),
             Waiter::Retry(request, outcome) => {
                 cx.shared.counters.replays += 1;
                 cx.push(Action::Replay { request, outcome });
--- a/crates/ledger/src/pending/copies.rs
+++ b/crates/ledger/src/pending/copies.rs
@@ -9,7 +9,7 @@
 use crate::peers::Peers;
 use crate::pending::{PendingRecords, release};
 use crate::timers::Timer;
-use crate::{Message, Safety, Serial};
+use crate::{Durability, Message, Serial};
 
 /// Maximum number of records in one copy message.
 const MAX_COPY_RECORDS: usize = 128;
@@ -104,10 +104,10 @@
             return;
         };
         cx.shared.timers.disarm(Timer::CopyTimeout(batch));
-        let safety = if peers.data_centre(from) == Some(&cx.shared.data_centre) {
-            Safety::TwoHosts
+        let durability = if peers.data_centre(from) == Some(&cx.shared.data_centre) {
+            Durability::TwoHosts
         } else {
-            Safety::TwoDataCentres
+            Durability::TwoDataCentres
         };
         let copies_needed = copies_needed(cx);
         let mut deletable: BTreeMap<Incarnation, Vec<Serial>> = BTreeMap::new();
@@ -117,7 +117,7 @@
                 continue;
             };
             record.confirm(from);
-            release(cx, record, safety);
+            release(cx, record, durability);
             if record.confirmed() >= copies_needed {
                 for holder in record.take_unconfirmed() {
                     deletable.entry(holder).or_default().push(serial);
--- a/crates/ledger/src/received_copies.rs
+++ b/crates/ledger/src/received_copies.rs
@@ -62,7 +62,7 @@
     ) {
         let room = cx.shared.tuning.held_copies.saturating_sub(self.len);
         if records.len() > room || cx.shared.draining {
-            cx.send(from, Message::Full { batch });
+            cx.send(from, Message::CopyRefused { batch });
             return;
         }
         let bytes_left = cx.shared.tuning.outcome_total;
@@ -136,7 +136,7 @@
             let last = owner.records.last_key_value();
             owner.at_last_query = last.map_or(owner.at_last_query, |(&serial, _)| serial);
             if !serials.is_empty() && peers.is_live(to) {
-                cx.send(to, Message::Holds { serials });
+                cx.send(to, Message::QueryCopies { serials });
             }
         }
     }
--- a/crates/ledger/src/tuning.rs
+++ b/crates/ledger/src/tuning.rs
@@ -33,7 +33,7 @@
     pub keys: usize,
     /// Time for which a key is remembered after its ticket has expired or, without a ticket, after
     /// its first call.
-    pub key_linger: Duration,
+    pub key_retention: Duration,
     /// Maximum size of a response that is stored for retries, in bytes.
     pub outcome_bytes: usize,
     /// Maximum size of all stored responses, in bytes.
@@ -57,7 +57,7 @@
             claim_timeout: Duration::from_secs(2),
             retry_interval: Duration::from_millis(500),
             keys: 40_000,
-            key_linger: Duration::from_hours(1),
+            key_retention: Duration::from_hours(1),
             outcome_bytes: 8 * 1024,
             outcome_total: 8 * 1024 * 1024,
             waiters: 4,
--- a/crates/ledger/tests/pairs.rs
+++ b/crates/ledger/tests/pairs.rs
@@ -161,7 +161,7 @@
         }
         let hosts: Vec<usize> = (0..self.world.hosts.len())
             .filter(|it| !self.world.hosts[*it].is_gone())
-            .filter(|it| self.world.hosts[*it].state == ledger::State::Live)
+            .filter(|it| self.world.hosts[*it].state == ledger::PeerState::Live)
             .collect();
         if job.arrivals == 0 {
             job.get_ticket(&mut self.rng, &self.world, &hosts);
@@ -292,7 +292,7 @@
         held_copies: rng.random_range(4..100),
         copy_window: rng.random_range(1..4),
         keys: rng.random_range(8..100),
-        key_linger: Duration::from_secs(rng.random_range(1..10)),
+        key_retention: Duration::from_secs(rng.random_range(1..10)),
         outcome_bytes: rng.random_range(1..30),
         outcome_total: rng.random_range(20..200),
         waiters: rng.random_range(0..4),
--- a/crates/ledger/tests/pairs/check.rs
+++ b/crates/ledger/tests/pairs/check.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use kernel::Incarnation;
-use ledger::Repeat;
+use ledger::RetryPolicy;
 
 use super::Run;
 use crate::sim::{Call, Reply, RunState, is_not_run};
@@ -31,7 +31,7 @@
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     for execution in &run.world.executions {
         let call = &run.world.calls[&execution.request];
-        if call.arrival.repeat == Repeat::NonIdempotent {
+        if call.arrival.retry_policy == RetryPolicy::AtMostOnce {
             *counts.entry(&execution.key).or_default() += 1;
         }
     }
@@ -99,9 +99,9 @@
         return bill.ends_with(&format!("/{}", call.arrival.request));
     }
     let identity = call.identity();
-    match call.arrival.repeat {
-        Repeat::Idempotent => bill == format!("{identity}~{}", call.arrival.fingerprint),
-        Repeat::NonIdempotent => bill == identity,
+    match call.arrival.retry_policy {
+        RetryPolicy::Idempotent => bill == format!("{identity}~{}", call.arrival.fingerprint),
+        RetryPolicy::AtMostOnce => bill == identity,
     }
 }
 
--- a/crates/ledger/tests/pairs/job.rs
+++ b/crates/ledger/tests/pairs/job.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kernel::Customer;
-use ledger::{Arrival, Fingerprint, Repeat, Ticket, Via};
+use ledger::{Arrival, Fingerprint, RetryPolicy, Ticket, Via};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
@@ -25,18 +25,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Keyless,
-    Unticketed(Repeat),
-    Ticketed(Repeat),
+    Unticketed(RetryPolicy),
+    Ticketed(RetryPolicy),
 }
 
 impl Job {
     pub(super) fn draw(rng: &mut Pcg64Mcg, idx: usize) -> Self {
         let kind = match rng.random_range(0..20) {
             0..3 => Kind::Keyless,
-            3..8 => Kind::Unticketed(Repeat::NonIdempotent),
-            8..11 => Kind::Unticketed(Repeat::Idempotent),
-            11..16 => Kind::Ticketed(Repeat::NonIdempotent),
-            _ => Kind::Ticketed(Repeat::Idempotent),
+            3..8 => Kind::Unticketed(RetryPolicy::AtMostOnce),
+            8..11 => Kind::Unticketed(RetryPolicy::Idempotent),
+            11..16 => Kind::Ticketed(RetryPolicy::AtMostOnce),
+            _ => Kind::Ticketed(RetryPolicy::Idempotent),
         };
         Self {
             idx,
@@ -63,10 +63,10 @@
     pub(super) fn next_arrival(&mut self) -> Arrival {
         let request = format!("{}.{}", self.idx, self.arrivals);
         self.arrivals += 1;
-        let (key, repeat) = match self.kind {
-            Kind::Keyless => (None, Repeat::Idempotent),
-            Kind::Unticketed(repeat) | Kind::Ticketed(repeat) => {
-                (Some(format!("k{}", self.idx).into()), repeat)
+        let (key, retry_policy) = match self.kind {
+            Kind::Keyless => (None, RetryPolicy::Idempotent),
+            Kind::Unticketed(retry_policy) | Kind::Ticketed(retry_policy) => {
+                (Some(format!("k{}", self.idx).into()), retry_policy)
             }
         };
         Arrival {
@@ -75,7 +75,7 @@
             key,
             ticket: self.ticket,
             fingerprint: Fingerprint(1),
-            repeat,
+            retry_policy,
             via: Via::Caller,
         }
     }
--- a/crates/ledger/tests/scripts.rs
+++ b/crates/ledger/tests/scripts.rs
@@ -6,7 +6,7 @@
 
 use datadriven::TestCase;
 use kernel::Customer;
-use ledger::{Arrival, End, Fingerprint, Repeat, Tuning, Via};
+use ledger::{Arrival, End, Fingerprint, RetryPolicy, Tuning, Via};
 
 use crate::sim::{Call, Mode, World, answered, mint};
 
@@ -58,7 +58,7 @@
                     tuning.keys = keys.parse().unwrap();
                 }
                 if let Some(linger) = command.option("linger") {
-                    tuning.key_linger = span_of(linger);
+                    tuning.key_retention = span_of(linger);
                 }
                 world.add(name, data_centre, tuning);
             }
@@ -114,9 +114,9 @@
 
     fn call(&mut self, command: &Command, host: &str, request: &str) {
         let host = self.world.host(host);
-        let repeat = match command.option("repeat") {
-            Some("harmless") => Repeat::Idempotent,
-            _ => Repeat::NonIdempotent,
+        let retry_policy = match command.option("repeat") {
+            Some("harmless") => RetryPolicy::Idempotent,
+            _ => RetryPolicy::AtMostOnce,
         };
         let mut ticket = command.option("ticket").map(|name| self.tickets[name]);
         if let (Some(ticket), Some(remaining)) = (&mut ticket, command.option("remaining")) {
@@ -131,7 +131,7 @@
             key: command.option("key").map(Into::into),
             ticket,
             fingerprint: Fingerprint(body),
-            repeat,
+            retry_policy,
             via: Via::Caller,
         };
         self.world.call(Call {
--- a/crates/ledger/tests/sim.rs
+++ b/crates/ledger/tests/sim.rs
@@ -204,8 +204,11 @@
                 self.log(idx, format_args!("closes {request}: {run}"));
                 self.end(&request, Reply::Refusal { reason: None, run });
             }
-            Action::Release { request, safety } => {
-                self.log(idx, format_args!("releases {request}: {safety:?}"));
+            Action::Release {
+                request,
+                durability,
+            } => {
+                self.log(idx, format_args!("releases {request}: {durability:?}"));
                 self.end(&request, Reply::Answer);
             }
             Action::Forward { request, home } => self.forward(idx, &request, home),
--- a/crates/ledger/tests/sim/faults.rs
+++ b/crates/ledger/tests/sim/faults.rs
@@ -54,7 +54,7 @@
     }
 
     pub(crate) fn drain(&mut self, idx: usize) {
-        self.hosts[idx].state = ledger::State::Leaving;
+        self.hosts[idx].state = ledger::PeerState::Leaving;
         self.update_all_views();
         let to = self.hosts[idx].incarnation;
         self.feed(to, Event::Drain);
--- a/crates/ledger/tests/sim/holders.rs
+++ b/crates/ledger/tests/sim/holders.rs
@@ -42,7 +42,7 @@
             Message::Adopted { serials } => self.held.retain(|(holder, owner, serial)| {
                 !(*holder == to && *owner == to && serials.contains(serial))
             }),
-            Message::Full { .. } | Message::Holds { .. } | Message::Adopt { .. } => {}
+            Message::CopyRefused { .. } | Message::QueryCopies { .. } | Message::Adopt { .. } => {}
         }
     }
 
--- a/crates/ledger/tests/sim/host.rs
+++ b/crates/ledger/tests/sim/host.rs
@@ -1,7 +1,7 @@
 //! A simulated host.
 
 use kernel::{DataCentre, Incarnation};
-use ledger::{Event, Ledger, Peer, Reach, State, Tuning};
+use ledger::{Event, Ledger, Peer, PeerState, Reach, Tuning};
 
 /// The run state of a host's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     pub(crate) ledger: Ledger,
     pub(crate) run_state: RunState,
     pub(crate) inbox: Vec<Event>,
-    pub(crate) state: State,
+    pub(crate) state: PeerState,
     pub(crate) tuning: Tuning,
     /// Whether it takes a new incarnation as soon as it is fenced.
     pub(crate) renews_when_fenced: bool,
@@ -45,7 +45,7 @@
             incarnation,
             run_state: RunState::Running,
             inbox: Vec::new(),
-            state: State::Live,
+            state: PeerState::Live,
             tuning,
             renews_when_fenced: true,
         }
--- a/crates/ledger/tests/sim/traffic.rs
+++ b/crates/ledger/tests/sim/traffic.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kernel::{Incarnation, RequestId};
-use ledger::{End, Event, Forward, Via};
+use ledger::{End, Event, ForwardResult, Via};
 
 use super::{Call, Execution, NETWORK_DELAY, Reply, RunState, Scheduled, World};
 
@@ -54,11 +54,11 @@
 
     pub(super) fn forward_failed(&mut self, request: &str) {
         if self.calls[request].result.is_none() {
-            self.forwarded(request, Forward::Failed);
+            self.forwarded(request, ForwardResult::Failed);
         }
     }
 
-    pub(super) fn forwarded(&mut self, request: &str, end: Forward) {
+    pub(super) fn forwarded(&mut self, request: &str, end: ForwardResult) {
         let to = self.hosts[self.calls[request].host].incarnation;
         let request = RequestId::from(request);
         self.feed(to, Event::Forwarded { request, end });
@@ -86,7 +86,7 @@
         if cut || reply == Reply::Lost || self.hosts[to].is_gone() {
             return;
         }
-        self.forwarded(&origin, Forward::Relayed);
+        self.forwarded(&origin, ForwardResult::Relayed);
         self.end(&RequestId::from(origin), reply);
     }
 
@@ -102,7 +102,7 @@
         let to = self.hosts[idx].incarnation;
         self.feed(
             to,
-            Event::Sending {
+            Event::AttemptSending {
                 request: request.into(),
             },
         );
@@ -118,11 +118,11 @@
         let request = RequestId::from(request);
         self.feed(
             to,
-            Event::Sending {
+            Event::AttemptSending {
                 request: request.clone(),
             },
         );
-        self.feed(to, Event::Returned { request });
+        self.feed(to, Event::AttemptNotRun { request });
     }
 
     pub(crate) fn finish(&mut self, request: &str, end: End) {
