--- a/crates/ledger/src/admission.rs
+++ b/crates/ledger/src/admission.rs
@@ -81,7 +81,7 @@
     }
 
     fn is_full(&self, cx: &Context) -> bool {
-        self.registry.len() >= cx.shared.tuning.keys
+        self.registry.len() >= cx.shared.tuning.max_keys
     }
 
     /// Starts a call whose key isn't remembered.
@@ -173,7 +173,7 @@
             (State::Runnable, _) => self.start_runnable(cx, view, entry, key),
             (_, RetryPolicy::Idempotent) => self.start_idempotent(cx, view, entry, key),
             (State::Claiming | State::Running, RetryPolicy::AtMostOnce) => {
-                if it.waiters.len() < cx.shared.tuning.waiters {
+                if it.waiters.len() < cx.shared.tuning.max_waiters {
                     it.waiters.push_back(key);
                 } else {
                     self.refuse(cx, key, Reason::InProgress, Run::Unknown);
--- a/crates/ledger/src/admission/finish.rs
+++ b/crates/ledger/src/admission/finish.rs
@@ -75,7 +75,7 @@
         outcome: Option<Outcome>,
         charge: Charge,
     ) {
-        let outcome = outcome.filter(|it| it.len() <= cx.shared.tuning.outcome_bytes);
+        let outcome = outcome.filter(|it| it.len() <= cx.shared.tuning.max_outcome_bytes);
         let waiter = Waiter::Response(call.request.clone());
         let record = to_record(cx.shared.me, call, charge, outcome.clone());
         let write_path = WritePath::of(cx, &record);
@@ -111,7 +111,7 @@
             it.billed = Some(serial);
         }
         if outcome.is_some() || retry_policy == RetryPolicy::AtMostOnce {
-            let total = cx.shared.tuning.outcome_total;
+            let total = cx.shared.tuning.max_total_outcome_bytes;
             self.registry.store_response(entry, outcome, total);
         }
     }
--- a/crates/ledger/src/core.rs
+++ b/crates/ledger/src/core.rs
@@ -76,7 +76,7 @@
     fn handle_timer(&mut self, cx: &mut Context, timer: Timer) {
         match timer {
             Timer::RetryClaim(entry) => self.admission.retry_claim(cx, entry),
-            Timer::CopyTimeout(batch) => self.pending.retry_copy(cx, &mut self.peers, batch),
+            Timer::CopyTimeout(copy_id) => self.pending.retry_copy(cx, &mut self.peers, copy_id),
             Timer::ReleaseTimeout(serial) => self.pending.release_on_timeout(cx, serial),
             Timer::Settle(home) => settler::reset_offers(&mut self.pending, home),
             Timer::OwnerGone(owner) => self.owner_gone(cx, owner),
@@ -176,13 +176,14 @@
     fn receive(&mut self, cx: &mut Context, from: Incarnation, message: Message) {
         self.peers.record_contact(cx.now, from);
         match message {
-            Message::Copy { batch, records } => {
-                self.received_copies.copy(cx, from, batch, records);
+            Message::Copy { copy_id, records } => {
+                self.received_copies.copy(cx, from, copy_id, records);
                 self.watch_owner(cx, from);
             }
-            Message::Copied { batch } => self.pending.confirm(cx, &self.peers, from, batch),
-            Message::CopyRefused { batch } => {
-                self.pending.copy_refused(cx, &mut self.peers, from, batch);
+            Message::Copied { copy_id } => self.pending.confirm(cx, &self.peers, from, copy_id),
+            Message::CopyRefused { copy_id } => {
+                self.pending
+                    .copy_refused(cx, &mut self.peers, from, copy_id);
             }
             Message::Release { below, serials } => {
                 self.received_copies.release(from, below, &serials);
--- a/crates/ledger/src/measure.rs
+++ b/crates/ledger/src/measure.rs
@@ -82,7 +82,7 @@
 #[must_use]
 pub fn remembering(keys: usize) -> Ledger {
     let tuning = Tuning {
-        keys,
+        max_keys: keys,
         ..Tuning::default()
     };
     let mut pair = Pair::new(tuning, 2);
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -10,19 +10,19 @@
     /// Store copies of these records of the sender until they are released.
     Copy {
         /// Identifies the message in its confirmation.
-        batch: u64,
+        copy_id: u64,
         /// The records.
         records: Vec<Record>,
     },
     /// The records of a [`Message::Copy`] are stored.
     Copied {
         /// The confirmed message.
-        batch: u64,
+        copy_id: u64,
     },
     /// The records of a [`Message::Copy`] are refused, for lack of room or because of a shutdown.
     CopyRefused {
         /// The refused message.
-        batch: u64,
+        copy_id: u64,
     },
     /// Delete copies of records of the sender that are in the table or stored elsewhere.
     Release {
--- a/crates/ledger/src/pending.rs
+++ b/crates/ledger/src/pending.rs
@@ -23,7 +23,7 @@
     single: BTreeMap<Incarnation, BTreeSet<Serial>>,
     uncopied: VecDeque<Serial>,
     copies: HashMap<u64, CopyInFlight>,
-    next_copy: u64,
+    next_copy_id: u64,
     outcome_bytes: usize,
 }
 
@@ -36,7 +36,7 @@
             single: BTreeMap::new(),
             uncopied: VecDeque::new(),
             copies: HashMap::new(),
-            next_copy: 0,
+            next_copy_id: 0,
             outcome_bytes: 0,
         }
     }
@@ -72,7 +72,7 @@
         self.next.0 += 1;
         cx.shared.counters.records += 1;
         record.serial = serial;
-        if self.outcome_bytes + record.outcome_bytes() > cx.shared.tuning.outcome_total {
+        if self.outcome_bytes + record.outcome_bytes() > cx.shared.tuning.max_total_outcome_bytes {
             record.drop_outcome();
         }
         self.outcome_bytes += record.outcome_bytes();
--- a/crates/ledger/src/pending/copies.rs
+++ b/crates/ledger/src/pending/copies.rs
@@ -82,11 +82,11 @@
             records.push(record.encoded.decode());
             serials.push(serial);
         }
-        let batch = self.next_copy;
-        self.next_copy += 1;
-        cx.arm(cx.shared.tuning.copy_timeout, Timer::CopyTimeout(batch));
-        self.copies.insert(batch, CopyInFlight { to, serials });
-        cx.send(to, Message::Copy { batch, records });
+        let copy_id = self.next_copy_id;
+        self.next_copy_id += 1;
+        cx.arm(cx.shared.tuning.copy_timeout, Timer::CopyTimeout(copy_id));
+        self.copies.insert(copy_id, CopyInFlight { to, serials });
+        cx.send(to, Message::Copy { copy_id, records });
     }
 
     /// Handles a confirmation: the records are safe, so their responses are released.
@@ -95,15 +95,15 @@
         cx: &mut Context,
         peers: &Peers,
         from: Incarnation,
-        batch: u64,
+        copy_id: u64,
     ) {
-        if self.copies.get(&batch).is_none_or(|it| it.to != from) {
+        if self.copies.get(&copy_id).is_none_or(|it| it.to != from) {
             return;
         }
-        let Some(copy) = self.copies.remove(&batch) else {
+        let Some(copy) = self.copies.remove(&copy_id) else {
             return;
         };
-        cx.shared.timers.disarm(Timer::CopyTimeout(batch));
+        cx.shared.timers.disarm(Timer::CopyTimeout(copy_id));
         let durability = if peers.data_centre(from) == Some(&cx.shared.data_centre) {
             Durability::TwoHosts
         } else {
@@ -131,8 +131,8 @@
 
     /// Handles a copy that wasn't confirmed in time or was refused: its records are copied to
     /// another partner.
-    pub(crate) fn retry_copy(&mut self, cx: &mut Context, peers: &mut Peers, batch: u64) {
-        let Some(copy) = self.copies.remove(&batch) else {
+    pub(crate) fn retry_copy(&mut self, cx: &mut Context, peers: &mut Peers, copy_id: u64) {
+        let Some(copy) = self.copies.remove(&copy_id) else {
             return;
         };
         cx.shared.counters.copy_retries += 1;
@@ -149,11 +149,11 @@
         cx: &mut Context,
         peers: &mut Peers,
         from: Incarnation,
-        batch: u64,
+        copy_id: u64,
     ) {
-        if self.copies.get(&batch).is_some_and(|it| it.to == from) {
-            cx.shared.timers.disarm(Timer::CopyTimeout(batch));
-            self.retry_copy(cx, peers, batch);
+        if self.copies.get(&copy_id).is_some_and(|it| it.to == from) {
+            cx.shared.timers.disarm(Timer::CopyTimeout(copy_id));
+            self.retry_copy(cx, peers, copy_id);
         }
     }
 
@@ -181,11 +181,11 @@
             .copies
             .iter()
             .filter(|(_, it)| !peers.accepts_copies(it.to))
-            .map(|(&batch, _)| batch)
+            .map(|(&copy_id, _)| copy_id)
             .collect();
-        for batch in lost {
-            cx.shared.timers.disarm(Timer::CopyTimeout(batch));
-            self.copies.remove(&batch);
+        for copy_id in lost {
+            cx.shared.timers.disarm(Timer::CopyTimeout(copy_id));
+            self.copies.remove(&copy_id);
         }
         self.requeue(cx, |holder| peers.accepts_copies(holder));
     }
@@ -193,8 +193,8 @@
     /// Forgets all copies, because the partners hold them under an earlier incarnation. Queues new
     /// ones.
     pub(crate) fn forget_copies(&mut self, cx: &mut Context) {
-        for (batch, _) in self.copies.drain() {
-            cx.shared.timers.disarm(Timer::CopyTimeout(batch));
+        for (copy_id, _) in self.copies.drain() {
+            cx.shared.timers.disarm(Timer::CopyTimeout(copy_id));
         }
         self.requeue(cx, |_| false);
     }
--- a/crates/ledger/src/received_copies.rs
+++ b/crates/ledger/src/received_copies.rs
@@ -57,18 +57,18 @@
         &mut self,
         cx: &mut Context,
         from: Incarnation,
-        batch: u64,
+        copy_id: u64,
         records: Vec<Record>,
     ) {
         let room = cx.shared.tuning.held_copies.saturating_sub(self.len);
         if records.len() > room || cx.shared.draining {
-            cx.send(from, Message::CopyRefused { batch });
+            cx.send(from, Message::CopyRefused { copy_id });
             return;
         }
-        let bytes_left = cx.shared.tuning.outcome_total;
+        let bytes_left = cx.shared.tuning.max_total_outcome_bytes;
         let bytes_left = bytes_left.saturating_sub(self.outcome_bytes);
         self.store(cx, from, drop_excess_outcomes(records, bytes_left));
-        cx.send(from, Message::Copied { batch });
+        cx.send(from, Message::Copied { copy_id });
     }
 
     /// Stores records of `owner`, except those it has released.
--- a/crates/ledger/src/tuning.rs
+++ b/crates/ledger/src/tuning.rs
@@ -30,16 +30,16 @@
     /// Delay before a failed write is retried.
     pub retry_interval: Duration,
     /// Maximum number of remembered keys.
-    pub keys: usize,
+    pub max_keys: usize,
     /// Time for which a key is remembered after its ticket has expired or, without a ticket, after
     /// its first call.
     pub key_retention: Duration,
     /// Maximum size of a response that is stored for retries, in bytes.
-    pub outcome_bytes: usize,
+    pub max_outcome_bytes: usize,
     /// Maximum size of all stored responses, in bytes.
-    pub outcome_total: usize,
+    pub max_total_outcome_bytes: usize,
     /// Maximum number of retries that wait for the response of one key.
-    pub waiters: usize,
+    pub max_waiters: usize,
 }
 
 impl Default for Tuning {
@@ -56,11 +56,11 @@
             fence_after: Duration::from_secs(30),
             claim_timeout: Duration::from_secs(2),
             retry_interval: Duration::from_millis(500),
-            keys: 40_000,
+            max_keys: 40_000,
             key_retention: Duration::from_hours(1),
-            outcome_bytes: 8 * 1024,
-            outcome_total: 8 * 1024 * 1024,
-            waiters: 4,
+            max_outcome_bytes: 8 * 1024,
+            max_total_outcome_bytes: 8 * 1024 * 1024,
+            max_waiters: 4,
         }
     }
 }
--- a/crates/ledger/tests/pairs.rs
+++ b/crates/ledger/tests/pairs.rs
@@ -39,13 +39,13 @@
 /// Steps of a call, as [`Scheduled::Step`] carries them.
 const SEND: u32 = 0;
 const REFUSE: u32 = 1;
-const ANSWER: u32 = 2;
+const RESPOND: u32 = 2;
 const FAIL: u32 = 3;
 const GIVE_UP: u32 = 4;
 
 #[test]
 fn pairs() {
-    let mut answers = 0;
+    let mut responses = 0;
     let mut lost = 0;
     for seed in seeds() {
         let mut run = Run::new(seed);
@@ -58,13 +58,13 @@
             report.violations.join("\n"),
             run.world.trace
         );
-        answers += report.answers;
+        responses += report.responses;
         lost += report.lost;
     }
     // A record is lost if all hosts that hold it die. The conditions are stated in
     // docs/design/ledger.md; this prints the count.
-    println!("{answers} responses, {lost} records lost with all their holders");
-    assert!(answers > 1000, "too few calls got a response");
+    println!("{responses} responses, {lost} records lost with all their holders");
+    assert!(responses > 1000, "too few calls got a response");
 }
 
 fn seeds() -> std::ops::Range<u64> {
@@ -194,7 +194,7 @@
                 continue;
             }
             let idx = job::index(&request);
-            if matches!(call.result, Some((_, Reply::Answer))) {
+            if matches!(call.result, Some((_, Reply::Response))) {
                 self.jobs[idx].done = true;
             } else {
                 self.schedule_retry(idx);
@@ -231,11 +231,11 @@
             }
             3 => {
                 plan.push_back((first, SEND));
-                plan.push_back((millis(&mut self.rng, 4_000, 15_000), ANSWER));
+                plan.push_back((millis(&mut self.rng, 4_000, 15_000), RESPOND));
             }
             _ => {
                 plan.push_back((first, SEND));
-                plan.push_back((millis(&mut self.rng, 2, 300), ANSWER));
+                plan.push_back((millis(&mut self.rng, 2, 300), RESPOND));
             }
         }
         self.plans.insert(request.to_owned(), plan);
@@ -265,7 +265,7 @@
             SEND | REFUSE if call.result.is_some() => {}
             SEND => self.world.send(request),
             REFUSE => self.world.refuse_attempt(request),
-            ANSWER => self.world.finish(request, answered(request)),
+            RESPOND => self.world.finish(request, answered(request)),
             FAIL => self.world.finish(request, End::Unanswered),
             _ if call.result.is_none() => {
                 if call.permitted.is_none() {
@@ -291,11 +291,11 @@
         held_records: rng.random_range(4..100),
         held_copies: rng.random_range(4..100),
         copy_window: rng.random_range(1..4),
-        keys: rng.random_range(8..100),
+        max_keys: rng.random_range(8..100),
         key_retention: Duration::from_secs(rng.random_range(1..10)),
-        outcome_bytes: rng.random_range(1..30),
-        outcome_total: rng.random_range(20..200),
-        waiters: rng.random_range(0..4),
+        max_outcome_bytes: rng.random_range(1..30),
+        max_total_outcome_bytes: rng.random_range(20..200),
+        max_waiters: rng.random_range(0..4),
         fence_after: Duration::from_secs(rng.random_range(1..30)),
         ..Tuning::default()
     }
--- a/crates/ledger/tests/pairs/check.rs
+++ b/crates/ledger/tests/pairs/check.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Report {
     pub(super) violations: Vec<String>,
-    pub(super) answers: usize,
+    pub(super) responses: usize,
     /// Number of billing records lost because all hosts that held them died: two hosts, or one if
     /// the ledger had reported a single copy.
     pub(super) lost: usize,
@@ -52,9 +52,9 @@
         .world
         .calls
         .values()
-        .filter(|call| matches!(call.result, Some((_, Reply::Answer))));
+        .filter(|call| matches!(call.result, Some((_, Reply::Response))));
     for call in answered {
-        report.answers += 1;
+        report.responses += 1;
         if bills.iter().any(|bill| bills_call(bill, call)) {
             continue;
         }
--- a/crates/ledger/tests/scripts.rs
+++ b/crates/ledger/tests/scripts.rs
@@ -55,7 +55,7 @@
                     tuning.held_copies = tuning.held_records;
                 }
                 if let Some(keys) = command.option("keys") {
-                    tuning.keys = keys.parse().unwrap();
+                    tuning.max_keys = keys.parse().unwrap();
                 }
                 if let Some(linger) = command.option("linger") {
                     tuning.key_retention = span_of(linger);
--- a/crates/ledger/tests/sim.rs
+++ b/crates/ledger/tests/sim.rs
@@ -192,7 +192,7 @@
             }
             Action::Replay { request, outcome } => {
                 self.log(idx, format_args!("replays {request}: {}", outcome.body));
-                self.end(&request, Reply::Answer);
+                self.end(&request, Reply::Response);
             }
             Action::Refuse { request, refusal } => {
                 let (reason, run) = (refusal.reason, refusal.run);
@@ -209,7 +209,7 @@
                 durability,
             } => {
                 self.log(idx, format_args!("releases {request}: {durability:?}"));
-                self.end(&request, Reply::Answer);
+                self.end(&request, Reply::Response);
             }
             Action::Forward { request, home } => self.forward(idx, &request, home),
             Action::Send { to, message } => {
--- a/crates/ledger/tests/sim/call.rs
+++ b/crates/ledger/tests/sim/call.rs
@@ -20,7 +20,7 @@
 /// The result of a call for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Reply {
-    Answer,
+    Response,
     Refusal {
         reason: Option<Reason>,
         run: Run,
--- a/crates/ledger/tests/sim/holders.rs
+++ b/crates/ledger/tests/sim/holders.rs
@@ -20,17 +20,17 @@
     /// Updates the holders by a message that is being delivered.
     pub(crate) fn observe(&mut self, from: Incarnation, to: Incarnation, message: &Message) {
         match message {
-            Message::Copy { batch, records } => {
+            Message::Copy { copy_id, records } => {
                 for record in records {
                     let key = record.key.to_string();
                     self.keys.insert((from, record.serial), key);
                     self.held.insert((from, from, record.serial));
                 }
                 let serials = records.iter().map(|record| record.serial).collect();
-                self.copies.insert((from, to, *batch), serials);
+                self.copies.insert((from, to, *copy_id), serials);
             }
-            Message::Copied { batch } => {
-                let serials = self.copies.remove(&(to, from, *batch));
+            Message::Copied { copy_id } => {
+                let serials = self.copies.remove(&(to, from, *copy_id));
                 for serial in serials.unwrap_or_default() {
                     self.held.insert((from, to, serial));
                 }
