--- a/crates/ledger/examples/measure.rs
+++ b/crates/ledger/examples/measure.rs
@@ -1,34 +1,34 @@
-//! Prints what the ledger costs a host: `cargo run --release -p ledger --example measure`.
+//! Prints the ledger's cost per host: `cargo run --release -p ledger --example measure`.
 
 use kernel::SystemClock;
 use ledger::measure::{self, Load};
 
-/// The size of a page of memory on the machines that this runs on.
-const PAGE: usize = 4096;
-const HELD: usize = 20_000;
+/// Size of a memory page in bytes.
+const PAGE_BYTES: usize = 4096;
+const RECORDS: usize = 20_000;
 
 fn main() {
-    // Memory first, and nothing is freed in between: what an allocator has
-    // kept from earlier work would hide what is measured.
-    let held = show("records and as many copies", || measure::outage(HELD));
-    let remembering = show("remembered keys", || measure::remembering(HELD));
-    times();
+    // Measures memory before anything else and frees nothing in between, because the allocator
+    // would reuse freed memory and hide the growth.
+    let held = print_growth("records and as many copies", || measure::outage(RECORDS));
+    let remembering = print_growth("remembered keys", || measure::remembering(RECORDS));
+    print_costs();
     drop((held, remembering));
 }
 
-fn show<T>(what: &str, make: impl FnOnce() -> T) -> T {
+fn print_growth<T>(what: &str, make: impl FnOnce() -> T) -> T {
     let before = resident();
     let result = make();
     let bytes = resident().saturating_sub(before);
     println!(
-        "{HELD} {what}: {} kB, {} bytes each",
+        "{RECORDS} {what}: {} kB, {} bytes each",
         bytes / 1000,
-        bytes / HELD
+        bytes / RECORDS
     );
     result
 }
 
-fn times() {
+fn print_costs() {
     let clock = SystemClock::new();
     println!("rate/s hosts  us/record  messages/s  bytes/s  writes/s  table B/s  fleet writes/s");
     for hosts in [8, 32, 110, 330] {
@@ -47,9 +47,9 @@
     }
 }
 
-/// The resident memory of this process in bytes.
+/// Returns the resident memory of this process in bytes.
 fn resident() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1);
-    pages.and_then(|it| it.parse::<usize>().ok()).unwrap_or(0) * PAGE
+    pages.and_then(|it| it.parse::<usize>().ok()).unwrap_or(0) * PAGE_BYTES
 }
--- a/crates/ledger/src/lease/state.rs
+++ b/crates/ledger/src/lease/state.rs
@@ -1,4 +1,4 @@
-//! The state of one candidate.
+//! The state machine of one candidate.
 
 use std::time::Duration;
 
@@ -9,53 +9,53 @@
 use crate::lease::{Action, Event, Row, Tuning, Written};
 use crate::table::{Expect, Unavailable};
 
-/// The number by which an endpoint tells a newer holder's order from an older one's.
+/// The fencing number, by which an endpoint rejects orders of earlier holders.
 #[derive(
     Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Fencing(pub u64);
 
-/// Whether an endpoint refuses an order with an old fencing number.
+/// Whether an endpoint checks fencing numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
-    /// It refuses it.
+    /// It refuses an order with an old number.
     Checks,
-    /// It obeys whoever asks last.
+    /// It carries out every order.
     Ignores,
 }
 
-/// Why an order may not be issued.
+/// The reason why an order may not be issued.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Denied {
-    /// This candidate doesn't hold the lease, or it has lapsed by its own clock.
+    /// This candidate doesn't hold the lease, or the lease expired on its own clock.
     #[display("not held")]
     NotHeld,
-    /// An order of the last holder may still be on its way, or the state that
-    /// it left hasn't been read back.
+    /// An order of the last holder may still be in transit, or the state that it left hasn't been
+    /// read back.
     #[display("settling")]
     Settling,
 }
 
-/// One candidate for the lease of one job.
+/// A candidate for the lease of one job.
 ///
-/// It needs no clock in common with the others. The holder stops by its own
-/// clock, counted from before it asked for its last renewal; the next one has
-/// to see the row unchanged for longer than that on its own.
+/// The candidates need no common clock. The holder's lease ends on its own clock, counted from
+/// before it sent its last successful renewal. Another candidate takes over only after it has seen
+/// the row unchanged for longer than that on its own clock.
 #[derive(Debug)]
 pub struct Lease {
     me: Incarnation,
     tuning: Tuning,
     seen: Option<Seen>,
     held: Option<Held>,
-    /// The write that hasn't been answered.
+    /// The write in flight.
     writing: Option<Pending>,
-    /// Writes whose answers were lost and that may still take effect.
+    /// Writes whose responses were lost and that may still be applied.
     lost: Vec<Pending>,
-    /// Counts the writes, so that each writes a row that no other does.
-    writes: u64,
+    /// The number of writes, which makes each written row unique.
+    write_count: u64,
     reading: bool,
-    next: Duration,
+    next_at: Duration,
     stage: Stage,
 }
 
@@ -66,15 +66,15 @@
     Resigned,
 }
 
-/// The row as it was last seen.
+/// The row as last read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Seen {
     row: Option<(u64, Row)>,
-    /// When it was first seen like this.
+    /// The time at which it was first read in this state.
     since: Duration,
 }
 
-/// What the holder knows.
+/// The state of a held lease.
 #[derive(Clone, Debug)]
 struct Held {
     version: u64,
@@ -83,30 +83,30 @@
     settling: Settling,
 }
 
-/// How far a new holder is with what the last one left.
+/// The progress of a new holder after a takeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Settling {
-    /// Orders of the last holder may be on their way until then.
+    /// Orders of the last holder may be in transit until this time.
     Until(Duration),
     /// The state that they left is being read back.
     ReadingBack,
-    /// Nothing of the last holder can surprise any more.
+    /// The takeover is complete.
     Done,
 }
 
-/// A write that hasn't been answered, or whose answer was lost.
+/// A write in flight, or one whose response was lost.
 #[derive(Clone, Debug)]
 struct Pending {
     expect: Expect,
     row: Row,
-    /// When it was sent: what it grants counts from then.
+    /// The time at which it was sent, from which the lease's duration counts.
     started: Duration,
-    /// Whether the row belonged to somebody before.
+    /// Whether the row names a holder that the write replaces.
     takes_over: bool,
 }
 
 impl Lease {
-    /// A candidate that has seen nothing.
+    /// Creates a candidate that hasn't read the row yet.
     #[must_use]
     pub fn new(me: Incarnation, tuning: Tuning) -> Self {
         Self {
@@ -116,16 +116,16 @@
             held: None,
             writing: None,
             lost: Vec::new(),
-            writes: 0,
+            write_count: 0,
             reading: false,
-            next: Duration::ZERO,
+            next_at: Duration::ZERO,
             stage: Stage::Wanting,
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        self.lapse(now, actions);
+        self.expire(now, actions);
         match event {
             Event::Tick => {}
             Event::Read(result) => self.read(now, result, actions),
@@ -133,19 +133,20 @@
             Event::ReadBack => self.read_back(),
             Event::Resign => self.resign(actions),
         }
-        self.settle(now, actions);
-        self.step(now, actions);
+        self.begin_read_back(now, actions);
+        self.advance(now, actions);
         if self.stage == Stage::Wanting {
             actions.push(Action::Wake { at: self.wake(now) });
         }
     }
 
-    /// Whether an order may be issued now, and under which number. To be
-    /// asked before each order, with the time of that moment: a holder that
-    /// was frozen finds its lease lapsed here before it has handled any event.
+    /// Returns the fencing number for an order that is issued now.
+    ///
+    /// Must be called before each order with the current time: a holder that was frozen then finds
+    /// its lease expired before it has handled any event.
     ///
     /// # Errors
-    /// Why not; see [`Denied`].
+    /// [`Denied`] if no order may be issued.
     pub fn order(&self, now: Duration, endpoint: Endpoint) -> Result<Fencing, Denied> {
         let held = self
             .held
@@ -158,20 +159,20 @@
         }
     }
 
-    /// Gives up what lapsed by this host's clock.
-    fn lapse(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Gives up a lease that expired on this host's clock.
+    fn expire(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.held.as_ref().is_some_and(|held| now >= held.deadline) {
-            self.lose(actions);
+            self.drop_lease(actions);
         }
     }
 
-    fn lose(&mut self, actions: &mut Vec<Action>) {
+    fn drop_lease(&mut self, actions: &mut Vec<Action>) {
         if self.held.take().is_some() {
             actions.push(Action::Lost);
         }
     }
 
-    /// Takes the row as the table has it.
+    /// Handles the result of a read.
     fn read(
         &mut self,
         now: Duration,
@@ -180,84 +181,89 @@
     ) {
         self.reading = false;
         let Ok(row) = result else {
-            self.next = now + self.retry();
+            self.next_at = now + self.retry_delay();
             return;
         };
         if let Some((version, found)) = &row
             && let Some(index) = self.lost.iter().position(|it| it.row == *found)
         {
-            // The write took effect and its answer was lost.
+            // The write was applied and its response was lost.
             let pending = self.lost.swap_remove(index);
-            return self.hold(now, *version, pending, actions);
+            return self.acquire(now, *version, pending, actions);
         }
         let expect = row
             .as_ref()
             .map_or(Expect::Absent, |(version, _)| Expect::Version(*version));
         self.lost.retain(|it| it.expect == expect);
-        let gone = self.held.as_ref().is_some_and(|held| {
+        let replaced = self.held.as_ref().is_some_and(|held| {
             row.as_ref()
                 .is_none_or(|(version, _)| *version != held.version)
         });
-        if gone {
-            self.lose(actions);
+        if replaced {
+            self.drop_lease(actions);
         }
         if self.seen.as_ref().is_none_or(|seen| seen.row != row) {
             self.seen = Some(Seen { row, since: now });
         }
-        if self.held.is_none() && self.claim(now).is_some() {
-            self.next = now;
+        if self.held.is_none() && self.takeover(now).is_some() {
+            self.next_at = now;
         }
     }
 
     fn written(&mut self, now: Duration, result: Written, actions: &mut Vec<Action>) {
-        // The answer to giving the lease back changes nothing.
+        // The result of the write that releases the lease is ignored.
         let Some(pending) = self.writing.take() else {
             return;
         };
         match result {
-            Written::Applied { version } => self.hold(now, version, pending, actions),
-            // Somebody else wrote, or an earlier write of this candidate took
-            // effect late. The row tells.
+            Written::Applied { version } => self.acquire(now, version, pending, actions),
+            // Another candidate wrote, or an earlier write of this one was applied late. Reading
+            // the row tells which.
             Written::Failed => {
-                self.next = now;
-                self.seek(actions);
+                self.next_at = now;
+                self.request_read(actions);
             }
-            Written::NotApplied => self.next = now + self.retry(),
+            Written::NotApplied => self.next_at = now + self.retry_delay(),
             Written::Unknown => {
                 self.lost.push(pending);
-                self.next = now;
-                self.seek(actions);
+                self.next_at = now;
+                self.request_read(actions);
             }
         }
     }
 
-    /// The row is this candidate's. The grant counts from before the write
-    /// was sent: however long the answer took, the table can't have shown the
-    /// row to anybody before that.
-    fn hold(&mut self, now: Duration, version: u64, pending: Pending, actions: &mut Vec<Action>) {
-        let deadline = pending.started + self.tuning.length.saturating_sub(self.tuning.margin);
+    /// Takes the lease after a successful write. Its duration counts from before the write was
+    /// sent, because other candidates may have read the row from that time on.
+    fn acquire(
+        &mut self,
+        now: Duration,
+        version: u64,
+        pending: Pending,
+        actions: &mut Vec<Action>,
+    ) {
+        let deadline = pending.started + self.tuning.duration.saturating_sub(self.tuning.margin);
         self.lost.clear();
         let settling = match &self.held {
             Some(held) if held.row.fencing == pending.row.fencing => held.settling,
-            _ if pending.takes_over => Settling::Until(now + self.tuning.order_bound),
+            _ if pending.takes_over => Settling::Until(now + self.tuning.order_timeout),
             _ => Settling::Done,
         };
         self.seen = Some(Seen {
             row: Some((version, pending.row.clone())),
             since: now,
         });
-        self.next = pending.started + self.tuning.renew_every;
+        self.next_at = pending.started + self.tuning.renew_interval;
         self.held = Some(Held {
             version,
             row: pending.row,
             deadline,
             settling,
         });
-        self.lapse(now, actions);
+        self.expire(now, actions);
     }
 
-    /// Starts reading back once no order of the last holder can be on its way.
-    fn settle(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Requests the read-back once no order of the last holder can be in transit.
+    fn begin_read_back(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(held) = &mut self.held else {
             return;
         };
@@ -277,41 +283,43 @@
         }
     }
 
-    /// Renews, takes over or looks, whichever is due.
-    fn step(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Renews the lease, takes it over or reads the row, if that is due.
+    fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let busy = self.reading || self.writing.is_some();
-        if now < self.next || busy || self.stage == Stage::Resigned {
+        if now < self.next_at || busy || self.stage == Stage::Resigned {
             return;
         }
-        self.next = now + self.tuning.renew_every;
+        self.next_at = now + self.tuning.renew_interval;
         if let Some(held) = &self.held {
             let (expect, fencing) = (Expect::Version(held.version), held.row.fencing);
             return self.write(now, expect, fencing, false, actions);
         }
-        if let Some((expect, fencing, over)) = self.claim(now) {
-            return self.write(now, expect, fencing, over, actions);
+        if let Some((expect, fencing, takes_over)) = self.takeover(now) {
+            return self.write(now, expect, fencing, takes_over, actions);
         }
-        self.next = self.next.min(self.lapses().unwrap_or(self.next).max(now));
-        self.seek(actions);
+        self.next_at = self
+            .next_at
+            .min(self.safe_expiry().unwrap_or(self.next_at).max(now));
+        self.request_read(actions);
     }
 
-    /// When the holder that was last seen will have lapsed for sure.
-    fn lapses(&self) -> Option<Duration> {
+    /// The time at which the lease of the holder that was last seen has surely expired.
+    fn safe_expiry(&self) -> Option<Duration> {
         let seen = self.seen.as_ref()?;
-        Some(seen.since + self.tuning.length + self.tuning.margin)
+        Some(seen.since + self.tuning.duration + self.tuning.margin)
     }
 
-    /// On which condition and under which number the lease can be taken, and
-    /// whether from somebody, if the row as last seen is free to be taken.
-    fn claim(&self, now: Duration) -> Option<(Expect, Fencing, bool)> {
+    /// Returns the condition and the fencing number of a takeover, and whether it replaces another
+    /// holder, if the lease is free.
+    fn takeover(&self, now: Duration) -> Option<(Expect, Fencing, bool)> {
         let seen = self.seen.as_ref()?;
         let Some((version, row)) = &seen.row else {
             return Some((Expect::Absent, Fencing(1), false));
         };
-        let lapsed = self.lapses().is_some_and(|at| now >= at);
+        let expired = self.safe_expiry().is_some_and(|at| now >= at);
         let free = match row.holder {
             None => true,
-            Some(holder) => holder == self.me || lapsed,
+            Some(holder) => holder == self.me || expired,
         };
         let next = Fencing(row.fencing.0 + 1);
         free.then(|| (Expect::Version(*version), next, row.holder.is_some()))
@@ -325,11 +333,11 @@
         takes_over: bool,
         actions: &mut Vec<Action>,
     ) {
-        self.writes += 1;
+        self.write_count += 1;
         let row = Row {
             holder: Some(self.me),
             fencing,
-            renewal: self.writes,
+            renewal: self.write_count,
         };
         self.writing = Some(Pending {
             expect,
@@ -340,15 +348,15 @@
         actions.push(Action::Write { expect, row });
     }
 
-    fn seek(&mut self, actions: &mut Vec<Action>) {
+    fn request_read(&mut self, actions: &mut Vec<Action>) {
         if !self.reading {
             self.reading = true;
             actions.push(Action::Read);
         }
     }
 
-    /// Gives the lease back, so that the next holder need not wait. To be
-    /// asked for once no order is on its way any more.
+    /// Releases the lease, so that the next holder need not wait. No order may be in transit any
+    /// more.
     fn resign(&mut self, actions: &mut Vec<Action>) {
         self.stage = Stage::Resigned;
         self.writing = None;
@@ -357,7 +365,7 @@
         };
         let row = Row {
             holder: None,
-            renewal: self.writes + 1,
+            renewal: self.write_count + 1,
             ..held.row
         };
         let expect = Expect::Version(held.version);
@@ -365,8 +373,8 @@
         actions.push(Action::Write { expect, row });
     }
 
-    fn retry(&self) -> Duration {
-        self.tuning.renew_every / 4
+    fn retry_delay(&self) -> Duration {
+        self.tuning.renew_interval / 4
     }
 
     fn wake(&self, now: Duration) -> Duration {
@@ -376,8 +384,8 @@
             Settling::ReadingBack | Settling::Done => None,
         });
         let deadline = held.map(|held| held.deadline);
-        let soonest = now + self.retry();
-        [Some(self.next.max(now)), deadline, settling]
+        let soonest = now + self.retry_delay();
+        [Some(self.next_at.max(now)), deadline, settling]
             .into_iter()
             .flatten()
             .min()
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,8 +1,7 @@
-//! At-most-once execution and billing, as a pure core.
+//! At-most-once execution and billing, as a state machine without IO.
 //!
-//! [`Ledger::handle`] takes what happened and says what to do; it does no IO,
-//! so that a test or the daemon can drive it alike. See
-//! [ledger.md](../../../docs/design/ledger.md) for the ways weighed and
+//! [`Ledger::handle`] takes an event and returns actions, so tests and the daemon drive it alike.
+//! For the design see [ledger.md](../../../docs/design/ledger.md), and
 //! [lease.md](../../../docs/design/lease.md) for single-holder jobs.
 
 pub mod lease;
@@ -10,39 +9,39 @@
 pub mod table;
 
 mod action;
+mod admission;
 mod arrival;
-mod book;
+mod batch_writer;
 mod calls;
-mod chores;
+mod claim_updates;
+mod context;
 mod core;
-mod cx;
+mod encoded_record;
 mod event;
-mod holdings;
-mod intake;
 mod ledger;
 mod message;
 mod outcome;
-mod packed;
 mod peer;
 mod peers;
+mod pending;
+mod received_copies;
 mod record;
 mod refusal;
+mod registry;
 mod rows;
 mod settler;
 mod status;
 mod ticket;
 mod timers;
 mod tuning;
-mod vault;
-mod writer;
 
-pub use action::{Action, Safety};
-pub use arrival::{Arrival, Fingerprint, Repeat, Via};
-pub use event::{End, Event, Forward};
+pub use action::{Action, Durability};
+pub use arrival::{Arrival, Fingerprint, RetryPolicy, Via};
+pub use event::{End, Event, ForwardResult};
 pub use ledger::Ledger;
 pub use message::Message;
 pub use outcome::Outcome;
-pub use peer::{Peer, Reach, State};
+pub use peer::{Peer, PeerState, Reach};
 pub use record::{Charge, Record, Replay, Serial};
 pub use refusal::{Reason, Refusal, Run};
 pub use status::{Counters, Status};
--- a/crates/ledger/src/measure/pair.rs
+++ b/crates/ledger/src/measure/pair.rs
@@ -1,4 +1,4 @@
-//! A host and its partner, with a table that only counts.
+//! A host and its partner, with a table that only counts writes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 
 use crate::table::{Transaction, Written};
 use crate::{
-    Action, Arrival, Charge, End, Event, Fingerprint, Ledger, Message, Peer, Reach, Repeat, State,
-    Ticket, Tuning, Via,
+    Action, Arrival, Charge, End, Event, Fingerprint, Ledger, Message, Peer, PeerState, Reach,
+    RetryPolicy, Ticket, Tuning, Via,
 };
 
 const HOST: Incarnation = Incarnation(0x5eed_0000_0000_0001);
 const PARTNER: Incarnation = Incarnation(0x5eed_0000_0000_0002);
-/// How long a message or a write takes.
+/// Delay of a message and of a write.
 const DELAY: Duration = Duration::from_millis(2);
 
-/// A host and its partner, with a table that only counts.
+/// A host and its partner, with a table that only counts writes.
 pub(super) struct Pair {
     host: Ledger,
     partner: Ledger,
@@ -26,7 +26,7 @@
     queue: VecDeque<(Duration, Incarnation, Event)>,
     wake: Option<Duration>,
     actions: Vec<Action>,
-    made: u64,
+    request_count: u64,
     pub(super) messages: u64,
     pub(super) message_bytes: u64,
     pub(super) writes: u64,
@@ -43,41 +43,41 @@
             queue: VecDeque::new(),
             wake: None,
             actions: Vec::new(),
-            made: 0,
+            request_count: 0,
             messages: 0,
             message_bytes: 0,
             writes: 0,
             table_bytes: 0,
             table: Written::Applied,
         };
-        pair.feed(HOST, Event::Hosts(fleet(hosts)));
-        pair.feed(PARTNER, Event::Hosts(vec![peer(HOST, "dar-1")]));
+        pair.handle_event(HOST, Event::Hosts(fleet(hosts)));
+        pair.handle_event(PARTNER, Event::Hosts(vec![peer(HOST, "dar-1")]));
         pair
     }
 
     pub(super) fn records(&self) -> u64 {
-        self.made
+        self.request_count
     }
 
-    /// Answers `rate` requests a second for `span`.
+    /// Runs `rate` requests per second for `span`.
     pub(super) fn run(&mut self, rate: f64, span: Duration) {
         let pause = Duration::from_secs(1).div_f64(rate);
         while self.now < span {
-            self.answer_next();
-            self.pass(pause);
+            self.run_next();
+            self.advance(pause);
         }
     }
 
-    /// Answers `records` requests while the table is out.
+    /// Runs `records` requests while the table is unavailable.
     pub(super) fn fill(&mut self, records: usize) {
         self.table = Written::NotApplied;
         for _ in 0..records {
-            self.answer_next();
-            self.pass(DELAY);
+            self.run_next();
+            self.advance(DELAY);
         }
     }
 
-    /// Answers `keys` non-idempotent calls under tickets of the host.
+    /// Runs `keys` at-most-once calls under tickets of the host.
     pub(super) fn remember(&mut self, keys: usize) {
         for idx in 0..keys {
             let request = self.request();
@@ -86,15 +86,15 @@
                 floor: self.host.floor(),
                 expires: self.now + Duration::from_mins(10),
             };
-            self.answer(Arrival {
+            self.run_call(Arrival {
                 key: Some(format!("3f2504e0-4f89-41d3-9a0c-{idx:012}").into()),
                 ticket: Some(ticket),
-                repeat: Repeat::NonIdempotent,
+                retry_policy: RetryPolicy::AtMostOnce,
                 ..arrival(request)
             });
-            self.pass(DELAY);
+            self.advance(DELAY);
         }
-        self.pass(Duration::from_secs(5));
+        self.advance(Duration::from_secs(5));
     }
 
     pub(super) fn into_ledgers(self) -> (Ledger, Ledger) {
@@ -102,31 +102,31 @@
     }
 
     fn request(&mut self) -> RequestId {
-        self.made += 1;
-        RequestId::from(format!("01JDZ8Q3K5V7{:014}", self.made))
+        self.request_count += 1;
+        RequestId::from(format!("01JDZ8Q3K5V7{:014}", self.request_count))
     }
 
-    fn answer_next(&mut self) {
+    fn run_next(&mut self) {
         let request = self.request();
-        self.answer(arrival(request));
+        self.run_call(arrival(request));
     }
 
-    fn answer(&mut self, arrival: Arrival) {
+    fn run_call(&mut self, arrival: Arrival) {
         let request = arrival.request.clone();
-        self.feed(HOST, Event::Arrive(arrival));
-        let sending = Event::Sending {
+        self.handle_event(HOST, Event::Arrive(arrival));
+        let sending = Event::AttemptSending {
             request: request.clone(),
         };
-        self.feed(HOST, sending);
+        self.handle_event(HOST, sending);
         let end = End::Answered {
             outcome: None,
             charge: charge(),
         };
-        self.feed(HOST, Event::Finished { request, end });
+        self.handle_event(HOST, Event::Finished { request, end });
     }
 
-    /// Lets time pass, with what is on its way and what is due.
-    fn pass(&mut self, span: Duration) {
+    /// Advances the time by `span`, and delivers the events that become due.
+    fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
             let next = self.queue.front().map(|(at, ..)| *at);
@@ -137,17 +137,17 @@
             self.now = self.now.max(at);
             if next == Some(at) {
                 if let Some((_, to, event)) = self.queue.pop_front() {
-                    self.feed(to, event);
+                    self.handle_event(to, event);
                 }
             } else {
                 self.wake = None;
-                self.feed(HOST, Event::Tick);
+                self.handle_event(HOST, Event::Tick);
             }
         }
         self.now = end;
     }
 
-    fn feed(&mut self, to: Incarnation, event: Event) {
+    fn handle_event(&mut self, to: Incarnation, event: Event) {
         let ledger = if to == HOST {
             &mut self.host
         } else {
@@ -167,7 +167,7 @@
             Action::Transact { op, transaction } => {
                 self.count_write(&transaction);
                 let result = self.table.clone();
-                self.later(from, Event::Transacted { op, result });
+                self.schedule(from, Event::Transacted { op, result });
             }
             Action::Wake { at } if from == HOST => self.wake = Some(at),
             _ => {}
@@ -179,7 +179,7 @@
         self.messages += 1;
         self.message_bytes += bytes as u64;
         if to == HOST || to == PARTNER {
-            self.later(to, Event::Received { from, message });
+            self.schedule(to, Event::Received { from, message });
         }
     }
 
@@ -193,18 +193,18 @@
         self.table_bytes += bytes as u64;
     }
 
-    fn later(&mut self, to: Incarnation, event: Event) {
+    fn schedule(&mut self, to: Incarnation, event: Event) {
         self.queue.push_back((self.now + DELAY, to, event));
     }
 }
 
-/// The partner, and hosts that are only there to be counted: they are leaving,
-/// so no copy goes to them.
+/// The partner, and further hosts that only count towards the fleet's size. These are shutting
+/// down, so no copies are sent to them.
 fn fleet(hosts: usize) -> Vec<Peer> {
     let mut peers = vec![peer(PARTNER, "dar-2")];
     for idx in 2..hosts as u64 {
         peers.push(Peer {
-            state: State::Leaving,
+            state: PeerState::Leaving,
             ..peer(Incarnation(HOST.0 + idx), "dar-3")
         });
     }
@@ -216,11 +216,11 @@
         incarnation,
         data_centre: DataCentre::from(data_centre),
         reach: Reach::Near,
-        state: State::Live,
+        state: PeerState::Live,
     }
 }
 
-/// A call as most are: without a key, so that no key has to be remembered.
+/// A call without a key, so that no key has to be remembered.
 fn arrival(request: RequestId) -> Arrival {
     Arrival {
         request,
@@ -228,7 +228,7 @@
         key: None,
         ticket: None,
         fingerprint: Fingerprint(0),
-        repeat: Repeat::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         via: Via::Caller,
     }
 }
--- a/crates/ledger/src/peers.rs
+++ b/crates/ledger/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other hosts: who is alive, who is gone since when, who keeps copies.
+//! The other hosts: which are alive, which are gone and since when, and which receive copies.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -6,12 +6,12 @@
 
 use kernel::{DataCentre, Incarnation};
 
-use crate::{Peer, State};
+use crate::{Peer, PeerState};
 
-/// How long the moment of a disappearance is remembered.
-const REMEMBERED: Duration = Duration::from_hours(1);
+/// Time for which the disappearance of a host is remembered.
+const GONE_RETENTION: Duration = Duration::from_hours(1);
 
-/// What is known of the other hosts.
+/// The known state of the other hosts.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     live: BTreeMap<Incarnation, Peer>,
@@ -20,7 +20,7 @@
 }
 
 impl Peers {
-    /// Replaces what is known by `peers`.
+    /// Replaces the live hosts by `peers`.
     pub(crate) fn replace(&mut self, now: Duration, peers: Vec<Peer>) {
         let live: BTreeMap<_, _> = peers
             .into_iter()
@@ -32,7 +32,7 @@
             }
         }
         self.gone
-            .retain(|it, since| !live.contains_key(it) && now < *since + REMEMBERED);
+            .retain(|it, since| !live.contains_key(it) && now < *since + GONE_RETENTION);
         self.live = live;
     }
 
@@ -40,54 +40,54 @@
         self.live.contains_key(&incarnation)
     }
 
-    /// Whether `incarnation` is alive and stays.
-    pub(crate) fn stays(&self, incarnation: Incarnation) -> bool {
+    /// Whether `incarnation` is alive and not shutting down.
+    pub(crate) fn accepts_copies(&self, incarnation: Incarnation) -> bool {
         self.live
             .get(&incarnation)
-            .is_some_and(|peer| peer.state == State::Live)
+            .is_some_and(|peer| peer.state == PeerState::Live)
     }
 
     pub(crate) fn data_centre(&self, incarnation: Incarnation) -> Option<&DataCentre> {
         self.live.get(&incarnation).map(|peer| &peer.data_centre)
     }
 
-    /// All hosts, this one included.
-    pub(crate) fn hosts(&self) -> usize {
+    /// The number of live hosts, including this one.
+    pub(crate) fn host_count(&self) -> usize {
         self.live.len() + 1
     }
 
-    /// How many hosts could keep a copy.
-    pub(crate) fn staying(&self) -> usize {
+    /// The number of other hosts that accept copies.
+    pub(crate) fn accepting_count(&self) -> usize {
         self.live
             .values()
-            .filter(|peer| peer.state == State::Live)
+            .filter(|peer| peer.state == PeerState::Live)
             .count()
     }
 
-    /// When `incarnation` disappeared; now, if it was never seen.
+    /// Returns when `incarnation` disappeared, or `now` if it was never seen.
     ///
-    /// A host that has just started knows nobody. It counts from its own
-    /// first look, so that it fences nobody before it has heard from the fleet.
+    /// A host that has just started knows no other host. It counts from its own first look, so it
+    /// fences no host before it has heard from the fleet.
     pub(crate) fn gone_since(&mut self, now: Duration, incarnation: Incarnation) -> Duration {
         *self.gone.entry(incarnation).or_insert(now)
     }
 
-    /// A message came from `incarnation`: it is alive, whatever the fleet says so far.
-    pub(crate) fn heard(&mut self, now: Duration, incarnation: Incarnation) {
+    /// Restarts the count for a missing `incarnation` that sent a message: it is alive, whatever
+    /// the membership says.
+    pub(crate) fn record_contact(&mut self, now: Duration, incarnation: Incarnation) {
         if let Some(since) = self.gone.get_mut(&incarnation) {
             *since = now;
         }
     }
 
-    /// Chooses no more copies for `incarnation` until `until`.
+    /// Excludes `incarnation` as a partner until `until`.
     pub(crate) fn avoid(&mut self, incarnation: Incarnation, until: Duration) {
         self.avoided.insert(incarnation, until);
     }
 
-    /// The host that keeps the copies of `me`: in another data centre and near
-    /// before far, in the same one only when there is no other. Within a rank
-    /// the choice is by rendezvous hashing, so that hosts spread over their
-    /// partners and a partner's loss moves only those who had chosen it.
+    /// Selects the host that stores the copies of `me`. Another data centre comes before the same
+    /// one, then a near host before a far one. Among equals the choice is by rendezvous hashing,
+    /// which spreads the hosts over partners and moves only a lost partner's copies.
     pub(crate) fn partner(
         &self,
         now: Duration,
@@ -97,7 +97,7 @@
     ) -> Option<Incarnation> {
         self.live
             .values()
-            .filter(|peer| peer.state == State::Live && peer.incarnation != me)
+            .filter(|peer| peer.state == PeerState::Live && peer.incarnation != me)
             .filter(|peer| !except.contains(&peer.incarnation))
             .filter(|peer| {
                 self.avoided
@@ -106,14 +106,18 @@
             })
             .min_by_key(|peer| {
                 let same = peer.data_centre == *data_centre;
-                (same, peer.reach, Reverse(score(me, peer.incarnation)))
+                (
+                    same,
+                    peer.reach,
+                    Reverse(rendezvous_weight(me, peer.incarnation)),
+                )
             })
             .map(|peer| peer.incarnation)
     }
 }
 
-/// The weight of `peer` for `me`: the finaliser of `splitmix64` over both.
-fn score(me: Incarnation, peer: Incarnation) -> u64 {
+/// The rendezvous weight of `peer` for `me`: the `splitmix64` finaliser of both.
+fn rendezvous_weight(me: Incarnation, peer: Incarnation) -> u64 {
     let mut hash = me.0.rotate_left(32) ^ peer.0.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/ledger/tests/pairs.rs
+++ b/crates/ledger/tests/pairs.rs
@@ -1,7 +1,7 @@
-//! Pairs of faults, drawn by seed, against callers that repeat.
+//! Random pairs of faults against callers that retry.
 //!
-//! A failure names its seed; `LEDGER_SEEDS=17..18` runs just that one again,
-//! and a longer range is a soak.
+//! A failure names its seed; `LEDGER_SEEDS=17..18` runs that seed alone, and a longer range is a
+//! soak test.
 
 mod check;
 mod fault;
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::sim::{Call, Happening, Next, Power, Reply, World, answered};
+use crate::sim::{Call, Next, Reply, RunState, Scheduled, World, answered};
 use fault::Fault;
 use job::Job;
 
@@ -26,45 +26,45 @@
     ("d", "dar-4"),
 ];
 const JOBS: usize = 50;
-/// Jobs and faults begin within this time.
-const BUSY: Duration = Duration::from_secs(10);
-/// Callers repeat for this long, then everything is mended.
-const TROUBLE: Duration = Duration::from_mins(1);
-/// What is left has settled by then.
-const REST: Duration = Duration::from_mins(3);
-/// How long a caller waits before it tries another host.
-const PATIENCE: Duration = Duration::from_secs(4);
-const REPEATS: u32 = 6;
+/// Jobs and faults start within this time.
+const START_WINDOW: Duration = Duration::from_secs(10);
+/// End of the retries and the faults.
+const FAULT_PERIOD: Duration = Duration::from_mins(1);
+/// Time allowed for settling everything after the faults have ended.
+const SETTLE_PERIOD: Duration = Duration::from_mins(3);
+/// Time after which a caller tries another host.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_RETRIES: u32 = 6;
 
-/// A step of a call or job, as [`Happening::Step`] carries it.
+/// Steps of a call, as [`Scheduled::Step`] carries them.
 const SEND: u32 = 0;
-const BOUNCE: u32 = 1;
-const ANSWER: u32 = 2;
+const REFUSE: u32 = 1;
+const RESPOND: u32 = 2;
 const FAIL: u32 = 3;
-const LEAVE: u32 = 4;
+const GIVE_UP: u32 = 4;
 
 #[test]
 fn pairs() {
-    let mut answers = 0;
+    let mut responses = 0;
     let mut lost = 0;
     for seed in seeds() {
         let mut run = Run::new(seed);
         run.run();
-        let verdict = check::check(&run);
+        let report = check::check(&run);
         assert!(
-            verdict.faults.is_empty(),
+            report.violations.is_empty(),
             "seed {seed}, {:?}\n{}\n{}",
             run.faults,
-            verdict.faults.join("\n"),
+            report.violations.join("\n"),
             run.world.trace
         );
-        answers += verdict.answers;
-        lost += verdict.lost;
+        responses += report.responses;
+        lost += report.lost;
     }
-    // A record is lost when every host dies that holds it. What that takes is
-    // stated in docs/design/ledger.md; how often it is, is counted here.
-    println!("{answers} answers, {lost} records lost with all their holders");
-    assert!(answers > 1000, "the runs answer calls");
+    // A record is lost if all hosts that hold it die. The conditions are stated in
+    // docs/design/ledger.md; this prints the count.
+    println!("{responses} responses, {lost} records lost with all their holders");
+    assert!(responses > 1000, "too few calls got a response");
 }
 
 fn seeds() -> std::ops::Range<u64> {
@@ -75,13 +75,13 @@
     from.parse().unwrap()..to.parse().unwrap()
 }
 
-/// One run: a site, its callers and two faults.
+/// One simulation run with its callers and two faults.
 struct Run {
     world: World,
     rng: Pcg64Mcg,
     faults: Vec<(Duration, Fault)>,
     jobs: Vec<Job>,
-    /// What is still to come of each permitted call: after which time, which step.
+    /// The remaining steps of each permitted call, each with its delay.
     plans: BTreeMap<String, VecDeque<(Duration, u32)>>,
 }
 
@@ -94,7 +94,12 @@
             world.add(name, data_centre, tuning.clone());
         }
         let mut faults: Vec<_> = (0..2)
-            .map(|_| (span(&mut rng, Duration::ZERO, BUSY), Fault::draw(&mut rng)))
+            .map(|_| {
+                (
+                    span(&mut rng, Duration::ZERO, START_WINDOW),
+                    Fault::draw(&mut rng),
+                )
+            })
             .collect();
         faults.sort_by_key(|(at, _)| *at);
         Self {
@@ -108,33 +113,33 @@
 
     fn run(&mut self) {
         for idx in 0..JOBS {
-            let start = span(&mut self.rng, Duration::ZERO, BUSY);
+            let start = span(&mut self.rng, Duration::ZERO, START_WINDOW);
             self.jobs.push(Job::draw(&mut self.rng, idx));
-            self.world.at(start, Happening::Plan(idx));
+            self.world.schedule(start, Scheduled::Plan(idx));
         }
         for (idx, (at, _)) in self.faults.iter().enumerate() {
-            self.world.at(*at, Happening::Plan(JOBS + idx));
+            self.world.schedule(*at, Scheduled::Plan(JOBS + idx));
         }
-        self.run_until(TROUBLE);
-        fault::mend(&mut self.world);
-        self.run_until(TROUBLE + REST);
+        self.run_until(FAULT_PERIOD);
+        fault::end_all(&mut self.world);
+        self.run_until(FAULT_PERIOD + SETTLE_PERIOD);
     }
 
     fn run_until(&mut self, end: Duration) {
         loop {
             match self.world.next(end) {
                 Next::Nothing => break,
-                Next::Driver(Happening::Plan(idx)) if idx < JOBS => self.start(idx),
-                Next::Driver(Happening::Plan(idx)) => self.break_something(idx - JOBS),
-                Next::Driver(Happening::Step(request, step)) => self.step(&request, step),
+                Next::Driver(Scheduled::Plan(idx)) if idx < JOBS => self.start(idx),
+                Next::Driver(Scheduled::Plan(idx)) => self.toggle_fault(idx - JOBS),
+                Next::Driver(Scheduled::Step(request, step)) => self.step(&request, step),
                 Next::Driver(_) | Next::Done => {}
             }
-            self.follow();
+            self.handle_results();
         }
         self.world.now = end;
     }
 
-    fn break_something(&mut self, idx: usize) {
+    fn toggle_fault(&mut self, idx: usize) {
         let fault = self.faults[idx].1.clone();
         match fault.end() {
             None if idx < 2 => fault.begin(&mut self.world),
@@ -142,21 +147,21 @@
                 fault.begin(&mut self.world);
                 let end = JOBS + self.faults.len();
                 self.faults.push((self.world.now + span, fault));
-                self.world.at(span, Happening::Plan(end));
+                self.world.schedule(span, Scheduled::Plan(end));
             }
             _ => fault.finish(&mut self.world),
         }
     }
 
-    /// A job's caller sends its call, for the first time or again.
+    /// Sends a job's call, for the first time or as a retry.
     fn start(&mut self, idx: usize) {
         let job = &mut self.jobs[idx];
-        if job.done || job.arrivals > REPEATS || self.world.now >= TROUBLE {
+        if job.done || job.arrivals > MAX_RETRIES || self.world.now >= FAULT_PERIOD {
             return;
         }
         let hosts: Vec<usize> = (0..self.world.hosts.len())
             .filter(|it| !self.world.hosts[*it].is_gone())
-            .filter(|it| self.world.hosts[*it].state == ledger::State::Live)
+            .filter(|it| self.world.hosts[*it].state == ledger::PeerState::Live)
             .collect();
         if job.arrivals == 0 {
             job.get_ticket(&mut self.rng, &self.world, &hosts);
@@ -164,9 +169,10 @@
         let twice = job.arrivals == 0 && job.is_keyed() && self.rng.random_bool(0.2);
         for _ in 0..=u32::from(twice) {
             let host = hosts[self.rng.random_range(0..hosts.len())];
-            let arrival = self.jobs[idx].arrive();
+            let arrival = self.jobs[idx].next_arrival();
             let request = arrival.request.to_string();
-            self.world.at(PATIENCE, Happening::Step(request, LEAVE));
+            self.world
+                .schedule(CALLER_TIMEOUT, Scheduled::Step(request, GIVE_UP));
             self.world.call(Call {
                 arrival,
                 host,
@@ -177,8 +183,8 @@
         }
     }
 
-    /// Sees to what was permitted and what ended.
-    fn follow(&mut self) {
+    /// Dispatches calls that were permitted, and retries jobs whose calls were refused or lost.
+    fn handle_results(&mut self) {
         for request in std::mem::take(&mut self.world.permitted) {
             self.dispatch(&request);
         }
@@ -188,33 +194,33 @@
                 continue;
             }
             let idx = job::index(&request);
-            if matches!(call.result, Some((_, Reply::Answer))) {
+            if matches!(call.result, Some((_, Reply::Response))) {
                 self.jobs[idx].done = true;
             } else {
-                self.again(idx);
+                self.schedule_retry(idx);
             }
         }
     }
 
-    fn again(&mut self, idx: usize) {
+    fn schedule_retry(&mut self, idx: usize) {
         if self.jobs[idx].is_keyed() {
             let after = span(
                 &mut self.rng,
                 Duration::from_millis(200),
                 Duration::from_secs(2),
             );
-            self.world.at(after, Happening::Plan(idx));
+            self.world.schedule(after, Scheduled::Plan(idx));
         }
     }
 
-    /// Draws what becomes of a permitted call.
+    /// Draws the steps of a permitted call.
     fn dispatch(&mut self, request: &str) {
         let millis = |rng: &mut Pcg64Mcg, from, to| {
             span(rng, Duration::from_millis(from), Duration::from_millis(to))
         };
         let mut plan = VecDeque::new();
         if self.rng.random_bool(0.15) {
-            plan.push_back((millis(&mut self.rng, 0, 5), BOUNCE));
+            plan.push_back((millis(&mut self.rng, 0, 5), REFUSE));
         }
         let first = millis(&mut self.rng, 0, 5);
         match self.rng.random_range(0..20) {
@@ -225,57 +231,57 @@
             }
             3 => {
                 plan.push_back((first, SEND));
-                plan.push_back((millis(&mut self.rng, 4_000, 15_000), ANSWER));
+                plan.push_back((millis(&mut self.rng, 4_000, 15_000), RESPOND));
             }
             _ => {
                 plan.push_back((first, SEND));
-                plan.push_back((millis(&mut self.rng, 2, 300), ANSWER));
+                plan.push_back((millis(&mut self.rng, 2, 300), RESPOND));
             }
         }
         self.plans.insert(request.to_owned(), plan);
-        self.go_on(request);
+        self.schedule_next_step(request);
     }
 
-    /// Sets off the next step of a permitted call.
-    fn go_on(&mut self, request: &str) {
+    /// Schedules the next step of a permitted call.
+    fn schedule_next_step(&mut self, request: &str) {
         let next = self.plans.get_mut(request).and_then(VecDeque::pop_front);
         if let Some((after, step)) = next {
-            let happening = Happening::Step(request.to_owned(), step);
-            self.world.at(after, happening);
+            let scheduled = Scheduled::Step(request.to_owned(), step);
+            self.world.schedule(after, scheduled);
         }
     }
 
     fn step(&mut self, request: &str, step: u32) {
         let call = &self.world.calls[request];
-        match self.world.hosts[call.host].power {
-            Power::Left | Power::Off => return,
-            Power::Frozen if step != LEAVE => {
-                let again = Happening::Step(request.to_owned(), step);
-                return self.world.at(Duration::from_millis(200), again);
+        match self.world.hosts[call.host].run_state {
+            RunState::Exited | RunState::Killed => return,
+            RunState::Frozen if step != GIVE_UP => {
+                let retry = Scheduled::Step(request.to_owned(), step);
+                return self.world.schedule(Duration::from_millis(200), retry);
             }
             _ => {}
         }
         match step {
-            SEND | BOUNCE if call.result.is_some() => {}
+            SEND | REFUSE if call.result.is_some() => {}
             SEND => self.world.send(request),
-            BOUNCE => self.world.bounce(request),
-            ANSWER => self.world.finish(request, answered(request)),
+            REFUSE => self.world.refuse_attempt(request),
+            RESPOND => self.world.finish(request, answered(request)),
             FAIL => self.world.finish(request, End::Unanswered),
             _ if call.result.is_none() => {
                 if call.permitted.is_none() {
                     self.world.cancel(request);
                 }
-                self.again(job::index(request));
+                self.schedule_retry(job::index(request));
             }
             _ => {}
         }
-        if step != LEAVE {
-            self.go_on(request);
+        if step != GIVE_UP {
+            self.schedule_next_step(request);
         }
     }
 }
 
-/// Every other run has bounds and times that are reached.
+/// Returns the defaults in half of the runs, and limits low enough to be reached in the others.
 fn draw_tuning(rng: &mut Pcg64Mcg) -> Tuning {
     if rng.random_bool(0.5) {
         return Tuning::default();
@@ -285,11 +291,11 @@
         held_records: rng.random_range(4..100),
         held_copies: rng.random_range(4..100),
         copy_window: rng.random_range(1..4),
-        keys: rng.random_range(8..100),
-        key_linger: Duration::from_secs(rng.random_range(1..10)),
-        outcome_bytes: rng.random_range(1..30),
-        outcome_total: rng.random_range(20..200),
-        waiters: rng.random_range(0..4),
+        max_keys: rng.random_range(8..100),
+        key_retention: Duration::from_secs(rng.random_range(1..10)),
+        max_outcome_bytes: rng.random_range(1..30),
+        max_total_outcome_bytes: rng.random_range(20..200),
+        max_waiters: rng.random_range(0..4),
         fence_after: Duration::from_secs(rng.random_range(1..30)),
         ..Tuning::default()
     }
--- a/crates/ledger/tests/pairs/check.rs
+++ b/crates/ledger/tests/pairs/check.rs
@@ -1,95 +1,97 @@
-//! What must hold after each run.
+//! Invariants that are checked after each run.
 
 use std::collections::BTreeMap;
 
 use kernel::Incarnation;
-use ledger::Repeat;
+use ledger::RetryPolicy;
 
 use super::Run;
-use crate::sim::{Call, Power, Reply, is_not_run};
+use crate::sim::{Call, Reply, RunState, is_not_run};
 
-/// What was found.
+/// The violations that the checks found, and counts.
 #[derive(Debug, Default)]
-pub(super) struct Verdict {
-    pub(super) faults: Vec<String>,
-    pub(super) answers: usize,
-    /// Records of answers whose every holder died: both of two hosts, or the
-    /// only one where the ledger had said that there was a single copy.
+pub(super) struct Report {
+    pub(super) violations: Vec<String>,
+    pub(super) responses: usize,
+    /// Number of billing records lost because all hosts that held them died: two hosts, or one if
+    /// the ledger had reported a single copy.
     pub(super) lost: usize,
 }
 
-pub(super) fn check(run: &Run) -> Verdict {
-    let mut verdict = Verdict::default();
-    runs_at_most_once(run, &mut verdict);
-    billed_once(run, &mut verdict);
-    not_run_is_true(run, &mut verdict);
-    nothing_is_left(run, &mut verdict);
-    verdict
+pub(super) fn check(run: &Run) -> Report {
+    let mut report = Report::default();
+    runs_at_most_once(run, &mut report);
+    billed_once(run, &mut report);
+    not_run_is_true(run, &mut report);
+    nothing_is_left(run, &mut report);
+    report
 }
 
-fn runs_at_most_once(run: &Run, verdict: &mut Verdict) {
+fn runs_at_most_once(run: &Run, report: &mut Report) {
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     for execution in &run.world.executions {
         let call = &run.world.calls[&execution.request];
-        if call.arrival.repeat == Repeat::NonIdempotent {
+        if call.arrival.retry_policy == RetryPolicy::AtMostOnce {
             *counts.entry(&execution.key).or_default() += 1;
         }
     }
     let twice = counts.iter().filter(|(_, count)| **count > 1);
-    verdict
-        .faults
+    report
+        .violations
         .extend(twice.map(|(key, count)| format!("{key} ran {count} times")));
 }
 
-fn billed_once(run: &Run, verdict: &mut Verdict) {
+fn billed_once(run: &Run, report: &mut Report) {
     let bills = run.world.bills();
     for pair in bills.windows(2).filter(|pair| pair[0] == pair[1]) {
-        verdict.faults.push(format!("{} is billed twice", pair[0]));
+        report
+            .violations
+            .push(format!("{} is billed twice", pair[0]));
     }
     let answered = run
         .world
         .calls
         .values()
-        .filter(|call| matches!(call.result, Some((_, Reply::Answer))));
+        .filter(|call| matches!(call.result, Some((_, Reply::Response))));
     for call in answered {
-        verdict.answers += 1;
+        report.responses += 1;
         if bills.iter().any(|bill| bills_call(bill, call)) {
             continue;
         }
         if is_lost_with_holders(run, call) {
-            verdict.lost += 1;
+            report.lost += 1;
         } else {
             let request = &call.arrival.request;
-            verdict.faults.push(format!("{request} isn't billed"));
+            report.violations.push(format!("{request} is not billed"));
         }
     }
     for bill in &bills {
         let ran = |key: &str| bill == key || bill.starts_with(&format!("{key}~"));
         let mut executions = run.world.executions.iter();
         if !executions.any(|it| ran(&it.key) || bill.ends_with(&format!("/{}", it.request))) {
-            verdict.faults.push(format!("{bill} never ran"));
+            report.violations.push(format!("{bill} never ran"));
         }
     }
 }
 
-/// Whether every host died that held the record of a call.
+/// Whether all hosts that held the record of a call died.
 fn is_lost_with_holders(run: &Run, call: &Call) -> bool {
     let hosts = &run.world.hosts;
     let holders = run.world.holders.of(|key| bills_call(key, call));
     let is_dead = |holder: &Incarnation| {
         let host = hosts.iter().find(|host| host.incarnation == *holder);
-        host.is_some_and(|host| host.power == Power::Off)
+        host.is_some_and(|host| host.run_state == RunState::Killed)
     };
     if !holders.is_empty() {
         return holders.iter().all(is_dead);
     }
-    // No other host ever had it: it was where the call ran.
+    // No other host ever had the record, so only the host that ran the call held it.
     let request = call.arrival.request.as_str();
     let ran_for = |it: &&Call| {
         it.arrival.request.as_str() == request || it.relays.as_deref() == Some(request)
     };
     let mut ran = run.world.calls.values().filter(ran_for);
-    ran.any(|it| it.permitted.is_some() && hosts[it.host].power == Power::Off)
+    ran.any(|it| it.permitted.is_some() && hosts[it.host].run_state == RunState::Killed)
 }
 
 fn bills_call(bill: &str, call: &Call) -> bool {
@@ -97,15 +99,15 @@
         return bill.ends_with(&format!("/{}", call.arrival.request));
     }
     let identity = call.identity();
-    match call.arrival.repeat {
-        Repeat::Idempotent => bill == format!("{identity}~{}", call.arrival.fingerprint),
-        Repeat::NonIdempotent => bill == identity,
+    match call.arrival.retry_policy {
+        RetryPolicy::Idempotent => bill == format!("{identity}~{}", call.arrival.fingerprint),
+        RetryPolicy::AtMostOnce => bill == identity,
     }
 }
 
-/// A refusal says "not run" only when no arrival of the key had run, and none
-/// that was already permitted ran later.
-fn not_run_is_true(run: &Run, verdict: &mut Verdict) {
+/// A refusal may say "not run" only if no arrival of the key ran before, and no arrival permitted
+/// before runs later.
+fn not_run_is_true(run: &Run, report: &mut Report) {
     for call in run.world.calls.values() {
         let Some((at, reply)) = &call.result else {
             continue;
@@ -124,20 +126,25 @@
             .map(|it| it.request.as_str());
         for other in false_by {
             let request = &call.arrival.request;
-            verdict
-                .faults
-                .push(format!("{request} was refused as not run, {other} ran"));
+            report
+                .violations
+                .push(format!("{request} was refused as not run, but {other} ran"));
         }
     }
 }
 
-fn nothing_is_left(run: &Run, verdict: &mut Verdict) {
-    for host in run.world.hosts.iter().filter(|it| it.power == Power::On) {
+fn nothing_is_left(run: &Run, report: &mut Report) {
+    for host in run
+        .world
+        .hosts
+        .iter()
+        .filter(|it| it.run_state == RunState::Running)
+    {
         let status = host.ledger.status();
         if (status.held, status.copies) != (0, 0) {
             let name = &host.name;
-            verdict
-                .faults
+            report
+                .violations
                 .push(format!("{name} still holds {status:?}"));
         }
     }
--- a/crates/ledger/tests/pairs/job.rs
+++ b/crates/ledger/tests/pairs/job.rs
@@ -1,18 +1,18 @@
-//! What a caller wants done, and how it repeats.
+//! Jobs of callers, and their retries.
 
 use std::time::Duration;
 
 use kernel::Customer;
-use ledger::{Arrival, Fingerprint, Repeat, Ticket, Via};
+use ledger::{Arrival, Fingerprint, RetryPolicy, Ticket, Via};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
 use crate::sim::{World, mint};
 
-/// For how long a ticket is good: some callers repeat for longer.
-const TICKET_LIFE: Duration = Duration::from_secs(25);
+/// Validity of a ticket, shorter than some callers keep retrying.
+const TICKET_VALIDITY: Duration = Duration::from_secs(25);
 
-/// What a caller wants done.
+/// A request that a caller wants to be executed.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     idx: usize,
@@ -25,18 +25,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Keyless,
-    Claimed(Repeat),
-    Ticketed(Repeat),
+    Unticketed(RetryPolicy),
+    Ticketed(RetryPolicy),
 }
 
 impl Job {
     pub(super) fn draw(rng: &mut Pcg64Mcg, idx: usize) -> Self {
         let kind = match rng.random_range(0..20) {
             0..3 => Kind::Keyless,
-            3..8 => Kind::Claimed(Repeat::NonIdempotent),
-            8..11 => Kind::Claimed(Repeat::Idempotent),
-            11..16 => Kind::Ticketed(Repeat::NonIdempotent),
-            _ => Kind::Ticketed(Repeat::Idempotent),
+            3..8 => Kind::Unticketed(RetryPolicy::AtMostOnce),
+            8..11 => Kind::Unticketed(RetryPolicy::Idempotent),
+            11..16 => Kind::Ticketed(RetryPolicy::AtMostOnce),
+            _ => Kind::Ticketed(RetryPolicy::Idempotent),
         };
         Self {
             idx,
@@ -51,22 +51,22 @@
         self.kind != Kind::Keyless
     }
 
-    /// A caller gets its ticket from any host and keeps it for its repeats.
+    /// Gets a ticket from any host and keeps it for retries.
     pub(super) fn get_ticket(&mut self, rng: &mut Pcg64Mcg, world: &World, hosts: &[usize]) {
         if matches!(self.kind, Kind::Ticketed(_)) {
             let host = hosts[rng.random_range(0..hosts.len())];
-            let expires = world.now + TICKET_LIFE;
+            let expires = world.now + TICKET_VALIDITY;
             self.ticket = Some(mint(&world.hosts[host], expires));
         }
     }
 
-    pub(super) fn arrive(&mut self) -> Arrival {
+    pub(super) fn next_arrival(&mut self) -> Arrival {
         let request = format!("{}.{}", self.idx, self.arrivals);
         self.arrivals += 1;
-        let (key, repeat) = match self.kind {
-            Kind::Keyless => (None, Repeat::Idempotent),
-            Kind::Claimed(repeat) | Kind::Ticketed(repeat) => {
-                (Some(format!("k{}", self.idx).into()), repeat)
+        let (key, retry_policy) = match self.kind {
+            Kind::Keyless => (None, RetryPolicy::Idempotent),
+            Kind::Unticketed(retry_policy) | Kind::Ticketed(retry_policy) => {
+                (Some(format!("k{}", self.idx).into()), retry_policy)
             }
         };
         Arrival {
@@ -75,14 +75,16 @@
             key,
             ticket: self.ticket,
             fingerprint: Fingerprint(1),
-            repeat,
+            retry_policy,
             via: Via::Caller,
         }
     }
 }
 
-/// The job of a request.
+/// Returns the index of the job that a request belongs to.
 pub(super) fn index(request: &str) -> usize {
-    let (idx, _) = request.split_once('.').expect("requests name their job");
-    idx.parse().expect("jobs are numbered")
+    let (idx, _) = request
+        .split_once('.')
+        .expect("request IDs start with the job index");
+    idx.parse().expect("the job index is a number")
 }
--- a/crates/ledger/tests/scripts.rs
+++ b/crates/ledger/tests/scripts.rs
@@ -1,19 +1,19 @@
-//! Scripted failures: each file under `scripts/` tells a story, its commands
-//! and what the hosts do. `REWRITE=1 cargo test -p ledger` writes them anew.
+//! Scripted failures: each file under `scripts/` lists commands and the expected actions of the
+//! hosts. `REWRITE=1 cargo test -p ledger` updates the expectations.
 
 use std::fmt::Write as _;
 use std::time::Duration;
 
 use datadriven::TestCase;
 use kernel::Customer;
-use ledger::{Arrival, End, Fingerprint, Repeat, Tuning, Via};
+use ledger::{Arrival, End, Fingerprint, RetryPolicy, Tuning, Via};
 
 use crate::sim::{Call, Mode, World, answered, mint};
 
-/// How long a ticket is good.
-const TICKET_LIFE: Duration = Duration::from_mins(10);
-/// How long the world goes on after a command that names no time.
-const AFTER: Duration = Duration::from_millis(20);
+/// Validity of a ticket.
+const TICKET_VALIDITY: Duration = Duration::from_mins(10);
+/// Time that passes after a command that names none.
+const DEFAULT_PAUSE: Duration = Duration::from_millis(20);
 
 #[test]
 fn scripts() {
@@ -30,12 +30,9 @@
 }
 
 impl Script {
-    /// Runs the commands of one step, a line each.
+    /// Runs the commands of one step, one per line.
     fn run(&mut self, case: &TestCase) -> String {
-        assert_eq!(
-            case.directive, "step",
-            "a step's commands stand below `step`"
-        );
+        assert_eq!(case.directive, "step", "commands must stand below `step`");
         for line in case.input.lines() {
             self.command(&Command::parse(line));
         }
@@ -49,7 +46,7 @@
 
     fn command(&mut self, command: &Command) {
         let world = &mut self.world;
-        let mut after = command.option("after").map_or(AFTER, span_of);
+        let mut pause = command.option("after").map_or(DEFAULT_PAUSE, span_of);
         match command.words.as_slice() {
             ["host", name, data_centre] => {
                 let mut tuning = Tuning::default();
@@ -58,15 +55,15 @@
                     tuning.held_copies = tuning.held_records;
                 }
                 if let Some(keys) = command.option("keys") {
-                    tuning.keys = keys.parse().unwrap();
+                    tuning.max_keys = keys.parse().unwrap();
                 }
                 if let Some(linger) = command.option("linger") {
-                    tuning.key_linger = span_of(linger);
+                    tuning.key_retention = span_of(linger);
                 }
                 world.add(name, data_centre, tuning);
             }
             ["ticket", host] => {
-                let expires = world.now + TICKET_LIFE;
+                let expires = world.now + TICKET_VALIDITY;
                 let ticket = mint(&world.hosts[world.host(host)], expires);
                 self.tickets.insert((*host).to_owned(), ticket);
             }
@@ -80,7 +77,7 @@
                 world.send(request);
                 world.finish(request, answered(request));
             }
-            ["bounce", request] => world.bounce(request),
+            ["bounce", request] => world.refuse_attempt(request),
             ["fail", request] => world.finish(request, End::Unanswered),
             ["cancel", request] => world.cancel(request),
             ["kill", host] => world.kill(world.host(host)),
@@ -88,38 +85,38 @@
             ["freeze", host] => world.freeze(world.host(host)),
             ["thaw", host] => world.thaw(world.host(host)),
             ["drain", host] => world.drain(world.host(host)),
-            ["cut", one, other] => world.cut(world.host(one), world.host(other)),
+            ["cut", one, other] => world.disconnect(world.host(one), world.host(other)),
             ["keep-incarnation", host] => {
                 let host = world.host(host);
-                world.hosts[host].renews = false;
+                world.hosts[host].renews_when_fenced = false;
             }
             ["renew", host] => world.renew(world.host(host)),
-            ["mend"] => world.mend(),
+            ["mend"] => world.reconnect(),
             ["table", "fine"] => world.table.mode = Mode::Fine,
             ["table", "out"] => world.table.mode = Mode::Out,
             ["table", "hanging"] => world.table.mode = Mode::Hanging,
-            ["table", "loses", count] => world.table.lose = count.parse().unwrap(),
-            ["table", "late", count] => world.table.late = count.parse().unwrap(),
-            ["run", span] => after = span_of(span),
-            ["rows"] => self.show(Script::rows),
-            ["bills"] => self.show(|script| lines(script.world.bills())),
-            ["executions"] => self.show(Script::executions),
-            ["status", host] => self.show(|script| script.status(host)),
+            ["table", "loses", count] => world.table.lost_responses = count.parse().unwrap(),
+            ["table", "late", count] => world.table.late_writes = count.parse().unwrap(),
+            ["run", span] => pause = span_of(span),
+            ["rows"] => self.print(Script::rows),
+            ["bills"] => self.print(|script| lines(script.world.bills())),
+            ["executions"] => self.print(Script::executions),
+            ["status", host] => self.print(|script| script.status(host)),
             words => panic!("unknown command {words:?}"),
         }
-        self.world.run(after);
+        self.world.run(pause);
     }
 
-    fn show(&mut self, what: impl Fn(&Self) -> String) {
+    fn print(&mut self, what: impl Fn(&Self) -> String) {
         let shown = what(self);
         self.world.trace.push_str(&shown);
     }
 
     fn call(&mut self, command: &Command, host: &str, request: &str) {
         let host = self.world.host(host);
-        let repeat = match command.option("repeat") {
-            Some("harmless") => Repeat::Idempotent,
-            _ => Repeat::NonIdempotent,
+        let retry_policy = match command.option("repeat") {
+            Some("harmless") => RetryPolicy::Idempotent,
+            _ => RetryPolicy::AtMostOnce,
         };
         let mut ticket = command.option("ticket").map(|name| self.tickets[name]);
         if let (Some(ticket), Some(remaining)) = (&mut ticket, command.option("remaining")) {
@@ -134,7 +131,7 @@
             key: command.option("key").map(Into::into),
             ticket,
             fingerprint: Fingerprint(body),
-            repeat,
+            retry_policy,
             via: Via::Caller,
         };
         self.world.call(Call {
@@ -204,7 +201,7 @@
     Duration::from_secs(text.trim_end_matches('s').parse().unwrap())
 }
 
-/// A command: words, then options and flags.
+/// A command: words and `name=value` options.
 struct Command<'a> {
     words: Vec<&'a str>,
     options: Vec<(&'a str, &'a str)>,
--- a/crates/ledger/tests/sim/holders.rs
+++ b/crates/ledger/tests/sim/holders.rs
@@ -1,36 +1,36 @@
-//! Who holds which record, as the messages between the hosts tell.
+//! The hosts that hold each record, derived from the messages between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use kernel::Incarnation;
 use ledger::{Message, Serial};
 
-/// Who holds which record, as the messages between the hosts tell.
+/// The hosts that hold each record, derived from the messages between them.
 #[derive(Debug, Default)]
 pub(crate) struct Holders {
-    /// The key of each record, by its owner and number.
+    /// The key of each record, by owner and serial.
     keys: BTreeMap<(Incarnation, Serial), String>,
-    /// The numbers in each copy, by owner, receiver and number of the copy.
+    /// The serials in each unconfirmed copy message, by owner, receiver and message number.
     copies: BTreeMap<(Incarnation, Incarnation, u64), Vec<Serial>>,
-    /// Holder, owner and number.
+    /// Holder, owner and serial.
     held: BTreeSet<(Incarnation, Incarnation, Serial)>,
 }
 
 impl Holders {
-    /// Takes a message that is being delivered.
-    pub(crate) fn note(&mut self, from: Incarnation, to: Incarnation, message: &Message) {
+    /// Updates the holders by a message that is being delivered.
+    pub(crate) fn observe(&mut self, from: Incarnation, to: Incarnation, message: &Message) {
         match message {
-            Message::Copy { batch, records } => {
+            Message::Copy { copy_id, records } => {
                 for record in records {
                     let key = record.key.to_string();
                     self.keys.insert((from, record.serial), key);
                     self.held.insert((from, from, record.serial));
                 }
                 let serials = records.iter().map(|record| record.serial).collect();
-                self.copies.insert((from, to, *batch), serials);
+                self.copies.insert((from, to, *copy_id), serials);
             }
-            Message::Copied { batch } => {
-                let serials = self.copies.remove(&(to, from, *batch));
+            Message::Copied { copy_id } => {
+                let serials = self.copies.remove(&(to, from, *copy_id));
                 for serial in serials.unwrap_or_default() {
                     self.held.insert((from, to, serial));
                 }
@@ -42,11 +42,11 @@
             Message::Adopted { serials } => self.held.retain(|(holder, owner, serial)| {
                 !(*holder == to && *owner == to && serials.contains(serial))
             }),
-            Message::Full { .. } | Message::Holds { .. } | Message::Adopt { .. } => {}
+            Message::CopyRefused { .. } | Message::QueryCopies { .. } | Message::Adopt { .. } => {}
         }
     }
 
-    /// The hosts that hold a record of a key that `is` accepts.
+    /// Returns the hosts that hold a record whose key `is` accepts.
     pub(crate) fn of(&self, is: impl Fn(&str) -> bool) -> BTreeSet<Incarnation> {
         self.held
             .iter()
--- a/crates/ledger/tests/sim/host.rs
+++ b/crates/ledger/tests/sim/host.rs
@@ -1,33 +1,33 @@
-//! A host with its ledger, and what befalls it.
+//! A simulated host.
 
 use kernel::{DataCentre, Incarnation};
-use ledger::{Event, Ledger, Peer, Reach, State, Tuning};
+use ledger::{Event, Ledger, Peer, PeerState, Reach, Tuning};
 
-/// Whether a host runs.
+/// The run state of a host's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Power {
-    On,
-    /// Stopped, with all that arrives waiting.
+pub(crate) enum RunState {
+    Running,
+    /// Suspended; events wait until it resumes.
     Frozen,
-    /// It was drained and has ended.
-    Left,
-    /// It died.
-    Off,
+    /// Exited after a drain.
+    Exited,
+    /// Killed.
+    Killed,
 }
 
-/// A host with its ledger.
+/// A simulated host.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) name: String,
     pub(crate) data_centre: DataCentre,
     pub(crate) incarnation: Incarnation,
     pub(crate) ledger: Ledger,
-    pub(crate) power: Power,
+    pub(crate) run_state: RunState,
     pub(crate) inbox: Vec<Event>,
-    pub(crate) state: State,
+    pub(crate) state: PeerState,
     pub(crate) tuning: Tuning,
-    /// Whether it takes a new incarnation as soon as it was fenced.
-    pub(crate) renews: bool,
+    /// Whether it takes a new incarnation as soon as it is fenced.
+    pub(crate) renews_when_fenced: bool,
 }
 
 impl Host {
@@ -43,16 +43,16 @@
             ledger: Ledger::new(incarnation, data_centre.clone(), tuning.clone()),
             data_centre,
             incarnation,
-            power: Power::On,
+            run_state: RunState::Running,
             inbox: Vec::new(),
-            state: State::Live,
+            state: PeerState::Live,
             tuning,
-            renews: true,
+            renews_when_fenced: true,
         }
     }
 
     pub(crate) fn is_gone(&self) -> bool {
-        matches!(self.power, Power::Left | Power::Off)
+        matches!(self.run_state, RunState::Exited | RunState::Killed)
     }
 
     pub(crate) fn as_peer(&self) -> Peer {
--- a/crates/ledger/tests/sim/traffic.rs
+++ b/crates/ledger/tests/sim/traffic.rs
@@ -1,18 +1,18 @@
-//! What calls do to the site.
+//! Calls, attempts and forwarding in the simulation.
 
 use std::fmt::Write as _;
 use std::time::Duration;
 
 use kernel::{Incarnation, RequestId};
-use ledger::{End, Event, Forward, Via};
+use ledger::{End, Event, ForwardResult, Via};
 
-use super::{Call, Execution, Happening, NETWORK, Power, Reply, World};
+use super::{Call, Execution, NETWORK_DELAY, Reply, RunState, Scheduled, World};
 
-/// How long a host waits for the home of a call it forwarded.
-const FORWARD_PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout of a forwarded call.
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl World {
-    /// A call arrives at a host.
+    /// Delivers a call to a host.
     pub(crate) fn call(&mut self, call: Call) {
         let host = call.host;
         let arrival = call.arrival.clone();
@@ -25,12 +25,12 @@
     }
 
     pub(super) fn forward(&mut self, idx: usize, request: &RequestId, home: Incarnation) {
-        self.say(
+        self.log(
             idx,
             format_args!("forwards {request} to {}", self.name(home)),
         );
         let me = self.hosts[idx].incarnation;
-        self.at(FORWARD_PATIENCE, Happening::Forwarded(request.to_string()));
+        self.schedule(FORWARD_TIMEOUT, Scheduled::Forwarded(request.to_string()));
         let Some(to) = self.find(home).filter(|_| self.connected(me, home)) else {
             return;
         };
@@ -46,16 +46,19 @@
             result: None,
         };
         self.calls.insert(arrival.request.to_string(), call);
-        self.at(NETWORK, Happening::Event(home, Event::Arrive(arrival)));
+        self.schedule(
+            NETWORK_DELAY,
+            Scheduled::Event(home, Event::Arrive(arrival)),
+        );
     }
 
     pub(super) fn forward_failed(&mut self, request: &str) {
         if self.calls[request].result.is_none() {
-            self.forwarded(request, Forward::Failed);
+            self.forwarded(request, ForwardResult::Failed);
         }
     }
 
-    pub(super) fn forwarded(&mut self, request: &str, end: Forward) {
+    pub(super) fn forwarded(&mut self, request: &str, end: ForwardResult) {
         let to = self.hosts[self.calls[request].host].incarnation;
         let request = RequestId::from(request);
         self.feed(to, Event::Forwarded { request, end });
@@ -78,27 +81,28 @@
             return;
         };
         let (from, to) = (host, self.calls[&origin].host);
-        let cut = self.cuts.contains(&(from, to)) || self.cuts.contains(&(to, from));
+        let cut =
+            self.disconnected.contains(&(from, to)) || self.disconnected.contains(&(to, from));
         if cut || reply == Reply::Lost || self.hosts[to].is_gone() {
             return;
         }
-        self.forwarded(&origin, Forward::Relayed);
+        self.forwarded(&origin, ForwardResult::Relayed);
         self.end(&RequestId::from(origin), reply);
     }
 
-    /// An attempt of a permitted call leaves and is run by the service.
+    /// Sends an attempt of a permitted call, which the service executes.
     pub(crate) fn send(&mut self, request: &str) {
         let call = &self.calls[request];
         assert!(call.permitted.is_some(), "{request} isn't permitted");
         let idx = call.host;
-        if self.hosts[idx].power != Power::On {
+        if self.hosts[idx].run_state != RunState::Running {
             return;
         }
         let key = call.identity();
         let to = self.hosts[idx].incarnation;
         self.feed(
             to,
-            Event::Sending {
+            Event::AttemptSending {
                 request: request.into(),
             },
         );
@@ -108,17 +112,17 @@
         });
     }
 
-    /// An attempt of a permitted call is refused by the service itself.
-    pub(crate) fn bounce(&mut self, request: &str) {
+    /// Sends an attempt of a permitted call, which the service refuses without executing it.
+    pub(crate) fn refuse_attempt(&mut self, request: &str) {
         let to = self.hosts[self.calls[request].host].incarnation;
         let request = RequestId::from(request);
         self.feed(
             to,
-            Event::Sending {
+            Event::AttemptSending {
                 request: request.clone(),
             },
         );
-        self.feed(to, Event::Returned { request });
+        self.feed(to, Event::AttemptNotRun { request });
     }
 
     pub(crate) fn finish(&mut self, request: &str, end: End) {
