--- a/crates/barleypind/src/backlog.rs
+++ b/crates/barleypind/src/backlog.rs
@@ -1,21 +1,21 @@
-//! How long billing records have waited for the table.
+//! The age of the billing records that aren't yet in the table.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use ledger::Status;
 
-/// When how many records had been made, while some of them wait.
+/// Samples of the number of records created, kept while some of them are unwritten.
 ///
-/// The table takes records in the order in which they were made, so the oldest
-/// that waits is the one after those that don't.
+/// The table takes records in the order of their creation, so the first sample above the number
+/// of written records gives the age of the oldest unwritten one.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
     made: VecDeque<(u64, Duration)>,
 }
 
 impl Backlog {
-    /// Takes note of the ledger's state at `now`; called every second.
+    /// Records the ledger's status at `now`. Called every second.
     pub(crate) fn note(&mut self, now: Duration, status: &Status) {
         let made = status.counters.records;
         let written = made.saturating_sub(status.held as u64);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The age of the oldest record that waits, as of the last note.
+    /// Returns the age of the oldest unwritten record, as of the last recorded status.
     pub(crate) fn oldest(&self, now: Duration) -> Duration {
         self.made
             .front()
--- a/crates/barleypind/src/call.rs
+++ b/crates/barleypind/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's call, from its arrival to the end of its answer.
+//! A caller's call, from its arrival to the end of its response.
 
 pub(crate) mod attempt;
 mod caller;
@@ -21,19 +21,19 @@
 
 pub(crate) use start::{chat, plain};
 
-/// A call whose caller is known.
+/// A call of an authenticated caller.
 pub(crate) struct Call {
     pub(crate) number: decide::key::Request,
     pub(crate) request: RequestId,
     pub(crate) customer: Customer,
     pub(crate) headers: Headers,
     pub(crate) arrived: Duration,
-    /// Holds the call's place among those that are open.
+    /// Counts the call as open until it is settled.
     pub(crate) open: Option<Open>,
 }
 
 impl Call {
-    /// The ticket that came with the call, as the ledger takes it.
+    /// Returns the call's ticket in the ledger's form.
     fn ticket(&self, host: &Host) -> Result<Option<ledger::Ticket>, Problem> {
         let Some(text) = &self.headers.ticket else {
             return Ok(None);
@@ -46,19 +46,18 @@
         }))
     }
 
-    /// A refusal before the ledger was asked about the call.
+    /// Returns a refusal issued before the ledger checked the call.
     fn refuse(&self, reason: Reason, detail: impl Into<String>) -> Problem {
         let run = unasked(self.headers.key.as_deref());
         Problem::new(reason, run, detail).of_request(self.request.as_str())
     }
 }
 
-/// What a refusal may say of a call that the ledger wasn't asked about.
+/// Returns the execution state for a refusal issued before the ledger checked the call.
 ///
-/// Failure: a hold runs, its caller asks again under the same key, and the
-/// repeat is turned away at the door, by a full host for instance. It shows as
-/// `not_run` beside an execution. The guard: only a call without a key has no
-/// other arrival that may have run.
+/// Guards against `not_run` for a key whose earlier call has run: a hold runs, its caller retries
+/// under the same key, and this host refuses the retry, for instance because it is full. Only a
+/// call without a key has no other arrival that may have run.
 pub(crate) fn unasked(key: Option<&str>) -> Run {
     match key {
         Some(_) => Run::Unknown,
--- a/crates/barleypind/src/call/attempt.rs
+++ b/crates/barleypind/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: what runs at endpoints for one call.
+//! The attempts of one call at endpoints.
 
 use std::future::poll_fn;
 use std::task::Poll;
@@ -16,45 +16,46 @@
 
 use crate::service::endpoints::Endpoint;
 
-/// What an engine that states no confidence is taken to have.
+/// Confidence of a response for which the engine states none.
 const NO_CONFIDENCE: f64 = 0.5;
-/// The greatest answer of a plain service, in bytes. Answers are held whole,
-/// since one that breaks off midway may be asked for again elsewhere.
+/// Maximum size of a plain service's response in bytes. Responses are buffered, since a request
+/// whose response is cut off may be retried elsewhere.
 pub(crate) const MAX_PLAIN: usize = 16 * 1024 * 1024;
 
-/// The longest answer, in tokens, that is asked for in one piece when its
-/// caller wants it so: a stream would cost a wake-up a token. A longer one is
-/// streamed to this host all the same, so that a stalled engine is noticed.
+/// Maximum length in tokens of a response that is requested unstreamed if its caller doesn't
+/// stream. Avoids a wake-up per token. A longer response is streamed to this host in any case, to
+/// detect a stalled engine.
 pub(crate) const SHORT: u32 = 256;
-/// The time that such an answer may take to come.
+/// Minimum timeout of the first byte of an unstreamed response, which the engine sends only once
+/// it is complete.
 const SHORT_TIME: Duration = Duration::from_secs(10);
 
-/// How an attempt goes on.
+/// A progress event of an attempt.
 #[derive(Debug)]
 pub(crate) enum Progress {
-    /// Text came.
+    /// A piece of the response's text was received.
     Text(String),
-    /// It ended.
+    /// The attempt ended.
     Ended(End),
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Debug)]
 pub(crate) struct End {
     pub(crate) outcome: Outcome,
     pub(crate) product: Option<Product>,
-    /// What went wrong, for the log.
+    /// The failure, for the log.
     pub(crate) failure: Option<Failure>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub(crate) enum Product {
     Chat(engine::Answer),
     Plain(Plain),
 }
 
-/// The whole answer of a plain service.
+/// The complete response of a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct Plain {
     pub(crate) status: http::Status,
@@ -62,7 +63,7 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// How long an attempt may take.
+/// The timeouts of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Times {
     pub(crate) connect: Duration,
@@ -82,7 +83,7 @@
     }
 }
 
-/// The running attempts of one call. Dropping one closes its connection.
+/// The attempts in flight of one call. Dropping one closes its connection.
 #[derive(Default)]
 pub(crate) struct Running {
     attempts: Vec<Entry>,
@@ -104,25 +105,25 @@
         self.attempts.push(Entry { name, at, progress });
     }
 
-    /// Stops an attempt; its endpoint is to be told.
+    /// Drops an attempt and returns it, so that its endpoint can be told.
     pub(crate) fn stop(&mut self, id: AttemptId) -> Option<(Attempt, Endpoint)> {
         let at = self.attempts.iter().position(|it| it.name.id == id)?;
         let entry = self.attempts.swap_remove(at);
         Some((entry.name, entry.at))
     }
 
-    /// Stops all.
+    /// Drops all attempts and returns them.
     pub(crate) fn stop_all(&mut self) -> Vec<(Attempt, Endpoint)> {
         self.attempts.drain(..).map(|it| (it.name, it.at)).collect()
     }
 
-    /// The endpoint of a running attempt.
+    /// Returns the endpoint of an attempt in flight.
     pub(crate) fn endpoint(&self, id: AttemptId) -> Option<&Endpoint> {
         let entry = self.attempts.iter().find(|it| it.name.id == id)?;
         Some(&entry.at)
     }
 
-    /// The next progress of any; waits for ever while there is none.
+    /// Returns the next progress event of any attempt. Waits forever if there are no attempts.
     pub(crate) async fn next(&mut self) -> (AttemptId, Progress) {
         poll_fn(|cx| {
             for entry in &mut self.attempts {
@@ -136,7 +137,7 @@
     }
 }
 
-/// An attempt at an engine.
+/// Sends a chat completion to an engine and streams its response.
 pub(crate) fn chat(
     client: Client,
     to: engine::Endpoint,
@@ -176,7 +177,7 @@
     .boxed()
 }
 
-/// An attempt at an engine whose answer is short and comes in one piece.
+/// Sends a chat completion to an engine and receives a short response unstreamed.
 pub(crate) fn whole(
     client: Client,
     to: engine::Endpoint,
@@ -192,7 +193,7 @@
         .boxed()
 }
 
-/// An attempt at a plain service.
+/// Sends a request to a plain service.
 pub(crate) fn plain(
     client: Client,
     to: engine::Endpoint,
@@ -227,12 +228,13 @@
     .boxed()
 }
 
-/// An attempt at a chat without a version, which the decider never asks for.
+/// Returns a failed attempt, for a chat completion without a version, which the decider never
+/// dispatches.
 pub(crate) fn impossible() -> BoxStream<'static, Progress> {
     stream::once(async { failed(Failure::NotSent(Cause::Malformed)) }).boxed()
 }
 
-/// The engine's word for a priority.
+/// Converts a priority into the engine's form.
 pub(crate) fn priority(priority: Priority) -> engine::Priority {
     match priority {
         Priority::Urgent => engine::Priority::Urgent,
@@ -241,12 +243,12 @@
     }
 }
 
-/// Tells endpoints that nobody waits any more, without waiting for them.
+/// Sends cancellations to endpoints in the background.
 pub(crate) fn cancel(client: &Client, stopped: Vec<(Attempt, Endpoint)>) {
     for (attempt, endpoint) in stopped {
         let client = client.clone();
         async_std::task::spawn(async move {
-            // An endpoint that doesn't hear it works in vain, and no more.
+            // An endpoint that misses the cancellation only wastes work.
             let _ = client
                 .cancel(&endpoint.at, &attempt, &Options::default())
                 .await;
--- a/crates/barleypind/src/call/caller.rs
+++ b/crates/barleypind/src/call/caller.rs
@@ -1,4 +1,4 @@
-//! The one way back to the caller.
+//! The response channel to the caller.
 
 use futures::channel::oneshot;
 use gate::chat::{Extra, Usage};
@@ -10,17 +10,17 @@
 use crate::host::Host;
 use crate::reply;
 
-/// Pieces of a stream that wait for a slow caller before the engine's stream does.
+/// Number of pieces of a stream buffered for a slow caller before relaying waits.
 const STREAM_BUFFER: usize = 64;
 
-/// The way back to the caller. It has one owner, the call's run, so that the
-/// bytes of two attempts can't mix.
+/// The response channel to the caller. Its only owner is the call's run, so that the bytes of two
+/// attempts can't mix.
 pub(crate) enum Caller {
-    /// Nothing was sent yet.
+    /// Nothing has been sent.
     Waiting(oneshot::Sender<Response>),
-    /// A stream has begun.
+    /// A stream has been started.
     Streaming(Sender, sse::Stream),
-    /// Nobody reads any more.
+    /// The caller disconnected.
     Gone,
 }
 
@@ -29,7 +29,7 @@
         matches!(self, Self::Gone)
     }
 
-    /// Begins a stream, if nothing was sent yet.
+    /// Starts a stream if nothing has been sent.
     pub(crate) fn begin(
         &mut self,
         request: &str,
@@ -51,7 +51,7 @@
         };
     }
 
-    /// Relays a piece of the answer, waiting for a slow caller.
+    /// Sends a piece of the response, waiting for a slow caller.
     pub(crate) async fn relay(&mut self, text: &str) {
         if let Self::Streaming(sender, events) = self
             && sender.send(events.chunk(text)).await.is_err()
@@ -60,26 +60,26 @@
         }
     }
 
-    /// Ends a stream as whole. The end mark is the last thing that is sent.
+    /// Completes a stream. Sends the end mark last.
     pub(crate) async fn end(self, finish: &str, usage: Usage, extra: &Extra) {
         if let Self::Streaming(sender, events) = self {
             let last = events.last(finish, usage, extra) + sse::END;
             if sender.send(last).await.is_ok() {
-                // Whoever reads no more has the end mark or went away.
+                // The caller has the end mark or has disconnected.
                 let _ = sender.finish().await;
             }
         }
     }
 
-    /// Answers in one piece.
+    /// Sends an unstreamed response.
     pub(crate) fn answer(self, response: Response) {
         if let Self::Waiting(head) = self {
-            // A caller that left needs no answer.
+            // Fails only if the caller disconnected.
             let _ = head.send(response);
         }
     }
 
-    /// Refuses, or ends a stream that has begun with an error and no end mark.
+    /// Sends a refusal, or ends a started stream with an error and no end mark.
     pub(crate) async fn refuse(self, host: &Host, problem: &Problem, headers: &Headers) {
         let mut response = reply::refuse(host, problem);
         match self {
--- a/crates/barleypind/src/call/forward.rs
+++ b/crates/barleypind/src/call/forward.rs
@@ -1,4 +1,4 @@
-//! Calls that only their home may run are passed to it whole.
+//! Forwarding of calls to their home, the only host that may run them.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::reply;
 use crate::service::fleet;
 
-/// A call as its caller made it.
+/// The method, target and headers of a call as sent by its caller.
 pub(crate) struct Original {
     pub(crate) method: Method,
     pub(crate) target: String,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Who brought the call. Another host proves itself by the keyed hash of
-    /// the ticket, which callers don't have the key for.
+    /// Returns whether the call comes from a caller or was forwarded by another host, which
+    /// proves this by the keyed hash of the ticket. Callers don't have its key.
     pub(crate) fn via(&self, host: &Host) -> Via {
         let ticket = self.headers.get(call::TICKET).unwrap_or_default();
         match self.headers.get(call::VIA) {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Passes the call to its home and the home's answer to the caller.
+/// Forwards the call to its home and returns the home's response.
 pub(crate) async fn relay(
     cx: Arc<Context>,
     call: Call,
@@ -105,7 +105,7 @@
         })
 }
 
-/// Whether a header belongs to the call and not to the caller's connection.
+/// Returns whether a header is part of the call rather than of the caller's connection.
 fn passes(name: &str) -> bool {
     const CONNECTION: [&str; 6] = [
         "connection",
--- a/crates/barleypind/src/call/reason.rs
+++ b/crates/barleypind/src/call/reason.rs
@@ -1,9 +1,9 @@
-//! The reasons of the cores in the words of callers.
+//! Conversion of the cores' refusals into problems for callers.
 
 use gate::problem::{Problem, Reason, Run};
 
-/// The decider's refusal. `run` is what the ledger knows of the request, which
-/// includes earlier arrivals: only both together prove that nothing ran.
+/// Converts a refusal of the decider. `run` is the execution state known to the ledger, which
+/// includes earlier arrivals. Both have to say `NotRun` for the problem to say so.
 pub(crate) fn decided(refusal: decide::Refusal, run: Run) -> Problem {
     use decide::refusal::{Reason as Decided, Run as Ran};
     let (reason, detail) = match refusal.reason {
@@ -49,7 +49,7 @@
     Problem::new(reason, run, detail).retry_after(refusal.retry_after)
 }
 
-/// The ledger's refusal.
+/// Converts a refusal of the ledger.
 pub(crate) fn booked(refusal: ledger::Refusal) -> Problem {
     use ledger::Reason as Booked;
     let (reason, detail) = match refusal.reason {
@@ -86,7 +86,7 @@
     Problem::new(reason, ran(refusal.run), detail).retry_after(refusal.retry_after)
 }
 
-/// The ledger's knowledge of a request's execution.
+/// Converts the ledger's execution state of a request.
 pub(crate) fn ran(run: ledger::Run) -> Run {
     match run {
         ledger::Run::NotRun => Run::NotRun,
--- a/crates/barleypind/src/call/replay.rs
+++ b/crates/barleypind/src/call/replay.rs
@@ -1,4 +1,4 @@
-//! The answer of an earlier run, for a caller that repeats its key.
+//! Responses to retries of a call that has run.
 
 use gate::chat::{Answer, Mode};
 use gate::sse;
@@ -10,8 +10,8 @@
 use crate::host::Host;
 use crate::reply::{self, header};
 
-/// The response that repeats `outcome`. Nothing runs and nothing is billed; the
-/// cost that it shows is the one of the first run.
+/// Returns a response with the stored `outcome`. Nothing runs and nothing is billed; the cost
+/// shown is that of the first run.
 pub(crate) fn response(host: &Host, call: &Call, work: &Work, outcome: &Outcome) -> Response {
     let answer = match work {
         Work::Chat(_) => serde_json::from_str::<Answer>(&outcome.body).ok(),
--- a/crates/barleypind/src/call/run.rs
+++ b/crates/barleypind/src/call/run.rs
@@ -1,5 +1,5 @@
-//! The run of a permitted call: it performs what the decider says, owns the
-//! way back to the caller, and settles the call with the ledger.
+//! The run of a permitted call. Carries out the decider's directives, owns the response channel
+//! to the caller and settles the call with the ledger.
 
 mod settle;
 
@@ -28,7 +28,7 @@
 use crate::service::decide::{Delivery, Directive, Dispatch};
 use crate::service::rate;
 
-/// A permitted call on its way.
+/// A running call.
 pub(crate) struct Run {
     cx: Arc<Context>,
     call: Call,
@@ -37,23 +37,23 @@
     directives: UnboundedReceiver<Directive>,
     running: Running,
     dispatched: Vec<Dispatched>,
-    /// The attempt of which something was sent to the caller.
+    /// The attempt of which a part has been sent to the caller.
     relayed: Option<AttemptId>,
     last_failure: Option<Retry>,
 }
 
-/// An attempt that was dispatched.
+/// A dispatched attempt.
 struct Dispatched {
     dispatch: Dispatch,
     begun: bool,
     product: Option<Product>,
 }
 
-/// How the run of a call ends.
+/// The end of a call's run.
 enum Ending {
     Delivered(Delivery),
     Refused(decide::Refusal),
-    /// This host refuses by itself.
+    /// This host refuses the call without a refusal by the decider.
     Stopped(Problem),
     Gone,
 }
@@ -87,8 +87,8 @@
     }
 
     async fn perform(&mut self, hangup: Hangup) -> Ending {
-        // A call that must not run twice is not given up with its caller: it
-        // may have run already, and a repeat of its key is to find its outcome.
+        // A call that must not run twice continues if its caller disconnects: it may have run
+        // already, and a retry with the same key has to find its outcome.
         let stays = self.work.repeat() == Repeat::AtMostOnce && self.call.headers.key.is_some();
         let gone = async {
             if stays {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Does what the decider says; returns how the call ends, once it does.
+    /// Carries out a directive. Returns the end of the run if the directive ends it.
     fn direct(&mut self, directive: Option<Directive>) -> Option<Ending> {
         match directive {
             Some(Directive::Dispatch(dispatch)) => return self.dispatch(dispatch),
@@ -178,11 +178,11 @@
         None
     }
 
-    /// Whether the newest configuration known lets new work go to `version`.
+    /// Returns whether the configuration in force permits new attempts with `version`.
     ///
-    /// Failure: a version is withdrawn between the decision and the dispatch,
-    /// or between an attempt and its retry. The check is against what is in
-    /// force now, not against the revision of the decision.
+    /// Guards against use of a version withdrawn between the decision and the dispatch, or
+    /// between an attempt and its retry. Checks the configuration in force now, not the revision
+    /// of the decision.
     fn permitted(&self, version: Option<&VersionId>) -> bool {
         let snapshot = self.cx.host.current.get();
         match (&self.work, version) {
@@ -230,8 +230,8 @@
     }
 
     async fn text(&mut self, id: AttemptId, text: &str) -> Option<Ending> {
-        // What a caller gets in one piece may still be replaced: an attempt that
-        // breaks off before its end is no answer that was cut.
+        // An unstreamed response is sent only once it is complete, so an attempt that is cut off
+        // can still be replaced by another one.
         if !self.work.streams() {
             return None;
         }
@@ -239,8 +239,8 @@
         if !self.dispatched[at].begun {
             self.dispatched[at].begun = true;
             self.cx.decide.started(id);
-            // What follows from it comes before the byte: the decider may
-            // have chosen another attempt meanwhile.
+            // Carry out the directives that result from the first byte before relaying it: the
+            // decider may have chosen another attempt meanwhile.
             while let Ok(directive) = self.directives.try_recv() {
                 if let Some(ending) = self.direct(Some(directive)) {
                     return Some(ending);
@@ -260,8 +260,8 @@
         None
     }
 
-    /// Whether text of this attempt may go out as it comes. Once something of
-    /// one attempt went out, nothing of another ever does.
+    /// Returns whether text of this attempt may be relayed as it arrives. Once text of one
+    /// attempt has been relayed, no other attempt's is.
     fn may_relay(&self, id: AttemptId, at: usize) -> bool {
         self.work.streams()
             && self.dispatched[at].dispatch.relay == Relay::Now
@@ -314,7 +314,7 @@
             return;
         };
         if let Some(rate) = self.cx.host.registry.find::<rate::Rate>() {
-            // A full queue costs a rating, and ratings are samples anyway.
+            // If the queue is full the sample is lost, which is acceptable.
             let _ = rate.offer(clients::Sample {
                 request: self.call.request.clone(),
                 version: version.clone(),
@@ -355,7 +355,7 @@
         }
     }
 
-    /// From which version to which the session moved.
+    /// Returns the old and the new version if the session was moved.
     fn moved(&self, at: usize) -> Option<String> {
         let (Work::Chat(chat), dispatch) = (&self.work, &self.dispatched[at].dispatch) else {
             return None;
--- a/crates/barleypind/src/call/run/settle.rs
+++ b/crates/barleypind/src/call/run/settle.rs
@@ -1,4 +1,4 @@
-//! The end of a run: what is billed, what the caller gets, and in which order.
+//! The end of a run: billing, and then the end of the response to the caller.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 use crate::service::decide::Delivery;
 use crate::service::ledger::Closing;
 
-/// Headers of a plain service's answer that this host's server writes itself.
+/// Headers of a plain service's response that this host's server writes itself.
 const CONNECTION_HEADERS: [&str; 6] = [
     "connection",
     "content-length",
@@ -77,8 +77,8 @@
         caller.refuse(&self.cx.host, &problem, &headers).await;
     }
 
-    /// Tells the ledger that there is no answer, and asks what may be said of
-    /// the request's execution.
+    /// Reports to the ledger that the call has no response, and returns the execution state for
+    /// the refusal.
     async fn close(&mut self) -> Ran {
         let request = self.call.request.clone();
         let closing = self.cx.books.finish(request, ledger::End::Unanswered).await;
@@ -94,8 +94,8 @@
             .position(delivery.attempt)
             .and_then(|at| Some((at, self.dispatched[at].product.take()?)));
         let Some((at, product)) = product.filter(|_| !foreign) else {
-            // The decider named an attempt whose answer this call doesn't
-            // have. The caller gets an error, never the bytes of another one.
+            // This call doesn't have the response of the attempt named by the decider, or has
+            // relayed another one's. Send an error, never bytes of another attempt.
             let problem = Problem::new(
                 Reason::AnswerCut,
                 Ran::Unknown,
@@ -127,8 +127,8 @@
         };
         let streams = self.work.streams();
         if streams && self.relayed.is_none() {
-            // Nothing could replace the answer any more, so its text need not
-            // wait for the ledger; only its end does.
+            // The response can't be replaced any more, so its text needn't wait for the ledger;
+            // only its end does.
             self.begin_stream(at);
             self.relayed = Some(delivery.attempt);
             self.caller.relay(&answer.content).await;
@@ -179,11 +179,11 @@
         self.caller.answer(response);
     }
 
-    /// Bills the answer and waits until its end may go out.
+    /// Bills the response and waits until its end may be sent.
     ///
-    /// Failure: the host dies between the end of an answer and its billing.
-    /// The end mark waits until a partner in another data centre holds the
-    /// record, so that a caller who has the whole answer has been billed.
+    /// Guards against a host that is killed between the end of a response and its billing. The
+    /// end mark waits until another host or the table has the record, or until neither has
+    /// responded in time.
     async fn bill(&mut self, delivery: &Delivery, usage: Usage, outcome: Option<Outcome>) {
         let charge = Charge {
             profile: self.work.profile().cloned(),
@@ -198,7 +198,8 @@
         self.cx.books.finish(request, end).await;
     }
 
-    /// The answer as it is kept for a repeat of its key.
+    /// Returns the response in the form stored for retries of the call's key, or `None` without a
+    /// key.
     fn kept(
         &self,
         status: u16,
@@ -254,7 +255,7 @@
         self.cx.host.clock.wall().as_secs()
     }
 
-    /// The headers of every answer.
+    /// Returns the headers of every response.
     fn headers(&self) -> Headers {
         let host = &self.cx.host;
         [
@@ -266,7 +267,7 @@
         .collect()
     }
 
-    /// The headers of a chat's answer, with the session's token.
+    /// Returns the headers of a chat completion's response, with the session token.
     fn session_headers(&self, at: usize) -> Headers {
         let mut headers = self.headers();
         let Dispatched { dispatch, .. } = &self.dispatched[at];
--- a/crates/barleypind/src/call/start.rs
+++ b/crates/barleypind/src/call/start.rs
@@ -1,4 +1,4 @@
-//! The start of a call: what it asks for, and whether it may run.
+//! The start of a call: parsing and admission.
 
 use std::sync::Arc;
 
@@ -25,9 +25,9 @@
 use crate::reply;
 use crate::service::ledger::Admission;
 
-/// Bytes of a prompt's start by which requests find the endpoint that has it cached.
+/// Length in bytes of the prompt prefix whose hash selects endpoints that have it cached.
 const PREFIX: usize = 2048;
-/// Bytes of text a token has on average.
+/// Average length of a token in bytes.
 const TOKEN_BYTES: usize = 4;
 
 /// Serves a chat completion.
@@ -47,7 +47,8 @@
     }
 }
 
-/// Serves a call of a plain service; `target` is what follows the service's name.
+/// Serves a call to a plain service. `target` is the part of the request target after the
+/// service's name.
 pub(crate) async fn plain(
     cx: Arc<Context>,
     call: Call,
@@ -88,8 +89,8 @@
     start(cx, call, work, original, body, hangup).await
 }
 
-/// The refusal of a host that can't prove its configuration to be the newest,
-/// where the profile asks for one.
+/// Returns a refusal if this host has had no recent proof that its configuration is the newest
+/// and the profile's `when_stale` setting refuses such calls.
 pub(crate) fn stale(host: &Host, call: &Call, profile: &ProfileName) -> Option<Problem> {
     let bound = host.settings.freshness.bound;
     let age = host.current.proof_age(host.now());
@@ -168,7 +169,7 @@
     let run = Run::new(cx, call, work, Caller::Waiting(head), directives);
     task::spawn(run.run(hangup));
     response.await.unwrap_or_else(|_| {
-        // The caller left, so nobody reads this.
+        // The caller disconnected, so nobody receives this.
         let problem = Problem::new(
             Reason::AnswerCut,
             gate::problem::Run::Unknown,
@@ -183,7 +184,7 @@
 async fn read_body(host: &Host, call: &Call, body: Body) -> Result<Vec<u8>, Problem> {
     let limit = host.settings.limits.max_body_bytes;
     body.collect(limit).await.map_err(|err| match err {
-        // Whatever ran under the call's key, it wasn't this body.
+        // `not_run` is true even if the key was used before, since it wasn't used with this body.
         http::Error::TooLarge { limit } => Problem::not_run(
             Reason::TooLarge,
             format!("body: more than the {limit} bytes that are accepted"),
@@ -263,7 +264,7 @@
     text.into()
 }
 
-/// The call as the ledger takes it.
+/// Returns the call in the ledger's form.
 fn booking(
     host: &Host,
     call: &Call,
@@ -298,7 +299,7 @@
     Fingerprint(first_eight(hasher.finalize().as_bytes()))
 }
 
-/// The call as the decider takes it, in the keys of `policy`.
+/// Returns the call in the decider's form, with the keys of `policy`.
 fn arrival(policy: &Policy, call: &Call, work: &Work) -> Result<Arrival, Problem> {
     let customer = policy.customer(&call.customer).ok_or_else(|| {
         call.refuse(
--- a/crates/barleypind/src/call/work.rs
+++ b/crates/barleypind/src/call/work.rs
@@ -1,4 +1,4 @@
-//! What a call asks for.
+//! The request of a call.
 
 use std::sync::Arc;
 
@@ -12,8 +12,8 @@
 
 use super::attempt::{self, Progress, Times};
 
-/// Headers that belong to the caller's connection, to this system or to the
-/// caller's proof of itself. They are not passed on.
+/// Headers of the caller's connection, of this system or of the caller's authentication. They
+/// aren't forwarded.
 const OWN_HEADERS: [&str; 13] = [
     "authorization",
     "connection",
@@ -30,7 +30,7 @@
     "barleypin-session",
 ];
 
-/// What a call asks for.
+/// The request of a call.
 #[derive(Clone, Debug)]
 pub(crate) enum Work {
     Chat(Chat),
@@ -50,7 +50,7 @@
     pub(crate) pin: Option<VersionId>,
 }
 
-/// A call of a plain service.
+/// A call to a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct Plain {
     pub(crate) service: ServiceName,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether its answer goes to the caller as it comes.
+    /// Returns whether the response is streamed to the caller.
     pub(crate) fn streams(&self) -> bool {
         matches!(self, Self::Chat(chat) if chat.mode == Mode::Stream)
     }
@@ -86,7 +86,7 @@
             if chat.mode == Mode::Whole && chat.max_tokens <= attempt::SHORT)
     }
 
-    /// An attempt at it, which begins once it is polled.
+    /// Returns a new attempt, which starts when it is first polled.
     pub(crate) fn attempt(
         &self,
         client: &engine::Client,
@@ -123,7 +123,7 @@
     }
 }
 
-/// The caller's headers without those that aren't passed on.
+/// Returns the caller's headers without those that aren't forwarded.
 pub(crate) fn passed_on(headers: &Headers) -> Headers {
     headers
         .iter()
--- a/crates/barleypind/src/context.rs
+++ b/crates/barleypind/src/context.rs
@@ -12,7 +12,7 @@
 use crate::service::ledger::Books;
 use crate::verdicts::Verdicts;
 
-/// The services of this process.
+/// Handles of this process's services and of the platform's.
 pub(crate) struct Context {
     pub(crate) host: Arc<Host>,
     pub(crate) decide: Arc<Decide>,
--- a/crates/barleypind/src/current.rs
+++ b/crates/barleypind/src/current.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and how old the proof is that it is the newest.
+//! The configuration in force, and the age of the last proof that it is the newest.
 
 use std::cmp::Ordering as Order;
 use std::collections::HashMap;
@@ -12,12 +12,12 @@
 
 use crate::policy;
 
-/// One revision, ready for use.
+/// One revision of the configuration, prepared for use.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshot {
-    /// As committed.
+    /// The document as committed.
     pub(crate) document: Document,
-    /// As the decider takes it.
+    /// The policy compiled from the document for the decider.
     pub(crate) policy: Arc<Policy>,
     customers: HashMap<String, Customer>,
 }
@@ -40,13 +40,13 @@
         self.document.revision
     }
 
-    /// The customer whose bearer key this is. Hashes are compared, so the time
-    /// taken tells nothing of the key.
+    /// Returns the customer with this bearer key. Looks up the key's hash, so the time taken
+    /// reveals nothing about the key.
     pub(crate) fn customer(&self, key: &str) -> Option<&Customer> {
         self.customers.get(&config::Customer::hash(key.as_bytes()))
     }
 
-    /// Whether new work may go to `version` at all.
+    /// Returns whether the version is active, so that new attempts may use it.
     pub(crate) fn in_service(&self, version: &VersionId) -> bool {
         self.document
             .versions
@@ -55,34 +55,34 @@
     }
 }
 
-/// The configuration in force. Its revision only rises.
+/// The configuration in force. Its revision never decreases.
 #[derive(Debug, Default)]
 pub(crate) struct Current {
     snapshot: RwLock<Arc<Snapshot>>,
-    /// Microseconds of the clock at which the table was asked for the newest
-    /// proof; zero without one.
+    /// The time, in microseconds of the host's clock, at which the table read behind the newest
+    /// proof was sent. Zero without a proof.
     proven: AtomicU64,
 }
 
-/// What came of putting a document in force.
+/// The result of [`Current::adopt`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Adopted {
-    /// It is in force now.
+    /// The document is now in force.
     Newer,
-    /// It was in force already.
+    /// This revision was already in force.
     Same,
-    /// A higher revision is in force, which stays: an accepted change never reverts.
+    /// A higher revision is in force and stays so, since a committed change is never reverted.
     Lower,
 }
 
 impl Current {
-    /// What is in force.
+    /// Returns the configuration in force.
     pub(crate) fn get(&self) -> Arc<Snapshot> {
         let snapshot = self.snapshot.read();
         Arc::clone(&snapshot.unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Puts `document` in force unless a higher revision is.
+    /// Puts `document` in force unless its revision or a higher one already is.
     pub(crate) fn adopt(&self, document: Document) -> Adopted {
         let next = Arc::new(Snapshot::new(document));
         let mut snapshot = self
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Notes when the table was asked for the newest proof.
+    /// Records a proof from a table read that was sent at `at`.
     pub(crate) fn prove(&self, at: Duration) {
         let micros = u64::try_from(at.as_micros()).unwrap_or(u64::MAX).max(1);
         self.proven.fetch_max(micros, Ordering::Relaxed);
     }
 
-    /// The age of the newest proof; nothing when there never was one.
+    /// Returns the age of the newest proof, or `None` without one.
     pub(crate) fn proof_age(&self, now: Duration) -> Option<Duration> {
         match self.proven.load(Ordering::Relaxed) {
             0 => None,
--- a/crates/barleypind/src/daemon.rs
+++ b/crates/barleypind/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: its services, in the order in which they start.
+//! The daemon, which starts all services.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -41,7 +41,7 @@
     /// Starts all services.
     ///
     /// # Errors
-    /// [`Error`] when a key file can't be used or an address can't be listened on.
+    /// Returns [`Error`] if a key file can't be used or an address can't be bound.
     pub async fn start(
         settings: Settings,
         log: Log,
@@ -115,30 +115,30 @@
         })
     }
 
-    /// Where callers connect.
+    /// Returns the address on which callers connect.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where operators connect.
+    /// Returns the address on which operators connect.
     #[must_use]
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Where other hosts connect.
+    /// Returns the address on which other hosts connect.
     #[must_use]
     pub fn fleet(&self) -> SocketAddr {
         self.fleet
     }
 
-    /// Asks the daemon to drain; [`Daemon::ended`] tells when it has.
+    /// Requests a drain. [`Daemon::ended`] returns once it is complete.
     pub fn drain(&self) {
         drain::begin(&self.host);
     }
 
-    /// Waits until the daemon has drained.
+    /// Waits until the drain is complete.
     pub async fn ended(&self) -> Ended {
         self.ended.recv().await.unwrap_or(Ended::AtBound)
     }
@@ -180,8 +180,8 @@
     })
 }
 
-/// Listens for callers and for operators, on one address when the settings
-/// name the same for both.
+/// Binds the servers for callers and operators: one server for both if the settings give them the
+/// same address.
 async fn listen(cx: &Arc<Context>) -> Result<Vec<Server>, Report<Error>> {
     let settings = &cx.host.settings.listen;
     let limits = tuning::http(&cx.host.settings);
@@ -201,7 +201,7 @@
     Ok(vec![callers, operators])
 }
 
-/// Whom an address is for.
+/// The clients that a server accepts.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Side {
     Callers,
--- a/crates/barleypind/src/gate.rs
+++ b/crates/barleypind/src/gate.rs
@@ -1,4 +1,4 @@
-//! The callers' side: who calls, and what for.
+//! The HTTP interface for callers: authentication and routing of their calls.
 
 use std::sync::Arc;
 
@@ -20,11 +20,11 @@
 use crate::reply;
 use crate::service::fleet;
 
-/// How much longer than the answer that brings it a ticket is good: a caller
-/// may repeat a call that it made at the last moment.
+/// Validity of a ticket beyond the time for which callers keep the response that contains it, so
+/// that a call sent at the last moment can still be retried.
 const TICKET_SLACK: std::time::Duration = std::time::Duration::from_mins(5);
 
-/// Answers a caller's request.
+/// Serves a request of a caller.
 pub(crate) async fn serve(cx: Arc<Context>, request: Request) -> Response {
     let path = request.path().to_owned();
     let segments: Vec<&str> = path.split('/').skip(1).collect();
@@ -50,7 +50,7 @@
     }
 }
 
-/// Answers the calls that need no key.
+/// Serves health checks and metrics, which need no key.
 pub(crate) async fn probe(cx: &Context, path: &str) -> Response {
     match path {
         "/metrics" => {
@@ -80,7 +80,8 @@
     )
 }
 
-/// Takes a call whose caller is known, if there is room for it.
+/// Authenticates a call, parses its headers and counts it as open. Refuses it if this host has
+/// too many open calls.
 fn open(cx: &Context, request: &Request, kind: Kind) -> Result<Call, Problem> {
     let arrived = cx.host.now();
     cx.host.metrics.call(kind);
@@ -175,7 +176,7 @@
     )
 }
 
-/// The path and query below `/services/{name}`, from its `/` on.
+/// Returns the path and query after `/services/{name}`, starting with `/`.
 fn below(target: &str) -> String {
     let rest = target.splitn(4, '/').nth(3).unwrap_or_default();
     let query = if rest.is_empty() {
--- a/crates/barleypind/src/gauges.rs
+++ b/crates/barleypind/src/gauges.rs
@@ -1,4 +1,4 @@
-//! The gauges, read when somebody asks for them.
+//! Updates of the gauges on a request for the metrics.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -9,7 +9,7 @@
 use crate::metrics::Level;
 use crate::service::fleet;
 
-/// Sets the gauges to what they are now.
+/// Sets the gauges to their present values.
 pub(crate) async fn read(cx: &Context) {
     let members = match cx.host.registry.find::<fleet::Fleet>() {
         Some(fleet) => fleet.ask(fleet::Message::Members).await.unwrap_or_default(),
@@ -35,7 +35,7 @@
     cx.strangers.read(cx);
 }
 
-/// What the link dropped for want of the key, as far as it was counted.
+/// Number of frames and connections of unauthenticated peers that have been added to the metric.
 #[derive(Debug, Default)]
 pub(crate) struct Strangers {
     counted: AtomicU64,
--- a/crates/barleypind/src/host.rs
+++ b/crates/barleypind/src/host.rs
@@ -1,4 +1,4 @@
-//! What every service of this process shares.
+//! State shared by all services of this process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, AtomicUsize, Ordering};
@@ -13,7 +13,7 @@
 use crate::metrics::Metrics;
 use crate::secrets::Secrets;
 
-/// This host: its settings, its clock and the means to find its services.
+/// The host's settings, keys, clock, shared state and service registry.
 pub(crate) struct Host {
     pub(crate) settings: Settings,
     pub(crate) secrets: Secrets,
@@ -30,14 +30,14 @@
     open: AtomicUsize,
 }
 
-/// Where the process is in its life.
+/// The life cycle phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// It has no configuration yet.
+    /// No configuration is in force yet.
     Starting,
-    /// It takes work.
+    /// The host accepts calls.
     Ready,
-    /// It finishes what it has.
+    /// The host drains: it finishes its calls and exits.
     Leaving,
 }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Goes on to `phase`, unless the process is further already.
+    /// Advances to `phase` unless the process is already further, and returns the previous phase.
     pub(crate) fn enter(&self, phase: Phase) -> Phase {
         let before = self.phase.fetch_max(phase as u8, Ordering::SeqCst);
         match before {
@@ -97,19 +97,19 @@
         Incarnation(self.incarnation.load(Ordering::SeqCst))
     }
 
-    /// Takes a new incarnation, after the old one was fenced.
+    /// Sets a new incarnation after the old one was fenced or declared dead.
     pub(crate) fn renew(&self, incarnation: Incarnation) {
         self.incarnation.store(incarnation.0, Ordering::SeqCst);
     }
 
-    /// Names a request: its number here, and the name that others see.
+    /// Returns a new request's number on this host and its id, which other systems see.
     pub(crate) fn name_request(&self) -> (decide::key::Request, RequestId) {
         let number = self.last_request.fetch_add(1, Ordering::Relaxed) + 1;
         let name = format!("{:x}-{number:x}", self.incarnation().0);
         (decide::key::Request(number), RequestId::from(name))
     }
 
-    /// The number of a request of this incarnation.
+    /// Returns the number of a request id of this incarnation, and `None` for any other id.
     pub(crate) fn request_number(&self, name: &str) -> Option<decide::key::Request> {
         let (incarnation, number) = name.split_once('-')?;
         let same = u64::from_str_radix(incarnation, 16).ok()? == self.incarnation().0;
@@ -117,8 +117,8 @@
         same.then_some(decide::key::Request(number))
     }
 
-    /// Counts a call as open until the guard is dropped; nothing comes back
-    /// when too many are.
+    /// Counts a call as open until the guard is dropped. Returns `None` if the limit on open
+    /// calls is reached.
     pub(crate) fn open_call(self: &Arc<Self>) -> Option<Open> {
         let open = Open {
             host: Arc::clone(self),
@@ -132,7 +132,7 @@
     }
 }
 
-/// An open call.
+/// A guard that counts one call as open.
 pub(crate) struct Open {
     host: Arc<Host>,
 }
--- a/crates/barleypind/src/lib.rs
+++ b/crates/barleypind/src/lib.rs
@@ -1,5 +1,5 @@
-//! The entry host daemon: the services that join the crates of this
-//! workspace into one process. See `docs/ARCHITECTURE.md`.
+//! The entry host daemon: the services that run the crates of this workspace in one process. See
+//! `docs/ARCHITECTURE.md`.
 
 mod backlog;
 mod call;
@@ -27,12 +27,13 @@
 pub use error::Error;
 pub use service::drain::Ended;
 
-/// Reads the key files that the settings name and tries those for the link on
-/// a free loopback port. Nothing is kept of them.
+/// Checks that the key files named in the settings can be used.
+///
+/// Reads them and binds a link on a free loopback port, which is closed again.
 ///
 /// # Errors
-/// [`Error::Key`] with the file that can't be used, [`Error::Link`] when the
-/// fleet's keys don't fit together.
+/// Returns [`Error::Key`] with the file that can't be used, or [`Error::Link`] if the fleet's
+/// keys don't match.
 pub fn check_keys(settings: &config::Settings) -> Result<(), error_stack::Report<Error>> {
     use error_stack::ResultExt;
 
--- a/crates/barleypind/src/log.rs
+++ b/crates/barleypind/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: numbered events, as text on a terminal and as JSON otherwise.
+//! The log: numbered events, written as text to a terminal and as JSON otherwise.
 
 use std::fmt::Display;
 use std::io::{IsTerminal, stderr};
@@ -8,21 +8,22 @@
 
 use crate::event::Event;
 
-/// How many records may wait for a slow reader before further ones are dropped
-/// and counted, so that logging never stops a call.
+/// Maximum number of log records queued for a slow reader. Further ones are dropped and counted,
+/// so that logging never blocks a call.
 const QUEUE: usize = 4096;
 
-/// A field beside an event. Never pass key material: fields are printed.
+/// A field of a log record. Fields are printed, so they must never contain key material.
 pub type Field<'a> = (&'static str, &'a dyn Display);
 
-/// Where events go.
+/// The logger of events.
 #[derive(Clone, Debug)]
 pub struct Log {
     logger: Logger,
 }
 
 impl Log {
-    /// Logs to the standard error stream as the settings say.
+    /// Returns a log that writes to standard error in the format and from the level in the
+    /// settings.
     #[must_use]
     pub fn to_stderr(settings: settings::Log) -> Self {
         let text = match settings.format {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Drops everything, for tests.
+    /// Returns a log that discards all events, for tests.
     #[must_use]
     pub fn discard() -> Self {
         Self {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Logs `event` with what it is about.
+    /// Logs `event` with `fields`.
     pub fn emit(&self, event: Event, fields: &[Field<'_>]) {
         let (log, number, fields) = (&self.logger, event.number(), Fields(fields));
         let message = event.message();
--- a/crates/barleypind/src/main.rs
+++ b/crates/barleypind/src/main.rs
@@ -1,4 +1,5 @@
-//! The entry host daemon: settings, then the services, then a drain on SIGTERM.
+//! Command line of the entry host daemon. Starts the services and drains them on SIGTERM or
+//! SIGINT.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -14,9 +15,9 @@
 use futures::StreamExt;
 use kernel::SystemClock;
 
-/// Settings or keys can't be used.
+/// Exit code if the settings or keys can't be used, or the daemon can't start.
 const EXIT_SETTINGS: u8 = 2;
-/// The drain reached its bound with work or records left.
+/// Exit code if the drain reached its time limit with calls or records left.
 const EXIT_BOUND: u8 = 3;
 
 fn main() -> ExitCode {
@@ -95,7 +96,7 @@
         .map_err(|faults| Report::new(Error::Faults(faults)))
 }
 
-/// The report's causes, one a line, the outermost first.
+/// Formats the error, its causes and attachments, one per line, outermost first.
 fn describe(report: &Report<Error>) -> String {
     let mut lines = vec![report.current_context().to_string()];
     for frame in report.frames() {
--- a/crates/barleypind/src/metrics.rs
+++ b/crates/barleypind/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts and measures, in Prometheus' text at `/metrics`.
+//! The daemon's metrics, exported at `/metrics` in Prometheus' text format.
 
 use std::time::Duration;
 
@@ -8,13 +8,14 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 use telemetry::Instruments;
 
-/// Seconds. The lowest ones show what the host itself adds to a call.
+/// Upper bounds of the histogram buckets in seconds. The lowest ones resolve the latency that the
+/// host itself adds to a call.
 const BOUNDS: [f64; 16] = [
     0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
     10.0, 60.0,
 ];
 
-/// Every metric: its name at `/metrics` and what it tells. The catalogue is
+/// The name and help text of every metric at `/metrics`. The catalogue is
 /// `docs/reference/metrics.md`.
 pub const CATALOGUE: &[(&str, &str)] = &[
     ("barleypin_calls_total", "Calls taken, by kind."),
@@ -67,7 +68,7 @@
     ("barleypin_endpoints", "Endpoints that take work."),
 ];
 
-/// What kind of call is counted.
+/// The kind of a call.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// A chat completion.
@@ -84,19 +85,19 @@
     Operator,
 }
 
-/// Why a further attempt was made.
+/// The reason for a further attempt.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Retry {
-    /// The answer of a cheaper version was not good enough.
+    /// The response of a cheaper version wasn't good enough.
     #[display("escalated")]
     Escalated,
-    /// The endpoint could not be reached.
+    /// The endpoint couldn't be reached.
     #[display("not_sent")]
     NotSent,
-    /// The endpoint didn't have the version.
+    /// The endpoint didn't have the version loaded.
     #[display("not_loaded")]
     NotLoaded,
-    /// The endpoint was full.
+    /// The endpoint was overloaded.
     #[display("overloaded")]
     Overloaded,
     /// The endpoint was leaving.
@@ -108,19 +109,19 @@
     /// The endpoint failed and may have run the attempt.
     #[display("failed")]
     Failed,
-    /// The attempt took too long.
+    /// The attempt timed out.
     #[display("timeout")]
     Timeout,
-    /// The attempt's answer broke off before anything reached the caller.
+    /// The attempt's response was cut off before any of it reached the caller.
     #[display("cut")]
     Cut,
-    /// A second attempt beside a slow first one.
+    /// A second attempt was sent in parallel with a slow one.
     #[display("hedged")]
     Hedged,
 }
 
 impl Retry {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [Self; 10] = [
         Self::Escalated,
         Self::NotSent,
@@ -135,14 +136,14 @@
     ];
 }
 
-/// The gauges, as a ticker reads them.
+/// The values of all gauges.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Level {
     /// The revision in force.
     pub revision: u64,
-    /// Time since the last proof that it is the newest.
+    /// Time since the last proof that the revision is the newest.
     pub proof_age: Duration,
-    /// Billing records that the table doesn't have.
+    /// Billing records of this host that aren't in the table.
     pub unwritten: u64,
     /// Billing records held for other hosts.
     pub held: u64,
@@ -152,13 +153,13 @@
     pub leaving: u64,
     /// Suspected entry hosts.
     pub suspect: u64,
-    /// Endpoints that take work.
+    /// Live endpoints.
     pub endpoints: u64,
-    /// Calls being worked on.
+    /// Open calls.
     pub open: u64,
 }
 
-/// The instruments.
+/// The instruments of all metrics.
 pub struct Metrics {
     instruments: Instruments,
     calls: Counter<u64>,
@@ -182,8 +183,8 @@
 }
 
 impl Metrics {
-    /// Makes the instruments; every reason shows as zero from the start, so
-    /// that an alert on its rate works before the first refusal.
+    /// Creates the instruments. Counters are exported as zero from the start, so that an alert on
+    /// a counter's rate works for its first increment.
     #[must_use]
     pub fn new() -> Self {
         let instruments = Instruments::new("barleypind", CATALOGUE, &BOUNDS);
@@ -213,18 +214,18 @@
         metrics
     }
 
-    /// The text for `/metrics`.
+    /// Returns the text for `/metrics`.
     #[must_use]
     pub fn text(&self) -> String {
         self.instruments.text()
     }
 
-    /// Counts a call taken.
+    /// Counts an accepted call.
     pub fn call(&self, kind: Kind) {
         self.calls.add(1, &[label("kind", &kind)]);
     }
 
-    /// Records how long a call took.
+    /// Records the duration of a call.
     pub fn call_ended(&self, kind: Kind, took: Duration) {
         self.call_seconds
             .record(took.as_secs_f64(), &[label("kind", &kind)]);
@@ -245,17 +246,17 @@
         self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Records when the first piece of an answer came.
+    /// Records the time from a call's arrival to the first part of its response.
     pub fn first_token(&self, after: Duration) {
         self.first_token_seconds.record(after.as_secs_f64(), &[]);
     }
 
-    /// Records how long a decision held its lock.
+    /// Records the time for which a decision held its lock.
     pub fn decided(&self, took: Duration) {
         self.decide_seconds.record(took.as_secs_f64(), &[]);
     }
 
-    /// Counts what an answer used and cost (in microcents).
+    /// Counts the tokens of a response and its cost in microcents.
     pub fn answered(&self, prompt: u64, completion: u64, cost: u64) {
         self.tokens
             .add(prompt, &[KeyValue::new("direction", "prompt")]);
@@ -264,13 +265,13 @@
         self.billed.add(cost, &[]);
     }
 
-    /// Counts a failed call to a service of the platform.
+    /// Counts a failed request to a platform service.
     pub fn platform_failed(&self, service: &'static str) {
         self.platform_errors
             .add(1, &[KeyValue::new("service", service)]);
     }
 
-    /// Counts frames and connections without the key.
+    /// Counts frames and connections dropped because the peer wasn't authenticated.
     pub fn strangers(&self, count: u64) {
         self.strangers.add(count, &[]);
     }
--- a/crates/barleypind/src/operate.rs
+++ b/crates/barleypind/src/operate.rs
@@ -1,4 +1,4 @@
-//! The operators' side.
+//! The HTTP interface for operators.
 
 use std::sync::{Arc, PoisonError};
 
@@ -20,10 +20,10 @@
 use crate::reply;
 use crate::service::{configure, fleet};
 
-/// The lines of a history answer when none are asked for, and the most.
+/// The default and the maximum number of entries in a history response.
 const HISTORY: (usize, usize) = (20, 500);
 
-/// Answers an operator's request.
+/// Serves a request of an operator.
 pub(crate) async fn serve(cx: Arc<Context>, request: Request) -> Response {
     let path = request.path().to_owned();
     if request.method == Method::Get && matches!(path.as_str(), "/healthz" | "/readyz" | "/metrics")
@@ -242,7 +242,8 @@
     }
 }
 
-/// Undoes percent-encoding; nothing when the text isn't an encoding of UTF-8.
+/// Decodes percent-encoded text. Returns `None` if the encoding is invalid or the result isn't
+/// UTF-8.
 fn percent_decode(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.bytes();
--- a/crates/barleypind/src/policy.rs
+++ b/crates/barleypind/src/policy.rs
@@ -1,4 +1,4 @@
-//! The configuration, compiled for decisions.
+//! Conversion of the configuration into the decider's policy.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 };
 use kernel::VersionId;
 
-/// Calls that one host may have in flight at one plain service. A service's
-/// own endpoints refuse earlier when they are full; this bounds the host.
+/// Maximum number of concurrent requests of this host to a plain service. The service's endpoints
+/// refuse earlier when they are full.
 const SERVICE_CONCURRENCY: u32 = 1024;
 
-/// Compiles `document`. What it names that isn't there is left out, which a
-/// committed document has none of.
+/// Compiles `document` into a policy. References to missing entries are left out; a committed
+/// document has none.
 #[must_use]
 pub(crate) fn compile(document: &Document) -> Policy {
     let versions = Index::new(document.versions.keys());
@@ -76,7 +76,7 @@
     }
 }
 
-/// The decider's word for a repeat setting.
+/// Converts a retry policy into the decider's form.
 #[must_use]
 pub(crate) fn repeat(repeat: config::Repeat) -> Repeat {
     match repeat {
@@ -85,7 +85,7 @@
     }
 }
 
-/// The decider's word for a priority.
+/// Converts a priority into the decider's form.
 #[must_use]
 pub(crate) fn priority(priority: config::Priority) -> Priority {
     match priority {
--- a/crates/barleypind/src/renew.rs
+++ b/crates/barleypind/src/renew.rs
@@ -1,4 +1,4 @@
-//! Taking a new incarnation.
+//! New incarnations of this host.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 use crate::context::Context;
 use crate::service::fleet;
 
-/// How many of the low bits are chance; the others are milliseconds since the
-/// Unix epoch, which fit for the next century.
+/// Number of low bits that are random. The others are milliseconds since the Unix epoch and
+/// suffice for the next century.
 const CHANCE_BITS: u32 = 22;
 
-/// A number that no other life of any host has, and that is higher than those
-/// of all earlier lives.
+/// Returns an incarnation number that no other run of any host has and that is higher than those
+/// of all earlier runs of this host.
 ///
-/// Failure: a host is replaced under its name and its new life has the lower
-/// number. The others take its news for old news of the life before and never
-/// hand it out. Wall time in the high bits makes lives rise; a clock that was
-/// set back costs a renewal, when the fleet tells the host of its later life.
+/// Guards against a new run with a lower number than the last: the other hosts would take its
+/// updates for outdated ones and never hand it out. Wall time in the high bits makes numbers
+/// increase. If the clock was set back, the host renews its incarnation once the fleet tells it
+/// of its later one.
 pub(crate) fn incarnation(wall: Duration, after: Incarnation) -> Incarnation {
     let millis = u64::try_from(wall.as_millis()).unwrap_or(u64::MAX >> CHANCE_BITS);
     let chance = rand::rng().random_range(0..1_u64 << CHANCE_BITS);
@@ -26,17 +26,16 @@
     Incarnation(number.max(after.0 + 1))
 }
 
-/// Goes on as a new incarnation, after the old one was fenced or declared dead.
+/// Continues as a new incarnation after the old one was fenced or declared dead.
 ///
-/// Failure: the host was frozen or cut off so long that others settled its
-/// records. What it held under the old incarnation is theirs; new work is done
-/// under a new one, which nobody has settled.
+/// This happens to a host that was frozen or cut off so long that others settled its billing
+/// records. New work must not use the settled incarnation.
 pub(crate) fn renew(cx: &Context) {
     let next = incarnation(cx.host.clock.wall(), cx.host.incarnation());
     cx.host.renew(next);
     cx.books.handle(ledger::Event::Renew { me: next });
     if let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() {
-        // A full queue means that the service hears it with the next fence.
+        // If the queue is full, the service learns of it with the next fence.
         let _ = fleet.offer(fleet::Message::Renewed);
     }
 }
--- a/crates/barleypind/src/reply.rs
+++ b/crates/barleypind/src/reply.rs
@@ -1,4 +1,4 @@
-//! Responses towards callers and operators.
+//! Responses to callers and operators.
 
 use gate::problem::{self, Problem};
 use http::{Body, Response, Status};
@@ -6,7 +6,7 @@
 use crate::event::Event;
 use crate::host::Host;
 
-/// Header names of answers, as in `docs/PROTOCOLS.md`.
+/// Names of response headers, as in `docs/PROTOCOLS.md`.
 pub(crate) mod header {
     pub(crate) const REQUEST: &str = "barleypin-request";
     pub(crate) const VERSION: &str = "barleypin-version";
@@ -18,7 +18,7 @@
     pub(crate) const REVISION: &str = "barleypin-revision";
 }
 
-/// A refusal, counted and logged.
+/// Returns the response of a refusal, which it counts and logs.
 pub(crate) fn refuse(host: &Host, problem: &Problem) -> Response {
     host.metrics.refused(problem.reason);
     host.log.emit(
@@ -37,7 +37,7 @@
     .header(header::HOST, host.settings.host.name.as_str())
 }
 
-/// A problem document.
+/// Returns a problem document as a response.
 pub(crate) fn document(status: u16, retry_after: Option<u64>, json: String) -> Response {
     let mut response = Response::new(status_of(status))
         .header("content-type", problem::MEDIA_TYPE)
@@ -48,14 +48,14 @@
     response
 }
 
-/// JSON that is text already.
+/// Returns serialized JSON as a response.
 pub(crate) fn json(text: String) -> Response {
     Response::new(Status::Ok)
         .header("content-type", "application/json")
         .body(Body::bytes(text))
 }
 
-/// The status with this number; reasons only name known ones.
+/// Returns the status with this number; reasons use known ones only.
 pub(crate) fn status_of(status: u16) -> Status {
     Status::try_from(status).unwrap_or(Status::InternalServerError)
 }
--- a/crates/barleypind/src/secrets.rs
+++ b/crates/barleypind/src/secrets.rs
@@ -1,4 +1,4 @@
-//! Key material, read once from the files that the settings name.
+//! Key material, read at start from the files named in the settings.
 
 use std::fs;
 use std::path::Path;
@@ -9,25 +9,26 @@
 
 use crate::error::Error;
 
-/// What this host proves itself and checks others with. Nothing of it is
-/// ever logged: no type in here shows its bytes.
+/// The keys with which this host authenticates itself and others.
+///
+/// They are never logged: no type in here shows its bytes.
 #[derive(Clone, Debug)]
 pub(crate) struct Secrets {
-    /// Signs session tokens.
+    /// The key that signs session tokens.
     pub(crate) session: Secret,
-    /// Signs tickets.
+    /// The key that signs tickets.
     pub(crate) ticket: Secret,
-    /// Between hosts.
+    /// The keys of the link between hosts.
     pub(crate) fleet: link::Keys,
     operator: Secret,
     operator_mac: [u8; 32],
 }
 
 impl Secrets {
-    /// Reads the files.
+    /// Reads the key files.
     ///
     /// # Errors
-    /// [`Error::Key`] with the file that can't be read or holds nothing.
+    /// Returns [`Error::Key`] with the file that can't be read or is empty.
     pub(crate) fn read(keys: &settings::Keys) -> Result<Self, Report<Error>> {
         let session = text(&keys.session_key)?;
         let operator = Secret::derive("barleypin 2026 operator key", b"");
@@ -45,7 +46,7 @@
         })
     }
 
-    /// Whether `key` is the operators' key, compared in constant time.
+    /// Returns whether `key` is the operators' key. Compares in constant time.
     pub(crate) fn is_operator(&self, key: &str) -> bool {
         self.operator.verify(key.as_bytes(), &self.operator_mac)
     }
--- a/crates/barleypind/src/service.rs
+++ b/crates/barleypind/src/service.rs
@@ -1,5 +1,5 @@
-//! The services of the process. Each is found by its name in the
-//! [`kernel::Registry`]; what one tells another is a typed message.
+//! The services of the process. They are found by name in the [`kernel::Registry`] and
+//! communicate by typed messages.
 
 pub(crate) mod configure;
 pub(crate) mod decide;
--- a/crates/barleypind/src/service/configure.rs
+++ b/crates/barleypind/src/service/configure.rs
@@ -1,8 +1,8 @@
-//! The service that commits operators' changes.
+//! Commits operators' changes to the table.
 //!
-//! A change is one transaction: the head at its next revision, the change's
-//! own row and its line of the history, on the condition that the head is the
-//! one that was read and the change's row is absent. See `docs/design/config.md`.
+//! A change is one transaction. It writes the configuration's head at its next revision, a row of
+//! the change and a history entry, on condition that the head is still at the version that was
+//! read and that the row of the change doesn't exist. See `docs/design/config.md`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,16 +19,17 @@
 use crate::event::Event;
 use crate::service::fleet;
 
-/// How often a change is applied again on a head that moved on. Operators make
-/// hundreds of changes a day, so even two collisions in a row are rare.
+/// Maximum number of times that a change is applied to a newer head after a conflict. Operators
+/// make hundreds of changes a day, so even two conflicts in a row are rare.
 const ROUNDS: u32 = 16;
-/// How often the outcome of a write is asked for when its answer was lost.
+/// Maximum number of reads to determine the outcome of a write whose response was lost.
 const SETTLE_ROUNDS: u32 = 3;
 
-/// Commits `change`, or says why not.
+/// Commits `change`.
 ///
 /// # Errors
-/// The refusal, `not_run` only when the change has no effect and won't have one.
+/// Returns the refusal. It says `not_run` only if the change has no effect and never will have
+/// one.
 pub(crate) async fn commit(cx: &Arc<Context>, change: &Change) -> Result<Accepted, Refusal> {
     for _ in 0..ROUNDS {
         let asked = cx.host.now();
@@ -42,8 +43,8 @@
         };
         match write(cx, change, &next, version).await {
             Ok(()) => return Ok(accept(cx, change, &next, asked).await),
-            // Another change came first; this one is applied to its result,
-            // and only a change of the same entry is a conflict.
+            // Another change was committed first. Apply this one to its result, which is a
+            // conflict only if both edit the same entry.
             Err(Error::Conflict { .. }) => {}
             Err(Error::NotApplied(_)) => return Err(out()),
             Err(Error::Unknown(_)) => return settle(cx, change, next, asked).await,
@@ -56,10 +57,10 @@
     .into())
 }
 
-/// Reads the newest lines of the history.
+/// Returns the newest `limit` entries of the history, newest first.
 ///
 /// # Errors
-/// A refusal when the table doesn't answer.
+/// Returns a refusal if the table doesn't respond or the head can't be parsed.
 pub(crate) async fn history(cx: &Context, limit: usize) -> Result<Vec<Commit>, Refusal> {
     let (document, _) = head(cx).await?;
     let newest = document.revision.0;
@@ -73,7 +74,8 @@
     Ok(commits)
 }
 
-/// The committed document and its row's version, none before the first change.
+/// Returns the committed document and its row's version, or an empty document and `None` before
+/// the first change.
 async fn head(cx: &Context) -> Result<(Document, Option<Version>), Refusal> {
     let row = cx.table.get(&Key::ConfigHead).await.map_err(|_| out())?;
     let Some(row) = row else {
@@ -89,15 +91,13 @@
     Ok((document, Some(row.version)))
 }
 
-/// The row of a committed change.
+/// The table row of a committed change.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Done {
-    /// The revision that it made.
+    /// The revision that the change created.
     revision: Revision,
-    /// The hash of its edit.
-    ///
-    /// Failure: two different edits under one change id. The second would be
-    /// taken for a repeat of the first, and its operator would think it in force.
+    /// The hash of the edit. Detects a different edit under the same change id, which would
+    /// otherwise be taken for a retry and reported as in force.
     edit: String,
 }
 
@@ -110,8 +110,7 @@
         }
     }
 
-    /// The answer to a change that comes again under an id that is committed;
-    /// nothing when it is another change.
+    /// Returns the response to a retry of this change, or `None` if `change` is a different one.
     fn repeat(&self, change: &Change) -> Option<Accepted> {
         (*self == Self::new(change, self.revision)).then_some(Accepted {
             revision: self.revision,
@@ -157,11 +156,10 @@
     cx.table.transact(&transaction).await.map(|_| ())
 }
 
-/// Finds out what became of a write whose answer was lost.
+/// Determines the outcome of a write whose response was lost.
 ///
-/// Failure: the write takes effect, its answer doesn't come. The change's own
-/// row tells; while it is absent and the head is unchanged the write may still
-/// be on its way, so nothing is concluded from that.
+/// The write took effect if the row of the change exists. If it doesn't, the write may still be
+/// in flight, so a missing row proves nothing.
 async fn settle(
     cx: &Arc<Context>,
     change: &Change,
@@ -188,10 +186,11 @@
     .into())
 }
 
-/// The change is committed: this host needs no poll to know.
+/// Reports a committed change to the fleet service, so that it is in force on this host without
+/// waiting for a poll.
 ///
-/// `asked` is a time before the write was sent, from which the proof counts
-/// that nothing newer was committed.
+/// `asked` is a time before the write was sent. The age of the proof that no newer revision
+/// exists counts from it.
 async fn accept(cx: &Context, change: &Change, next: &Document, asked: Duration) -> Accepted {
     let name = change.edit.name();
     cx.host.log.emit(
@@ -208,7 +207,8 @@
         json: Some(next.to_json().into_bytes().into()),
     });
     if let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() {
-        // Whoever made the change finds it in force here when it has its answer.
+        // Wait until the change is in force here, so that the operator sees it on this host once
+        // the response arrives.
         fleet
             .ask(|reply| fleet::Message::Settle(polled, reply))
             .await;
--- a/crates/barleypind/src/service/decide.rs
+++ b/crates/barleypind/src/service/decide.rs
@@ -1,9 +1,8 @@
 //! The service that owns the decider.
 //!
-//! Calls reach it directly, under a short lock: a queue in between would put
-//! the executor's scheduling delay into every step of every call. What it
-//! decides about a call goes to that call's own queue, the rest to the
-//! services that see to it.
+//! Calls use it directly under a short lock, since a queue would add the executor's scheduling
+//! delay to every step of a call. Actions on one call are sent to that call's queue, all others
+//! to the services that carry them out.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,22 +19,22 @@
 
 use crate::host::Host;
 
-/// What a call is told to do next.
+/// An instruction of the decider to a call.
 #[derive(Clone, Debug)]
 pub(crate) enum Directive {
-    /// Make an attempt.
+    /// Send an attempt.
     Dispatch(Dispatch),
-    /// Stop an attempt.
+    /// Abort an attempt.
     Cancel(AttemptId),
-    /// Send the answer of this attempt to the rating service.
+    /// Send this attempt's response to the rating service.
     Sample(AttemptId),
-    /// Done: the answer of this attempt is the caller's.
+    /// Complete the call with an attempt's response.
     Deliver(Delivery),
-    /// Done: refuse.
+    /// Complete the call with a refusal.
     Refuse(Refusal),
 }
 
-/// An attempt to be made.
+/// An attempt to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Dispatch {
     pub(crate) attempt: AttemptId,
@@ -49,7 +48,7 @@
     pub(crate) priority: Priority,
 }
 
-/// The answer that the caller gets.
+/// The completion of a call with an attempt's response.
 #[derive(Clone, Debug)]
 pub(crate) struct Delivery {
     pub(crate) attempt: AttemptId,
@@ -58,22 +57,22 @@
     pub(crate) attempts: u32,
 }
 
-/// What concerns more than one call.
+/// A decider action that isn't specific to one call.
 #[derive(Clone, Debug)]
 pub(crate) enum Notice {
-    /// To the other hosts.
+    /// Evidence for the other hosts.
     Evidence(Evidence),
-    /// To the other hosts.
+    /// This host's demand, for the other hosts.
     Demand(Demand),
-    /// A version was judged anew.
+    /// The verdict on a version changed.
     Verdict(VersionId, Verdict),
-    /// A quarantined version stays in use for want of another.
+    /// A quarantined version is used as a last resort.
     LastResort(VersionId),
-    /// A roll-out is to take a step.
+    /// The roll-out of a version requests a step.
     Step(VersionId, Step),
 }
 
-/// The owner of the decider.
+/// A shared handle of the decider.
 pub(crate) struct Decide {
     core: Mutex<Core>,
     host: Arc<Host>,
@@ -89,7 +88,7 @@
 }
 
 impl Decide {
-    /// A decider without policy, and the queue of what concerns other services.
+    /// Returns a decider without a policy, and the queue of its actions for other services.
     pub(crate) fn new(
         host: Arc<Host>,
         seed: u64,
@@ -111,11 +110,12 @@
         (Arc::new(decide), receiver)
     }
 
-    /// Passes in a call. `arrival` is built from the policy that the decider
-    /// has, since the keys in it are that policy's.
+    /// Passes a call to the decider and returns the call's queue of directives.
+    ///
+    /// `arrival` is built from the decider's present policy, whose keys it contains.
     ///
     /// # Errors
-    /// What `arrival` returns, and then nothing was passed in.
+    /// Returns the error of `arrival`. The decider then has no record of the call.
     pub(crate) fn arrive<E>(
         &self,
         arrival: impl FnOnce(&Policy) -> Result<Arrival, E>,
@@ -131,13 +131,13 @@
         })
     }
 
-    /// Says that the first byte of an attempt's answer came. When this returns
-    /// every cancellation that follows from it is in its call's queue.
+    /// Reports the first byte of an attempt's response. Once this returns, all cancellations that
+    /// follow from it are in the call's queue.
     pub(crate) fn started(&self, attempt: AttemptId) {
         self.handle(Event::Started { attempt });
     }
 
-    /// Says how an attempt ended.
+    /// Reports the outcome of an attempt.
     pub(crate) fn ended(&self, attempt: AttemptId, outcome: Outcome) {
         self.with(|core, now| {
             core.attempts.remove(&attempt);
@@ -146,7 +146,7 @@
         });
     }
 
-    /// Says that the caller is gone.
+    /// Reports that the call is given up, for instance because its caller disconnected.
     pub(crate) fn cancelled(&self, request: key::Request) {
         self.with(|core, now| {
             let event = Event::Cancelled { request };
@@ -155,7 +155,7 @@
         self.with(|core, _| core.calls.remove(&request));
     }
 
-    /// Puts a policy in force.
+    /// Puts a policy in force unless a newer one is.
     pub(crate) fn configure(&self, policy: Arc<Policy>) {
         self.with(|core, now| {
             if policy.revision >= core.policy.revision {
@@ -166,19 +166,19 @@
         });
     }
 
-    /// The endpoints that the decider sends to, whose load it has to know.
+    /// Returns the endpoints that the decider sends to and whose load it needs.
     pub(crate) fn watched(&self) -> Vec<endpoint::Id> {
         let core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
         core.decider.watched()
     }
 
-    /// What this host has learned, for one that starts.
+    /// Returns the evidence of this host, for a host that starts.
     pub(crate) fn digest(&self) -> Evidence {
         let core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
         core.decider.digest()
     }
 
-    /// Passes in any other event.
+    /// Passes any other event to the decider.
     pub(crate) fn handle(&self, event: Event) {
         self.with(|core, now| core.decider.handle(now, event, &mut core.actions));
     }
@@ -186,7 +186,7 @@
     fn with<T>(&self, work: impl FnOnce(&mut Core, Duration) -> T) -> T {
         let mut core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
         let began = Instant::now();
-        // Read under the lock, so that time never goes back for the decider.
+        // Read the time under the lock, so that it never decreases for the decider.
         let now = self.host.now();
         let result = work(&mut core, now);
         core.route(&self.notices);
@@ -197,8 +197,8 @@
 }
 
 impl Core {
-    /// Passes the actions on. A call that is gone has dropped its queue, and a
-    /// process that is ending its services; what is meant for them is lost rightly.
+    /// Sends the actions to their receivers. Actions for a call that has ended, or for a service
+    /// that has stopped during the exit of the process, are dropped.
     fn route(&mut self, notices: &UnboundedSender<Notice>) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -273,7 +273,7 @@
         }
     }
 
-    /// The version under the key. The decider's keys are those of the policy
+    /// Returns the id of the version with this key. The decider's keys are those of the policy
     /// that it was given last, which is the one kept here.
     fn version(&self, key: key::Version) -> VersionId {
         self.policy
--- a/crates/barleypind/src/service/drain.rs
+++ b/crates/barleypind/src/service/drain.rs
@@ -1,8 +1,8 @@
-//! The service that ends the process without cutting anything off.
+//! The service that drains this host and ends the process without cutting off calls.
 //!
-//! Callers keep the answer to `GET /v1/hosts` for a while, so a leaving host
-//! first disappears from new answers, serves as before until the old ones have
-//! lapsed, then lets its work end and hands its billing records over.
+//! Callers keep the response to `GET /v1/hosts` for a while. A leaving host is therefore first
+//! removed from new responses and still accepts calls until the old ones have expired. Then it
+//! finishes its calls and hands over its billing records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use crate::host::{Host, Phase};
 use crate::service::fleet;
 
-/// Time for the last word to leave this host.
+/// Time for the last frames to be sent before the link closes.
 const GOODBYE: Duration = Duration::from_millis(200);
 
-/// The name of the service.
+/// The drain service.
 pub(crate) struct Drain;
 
 impl Service for Drain {
@@ -29,37 +29,37 @@
     const CAPACITY: usize = 16;
 }
 
-/// How the process ended.
+/// The outcome of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// Nothing was cut off and nothing is left.
+    /// No calls were cut off and no records are left.
     Whole,
-    /// The bound of the settings was reached with calls or records left.
+    /// The drain limit in the settings was reached with calls or records left.
     AtBound,
 }
 
-/// Asks the process to drain. Asking again changes nothing.
+/// Requests a drain. Further requests have no effect.
 pub(crate) fn begin(host: &Host) {
     if let Some(drain) = host.registry.find::<Drain>() {
-        // A full queue holds the same wish already.
+        // If the queue is full, a request is already in it.
         let _ = drain.offer(());
     }
 }
 
-/// What the drain has to see to.
+/// The servers and channels that the drain uses.
 pub(crate) struct Parts {
     pub(crate) servers: Vec<Server>,
     pub(crate) drained: Receiver<()>,
     pub(crate) ended: Sender<Ended>,
 }
 
-/// Waits to be asked, then drains.
+/// Waits for a request, then drains.
 pub(crate) async fn run(cx: Arc<Context>, queue: Receiver<()>, parts: Parts) {
     if queue.recv().await.is_err() {
         return;
     }
     let ended = drain(&cx, &parts).await;
-    // The process ends with whoever waits for this.
+    // Fails only if nobody waits for the outcome.
     let _ = parts.ended.send(ended).await;
 }
 
--- a/crates/barleypind/src/service/endpoints.rs
+++ b/crates/barleypind/src/service/endpoints.rs
@@ -1,5 +1,5 @@
-//! The service that knows the endpoints: from the platform's list, from their
-//! own load reports and from other hosts' news.
+//! The registry of endpoints, fed by the platform's host list, the endpoints' load reports and
+//! other hosts' announcements.
 
 use std::collections::HashMap;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -18,26 +18,25 @@
 use crate::service::decide::Decide;
 use crate::service::fleet;
 
-/// Load reports that are asked for at the same time.
+/// Maximum number of concurrent requests for load reports.
 const POLLS_AT_ONCE: usize = 16;
-/// The least time between two requests for a report. A request and its answer
-/// take some 500 bytes, and a node may spend 7 KB a second on all of control.
+/// Minimum interval between two requests for load reports, to limit control traffic.
 const REPORT_PACE: Duration = Duration::from_millis(125);
-/// A report is small; an endpoint that takes longer is busy or gone.
+/// Timeout of a request for a load report.
 const REPORT_TIME: Duration = Duration::from_millis(800);
-/// Reports missed in a row after which an endpoint gets no new work.
+/// Number of consecutive missed reports after which an endpoint gets no new requests.
 const MISSED_BOUND: u32 = 3;
 
-/// An endpoint as an attempt needs it.
+/// An endpoint and its known state.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     pub(crate) name: HostName,
     pub(crate) at: engine::Endpoint,
     pub(crate) role: Role,
     pub(crate) distance: Distance,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the endpoint rejects orders with an old fencing number.
     pub(crate) fencing: Fencing,
-    /// The versions that the host list says it may load.
+    /// The versions that the endpoint may load, according to the host list.
     pub(crate) may_load: Arc<[VersionId]>,
     state: State,
     load: Option<Load>,
@@ -45,7 +44,7 @@
 }
 
 impl Endpoint {
-    /// Whether it is an engine that has this version loaded.
+    /// Returns whether the endpoint is an engine that has this version loaded.
     pub(crate) fn has_loaded(&self, version: &VersionId) -> bool {
         matches!(&self.role, Role::Engine(versions) if versions.contains(version))
     }
@@ -72,7 +71,7 @@
     Ignores,
 }
 
-/// The endpoints that this host knows.
+/// The endpoints known to this host.
 pub(crate) struct Endpoints {
     host: Arc<Host>,
     decide: Arc<Decide>,
@@ -90,12 +89,12 @@
         }
     }
 
-    /// The endpoint with this identity.
+    /// Returns the endpoint with this identity.
     pub(crate) fn get(&self, id: Id) -> Option<Endpoint> {
         self.read().get(&id).cloned()
     }
 
-    /// All endpoints that may get work.
+    /// Returns all live endpoints.
     pub(crate) fn live(&self) -> Vec<Endpoint> {
         let known = self.read();
         known
@@ -105,10 +104,10 @@
             .collect()
     }
 
-    /// Takes the platform's list, as it was some time ago.
+    /// Applies the platform's host list.
     ///
-    /// The list lags, so it never brings back what an endpoint said itself: an
-    /// endpoint that is leaving stays so for the rest of its incarnation.
+    /// The list lags behind, so it never reverts what an endpoint itself reported: a leaving
+    /// endpoint stays so for the rest of its incarnation.
     pub(crate) fn list(&self, hosts: &[clients::Host]) {
         let listed: Vec<_> = hosts.iter().filter_map(|it| self.listed(it)).collect();
         let mut known = self.write();
@@ -149,14 +148,15 @@
         self.publish(updates);
     }
 
-    /// Notes what an attempt learned of an endpoint, and tells the other hosts:
-    /// the platform's list shows it to them only later.
+    /// Records an endpoint's state that an attempt revealed, and announces it to the other hosts,
+    /// which see it in the platform's list only later.
     pub(crate) fn learn(&self, name: &HostName, incarnation: Incarnation, state: State) {
         self.hear(name, incarnation, state);
         self.tell(name, incarnation, state);
     }
 
-    /// Notes what another host learned of an endpoint.
+    /// Records an endpoint's state announced by another host. Only a live endpoint changes its
+    /// state.
     pub(crate) fn hear(&self, name: &HostName, incarnation: Incarnation, state: State) {
         let id = Id::new(name, incarnation);
         let mut known = self.write();
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Asks each endpoint for its load once.
+    /// Requests a load report from every endpoint once.
     pub(crate) async fn poll(&self) {
         let asked: Vec<Endpoint> = self.read().values().cloned().collect();
         let mut waiting = asked.into_iter();
@@ -188,8 +188,8 @@
         }
     }
 
-    /// The endpoints whose load this host has to know: those that it sends to,
-    /// and those that it gave up and has to find again.
+    /// Returns the endpoints whose load is polled: those that the decider sends to, and those
+    /// that are gone, to detect their return.
     fn watched(&self) -> Vec<Endpoint> {
         let ids = self.decide.watched();
         let known = self.read();
@@ -253,7 +253,7 @@
                 State::Gone => EndpointState::Gone,
             },
         };
-        // The list and the load reports tell it again.
+        // A dropped announcement does no harm: the host list and the load reports repeat it.
         let _ = fleet.offer(fleet::Message::Event(::fleet::Event::Endpoint(news)));
     }
 
@@ -333,8 +333,7 @@
         });
     }
 
-    /// One missed report says little; several in a row take it out of use
-    /// until it reports again.
+    /// Counts a missed report. Several in a row mark the endpoint as gone until it reports again.
     fn miss(&mut self) {
         self.missed = self.missed.saturating_add(1);
         if self.missed >= MISSED_BOUND && self.state == State::Live {
@@ -343,7 +342,7 @@
     }
 }
 
-/// Reads the platform's list for ever, and tells what it holds.
+/// Polls the platform's host list forever, and passes the entry hosts in it to `entries`.
 pub(crate) async fn watch_list(
     host: Arc<Host>,
     list: HostList,
@@ -372,8 +371,8 @@
     }
 }
 
-/// Asks the watched endpoints for their load for ever, one after the other, so
-/// that what it costs stays the same however many there are.
+/// Polls the watched endpoints' load forever, one after the other, at intervals that limit the
+/// cost for any number of endpoints.
 pub(crate) async fn watch_load(host: Arc<Host>, endpoints: Arc<Endpoints>) {
     loop {
         let watched = endpoints.watched();
--- a/crates/barleypind/src/service/fleet.rs
+++ b/crates/barleypind/src/service/fleet.rs
@@ -1,5 +1,5 @@
-//! The service that owns the fleet core: membership, news, and what other
-//! hosts' cores say.
+//! The service that owns the fleet core: membership, gossip, and frames between the cores of
+//! hosts.
 
 mod configuration;
 mod learned;
@@ -26,10 +26,10 @@
 use crate::{renew, tuning};
 pub(crate) use learned::Told;
 
-/// The longest time between two looks at the core's own deadline.
+/// Maximum time to wait for a message before the core's deadline is checked again.
 const IDLE: Duration = Duration::from_millis(250);
 
-/// The name of the service.
+/// The fleet service.
 pub(crate) struct Fleet;
 
 impl Service for Fleet {
@@ -38,25 +38,25 @@
     const CAPACITY: usize = 4096;
 }
 
-/// What the service takes.
+/// A message to the service.
 pub(crate) enum Message {
-    /// A frame came.
+    /// A frame received from another host.
     Frame(Incoming),
-    /// Anything else that the core is told.
+    /// Another event for the core.
     Event(Event),
-    /// The same, for who waits until what follows from it is done.
+    /// An event for the core. The reply is sent once the resulting actions have been carried out.
     Settle(Event, oneshot::Sender<()>),
-    /// The member with this incarnation.
+    /// Requests the member with this incarnation.
     Find(Incarnation, oneshot::Sender<Option<Member>>),
-    /// The hosts for a caller in this data centre, best first.
+    /// Requests the hosts to hand out to a caller in this data centre, best first.
     Handout(DataCentre, oneshot::Sender<Vec<Member>>),
-    /// This host and all others, whatever their state.
+    /// Requests this host's member record and all others, in any state. This host's comes first.
     Members(oneshot::Sender<Vec<Member>>),
     /// A message to the ledger of another host.
     Ledger(Incarnation, ledger::Message),
-    /// What the decider tells those of the other hosts.
+    /// A message to the deciders of the other hosts.
     Decide(Told),
-    /// This process took a new incarnation.
+    /// This process has a new incarnation.
     Renewed,
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// Passes frames from the link to the service.
+/// Forwards frames from the link to the service.
 pub(crate) async fn receive(cx: Arc<Context>, frames: Receiver<Incoming>) {
     while let Ok(incoming) = frames.recv().await {
         let Some(fleet) = cx.host.registry.find::<Fleet>() else {
@@ -115,7 +115,7 @@
                 self.tell(event);
                 let _ = reply.send(());
             }
-            // Whoever asked may have gone meanwhile.
+            // The requester may be gone by now, so failures to reply are ignored.
             Message::Find(incarnation, reply) => {
                 let _ = reply.send(self.find(incarnation).cloned());
             }
@@ -170,15 +170,15 @@
                     .endpoints
                     .hear(&endpoint.host, endpoint.incarnation, state);
             }
-            // The deciders speak to each other in their own form, see [`Told`].
+            // Unused: deciders exchange evidence as [`Told`].
             Action::Evidence(_) => {}
             Action::Drain => drain::begin(&self.cx.host),
             Action::Deposed => renew::renew(&self.cx),
         }
     }
 
-    /// Goes on as the process's new incarnation, which nobody knows yet. The
-    /// members are found again from the host list.
+    /// Restarts the core with the process's new incarnation. The members are found again through
+    /// the host list.
     fn renew(&mut self) {
         let incarnation = self.cx.host.incarnation();
         let mut me = self.core.me().clone();
@@ -267,7 +267,7 @@
         self.tell_hosts();
     }
 
-    /// Tells the ledger and the decider who is there.
+    /// Passes the hosts that are up to the ledger and their number to the decider.
     fn tell_hosts(&self) {
         let region = &self.core.me().region;
         let peers: Vec<Peer> = self
@@ -310,20 +310,20 @@
     }
 }
 
-/// Whether a member is taken to be there: a suspicion alone takes nobody out.
+/// Returns whether a member is considered up. A suspicion alone doesn't mark it as down.
 fn is_up(member: &Member) -> bool {
     matches!(member.state, State::Alive | State::Leaving | State::Suspect)
 }
 
-/// Tells the core of an event, unless its queue is full: what it is told comes
-/// again, and a flood must not hold up what tells it.
+/// Passes an event to the core, or drops it if the queue is full. All such events are repeated,
+/// and a flood must not block the sender.
 pub(crate) fn tell(cx: &Context, event: Event) {
     if let Some(fleet) = cx.host.registry.find::<Fleet>() {
         let _ = fleet.offer(Message::Event(event));
     }
 }
 
-/// The entry hosts of the platform's list as the core takes them.
+/// Converts the entry hosts of the platform's list into member records.
 pub(crate) fn listed(hosts: Vec<clients::Host>) -> Vec<Member> {
     hosts
         .into_iter()
--- a/crates/barleypind/src/service/fleet/configuration.rs
+++ b/crates/barleypind/src/service/fleet/configuration.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration from the table, and putting it in force.
+//! Reads the configuration from the table and puts it in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,12 +13,11 @@
 use crate::event::Event as Logged;
 use crate::host::Phase;
 
-/// Reads the configuration's head from the table and tells the core.
+/// Reads the configuration's head from the table and passes the result to the core.
 pub(super) async fn poll(cx: Arc<Context>) {
     let asked = cx.host.now();
     let event = if let Ok(row) = cx.table.get(&Key::ConfigHead).await {
-        // Before the first change there is no row, and the empty configuration
-        // is in force.
+        // Before the first change there is no row, and the empty configuration is in force.
         let document = match &row {
             Some(row) => row.value(),
             None => Some(config::Document::default()),
@@ -43,8 +42,8 @@
     })
 }
 
-/// Puts a document in force. The order matters: calls check against the
-/// current configuration at dispatch, so it is there before the decider has it.
+/// Puts a document in force. Calls check the current configuration at dispatch, so it is set
+/// before the decider's policy.
 pub(super) fn apply(cx: &Context, revision: Revision, json: &[u8]) {
     let document = std::str::from_utf8(json)
         .ok()
--- a/crates/barleypind/src/service/fleet/learned.rs
+++ b/crates/barleypind/src/service/fleet/learned.rs
@@ -1,4 +1,4 @@
-//! What the deciders of hosts tell each other.
+//! Messages between the deciders of hosts.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use super::{Actor, is_up};
 use crate::host::Phase;
 
-/// How long an answer about what was learned is waited for.
+/// Time after which an unanswered request for a digest is repeated.
 const ASK_AGAIN: Duration = Duration::from_secs(2);
 
-/// What deciders tell each other.
+/// A message between deciders.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Told {
     Evidence(Evidence),
     Demand(Demand),
-    /// The sender has just started and asks what was learned.
+    /// A request for a digest from a host that has started.
     Ask,
-    /// What was learned, in answer to [`Told::Ask`].
+    /// The sender's evidence, in response to [`Told::Ask`].
     Digest(Evidence),
 }
 
-/// Whether this host was told what others had learned before it started.
+/// Whether this host has received another host's evidence since its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Taught {
     NotYet,
@@ -39,7 +39,7 @@
             Ok(Told::Demand(demand)) => decide::Event::Demand(demand),
             Ok(Told::Ask) => return self.teach(from),
             Ok(Told::Digest(digest)) => {
-                // A second one would count what the first one told again.
+                // A second digest would count the same evidence twice.
                 if std::mem::replace(&mut self.taught, Taught::Yes) == Taught::Yes {
                     return;
                 }
@@ -59,9 +59,8 @@
         }
     }
 
-    /// Asks one other host what was learned before this one started. Answers
-    /// may be lost, so it asks again; an answer that comes late, after another
-    /// one, is passed over.
+    /// Requests a digest from another host after the start. Retries, since the request or the
+    /// response may be lost. Only the first response is used.
     pub(super) fn ask_once(&mut self) {
         let now = self.cx.host.now();
         let due = match self.taught {
@@ -73,7 +72,7 @@
             return;
         }
         let alive = self.core.members().filter(|it| it.state == State::Alive);
-        // The near ones first; the oldest life has learned the most.
+        // Prefer hosts in this data centre; the one that has run longest has the most evidence.
         let me = &self.core.me().data_centre;
         let best = alive.min_by_key(|it| (it.data_centre != *me, it.identity.incarnation));
         if let (Some(member), Some(payload)) = (best, self.payload(&Told::Ask)) {
--- a/crates/barleypind/src/service/ledger.rs
+++ b/crates/barleypind/src/service/ledger.rs
@@ -15,42 +15,42 @@
 use crate::event::Event as Logged;
 use crate::host::Host;
 
-/// Whether a call may run.
+/// The ledger's decision on an arriving call.
 #[derive(Clone, Debug)]
 pub(crate) enum Admission {
-    /// It may; its attempts and its end are to be reported.
+    /// The call may run. Its attempts and its end have to be reported.
     Permit,
-    /// It ran before, and this was the answer.
+    /// The call ran before, with this outcome.
     Replay(Outcome),
-    /// Its home alone may run it.
+    /// Only the call's home may run it.
     Forward(Incarnation),
-    /// It may not.
+    /// The call may not run.
     Refuse(Refusal),
 }
 
-/// What the end of a permitted call waits for.
+/// The ledger's reply to the end of a permitted call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Closing {
-    /// The end of the answer may go out.
+    /// The end of the response may be sent.
     Release(Safety),
-    /// There is no answer; this is what the refusal says.
+    /// There is no response; the refusal has to state this execution state.
     Close(Run),
 }
 
-/// What the ledger needs from other services.
+/// An action of the ledger for another service.
 #[derive(Clone, Debug)]
 pub(crate) enum Errand {
     /// A message to the ledger of another host.
     Send(Incarnation, Message),
-    /// Something for the table.
+    /// An operation on the table.
     Table(Action),
     /// This incarnation was fenced.
     Retire(Incarnation),
-    /// Nothing is held any more.
+    /// The ledger holds no more records.
     Drained,
 }
 
-/// The owner of the ledger.
+/// A shared handle of the ledger.
 pub(crate) struct Books {
     core: Mutex<Core>,
     host: Arc<Host>,
@@ -66,7 +66,7 @@
 }
 
 impl Books {
-    /// A ledger that holds nothing, and the queue of what it needs.
+    /// Returns an empty ledger, and the queue of its actions for other services.
     pub(crate) fn new(host: Arc<Host>, tuning: Tuning) -> (Arc<Self>, UnboundedReceiver<Errand>) {
         let (errands, receiver) = unbounded();
         let data_centre = host.settings.host.data_centre.clone();
@@ -85,7 +85,7 @@
         (Arc::new(books), receiver)
     }
 
-    /// Asks whether a call may run. Nothing comes back only while the process ends.
+    /// Requests admission of a call. Returns `None` only during the exit of the process.
     pub(crate) async fn admit(self: &Arc<Self>, arrival: Arrival) -> Option<Admission> {
         let (sender, receiver) = oneshot::channel();
         self.with(|core, now| {
@@ -95,7 +95,7 @@
         receiver.await.ok()
     }
 
-    /// Reports the end of a permitted call and waits until its caller may have it.
+    /// Reports the end of a permitted call, and waits until the end of its response may be sent.
     pub(crate) async fn finish(self: &Arc<Self>, request: RequestId, end: End) -> Option<Closing> {
         let (sender, receiver) = oneshot::channel();
         self.with(|core, now| {
@@ -105,7 +105,7 @@
         receiver.await.ok()
     }
 
-    /// Passes in any other event.
+    /// Passes any other event to the ledger.
     pub(crate) fn handle(self: &Arc<Self>, event: Event) {
         self.with(|core, now| core.handle(now, event));
     }
@@ -152,8 +152,8 @@
         self.ledger.handle(now, event, &mut self.actions);
     }
 
-    /// Passes the actions on and returns when the ledger wants to be woken,
-    /// if that is sooner than it will be.
+    /// Sends the actions to their receivers. Returns the next wake-up time if it is earlier than
+    /// the one scheduled.
     fn route(&mut self, errands: &UnboundedSender<Errand>, host: &Host) -> Option<Duration> {
         let mut sooner = None;
         let mut actions = std::mem::take(&mut self.actions);
@@ -196,7 +196,7 @@
 
     fn admit(&mut self, request: &RequestId, admission: Admission) {
         if let Some(sender) = self.admissions.remove(request) {
-            // The caller may have gone; the ledger is told by its call.
+            // Fails if the caller disconnected, which its call reports to the ledger.
             let _ = sender.send(admission);
         }
     }
@@ -208,7 +208,7 @@
     }
 }
 
-/// The receiving service lives as long as the process.
+/// Can't fail, since the receiving service runs as long as the process.
 fn send(errands: &UnboundedSender<Errand>, errand: Errand) {
     let _ = errands.unbounded_send(errand);
 }
--- a/crates/barleypind/src/service/notices.rs
+++ b/crates/barleypind/src/service/notices.rs
@@ -1,4 +1,4 @@
-//! The service that passes on what the decider says of more than one call.
+//! The service that carries out the decider's actions that aren't specific to one call.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use crate::service::fleet::{self, Told};
 use crate::service::rollout;
 
-/// Passes notices on until the decider is gone.
+/// Carries out notices until the decider is dropped.
 pub(crate) async fn run(cx: Arc<Context>, mut notices: UnboundedReceiver<Notice>) {
     while let Some(notice) = notices.next().await {
         match notice {
@@ -48,7 +48,7 @@
             }
             Notice::Step(version, step) => {
                 if let Some(rollout) = cx.host.registry.find::<rollout::Rollout>() {
-                    // The decider repeats it until the step is made.
+                    // A dropped step is repeated by the decider.
                     let _ = rollout.offer(rollout::Message::Step(version, step));
                 }
             }
@@ -56,7 +56,7 @@
     }
 }
 
-/// Tells the decider that time passes.
+/// Sends ticks to the decider forever.
 pub(crate) async fn tick(cx: Arc<Context>) {
     loop {
         task::sleep(cx.host.settings.decide.tick).await;
@@ -66,7 +66,7 @@
 
 fn tell(cx: &Context, told: Told) {
     if let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() {
-        // Evidence that is lost costs a little speed of learning.
+        // Lost evidence only delays learning.
         let _ = fleet.offer(fleet::Message::Decide(told));
     }
 }
--- a/crates/barleypind/src/service/rate.rs
+++ b/crates/barleypind/src/service/rate.rs
@@ -1,4 +1,4 @@
-//! The service that hands answers to the rating service and takes its ratings.
+//! The service that submits responses to the rating service and collects their ratings.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
 use crate::context::Context;
 use crate::event::Event as Logged;
 
-/// Ratings that are asked for at once.
+/// Maximum number of ratings in one request.
 const PAGE: usize = 200;
 
-/// The name of the service.
+/// The service that submits samples.
 pub(crate) struct Rate;
 
 impl Service for Rate {
@@ -24,8 +24,8 @@
     const CAPACITY: usize = 256;
 }
 
-/// Hands in samples, one after the other: the rating service is slow, and a
-/// full queue drops further samples instead of holding up calls.
+/// Submits samples one at a time. The rating service is slow, so further samples are dropped when
+/// the queue is full instead of blocking calls.
 pub(crate) async fn submit(cx: Arc<Context>, queue: Receiver<Sample>) {
     while let Ok(sample) = queue.recv().await {
         if cx.ratings.submit(&sample).await.is_err() {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Takes ratings for ever.
+/// Polls for ratings forever.
 pub(crate) async fn collect(cx: Arc<Context>) {
     let mut after = 0;
     let mut out = false;
@@ -64,8 +64,8 @@
     }
 }
 
-/// Ratings of an earlier life of this host are passed over: the decider knows
-/// nothing of those requests any more.
+/// Passes a rating to the decider. Ratings of earlier incarnations are ignored, since the decider
+/// has no record of their requests.
 fn pass_on(cx: &Context, rating: clients::Rating) {
     let Some(request) = cx.host.request_number(rating.request.as_str()) else {
         return;
--- a/crates/barleypind/src/service/rollout.rs
+++ b/crates/barleypind/src/service/rollout.rs
@@ -1,11 +1,10 @@
-//! The service that moves roll-outs on and tells engines what to load.
+//! The roll-out controller: makes the steps of roll-outs and orders engines to load versions.
 //!
-//! One host at a time does it, the holder of the lease `orders`. A step is a
-//! change like an operator's, under an id that follows from the step, so that
-//! two hosts that both believe to hold the lease make it once. An order names
-//! the wanted state and carries the lease's fencing number; engines that ignore
-//! the number get none before orders of the last holder have died out. See
-//! `docs/design/lease.md`.
+//! One host at a time runs it, the holder of the lease `orders`. A step is a change like an
+//! operator's, with an id derived from the step, so that it takes effect once even if two hosts
+//! both assume that they hold the lease. An order names the wanted state and contains the lease's
+//! fencing number. Engines that ignore the number get no orders until those of the previous
+//! holder can no longer arrive. See `docs/design/lease.md`.
 
 mod holder;
 mod orders;
@@ -24,12 +23,12 @@
 use crate::host::Phase;
 use holder::Holder;
 
-/// How often the engines' state is set against the wanted one.
+/// Interval between comparisons of the engines' state with the wanted one.
 const LOOK: Duration = Duration::from_millis(500);
-/// How many hosts try to hold the lease. More would read its row for nothing.
+/// Maximum number of hosts that compete for the lease. More would only read its row more often.
 const CANDIDATES: usize = 5;
 
-/// The name of the service.
+/// The roll-out service.
 pub(crate) struct Rollout;
 
 impl Service for Rollout {
@@ -38,16 +37,16 @@
     const CAPACITY: usize = 64;
 }
 
-/// What the service takes.
+/// A message to the service.
 pub(crate) enum Message {
-    /// The decider wants a step.
+    /// The decider requests a step.
     Step(VersionId, Step),
 }
 
 struct Actor {
     cx: Arc<Context>,
     holder: Holder,
-    /// When an order was last given, by engine and version.
+    /// The time of the last order, by engine and version.
     ordered: HashMap<(HostName, VersionId), Duration>,
 }
 
@@ -74,7 +73,7 @@
 }
 
 impl Actor {
-    /// Renews or seeks the lease, and gives the orders that are due.
+    /// Renews or requests the lease, and sends the orders that are due.
     async fn look(&mut self) {
         if self.cx.host.phase() == Phase::Leaving {
             return self.holder.resign(&self.cx).await;
@@ -88,9 +87,9 @@
         }
     }
 
-    /// Whether this host is one of the few that try to hold the lease. All
-    /// hosts that know the same members agree; when they differ for a while
-    /// there is one candidate more or less, and the table decides anyway.
+    /// Returns whether this host may compete for the lease. All hosts with the same view of the
+    /// members agree. Different views only change the number of candidates, since the table
+    /// decides.
     async fn is_candidate(&self) -> bool {
         let members = crate::operate::members(&self.cx).await;
         let mut names: Vec<_> = members
--- a/crates/barleypind/src/service/rollout/holder.rs
+++ b/crates/barleypind/src/service/rollout/holder.rs
@@ -1,4 +1,4 @@
-//! This host as a candidate for the lease on orders.
+//! This host's part in the lease on orders.
 
 use clients::row::Key;
 use clients::{Condition, Error, Transaction};
@@ -11,7 +11,7 @@
 /// The name of the lease.
 const NAME: &str = "orders";
 
-/// The candidate, and the lease's actions carried out on the table.
+/// The lease, whose actions are carried out on the table.
 pub(crate) struct Holder {
     lease: Lease,
     held: Held,
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Whether this host holds the lease now, by its own clock.
+    /// Returns whether this host holds the lease now, by its own clock.
     pub(crate) fn holds(&self, cx: &Context) -> bool {
         self.lease.order(cx.host.now(), Endpoint::Checks).is_ok()
     }
 
-    /// The number for an order that is given now.
+    /// Returns the fencing number for an order that is sent now.
     pub(crate) fn order(&self, cx: &Context, endpoint: Endpoint) -> Result<Fencing, Denied> {
         self.lease.order(cx.host.now(), endpoint)
     }
@@ -45,7 +45,7 @@
         self.handle(cx, Event::Tick).await;
     }
 
-    /// Gives the lease back.
+    /// Releases the lease if this host holds it.
     pub(crate) async fn resign(&mut self, cx: &Context) {
         if self.held == Held::Yes {
             self.handle(cx, Event::Resign).await;
@@ -85,7 +85,7 @@
             cx.endpoints.poll().await;
             Some(Event::ReadBack)
         }
-        // The service looks often enough by itself.
+        // The service checks the lease at a fixed interval anyway.
         Action::Lost | Action::Wake { .. } => None,
     }
 }
--- a/crates/barleypind/src/service/rollout/orders.rs
+++ b/crates/barleypind/src/service/rollout/orders.rs
@@ -1,4 +1,4 @@
-//! What engines are to have loaded, and the orders that follow.
+//! Orders to engines to load and unload versions.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::event::Event;
 use crate::service::endpoints::{Endpoint, Fencing};
 
-/// How long an order is given to show in the load report before it is given again.
+/// Interval after which an order is repeated if the load report doesn't show its effect.
 const PATIENCE: Duration = Duration::from_secs(5);
 
 impl Actor {
-    /// Gives the orders that are due.
+    /// Sends the orders that are due.
     pub(super) async fn order(&mut self) {
         let snapshot = self.cx.host.current.get();
         let mut engines = self.cx.endpoints.live();
@@ -40,8 +40,8 @@
             Fencing::Checks => lease::Endpoint::Checks,
             Fencing::Ignores => lease::Endpoint::Ignores,
         };
-        // Asked at the last moment: a holder that was frozen finds its lease
-        // lapsed here, before anything leaves.
+        // Check the lease immediately before sending: a holder that was frozen finds here that
+        // its lease has expired.
         let Ok(fencing) = self.holder.order(cx, checks) else {
             return;
         };
@@ -51,8 +51,8 @@
             version,
             wanted,
         };
-        // An order that takes longer is given up, so that the next holder
-        // knows when none of this one's can be on its way any more.
+        // Slower orders are aborted, so that the next holder knows when none of this holder's can
+        // still arrive.
         let options = Options {
             total: Tuning::default().order_bound,
             ..Options::default()
@@ -74,8 +74,8 @@
     }
 }
 
-/// The orders that make the engines' state the wanted one: the engine's place
-/// in `engines`, the version and what it is to become.
+/// Returns the orders that bring the engines to the wanted state: the engine's index in
+/// `engines`, the version and its wanted state.
 fn due(document: &Document, engines: &[Endpoint]) -> Vec<(usize, VersionId, Wanted)> {
     let mut due = Vec::new();
     for (id, version) in &document.versions {
@@ -84,7 +84,7 @@
             let wanted = holders.contains(&idx);
             match (wanted, engine.has_loaded(id)) {
                 (true, false) => due.push((idx, id.clone(), Wanted::Loaded)),
-                // An active version that nobody asked for is left alone.
+                // An active version that was loaded without an order is left alone.
                 (false, true) if !version.is_active() || is_aborted(document, id) => {
                     due.push((idx, id.clone(), Wanted::Unloaded));
                 }
@@ -95,7 +95,7 @@
     due
 }
 
-/// The engines that are to have a version loaded.
+/// Returns the indices of the engines that have to have a version loaded.
 fn holders(
     document: &Document,
     id: &VersionId,
@@ -118,7 +118,7 @@
     let share = match rollout.state {
         RolloutState::Aborted => return Vec::new(),
         RolloutState::Done => 1.0,
-        // Those of the next step load in good time.
+        // Engines of the next step load the version ahead of it.
         RolloutState::Running => {
             let next = rollout.steps.get(rollout.step + 1);
             next.copied().unwrap_or(1.0)
@@ -134,7 +134,7 @@
     rollout.is_some_and(|it| it.state == RolloutState::Aborted)
 }
 
-/// At least one, and as many as the share asks for.
+/// Returns the smallest number of engines, at least one, that is the given share of `count`.
 fn part(count: usize, share: f64) -> usize {
     (1..=count)
         .find(|part| ratio(*part, count) >= share)
--- a/crates/barleypind/src/service/rollout/step.rs
+++ b/crates/barleypind/src/service/rollout/step.rs
@@ -1,4 +1,4 @@
-//! The steps of roll-outs.
+//! Steps of roll-outs.
 
 use config::{Change, Edit, Mode, Rollout, RolloutState};
 use decide::action::Step;
@@ -8,11 +8,11 @@
 use crate::event::Event;
 use crate::service::configure;
 
-/// Shares are decimal fractions that operators write; closer ones are the same.
+/// Tolerance for the comparison of shares, which are decimal fractions written by operators.
 const SAME: f64 = 1e-9;
 
 impl Actor {
-    /// Makes a step, if this host holds the lease and the step still applies.
+    /// Makes a step if this host holds the lease and the step still applies.
     pub(super) async fn step(&mut self, version: &VersionId, step: &Step) {
         if !self.holder.holds(&self.cx) {
             return;
@@ -24,9 +24,8 @@
         let Some(next) = next(rollout, step) else {
             return;
         };
-        // The id follows from the step alone. A holder that lost its lease
-        // while it was frozen and the one after it make the same change, and
-        // the table takes it once.
+        // The id is derived from the step alone. If a frozen holder that lost its lease and its
+        // successor both make the step, the table accepts only one of the changes.
         let id = format!("step-{version}-{}-{}", rollout.begun, next.step);
         let id = match next.state {
             RolloutState::Running | RolloutState::Paused => id,
@@ -39,7 +38,7 @@
             mode: Mode::Guarded,
             edit: Edit::PutRollout(version.clone(), next.clone()),
         };
-        // A step that isn't made now is asked for again by the decider.
+        // A step that fails is requested again by the decider.
         if configure::commit(&self.cx, &change).await.is_ok() {
             let event = match next.state {
                 RolloutState::Running | RolloutState::Paused => Event::RolloutStep,
@@ -55,7 +54,7 @@
     }
 }
 
-/// The roll-out after the step; nothing when it isn't where the step began.
+/// Returns the roll-out after the step, or `None` if the roll-out isn't at the step's start.
 fn next(rollout: &Rollout, step: &Step) -> Option<Rollout> {
     if (rollout.share() - step.from).abs() > SAME {
         return None;
--- a/crates/barleypind/src/service/table.rs
+++ b/crates/barleypind/src/service/table.rs
@@ -1,4 +1,5 @@
-//! The service that does the ledger's errands: the table, and other hosts.
+//! The service that carries out the ledger's actions on the table and its messages to other
+//! hosts.
 
 use std::sync::Arc;
 
@@ -18,8 +19,8 @@
 use crate::service::fleet;
 use crate::service::ledger::Errand;
 
-/// Does errands until the ledger is gone. Operations on the table run beside
-/// each other; the ledger bounds how many it starts.
+/// Carries out the ledger's actions until the ledger is dropped. Table operations run
+/// concurrently; the ledger limits their number.
 pub(crate) async fn run(
     cx: Arc<Context>,
     mut errands: UnboundedReceiver<Errand>,
@@ -29,7 +30,7 @@
         match errand {
             Errand::Send(to, message) => {
                 if let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() {
-                    // The ledger repeats what matters.
+                    // Dropped messages that matter are repeated by the ledger.
                     let _ = fleet.offer(fleet::Message::Ledger(to, message));
                 }
             }
@@ -89,8 +90,8 @@
     }
 }
 
-/// The transaction in the table client's terms; nothing for a key that is none
-/// of the rows of `docs/PROTOCOLS.md`, which the ledger never writes.
+/// Converts a transaction into the table client's form. Returns `None` for a key that isn't one
+/// of the rows in `docs/PROTOCOLS.md`, which the ledger never writes.
 fn translate(wanted: &Transaction) -> Option<clients::Transaction> {
     let mut transaction = clients::Transaction::default();
     for condition in &wanted.conditions {
--- a/crates/barleypind/src/service/watch.rs
+++ b/crates/barleypind/src/service/watch.rs
@@ -1,5 +1,5 @@
-//! The service that looks around every second: what it finds goes to the log
-//! and to the other hosts.
+//! The service that checks the host's state every second, logs changes and sends the load to the
+//! other hosts.
 
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
@@ -11,17 +11,17 @@
 use crate::service::fleet;
 
 const EVERY: Duration = Duration::from_secs(1);
-/// The load of a host that is full.
+/// The load of a full host.
 const FULL: usize = 255;
 
-/// What was found last time, so that only changes are logged.
+/// The state at the last check, so that only changes are logged.
 #[derive(Default)]
 struct Seen {
     stale: bool,
     out: bool,
 }
 
-/// Looks around for ever.
+/// Checks the state forever.
 pub(crate) async fn run(cx: Arc<Context>) {
     let mut seen = Seen::default();
     loop {
@@ -61,7 +61,7 @@
     *seen = Seen { stale, out };
 }
 
-/// How busy this host is, from 0 to 255.
+/// Returns this host's load, from 0 (idle) to 255 (full).
 fn load(cx: &Context) -> u8 {
     let open = cx.host.open_calls();
     let most = cx.host.settings.limits.max_in_flight.max(1);
--- a/crates/barleypind/src/tuning.rs
+++ b/crates/barleypind/src/tuning.rs
@@ -1,11 +1,10 @@
-//! What the settings mean to each core.
+//! Conversion of the settings into the parameters of each core.
 //!
-//! A core's own defaults are those that its tests and measurements run with,
-//! so a host without settings has to come out with the same ones.
+//! With default settings the result equals the core's own defaults, with which its tests run.
 
 use config::Settings;
 
-/// How this host decides.
+/// Returns the parameters of the decider.
 #[must_use]
 pub fn decide(settings: &Settings) -> decide::Tuning {
     let it = &settings.decide;
@@ -20,7 +19,7 @@
     }
 }
 
-/// How this host keeps its billing records.
+/// Returns the parameters of the ledger.
 #[must_use]
 pub fn ledger(settings: &Settings) -> ledger::Tuning {
     let it = &settings.ledger;
@@ -35,7 +34,7 @@
     }
 }
 
-/// How this host keeps in touch with the others.
+/// Returns the parameters of the fleet core.
 #[must_use]
 pub fn fleet(settings: &Settings) -> fleet::Tuning {
     fleet::Tuning {
--- a/crates/barleypind/src/verdicts.rs
+++ b/crates/barleypind/src/verdicts.rs
@@ -1,4 +1,4 @@
-//! What this host concluded of versions, for operators to see.
+//! This host's verdicts on versions, for the operators' status.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,7 +6,7 @@
 use decide::action::Verdict;
 use kernel::VersionId;
 
-/// The versions that aren't healthy.
+/// The quarantined versions.
 #[derive(Debug, Default)]
 pub(crate) struct Verdicts {
     quarantined: Mutex<HashMap<VersionId, Verdict>>,
@@ -21,7 +21,7 @@
         };
     }
 
-    /// The word for a version's health.
+    /// Returns the text that describes a version's health.
     pub(crate) fn word(&self, version: &VersionId) -> String {
         match self.lock().get(version) {
             None | Some(Verdict::Healthy) => "healthy".to_owned(),
--- a/crates/barleypind/tests/catalogue.rs
+++ b/crates/barleypind/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The reference pages list what the code has, no more and no less.
+//! Checks that the reference pages list exactly the events and metrics in the code.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -13,7 +13,7 @@
 #[test]
 fn the_event_page_lists_every_event() {
     let mut page = String::from(
-        "# Events\n\nWhat the daemon logs. Numbers are never reused. Beside the event stand fields that say about what; key material is never among them.\n\n| number | level | name | message |\n|---|---|---|---|\n",
+        "# Events\n\nThe daemon's log events. Numbers are never reused. Events have fields with details, which never contain key material.\n\n| number | level | name | message |\n|---|---|---|---|\n",
     );
     for event in Event::ALL {
         writeln!(
@@ -41,7 +41,7 @@
     for event in Event::ALL {
         let logged = source.contains(&format!("Event::{event:?}"))
             || source.contains(&format!("Logged::{event:?}"));
-        assert!(logged, "{event:?} is catalogued and never logged");
+        assert!(logged, "{event:?} is in the catalogue but never logged");
     }
 }
 
@@ -59,7 +59,7 @@
 #[test]
 fn the_metrics_page_lists_every_metric() {
     let mut page = String::from(
-        "# Metrics\n\n`GET /metrics` answers in Prometheus' text. Every reason of a refusal or retry is there as zero from the start.\n\n| metric | tells |\n|---|---|\n",
+        "# Metrics\n\n`GET /metrics` returns Prometheus' text format. Counters by reason are exported as zero for every reason from the start.\n\n| metric | description |\n|---|---|\n",
     );
     for (name, help) in CATALOGUE {
         writeln!(page, "| `{name}` | {help} |").unwrap();
--- a/crates/barleypind/tests/check.rs
+++ b/crates/barleypind/tests/check.rs
@@ -1,4 +1,4 @@
-//! `barleypind check`: bad settings and key files, each with its error and exit code.
+//! Tests of `barleypind check` with faulty settings and key files: errors and exit codes.
 
 use std::fs;
 use std::path::Path;
--- a/crates/barleypind/tests/golden/call.rs
+++ b/crates/barleypind/tests/golden/call.rs
@@ -1,4 +1,4 @@
-//! Calls of a session file and how their answers are shown.
+//! Directives of session files that send requests, and the output of their responses.
 
 use std::fmt::Write;
 
@@ -9,16 +9,16 @@
 use crate::mask::mask;
 use crate::site::{Site, argument, host, key_of, operator, text};
 
-/// Calls that are made at most to see one that escalates.
+/// Maximum number of calls to get one that escalates.
 const CALLS: usize = 3000;
 
-/// A caller's call: `call [host=N] [key=customer] [save=name]`, with the request
-/// as its input. `save` keeps the answer's session token or ticket under a
-/// name, which later calls write as `$name`.
+/// Runs `call [host=N] [key=customer] [save=name]`, a call with the request as its input. `save`
+/// stores the response's session token or ticket under a name, which later calls refer to as
+/// `$name`.
 ///
-/// With `times=N` it is made so often, and the answers aren't shown.
-/// With `escalated` the call is made again until an answer took a second
-/// attempt: whether the cheap version is sure is drawn for each request.
+/// With `times=N` the call is made N times and the responses aren't shown. With `escalated` it is
+/// repeated until a response took a second attempt, since the confidence of the cheap version is
+/// drawn at random for each request.
 pub(crate) async fn caller(site: &mut Site, case: &TestCase) -> String {
     let escalated = case.args.contains_key("escalated");
     if let Some(times) = argument::<usize>(case, "times") {
@@ -49,7 +49,7 @@
     show(site, case, response).await
 }
 
-/// An operator's call, in the same form.
+/// Runs an operator's request, in the same form.
 pub(crate) async fn operator_call(site: &mut Site, case: &TestCase) -> String {
     let mut request = parse(site, &case.input);
     if !case.args.contains_key("stranger") {
@@ -60,7 +60,7 @@
     show(site, case, response).await
 }
 
-/// A call of a stand-in: `stand-in name=table`.
+/// Runs `stand-in name=table`, a request to a stand-in.
 pub(crate) async fn stand_in(site: &mut Site, case: &TestCase) -> String {
     let name: String = argument(case, "name").expect("a stand-in's name");
     let request = parse(site, &case.input);
@@ -68,7 +68,7 @@
     format!("{}\n", u16::from(response.status))
 }
 
-/// Waits until a stand-in's record holds each line of the input: `until name=engine`.
+/// Runs `until name=engine`: waits until a stand-in's records contain each line of the input.
 pub(crate) async fn until(site: &mut Site, case: &TestCase) -> String {
     let name: String = argument(case, "name").expect("a stand-in's name");
     let what = format!("{name}: {}", case.input);
@@ -81,7 +81,7 @@
     "so it is\n".to_owned()
 }
 
-/// What ran at an endpoint, by its own record: `executions name=engine`.
+/// Runs `executions name=engine`: lists an endpoint's executions from its own records.
 pub(crate) async fn executions(site: &mut Site, case: &TestCase) -> String {
     let name: String = argument(case, "name").expect("an endpoint's name");
     let request = Request::get("/control/records");
@@ -91,7 +91,7 @@
         .as_array()
         .or(records["runs"].as_array());
     let mut shown = String::new();
-    for run in ran.expect("the endpoint's record of what ran") {
+    for run in ran.expect("the records list executions") {
         let field = |name: &str| run[name].as_str().unwrap_or_default().to_owned();
         let line = [field("path"), field("call"), field("version"), field("end")];
         writeln!(shown, "- {}", line.join(" ").trim()).unwrap();
@@ -102,7 +102,7 @@
     shown
 }
 
-/// The request: its line, then headers, then the body.
+/// Parses a request: the request line, headers and body.
 fn parse(site: &Site, input: &str) -> Request {
     let mut input = input.to_owned();
     for (name, value) in &site.saved {
@@ -155,8 +155,7 @@
     mask(&shown)
 }
 
-/// The events of a stream. Texts that follow each other are joined, since where
-/// they are split is chance.
+/// Formats the events of a stream. Joins consecutive texts, since it varies where they are split.
 fn events(body: &str) -> String {
     let mut shown = String::new();
     let mut content = String::new();
--- a/crates/barleypind/tests/golden/clock.rs
+++ b/crates/barleypind/tests/golden/clock.rs
@@ -1,4 +1,4 @@
-//! The system's clock, which a session can put ahead.
+//! The system clock with an offset that a session can increase.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
--- a/crates/barleypind/tests/golden/main.rs
+++ b/crates/barleypind/tests/golden/main.rs
@@ -1,8 +1,8 @@
-//! Whole sessions of callers and operators with a daemon and the stand-ins.
+//! Tests of sessions of callers and operators with daemons and the stand-ins.
 //!
-//! A file under `tests/sessions` starts with `site`, whose input is the
-//! stand-ins' settings, and goes on with calls. What differs from run to run
-//! (names of requests, tokens, ports, times) is replaced by words.
+//! A file under `tests/sessions` starts with `site`, whose input is the stand-ins' settings,
+//! followed by calls. Text that varies between runs, such as request ids, tokens, ports and
+//! times, is masked.
 
 mod call;
 mod clock;
@@ -39,7 +39,7 @@
             }
         )*
 
-        /// A session that no test names would never run.
+        /// Guards against a session without a test, which would never run.
         #[test]
         fn every_session_is_named() {
             let named = [$(stringify!($name)),*];
--- a/crates/barleypind/tests/golden/mask.rs
+++ b/crates/barleypind/tests/golden/mask.rs
@@ -1,6 +1,6 @@
-//! What differs from run to run, replaced by words.
+//! Masking of text that varies between runs.
 
-/// Replaces names of requests and attempts, tokens, addresses and times.
+/// Replaces request and attempt ids, tokens, ports and times with placeholders.
 pub(crate) fn mask(text: &str) -> String {
     let mut masked = String::new();
     let mut word = String::new();
--- a/crates/barleypind/tests/golden/site.rs
+++ b/crates/barleypind/tests/golden/site.rs
@@ -1,4 +1,4 @@
-//! Daemons and stand-ins of one session file, in this process, on loopback.
+//! The daemons and stand-ins of one session file, run in this process on the loopback interface.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -19,7 +19,7 @@
 
 use crate::clock::Shifted;
 
-/// The bound of every wait; nothing here takes a tenth of it.
+/// Timeout of every wait.
 const WAIT: Duration = Duration::from_secs(20);
 const PAUSE: Duration = Duration::from_millis(5);
 
@@ -33,7 +33,7 @@
     client: Client,
     _started: Started,
     dir: TempDir,
-    /// The share of answers that are rated.
+    /// The fraction of responses that are rated.
     rated: f64,
 }
 
@@ -97,7 +97,7 @@
             .unwrap_or_else(|err| panic!("{to}: {err}"))
     }
 
-    /// Drains the host that the case names and says how it ended.
+    /// Runs `drain`: drains the host named in the case and shows the outcome.
     pub(crate) async fn drain(&self, case: &TestCase) -> String {
         let daemon = &self.daemons[host(case)];
         daemon.drain();
@@ -107,15 +107,15 @@
         }
     }
 
-    /// Waits until every host has the revision that the case names in force.
+    /// Runs `wait`: waits until all hosts have the revision named in the case in force.
     pub(crate) async fn wait(&self, case: &TestCase) -> String {
         let revision: u64 = argument(case, "revision").expect("a revision");
         self.in_force(revision).await;
         "in force\n".to_owned()
     }
 
-    /// Puts the clock of all hosts ahead by the case's seconds, and waits until
-    /// each has a proof again that its configuration is the newest.
+    /// Runs `advance`: advances the clock of all hosts by the case's seconds, and waits until
+    /// each has a new proof that its configuration is the newest.
     pub(crate) async fn advance(&self, case: &TestCase) -> String {
         let seconds = argument(case, "seconds").expect("seconds");
         self.clock.advance(Duration::from_secs(seconds));
@@ -156,7 +156,7 @@
     pub(crate) async fn until(&self, what: &str, check: impl AsyncFn(&Self) -> bool) {
         let deadline = Instant::now() + WAIT;
         while !check(self).await {
-            assert!(Instant::now() < deadline, "waited in vain for: {what}");
+            assert!(Instant::now() < deadline, "timed out waiting for: {what}");
             task::sleep(PAUSE).await;
         }
     }
@@ -234,7 +234,7 @@
         self.send(self.addresses["hosts"], request).await;
     }
 
-    /// Commits the configuration that all session files share.
+    /// Commits the configuration shared by all session files.
     async fn configure(&self) {
         let entries: Value = serde_json::from_str(include_str!("config.json")).unwrap();
         let mut revision = 0;
@@ -256,7 +256,7 @@
     }
 }
 
-/// The bearer key of a customer.
+/// Returns the bearer key of a customer.
 pub(crate) fn key_of(customer: &str) -> String {
     format!("key-of-{customer}")
 }
@@ -270,7 +270,7 @@
     String::from_utf8(bytes).unwrap()
 }
 
-/// The host that the case names, the first one otherwise.
+/// Returns the index of the host named in the case, by default the first.
 pub(crate) fn host(case: &TestCase) -> usize {
     argument(case, "host").map_or(0, |at: usize| at - 1)
 }
--- a/crates/barleypind/tests/proofs.rs
+++ b/crates/barleypind/tests/proofs.rs
@@ -1,4 +1,4 @@
-//! `docs/PROOFS.md` names tests that exist, and every script.
+//! Checks that `docs/PROOFS.md` names existing tests only, and every script.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,11 +8,11 @@
 
 const STATES: [&str; 3] = ["proved", "partial", "not yet"];
 
-/// Every test and every file of cases, as `crate::name`.
+/// Returns all tests and case files, as `crate::name`.
 fn known() -> BTreeSet<String> {
     let crates = root().join("crates");
     let mut known = BTreeSet::new();
-    for entry in fs::read_dir(crates).expect("the crates are there") {
+    for entry in fs::read_dir(crates).expect("the crates folder exists") {
         let dir = entry.expect("the folder can be read").path();
         let package = stem(&dir);
         for file in files(&dir.join("tests")) {
@@ -27,7 +27,7 @@
     known
 }
 
-/// The names of the functions of a test file that are tests.
+/// Returns the names of the test functions in a test file.
 fn tests(text: &str) -> impl Iterator<Item = &str> {
     let mut marked = false;
     text.lines().filter_map(move |line| {
@@ -62,16 +62,16 @@
 }
 
 fn page() -> String {
-    fs::read_to_string(root().join("docs/PROOFS.md")).expect("the page is there")
+    fs::read_to_string(root().join("docs/PROOFS.md")).expect("the page exists")
 }
 
-/// The test names in a piece of the page: what stands as code and has a `::`.
+/// Returns the test names in a part of the page: text formatted as code that contains `::`.
 fn named(text: &str) -> impl Iterator<Item = &str> {
     let code = text.split('`').skip(1).step_by(2);
     code.filter(|it| it.contains("::"))
 }
 
-/// The cells of the rows `| fault | state | proved by | missing |`.
+/// Returns the cells of the rows `| fault | state | proved by | missing |`.
 fn rows(page: &str) -> Vec<Vec<&str>> {
     let lines = page.lines().filter(|it| it.starts_with('|'));
     let cells = lines.map(|it| it.trim_matches('|').split('|').map(str::trim).collect());
@@ -108,14 +108,13 @@
         match row[1] {
             "proved" => assert!(has_test, "no test: {row:?}"),
             "partial" => assert!(has_test && !row[3].is_empty(), "incomplete: {row:?}"),
-            _ => assert!(!has_test, "proved after all? {row:?}"),
+            _ => assert!(!has_test, "names a test, but is \"not yet\": {row:?}"),
         }
     }
 }
 
-/// Reasons that no script over real processes can bring about at will with
-/// nothing run: the first needs a queue that is longer than the deadline, the
-/// second a call in the moment in which a host hands its records over.
+/// Reasons that a script can't produce reliably with nothing run. `Deadline` needs a queue longer
+/// than the deadline, `Leaving` a call at the moment at which a host hands over its records.
 const SHOWN_ELSEWHERE: [(Reason, &str); 2] = [
     (Reason::Deadline, "decide::deadlines"),
     (Reason::Leaving, "ledger::drain"),
@@ -124,14 +123,17 @@
 #[test]
 fn every_reason_that_may_say_not_run_is_brought_about() {
     let script = root().join("crates/barleypind/tests/scripts/not_run_is_true.txt");
-    let script = fs::read_to_string(script).expect("the script is there");
+    let script = fs::read_to_string(script).expect("the script exists");
     let known = known();
     for reason in Reason::ALL.into_iter().filter(|it| it.can_prove_not_run()) {
         if let Some((_, test)) = SHOWN_ELSEWHERE.iter().find(|(it, _)| *it == reason) {
-            assert!(known.contains(*test), "{test} is gone");
+            assert!(known.contains(*test), "no such test: {test}");
             continue;
         }
-        let told = format!(" {reason} not_run");
-        assert!(script.contains(&told), "{reason} is not brought about");
+        let refusal = format!(" {reason} not_run");
+        assert!(
+            script.contains(&refusal),
+            "the script doesn't produce {reason}"
+        );
     }
 }
--- a/crates/barleypind/tests/scripts.rs
+++ b/crates/barleypind/tests/scripts.rs
@@ -1,4 +1,4 @@
-//! Scripts of failures over real processes; `docs/scripts.md` teaches them.
+//! Runs scripts of failures against real processes. `docs/scripts.md` describes the language.
 
 use std::path::Path;
 
@@ -24,12 +24,12 @@
             }
         )*
 
-        /// A script that no test names would never run.
+        /// Guards against a script without a test, which would never run.
         #[test]
         fn every_script_is_named() {
             let named = [$(concat!(stringify!($name), ".txt")),*];
             let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scripts");
-            for entry in std::fs::read_dir(dir).expect("the scripts are there") {
+            for entry in std::fs::read_dir(dir).expect("the folder of scripts exists") {
                 let file = entry.expect("the folder can be read").file_name();
                 let file = file.to_string_lossy();
                 assert!(named.contains(&&*file), "{file} is not listed in scripts.rs");
--- a/crates/barleypind/tests/soak.rs
+++ b/crates/barleypind/tests/soak.rs
@@ -1,12 +1,12 @@
-//! A short soak; `cargo xtask soak --seed N --for SECONDS` runs longer ones.
+//! A short soak test. `cargo xtask soak --seed N --for SECONDS` runs longer ones.
 
 use std::path::Path;
 use std::time::Duration;
 
 const BARLEYPIND: &str = env!("CARGO_BIN_EXE_barleypind");
 
-/// Callers go on while a host dies, sleeps or leaves, the table fails and an
-/// operator withdraws a version. Whatever they were told, the records agree.
+/// Calls are made while hosts are killed, frozen or drained, the table fails and an operator
+/// withdraws a version. All responses must agree with the records.
 #[test]
 fn drawn_troubles_break_no_promise() {
     let length = Duration::from_secs(6);
--- a/crates/barleypind/tests/tuning.rs
+++ b/crates/barleypind/tests/tuning.rs
@@ -1,10 +1,10 @@
-//! A host that leaves a setting out runs with what the cores were measured with.
+//! Checks that default settings result in the cores' default parameters.
 
 use std::fmt::Debug;
 
 use config::Settings;
 
-/// What a host needs that has no default.
+/// The settings without a default.
 const REQUIRED: &str = r#"
 [host]
 name = "host"
@@ -27,9 +27,8 @@
 session_key = "session.key"
 "#;
 
-// Story: a default is changed in a core after a measurement, and not in the
-// settings. The daemon goes on with the old one, and the figures of the docs
-// are those of a host that nobody runs.
+// Guards against a default that is changed in a core but not in the settings: the daemon would
+// run with other values than the core's tests.
 fn check<T: Debug>(tuning: impl Fn(&Settings) -> T, default: &T) {
     let settings = Settings::parse(REQUIRED, "host.toml").unwrap();
     let from_settings = format!("{:#?}", tuning(&settings));
