--- a/crates/barleypind/src/backlog.rs
+++ b/crates/barleypind/src/backlog.rs
@@ -16,7 +16,7 @@
 
 impl Backlog {
     /// Records the ledger's status at `now`. Called every second.
-    pub(crate) fn note(&mut self, now: Duration, status: &Status) {
+    pub(crate) fn record(&mut self, now: Duration, status: &Status) {
         let made = status.counters.records;
         let written = made.saturating_sub(status.held as u64);
         while self.made.front().is_some_and(|(made, _)| *made <= written) {
--- a/crates/barleypind/src/call.rs
+++ b/crates/barleypind/src/call.rs
@@ -17,7 +17,7 @@
 use kernel::{Customer, RequestId};
 use ledger::Serial;
 
-use crate::host::{Host, Open};
+use crate::host::{Host, OpenCall};
 
 pub(crate) use start::{chat, plain};
 
@@ -29,7 +29,7 @@
     pub(crate) headers: Headers,
     pub(crate) arrived: Duration,
     /// Counts the call as open until it is settled.
-    pub(crate) open: Option<Open>,
+    pub(crate) open: Option<OpenCall>,
 }
 
 impl Call {
@@ -47,8 +47,8 @@
     }
 
     /// Returns a refusal issued before the ledger checked the call.
-    fn refuse(&self, reason: Reason, detail: impl Into<String>) -> Problem {
-        let run = unasked(self.headers.key.as_deref());
+    fn refusal(&self, reason: Reason, detail: impl Into<String>) -> Problem {
+        let run = run_before_admission(self.headers.key.as_deref());
         Problem::new(reason, run, detail).of_request(self.request.as_str())
     }
 }
@@ -58,7 +58,7 @@
 /// Guards against `not_run` for a key whose earlier call has run: a hold runs, its caller retries
 /// under the same key, and this host refuses the retry, for instance because it is full. Only a
 /// call without a key has no other arrival that may have run.
-pub(crate) fn unasked(key: Option<&str>) -> Run {
+pub(crate) fn run_before_admission(key: Option<&str>) -> Run {
     match key {
         Some(_) => Run::Unknown,
         None => Run::NotRun,
--- a/crates/barleypind/src/call/attempt.rs
+++ b/crates/barleypind/src/call/attempt.rs
@@ -17,18 +17,18 @@
 use crate::service::endpoints::Endpoint;
 
 /// Confidence of a response for which the engine states none.
-const NO_CONFIDENCE: f64 = 0.5;
+const DEFAULT_CONFIDENCE: f64 = 0.5;
 /// Maximum size of a plain service's response in bytes. Responses are buffered, since a request
 /// whose response is cut off may be retried elsewhere.
-pub(crate) const MAX_PLAIN: usize = 16 * 1024 * 1024;
+pub(crate) const MAX_PLAIN_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Maximum length in tokens of a response that is requested unstreamed if its caller doesn't
 /// stream. Avoids a wake-up per token. A longer response is streamed to this host in any case, to
 /// detect a stalled engine.
-pub(crate) const SHORT: u32 = 256;
+pub(crate) const MAX_UNSTREAMED_TOKENS: u32 = 256;
 /// Minimum timeout of the first byte of an unstreamed response, which the engine sends only once
 /// it is complete.
-const SHORT_TIME: Duration = Duration::from_secs(10);
+const MIN_UNSTREAMED_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A progress event of an attempt.
 #[derive(Debug)]
@@ -36,28 +36,28 @@
     /// A piece of the response's text was received.
     Text(String),
     /// The attempt ended.
-    Ended(End),
+    Ended(AttemptEnd),
 }
 
 /// The end of an attempt.
 #[derive(Debug)]
-pub(crate) struct End {
+pub(crate) struct AttemptEnd {
     pub(crate) outcome: Outcome,
-    pub(crate) product: Option<Product>,
+    pub(crate) response: Option<CompleteResponse>,
     /// The failure, for the log.
     pub(crate) failure: Option<Failure>,
 }
 
 /// A complete response.
 #[derive(Debug)]
-pub(crate) enum Product {
+pub(crate) enum CompleteResponse {
     Chat(engine::Answer),
-    Plain(Plain),
+    Plain(PlainResponse),
 }
 
 /// The complete response of a plain service.
 #[derive(Clone, Debug)]
-pub(crate) struct Plain {
+pub(crate) struct PlainResponse {
     pub(crate) status: http::Status,
     pub(crate) headers: http::Headers,
     pub(crate) body: Vec<u8>,
@@ -65,14 +65,14 @@
 
 /// The timeouts of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Times {
+pub(crate) struct Timeouts {
     pub(crate) connect: Duration,
     pub(crate) first_byte: Duration,
     pub(crate) stall: Duration,
     pub(crate) total: Duration,
 }
 
-impl Times {
+impl Timeouts {
     fn options(&self) -> Options {
         Options {
             connect: self.connect.min(self.total),
@@ -85,42 +85,49 @@
 
 /// The attempts in flight of one call. Dropping one closes its connection.
 #[derive(Default)]
-pub(crate) struct Running {
+pub(crate) struct AttemptsInFlight {
     attempts: Vec<Entry>,
 }
 
 struct Entry {
-    name: Attempt,
-    at: Endpoint,
+    attempt: Attempt,
+    endpoint: Endpoint,
     progress: BoxStream<'static, Progress>,
 }
 
-impl Running {
+impl AttemptsInFlight {
     pub(crate) fn start(
         &mut self,
-        name: Attempt,
-        at: Endpoint,
+        attempt: Attempt,
+        endpoint: Endpoint,
         progress: BoxStream<'static, Progress>,
     ) {
-        self.attempts.push(Entry { name, at, progress });
+        self.attempts.push(Entry {
+            attempt,
+            endpoint,
+            progress,
+        });
     }
 
     /// Drops an attempt and returns it, so that its endpoint can be told.
     pub(crate) fn stop(&mut self, id: AttemptId) -> Option<(Attempt, Endpoint)> {
-        let at = self.attempts.iter().position(|it| it.name.id == id)?;
-        let entry = self.attempts.swap_remove(at);
-        Some((entry.name, entry.at))
+        let index = self.attempts.iter().position(|it| it.attempt.id == id)?;
+        let entry = self.attempts.swap_remove(index);
+        Some((entry.attempt, entry.endpoint))
     }
 
     /// Drops all attempts and returns them.
     pub(crate) fn stop_all(&mut self) -> Vec<(Attempt, Endpoint)> {
-        self.attempts.drain(..).map(|it| (it.name, it.at)).collect()
+        self.attempts
+            .drain(..)
+            .map(|it| (it.attempt, it.endpoint))
+            .collect()
     }
 
     /// Returns the endpoint of an attempt in flight.
     pub(crate) fn endpoint(&self, id: AttemptId) -> Option<&Endpoint> {
-        let entry = self.attempts.iter().find(|it| it.name.id == id)?;
-        Some(&entry.at)
+        let entry = self.attempts.iter().find(|it| it.attempt.id == id)?;
+        Some(&entry.endpoint)
     }
 
     /// Returns the next progress event of any attempt. Waits forever if there are no attempts.
@@ -128,7 +135,7 @@
         poll_fn(|cx| {
             for entry in &mut self.attempts {
                 if let Poll::Ready(Some(progress)) = entry.progress.poll_next_unpin(cx) {
-                    return Poll::Ready((entry.name.id, progress));
+                    return Poll::Ready((entry.attempt.id, progress));
                 }
             }
             Poll::Pending
@@ -143,7 +150,7 @@
     to: engine::Endpoint,
     attempt: Attempt,
     chat: engine::Chat,
-    times: Times,
+    timeouts: Timeouts,
 ) -> BoxStream<'static, Progress> {
     enum State {
         Unsent(Client, engine::Endpoint, Attempt, Box<engine::Chat>),
@@ -154,7 +161,10 @@
     stream::unfold(start, move |state| async move {
         let mut stream = match state {
             State::Unsent(client, to, attempt, chat) => {
-                match client.stream(&to, &attempt, &chat, &times.options()).await {
+                match client
+                    .stream(&to, &attempt, &chat, &timeouts.options())
+                    .await
+                {
                     Ok(stream) => stream,
                     Err(failure) => return Some((failed(failure), State::Closed)),
                 }
@@ -162,7 +172,7 @@
             State::Open(stream) => stream,
             State::Closed => return None,
         };
-        match timeout(times.stall, stream.next()).await {
+        match timeout(timeouts.stall, stream.next()).await {
             Ok(Some(text)) => {
                 let progress = Progress::Text(text.to_owned());
                 Some((progress, State::Open(stream)))
@@ -178,18 +188,18 @@
 }
 
 /// Sends a chat completion to an engine and receives a short response unstreamed.
-pub(crate) fn whole(
+pub(crate) fn chat_unstreamed(
     client: Client,
     to: engine::Endpoint,
     attempt: Attempt,
     chat: engine::Chat,
-    times: Times,
+    timeouts: Timeouts,
 ) -> BoxStream<'static, Progress> {
-    let times = Times {
-        first_byte: times.first_byte.max(SHORT_TIME),
-        ..times
+    let timeouts = Timeouts {
+        first_byte: timeouts.first_byte.max(MIN_UNSTREAMED_TIMEOUT),
+        ..timeouts
     };
-    stream::once(async move { ended(client.chat(&to, &attempt, &chat, &times.options()).await) })
+    stream::once(async move { ended(client.chat(&to, &attempt, &chat, &timeouts.options()).await) })
         .boxed()
 }
 
@@ -199,10 +209,10 @@
     to: engine::Endpoint,
     attempt: Attempt,
     call: engine::Call,
-    times: Times,
+    timeouts: Timeouts,
 ) -> BoxStream<'static, Progress> {
     stream::once(async move {
-        match client.call(&to, &attempt, call, &times.options()).await {
+        match client.call(&to, &attempt, call, &timeouts.options()).await {
             Err(failure) => failed(failure),
             Ok(response) => {
                 let http::Response {
@@ -210,11 +220,11 @@
                     headers,
                     body,
                 } = response;
-                match body.collect(MAX_PLAIN).await {
+                match body.collect(MAX_PLAIN_RESPONSE_BYTES).await {
                     Err(err) => failed(err.into()),
-                    Ok(body) => Progress::Ended(End {
+                    Ok(body) => Progress::Ended(AttemptEnd {
                         outcome: Outcome::Served,
-                        product: Some(Product::Plain(Plain {
+                        response: Some(CompleteResponse::Plain(PlainResponse {
                             status,
                             headers,
                             body,
@@ -230,7 +240,7 @@
 
 /// Returns a failed attempt, for a chat completion without a version, which the decider never
 /// dispatches.
-pub(crate) fn impossible() -> BoxStream<'static, Progress> {
+pub(crate) fn missing_version() -> BoxStream<'static, Progress> {
     stream::once(async { failed(Failure::NotSent(Cause::Malformed)) }).boxed()
 }
 
@@ -250,7 +260,7 @@
         async_std::task::spawn(async move {
             // An endpoint that misses the cancellation only wastes work.
             let _ = client
-                .cancel(&endpoint.at, &attempt, &Options::default())
+                .cancel(&endpoint.target, &attempt, &Options::default())
                 .await;
         });
     }
@@ -259,22 +269,22 @@
 fn ended(result: Result<engine::Answer, Failure>) -> Progress {
     match result {
         Err(failure) => failed(failure),
-        Ok(answer) => Progress::Ended(End {
+        Ok(answer) => Progress::Ended(AttemptEnd {
             outcome: Outcome::Answered(Answer {
-                confidence: answer.confidence.unwrap_or(NO_CONFIDENCE),
-                prompt_tokens: clamp(answer.usage.prompt_tokens),
-                completion_tokens: clamp(answer.usage.completion_tokens),
+                confidence: answer.confidence.unwrap_or(DEFAULT_CONFIDENCE),
+                prompt_tokens: saturate(answer.usage.prompt_tokens),
+                completion_tokens: saturate(answer.usage.completion_tokens),
             }),
-            product: Some(Product::Chat(answer)),
+            response: Some(CompleteResponse::Chat(answer)),
             failure: None,
         }),
     }
 }
 
 fn failed(failure: Failure) -> Progress {
-    Progress::Ended(End {
+    Progress::Ended(AttemptEnd {
         outcome: outcome(failure),
-        product: None,
+        response: None,
         failure: Some(failure),
     })
 }
@@ -295,6 +305,6 @@
     }
 }
 
-fn clamp(tokens: u64) -> u32 {
+fn saturate(tokens: u64) -> u32 {
     u32::try_from(tokens).unwrap_or(u32::MAX)
 }
--- a/crates/barleypind/src/call/caller.rs
+++ b/crates/barleypind/src/call/caller.rs
@@ -21,12 +21,12 @@
     /// A stream has been started.
     Streaming(Sender, sse::Stream),
     /// The caller disconnected.
-    Gone,
+    Disconnected,
 }
 
 impl Caller {
-    pub(crate) fn is_gone(&self) -> bool {
-        matches!(self, Self::Gone)
+    pub(crate) fn is_disconnected(&self) -> bool {
+        matches!(self, Self::Disconnected)
     }
 
     /// Starts a stream if nothing has been sent.
@@ -37,14 +37,14 @@
         version: VersionId,
         headers: &Headers,
     ) {
-        *self = match std::mem::replace(self, Self::Gone) {
+        *self = match std::mem::replace(self, Self::Disconnected) {
             Self::Waiting(head) => {
                 let (sender, mut response) = Response::events(STREAM_BUFFER);
-                add(&mut response, headers);
+                add_headers(&mut response, headers);
                 let events = sse::Stream::new(request.to_owned(), created, version);
                 match head.send(response) {
                     Ok(()) => Self::Streaming(sender, events),
-                    Err(_) => Self::Gone,
+                    Err(_) => Self::Disconnected,
                 }
             }
             other => other,
@@ -56,7 +56,7 @@
         if let Self::Streaming(sender, events) = self
             && sender.send(events.chunk(text)).await.is_err()
         {
-            *self = Self::Gone;
+            *self = Self::Disconnected;
         }
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Sends an unstreamed response.
-    pub(crate) fn answer(self, response: Response) {
+    pub(crate) fn respond(self, response: Response) {
         if let Self::Waiting(head) = self {
             // Fails only if the caller disconnected.
             let _ = head.send(response);
@@ -84,7 +84,7 @@
         let mut response = reply::refuse(host, problem);
         match self {
             Self::Waiting(head) => {
-                add(&mut response, headers);
+                add_headers(&mut response, headers);
                 let _ = head.send(response);
             }
             Self::Streaming(sender, _) => {
@@ -92,12 +92,12 @@
                     let _ = sender.finish().await;
                 }
             }
-            Self::Gone => {}
+            Self::Disconnected => {}
         }
     }
 }
 
-pub(crate) fn add(response: &mut Response, headers: &Headers) {
+pub(crate) fn add_headers(response: &mut Response, headers: &Headers) {
     for (name, value) in headers.iter() {
         response.headers.set(name.to_owned(), value);
     }
--- a/crates/barleypind/src/call/forward.rs
+++ b/crates/barleypind/src/call/forward.rs
@@ -16,13 +16,13 @@
 use crate::service::fleet;
 
 /// The method, target and headers of a call as sent by its caller.
-pub(crate) struct Original {
+pub(crate) struct OriginalRequest {
     pub(crate) method: Method,
     pub(crate) target: String,
     headers: Headers,
 }
 
-impl Original {
+impl OriginalRequest {
     pub(crate) fn of(request: &Request) -> Self {
         Self {
             method: request.method,
@@ -48,18 +48,18 @@
 pub(crate) async fn relay(
     cx: Arc<Context>,
     call: Call,
-    original: Original,
+    original: OriginalRequest,
     body: Vec<u8>,
     home: Incarnation,
 ) -> Response {
-    let answer = ask(&cx, original, body, home).await;
-    let end = match &answer {
+    let response = send_to_home(&cx, original, body, home).await;
+    let end = match &response {
         Ok(_) => Forward::Relayed,
         Err(_) => Forward::Failed,
     };
     let request = call.request.clone();
-    cx.books.handle(Event::Forwarded { request, end });
-    answer.unwrap_or_else(|run| {
+    cx.ledger_handle.handle(Event::Forwarded { request, end });
+    response.unwrap_or_else(|run| {
         let problem = Problem::new(
             Reason::HolderGone,
             run,
@@ -69,9 +69,9 @@
     })
 }
 
-async fn ask(
+async fn send_to_home(
     cx: &Context,
-    original: Original,
+    original: OriginalRequest,
     body: Vec<u8>,
     home: Incarnation,
 ) -> Result<Response, Run> {
@@ -83,7 +83,11 @@
         .flatten()
         .ok_or(Run::NotRun)?;
     let mut request = Request::new(original.method, original.target).body(Body::bytes(body));
-    for (name, value) in original.headers.iter().filter(|(name, _)| passes(name)) {
+    for (name, value) in original
+        .headers
+        .iter()
+        .filter(|(name, _)| is_forwarded(name))
+    {
         request.headers.append(name.to_owned(), value);
     }
     let ticket = original.headers.get(call::TICKET).unwrap_or_default();
@@ -106,8 +110,8 @@
 }
 
 /// Returns whether a header is part of the call rather than of the caller's connection.
-fn passes(name: &str) -> bool {
-    const CONNECTION: [&str; 6] = [
+fn is_forwarded(name: &str) -> bool {
+    const CONNECTION_HEADERS: [&str; 6] = [
         "connection",
         "content-length",
         "host",
@@ -115,5 +119,7 @@
         "transfer-encoding",
         "expect",
     ];
-    !CONNECTION.iter().any(|it| it.eq_ignore_ascii_case(name))
+    !CONNECTION_HEADERS
+        .iter()
+        .any(|it| it.eq_ignore_ascii_case(name))
 }
--- a/crates/barleypind/src/call/replay.rs
+++ b/crates/barleypind/src/call/replay.rs
@@ -19,12 +19,15 @@
     };
     let mut response = match (&answer, work) {
         (Some(answer), Work::Chat(chat)) if chat.mode == Mode::Stream => stream(answer),
-        _ => whole(outcome),
+        _ => unstreamed(outcome),
     };
     let mut headers: Headers = [
         (header::REQUEST, call.request.to_string()),
         (header::HOST, host.settings.host.name.to_string()),
-        (header::REVISION, host.current.get().revision().to_string()),
+        (
+            header::REVISION,
+            host.current_config.get().revision().to_string(),
+        ),
     ]
     .into_iter()
     .collect();
@@ -33,11 +36,11 @@
         headers.set(header::COST, answer.barleypin.cost_microcents.to_string());
         headers.set(header::ATTEMPTS, answer.barleypin.attempts.to_string());
     }
-    caller::add(&mut response, &headers);
+    caller::add_headers(&mut response, &headers);
     response
 }
 
-fn whole(outcome: &Outcome) -> Response {
+fn unstreamed(outcome: &Outcome) -> Response {
     let mut response = Response::new(reply::status_of(outcome.status))
         .body(Body::bytes(outcome.body.as_bytes().to_vec()));
     if !outcome.media_type.is_empty() {
--- a/crates/barleypind/src/call/run.rs
+++ b/crates/barleypind/src/call/run.rs
@@ -19,12 +19,12 @@
 use kernel::{AttemptId, VersionId};
 
 use super::Call;
-use super::attempt::{self, End, Product, Progress, Running, Times};
+use super::attempt::{self, AttemptEnd, AttemptsInFlight, CompleteResponse, Progress, Timeouts};
 use super::caller::Caller;
 use super::work::Work;
 use crate::context::Context;
 use crate::event::Event;
-use crate::metrics::{Kind, Retry};
+use crate::metrics::{CallKind, RetryReason};
 use crate::service::decide::{Delivery, Directive, Dispatch};
 use crate::service::rate;
 
@@ -35,18 +35,18 @@
     work: Work,
     caller: Caller,
     directives: UnboundedReceiver<Directive>,
-    running: Running,
+    in_flight: AttemptsInFlight,
     dispatched: Vec<Dispatched>,
     /// The attempt of which a part has been sent to the caller.
     relayed: Option<AttemptId>,
-    last_failure: Option<Retry>,
+    pending_retry_reason: Option<RetryReason>,
 }
 
 /// A dispatched attempt.
 struct Dispatched {
     dispatch: Dispatch,
-    begun: bool,
-    product: Option<Product>,
+    first_byte_received: bool,
+    response: Option<CompleteResponse>,
 }
 
 /// The end of a call's run.
@@ -54,8 +54,9 @@
     Delivered(Delivery),
     Refused(decide::Refusal),
     /// This host refuses the call without a refusal by the decider.
-    Stopped(Problem),
-    Gone,
+    RefusedLocally(Problem),
+    /// The caller disconnected.
+    Disconnected,
 }
 
 impl Run {
@@ -72,10 +73,10 @@
             work,
             caller,
             directives,
-            running: Running::default(),
+            in_flight: AttemptsInFlight::default(),
             dispatched: Vec::new(),
             relayed: None,
-            last_failure: None,
+            pending_retry_reason: None,
         }
     }
 
@@ -89,41 +90,42 @@
     async fn perform(&mut self, hangup: Hangup) -> Ending {
         // A call that must not run twice continues if its caller disconnects: it may have run
         // already, and a retry with the same key has to find its outcome.
-        let stays = self.work.repeat() == Repeat::AtMostOnce && self.call.headers.key.is_some();
-        let gone = async {
-            if stays {
+        let outlives_caller =
+            self.work.retry_policy() == Repeat::AtMostOnce && self.call.headers.key.is_some();
+        let disconnected = async {
+            if outlives_caller {
                 futures::future::pending::<()>().await;
             }
             hangup.wait().await;
         }
         .fuse();
-        pin_mut!(gone);
+        pin_mut!(disconnected);
         loop {
             select_biased! {
                 directive = self.directives.next() => {
-                    if let Some(ending) = self.direct(directive) {
+                    if let Some(ending) = self.apply(directive) {
                         return ending;
                     }
                 }
-                (id, progress) = self.running.next().fuse() => {
+                (id, progress) = self.in_flight.next().fuse() => {
                     if let Some(ending) = self.progress(id, progress).await {
                         return ending;
                     }
-                    if self.caller.is_gone() && !stays {
-                        return Ending::Gone;
+                    if self.caller.is_disconnected() && !outlives_caller {
+                        return Ending::Disconnected;
                     }
                 }
-                () = gone => return Ending::Gone,
+                () = disconnected => return Ending::Disconnected,
             }
         }
     }
 
     /// Carries out a directive. Returns the end of the run if the directive ends it.
-    fn direct(&mut self, directive: Option<Directive>) -> Option<Ending> {
+    fn apply(&mut self, directive: Option<Directive>) -> Option<Ending> {
         match directive {
             Some(Directive::Dispatch(dispatch)) => return self.dispatch(dispatch),
             Some(Directive::Cancel(id)) => {
-                let stopped = self.running.stop(id);
+                let stopped = self.in_flight.stop(id);
                 attempt::cancel(&self.cx.engine, stopped.into_iter().collect());
             }
             Some(Directive::Sample(id)) => self.sample(id),
@@ -132,8 +134,8 @@
             None => {
                 let problem = self
                     .call
-                    .refuse(Reason::NotReady, "the call was dropped by its host");
-                return Some(Ending::Stopped(problem));
+                    .refusal(Reason::NotReady, "the call was dropped by its host");
+                return Some(Ending::RefusedLocally(problem));
             }
         }
         None
@@ -142,18 +144,18 @@
     fn dispatch(&mut self, dispatch: Dispatch) -> Option<Ending> {
         let cx = Arc::clone(&self.cx);
         if let Some(problem) = self.stale() {
-            cx.decide.cancelled(self.call.number);
-            return Some(Ending::Stopped(problem));
+            cx.decider.cancelled(self.call.number);
+            return Some(Ending::RefusedLocally(problem));
         }
         self.count_retry(&dispatch);
         let id = dispatch.attempt;
         if !self.permitted(dispatch.version.as_ref()) {
             // A newer revision came into force after the decision.
-            cx.decide.ended(id, Outcome::Denied(Denial::NotLoaded));
+            cx.decider.ended(id, Outcome::Denied(Denial::NotLoaded));
             return None;
         }
         let Some(endpoint) = cx.endpoints.get(dispatch.endpoint) else {
-            cx.decide.ended(id, Outcome::NotSent);
+            cx.decider.ended(id, Outcome::NotSent);
             return None;
         };
         let name = Attempt {
@@ -163,17 +165,17 @@
             priority: attempt::priority(dispatch.priority),
         };
         let request = self.call.request.clone();
-        cx.books.handle(ledger::Event::Sending { request });
-        let times = self.times(dispatch.timeout);
+        cx.ledger_handle.handle(ledger::Event::Sending { request });
+        let timeouts = self.timeouts(dispatch.timeout);
         let version = dispatch.version.clone();
-        let progress = self
-            .work
-            .attempt(&cx.engine, endpoint.at, name.clone(), version, times);
-        self.running.start(name, endpoint, progress);
+        let progress =
+            self.work
+                .attempt(&cx.engine, endpoint.target, name.clone(), version, timeouts);
+        self.in_flight.start(name, endpoint, progress);
         self.dispatched.push(Dispatched {
             dispatch,
-            begun: false,
-            product: None,
+            first_byte_received: false,
+            response: None,
         });
         None
     }
@@ -184,7 +186,7 @@
     /// between an attempt and its retry. Checks the configuration in force now, not the revision
     /// of the decision.
     fn permitted(&self, version: Option<&VersionId>) -> bool {
-        let snapshot = self.cx.host.current.get();
+        let snapshot = self.cx.host.current_config.get();
         match (&self.work, version) {
             (Work::Plain(_), _) => true,
             (Work::Chat(_), None) => false,
@@ -198,20 +200,20 @@
 
     fn stale(&self) -> Option<Problem> {
         let profile = self.work.profile()?;
-        super::start::stale(&self.cx.host, &self.call, profile)
+        super::start::stale_refusal(&self.cx.host, &self.call, profile)
     }
 
-    fn times(&self, timeout: Duration) -> Times {
+    fn timeouts(&self, timeout: Duration) -> Timeouts {
         let settings = &self.cx.host.settings;
         let first_byte = match &self.work {
             Work::Chat(_) => settings.decide.first_byte,
             Work::Plain(plain) => {
-                let snapshot = self.cx.host.current.get();
+                let snapshot = self.cx.host.current_config.get();
                 let service = snapshot.document.services.get(&plain.service);
                 service.map_or(timeout, |it| it.first_byte)
             }
         };
-        Times {
+        Timeouts {
             connect: settings.http.connect,
             first_byte,
             stall: settings.decide.stall,
@@ -235,25 +237,25 @@
         if !self.work.streams() {
             return None;
         }
-        let at = self.position(id)?;
-        if !self.dispatched[at].begun {
-            self.dispatched[at].begun = true;
-            self.cx.decide.started(id);
+        let index = self.position(id)?;
+        if !self.dispatched[index].first_byte_received {
+            self.dispatched[index].first_byte_received = true;
+            self.cx.decider.started(id);
             // Carry out the directives that result from the first byte before relaying it: the
             // decider may have chosen another attempt meanwhile.
             while let Ok(directive) = self.directives.try_recv() {
-                if let Some(ending) = self.direct(Some(directive)) {
+                if let Some(ending) = self.apply(Some(directive)) {
                     return Some(ending);
                 }
             }
-            self.running.endpoint(id)?;
+            self.in_flight.endpoint(id)?;
             if self.relayed.is_none() {
                 let after = self.cx.host.now().saturating_sub(self.call.arrived);
                 self.cx.host.metrics.first_token(after);
             }
         }
-        if self.may_relay(id, at) {
-            self.begin_stream(at);
+        if self.may_relay(id, index) {
+            self.begin_stream(index);
             self.relayed = Some(id);
             self.caller.relay(text).await;
         }
@@ -262,15 +264,15 @@
 
     /// Returns whether text of this attempt may be relayed as it arrives. Once text of one
     /// attempt has been relayed, no other attempt's is.
-    fn may_relay(&self, id: AttemptId, at: usize) -> bool {
+    fn may_relay(&self, id: AttemptId, index: usize) -> bool {
         self.work.streams()
-            && self.dispatched[at].dispatch.relay == Relay::Now
+            && self.dispatched[index].dispatch.relay == Relay::Now
             && self.relayed.is_none_or(|it| it == id)
     }
 
-    fn ended(&mut self, id: AttemptId, end: End) {
+    fn ended(&mut self, id: AttemptId, end: AttemptEnd) {
         let cx = Arc::clone(&self.cx);
-        let stopped = self.running.stop(id);
+        let stopped = self.in_flight.stop(id);
         cx.host.metrics.attempt_ended(outcome_name(end.outcome));
         if let (Some((_, endpoint)), Some(failure)) = (&stopped, &end.failure) {
             cx.host.log.emit(
@@ -289,28 +291,29 @@
             };
             if let Some(state) = state {
                 cx.endpoints
-                    .learn(&endpoint.name, endpoint.at.incarnation, state);
+                    .report_state(&endpoint.name, endpoint.target.incarnation, state);
             }
         }
         if end.outcome.not_run() {
             let request = self.call.request.clone();
-            cx.books.handle(ledger::Event::Returned { request });
+            cx.ledger_handle.handle(ledger::Event::Returned { request });
         }
-        self.last_failure = Some(retry(end.outcome));
-        if let Some(at) = self.position(id) {
-            self.dispatched[at].product = end.product;
+        self.pending_retry_reason = Some(retry_reason(end.outcome));
+        if let Some(index) = self.position(id) {
+            self.dispatched[index].response = end.response;
         }
-        cx.decide.ended(id, end.outcome);
+        cx.decider.ended(id, end.outcome);
     }
 
     fn sample(&self, id: AttemptId) {
-        let (Work::Chat(chat), Some(at)) = (&self.work, self.position(id)) else {
+        let (Work::Chat(chat), Some(index)) = (&self.work, self.position(id)) else {
             return;
         };
         let Dispatched {
-            dispatch, product, ..
-        } = &self.dispatched[at];
-        let (Some(Product::Chat(answer)), Some(version)) = (product, &dispatch.version) else {
+            dispatch, response, ..
+        } = &self.dispatched[index];
+        let (Some(CompleteResponse::Chat(answer)), Some(version)) = (response, &dispatch.version)
+        else {
             return;
         };
         if let Some(rate) = self.cx.host.registry.find::<rate::Rate>() {
@@ -331,9 +334,9 @@
         if dispatch.number <= 1 {
             return;
         }
-        let reason = match self.last_failure.take() {
+        let reason = match self.pending_retry_reason.take() {
             Some(reason) => reason,
-            None => Retry::Hedged,
+            None => RetryReason::Hedged,
         };
         self.cx.host.metrics.retried(reason);
     }
@@ -344,20 +347,20 @@
     }
 
     fn stop_all(&mut self) {
-        let stopped = self.running.stop_all();
+        let stopped = self.in_flight.stop_all();
         attempt::cancel(&self.cx.engine, stopped);
     }
 
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> CallKind {
         match &self.work {
-            Work::Chat(_) => Kind::Chat,
-            Work::Plain(_) => Kind::Service,
+            Work::Chat(_) => CallKind::Chat,
+            Work::Plain(_) => CallKind::Service,
         }
     }
 
     /// Returns the old and the new version if the session was moved.
-    fn moved(&self, at: usize) -> Option<String> {
-        let (Work::Chat(chat), dispatch) = (&self.work, &self.dispatched[at].dispatch) else {
+    fn session_move(&self, index: usize) -> Option<String> {
+        let (Work::Chat(chat), dispatch) = (&self.work, &self.dispatched[index].dispatch) else {
             return None;
         };
         let (from, to) = (chat.pin.as_ref()?, dispatch.version.as_ref()?);
@@ -365,17 +368,17 @@
     }
 }
 
-fn retry(outcome: Outcome) -> Retry {
+fn retry_reason(outcome: Outcome) -> RetryReason {
     match outcome {
-        Outcome::Answered(_) | Outcome::Served => Retry::Escalated,
-        Outcome::NotSent => Retry::NotSent,
-        Outcome::Denied(Denial::NotLoaded) => Retry::NotLoaded,
-        Outcome::Denied(Denial::Overloaded) => Retry::Overloaded,
-        Outcome::Denied(Denial::Leaving) => Retry::Leaving,
-        Outcome::Denied(Denial::WrongIncarnation) => Retry::WrongIncarnation,
-        Outcome::Failed => Retry::Failed,
-        Outcome::TimedOut => Retry::Timeout,
-        Outcome::Cut => Retry::Cut,
+        Outcome::Answered(_) | Outcome::Served => RetryReason::Escalated,
+        Outcome::NotSent => RetryReason::NotSent,
+        Outcome::Denied(Denial::NotLoaded) => RetryReason::NotLoaded,
+        Outcome::Denied(Denial::Overloaded) => RetryReason::Overloaded,
+        Outcome::Denied(Denial::Leaving) => RetryReason::Leaving,
+        Outcome::Denied(Denial::WrongIncarnation) => RetryReason::WrongIncarnation,
+        Outcome::Failed => RetryReason::Failed,
+        Outcome::TimedOut => RetryReason::Timeout,
+        Outcome::Cut => RetryReason::Cut,
     }
 }
 
--- a/crates/barleypind/src/call/run/settle.rs
+++ b/crates/barleypind/src/call/run/settle.rs
@@ -4,14 +4,14 @@
 
 use decide::Refusal;
 use gate::chat::{Answer, Extra, Usage};
-use gate::problem::{Problem, Reason, Run as Ran};
+use gate::problem::{Problem, Reason, Run as RunState};
 use gate::session::Token;
 use http::{Headers, Response};
 use kernel::{AttemptId, Money, VersionId};
 use ledger::{Charge, Outcome};
 
 use super::{Dispatched, Ending, Run};
-use crate::call::attempt::{Plain, Product};
+use crate::call::attempt::{CompleteResponse, PlainResponse};
 use crate::call::work::{Chat, Work};
 use crate::call::{caller, reason};
 use crate::event::Event;
@@ -38,9 +38,9 @@
         match ending {
             Ending::Delivered(delivery) => self.deliver(delivery).await,
             Ending::Refused(refusal) => self.refuse(refusal).await,
-            Ending::Stopped(problem) => self.stop(problem).await,
-            Ending::Gone => {
-                self.cx.decide.cancelled(self.call.number);
+            Ending::RefusedLocally(problem) => self.stop(problem).await,
+            Ending::Disconnected => {
+                self.cx.decider.cancelled(self.call.number);
                 self.cx
                     .host
                     .log
@@ -54,7 +54,7 @@
 
     async fn refuse(mut self, refusal: Refusal) {
         let run = self.close().await;
-        let problem = reason::decided(refusal, run);
+        let problem = reason::from_decider_refusal(refusal, run);
         self.send_refusal(problem).await;
     }
 
@@ -73,43 +73,47 @@
             );
         }
         let headers = self.headers();
-        let caller = std::mem::replace(&mut self.caller, caller::Caller::Gone);
+        let caller = std::mem::replace(&mut self.caller, caller::Caller::Disconnected);
         caller.refuse(&self.cx.host, &problem, &headers).await;
     }
 
     /// Reports to the ledger that the call has no response, and returns the execution state for
     /// the refusal.
-    async fn close(&mut self) -> Ran {
+    async fn close(&mut self) -> RunState {
         let request = self.call.request.clone();
-        let closing = self.cx.books.finish(request, ledger::End::Unanswered).await;
+        let closing = self
+            .cx
+            .ledger_handle
+            .finish(request, ledger::End::Unanswered)
+            .await;
         match closing {
-            Some(Closing::Close(run)) => reason::ran(run),
-            Some(Closing::Release(_)) | None => Ran::Unknown,
+            Some(Closing::Close(run)) => reason::run_state(run),
+            Some(Closing::Release(_)) | None => RunState::Unknown,
         }
     }
 
     async fn deliver(mut self, delivery: Delivery) {
-        let foreign = self.relayed.is_some_and(|it| it != delivery.attempt);
-        let product = self
+        let relayed_other = self.relayed.is_some_and(|it| it != delivery.attempt);
+        let response = self
             .position(delivery.attempt)
-            .and_then(|at| Some((at, self.dispatched[at].product.take()?)));
-        let Some((at, product)) = product.filter(|_| !foreign) else {
+            .and_then(|index| Some((index, self.dispatched[index].response.take()?)));
+        let Some((index, response)) = response.filter(|_| !relayed_other) else {
             // This call doesn't have the response of the attempt named by the decider, or has
             // relayed another one's. Send an error, never bytes of another attempt.
             let problem = Problem::new(
                 Reason::AnswerCut,
-                Ran::Unknown,
+                RunState::Unknown,
                 "the answer can't be completed",
             );
             return self.stop(problem).await;
         };
-        match product {
-            Product::Chat(answer) => self.deliver_chat(delivery, at, answer).await,
-            Product::Plain(plain) => self.deliver_plain(delivery, plain).await,
+        match response {
+            CompleteResponse::Chat(answer) => self.deliver_chat(delivery, index, answer).await,
+            CompleteResponse::Plain(plain) => self.deliver_plain(delivery, plain).await,
         }
     }
 
-    async fn deliver_chat(mut self, delivery: Delivery, at: usize, answer: engine::Answer) {
+    async fn deliver_chat(mut self, delivery: Delivery, index: usize, answer: engine::Answer) {
         let version = delivery
             .version
             .clone()
@@ -129,18 +133,18 @@
         if streams && self.relayed.is_none() {
             // The response can't be replaced any more, so its text needn't wait for the ledger;
             // only its end does.
-            self.begin_stream(at);
+            self.begin_stream(index);
             self.relayed = Some(delivery.attempt);
             self.caller.relay(&answer.content).await;
         }
-        let whole = Answer::new(
+        let complete = Answer::new(
             self.created(),
             answer.content,
             &answer.finish_reason,
             usage,
             extra.clone(),
         );
-        let outcome = self.kept(200, "application/json", || Some(whole.to_json()));
+        let outcome = self.stored_outcome(200, "application/json", || Some(complete.to_json()));
         self.bill(&delivery, usage, outcome).await;
         self.log_answered(&delivery);
         let host = Arc::clone(&self.cx.host);
@@ -152,31 +156,35 @@
         if streams {
             return self.caller.end(&answer.finish_reason, usage, &extra).await;
         }
-        let mut response = reply::json(whole.to_json());
-        caller::add(&mut response, &self.session_headers(at));
-        caller::add(&mut response, &cost_headers(&delivery));
-        self.caller.answer(response);
+        let mut response = reply::json(complete.to_json());
+        caller::add_headers(&mut response, &self.session_headers(index));
+        caller::add_headers(&mut response, &cost_headers(&delivery));
+        self.caller.respond(response);
     }
 
-    async fn deliver_plain(mut self, delivery: Delivery, plain: Plain) {
+    async fn deliver_plain(mut self, delivery: Delivery, plain: PlainResponse) {
         let media_type = plain.headers.get("content-type").unwrap_or_default();
-        let outcome = self.kept(plain.status.into(), media_type, || {
+        let outcome = self.stored_outcome(plain.status.into(), media_type, || {
             String::from_utf8(plain.body.clone()).ok()
         });
         self.bill(&delivery, Usage::default(), outcome).await;
         self.log_answered(&delivery);
         let mut response = Response::new(plain.status).body(http::Body::bytes(plain.body));
-        let own = |name: &str| {
+        let is_connection_header = |name: &str| {
             CONNECTION_HEADERS
                 .iter()
                 .any(|it| it.eq_ignore_ascii_case(name))
         };
-        for (name, value) in plain.headers.iter().filter(|(name, _)| !own(name)) {
+        for (name, value) in plain
+            .headers
+            .iter()
+            .filter(|(name, _)| !is_connection_header(name))
+        {
             response.headers.append(name.to_owned(), value);
         }
-        caller::add(&mut response, &self.headers());
-        caller::add(&mut response, &cost_headers(&delivery));
-        self.caller.answer(response);
+        caller::add_headers(&mut response, &self.headers());
+        caller::add_headers(&mut response, &cost_headers(&delivery));
+        self.caller.respond(response);
     }
 
     /// Bills the response and waits until its end may be sent.
@@ -195,12 +203,12 @@
         };
         let request = self.call.request.clone();
         let end = ledger::End::Answered { outcome, charge };
-        self.cx.books.finish(request, end).await;
+        self.cx.ledger_handle.finish(request, end).await;
     }
 
-    /// Returns the response in the form stored for retries of the call's key, or `None` without a
-    /// key.
-    fn kept(
+    /// Returns the response in the form stored for retries of the call's key. Returns `None`
+    /// without a key, or if the body can't be stored because it isn't UTF-8.
+    fn stored_outcome(
         &self,
         status: u16,
         media_type: &str,
@@ -217,14 +225,14 @@
     fn versions(&self) -> Vec<VersionId> {
         self.dispatched
             .iter()
-            .filter(|it| it.begun || it.product.is_some())
+            .filter(|it| it.first_byte_received || it.response.is_some())
             .filter_map(|it| it.dispatch.version.clone())
             .collect()
     }
 
     fn revision(&self, attempt: AttemptId) -> kernel::Revision {
-        self.position(attempt).map_or(kernel::Revision(0), |at| {
-            self.dispatched[at].dispatch.revision
+        self.position(attempt).map_or(kernel::Revision(0), |index| {
+            self.dispatched[index].dispatch.revision
         })
     }
 
@@ -239,12 +247,12 @@
         );
     }
 
-    pub(super) fn begin_stream(&mut self, at: usize) {
+    pub(super) fn begin_stream(&mut self, index: usize) {
         if !matches!(self.caller, caller::Caller::Waiting(_)) {
             return;
         }
-        let headers = self.session_headers(at);
-        let version = self.dispatched[at].dispatch.version.clone();
+        let headers = self.session_headers(index);
+        let version = self.dispatched[index].dispatch.version.clone();
         let version = version.unwrap_or_else(|| VersionId::from("unknown@0"));
         let created = self.created();
         self.caller
@@ -261,23 +269,26 @@
         [
             (header::REQUEST, self.call.request.to_string()),
             (header::HOST, host.settings.host.name.to_string()),
-            (header::REVISION, host.current.get().revision().to_string()),
+            (
+                header::REVISION,
+                host.current_config.get().revision().to_string(),
+            ),
         ]
         .into_iter()
         .collect()
     }
 
     /// Returns the headers of a chat completion's response, with the session token.
-    fn session_headers(&self, at: usize) -> Headers {
+    fn session_headers(&self, index: usize) -> Headers {
         let mut headers = self.headers();
-        let Dispatched { dispatch, .. } = &self.dispatched[at];
+        let Dispatched { dispatch, .. } = &self.dispatched[index];
         headers.set(header::REVISION, dispatch.revision.to_string());
         if let (Work::Chat(chat), Some(version)) = (&self.work, &dispatch.version) {
             headers.set(header::VERSION, version.as_str());
             headers.set(header::SESSION, self.token(chat, version));
         }
-        if let Some(moved) = self.moved(at) {
-            headers.set(header::SESSION_MOVED, moved);
+        if let Some(session_move) = self.session_move(index) {
+            headers.set(header::SESSION_MOVED, session_move);
         }
         headers
     }
--- a/crates/barleypind/src/call/start.rs
+++ b/crates/barleypind/src/call/start.rs
@@ -26,14 +26,14 @@
 use crate::service::ledger::Admission;
 
 /// Length in bytes of the prompt prefix whose hash selects endpoints that have it cached.
-const PREFIX: usize = 2048;
+const PREFIX_BYTES: usize = 2048;
 /// Average length of a token in bytes.
-const TOKEN_BYTES: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 
 /// Serves a chat completion.
 pub(crate) async fn chat(cx: Arc<Context>, call: Call, request: Request) -> Response {
     let hangup = request.hangup.clone();
-    let original = forward::Original::of(&request);
+    let original = forward::OriginalRequest::of(&request);
     let body = match read_body(&cx.host, &call, request.body).await {
         Ok(body) => body,
         Err(problem) => return reply::refuse(&cx.host, &problem),
@@ -57,15 +57,15 @@
     request: Request,
 ) -> Response {
     let hangup = request.hangup.clone();
-    let original = forward::Original::of(&request);
-    let (method, headers) = (request.method, work::passed_on(&request.headers));
+    let original = forward::OriginalRequest::of(&request);
+    let (method, headers) = (request.method, work::forwarded_headers(&request.headers));
     let body = match read_body(&cx.host, &call, request.body).await {
         Ok(body) => body,
         Err(problem) => return reply::refuse(&cx.host, &problem),
     };
-    let snapshot = cx.host.current.get();
+    let snapshot = cx.host.current_config.get();
     let Some(known) = snapshot.document.services.get(&service) else {
-        let problem = call.refuse(
+        let problem = call.refusal(
             Reason::UnknownService,
             format!("no service `{service}` is configured"),
         );
@@ -73,7 +73,9 @@
     };
     let path = target.split('?').next().unwrap_or_default();
     let route = known.route(method.as_ref(), path);
-    let repeat = route.map_or(Repeat::AtMostOnce, |it| crate::policy::repeat(it.repeat));
+    let retry_policy = route.map_or(Repeat::AtMostOnce, |it| {
+        crate::policy::retry_policy(it.repeat)
+    });
     let mut call = call;
     if let Some(route) = route {
         call.headers.priority.get_or_insert(route.priority);
@@ -84,27 +86,27 @@
         target,
         headers,
         body: body.clone().into(),
-        repeat,
+        retry_policy,
     });
     start(cx, call, work, original, body, hangup).await
 }
 
 /// Returns a refusal if this host has had no recent proof that its configuration is the newest
 /// and the profile's `when_stale` setting refuses such calls.
-pub(crate) fn stale(host: &Host, call: &Call, profile: &ProfileName) -> Option<Problem> {
+pub(crate) fn stale_refusal(host: &Host, call: &Call, profile: &ProfileName) -> Option<Problem> {
     let bound = host.settings.freshness.bound;
-    let age = host.current.proof_age(host.now());
+    let age = host.current_config.proof_age(host.now());
     if age.is_some_and(|age| age <= bound) {
         return None;
     }
-    let snapshot = host.current.get();
+    let snapshot = host.current_config.get();
     let refused = match snapshot.document.profiles.get(profile)?.when_stale {
         WhenStale::Serve => false,
-        WhenStale::RefuseAlone => host.contact.age(host.now()) > bound,
+        WhenStale::RefuseAlone => host.last_contact.age(host.now()) > bound,
         WhenStale::Refuse => true,
     };
     refused.then(|| {
-        call.refuse(
+        call.refusal(
             Reason::Stale,
             "this host has had no proof for too long that its configuration is the newest",
         )
@@ -116,24 +118,24 @@
     cx: Arc<Context>,
     call: Call,
     work: Work,
-    original: forward::Original,
+    original: forward::OriginalRequest,
     body: Vec<u8>,
     hangup: Hangup,
 ) -> Response {
-    let arrival = match booking(&cx.host, &call, &work, &original, &body) {
+    let arrival = match ledger_arrival(&cx.host, &call, &work, &original, &body) {
         Ok(arrival) => arrival,
         Err(problem) => return reply::refuse(&cx.host, &problem),
     };
     let Some(admission) = admit(&cx, arrival, &hangup).await else {
-        let problem = call.refuse(Reason::Leaving, "the call was dropped by its host");
+        let problem = call.refusal(Reason::Leaving, "the call was dropped by its host");
         return reply::refuse(&cx.host, &problem);
     };
     match admission {
-        Admission::Permit => permitted(cx, call, work, hangup).await,
+        Admission::Permit => run_permitted(cx, call, work, hangup).await,
         Admission::Replay(outcome) => replay::response(&cx.host, &call, &work, &outcome),
         Admission::Forward(home) => forward::relay(cx, call, original, body, home).await,
         Admission::Refuse(refusal) => {
-            let problem = reason::booked(refusal).of_request(call.request.as_str());
+            let problem = reason::from_ledger_refusal(refusal).of_request(call.request.as_str());
             reply::refuse(&cx.host, &problem)
         }
     }
@@ -141,25 +143,29 @@
 
 async fn admit(cx: &Arc<Context>, arrival: ledger::Arrival, hangup: &Hangup) -> Option<Admission> {
     let request = arrival.request.clone();
-    let admitted = cx.books.admit(arrival);
-    let gone = hangup.wait();
-    pin_mut!(admitted, gone);
-    match select(admitted, gone).await {
+    let admitted = cx.ledger_handle.admit(arrival);
+    let disconnected = hangup.wait();
+    pin_mut!(admitted, disconnected);
+    match select(admitted, disconnected).await {
         Either::Left((admission, _)) => admission,
         Either::Right(_) => {
-            cx.books.handle(Event::Cancelled { request });
+            cx.ledger_handle.handle(Event::Cancelled { request });
             None
         }
     }
 }
 
-async fn permitted(cx: Arc<Context>, call: Call, work: Work, hangup: Hangup) -> Response {
-    let arrived = cx.decide.arrive(|policy| arrival(policy, &call, &work));
+async fn run_permitted(cx: Arc<Context>, call: Call, work: Work, hangup: Hangup) -> Response {
+    let arrived = cx
+        .decider
+        .arrive(|policy| decider_arrival(policy, &call, &work));
     let directives = match arrived {
         Ok(directives) => directives,
         Err(problem) => {
             let request = call.request.clone();
-            cx.books.finish(request, ledger::End::Unanswered).await;
+            cx.ledger_handle
+                .finish(request, ledger::End::Unanswered)
+                .await;
             return reply::refuse(&cx.host, &problem);
         }
     };
@@ -190,7 +196,7 @@
             format!("body: more than the {limit} bytes that are accepted"),
         )
         .of_request(call.request.as_str()),
-        err => call.refuse(Reason::BadRequest, format!("body: {err}")),
+        err => call.refusal(Reason::BadRequest, format!("body: {err}")),
     })
 }
 
@@ -200,15 +206,15 @@
         ..Limits::default()
     };
     let request = gate::chat::Request::parse(body, &limits)?;
-    let snapshot = host.current.get();
+    let snapshot = host.current_config.get();
     let Some(profile) = snapshot.document.profiles.get(&request.profile) else {
-        return Err(call.refuse(
+        return Err(call.refusal(
             Reason::UnknownProfile,
             format!("model: no profile `{}` is configured", request.profile),
         ));
     };
     if profile.allowed(&call.customer).is_none() {
-        return Err(call.refuse(
+        return Err(call.refusal(
             Reason::NotAllowed,
             format!(
                 "model: customer `{}` may not use profile `{}`",
@@ -218,7 +224,7 @@
     }
     let max_tokens = request.max_tokens.unwrap_or(profile.max_tokens);
     if max_tokens > profile.max_tokens {
-        return Err(call.refuse(
+        return Err(call.refusal(
             Reason::BadRequest,
             format!(
                 "max_tokens: profile `{}` accepts at most {}",
@@ -226,7 +232,7 @@
             ),
         ));
     }
-    if let Some(problem) = stale(host, call, &request.profile) {
+    if let Some(problem) = stale_refusal(host, call, &request.profile) {
         return Err(problem);
     }
     let pin = call
@@ -250,7 +256,7 @@
         mode: request.mode,
         max_tokens,
         class: request.class,
-        repeat: crate::policy::repeat(profile.repeat),
+        retry_policy: crate::policy::retry_policy(profile.repeat),
         pin,
     })
 }
@@ -265,11 +271,11 @@
 }
 
 /// Returns the call in the ledger's form.
-fn booking(
+fn ledger_arrival(
     host: &Host,
     call: &Call,
     work: &Work,
-    original: &forward::Original,
+    original: &forward::OriginalRequest,
     body: &[u8],
 ) -> Result<ledger::Arrival, Problem> {
     let ticket = call
@@ -281,7 +287,7 @@
         key: call.headers.key.clone(),
         ticket,
         fingerprint: fingerprint(original, body),
-        repeat: match work.repeat() {
+        repeat: match work.retry_policy() {
             Repeat::Idempotent => ledger::Repeat::Idempotent,
             Repeat::AtMostOnce => ledger::Repeat::NonIdempotent,
         },
@@ -289,34 +295,34 @@
     })
 }
 
-fn fingerprint(original: &forward::Original, body: &[u8]) -> Fingerprint {
+fn fingerprint(original: &forward::OriginalRequest, body: &[u8]) -> Fingerprint {
     let mut hasher = blake3::Hasher::new();
     hasher.update(original.method.as_ref().as_bytes());
     hasher.update(b" ");
     hasher.update(original.target.as_bytes());
     hasher.update(b"\n");
     hasher.update(body);
-    Fingerprint(first_eight(hasher.finalize().as_bytes()))
+    Fingerprint(hash_to_u64(hasher.finalize().as_bytes()))
 }
 
 /// Returns the call in the decider's form, with the keys of `policy`.
-fn arrival(policy: &Policy, call: &Call, work: &Work) -> Result<Arrival, Problem> {
+fn decider_arrival(policy: &Policy, call: &Call, work: &Work) -> Result<Arrival, Problem> {
     let customer = policy.customer(&call.customer).ok_or_else(|| {
-        call.refuse(
+        call.refusal(
             Reason::Unauthorized,
             "the customer is not configured any more",
         )
     })?;
     let work = match work {
-        Work::Chat(chat) => arrival::Work::Chat(arriving_chat(policy, call, chat)?),
+        Work::Chat(chat) => arrival::Work::Chat(chat_arrival(policy, call, chat)?),
         Work::Plain(plain) => arrival::Work::Call(arrival::Call {
             service: policy.service(&plain.service).ok_or_else(|| {
-                call.refuse(
+                call.refusal(
                     Reason::UnknownService,
                     "the service is not configured any more",
                 )
             })?,
-            repeat: Some(plain.repeat),
+            repeat: Some(plain.retry_policy),
         }),
     };
     Ok(Arrival {
@@ -328,9 +334,9 @@
     })
 }
 
-fn arriving_chat(policy: &Policy, call: &Call, chat: &Chat) -> Result<arrival::Chat, Problem> {
+fn chat_arrival(policy: &Policy, call: &Call, chat: &Chat) -> Result<arrival::Chat, Problem> {
     let profile = policy.profile(&chat.profile).ok_or_else(|| {
-        call.refuse(
+        call.refusal(
             Reason::UnknownProfile,
             "the profile is not configured any more",
         )
@@ -342,7 +348,7 @@
     Ok(arrival::Chat {
         profile,
         class: key::Class::named(&chat.class),
-        prompt_tokens: u32::try_from(chat.prompt.len() / TOKEN_BYTES + 1).unwrap_or(u32::MAX),
+        prompt_tokens: u32::try_from(chat.prompt.len() / BYTES_PER_TOKEN + 1).unwrap_or(u32::MAX),
         max_tokens: chat.max_tokens,
         prefix: prefix(&chat.prompt),
         pin,
@@ -350,11 +356,11 @@
 }
 
 fn prefix(prompt: &str) -> u64 {
-    let start = &prompt.as_bytes()[..prompt.len().min(PREFIX)];
-    first_eight(blake3::hash(start).as_bytes()).max(1)
+    let start = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
+    hash_to_u64(blake3::hash(start).as_bytes()).max(1)
 }
 
-fn first_eight(hash: &[u8; 32]) -> u64 {
+fn hash_to_u64(hash: &[u8; 32]) -> u64 {
     u64::from_le_bytes([
         hash[0], hash[1], hash[2], hash[3], hash[4], hash[5], hash[6], hash[7],
     ])
--- a/crates/barleypind/src/call/work.rs
+++ b/crates/barleypind/src/call/work.rs
@@ -10,11 +10,11 @@
 use kernel::{ProfileName, ServiceName, VersionId};
 use serde_json::Value;
 
-use super::attempt::{self, Progress, Times};
+use super::attempt::{self, Progress, Timeouts};
 
 /// Headers of the caller's connection, of this system or of the caller's authentication. They
 /// aren't forwarded.
-const OWN_HEADERS: [&str; 13] = [
+const UNFORWARDED_HEADERS: [&str; 13] = [
     "authorization",
     "connection",
     "content-length",
@@ -46,7 +46,7 @@
     pub(crate) prompt: Arc<str>,
     pub(crate) max_tokens: u32,
     pub(crate) class: Arc<str>,
-    pub(crate) repeat: Repeat,
+    pub(crate) retry_policy: Repeat,
     pub(crate) pin: Option<VersionId>,
 }
 
@@ -58,14 +58,14 @@
     pub(crate) target: String,
     pub(crate) headers: Headers,
     pub(crate) body: Arc<[u8]>,
-    pub(crate) repeat: Repeat,
+    pub(crate) retry_policy: Repeat,
 }
 
 impl Work {
-    pub(crate) fn repeat(&self) -> Repeat {
+    pub(crate) fn retry_policy(&self) -> Repeat {
         match self {
-            Self::Chat(chat) => chat.repeat,
-            Self::Plain(plain) => plain.repeat,
+            Self::Chat(chat) => chat.retry_policy,
+            Self::Plain(plain) => plain.retry_policy,
         }
     }
 
@@ -81,9 +81,9 @@
         matches!(self, Self::Chat(chat) if chat.mode == Mode::Stream)
     }
 
-    fn is_whole_and_short(&self) -> bool {
+    fn is_short_unstreamed(&self) -> bool {
         matches!(self, Self::Chat(chat)
-            if chat.mode == Mode::Whole && chat.max_tokens <= attempt::SHORT)
+            if chat.mode == Mode::Whole && chat.max_tokens <= attempt::MAX_UNSTREAMED_TOKENS)
     }
 
     /// Returns a new attempt, which starts when it is first polled.
@@ -91,9 +91,9 @@
         &self,
         client: &engine::Client,
         to: engine::Endpoint,
-        name: Attempt,
+        attempt: Attempt,
         version: Option<VersionId>,
-        times: Times,
+        timeouts: Timeouts,
     ) -> BoxStream<'static, Progress> {
         match (self, version) {
             (Self::Chat(chat), Some(model)) => {
@@ -103,10 +103,10 @@
                     max_tokens: Some(chat.max_tokens.into()),
                     class: Arc::clone(&chat.class),
                 };
-                if self.is_whole_and_short() {
-                    attempt::whole(client.clone(), to, name, chat, times)
+                if self.is_short_unstreamed() {
+                    attempt::chat_unstreamed(client.clone(), to, attempt, chat, timeouts)
                 } else {
-                    attempt::chat(client.clone(), to, name, chat, times)
+                    attempt::chat(client.clone(), to, attempt, chat, timeouts)
                 }
             }
             (Self::Plain(plain), _) => {
@@ -116,18 +116,22 @@
                     headers: plain.headers.clone(),
                     body: Body::bytes(plain.body.to_vec()),
                 };
-                attempt::plain(client.clone(), to, name, call, times)
+                attempt::plain(client.clone(), to, attempt, call, timeouts)
             }
-            (Self::Chat(_), None) => attempt::impossible(),
+            (Self::Chat(_), None) => attempt::missing_version(),
         }
     }
 }
 
 /// Returns the caller's headers without those that aren't forwarded.
-pub(crate) fn passed_on(headers: &Headers) -> Headers {
+pub(crate) fn forwarded_headers(headers: &Headers) -> Headers {
     headers
         .iter()
-        .filter(|(name, _)| !OWN_HEADERS.iter().any(|own| name.eq_ignore_ascii_case(own)))
+        .filter(|(name, _)| {
+            !UNFORWARDED_HEADERS
+                .iter()
+                .any(|own| name.eq_ignore_ascii_case(own))
+        })
         .map(|(name, value)| (name.to_owned(), value.to_owned()))
         .collect()
 }
--- a/crates/barleypind/src/gate.rs
+++ b/crates/barleypind/src/caller_api.rs
@@ -11,18 +11,18 @@
 use http::{Method, Request, Response, Status};
 use kernel::{DataCentre, ServiceName};
 
-use crate::call::{Call, unasked};
+use crate::call::{Call, run_before_admission};
 use crate::context::Context;
 use crate::event::Event;
 use crate::gauges;
 use crate::host::Phase;
-use crate::metrics::Kind;
+use crate::metrics::CallKind;
 use crate::reply;
 use crate::service::fleet;
 
 /// Validity of a ticket beyond the time for which callers keep the response that contains it, so
 /// that a call sent at the last moment can still be retried.
-const TICKET_SLACK: std::time::Duration = std::time::Duration::from_mins(5);
+const TICKET_VALIDITY_MARGIN: std::time::Duration = std::time::Duration::from_mins(5);
 
 /// Serves a request of a caller.
 pub(crate) async fn serve(cx: Arc<Context>, request: Request) -> Response {
@@ -31,13 +31,15 @@
     match (request.method, segments.as_slice()) {
         (Method::Get, ["healthz" | "readyz" | "metrics"]) => probe(&cx, &path).await,
         (Method::Get, ["v1", "hosts"]) => hosts(&cx, &request).await,
-        (Method::Post, ["v1", "chat", "completions"]) => match open(&cx, &request, Kind::Chat) {
-            Ok(call) => crate::call::chat(cx, call, request).boxed().await,
-            Err(problem) => reply::refuse(&cx.host, &problem),
-        },
+        (Method::Post, ["v1", "chat", "completions"]) => {
+            match accept_call(&cx, &request, CallKind::Chat) {
+                Ok(call) => crate::call::chat(cx, call, request).boxed().await,
+                Err(problem) => reply::refuse(&cx.host, &problem),
+            }
+        }
         (_, ["services", name, ..]) => {
-            let (name, target) = (ServiceName::from(*name), below(&request.target));
-            match open(&cx, &request, Kind::Service) {
+            let (name, target) = (ServiceName::from(*name), service_target(&request.target));
+            match accept_call(&cx, &request, CallKind::Service) {
                 Ok(call) => {
                     crate::call::plain(cx, call, name, target, request)
                         .boxed()
@@ -54,7 +56,7 @@
 pub(crate) async fn probe(cx: &Context, path: &str) -> Response {
     match path {
         "/metrics" => {
-            gauges::read(cx).await;
+            gauges::update(cx).await;
             Response::text(Status::Ok, cx.host.metrics.text())
         }
         "/readyz" => match cx.host.phase() {
@@ -82,19 +84,19 @@
 
 /// Authenticates a call, parses its headers and counts it as open. Refuses it if this host has
 /// too many open calls.
-fn open(cx: &Context, request: &Request, kind: Kind) -> Result<Call, Problem> {
+fn accept_call(cx: &Context, request: &Request, kind: CallKind) -> Result<Call, Problem> {
     let arrived = cx.host.now();
     cx.host.metrics.call(kind);
     let customer = authenticate(cx, request)?;
     let headers = Headers::parse(|name| request.headers.get(name))?;
-    let Some(open) = cx.host.open_call() else {
+    let Some(open) = cx.host.try_open_call() else {
         return Err(Problem::new(
             Reason::Overloaded,
-            unasked(headers.key.as_deref()),
+            run_before_admission(headers.key.as_deref()),
             "this host has its greatest number of calls open; use another one",
         ));
     };
-    let (number, request) = cx.host.name_request();
+    let (number, request) = cx.host.next_request();
     Ok(Call {
         number,
         request,
@@ -107,7 +109,7 @@
 
 fn authenticate(cx: &Context, request: &Request) -> Result<kernel::Customer, Problem> {
     let key = call::bearer(request.headers.get("authorization"))?;
-    let run = unasked(request.headers.get(call::IDEMPOTENCY_KEY));
+    let run = run_before_admission(request.headers.get(call::IDEMPOTENCY_KEY));
     if cx.host.phase() == Phase::Starting {
         return Err(Problem::new(
             Reason::NotReady,
@@ -115,7 +117,7 @@
             "this host has no configuration yet; use another one",
         ));
     }
-    let snapshot = cx.host.current.get();
+    let snapshot = cx.host.current_config.get();
     snapshot.customer(key).cloned().ok_or_else(|| {
         cx.host
             .log
@@ -129,7 +131,7 @@
 }
 
 async fn hosts(cx: &Arc<Context>, request: &Request) -> Response {
-    cx.host.metrics.call(Kind::Hosts);
+    cx.host.metrics.call(CallKind::Hosts);
     if let Err(problem) = authenticate(cx, request) {
         return reply::refuse(&cx.host, &problem);
     }
@@ -138,20 +140,20 @@
         DataCentre::from,
     );
     let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() else {
-        return reply::refuse(&cx.host, &ending());
+        return reply::refuse(&cx.host, &leaving_problem());
     };
     let members = fleet
         .ask(|reply| fleet::Message::Handout(data_centre, reply))
         .await;
     let Some(members) = members else {
-        return reply::refuse(&cx.host, &ending());
+        return reply::refuse(&cx.host, &leaving_problem());
     };
     let keep = cx.host.settings.limits.hosts_keep;
     let ticket = Ticket {
         incarnation: cx.host.incarnation(),
         host: cx.host.settings.host.name.clone(),
-        expiry: cx.host.clock.wall() + keep + TICKET_SLACK,
-        floor: cx.books.floor().0,
+        expiry: cx.host.clock.wall() + keep + TICKET_VALIDITY_MARGIN,
+        floor: cx.ledger_handle.floor().0,
     };
     let answer = Answer {
         hosts: members
@@ -169,7 +171,7 @@
         .header(reply::header::HOST, cx.host.settings.host.name.as_str())
 }
 
-fn ending() -> Problem {
+fn leaving_problem() -> Problem {
     Problem::not_run(
         Reason::Leaving,
         "this host is shutting down; use another one",
@@ -177,7 +179,7 @@
 }
 
 /// Returns the path and query after `/services/{name}`, starting with `/`.
-fn below(target: &str) -> String {
+fn service_target(target: &str) -> String {
     let rest = target.splitn(4, '/').nth(3).unwrap_or_default();
     let query = if rest.is_empty() {
         target.split_once('?').map(|(_, query)| query)
--- a/crates/barleypind/src/contact.rs
+++ b/crates/barleypind/src/contact.rs
@@ -9,13 +9,13 @@
 /// everything but its callers misses a withdrawal and would go on using the withdrawn version.
 /// During an outage of the table alone, the host list and the other hosts are still heard from.
 #[derive(Debug, Default)]
-pub(crate) struct Contact {
+pub(crate) struct LastContact {
     micros: AtomicU64,
 }
 
-impl Contact {
+impl LastContact {
     /// Records a sign of life received at `now`.
-    pub(crate) fn note(&self, now: Duration) {
+    pub(crate) fn record(&self, now: Duration) {
         let micros = u64::try_from(now.as_micros()).unwrap_or(u64::MAX);
         self.micros.fetch_max(micros, Ordering::Relaxed);
     }
--- a/crates/barleypind/src/current.rs
+++ b/crates/barleypind/src/current.rs
@@ -57,14 +57,14 @@
 
 /// The configuration in force. Its revision never decreases.
 #[derive(Debug, Default)]
-pub(crate) struct Current {
+pub(crate) struct CurrentConfig {
     snapshot: RwLock<Arc<Snapshot>>,
     /// The time, in microseconds of the host's clock, at which the table read behind the newest
     /// proof was sent. Zero without a proof.
-    proven: AtomicU64,
+    proven_at_micros: AtomicU64,
 }
 
-/// The result of [`Current::adopt`].
+/// The result of [`CurrentConfig::adopt`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Adopted {
     /// The document is now in force.
@@ -75,7 +75,7 @@
     Lower,
 }
 
-impl Current {
+impl CurrentConfig {
     /// Returns the configuration in force.
     pub(crate) fn get(&self) -> Arc<Snapshot> {
         let snapshot = self.snapshot.read();
@@ -100,14 +100,14 @@
     }
 
     /// Records a proof from a table read that was sent at `at`.
-    pub(crate) fn prove(&self, at: Duration) {
+    pub(crate) fn record_proof(&self, at: Duration) {
         let micros = u64::try_from(at.as_micros()).unwrap_or(u64::MAX).max(1);
-        self.proven.fetch_max(micros, Ordering::Relaxed);
+        self.proven_at_micros.fetch_max(micros, Ordering::Relaxed);
     }
 
     /// Returns the age of the newest proof, or `None` without one.
     pub(crate) fn proof_age(&self, now: Duration) -> Option<Duration> {
-        match self.proven.load(Ordering::Relaxed) {
+        match self.proven_at_micros.load(Ordering::Relaxed) {
             0 => None,
             micros => Some(now.saturating_sub(Duration::from_micros(micros))),
         }
--- a/crates/barleypind/src/daemon.rs
+++ b/crates/barleypind/src/daemon.rs
@@ -16,17 +16,17 @@
 use crate::context::Context;
 use crate::error::Error;
 use crate::event::Event;
-use crate::gauges::Strangers;
+use crate::gauges::RejectedPeers;
 use crate::host::Host;
 use crate::log::Log;
 use crate::secrets::Secrets;
-use crate::service::decide::Decide;
-use crate::service::drain::{self, Ended, Parts};
+use crate::service::decide::DeciderHandle;
+use crate::service::drain::{self, DrainOutcome, Resources};
 use crate::service::endpoints::{self, Endpoints};
-use crate::service::ledger::Books;
-use crate::service::{fleet, notices, rate, rollout, table, watch};
+use crate::service::ledger::LedgerHandle;
+use crate::service::{decider_effects, fleet, rate, rollout, table, watch};
 use crate::verdicts::Verdicts;
-use crate::{gate, operate, renew, tuning};
+use crate::{caller_api, operator_api, renew, tuning};
 
 /// A running daemon.
 pub struct Daemon {
@@ -34,7 +34,7 @@
     callers: SocketAddr,
     operators: SocketAddr,
     fleet: SocketAddr,
-    ended: Receiver<Ended>,
+    ended: Receiver<DrainOutcome>,
 }
 
 impl Daemon {
@@ -58,19 +58,20 @@
         let rollout_queue = host.registry.register::<rollout::Rollout>();
         let drain_queue = host.registry.register::<drain::Drain>();
 
-        let (decide, decided) = Decide::new(
+        let (decider, decider_effects_receiver) = DeciderHandle::new(
             Arc::clone(&host),
             incarnation.0,
             tuning::decide(&host.settings),
         );
-        let (books, errands) = Books::new(Arc::clone(&host), tuning::ledger(&host.settings));
-        let cx = context(&host, decide, books, link.clone());
+        let (ledger_handle, ledger_effects) =
+            LedgerHandle::new(Arc::clone(&host), tuning::ledger(&host.settings));
+        let cx = context(&host, decider, ledger_handle, link.clone());
 
         let servers = listen(&cx).await?;
         let callers = servers[0].address();
         let operators = servers.last().map_or(callers, Server::address);
         let core = ::fleet::Fleet::new(
-            me(&host, callers, fleet_address),
+            local_member(&host, callers, fleet_address),
             incarnation.0,
             tuning::fleet(&host.settings),
         );
@@ -78,9 +79,12 @@
         let (ended_sender, ended) = bounded(1);
         task::spawn(fleet::run(Arc::clone(&cx), core, fleet_queue));
         task::spawn(fleet::receive(Arc::clone(&cx), frames));
-        task::spawn(table::run(Arc::clone(&cx), errands, drained_sender));
-        task::spawn(notices::run(Arc::clone(&cx), decided));
-        task::spawn(notices::tick(Arc::clone(&cx)));
+        task::spawn(table::run(Arc::clone(&cx), ledger_effects, drained_sender));
+        task::spawn(decider_effects::run(
+            Arc::clone(&cx),
+            decider_effects_receiver,
+        ));
+        task::spawn(decider_effects::tick(Arc::clone(&cx)));
         task::spawn(rollout::run(Arc::clone(&cx), rollout_queue));
         task::spawn(rate::submit(Arc::clone(&cx), rate_queue));
         task::spawn(rate::collect(Arc::clone(&cx)));
@@ -90,12 +94,12 @@
             Arc::clone(&host),
             Arc::clone(&cx.endpoints),
         ));
-        let parts = Parts {
+        let resources = Resources {
             servers,
             drained,
             ended: ended_sender,
         };
-        task::spawn(drain::run(Arc::clone(&cx), drain_queue, parts));
+        task::spawn(drain::run(Arc::clone(&cx), drain_queue, resources));
         host.log.emit(
             Event::Started,
             &[
@@ -139,12 +143,20 @@
     }
 
     /// Waits until the drain is complete.
-    pub async fn ended(&self) -> Ended {
-        self.ended.recv().await.unwrap_or(Ended::AtBound)
+    pub async fn ended(&self) -> DrainOutcome {
+        self.ended
+            .recv()
+            .await
+            .unwrap_or(DrainOutcome::LimitReached)
     }
 }
 
-fn context(host: &Arc<Host>, decide: Arc<Decide>, books: Arc<Books>, link: Link) -> Arc<Context> {
+fn context(
+    host: &Arc<Host>,
+    decider: Arc<DeciderHandle>,
+    ledger_handle: Arc<LedgerHandle>,
+    link: Link,
+) -> Arc<Context> {
     let settings = &host.settings;
     let options = Options {
         connect: settings.platform.connect,
@@ -163,19 +175,19 @@
         )
     };
     let engine = engine::Client::new(host.http.clone());
-    let endpoints = Endpoints::new(Arc::clone(host), Arc::clone(&decide), engine.clone());
+    let endpoints = Endpoints::new(Arc::clone(host), Arc::clone(&decider), engine.clone());
     Arc::new(Context {
-        decide,
-        books,
+        decider,
+        ledger_handle,
         endpoints: Arc::new(endpoints),
         engine,
         link,
-        strangers: Strangers::default(),
+        rejected_peers: RejectedPeers::default(),
         verdicts: Verdicts::default(),
         backlog: Mutex::default(),
         table: Table::new(service(settings.platform.table)),
         ratings: Ratings::new(service(settings.platform.ratings)),
-        list: HostList::new(service(settings.platform.host_list)),
+        host_list: HostList::new(service(settings.platform.host_list)),
         host: Arc::clone(host),
     })
 }
@@ -185,39 +197,39 @@
 async fn listen(cx: &Arc<Context>) -> Result<Vec<Server>, Report<Error>> {
     let settings = &cx.host.settings.listen;
     let limits = tuning::http(&cx.host.settings);
-    let bind = async |address: SocketAddr, side: Side| {
+    let bind = async |address: SocketAddr, audience: Audience| {
         let cx = Arc::clone(cx);
         Server::bind(address, limits, move |request| {
-            serve(Arc::clone(&cx), side, request)
+            serve(Arc::clone(&cx), audience, request)
         })
         .await
         .change_context(Error::Listen(address))
     };
     if settings.callers == settings.operators && settings.callers.port() != 0 {
-        return Ok(vec![bind(settings.callers, Side::Both).await?]);
+        return Ok(vec![bind(settings.callers, Audience::Both).await?]);
     }
-    let callers = bind(settings.callers, Side::Callers).await?;
-    let operators = bind(settings.operators, Side::Operators).await?;
+    let callers = bind(settings.callers, Audience::Callers).await?;
+    let operators = bind(settings.operators, Audience::Operators).await?;
     Ok(vec![callers, operators])
 }
 
 /// The clients that a server accepts.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Side {
+enum Audience {
     Callers,
     Operators,
     Both,
 }
 
-async fn serve(cx: Arc<Context>, side: Side, request: http::Request) -> http::Response {
+async fn serve(cx: Arc<Context>, audience: Audience, request: http::Request) -> http::Response {
     let operator = request.target.starts_with("/operator/");
-    match (side, operator) {
-        (Side::Operators, _) | (Side::Both, true) => operate::serve(cx, request).await,
-        (Side::Callers | Side::Both, _) => gate::serve(cx, request).await,
+    match (audience, operator) {
+        (Audience::Operators, _) | (Audience::Both, true) => operator_api::serve(cx, request).await,
+        (Audience::Callers | Audience::Both, _) => caller_api::serve(cx, request).await,
     }
 }
 
-fn me(host: &Host, address: SocketAddr, fleet_address: SocketAddr) -> Member {
+fn local_member(host: &Host, address: SocketAddr, fleet_address: SocketAddr) -> Member {
     Member {
         identity: Identity {
             host: host.settings.host.name.clone(),
@@ -233,14 +245,14 @@
 }
 
 fn watch_list(cx: &Arc<Context>) -> impl Future<Output = ()> + Send + use<> {
-    let told = Arc::clone(cx);
+    let callback_cx = Arc::clone(cx);
     endpoints::watch_list(
         Arc::clone(&cx.host),
-        cx.list.clone(),
+        cx.host_list.clone(),
         Arc::clone(&cx.endpoints),
         move |entries| {
-            let hosts = fleet::listed(entries);
-            fleet::tell(&told, ::fleet::Event::Hosts(hosts));
+            let hosts = fleet::member_records(entries);
+            fleet::send_event(&callback_cx, ::fleet::Event::Hosts(hosts));
         },
     )
 }
--- a/crates/barleypind/src/gauges.rs
+++ b/crates/barleypind/src/gauges.rs
@@ -6,11 +6,11 @@
 
 use crate::context::Context;
 use crate::event::Event;
-use crate::metrics::Level;
+use crate::metrics::GaugeValues;
 use crate::service::fleet;
 
 /// Sets the gauges to their present values.
-pub(crate) async fn read(cx: &Context) {
+pub(crate) async fn update(cx: &Context) {
     let members = match cx.host.registry.find::<fleet::Fleet>() {
         Some(fleet) => fleet.ask(fleet::Message::Members).await.unwrap_or_default(),
         None => Vec::new(),
@@ -19,30 +19,30 @@
         let in_state = members.iter().filter(|it| states.contains(&it.state));
         in_state.count() as u64
     };
-    let books = cx.books.status();
+    let ledger_status = cx.ledger_handle.status();
     let now = cx.host.now();
-    cx.host.metrics.level(&Level {
-        revision: cx.host.current.get().revision().0,
-        proof_age: cx.host.current.proof_age(now).unwrap_or(now),
-        unwritten: books.held as u64,
-        held: books.copies as u64,
+    cx.host.metrics.set_gauges(&GaugeValues {
+        revision: cx.host.current_config.get().revision().0,
+        proof_age: cx.host.current_config.proof_age(now).unwrap_or(now),
+        unwritten: ledger_status.held as u64,
+        held: ledger_status.copies as u64,
         live: count(&[State::Alive]),
         leaving: count(&[State::Leaving]),
         suspect: count(&[State::Suspect, State::Unreachable]),
         endpoints: cx.endpoints.live().len() as u64,
         open: cx.host.open_calls() as u64,
     });
-    cx.strangers.read(cx);
+    cx.rejected_peers.update(cx);
 }
 
 /// Number of frames and connections of unauthenticated peers that have been added to the metric.
 #[derive(Debug, Default)]
-pub(crate) struct Strangers {
+pub(crate) struct RejectedPeers {
     counted: AtomicU64,
 }
 
-impl Strangers {
-    fn read(&self, cx: &Context) {
+impl RejectedPeers {
+    fn update(&self, cx: &Context) {
         let counters = cx.link.counters();
         let rejected = link::Rejection::ALL
             .iter()
@@ -51,7 +51,7 @@
         let before = self.counted.fetch_max(rejected, Ordering::SeqCst);
         if rejected > before {
             let dropped = rejected - before;
-            cx.host.metrics.strangers(dropped);
+            cx.host.metrics.rejected_peers(dropped);
             cx.host.log.emit(Event::Stranger, &[("dropped", &dropped)]);
         }
     }
--- a/crates/barleypind/src/host.rs
+++ b/crates/barleypind/src/host.rs
@@ -7,8 +7,8 @@
 use config::Settings;
 use kernel::{Clock, Incarnation, Registry, RequestId};
 
-use crate::contact::Contact;
-use crate::current::Current;
+use crate::contact::LastContact;
+use crate::current::CurrentConfig;
 use crate::log::Log;
 use crate::metrics::Metrics;
 use crate::secrets::Secrets;
@@ -21,13 +21,13 @@
     pub(crate) log: Log,
     pub(crate) metrics: Metrics,
     pub(crate) registry: Registry,
-    pub(crate) current: Current,
-    pub(crate) contact: Contact,
+    pub(crate) current_config: CurrentConfig,
+    pub(crate) last_contact: LastContact,
     pub(crate) http: http::Client,
     phase: AtomicU8,
     incarnation: AtomicU64,
     last_request: AtomicU64,
-    open: AtomicUsize,
+    open_calls: AtomicUsize,
 }
 
 /// The life cycle phase of the process.
@@ -62,12 +62,12 @@
             log,
             metrics: Metrics::new(),
             registry: Registry::default(),
-            current: Current::default(),
-            contact: Contact::default(),
+            current_config: CurrentConfig::default(),
+            last_contact: LastContact::default(),
             phase: AtomicU8::new(0),
             incarnation: AtomicU64::new(incarnation.0),
             last_request: AtomicU64::new(0),
-            open: AtomicUsize::new(0),
+            open_calls: AtomicUsize::new(0),
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Advances to `phase` unless the process is already further, and returns the previous phase.
-    pub(crate) fn enter(&self, phase: Phase) -> Phase {
+    pub(crate) fn advance_to(&self, phase: Phase) -> Phase {
         let before = self.phase.fetch_max(phase as u8, Ordering::SeqCst);
         match before {
             0 => Phase::Starting,
@@ -103,7 +103,7 @@
     }
 
     /// Returns a new request's number on this host and its id, which other systems see.
-    pub(crate) fn name_request(&self) -> (decide::key::Request, RequestId) {
+    pub(crate) fn next_request(&self) -> (decide::key::Request, RequestId) {
         let number = self.last_request.fetch_add(1, Ordering::Relaxed) + 1;
         let name = format!("{:x}-{number:x}", self.incarnation().0);
         (decide::key::Request(number), RequestId::from(name))
@@ -119,26 +119,26 @@
 
     /// Counts a call as open until the guard is dropped. Returns `None` if the limit on open
     /// calls is reached.
-    pub(crate) fn open_call(self: &Arc<Self>) -> Option<Open> {
-        let open = Open {
+    pub(crate) fn try_open_call(self: &Arc<Self>) -> Option<OpenCall> {
+        let open = OpenCall {
             host: Arc::clone(self),
         };
-        let before = self.open.fetch_add(1, Ordering::SeqCst);
+        let before = self.open_calls.fetch_add(1, Ordering::SeqCst);
         (before < self.settings.limits.max_in_flight).then_some(open)
     }
 
     pub(crate) fn open_calls(&self) -> usize {
-        self.open.load(Ordering::SeqCst)
+        self.open_calls.load(Ordering::SeqCst)
     }
 }
 
 /// A guard that counts one call as open.
-pub(crate) struct Open {
+pub(crate) struct OpenCall {
     host: Arc<Host>,
 }
 
-impl Drop for Open {
+impl Drop for OpenCall {
     fn drop(&mut self) {
-        self.host.open.fetch_sub(1, Ordering::SeqCst);
+        self.host.open_calls.fetch_sub(1, Ordering::SeqCst);
     }
 }
--- a/crates/barleypind/src/lib.rs
+++ b/crates/barleypind/src/lib.rs
@@ -3,18 +3,18 @@
 
 mod backlog;
 mod call;
+mod caller_api;
 mod contact;
 mod context;
 mod current;
 mod daemon;
 mod error;
 pub mod event;
-mod gate;
 mod gauges;
 mod host;
 pub mod log;
 pub mod metrics;
-mod operate;
+mod operator_api;
 mod policy;
 mod renew;
 mod reply;
@@ -25,7 +25,7 @@
 
 pub use daemon::Daemon;
 pub use error::Error;
-pub use service::drain::Ended;
+pub use service::drain::DrainOutcome;
 
 /// Checks that the key files named in the settings can be used.
 ///
--- a/crates/barleypind/src/log.rs
+++ b/crates/barleypind/src/log.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of log records queued for a slow reader. Further ones are dropped and counted,
 /// so that logging never blocks a call.
-const QUEUE: usize = 4096;
+const QUEUE_CAPACITY: usize = 4096;
 
 /// A field of a log record. Fields are printed, so they must never contain key material.
 pub type Field<'a> = (&'static str, &'a dyn Display);
@@ -67,7 +67,7 @@
         D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
     {
         let drain = slog_async::Async::new(drain.filter_level(level).fuse())
-            .chan_size(QUEUE)
+            .chan_size(QUEUE_CAPACITY)
             .build();
         Self {
             logger: Logger::root(drain.fuse(), o!()),
--- a/crates/barleypind/src/main.rs
+++ b/crates/barleypind/src/main.rs
@@ -8,7 +8,7 @@
 
 use async_signal::{Signal, Signals};
 use barleypind::log::Log;
-use barleypind::{Daemon, Ended, Error};
+use barleypind::{Daemon, DrainOutcome, Error};
 use clap::{Arg, Command, value_parser};
 use config::Settings;
 use error_stack::{Report, ResultExt};
@@ -18,7 +18,7 @@
 /// Exit code if the settings or keys can't be used, or the daemon can't start.
 const EXIT_SETTINGS: u8 = 2;
 /// Exit code if the drain reached its time limit with calls or records left.
-const EXIT_BOUND: u8 = 3;
+const EXIT_DRAIN_LIMIT: u8 = 3;
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
@@ -85,8 +85,8 @@
         futures::future::Either::Right(((), ended)) => ended.await,
     };
     Ok(match ended {
-        Ended::Whole => ExitCode::SUCCESS,
-        Ended::AtBound => ExitCode::from(EXIT_BOUND),
+        DrainOutcome::Complete => ExitCode::SUCCESS,
+        DrainOutcome::LimitReached => ExitCode::from(EXIT_DRAIN_LIMIT),
     })
 }
 
--- a/crates/barleypind/src/metrics.rs
+++ b/crates/barleypind/src/metrics.rs
@@ -10,7 +10,7 @@
 
 /// Upper bounds of the histogram buckets in seconds. The lowest ones resolve the latency that the
 /// host itself adds to a call.
-const BOUNDS: [f64; 16] = [
+const BUCKET_BOUNDS: [f64; 16] = [
     0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
     10.0, 60.0,
 ];
@@ -70,7 +70,7 @@
 
 /// The kind of a call.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum CallKind {
     /// A chat completion.
     #[display("chat")]
     Chat,
@@ -87,7 +87,7 @@
 
 /// The reason for a further attempt.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
-pub enum Retry {
+pub enum RetryReason {
     /// The response of a cheaper version wasn't good enough.
     #[display("escalated")]
     Escalated,
@@ -120,7 +120,7 @@
     Hedged,
 }
 
-impl Retry {
+impl RetryReason {
     /// All reasons.
     pub const ALL: [Self; 10] = [
         Self::Escalated,
@@ -138,7 +138,7 @@
 
 /// The values of all gauges.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Level {
+pub struct GaugeValues {
     /// The revision in force.
     pub revision: u64,
     /// Time since the last proof that the revision is the newest.
@@ -169,7 +169,7 @@
     tokens: Counter<u64>,
     billed: Counter<u64>,
     platform_errors: Counter<u64>,
-    strangers: Counter<u64>,
+    rejected_peers: Counter<u64>,
     call_seconds: Histogram<f64>,
     first_token_seconds: Histogram<f64>,
     decide_seconds: Histogram<f64>,
@@ -187,7 +187,7 @@
     /// a counter's rate works for its first increment.
     #[must_use]
     pub fn new() -> Self {
-        let instruments = Instruments::new("barleypind", CATALOGUE, &BOUNDS);
+        let instruments = Instruments::new("barleypind", CATALOGUE, &BUCKET_BOUNDS);
         let it = &instruments;
         let metrics = Self {
             calls: it.counter("calls"),
@@ -197,7 +197,7 @@
             tokens: it.counter("tokens"),
             billed: it.counter("billed_microcents"),
             platform_errors: it.counter("platform_errors"),
-            strangers: it.counter("strangers"),
+            rejected_peers: it.counter("strangers"),
             call_seconds: it.histogram("call_seconds"),
             first_token_seconds: it.histogram("first_token_seconds"),
             decide_seconds: it.histogram("decide_seconds"),
@@ -221,12 +221,12 @@
     }
 
     /// Counts an accepted call.
-    pub fn call(&self, kind: Kind) {
+    pub fn call(&self, kind: CallKind) {
         self.calls.add(1, &[label("kind", &kind)]);
     }
 
     /// Records the duration of a call.
-    pub fn call_ended(&self, kind: Kind, took: Duration) {
+    pub fn call_ended(&self, kind: CallKind, took: Duration) {
         self.call_seconds
             .record(took.as_secs_f64(), &[label("kind", &kind)]);
     }
@@ -237,7 +237,7 @@
     }
 
     /// Counts an attempt after the first one.
-    pub fn retried(&self, reason: Retry) {
+    pub fn retried(&self, reason: RetryReason) {
         self.retries.add(1, &[label("reason", &reason)]);
     }
 
@@ -272,35 +272,40 @@
     }
 
     /// Counts frames and connections dropped because the peer wasn't authenticated.
-    pub fn strangers(&self, count: u64) {
-        self.strangers.add(count, &[]);
+    pub fn rejected_peers(&self, count: u64) {
+        self.rejected_peers.add(count, &[]);
     }
 
     /// Sets the gauges.
-    pub fn level(&self, level: &Level) {
-        self.open_calls.record(level.open, &[]);
-        self.revision.record(level.revision, &[]);
-        self.proof_age.record(level.proof_age.as_secs_f64(), &[]);
-        self.unwritten.record(level.unwritten, &[]);
-        self.held.record(level.held, &[]);
-        self.endpoints.record(level.endpoints, &[]);
+    pub fn set_gauges(&self, values: &GaugeValues) {
+        self.open_calls.record(values.open, &[]);
+        self.revision.record(values.revision, &[]);
+        self.proof_age.record(values.proof_age.as_secs_f64(), &[]);
+        self.unwritten.record(values.unwritten, &[]);
+        self.held.record(values.held, &[]);
+        self.endpoints.record(values.endpoints, &[]);
         for (state, count) in [
-            ("live", level.live),
-            ("leaving", level.leaving),
-            ("suspect", level.suspect),
+            ("live", values.live),
+            ("leaving", values.leaving),
+            ("suspect", values.suspect),
         ] {
             self.members.record(count, &[KeyValue::new("state", state)]);
         }
     }
 
     fn start_at_zero(&self) {
-        for kind in [Kind::Chat, Kind::Service, Kind::Hosts, Kind::Operator] {
+        for kind in [
+            CallKind::Chat,
+            CallKind::Service,
+            CallKind::Hosts,
+            CallKind::Operator,
+        ] {
             self.calls.add(0, &[label("kind", &kind)]);
         }
         for reason in Reason::ALL {
             self.refusals.add(0, &[label("reason", &reason)]);
         }
-        for reason in Retry::ALL {
+        for reason in RetryReason::ALL {
             self.retries.add(0, &[label("reason", &reason)]);
         }
         for service in ["table", "host_list", "ratings"] {
@@ -309,9 +314,9 @@
         }
         self.attempts
             .add(0, &[KeyValue::new("outcome", "answered")]);
-        self.strangers.add(0, &[]);
+        self.rejected_peers.add(0, &[]);
         self.answered(0, 0, 0);
-        self.level(&Level::default());
+        self.set_gauges(&GaugeValues::default());
     }
 }
 
--- a/crates/barleypind/src/operate.rs
+++ b/crates/barleypind/src/operator_api.rs
@@ -5,36 +5,36 @@
 use config::{Change, Edit, Entry, Kind, Name};
 use gate::call;
 use gate::operator::{
-    Backlog, Condition, Health, History, Host as Shown, Refusal, Rollout, Snapshot, State, Status,
-    millis,
+    Backlog, Condition, Health, History, Host as HostStatus, Refusal, Rollout, Snapshot, State,
+    Status, millis,
 };
 use gate::problem::{Problem, Reason};
 use http::{Method, Request, Response};
 use kernel::{HostName, Incarnation};
 use wire::Member;
 
+use crate::caller_api;
 use crate::context::Context;
 use crate::event::Event;
-use crate::gate as callers;
 use crate::metrics;
 use crate::reply;
 use crate::service::{configure, fleet};
 
 /// The default and the maximum number of entries in a history response.
-const HISTORY: (usize, usize) = (20, 500);
+const HISTORY_LIMITS: (usize, usize) = (20, 500);
 
 /// Serves a request of an operator.
 pub(crate) async fn serve(cx: Arc<Context>, request: Request) -> Response {
     let path = request.path().to_owned();
     if request.method == Method::Get && matches!(path.as_str(), "/healthz" | "/readyz" | "/metrics")
     {
-        return callers::probe(&cx, &path).await;
+        return caller_api::probe(&cx, &path).await;
     }
-    cx.host.metrics.call(metrics::Kind::Operator);
+    cx.host.metrics.call(metrics::CallKind::Operator);
     if let Err(problem) = authenticate(&cx, &request) {
         return reply::refuse(&cx.host, &problem);
     }
-    match answer(&cx, &path, request).await {
+    match route(&cx, &path, request).await {
         Ok(response) => response,
         Err(refusal) => {
             cx.host.metrics.refused(refusal.problem.reason);
@@ -59,7 +59,7 @@
     ))
 }
 
-async fn answer(cx: &Arc<Context>, path: &str, request: Request) -> Result<Response, Refusal> {
+async fn route(cx: &Arc<Context>, path: &str, request: Request) -> Result<Response, Refusal> {
     let segments: Vec<String> = path
         .split('/')
         .skip(1)
@@ -74,15 +74,15 @@
         (Method::Put | Method::Delete, ["operator", "v1", kind, name]) => {
             match Kind::from_plural(kind) {
                 Some(kind) => change(cx, Name::new(kind, name), request).await,
-                None => Err(callers::not_found(&request).into()),
+                None => Err(caller_api::not_found(&request).into()),
             }
         }
-        _ => Err(callers::not_found(&request).into()),
+        _ => Err(caller_api::not_found(&request).into()),
     }
 }
 
 fn document(cx: &Context) -> Response {
-    let snapshot = cx.host.current.get();
+    let snapshot = cx.host.current_config.get();
     Response::json(
         http::Status::Ok,
         &Snapshot {
@@ -94,15 +94,18 @@
 
 async fn history(cx: &Context, request: &Request) -> Result<Response, Refusal> {
     let limit = match request.query("limit") {
-        None => HISTORY.0,
+        None => HISTORY_LIMITS.0,
         Some(text) => text
             .parse()
             .ok()
-            .filter(|it| (1..=HISTORY.1).contains(it))
+            .filter(|it| (1..=HISTORY_LIMITS.1).contains(it))
             .ok_or_else(|| {
                 Problem::not_run(
                     Reason::BadRequest,
-                    format!("limit: expected a whole number from 1 to {}", HISTORY.1),
+                    format!(
+                        "limit: expected a whole number from 1 to {}",
+                        HISTORY_LIMITS.1
+                    ),
                 )
             })?,
     };
@@ -150,23 +153,31 @@
     if member.identity.incarnation == cx.host.incarnation() {
         crate::service::drain::begin(&cx.host);
     } else {
-        fleet::tell(cx, ::fleet::Event::Drain(member.identity));
+        fleet::send_event(cx, ::fleet::Event::Drain(member.identity));
     }
     Ok(Response::new(http::Status::Accepted))
 }
 
 async fn status(cx: &Context) -> Result<Response, Refusal> {
     let now = cx.host.now();
-    let snapshot = cx.host.current.get();
-    let mut shown: Vec<Shown> = members(cx).await.iter().map(|it| show(cx, it)).collect();
-    if shown.is_empty() {
+    let snapshot = cx.host.current_config.get();
+    let mut hosts: Vec<HostStatus> = members(cx)
+        .await
+        .iter()
+        .map(|it| host_status(cx, it))
+        .collect();
+    if hosts.is_empty() {
         return Err(Problem::not_run(Reason::Leaving, "this host is shutting down").into());
     }
-    let mut host = shown.remove(0);
+    let mut host = hosts.remove(0);
     host.revision = snapshot.revision();
-    host.proof_age_ms = cx.host.current.proof_age(now).map_or(u64::MAX, millis);
+    host.proof_age_ms = cx
+        .host
+        .current_config
+        .proof_age(now)
+        .map_or(u64::MAX, millis);
     host.load = cx.host.open_calls() as u64;
-    let books = cx.books.status();
+    let ledger_status = cx.ledger_handle.status();
     let oldest = cx
         .backlog
         .lock()
@@ -175,7 +186,7 @@
     let endpoints = cx.endpoints.live();
     let status = Status {
         host,
-        peers: shown,
+        peers: hosts,
         versions: snapshot
             .document
             .versions
@@ -183,7 +194,7 @@
             .map(|(id, version)| Health {
                 version: id.clone(),
                 state: version.state.to_string(),
-                verdict: cx.verdicts.word(id),
+                verdict: cx.verdicts.description(id),
                 endpoints: u32::try_from(endpoints.iter().filter(|it| it.has_loaded(id)).count())
                     .unwrap_or(u32::MAX),
             })
@@ -201,8 +212,8 @@
             })
             .collect(),
         backlog: Backlog {
-            own: books.held as u64,
-            held: books.copies as u64,
+            own: ledger_status.held as u64,
+            held: ledger_status.copies as u64,
             oldest_ms: millis(oldest),
         },
     };
@@ -216,15 +227,15 @@
     fleet.ask(fleet::Message::Members).await.unwrap_or_default()
 }
 
-fn show(cx: &Context, member: &Member) -> Shown {
+fn host_status(cx: &Context, member: &Member) -> HostStatus {
     let incarnation: Incarnation = member.identity.incarnation;
-    Shown {
+    HostStatus {
         name: member.identity.host.clone(),
         incarnation,
         address: member.address.to_string(),
         data_centre: member.data_centre.clone(),
         state: match member.state {
-            wire::State::Alive if incarnation == cx.host.incarnation() => state_of(cx),
+            wire::State::Alive if incarnation == cx.host.incarnation() => local_state(cx),
             wire::State::Alive => State::Live,
             wire::State::Leaving => State::Leaving,
             wire::State::Suspect | wire::State::Unreachable | wire::State::Dead => State::Suspect,
@@ -235,7 +246,7 @@
     }
 }
 
-fn state_of(cx: &Context) -> State {
+fn local_state(cx: &Context) -> State {
     match cx.host.phase() {
         crate::host::Phase::Leaving => State::Leaving,
         _ => State::Live,
--- a/crates/barleypind/src/policy.rs
+++ b/crates/barleypind/src/policy.rs
@@ -24,7 +24,7 @@
         .customers
         .keys()
         .enumerate()
-        .map(|(at, name)| (name, key::Customer::at(at)))
+        .map(|(index, name)| (name, key::Customer::at(index)))
         .collect();
     Policy {
         revision: document.revision,
@@ -41,7 +41,7 @@
                 allowed: allowances(it, &customers, &versions),
                 target: it.quality,
                 cap: Some(it.cost_cap),
-                repeat: repeat(it.repeat),
+                repeat: retry_policy(it.repeat),
                 priority: priority(it.priority),
                 deadline: it.deadline,
             })
@@ -78,8 +78,8 @@
 
 /// Converts a retry policy into the decider's form.
 #[must_use]
-pub(crate) fn repeat(repeat: config::Repeat) -> Repeat {
-    match repeat {
+pub(crate) fn retry_policy(policy: config::Repeat) -> Repeat {
+    match policy {
         config::Repeat::Idempotent => Repeat::Idempotent,
         config::Repeat::AtMostOnce => Repeat::AtMostOnce,
     }
@@ -101,7 +101,7 @@
     fn new(ids: impl Iterator<Item = &'a VersionId>) -> Self {
         Self(
             ids.enumerate()
-                .map(|(at, id)| (id, key::Version::at(at)))
+                .map(|(index, id)| (id, key::Version::at(index)))
                 .collect(),
         )
     }
--- a/crates/barleypind/src/renew.rs
+++ b/crates/barleypind/src/renew.rs
@@ -10,7 +10,7 @@
 
 /// Number of low bits that are random. The others are milliseconds since the Unix epoch and
 /// suffice for the next century.
-const CHANCE_BITS: u32 = 22;
+const RANDOM_BITS: u32 = 22;
 
 /// Returns an incarnation number that no other run of any host has and that is higher than those
 /// of all earlier runs of this host.
@@ -20,9 +20,9 @@
 /// increase. If the clock was set back, the host renews its incarnation once the fleet tells it
 /// of its later one.
 pub(crate) fn incarnation(wall: Duration, after: Incarnation) -> Incarnation {
-    let millis = u64::try_from(wall.as_millis()).unwrap_or(u64::MAX >> CHANCE_BITS);
-    let chance = rand::rng().random_range(0..1_u64 << CHANCE_BITS);
-    let number = (millis << CHANCE_BITS) | chance;
+    let millis = u64::try_from(wall.as_millis()).unwrap_or(u64::MAX >> RANDOM_BITS);
+    let random = rand::rng().random_range(0..1_u64 << RANDOM_BITS);
+    let number = (millis << RANDOM_BITS) | random;
     Incarnation(number.max(after.0 + 1))
 }
 
@@ -33,7 +33,7 @@
 pub(crate) fn renew(cx: &Context) {
     let next = incarnation(cx.host.clock.wall(), cx.host.incarnation());
     cx.host.renew(next);
-    cx.books.handle(ledger::Event::Renew { me: next });
+    cx.ledger_handle.handle(ledger::Event::Renew { me: next });
     if let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() {
         // If the queue is full, the service learns of it with the next fence.
         let _ = fleet.offer(fleet::Message::Renewed);
--- a/crates/barleypind/src/service.rs
+++ b/crates/barleypind/src/service.rs
@@ -3,11 +3,11 @@
 
 pub(crate) mod configure;
 pub(crate) mod decide;
+pub(crate) mod decider_effects;
 pub(crate) mod drain;
 pub(crate) mod endpoints;
 pub(crate) mod fleet;
 pub(crate) mod ledger;
-pub(crate) mod notices;
 pub(crate) mod rate;
 pub(crate) mod rollout;
 pub(crate) mod table;
--- a/crates/barleypind/src/service/configure.rs
+++ b/crates/barleypind/src/service/configure.rs
@@ -19,11 +19,11 @@
 use crate::event::Event;
 use crate::service::fleet;
 
-/// Maximum number of times that a change is applied to a newer head after a conflict. Operators
+/// Maximum number of attempts to commit a change, each on a newer head after a conflict. Operators
 /// make hundreds of changes a day, so even two conflicts in a row are rare.
-const ROUNDS: u32 = 16;
+const MAX_COMMIT_ATTEMPTS: u32 = 16;
 /// Maximum number of reads to determine the outcome of a write whose response was lost.
-const SETTLE_ROUNDS: u32 = 3;
+const MAX_OUTCOME_READS: u32 = 3;
 
 /// Commits `change`.
 ///
@@ -31,10 +31,15 @@
 /// Returns the refusal. It says `not_run` only if the change has no effect and never will have
 /// one.
 pub(crate) async fn commit(cx: &Arc<Context>, change: &Change) -> Result<Accepted, Refusal> {
-    for _ in 0..ROUNDS {
+    for _ in 0..MAX_COMMIT_ATTEMPTS {
         let asked = cx.host.now();
-        if let Some(done) = committed(cx, &change.id).await.map_err(|_| out())? {
-            return done.repeat(change).ok_or_else(|| done.reused());
+        if let Some(committed) = read_committed(cx, &change.id)
+            .await
+            .map_err(|_| store_unavailable())?
+        {
+            return committed
+                .retry_response(change)
+                .ok_or_else(|| committed.reused_id_refusal());
         }
         let (document, version) = head(cx).await?;
         let next = match document.apply(change) {
@@ -42,12 +47,12 @@
             Err(refused) => return Err(refuse(cx, change, refused)),
         };
         match write(cx, change, &next, version).await {
-            Ok(()) => return Ok(accept(cx, change, &next, asked).await),
+            Ok(()) => return Ok(report_committed(cx, change, &next, asked).await),
             // Another change was committed first. Apply this one to its result, which is a
             // conflict only if both edit the same entry.
             Err(Error::Conflict { .. }) => {}
-            Err(Error::NotApplied(_)) => return Err(out()),
-            Err(Error::Unknown(_)) => return settle(cx, change, next, asked).await,
+            Err(Error::NotApplied(_)) => return Err(store_unavailable()),
+            Err(Error::Unknown(_)) => return resolve_unknown_write(cx, change, next, asked).await,
         }
     }
     Err(Problem::not_run(
@@ -68,7 +73,7 @@
     let mut commits = Vec::new();
     for revision in ((oldest + 1)..=newest).rev() {
         let key = Key::ConfigHistory(Revision(revision));
-        let row = cx.table.get(&key).await.map_err(|_| out())?;
+        let row = cx.table.get(&key).await.map_err(|_| store_unavailable())?;
         commits.extend(row.and_then(|it| it.value::<Commit>()));
     }
     Ok(commits)
@@ -77,7 +82,11 @@
 /// Returns the committed document and its row's version, or an empty document and `None` before
 /// the first change.
 async fn head(cx: &Context) -> Result<(Document, Option<Version>), Refusal> {
-    let row = cx.table.get(&Key::ConfigHead).await.map_err(|_| out())?;
+    let row = cx
+        .table
+        .get(&Key::ConfigHead)
+        .await
+        .map_err(|_| store_unavailable())?;
     let Some(row) = row else {
         return Ok((Document::default(), None));
     };
@@ -93,7 +102,7 @@
 
 /// The table row of a committed change.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Done {
+struct CommittedChange {
     /// The revision that the change created.
     revision: Revision,
     /// The hash of the edit. Detects a different edit under the same change id, which would
@@ -101,7 +110,7 @@
     edit: String,
 }
 
-impl Done {
+impl CommittedChange {
     fn new(change: &Change, revision: Revision) -> Self {
         let edit = serde_json::to_vec(&change.edit).expect("an edit has a JSON form");
         Self {
@@ -111,14 +120,14 @@
     }
 
     /// Returns the response to a retry of this change, or `None` if `change` is a different one.
-    fn repeat(&self, change: &Change) -> Option<Accepted> {
+    fn retry_response(&self, change: &Change) -> Option<Accepted> {
         (*self == Self::new(change, self.revision)).then_some(Accepted {
             revision: self.revision,
             repeated: true,
         })
     }
 
-    fn reused(&self) -> Refusal {
+    fn reused_id_refusal(&self) -> Refusal {
         Problem::not_run(
             Reason::KeyReused,
             format!(
@@ -130,7 +139,7 @@
     }
 }
 
-async fn committed(cx: &Context, change: &ChangeId) -> Result<Option<Done>, Error> {
+async fn read_committed(cx: &Context, change: &ChangeId) -> Result<Option<CommittedChange>, Error> {
     let row = cx.table.get(&Key::ConfigChange(change.clone())).await?;
     Ok(row.and_then(|it| it.value()))
 }
@@ -145,14 +154,14 @@
         Some(version) => Condition::At(Key::ConfigHead, version),
         None => Condition::Absent(Key::ConfigHead),
     };
-    let changed = Key::ConfigChange(change.id.clone());
-    let line = Commit::new(change, next.revision, cx.host.clock.wall());
+    let change_key = Key::ConfigChange(change.id.clone());
+    let history_entry = Commit::new(change, next.revision, cx.host.clock.wall());
     let transaction = Transaction::default()
         .when(head)
-        .when(Condition::Absent(changed.clone()))
+        .when(Condition::Absent(change_key.clone()))
         .put(&Key::ConfigHead, next)
-        .put(&changed, &Done::new(change, next.revision))
-        .put(&Key::ConfigHistory(next.revision), &line);
+        .put(&change_key, &CommittedChange::new(change, next.revision))
+        .put(&Key::ConfigHistory(next.revision), &history_entry);
     cx.table.transact(&transaction).await.map(|_| ())
 }
 
@@ -160,18 +169,22 @@
 ///
 /// The write took effect if the row of the change exists. If it doesn't, the write may still be
 /// in flight, so a missing row proves nothing.
-async fn settle(
+async fn resolve_unknown_write(
     cx: &Arc<Context>,
     change: &Change,
     next: Document,
     asked: Duration,
 ) -> Result<Accepted, Refusal> {
-    for _ in 0..SETTLE_ROUNDS {
-        match committed(cx, &change.id).await {
-            Ok(Some(done)) if done == Done::new(change, next.revision) => {
-                return Ok(accept(cx, change, &next, asked).await);
+    for _ in 0..MAX_OUTCOME_READS {
+        match read_committed(cx, &change.id).await {
+            Ok(Some(committed)) if committed == CommittedChange::new(change, next.revision) => {
+                return Ok(report_committed(cx, change, &next, asked).await);
+            }
+            Ok(Some(committed)) => {
+                return committed
+                    .retry_response(change)
+                    .ok_or_else(|| committed.reused_id_refusal());
             }
-            Ok(Some(done)) => return done.repeat(change).ok_or_else(|| done.reused()),
             Ok(None) | Err(_) => async_std::task::sleep(cx.host.settings.platform.connect).await,
         }
     }
@@ -191,7 +204,12 @@
 ///
 /// `asked` is a time before the write was sent. The age of the proof that no newer revision
 /// exists counts from it.
-async fn accept(cx: &Context, change: &Change, next: &Document, asked: Duration) -> Accepted {
+async fn report_committed(
+    cx: &Context,
+    change: &Change,
+    next: &Document,
+    asked: Duration,
+) -> Accepted {
     let name = change.edit.name();
     cx.host.log.emit(
         Event::ChangeCommitted,
@@ -210,7 +228,7 @@
         // Wait until the change is in force here, so that the operator sees it on this host once
         // the response arrives.
         fleet
-            .ask(|reply| fleet::Message::Settle(polled, reply))
+            .ask(|reply| fleet::Message::EventAndWait(polled, reply))
             .await;
     }
     Accepted {
@@ -229,7 +247,7 @@
     refused.into()
 }
 
-fn out() -> Refusal {
+fn store_unavailable() -> Refusal {
     Problem::not_run(
         Reason::StoreOut,
         "the table does not answer; nothing was changed",
--- a/crates/barleypind/src/service/decide.rs
+++ b/crates/barleypind/src/service/decide.rs
@@ -59,7 +59,7 @@
 
 /// A decider action that isn't specific to one call.
 #[derive(Clone, Debug)]
-pub(crate) enum Notice {
+pub(crate) enum DeciderEffect {
     /// Evidence for the other hosts.
     Evidence(Evidence),
     /// This host's demand, for the other hosts.
@@ -73,10 +73,10 @@
 }
 
 /// A shared handle of the decider.
-pub(crate) struct Decide {
+pub(crate) struct DeciderHandle {
     core: Mutex<Core>,
     host: Arc<Host>,
-    notices: UnboundedSender<Notice>,
+    effects: UnboundedSender<DeciderEffect>,
 }
 
 struct Core {
@@ -87,14 +87,14 @@
     actions: Vec<Action>,
 }
 
-impl Decide {
+impl DeciderHandle {
     /// Returns a decider without a policy, and the queue of its actions for other services.
     pub(crate) fn new(
         host: Arc<Host>,
         seed: u64,
         tuning: Tuning,
-    ) -> (Arc<Self>, UnboundedReceiver<Notice>) {
-        let (notices, receiver) = unbounded();
+    ) -> (Arc<Self>, UnboundedReceiver<DeciderEffect>) {
+        let (effects, receiver) = unbounded();
         let core = Core {
             decider: Decider::new(seed, tuning),
             policy: Arc::default(),
@@ -102,12 +102,12 @@
             attempts: HashMap::new(),
             actions: Vec::new(),
         };
-        let decide = Self {
+        let decider_handle = Self {
             core: Mutex::new(core),
             host,
-            notices,
+            effects,
         };
-        (Arc::new(decide), receiver)
+        (Arc::new(decider_handle), receiver)
     }
 
     /// Passes a call to the decider and returns the call's queue of directives.
@@ -185,13 +185,13 @@
 
     fn with<T>(&self, work: impl FnOnce(&mut Core, Duration) -> T) -> T {
         let mut core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
-        let began = Instant::now();
+        let start = Instant::now();
         // Read the time under the lock, so that it never decreases for the decider.
         let now = self.host.now();
         let result = work(&mut core, now);
-        core.route(&self.notices);
+        core.route(&self.effects);
         drop(core);
-        self.host.metrics.decided(began.elapsed());
+        self.host.metrics.decided(start.elapsed());
         result
     }
 }
@@ -199,34 +199,34 @@
 impl Core {
     /// Sends the actions to their receivers. Actions for a call that has ended, or for a service
     /// that has stopped during the exit of the process, are dropped.
-    fn route(&mut self, notices: &UnboundedSender<Notice>) {
+    fn route(&mut self, effects: &UnboundedSender<DeciderEffect>) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match self.translate(action) {
-                Routed::Call(request, directive) => {
+                Destination::Call(request, directive) => {
                     if let Some(call) = self.calls.get(&request) {
                         let _ = call.unbounded_send(directive);
                     }
                 }
-                Routed::Last(request, directive) => {
+                Destination::CallEnd(request, directive) => {
                     if let Some(call) = self.calls.remove(&request) {
                         let _ = call.unbounded_send(directive);
                     }
                 }
-                Routed::Notice(notice) => {
-                    let _ = notices.unbounded_send(notice);
+                Destination::Effect(effect) => {
+                    let _ = effects.unbounded_send(effect);
                 }
-                Routed::Nowhere => {}
+                Destination::Dropped => {}
             }
         }
         self.actions = actions;
     }
 
-    fn translate(&mut self, action: Action) -> Routed {
+    fn translate(&mut self, action: Action) -> Destination {
         match action {
             Action::Dispatch(it) => {
                 self.attempts.insert(it.attempt, it.request);
-                Routed::Call(
+                Destination::Call(
                     it.request,
                     Directive::Dispatch(Dispatch {
                         attempt: it.attempt,
@@ -242,25 +242,29 @@
                 )
             }
             Action::Cancel { attempt } => match self.attempts.remove(&attempt) {
-                Some(request) => Routed::Call(request, Directive::Cancel(attempt)),
-                None => Routed::Nowhere,
+                Some(request) => Destination::Call(request, Directive::Cancel(attempt)),
+                None => Destination::Dropped,
             },
             Action::Sample {
                 request, attempt, ..
-            } => Routed::Call(request, Directive::Sample(attempt)),
-            Action::Deliver(it) => Routed::Last(it.request, Directive::Deliver(self.delivery(it))),
+            } => Destination::Call(request, Directive::Sample(attempt)),
+            Action::Deliver(it) => {
+                Destination::CallEnd(it.request, Directive::Deliver(self.delivery(it)))
+            }
             Action::Refuse { request, refusal } => {
-                Routed::Last(request, Directive::Refuse(refusal))
+                Destination::CallEnd(request, Directive::Refuse(refusal))
             }
-            Action::Publish(evidence) => Routed::Notice(Notice::Evidence(evidence)),
-            Action::Demand(demand) => Routed::Notice(Notice::Demand(demand)),
+            Action::Publish(evidence) => Destination::Effect(DeciderEffect::Evidence(evidence)),
+            Action::Demand(demand) => Destination::Effect(DeciderEffect::Demand(demand)),
             Action::Version { version, verdict } => {
-                Routed::Notice(Notice::Verdict(self.version(version), verdict))
+                Destination::Effect(DeciderEffect::Verdict(self.version(version), verdict))
             }
             Action::LastResort { version, .. } => {
-                Routed::Notice(Notice::LastResort(self.version(version)))
+                Destination::Effect(DeciderEffect::LastResort(self.version(version)))
+            }
+            Action::Step(step) => {
+                Destination::Effect(DeciderEffect::Step(self.version(step.version), step))
             }
-            Action::Step(step) => Routed::Notice(Notice::Step(self.version(step.version), step)),
         }
     }
 
@@ -283,9 +287,9 @@
     }
 }
 
-enum Routed {
+enum Destination {
     Call(key::Request, Directive),
-    Last(key::Request, Directive),
-    Notice(Notice),
-    Nowhere,
+    CallEnd(key::Request, Directive),
+    Effect(DeciderEffect),
+    Dropped,
 }
--- a/crates/barleypind/src/service/notices.rs
+++ b/crates/barleypind/src/service/decider_effects.rs
@@ -10,24 +10,24 @@
 
 use crate::context::Context;
 use crate::event::Event;
-use crate::service::decide::Notice;
-use crate::service::fleet::{self, Told};
+use crate::service::decide::DeciderEffect;
+use crate::service::fleet::{self, DeciderMessage};
 use crate::service::rollout;
 
-/// Carries out notices until the decider is dropped.
-pub(crate) async fn run(cx: Arc<Context>, mut notices: UnboundedReceiver<Notice>) {
-    while let Some(notice) = notices.next().await {
-        match notice {
-            Notice::Evidence(evidence) => tell(&cx, Told::Evidence(evidence)),
-            Notice::Demand(demand) => tell(&cx, Told::Demand(demand)),
-            Notice::Verdict(version, verdict) => {
-                cx.verdicts.judge(&version, verdict);
+/// Carries out effects until the decider is dropped.
+pub(crate) async fn run(cx: Arc<Context>, mut effects: UnboundedReceiver<DeciderEffect>) {
+    while let Some(effect) = effects.next().await {
+        match effect {
+            DeciderEffect::Evidence(evidence) => broadcast(&cx, DeciderMessage::Evidence(evidence)),
+            DeciderEffect::Demand(demand) => broadcast(&cx, DeciderMessage::Demand(demand)),
+            DeciderEffect::Verdict(version, verdict) => {
+                cx.verdicts.record(&version, verdict);
                 let text = format!("{verdict:?}");
                 cx.host.log.emit(
                     Event::VersionVerdict,
                     &[("version", &version), ("verdict", &text)],
                 );
-                fleet::tell(
+                fleet::send_event(
                     &cx,
                     ::fleet::Event::Ruled(::fleet::Ruled {
                         version,
@@ -39,14 +39,14 @@
                     }),
                 );
             }
-            Notice::LastResort(version) => {
+            DeciderEffect::LastResort(version) => {
                 let verdict = "last resort";
                 cx.host.log.emit(
                     Event::VersionVerdict,
                     &[("version", &version), ("verdict", &verdict)],
                 );
             }
-            Notice::Step(version, step) => {
+            DeciderEffect::Step(version, step) => {
                 if let Some(rollout) = cx.host.registry.find::<rollout::Rollout>() {
                     // A dropped step is repeated by the decider.
                     let _ = rollout.offer(rollout::Message::Step(version, step));
@@ -60,13 +60,13 @@
 pub(crate) async fn tick(cx: Arc<Context>) {
     loop {
         task::sleep(cx.host.settings.decide.tick).await;
-        cx.decide.handle(decide::Event::Tick);
+        cx.decider.handle(decide::Event::Tick);
     }
 }
 
-fn tell(cx: &Context, told: Told) {
+fn broadcast(cx: &Context, message: DeciderMessage) {
     if let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() {
         // Lost evidence only delays learning.
-        let _ = fleet.offer(fleet::Message::Decide(told));
+        let _ = fleet.offer(fleet::Message::Decide(message));
     }
 }
--- a/crates/barleypind/src/service/drain.rs
+++ b/crates/barleypind/src/service/drain.rs
@@ -18,7 +18,7 @@
 use crate::service::fleet;
 
 /// Time for the last frames to be sent before the link closes.
-const GOODBYE: Duration = Duration::from_millis(200);
+const GOODBYE_DELAY: Duration = Duration::from_millis(200);
 
 /// The drain service.
 pub(crate) struct Drain;
@@ -31,11 +31,11 @@
 
 /// The outcome of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum DrainOutcome {
     /// No calls were cut off and no records are left.
-    Whole,
+    Complete,
     /// The drain limit in the settings was reached with calls or records left.
-    AtBound,
+    LimitReached,
 }
 
 /// Requests a drain. Further requests have no effect.
@@ -47,50 +47,52 @@
 }
 
 /// The servers and channels that the drain uses.
-pub(crate) struct Parts {
+pub(crate) struct Resources {
     pub(crate) servers: Vec<Server>,
     pub(crate) drained: Receiver<()>,
-    pub(crate) ended: Sender<Ended>,
+    pub(crate) ended: Sender<DrainOutcome>,
 }
 
 /// Waits for a request, then drains.
-pub(crate) async fn run(cx: Arc<Context>, queue: Receiver<()>, parts: Parts) {
+pub(crate) async fn run(cx: Arc<Context>, queue: Receiver<()>, resources: Resources) {
     if queue.recv().await.is_err() {
         return;
     }
-    let ended = drain(&cx, &parts).await;
+    let ended = drain(&cx, &resources).await;
     // Fails only if nobody waits for the outcome.
-    let _ = parts.ended.send(ended).await;
+    let _ = resources.ended.send(ended).await;
 }
 
-async fn drain(cx: &Arc<Context>, parts: &Parts) -> Ended {
+async fn drain(cx: &Arc<Context>, resources: &Resources) -> DrainOutcome {
     let host = &cx.host;
-    let bound = host.now() + host.settings.host.drain_limit;
-    let left = |at: Duration| bound.saturating_sub(at);
-    host.enter(Phase::Leaving);
+    let deadline = host.now() + host.settings.host.drain_limit;
+    let remaining = |at: Duration| deadline.saturating_sub(at);
+    host.advance_to(Phase::Leaving);
     host.log.emit(Event::Stopping, &[]);
-    fleet::tell(cx, ::fleet::Event::Leave);
-    let keep = host.settings.limits.hosts_keep.min(left(host.now()));
-    let limit = left(host.now()).saturating_sub(keep);
-    let stops = parts.servers.iter().map(|it| it.drain(keep, limit));
-    let cut: usize = futures::future::join_all(stops)
+    fleet::send_event(cx, ::fleet::Event::Leave);
+    let keep = host.settings.limits.hosts_keep.min(remaining(host.now()));
+    let limit = remaining(host.now()).saturating_sub(keep);
+    let drains = resources.servers.iter().map(|it| it.drain(keep, limit));
+    let calls_left: usize = futures::future::join_all(drains)
         .await
         .iter()
         .map(|it| it.left)
         .sum();
-    cx.books.handle(ledger::Event::Drain);
-    let held = timeout(left(host.now()), parts.drained.recv())
+    cx.ledger_handle.handle(ledger::Event::Drain);
+    let records_left = timeout(remaining(host.now()), resources.drained.recv())
         .await
         .is_err();
-    fleet::tell(cx, ::fleet::Event::Goodbye);
-    async_std::task::sleep(GOODBYE).await;
+    fleet::send_event(cx, ::fleet::Event::Goodbye);
+    async_std::task::sleep(GOODBYE_DELAY).await;
     cx.link.close().await;
-    if cut == 0 && !held {
+    if calls_left == 0 && !records_left {
         host.log.emit(Event::Drained, &[]);
-        return Ended::Whole;
+        return DrainOutcome::Complete;
     }
-    let records = cx.books.status().held;
-    host.log
-        .emit(Event::DrainBound, &[("calls", &cut), ("records", &records)]);
-    Ended::AtBound
+    let records = cx.ledger_handle.status().held;
+    host.log.emit(
+        Event::DrainBound,
+        &[("calls", &calls_left), ("records", &records)],
+    );
+    DrainOutcome::LimitReached
 }
--- a/crates/barleypind/src/service/endpoints.rs
+++ b/crates/barleypind/src/service/endpoints.rs
@@ -15,23 +15,23 @@
 
 use crate::event::Event;
 use crate::host::Host;
-use crate::service::decide::Decide;
+use crate::service::decide::DeciderHandle;
 use crate::service::fleet;
 
 /// Maximum number of concurrent requests for load reports.
-const POLLS_AT_ONCE: usize = 16;
+const MAX_CONCURRENT_POLLS: usize = 16;
 /// Minimum interval between two requests for load reports, to limit control traffic.
-const REPORT_PACE: Duration = Duration::from_millis(125);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(125);
 /// Timeout of a request for a load report.
-const REPORT_TIME: Duration = Duration::from_millis(800);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Number of consecutive missed reports after which an endpoint gets no new requests.
-const MISSED_BOUND: u32 = 3;
+const MAX_MISSED_REPORTS: u32 = 3;
 
 /// An endpoint and its known state.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     pub(crate) name: HostName,
-    pub(crate) at: engine::Endpoint,
+    pub(crate) target: engine::Endpoint,
     pub(crate) role: Role,
     pub(crate) distance: Distance,
     /// Whether the endpoint rejects orders with an old fencing number.
@@ -40,7 +40,7 @@
     pub(crate) may_load: Arc<[VersionId]>,
     state: State,
     load: Option<Load>,
-    missed: u32,
+    missed_reports: u32,
 }
 
 impl Endpoint {
@@ -50,7 +50,7 @@
     }
 
     fn id(&self) -> Id {
-        Id::new(&self.name, self.at.incarnation)
+        Id::new(&self.name, self.target.incarnation)
     }
 
     fn update(&self) -> Update {
@@ -74,16 +74,20 @@
 /// The endpoints known to this host.
 pub(crate) struct Endpoints {
     host: Arc<Host>,
-    decide: Arc<Decide>,
+    decider: Arc<DeciderHandle>,
     engine: engine::Client,
     known: RwLock<HashMap<Id, Endpoint>>,
 }
 
 impl Endpoints {
-    pub(crate) fn new(host: Arc<Host>, decide: Arc<Decide>, engine: engine::Client) -> Self {
+    pub(crate) fn new(
+        host: Arc<Host>,
+        decider: Arc<DeciderHandle>,
+        engine: engine::Client,
+    ) -> Self {
         Self {
             host,
-            decide,
+            decider,
             engine,
             known: RwLock::default(),
         }
@@ -108,8 +112,8 @@
     ///
     /// The list lags behind, so it never reverts what an endpoint itself reported: a leaving
     /// endpoint stays so for the rest of its incarnation.
-    pub(crate) fn list(&self, hosts: &[clients::Host]) {
-        let listed: Vec<_> = hosts.iter().filter_map(|it| self.listed(it)).collect();
+    pub(crate) fn apply_host_list(&self, hosts: &[clients::Host]) {
+        let listed: Vec<_> = hosts.iter().filter_map(|it| self.endpoint_of(it)).collect();
         let mut known = self.write();
         let gone: Vec<Id> = known
             .keys()
@@ -130,7 +134,7 @@
                         Event::EndpointUp,
                         &[
                             ("endpoint", &endpoint.name),
-                            ("incarnation", &endpoint.at.incarnation),
+                            ("incarnation", &endpoint.target.incarnation),
                         ],
                     );
                     updates.push(endpoint.update());
@@ -150,14 +154,19 @@
 
     /// Records an endpoint's state that an attempt revealed, and announces it to the other hosts,
     /// which see it in the platform's list only later.
-    pub(crate) fn learn(&self, name: &HostName, incarnation: Incarnation, state: State) {
-        self.hear(name, incarnation, state);
-        self.tell(name, incarnation, state);
+    pub(crate) fn report_state(&self, name: &HostName, incarnation: Incarnation, state: State) {
+        self.apply_announcement(name, incarnation, state);
+        self.announce(name, incarnation, state);
     }
 
     /// Records an endpoint's state announced by another host. Only a live endpoint changes its
     /// state.
-    pub(crate) fn hear(&self, name: &HostName, incarnation: Incarnation, state: State) {
+    pub(crate) fn apply_announcement(
+        &self,
+        name: &HostName,
+        incarnation: Incarnation,
+        state: State,
+    ) {
         let id = Id::new(name, incarnation);
         let mut known = self.write();
         let Some(endpoint) = known.get_mut(&id) else {
@@ -174,11 +183,11 @@
 
     /// Requests a load report from every endpoint once.
     pub(crate) async fn poll(&self) {
-        let asked: Vec<Endpoint> = self.read().values().cloned().collect();
-        let mut waiting = asked.into_iter();
+        let endpoints: Vec<Endpoint> = self.read().values().cloned().collect();
+        let mut waiting = endpoints.into_iter();
         let mut polls: FuturesUnordered<_> = waiting
             .by_ref()
-            .take(POLLS_AT_ONCE)
+            .take(MAX_CONCURRENT_POLLS)
             .map(|it| self.report(it))
             .collect();
         while polls.next().await.is_some() {
@@ -191,7 +200,7 @@
     /// Returns the endpoints whose load is polled: those that the decider sends to, and those
     /// that are gone, to detect their return.
     fn watched(&self) -> Vec<Endpoint> {
-        let ids = self.decide.watched();
+        let ids = self.decider.watched();
         let known = self.read();
         let sent_to = ids.iter().filter_map(|id| known.get(id));
         let given_up = known.values().filter(|it| it.state == State::Gone);
@@ -200,23 +209,23 @@
 
     async fn report(&self, endpoint: Endpoint) {
         let options = http::Options {
-            connect: REPORT_TIME,
-            first_byte: REPORT_TIME,
-            total: REPORT_TIME,
+            connect: REPORT_TIMEOUT,
+            first_byte: REPORT_TIMEOUT,
+            total: REPORT_TIMEOUT,
             repeat: http::Repeat::Idempotent,
         };
-        let report = self.engine.load(&endpoint.at, &options).await;
+        let report = self.engine.load(&endpoint.target, &options).await;
         let report = report
             .ok()
-            .filter(|it| it.incarnation == endpoint.at.incarnation);
+            .filter(|it| it.incarnation == endpoint.target.incarnation);
         let mut known = self.write();
         let Some(current) = known.get_mut(&endpoint.id()) else {
             return;
         };
         let before = current.state;
         match report {
-            Some(report) => current.take(report),
-            None => current.miss(),
+            Some(report) => current.apply_report(report),
+            None => current.count_missed_report(),
         }
         if before != current.state {
             let event = match current.state {
@@ -226,7 +235,7 @@
             };
             self.host.log.emit(event, &[("endpoint", &current.name)]);
             if current.state == State::Leaving {
-                self.tell(&current.name, current.at.incarnation, State::Leaving);
+                self.announce(&current.name, current.target.incarnation, State::Leaving);
             }
         }
         let update = current.update();
@@ -236,15 +245,15 @@
 
     fn publish(&self, updates: Vec<Update>) {
         for update in updates {
-            self.decide.handle(decide::Event::Endpoint(update));
+            self.decider.handle(decide::Event::Endpoint(update));
         }
     }
 
-    fn tell(&self, name: &HostName, incarnation: Incarnation, state: State) {
+    fn announce(&self, name: &HostName, incarnation: Incarnation, state: State) {
         let Some(fleet) = self.host.registry.find::<fleet::Fleet>() else {
             return;
         };
-        let news = wire::Endpoint {
+        let announcement = wire::Endpoint {
             host: name.clone(),
             incarnation,
             state: match state {
@@ -254,7 +263,9 @@
             },
         };
         // A dropped announcement does no harm: the host list and the load reports repeat it.
-        let _ = fleet.offer(fleet::Message::Event(::fleet::Event::Endpoint(news)));
+        let _ = fleet.offer(fleet::Message::Event(::fleet::Event::Endpoint(
+            announcement,
+        )));
     }
 
     fn log_leaving(&self, name: &HostName) {
@@ -263,7 +274,7 @@
             .emit(Event::EndpointLeaving, &[("endpoint", name)]);
     }
 
-    fn listed(&self, host: &clients::Host) -> Option<Endpoint> {
+    fn endpoint_of(&self, host: &clients::Host) -> Option<Endpoint> {
         let role = match host.kind {
             Kind::Entry => return None,
             Kind::Engine => Role::Engine(host.versions.clone().into()),
@@ -279,7 +290,7 @@
         };
         Some(Endpoint {
             name: host.name.clone(),
-            at: engine::Endpoint {
+            target: engine::Endpoint {
                 address: host.address,
                 incarnation: host.incarnation,
             },
@@ -296,7 +307,7 @@
                 clients::State::Leaving => State::Leaving,
             },
             load: None,
-            missed: 0,
+            missed_reports: 0,
         })
     }
 
@@ -310,8 +321,8 @@
 }
 
 impl Endpoint {
-    fn take(&mut self, report: engine::Load) {
-        self.missed = 0;
+    fn apply_report(&mut self, report: engine::Load) {
+        self.missed_reports = 0;
         self.state = match (self.state, report.state) {
             (State::Leaving, _) | (_, engine::State::Leaving) => State::Leaving,
             (_, engine::State::Live) => State::Live,
@@ -334,9 +345,9 @@
     }
 
     /// Counts a missed report. Several in a row mark the endpoint as gone until it reports again.
-    fn miss(&mut self) {
-        self.missed = self.missed.saturating_add(1);
-        if self.missed >= MISSED_BOUND && self.state == State::Live {
+    fn count_missed_report(&mut self) {
+        self.missed_reports = self.missed_reports.saturating_add(1);
+        if self.missed_reports >= MAX_MISSED_REPORTS && self.state == State::Live {
             self.state = State::Gone;
         }
     }
@@ -349,22 +360,22 @@
     endpoints: Arc<Endpoints>,
     entries: impl Fn(Vec<clients::Host>) + Send,
 ) {
-    let mut out = false;
+    let mut unavailable = false;
     loop {
         match list.fetch().await {
             Ok(listing) => {
-                out = false;
-                host.contact.note(host.now());
-                endpoints.list(&listing.hosts);
+                unavailable = false;
+                host.last_contact.record(host.now());
+                endpoints.apply_host_list(&listing.hosts);
                 let is_entry = |it: &clients::Host| it.kind == Kind::Entry;
                 entries(listing.hosts.into_iter().filter(is_entry).collect());
             }
             Err(err) => {
                 host.metrics.platform_failed("host_list");
-                if !out {
+                if !unavailable {
                     host.log.emit(Event::HostListOut, &[("cause", &err)]);
                 }
-                out = true;
+                unavailable = true;
             }
         }
         task::sleep(host.settings.platform.host_list_poll).await;
@@ -378,14 +389,14 @@
         let watched = endpoints.watched();
         let watched_none = watched.is_empty();
         let count = u32::try_from(watched.len().max(1)).unwrap_or(u32::MAX);
-        let pace = (host.settings.decide.load_poll / count).max(REPORT_PACE);
+        let interval = (host.settings.decide.load_poll / count).max(MIN_REPORT_INTERVAL);
         for endpoint in watched {
             let endpoints = Arc::clone(&endpoints);
             task::spawn(async move { endpoints.report(endpoint).await });
-            task::sleep(pace).await;
+            task::sleep(interval).await;
         }
         if watched_none {
-            task::sleep(pace).await;
+            task::sleep(interval).await;
         }
     }
 }
--- a/crates/barleypind/src/service/fleet.rs
+++ b/crates/barleypind/src/service/fleet.rs
@@ -2,7 +2,7 @@
 //! hosts.
 
 mod configuration;
-mod learned;
+mod decider_messages;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,13 +21,13 @@
 use crate::context::Context;
 use crate::event::Event as Logged;
 use crate::service::drain;
-use learned::Taught;
+use decider_messages::DigestState;
 
 use crate::{renew, tuning};
-pub(crate) use learned::Told;
+pub(crate) use decider_messages::DeciderMessage;
 
 /// Maximum time to wait for a message before the core's deadline is checked again.
-const IDLE: Duration = Duration::from_millis(250);
+const MAX_WAIT: Duration = Duration::from_millis(250);
 
 /// The fleet service.
 pub(crate) struct Fleet;
@@ -45,7 +45,7 @@
     /// Another event for the core.
     Event(Event),
     /// An event for the core. The reply is sent once the resulting actions have been carried out.
-    Settle(Event, oneshot::Sender<()>),
+    EventAndWait(Event, oneshot::Sender<()>),
     /// Requests the member with this incarnation.
     Find(Incarnation, oneshot::Sender<Option<Member>>),
     /// Requests the hosts to hand out to a caller in this data centre, best first.
@@ -55,7 +55,7 @@
     /// A message to the ledger of another host.
     Ledger(Incarnation, ledger::Message),
     /// A message to the deciders of the other hosts.
-    Decide(Told),
+    Decide(DeciderMessage),
     /// This process has a new incarnation.
     Renewed,
 }
@@ -64,7 +64,7 @@
     cx: Arc<Context>,
     core: fleet::Fleet,
     actions: Vec<Action>,
-    taught: Taught,
+    digest_state: DigestState,
 }
 
 /// Runs the service until its queue is closed.
@@ -73,21 +73,21 @@
         cx,
         core,
         actions: Vec::new(),
-        taught: Taught::NotYet,
+        digest_state: DigestState::NotRequested,
     };
-    actor.tell(Event::Tick);
+    actor.handle_event(Event::Tick);
     loop {
         let now = actor.cx.host.now();
-        let wait = actor.core.deadline().saturating_sub(now).min(IDLE);
+        let wait = actor.core.deadline().saturating_sub(now).min(MAX_WAIT);
         match timeout(wait, queue.recv()).await {
-            Ok(Ok(message)) => actor.take(message),
+            Ok(Ok(message)) => actor.handle(message),
             Ok(Err(_)) => return,
             Err(_) => {}
         }
         if actor.core.deadline() <= actor.cx.host.now() {
-            actor.tell(Event::Tick);
+            actor.handle_event(Event::Tick);
         }
-        actor.ask_once();
+        actor.request_digest();
     }
 }
 
@@ -104,15 +104,15 @@
 }
 
 impl Actor {
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         match message {
             Message::Frame(incoming) => {
-                self.cx.host.contact.note(self.cx.host.now());
-                self.frame(incoming);
+                self.cx.host.last_contact.record(self.cx.host.now());
+                self.handle_frame(incoming);
             }
-            Message::Event(event) => self.tell(event),
-            Message::Settle(event, reply) => {
-                self.tell(event);
+            Message::Event(event) => self.handle_event(event),
+            Message::EventAndWait(event, reply) => {
+                self.handle_event(event);
                 let _ = reply.send(());
             }
             // The requester may be gone by now, so failures to reply are ignored.
@@ -129,12 +129,12 @@
                 let _ = reply.send(all.collect());
             }
             Message::Ledger(to, message) => self.send_ledger(to, &message),
-            Message::Decide(told) => self.publish(&told),
+            Message::Decide(decider_message) => self.publish(&decider_message),
             Message::Renewed => self.renew(),
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.cx.host.now();
         let mut actions = std::mem::take(&mut self.actions);
         self.core.handle(now, event, &mut actions);
@@ -143,7 +143,10 @@
         }
         self.actions = actions;
         if let Some(age) = self.core.proof_age(now) {
-            self.cx.host.current.prove(now.saturating_sub(age));
+            self.cx
+                .host
+                .current_config
+                .record_proof(now.saturating_sub(age));
         }
     }
 
@@ -158,8 +161,8 @@
                 task::spawn(configuration::poll(Arc::clone(&self.cx)));
             }
             Action::Apply { revision, json } => configuration::apply(&self.cx, revision, &json),
-            Action::Member(change) => self.changed(&change),
-            Action::Verdict(verdict) => self.judged(&verdict),
+            Action::Member(change) => self.member_changed(&change),
+            Action::Verdict(verdict) => self.handle_verdict(&verdict),
             Action::Endpoint(endpoint) => {
                 let state = match endpoint.state {
                     EndpointState::Live => return,
@@ -168,9 +171,9 @@
                 };
                 self.cx
                     .endpoints
-                    .hear(&endpoint.host, endpoint.incarnation, state);
+                    .apply_announcement(&endpoint.host, endpoint.incarnation, state);
             }
-            // Unused: deciders exchange evidence as [`Told`].
+            // Unused: deciders exchange evidence as [`DeciderMessage`].
             Action::Evidence(_) => {}
             Action::Drain => drain::begin(&self.cx.host),
             Action::Deposed => renew::renew(&self.cx),
@@ -188,24 +191,24 @@
         self.core = fleet::Fleet::new(me, incarnation.0, tuning);
     }
 
-    fn frame(&mut self, incoming: Incoming) {
+    fn handle_frame(&mut self, incoming: Incoming) {
         let Incoming { from, frame, .. } = incoming;
         match frame {
-            Frame::Ledger(payload) => self.ledger_said(&from.host, &payload),
-            Frame::Decide(payload) => self.decider_said(&from.host, &payload),
-            frame => self.tell(Event::Frame {
+            Frame::Ledger(payload) => self.handle_ledger_payload(&from.host, &payload),
+            Frame::Decide(payload) => self.handle_decider_payload(&from.host, &payload),
+            frame => self.handle_event(Event::Frame {
                 from: from.host,
                 frame,
             }),
         }
     }
 
-    fn ledger_said(&self, from: &HostName, payload: &Payload) {
+    fn handle_ledger_payload(&self, from: &HostName, payload: &Payload) {
         if payload.from.host != *from {
             return self.bad_frame(from);
         }
         match postcard::from_bytes(&payload.bytes) {
-            Ok(message) => self.cx.books.handle(ledger::Event::Received {
+            Ok(message) => self.cx.ledger_handle.handle(ledger::Event::Received {
                 from: payload.from.incarnation,
                 message,
             }),
@@ -246,7 +249,7 @@
         members.find(|it| it.identity.incarnation == incarnation)
     }
 
-    fn changed(&self, change: &Change) {
+    fn member_changed(&self, change: &Change) {
         let member = &change.member;
         let event = match member.state {
             State::Alive if change.before != Some(State::Alive) => Logged::MemberUp,
@@ -264,11 +267,11 @@
                 ],
             );
         }
-        self.tell_hosts();
+        self.update_hosts();
     }
 
     /// Passes the hosts that are up to the ledger and their number to the decider.
-    fn tell_hosts(&self) {
+    fn update_hosts(&self) {
         let region = &self.core.me().region;
         let peers: Vec<Peer> = self
             .core
@@ -289,11 +292,11 @@
             })
             .collect();
         let live = u32::try_from(peers.len() + 1).unwrap_or(u32::MAX);
-        self.cx.books.handle(ledger::Event::Hosts(peers));
-        self.cx.decide.handle(decide::Event::Hosts { live });
+        self.cx.ledger_handle.handle(ledger::Event::Hosts(peers));
+        self.cx.decider.handle(decide::Event::Hosts { live });
     }
 
-    fn judged(&self, verdict: &wire::Verdict) {
+    fn handle_verdict(&self, verdict: &wire::Verdict) {
         if verdict.by == self.core.me().identity {
             return;
         }
@@ -303,7 +306,7 @@
                 decide::action::Verdict::Quarantined(decide::action::Cause::Errors),
             ),
         };
-        self.cx.decide.handle(decide::Event::Verdict {
+        self.cx.decider.handle(decide::Event::Verdict {
             version: verdict.version.clone(),
             verdict: judged,
         });
@@ -317,14 +320,14 @@
 
 /// Passes an event to the core, or drops it if the queue is full. All such events are repeated,
 /// and a flood must not block the sender.
-pub(crate) fn tell(cx: &Context, event: Event) {
+pub(crate) fn send_event(cx: &Context, event: Event) {
     if let Some(fleet) = cx.host.registry.find::<Fleet>() {
         let _ = fleet.offer(Message::Event(event));
     }
 }
 
 /// Converts the entry hosts of the platform's list into member records.
-pub(crate) fn listed(hosts: Vec<clients::Host>) -> Vec<Member> {
+pub(crate) fn member_records(hosts: Vec<clients::Host>) -> Vec<Member> {
     hosts
         .into_iter()
         .filter_map(|host| {
--- a/crates/barleypind/src/service/fleet/configuration.rs
+++ b/crates/barleypind/src/service/fleet/configuration.rs
@@ -7,7 +7,7 @@
 use clients::row::Key;
 use kernel::Revision;
 
-use super::tell;
+use super::send_event;
 use crate::context::Context;
 use crate::current::Adopted;
 use crate::event::Event as Logged;
@@ -27,7 +27,7 @@
         cx.host.metrics.platform_failed("table");
         Event::PollFailed
     };
-    tell(&cx, event);
+    send_event(&cx, event);
 }
 
 fn polled(cx: &Context, asked: Duration, document: Option<config::Document>) -> Event {
@@ -52,10 +52,10 @@
         let fields: &[crate::log::Field<'_>] = &[("revision", &revision)];
         return cx.host.log.emit(Logged::ConfigUnreadable, fields);
     };
-    match cx.host.current.adopt(document) {
+    match cx.host.current_config.adopt(document) {
         Adopted::Newer => {
-            cx.decide
-                .configure(Arc::clone(&cx.host.current.get().policy));
+            cx.decider
+                .configure(Arc::clone(&cx.host.current_config.get().policy));
             cx.host
                 .log
                 .emit(Logged::RevisionInForce, &[("revision", &revision)]);
@@ -67,7 +67,7 @@
         }
         Adopted::Same => {}
     }
-    if cx.host.enter(Phase::Ready) == Phase::Starting {
+    if cx.host.advance_to(Phase::Ready) == Phase::Starting {
         cx.host.log.emit(Logged::Ready, &[("revision", &revision)]);
     }
 }
--- a/crates/barleypind/src/service/ledger.rs
+++ b/crates/barleypind/src/service/ledger.rs
@@ -39,7 +39,7 @@
 
 /// An action of the ledger for another service.
 #[derive(Clone, Debug)]
-pub(crate) enum Errand {
+pub(crate) enum LedgerEffect {
     /// A message to the ledger of another host.
     Send(Incarnation, Message),
     /// An operation on the table.
@@ -51,10 +51,10 @@
 }
 
 /// A shared handle of the ledger.
-pub(crate) struct Books {
+pub(crate) struct LedgerHandle {
     core: Mutex<Core>,
     host: Arc<Host>,
-    errands: UnboundedSender<Errand>,
+    effects: UnboundedSender<LedgerEffect>,
 }
 
 struct Core {
@@ -65,10 +65,13 @@
     wake: Option<Duration>,
 }
 
-impl Books {
+impl LedgerHandle {
     /// Returns an empty ledger, and the queue of its actions for other services.
-    pub(crate) fn new(host: Arc<Host>, tuning: Tuning) -> (Arc<Self>, UnboundedReceiver<Errand>) {
-        let (errands, receiver) = unbounded();
+    pub(crate) fn new(
+        host: Arc<Host>,
+        tuning: Tuning,
+    ) -> (Arc<Self>, UnboundedReceiver<LedgerEffect>) {
+        let (effects, receiver) = unbounded();
         let data_centre = host.settings.host.data_centre.clone();
         let core = Core {
             ledger: ledger::Ledger::new(host.incarnation(), data_centre, tuning),
@@ -77,12 +80,12 @@
             actions: Vec::new(),
             wake: None,
         };
-        let books = Self {
+        let ledger_handle = Self {
             core: Mutex::new(core),
             host,
-            errands,
+            effects,
         };
-        (Arc::new(books), receiver)
+        (Arc::new(ledger_handle), receiver)
     }
 
     /// Requests admission of a call. Returns `None` only during the exit of the process.
@@ -122,7 +125,7 @@
         let mut core = self.lock();
         let now = self.host.now();
         work(&mut core, now);
-        let wake = core.route(&self.errands, &self.host);
+        let wake = core.route(&self.effects, &self.host);
         drop(core);
         if let Some(at) = wake {
             self.wake_at(at, now);
@@ -130,10 +133,10 @@
     }
 
     fn wake_at(self: &Arc<Self>, at: Duration, now: Duration) {
-        let books = Arc::clone(self);
+        let ledger_handle = Arc::clone(self);
         task::spawn(async move {
             task::sleep(at.saturating_sub(now)).await;
-            books.with(|core, now| {
+            ledger_handle.with(|core, now| {
                 if core.wake.is_some_and(|wake| wake <= now) {
                     core.wake = None;
                 }
@@ -154,7 +157,7 @@
 
     /// Sends the actions to their receivers. Returns the next wake-up time if it is earlier than
     /// the one scheduled.
-    fn route(&mut self, errands: &UnboundedSender<Errand>, host: &Host) -> Option<Duration> {
+    fn route(&mut self, effects: &UnboundedSender<LedgerEffect>, host: &Host) -> Option<Duration> {
         let mut sooner = None;
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -176,12 +179,12 @@
                     self.close(&request, Closing::Release(safety));
                 }
                 Action::Close { request, run } => self.close(&request, Closing::Close(run)),
-                Action::Send { to, message } => send(errands, Errand::Send(to, message)),
+                Action::Send { to, message } => send(effects, LedgerEffect::Send(to, message)),
                 Action::Transact { .. } | Action::Read { .. } | Action::Scan { .. } => {
-                    send(errands, Errand::Table(action));
+                    send(effects, LedgerEffect::Table(action));
                 }
-                Action::Retire { fenced } => send(errands, Errand::Retire(fenced)),
-                Action::Drained => send(errands, Errand::Drained),
+                Action::Retire { fenced } => send(effects, LedgerEffect::Retire(fenced)),
+                Action::Drained => send(effects, LedgerEffect::Drained),
                 Action::Wake { at } => {
                     if self.wake.is_none_or(|wake| at < wake) {
                         self.wake = Some(at);
@@ -209,6 +212,6 @@
 }
 
 /// Can't fail, since the receiving service runs as long as the process.
-fn send(errands: &UnboundedSender<Errand>, errand: Errand) {
-    let _ = errands.unbounded_send(errand);
+fn send(effects: &UnboundedSender<LedgerEffect>, effect: LedgerEffect) {
+    let _ = effects.unbounded_send(effect);
 }
--- a/crates/barleypind/src/service/rate.rs
+++ b/crates/barleypind/src/service/rate.rs
@@ -13,7 +13,7 @@
 use crate::event::Event as Logged;
 
 /// Maximum number of ratings in one request.
-const PAGE: usize = 200;
+const PAGE_SIZE: usize = 200;
 
 /// The service that submits samples.
 pub(crate) struct Rate;
@@ -37,13 +37,13 @@
 /// Polls for ratings forever.
 pub(crate) async fn collect(cx: Arc<Context>) {
     let mut after = 0;
-    let mut out = false;
+    let mut unavailable = false;
     let host = &cx.host.settings.host.name;
     loop {
-        match cx.ratings.fetch(host, after, PAGE).await {
+        match cx.ratings.fetch(host, after, PAGE_SIZE).await {
             Ok(ratings) => {
-                out = false;
-                let full = ratings.len() == PAGE;
+                unavailable = false;
+                let full = ratings.len() == PAGE_SIZE;
                 for rating in ratings {
                     after = after.max(rating.seq);
                     pass_on(&cx, rating);
@@ -54,10 +54,10 @@
             }
             Err(err) => {
                 cx.host.metrics.platform_failed("ratings");
-                if !out {
+                if !unavailable {
                     cx.host.log.emit(Logged::RatingsOut, &[("cause", &err)]);
                 }
-                out = true;
+                unavailable = true;
             }
         }
         task::sleep(cx.host.settings.platform.ratings_poll).await;
@@ -70,7 +70,7 @@
     let Some(request) = cx.host.request_number(rating.request.as_str()) else {
         return;
     };
-    cx.decide.handle(Event::Rated(Rating {
+    cx.decider.handle(Event::Rated(Rating {
         request,
         version: rating.version,
         class: Class::named(&rating.class),
--- a/crates/barleypind/src/service/rollout.rs
+++ b/crates/barleypind/src/service/rollout.rs
@@ -21,12 +21,12 @@
 
 use crate::context::Context;
 use crate::host::Phase;
-use holder::Holder;
+use holder::LeaseHolder;
 
 /// Interval between comparisons of the engines' state with the wanted one.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum number of hosts that compete for the lease. More would only read its row more often.
-const CANDIDATES: usize = 5;
+const MAX_CANDIDATES: usize = 5;
 
 /// The roll-out service.
 pub(crate) struct Rollout;
@@ -45,26 +45,26 @@
 
 struct Actor {
     cx: Arc<Context>,
-    holder: Holder,
+    holder: LeaseHolder,
     /// The time of the last order, by engine and version.
-    ordered: HashMap<(HostName, VersionId), Duration>,
+    last_orders: HashMap<(HostName, VersionId), Duration>,
 }
 
 /// Runs the service until its queue is closed.
 pub(crate) async fn run(cx: Arc<Context>, queue: Receiver<Message>) {
     let mut actor = Actor {
-        holder: Holder::new(&cx),
+        holder: LeaseHolder::new(&cx),
         cx,
-        ordered: HashMap::new(),
+        last_orders: HashMap::new(),
     };
-    let mut looked = Duration::ZERO;
+    let mut last_check = Duration::ZERO;
     loop {
         let now = actor.cx.host.now();
-        if now >= looked + LOOK {
-            looked = now;
-            actor.look().await;
+        if now >= last_check + CHECK_INTERVAL {
+            last_check = now;
+            actor.check().await;
         }
-        match timeout(LOOK, queue.recv()).await {
+        match timeout(CHECK_INTERVAL, queue.recv()).await {
             Ok(Ok(Message::Step(version, step))) => actor.step(&version, &step).await,
             Ok(Err(_)) => return,
             Err(_) => {}
@@ -74,16 +74,16 @@
 
 impl Actor {
     /// Renews or requests the lease, and sends the orders that are due.
-    async fn look(&mut self) {
+    async fn check(&mut self) {
         if self.cx.host.phase() == Phase::Leaving {
-            return self.holder.resign(&self.cx).await;
+            return self.holder.release(&self.cx).await;
         }
         if !self.holder.holds(&self.cx) && !self.is_candidate().await {
             return;
         }
         self.holder.tick(&self.cx).await;
         if self.holder.holds(&self.cx) {
-            self.order().await;
+            self.send_due_orders().await;
         }
     }
 
@@ -91,7 +91,7 @@
     /// members agree. Different views only change the number of candidates, since the table
     /// decides.
     async fn is_candidate(&self) -> bool {
-        let members = crate::operate::members(&self.cx).await;
+        let members = crate::operator_api::members(&self.cx).await;
         let mut names: Vec<_> = members
             .iter()
             .filter(|it| it.state == wire::State::Alive)
@@ -99,6 +99,6 @@
             .collect();
         names.sort();
         let me = blake3::hash(self.cx.host.settings.host.name.as_str().as_bytes()).to_hex();
-        names.iter().take(CANDIDATES).any(|it| *it == me)
+        names.iter().take(MAX_CANDIDATES).any(|it| *it == me)
     }
 }
--- a/crates/barleypind/src/service/rollout/holder.rs
+++ b/crates/barleypind/src/service/rollout/holder.rs
@@ -8,11 +8,10 @@
 use crate::context::Context;
 use crate::event::Event as Logged;
 
-/// The name of the lease.
-const NAME: &str = "orders";
+const LEASE_NAME: &str = "orders";
 
 /// The lease, whose actions are carried out on the table.
-pub(crate) struct Holder {
+pub(crate) struct LeaseHolder {
     lease: Lease,
     held: Held,
 }
@@ -23,7 +22,7 @@
     No,
 }
 
-impl Holder {
+impl LeaseHolder {
     pub(crate) fn new(cx: &Context) -> Self {
         Self {
             lease: Lease::new(cx.host.incarnation(), Tuning::default()),
@@ -37,7 +36,11 @@
     }
 
     /// Returns the fencing number for an order that is sent now.
-    pub(crate) fn order(&self, cx: &Context, endpoint: Endpoint) -> Result<Fencing, Denied> {
+    pub(crate) fn fencing_number(
+        &self,
+        cx: &Context,
+        endpoint: Endpoint,
+    ) -> Result<Fencing, Denied> {
         self.lease.order(cx.host.now(), endpoint)
     }
 
@@ -46,7 +49,7 @@
     }
 
     /// Releases the lease if this host holds it.
-    pub(crate) async fn resign(&mut self, cx: &Context) {
+    pub(crate) async fn release(&mut self, cx: &Context) {
         if self.held == Held::Yes {
             self.handle(cx, Event::Resign).await;
         }
@@ -71,7 +74,7 @@
                 Held::Yes => Logged::LeaseTaken,
                 Held::No => Logged::LeaseLost,
             };
-            cx.host.log.emit(event, &[("lease", &NAME)]);
+            cx.host.log.emit(event, &[("lease", &LEASE_NAME)]);
             self.held = held;
         }
     }
@@ -119,5 +122,5 @@
 }
 
 fn key() -> Key {
-    Key::Lease(NAME.into())
+    Key::Lease(LEASE_NAME.into())
 }
--- a/crates/barleypind/src/service/rollout/orders.rs
+++ b/crates/barleypind/src/service/rollout/orders.rs
@@ -14,35 +14,35 @@
 use crate::service::endpoints::{Endpoint, Fencing};
 
 /// Interval after which an order is repeated if the load report doesn't show its effect.
-const PATIENCE: Duration = Duration::from_secs(5);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Actor {
     /// Sends the orders that are due.
-    pub(super) async fn order(&mut self) {
-        let snapshot = self.cx.host.current.get();
+    pub(super) async fn send_due_orders(&mut self) {
+        let snapshot = self.cx.host.current_config.get();
         let mut engines = self.cx.endpoints.live();
         engines.retain(|it| matches!(it.role, Role::Engine(_)));
         engines.sort_by(|a, b| a.name.cmp(&b.name));
-        for (idx, version, wanted) in due(&snapshot.document, &engines) {
-            self.give(&engines[idx], version, wanted).await;
+        for (idx, version, wanted) in due_orders(&snapshot.document, &engines) {
+            self.send_order(&engines[idx], version, wanted).await;
         }
     }
 
-    async fn give(&mut self, engine: &Endpoint, version: VersionId, wanted: Wanted) {
+    async fn send_order(&mut self, engine: &Endpoint, version: VersionId, wanted: Wanted) {
         let cx = &self.cx;
         let now = cx.host.now();
-        let name = (engine.name.clone(), version.clone());
-        let recent = self.ordered.get(&name);
-        if recent.is_some_and(|at| now.saturating_sub(*at) < PATIENCE) {
+        let key = (engine.name.clone(), version.clone());
+        let last_order = self.last_orders.get(&key);
+        if last_order.is_some_and(|at| now.saturating_sub(*at) < ORDER_RETRY_INTERVAL) {
             return;
         }
-        let checks = match engine.fencing {
+        let fencing_check = match engine.fencing {
             Fencing::Checks => lease::Endpoint::Checks,
             Fencing::Ignores => lease::Endpoint::Ignores,
         };
         // Check the lease immediately before sending: a holder that was frozen finds here that
         // its lease has expired.
-        let Ok(fencing) = self.holder.order(cx, checks) else {
+        let Ok(fencing) = self.holder.fencing_number(cx, fencing_check) else {
             return;
         };
         let order = Order {
@@ -57,8 +57,8 @@
             total: Tuning::default().order_bound,
             ..Options::default()
         };
-        self.ordered.insert(name, now);
-        let said = match cx.engine.order(&engine.at, &order, &options).await {
+        self.last_orders.insert(key, now);
+        let cause = match cx.engine.order(&engine.target, &order, &options).await {
             Ok(Receipt::Taken) => return,
             Ok(Receipt::StaleFencing) => "stale fencing number".to_owned(),
             Err(failure) => failure.to_string(),
@@ -68,7 +68,7 @@
             &[
                 ("endpoint", &engine.name),
                 ("version", &order.version),
-                ("cause", &said),
+                ("cause", &cause),
             ],
         );
     }
@@ -76,15 +76,15 @@
 
 /// Returns the orders that bring the engines to the wanted state: the engine's index in
 /// `engines`, the version and its wanted state.
-fn due(document: &Document, engines: &[Endpoint]) -> Vec<(usize, VersionId, Wanted)> {
+fn due_orders(document: &Document, engines: &[Endpoint]) -> Vec<(usize, VersionId, Wanted)> {
     let mut due = Vec::new();
     for (id, version) in &document.versions {
-        let holders = holders(document, id, version, engines);
+        let targets = target_engines(document, id, version, engines);
         for (idx, engine) in engines.iter().enumerate() {
-            let wanted = holders.contains(&idx);
+            let wanted = targets.contains(&idx);
             match (wanted, engine.has_loaded(id)) {
                 (true, false) => due.push((idx, id.clone(), Wanted::Loaded)),
-                // An active version that was loaded without an order is left alone.
+                // An active version stays loaded on an engine that isn't a target.
                 (false, true) if !version.is_active() || is_aborted(document, id) => {
                     due.push((idx, id.clone(), Wanted::Unloaded));
                 }
@@ -96,7 +96,7 @@
 }
 
 /// Returns the indices of the engines that have to have a version loaded.
-fn holders(
+fn target_engines(
     document: &Document,
     id: &VersionId,
     version: &config::Version,
@@ -105,16 +105,16 @@
     if !version.is_active() {
         return Vec::new();
     }
-    let places = |wanted: &dyn Fn(&Endpoint) -> bool| -> Vec<usize> {
+    let indices = |wanted: &dyn Fn(&Endpoint) -> bool| -> Vec<usize> {
         let all = engines.iter().enumerate();
         all.filter(|(_, it)| wanted(it))
             .map(|(idx, _)| idx)
             .collect()
     };
     let Some(rollout) = document.rollouts.get(id) else {
-        return places(&|it| it.may_load.contains(id));
+        return indices(&|it| it.may_load.contains(id));
     };
-    let takers = places(&|it| it.may_load.contains(id) || it.has_loaded(&rollout.replaces));
+    let candidates = indices(&|it| it.may_load.contains(id) || it.has_loaded(&rollout.replaces));
     let share = match rollout.state {
         RolloutState::Aborted => return Vec::new(),
         RolloutState::Done => 1.0,
@@ -125,8 +125,8 @@
         }
         RolloutState::Paused => rollout.share(),
     };
-    let count = part(takers.len(), share);
-    takers.into_iter().take(count).collect()
+    let count = engine_count(candidates.len(), share);
+    candidates.into_iter().take(count).collect()
 }
 
 fn is_aborted(document: &Document, id: &VersionId) -> bool {
@@ -134,8 +134,9 @@
     rollout.is_some_and(|it| it.state == RolloutState::Aborted)
 }
 
-/// Returns the smallest number of engines, at least one, that is the given share of `count`.
-fn part(count: usize, share: f64) -> usize {
+/// Returns the smallest number of engines, at least one, that is at least the given share of
+/// `count`.
+fn engine_count(count: usize, share: f64) -> usize {
     (1..=count)
         .find(|part| ratio(*part, count) >= share)
         .unwrap_or(count)
--- a/crates/barleypind/src/service/rollout/step.rs
+++ b/crates/barleypind/src/service/rollout/step.rs
@@ -9,7 +9,7 @@
 use crate::service::configure;
 
 /// Tolerance for the comparison of shares, which are decimal fractions written by operators.
-const SAME: f64 = 1e-9;
+const SHARE_TOLERANCE: f64 = 1e-9;
 
 impl Actor {
     /// Makes a step if this host holds the lease and the step still applies.
@@ -17,7 +17,7 @@
         if !self.holder.holds(&self.cx) {
             return;
         }
-        let snapshot = self.cx.host.current.get();
+        let snapshot = self.cx.host.current_config.get();
         let Some(rollout) = snapshot.document.rollouts.get(version) else {
             return;
         };
@@ -56,7 +56,7 @@
 
 /// Returns the roll-out after the step, or `None` if the roll-out isn't at the step's start.
 fn next(rollout: &Rollout, step: &Step) -> Option<Rollout> {
-    if (rollout.share() - step.from).abs() > SAME {
+    if (rollout.share() - step.from).abs() > SHARE_TOLERANCE {
         return None;
     }
     let mut next = rollout.clone();
--- a/crates/barleypind/src/service/table.rs
+++ b/crates/barleypind/src/service/table.rs
@@ -17,29 +17,29 @@
 use crate::event::Event as Logged;
 use crate::renew;
 use crate::service::fleet;
-use crate::service::ledger::Errand;
+use crate::service::ledger::LedgerEffect;
 
 /// Carries out the ledger's actions until the ledger is dropped. Table operations run
 /// concurrently; the ledger limits their number.
 pub(crate) async fn run(
     cx: Arc<Context>,
-    mut errands: UnboundedReceiver<Errand>,
+    mut effects: UnboundedReceiver<LedgerEffect>,
     drained: Sender<()>,
 ) {
-    while let Some(errand) = errands.next().await {
-        match errand {
-            Errand::Send(to, message) => {
+    while let Some(effect) = effects.next().await {
+        match effect {
+            LedgerEffect::Send(to, message) => {
                 if let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() {
                     // Dropped messages that matter are repeated by the ledger.
                     let _ = fleet.offer(fleet::Message::Ledger(to, message));
                 }
             }
-            Errand::Table(action) => {
+            LedgerEffect::Table(action) => {
                 task::spawn(perform(Arc::clone(&cx), action));
             }
-            Errand::Retire(fenced) if fenced == cx.host.incarnation() => renew::renew(&cx),
-            Errand::Retire(_) => {}
-            Errand::Drained => {
+            LedgerEffect::Retire(fenced) if fenced == cx.host.incarnation() => renew::renew(&cx),
+            LedgerEffect::Retire(_) => {}
+            LedgerEffect::Drained => {
                 let _ = drained.try_send(());
             }
         }
@@ -67,7 +67,7 @@
         },
         _ => return,
     };
-    cx.books.handle(event);
+    cx.ledger_handle.handle(event);
 }
 
 async fn transact(cx: &Context, wanted: Transaction) -> Written {
--- a/crates/barleypind/src/service/watch.rs
+++ b/crates/barleypind/src/service/watch.rs
@@ -10,60 +10,60 @@
 use crate::event::Event;
 use crate::service::fleet;
 
-const EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// The load of a full host.
-const FULL: usize = 255;
+const MAX_LOAD: usize = 255;
 
 /// The state at the last check, so that only changes are logged.
 #[derive(Default)]
-struct Seen {
+struct Conditions {
     stale: bool,
-    out: bool,
+    table_out: bool,
 }
 
 /// Checks the state forever.
 pub(crate) async fn run(cx: Arc<Context>) {
-    let mut seen = Seen::default();
+    let mut last = Conditions::default();
     loop {
-        look(&cx, &mut seen);
-        task::sleep(EVERY).await;
+        check(&cx, &mut last);
+        task::sleep(CHECK_INTERVAL).await;
     }
 }
 
-fn look(cx: &Context, seen: &mut Seen) {
+fn check(cx: &Context, last: &mut Conditions) {
     let now = cx.host.now();
-    fleet::tell(cx, ::fleet::Event::Load(load(cx)));
-    let status = cx.books.status();
+    fleet::send_event(cx, ::fleet::Event::Load(load(cx)));
+    let status = cx.ledger_handle.status();
     cx.backlog
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
-        .note(now, &status);
-    let age = cx.host.current.proof_age(now);
+        .record(now, &status);
+    let age = cx.host.current_config.proof_age(now);
     let stale = age.is_none_or(|age| age > cx.host.settings.freshness.bound);
-    if stale != seen.stale && age.is_some() {
+    if stale != last.stale && age.is_some() {
         let event = if stale {
             Event::ConfigStale
         } else {
             Event::ConfigFresh
         };
-        let revision = cx.host.current.get().revision();
+        let revision = cx.host.current_config.get().revision();
         cx.host.log.emit(event, &[("revision", &revision)]);
     }
-    let out = cx.table.is_out();
-    if out != seen.out {
-        let event = if out {
+    let table_out = cx.table.is_out();
+    if table_out != last.table_out {
+        let event = if table_out {
             Event::StoreOut
         } else {
             Event::StoreBack
         };
         cx.host.log.emit(event, &[("unwritten", &status.held)]);
     }
-    *seen = Seen { stale, out };
+    *last = Conditions { stale, table_out };
 }
 
 /// Returns this host's load, from 0 (idle) to 255 (full).
 fn load(cx: &Context) -> u8 {
     let open = cx.host.open_calls();
     let most = cx.host.settings.limits.max_in_flight.max(1);
-    u8::try_from((open * FULL / most).min(FULL)).unwrap_or(u8::MAX)
+    u8::try_from((open * MAX_LOAD / most).min(MAX_LOAD)).unwrap_or(u8::MAX)
 }
--- a/crates/barleypind/src/verdicts.rs
+++ b/crates/barleypind/src/verdicts.rs
@@ -13,7 +13,7 @@
 }
 
 impl Verdicts {
-    pub(crate) fn judge(&self, version: &VersionId, verdict: Verdict) {
+    pub(crate) fn record(&self, version: &VersionId, verdict: Verdict) {
         let mut quarantined = self.lock();
         match verdict {
             Verdict::Healthy => quarantined.remove(version),
@@ -22,7 +22,7 @@
     }
 
     /// Returns the text that describes a version's health.
-    pub(crate) fn word(&self, version: &VersionId) -> String {
+    pub(crate) fn description(&self, version: &VersionId) -> String {
         match self.lock().get(version) {
             None | Some(Verdict::Healthy) => "healthy".to_owned(),
             Some(Verdict::Quarantined(cause)) => {
--- a/crates/barleypind/tests/catalogue.rs
+++ b/crates/barleypind/tests/catalogue.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use barleypind::event::Event;
-use barleypind::metrics::{CATALOGUE, Kind, Metrics};
+use barleypind::metrics::{CATALOGUE, CallKind, Metrics};
 use expect_test::expect_file;
 
 #[test]
@@ -70,7 +70,7 @@
 #[test]
 fn the_catalogue_is_what_is_exported() {
     let metrics = Metrics::new();
-    metrics.call_ended(Kind::Chat, Duration::ZERO);
+    metrics.call_ended(CallKind::Chat, Duration::ZERO);
     metrics.first_token(Duration::ZERO);
     metrics.decided(Duration::ZERO);
     let text = metrics.text();
--- a/crates/barleypind/tests/check.rs
+++ b/crates/barleypind/tests/check.rs
@@ -8,7 +8,7 @@
 use link::keys::Authority;
 use tempfile::TempDir;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [host]
 name = "entry-1"
 data_centre = "dar-1"
@@ -40,8 +40,11 @@
     fs::write(dir.path().join("host.pem"), keys.certificate).unwrap();
     fs::write(dir.path().join("host.key.pem"), keys.key).unwrap();
     let path = dir.path().join("host.toml");
-    fs::write(&path, settings.replace("DIR", &shown(dir.path()))).unwrap();
-    expect.assert_eq(&run(&["check", "--settings", &shown(&path)], dir.path()));
+    fs::write(&path, settings.replace("DIR", &display_path(dir.path()))).unwrap();
+    expect.assert_eq(&run(
+        &["check", "--settings", &display_path(&path)],
+        dir.path(),
+    ));
 }
 
 fn run(args: &[&str], dir: &Path) -> String {
@@ -50,18 +53,20 @@
         .output()
         .unwrap();
     let text = [output.stdout, output.stderr].concat();
-    let text = String::from_utf8(text).unwrap().replace(&shown(dir), "DIR");
+    let text = String::from_utf8(text)
+        .unwrap()
+        .replace(&display_path(dir), "DIR");
     format!("{text}exit {}\n", output.status.code().unwrap())
 }
 
-fn shown(path: &Path) -> String {
+fn display_path(path: &Path) -> String {
     path.display().to_string()
 }
 
 #[test]
 fn good_settings_pass() {
     check(
-        GOOD,
+        VALID,
         &expect![[r"
         DIR/host.toml: no faults
         exit 0
@@ -71,7 +76,7 @@
 
 #[test]
 fn every_fault_is_told_in_one_run() {
-    let settings = GOOD
+    let settings = VALID
         .replace("region = \"dar\"", "regoin = \"dar\"")
         .replace("callers = \"127.0.0.1:0\"", "callers = \"here\"")
         + "[limits]\nmax_connections = 0\n[colours]\n";
@@ -103,7 +108,7 @@
 #[test]
 fn a_key_file_that_is_missing_or_empty_is_named() {
     check(
-        &GOOD.replace("operator_key = \"DIR/key\"", "operator_key = \"DIR/none\""),
+        &VALID.replace("operator_key = \"DIR/key\"", "operator_key = \"DIR/none\""),
         &expect![[r"
             key file DIR/none: can't be used
               because: No such file or directory (os error 2)
@@ -111,7 +116,7 @@
         "]],
     );
     check(
-        &GOOD.replace("session_key = \"DIR/key\"", "session_key = \"DIR/empty\""),
+        &VALID.replace("session_key = \"DIR/key\"", "session_key = \"DIR/empty\""),
         &expect![[r"
             key file DIR/empty: can't be used
               the file is empty
@@ -123,7 +128,7 @@
 #[test]
 fn fleet_keys_that_do_not_fit_are_refused() {
     check(
-        &GOOD.replace("host_key = \"DIR/host.key.pem\"", "host_key = \"DIR/key\""),
+        &VALID.replace("host_key = \"DIR/host.key.pem\"", "host_key = \"DIR/key\""),
         &expect![[r"
             the link to the other hosts can't be set up
               because: the fleet's keys can't be used
@@ -136,7 +141,7 @@
 #[test]
 fn a_settings_file_that_is_missing_is_named() {
     let dir = TempDir::new().unwrap();
-    let path = shown(&dir.path().join("none.toml"));
+    let path = display_path(&dir.path().join("none.toml"));
     expect![[r"
         settings DIR/none.toml: can't be read
           because: No such file or directory (os error 2)
--- a/crates/barleypind/tests/golden/call.rs
+++ b/crates/barleypind/tests/golden/call.rs
@@ -10,7 +10,7 @@
 use crate::site::{Site, argument, host, key_of, operator, text};
 
 /// Maximum number of calls to get one that escalates.
-const CALLS: usize = 3000;
+const MAX_CALLS: usize = 3000;
 
 /// Runs `call [host=N] [key=customer] [save=name]`, a call with the request as its input. `save`
 /// stores the response's session token or ticket under a name, which later calls refer to as
@@ -19,7 +19,7 @@
 /// With `times=N` the call is made N times and the responses aren't shown. With `escalated` it is
 /// repeated until a response took a second attempt, since the confidence of the cheap version is
 /// drawn at random for each request.
-pub(crate) async fn caller(site: &mut Site, case: &TestCase) -> String {
+pub(crate) async fn caller_call(site: &mut Site, case: &TestCase) -> String {
     let escalated = case.args.contains_key("escalated");
     if let Some(times) = argument::<usize>(case, "times") {
         for _ in 0..times {
@@ -27,14 +27,14 @@
         }
         return format!("{times} calls\n");
     }
-    for _ in 0..CALLS {
+    for _ in 0..MAX_CALLS {
         let shown = call(site, case).await;
-        let second = shown.contains("attempts: 2") || shown.contains("\"attempts\":2");
-        if second || !escalated {
+        let has_second_attempt = shown.contains("attempts: 2") || shown.contains("\"attempts\":2");
+        if has_second_attempt || !escalated {
             return shown;
         }
     }
-    format!("not one of {CALLS} calls took a second attempt\n")
+    format!("not one of {MAX_CALLS} calls took a second attempt\n")
 }
 
 async fn call(site: &mut Site, case: &TestCase) -> String {
--- a/crates/barleypind/tests/golden/clock.rs
+++ b/crates/barleypind/tests/golden/clock.rs
@@ -6,28 +6,28 @@
 use kernel::{Clock, SystemClock};
 
 #[derive(Debug, Default)]
-pub(crate) struct Shifted {
+pub(crate) struct ShiftedClock {
     system: SystemClock,
-    ahead_ms: AtomicU64,
+    offset_ms: AtomicU64,
 }
 
-impl Shifted {
+impl ShiftedClock {
     pub(crate) fn advance(&self, by: Duration) {
         let ms = u64::try_from(by.as_millis()).unwrap();
-        self.ahead_ms.fetch_add(ms, Ordering::SeqCst);
+        self.offset_ms.fetch_add(ms, Ordering::SeqCst);
     }
 
-    fn ahead(&self) -> Duration {
-        Duration::from_millis(self.ahead_ms.load(Ordering::SeqCst))
+    fn offset(&self) -> Duration {
+        Duration::from_millis(self.offset_ms.load(Ordering::SeqCst))
     }
 }
 
-impl Clock for Shifted {
+impl Clock for ShiftedClock {
     fn now(&self) -> Duration {
-        self.system.now() + self.ahead()
+        self.system.now() + self.offset()
     }
 
     fn wall(&self) -> Duration {
-        self.system.wall() + self.ahead()
+        self.system.wall() + self.offset()
     }
 }
--- a/crates/barleypind/tests/golden/main.rs
+++ b/crates/barleypind/tests/golden/main.rs
@@ -67,7 +67,7 @@
 
 async fn run(site: &mut Site, case: &TestCase) -> String {
     match case.directive.as_str() {
-        "call" => call::caller(site, case).await,
+        "call" => call::caller_call(site, case).await,
         "operate" => call::operator_call(site, case).await,
         "stand-in" => call::stand_in(site, case).await,
         "advance" => site.advance(case).await,
--- a/crates/barleypind/tests/golden/site.rs
+++ b/crates/barleypind/tests/golden/site.rs
@@ -8,7 +8,7 @@
 
 use async_std::task;
 use barleypind::log::Log;
-use barleypind::{Daemon, Ended};
+use barleypind::{Daemon, DrainOutcome};
 use config::{Customer, Settings};
 use datadriven::TestCase;
 use fakes::Started;
@@ -17,11 +17,11 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use crate::clock::Shifted;
+use crate::clock::ShiftedClock;
 
 /// Timeout of every wait.
-const WAIT: Duration = Duration::from_secs(20);
-const PAUSE: Duration = Duration::from_millis(5);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 pub(crate) const OPERATOR_KEY: &str = "the-operators-key";
 
@@ -29,7 +29,7 @@
     pub(crate) daemons: Vec<Daemon>,
     pub(crate) saved: BTreeMap<String, String>,
     pub(crate) addresses: BTreeMap<String, SocketAddr>,
-    clock: Arc<Shifted>,
+    clock: Arc<ShiftedClock>,
     client: Client,
     _started: Started,
     dir: TempDir,
@@ -40,7 +40,7 @@
 impl Site {
     pub(crate) async fn start(case: &TestCase) -> Self {
         let hosts = argument(case, "hosts").unwrap_or(1);
-        let clock = Arc::new(Shifted::default());
+        let clock = Arc::new(ShiftedClock::default());
         let settings = fakes::Settings::parse(&format!("{PLATFORM}\n{}", case.input)).unwrap();
         let endpoints = settings.engine.len() + settings.service.len();
         let started = Started::start(clock.clone(), settings).await.unwrap();
@@ -102,8 +102,8 @@
         let daemon = &self.daemons[host(case)];
         daemon.drain();
         match daemon.ended().await {
-            Ended::Whole => "whole\n".to_owned(),
-            Ended::AtBound => "at the bound\n".to_owned(),
+            DrainOutcome::Complete => "whole\n".to_owned(),
+            DrainOutcome::LimitReached => "at the bound\n".to_owned(),
         }
     }
 
@@ -154,10 +154,10 @@
     }
 
     pub(crate) async fn until(&self, what: &str, check: impl AsyncFn(&Self) -> bool) {
-        let deadline = Instant::now() + WAIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !check(self).await {
             assert!(Instant::now() < deadline, "timed out waiting for: {what}");
-            task::sleep(PAUSE).await;
+            task::sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/crates/barleypind/tests/proofs.rs
+++ b/crates/barleypind/tests/proofs.rs
@@ -9,7 +9,7 @@
 const STATES: [&str; 3] = ["proved", "partial", "not yet"];
 
 /// Returns all tests and case files, as `crate::name`.
-fn known() -> BTreeSet<String> {
+fn known_tests() -> BTreeSet<String> {
     let crates = root().join("crates");
     let mut known = BTreeSet::new();
     for entry in fs::read_dir(crates).expect("the crates folder exists") {
@@ -66,7 +66,7 @@
 }
 
 /// Returns the test names in a part of the page: text formatted as code that contains `::`.
-fn named(text: &str) -> impl Iterator<Item = &str> {
+fn test_names(text: &str) -> impl Iterator<Item = &str> {
     let code = text.split('`').skip(1).step_by(2);
     code.filter(|it| it.contains("::"))
 }
@@ -82,16 +82,18 @@
 
 #[test]
 fn every_test_that_the_page_names_exists() {
-    let known = known();
+    let known = known_tests();
     let page = page();
-    let missing: Vec<_> = named(&page).filter(|it| !known.contains(*it)).collect();
+    let missing: Vec<_> = test_names(&page)
+        .filter(|it| !known.contains(*it))
+        .collect();
     assert!(missing.is_empty(), "no such tests: {missing:#?}");
 }
 
 #[test]
 fn every_script_is_on_the_page() {
     let page = page();
-    let named: BTreeSet<_> = named(&page).collect();
+    let named: BTreeSet<_> = test_names(&page).collect();
     for file in files(&root().join("crates/barleypind/tests/scripts")) {
         let name = format!("barleypind::{}", stem(&file));
         assert!(named.contains(name.as_str()), "{name} is not on the page");
@@ -104,7 +106,7 @@
     let rows = rows(&page);
     assert!(!rows.is_empty(), "the page has no rows");
     for row in rows {
-        let has_test = named(row[2]).next().is_some();
+        let has_test = test_names(row[2]).next().is_some();
         match row[1] {
             "proved" => assert!(has_test, "no test: {row:?}"),
             "partial" => assert!(has_test && !row[3].is_empty(), "incomplete: {row:?}"),
@@ -115,7 +117,7 @@
 
 /// Reasons that a script can't produce reliably with nothing run. `Deadline` needs a queue longer
 /// than the deadline, `Leaving` a call at the moment at which a host hands over its records.
-const SHOWN_ELSEWHERE: [(Reason, &str); 2] = [
+const COVERED_ELSEWHERE: [(Reason, &str); 2] = [
     (Reason::Deadline, "decide::deadlines"),
     (Reason::Leaving, "ledger::drain"),
 ];
@@ -124,9 +126,9 @@
 fn every_reason_that_may_say_not_run_is_brought_about() {
     let script = root().join("crates/barleypind/tests/scripts/not_run_is_true.txt");
     let script = fs::read_to_string(script).expect("the script exists");
-    let known = known();
+    let known = known_tests();
     for reason in Reason::ALL.into_iter().filter(|it| it.can_prove_not_run()) {
-        if let Some((_, test)) = SHOWN_ELSEWHERE.iter().find(|(it, _)| *it == reason) {
+        if let Some((_, test)) = COVERED_ELSEWHERE.iter().find(|(it, _)| *it == reason) {
             assert!(known.contains(*test), "no such test: {test}");
             continue;
         }
