--- a/crates/barleypind/tests/catalogue.rs
+++ b/crates/barleypind/tests/catalogue.rs
@@ -11,7 +11,7 @@
 use expect_test::expect_file;
 
 #[test]
-fn the_event_page_lists_every_event() {
+fn event_page_lists_all_events() {
     let mut page = String::from(
         "# Events\n\nThe daemon's log events. Numbers are never reused. Events have fields with details, which never contain key material.\n\n| number | level | name | message |\n|---|---|---|---|\n",
     );
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_metrics_page_lists_every_metric() {
+fn metrics_page_lists_all_metrics() {
     let mut page = String::from(
         "# Metrics\n\n`GET /metrics` returns Prometheus' text format. Counters by reason are exported as zero for every reason from the start.\n\n| metric | description |\n|---|---|\n",
     );
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_catalogue_is_what_is_exported() {
+fn exported_metrics_equal_the_catalogue() {
     let metrics = Metrics::new();
     metrics.call_ended(CallKind::Chat, Duration::ZERO);
     metrics.first_token(Duration::ZERO);
--- a/crates/barleypind/tests/check.rs
+++ b/crates/barleypind/tests/check.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn good_settings_pass() {
+fn valid_settings_pass() {
     check(
         VALID,
         &expect![[r"
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn every_fault_is_told_in_one_run() {
+fn all_faults_are_reported_in_one_run() {
     let settings = VALID
         .replace("region = \"dar\"", "regoin = \"dar\"")
         .replace("callers = \"127.0.0.1:0\"", "callers = \"here\"")
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn text_that_is_not_toml_is_told_by_its_line() {
+fn invalid_toml_is_reported_with_its_line() {
     check(
         "[host]\nname = entry 1\n",
         &expect![[r#"
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_key_file_that_is_missing_or_empty_is_named() {
+fn missing_or_empty_key_file_is_reported() {
     check(
         &VALID.replace("operator_key = \"DIR/key\"", "operator_key = \"DIR/none\""),
         &expect![[r"
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn fleet_keys_that_do_not_fit_are_refused() {
+fn mismatched_fleet_keys_are_refused() {
     check(
         &VALID.replace("host_key = \"DIR/host.key.pem\"", "host_key = \"DIR/key\""),
         &expect![[r"
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_settings_file_that_is_missing_is_named() {
+fn missing_settings_file_is_reported() {
     let dir = TempDir::new().unwrap();
     let path = display_path(&dir.path().join("none.toml"));
     expect![[r"
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn an_unknown_argument_is_refused() {
+fn unknown_argument_is_refused() {
     let dir = TempDir::new().unwrap();
     expect![[r"
         error: unexpected argument '--colour' found
--- a/crates/barleypind/tests/proofs.rs
+++ b/crates/barleypind/tests/proofs.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_is_proved_names_its_test_and_what_is_not_says_what_is_missing() {
+fn rows_name_their_tests_or_what_is_missing() {
     let page = page();
     let rows = rows(&page);
     assert!(!rows.is_empty(), "the page has no rows");
@@ -123,7 +123,7 @@
 ];
 
 #[test]
-fn every_reason_that_may_say_not_run_is_brought_about() {
+fn every_not_run_reason_is_covered_by_the_script() {
     let script = root().join("crates/barleypind/tests/scripts/not_run_is_true.txt");
     let script = fs::read_to_string(script).expect("the script exists");
     let known = known_tests();
--- a/crates/barleypind/tests/scripts.rs
+++ b/crates/barleypind/tests/scripts.rs
@@ -41,41 +41,41 @@
 scripts! {
     address_reused
     bad_input
-    billed_once_batch_answer_lost
+    billed_once_batch_response_lost
     billed_once_host_killed
-    change_answer_lost
     change_id_reused
     change_in_slow_store
     change_in_store_outage
-    claim_answer_lost
-    cut_from_everything
-    cut_from_store
+    change_response_lost
+    claim_response_lost
+    concurrent_operators
     dead_host_not_handed_out
-    drain_cuts_nothing
+    drain_completes_calls
     drain_longest_request
-    frozen_through_change
-    hold_asked_everywhere_at_once
-    hold_executed_answer_lost
+    hold_executed_response_lost
     hold_killed_in_flight
+    hold_sent_to_all_hosts_at_once
     holds_in_store_outage
+    host_cut_off_from_store
+    host_frozen_during_change
+    host_isolated
     leaving_endpoint
-    leaving_endpoint_news
+    leaving_endpoint_announced
     no_peer_in_store_outage
     not_run_is_true
-    operators_at_the_same_moment
     orders_holder_frozen
-    orders_holder_frozen_between
+    orders_holder_frozen_between_orders
     orders_holder_frozen_unchecked
     refused_by_endpoint_runs_elsewhere
-    repeat_refused_at_the_door
-    repeated_elsewhere_billed_once
+    retried_elsewhere_billed_once
+    retry_refused_before_admission
     rolling_restart
     rollout_taken_over
-    session_over_withdrawal
+    served_in_store_outage
+    session_moved_on_withdrawal
     stale_host_refuses
-    store_outage_goes_on
-    strangers
+    stream_chunks_duplicated_or_swapped
     stream_cut
-    stream_doubled_and_swapped
     two_operators
+    unauthenticated_peers
 }
