--- a/crates/barleypind/src/service/endpoints.rs
+++ b/crates/barleypind/src/service/endpoints.rs
@@ -159,8 +159,8 @@
         self.announce(name, incarnation, state);
     }
 
-    /// Records an endpoint's state announced by another host. Only a live endpoint changes its
-    /// state.
+    /// Records an endpoint's state announced by another host. Only applies to endpoints in state
+    /// `Live`.
     pub(crate) fn apply_announcement(
         &self,
         name: &HostName,
--- a/crates/barleypind/src/service/fleet/decider_messages.rs
+++ b/crates/barleypind/src/service/fleet/decider_messages.rs
@@ -75,8 +75,9 @@
         }
         let alive = self.core.members().filter(|it| it.state == State::Alive);
         // Prefer hosts in this data centre; the one that has run longest has the most evidence.
-        let data_centre = &self.core.me().data_centre;
-        let best = alive.min_by_key(|it| (it.data_centre != *data_centre, it.identity.incarnation));
+        let own_data_centre = &self.core.me().data_centre;
+        let best =
+            alive.min_by_key(|it| (it.data_centre != *own_data_centre, it.identity.incarnation));
         if let (Some(member), Some(payload)) = (best, self.payload(&DeciderMessage::DigestRequest))
         {
             self.send(member, &Frame::Decide(payload));
