--- a/crates/barleypind/src/call/attempt.rs
+++ b/crates/barleypind/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: what runs at endpoints for one call.
+//! The attempts of one call at endpoints.
 
 use std::future::poll_fn;
 use std::task::Poll;
@@ -16,62 +16,63 @@
 
 use crate::service::endpoints::Endpoint;
 
-/// What an engine that states no confidence is taken to have.
-const NO_CONFIDENCE: f64 = 0.5;
-/// The greatest answer of a plain service, in bytes. Answers are held whole,
-/// since one that breaks off midway may be asked for again elsewhere.
-pub(crate) const MAX_PLAIN: usize = 16 * 1024 * 1024;
+/// Confidence of a response for which the engine states none.
+const DEFAULT_CONFIDENCE: f64 = 0.5;
+/// Maximum size of a plain service's response in bytes. Responses are buffered, since a request
+/// whose response is cut off may be retried elsewhere.
+pub(crate) const MAX_PLAIN_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// The longest answer, in tokens, that is asked for in one piece when its
-/// caller wants it so: a stream would cost a wake-up a token. A longer one is
-/// streamed to this host all the same, so that a stalled engine is noticed.
-pub(crate) const SHORT: u32 = 256;
-/// The time that such an answer may take to come.
-const SHORT_TIME: Duration = Duration::from_secs(10);
+/// Maximum length in tokens of a response that is requested unstreamed if its caller doesn't
+/// stream. Avoids a wake-up per token. A longer response is streamed to this host in any case, to
+/// detect a stalled engine.
+pub(crate) const MAX_UNSTREAMED_TOKENS: u32 = 256;
+/// Minimum timeout of the first byte of an unstreamed response, which the engine sends only once
+/// it is complete.
+const MIN_UNSTREAMED_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How an attempt goes on.
+/// A progress event of an attempt.
 #[derive(Debug)]
 pub(crate) enum Progress {
-    /// Text came.
+    /// A piece of the response's text was received.
     Text(String),
-    /// It ended.
-    Ended(End),
+    /// The attempt ended.
+    Ended(AttemptEnd),
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Debug)]
-pub(crate) struct End {
+pub(crate) struct AttemptEnd {
     pub(crate) outcome: Outcome,
-    pub(crate) product: Option<Product>,
-    /// What went wrong, for the log.
+    pub(crate) response: Option<CompleteResponse>,
+    /// The failure, for the log.
     pub(crate) failure: Option<Failure>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
-pub(crate) enum Product {
+pub(crate) enum CompleteResponse {
     Chat(engine::Answer),
-    Plain(Plain),
+    Plain(PlainResponse),
 }
 
-/// The whole answer of a plain service.
+/// The complete response of a plain service.
 #[derive(Clone, Debug)]
-pub(crate) struct Plain {
+pub(crate) struct PlainResponse {
     pub(crate) status: http::Status,
     pub(crate) headers: http::Headers,
     pub(crate) body: Vec<u8>,
 }
 
-/// How long an attempt may take.
+/// The timeouts of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Times {
+pub(crate) struct Timeouts {
     pub(crate) connect: Duration,
     pub(crate) first_byte: Duration,
     pub(crate) stall: Duration,
     pub(crate) total: Duration,
 }
 
-impl Times {
+impl Timeouts {
     fn options(&self) -> Options {
         Options {
             connect: self.connect.min(self.total),
@@ -82,52 +83,59 @@
     }
 }
 
-/// The running attempts of one call. Dropping one closes its connection.
+/// The attempts in flight of one call. Dropping one closes its connection.
 #[derive(Default)]
-pub(crate) struct Running {
+pub(crate) struct AttemptsInFlight {
     attempts: Vec<Entry>,
 }
 
 struct Entry {
-    name: Attempt,
-    at: Endpoint,
+    attempt: Attempt,
+    endpoint: Endpoint,
     progress: BoxStream<'static, Progress>,
 }
 
-impl Running {
+impl AttemptsInFlight {
     pub(crate) fn start(
         &mut self,
-        name: Attempt,
-        at: Endpoint,
+        attempt: Attempt,
+        endpoint: Endpoint,
         progress: BoxStream<'static, Progress>,
     ) {
-        self.attempts.push(Entry { name, at, progress });
+        self.attempts.push(Entry {
+            attempt,
+            endpoint,
+            progress,
+        });
     }
 
-    /// Stops an attempt; its endpoint is to be told.
+    /// Drops an attempt and returns it, so that its endpoint can be told.
     pub(crate) fn stop(&mut self, id: AttemptId) -> Option<(Attempt, Endpoint)> {
-        let at = self.attempts.iter().position(|it| it.name.id == id)?;
-        let entry = self.attempts.swap_remove(at);
-        Some((entry.name, entry.at))
+        let index = self.attempts.iter().position(|it| it.attempt.id == id)?;
+        let entry = self.attempts.swap_remove(index);
+        Some((entry.attempt, entry.endpoint))
     }
 
-    /// Stops all.
+    /// Drops all attempts and returns them.
     pub(crate) fn stop_all(&mut self) -> Vec<(Attempt, Endpoint)> {
-        self.attempts.drain(..).map(|it| (it.name, it.at)).collect()
+        self.attempts
+            .drain(..)
+            .map(|it| (it.attempt, it.endpoint))
+            .collect()
     }
 
-    /// The endpoint of a running attempt.
+    /// Returns the endpoint of an attempt in flight.
     pub(crate) fn endpoint(&self, id: AttemptId) -> Option<&Endpoint> {
-        let entry = self.attempts.iter().find(|it| it.name.id == id)?;
-        Some(&entry.at)
+        let entry = self.attempts.iter().find(|it| it.attempt.id == id)?;
+        Some(&entry.endpoint)
     }
 
-    /// The next progress of any; waits for ever while there is none.
+    /// Returns the next progress event of any attempt. Waits forever if there are no attempts.
     pub(crate) async fn next(&mut self) -> (AttemptId, Progress) {
         poll_fn(|cx| {
             for entry in &mut self.attempts {
                 if let Poll::Ready(Some(progress)) = entry.progress.poll_next_unpin(cx) {
-                    return Poll::Ready((entry.name.id, progress));
+                    return Poll::Ready((entry.attempt.id, progress));
                 }
             }
             Poll::Pending
@@ -136,13 +144,13 @@
     }
 }
 
-/// An attempt at an engine.
+/// Sends a chat completion to an engine and streams its response.
 pub(crate) fn chat(
     client: Client,
     to: engine::Endpoint,
     attempt: Attempt,
     chat: engine::Chat,
-    times: Times,
+    timeouts: Timeouts,
 ) -> BoxStream<'static, Progress> {
     enum State {
         Unsent(Client, engine::Endpoint, Attempt, Box<engine::Chat>),
@@ -153,7 +161,10 @@
     stream::unfold(start, move |state| async move {
         let mut stream = match state {
             State::Unsent(client, to, attempt, chat) => {
-                match client.stream(&to, &attempt, &chat, &times.options()).await {
+                match client
+                    .stream(&to, &attempt, &chat, &timeouts.options())
+                    .await
+                {
                     Ok(stream) => stream,
                     Err(failure) => return Some((failed(failure), State::Closed)),
                 }
@@ -161,7 +172,7 @@
             State::Open(stream) => stream,
             State::Closed => return None,
         };
-        match timeout(times.stall, stream.next()).await {
+        match timeout(timeouts.stall, stream.next()).await {
             Ok(Some(text)) => {
                 let progress = Progress::Text(text.to_owned());
                 Some((progress, State::Open(stream)))
@@ -176,32 +187,32 @@
     .boxed()
 }
 
-/// An attempt at an engine whose answer is short and comes in one piece.
-pub(crate) fn whole(
+/// Sends a chat completion to an engine and receives a short response unstreamed.
+pub(crate) fn chat_unstreamed(
     client: Client,
     to: engine::Endpoint,
     attempt: Attempt,
     chat: engine::Chat,
-    times: Times,
+    timeouts: Timeouts,
 ) -> BoxStream<'static, Progress> {
-    let times = Times {
-        first_byte: times.first_byte.max(SHORT_TIME),
-        ..times
+    let timeouts = Timeouts {
+        first_byte: timeouts.first_byte.max(MIN_UNSTREAMED_TIMEOUT),
+        ..timeouts
     };
-    stream::once(async move { ended(client.chat(&to, &attempt, &chat, &times.options()).await) })
+    stream::once(async move { ended(client.chat(&to, &attempt, &chat, &timeouts.options()).await) })
         .boxed()
 }
 
-/// An attempt at a plain service.
+/// Sends a request to a plain service.
 pub(crate) fn plain(
     client: Client,
     to: engine::Endpoint,
     attempt: Attempt,
     call: engine::Call,
-    times: Times,
+    timeouts: Timeouts,
 ) -> BoxStream<'static, Progress> {
     stream::once(async move {
-        match client.call(&to, &attempt, call, &times.options()).await {
+        match client.call(&to, &attempt, call, &timeouts.options()).await {
             Err(failure) => failed(failure),
             Ok(response) => {
                 let http::Response {
@@ -209,11 +220,11 @@
                     headers,
                     body,
                 } = response;
-                match body.collect(MAX_PLAIN).await {
+                match body.collect(MAX_PLAIN_RESPONSE_BYTES).await {
                     Err(err) => failed(err.into()),
-                    Ok(body) => Progress::Ended(End {
+                    Ok(body) => Progress::Ended(AttemptEnd {
                         outcome: Outcome::Served,
-                        product: Some(Product::Plain(Plain {
+                        response: Some(CompleteResponse::Plain(PlainResponse {
                             status,
                             headers,
                             body,
@@ -227,12 +238,13 @@
     .boxed()
 }
 
-/// An attempt at a chat without a version, which the decider never asks for.
-pub(crate) fn impossible() -> BoxStream<'static, Progress> {
+/// Returns a failed attempt, for a chat completion without a version, which the decider never
+/// dispatches.
+pub(crate) fn missing_version() -> BoxStream<'static, Progress> {
     stream::once(async { failed(Failure::NotSent(Cause::Malformed)) }).boxed()
 }
 
-/// The engine's word for a priority.
+/// Converts a priority into the engine's form.
 pub(crate) fn priority(priority: Priority) -> engine::Priority {
     match priority {
         Priority::Urgent => engine::Priority::Urgent,
@@ -241,14 +253,14 @@
     }
 }
 
-/// Tells endpoints that nobody waits any more, without waiting for them.
+/// Sends cancellations to endpoints in the background.
 pub(crate) fn cancel(client: &Client, stopped: Vec<(Attempt, Endpoint)>) {
     for (attempt, endpoint) in stopped {
         let client = client.clone();
         async_std::task::spawn(async move {
-            // An endpoint that doesn't hear it works in vain, and no more.
+            // An endpoint that misses the cancellation only wastes work.
             let _ = client
-                .cancel(&endpoint.at, &attempt, &Options::default())
+                .cancel(&endpoint.target, &attempt, &Options::default())
                 .await;
         });
     }
@@ -257,22 +269,22 @@
 fn ended(result: Result<engine::Answer, Failure>) -> Progress {
     match result {
         Err(failure) => failed(failure),
-        Ok(answer) => Progress::Ended(End {
+        Ok(answer) => Progress::Ended(AttemptEnd {
             outcome: Outcome::Answered(Answer {
-                confidence: answer.confidence.unwrap_or(NO_CONFIDENCE),
-                prompt_tokens: clamp(answer.usage.prompt_tokens),
-                completion_tokens: clamp(answer.usage.completion_tokens),
+                confidence: answer.confidence.unwrap_or(DEFAULT_CONFIDENCE),
+                prompt_tokens: saturate(answer.usage.prompt_tokens),
+                completion_tokens: saturate(answer.usage.completion_tokens),
             }),
-            product: Some(Product::Chat(answer)),
+            response: Some(CompleteResponse::Chat(answer)),
             failure: None,
         }),
     }
 }
 
 fn failed(failure: Failure) -> Progress {
-    Progress::Ended(End {
+    Progress::Ended(AttemptEnd {
         outcome: outcome(failure),
-        product: None,
+        response: None,
         failure: Some(failure),
     })
 }
@@ -293,6 +305,6 @@
     }
 }
 
-fn clamp(tokens: u64) -> u32 {
+fn saturate(tokens: u64) -> u32 {
     u32::try_from(tokens).unwrap_or(u32::MAX)
 }
--- a/crates/barleypind/src/call/forward.rs
+++ b/crates/barleypind/src/call/forward.rs
@@ -1,4 +1,4 @@
-//! Calls that only their home may run are passed to it whole.
+//! Forwarding of calls to their home, the only host that may run them.
 
 use std::sync::Arc;
 
@@ -15,14 +15,14 @@
 use crate::reply;
 use crate::service::fleet;
 
-/// A call as its caller made it.
-pub(crate) struct Original {
+/// The method, target and headers of a call as sent by its caller.
+pub(crate) struct OriginalRequest {
     pub(crate) method: Method,
     pub(crate) target: String,
     headers: Headers,
 }
 
-impl Original {
+impl OriginalRequest {
     pub(crate) fn of(request: &Request) -> Self {
         Self {
             method: request.method,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Who brought the call. Another host proves itself by the keyed hash of
-    /// the ticket, which callers don't have the key for.
+    /// Returns whether the call comes from a caller or was forwarded by another host, which
+    /// proves this by the keyed hash of the ticket. Callers don't have its key.
     pub(crate) fn via(&self, host: &Host) -> Via {
         let ticket = self.headers.get(call::TICKET).unwrap_or_default();
         match self.headers.get(call::VIA) {
@@ -44,22 +44,22 @@
     }
 }
 
-/// Passes the call to its home and the home's answer to the caller.
+/// Forwards the call to its home and returns the home's response.
 pub(crate) async fn relay(
     cx: Arc<Context>,
     call: Call,
-    original: Original,
+    original: OriginalRequest,
     body: Vec<u8>,
     home: Incarnation,
 ) -> Response {
-    let answer = ask(&cx, original, body, home).await;
-    let end = match &answer {
+    let response = send_to_home(&cx, original, body, home).await;
+    let end = match &response {
         Ok(_) => ForwardResult::Relayed,
         Err(_) => ForwardResult::Failed,
     };
     let request = call.request.clone();
-    cx.books.handle(Event::Forwarded { request, end });
-    answer.unwrap_or_else(|run| {
+    cx.ledger_handle.handle(Event::Forwarded { request, end });
+    response.unwrap_or_else(|run| {
         let problem = Problem::new(
             Reason::HolderGone,
             run,
@@ -69,9 +69,9 @@
     })
 }
 
-async fn ask(
+async fn send_to_home(
     cx: &Context,
-    original: Original,
+    original: OriginalRequest,
     body: Vec<u8>,
     home: Incarnation,
 ) -> Result<Response, Run> {
@@ -83,7 +83,11 @@
         .flatten()
         .ok_or(Run::NotRun)?;
     let mut request = Request::new(original.method, original.target).body(Body::bytes(body));
-    for (name, value) in original.headers.iter().filter(|(name, _)| passes(name)) {
+    for (name, value) in original
+        .headers
+        .iter()
+        .filter(|(name, _)| is_forwarded(name))
+    {
         request.headers.append(name.to_owned(), value);
     }
     let ticket = original.headers.get(call::TICKET).unwrap_or_default();
@@ -105,9 +109,9 @@
         })
 }
 
-/// Whether a header belongs to the call and not to the caller's connection.
-fn passes(name: &str) -> bool {
-    const CONNECTION: [&str; 6] = [
+/// Returns whether a header is part of the call rather than of the caller's connection.
+fn is_forwarded(name: &str) -> bool {
+    const CONNECTION_HEADERS: [&str; 6] = [
         "connection",
         "content-length",
         "host",
@@ -115,5 +119,7 @@
         "transfer-encoding",
         "expect",
     ];
-    !CONNECTION.iter().any(|it| it.eq_ignore_ascii_case(name))
+    !CONNECTION_HEADERS
+        .iter()
+        .any(|it| it.eq_ignore_ascii_case(name))
 }
--- a/crates/barleypind/src/call/replay.rs
+++ b/crates/barleypind/src/call/replay.rs
@@ -1,4 +1,4 @@
-//! The answer of an earlier run, for a caller that repeats its key.
+//! Responses to retries of a call that has run.
 
 use gate::chat::{Answer, Mode};
 use gate::sse;
@@ -10,8 +10,8 @@
 use crate::host::Host;
 use crate::reply::{self, header};
 
-/// The response that repeats `outcome`. Nothing runs and nothing is billed; the
-/// cost that it shows is the one of the first run.
+/// Returns a response with the stored `outcome`. Nothing runs and nothing is billed; the cost
+/// shown is that of the first run.
 pub(crate) fn response(host: &Host, call: &Call, work: &Work, outcome: &Outcome) -> Response {
     let answer = match work {
         Work::Chat(_) => serde_json::from_str::<Answer>(&outcome.body).ok(),
@@ -19,12 +19,15 @@
     };
     let mut response = match (&answer, work) {
         (Some(answer), Work::Chat(chat)) if chat.mode == Mode::Stream => stream(answer),
-        _ => whole(outcome),
+        _ => unstreamed(outcome),
     };
     let mut headers: Headers = [
         (header::REQUEST, call.request.to_string()),
         (header::HOST, host.settings.host.name.to_string()),
-        (header::REVISION, host.current.get().revision().to_string()),
+        (
+            header::REVISION,
+            host.current_config.get().revision().to_string(),
+        ),
     ]
     .into_iter()
     .collect();
@@ -33,11 +36,11 @@
         headers.set(header::COST, answer.barleypin.cost_microcents.to_string());
         headers.set(header::ATTEMPTS, answer.barleypin.attempts.to_string());
     }
-    caller::add(&mut response, &headers);
+    caller::add_headers(&mut response, &headers);
     response
 }
 
-fn whole(outcome: &Outcome) -> Response {
+fn unstreamed(outcome: &Outcome) -> Response {
     let mut response = Response::new(reply::status_of(outcome.status))
         .body(Body::bytes(outcome.body.as_bytes().to_vec()));
     if !outcome.media_type.is_empty() {
--- a/crates/barleypind/src/host.rs
+++ b/crates/barleypind/src/host.rs
@@ -1,4 +1,4 @@
-//! What every service of this process shares.
+//! State shared by all services of this process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, AtomicUsize, Ordering};
@@ -7,13 +7,13 @@
 use config::Settings;
 use kernel::{Clock, Incarnation, Registry, RequestId};
 
-use crate::contact::Contact;
-use crate::current::Current;
+use crate::contact::LastContact;
+use crate::current::CurrentConfig;
 use crate::log::Log;
 use crate::metrics::Metrics;
 use crate::secrets::Secrets;
 
-/// This host: its settings, its clock and the means to find its services.
+/// The host's settings, keys, clock, shared state and service registry.
 pub(crate) struct Host {
     pub(crate) settings: Settings,
     pub(crate) secrets: Secrets,
@@ -21,23 +21,23 @@
     pub(crate) log: Log,
     pub(crate) metrics: Metrics,
     pub(crate) registry: Registry,
-    pub(crate) current: Current,
-    pub(crate) contact: Contact,
+    pub(crate) current_config: CurrentConfig,
+    pub(crate) last_contact: LastContact,
     pub(crate) http: http::Client,
     phase: AtomicU8,
     incarnation: AtomicU64,
     last_request: AtomicU64,
-    open: AtomicUsize,
+    open_calls: AtomicUsize,
 }
 
-/// Where the process is in its life.
+/// The life cycle phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// It has no configuration yet.
+    /// No configuration is in force yet.
     Starting,
-    /// It takes work.
+    /// The host accepts calls.
     Ready,
-    /// It finishes what it has.
+    /// The host drains: it finishes its calls and exits.
     Leaving,
 }
 
@@ -62,12 +62,12 @@
             log,
             metrics: Metrics::new(),
             registry: Registry::default(),
-            current: Current::default(),
-            contact: Contact::default(),
+            current_config: CurrentConfig::default(),
+            last_contact: LastContact::default(),
             phase: AtomicU8::new(0),
             incarnation: AtomicU64::new(incarnation.0),
             last_request: AtomicU64::new(0),
-            open: AtomicUsize::new(0),
+            open_calls: AtomicUsize::new(0),
         }
     }
 
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Goes on to `phase`, unless the process is further already.
-    pub(crate) fn enter(&self, phase: Phase) -> Phase {
+    /// Advances to `phase` unless the process is already further, and returns the previous phase.
+    pub(crate) fn advance_to(&self, phase: Phase) -> Phase {
         let before = self.phase.fetch_max(phase as u8, Ordering::SeqCst);
         match before {
             0 => Phase::Starting,
@@ -97,19 +97,19 @@
         Incarnation(self.incarnation.load(Ordering::SeqCst))
     }
 
-    /// Takes a new incarnation, after the old one was fenced.
+    /// Sets a new incarnation after the old one was fenced or declared dead.
     pub(crate) fn renew(&self, incarnation: Incarnation) {
         self.incarnation.store(incarnation.0, Ordering::SeqCst);
     }
 
-    /// Names a request: its number here, and the name that others see.
-    pub(crate) fn name_request(&self) -> (decide::key::Request, RequestId) {
+    /// Returns a new request's number on this host and its id, which other systems see.
+    pub(crate) fn next_request(&self) -> (decide::key::Request, RequestId) {
         let number = self.last_request.fetch_add(1, Ordering::Relaxed) + 1;
         let name = format!("{:x}-{number:x}", self.incarnation().0);
         (decide::key::Request(number), RequestId::from(name))
     }
 
-    /// The number of a request of this incarnation.
+    /// Returns the number of a request id of this incarnation, and `None` for any other id.
     pub(crate) fn request_number(&self, name: &str) -> Option<decide::key::Request> {
         let (incarnation, number) = name.split_once('-')?;
         let same = u64::from_str_radix(incarnation, 16).ok()? == self.incarnation().0;
@@ -117,28 +117,28 @@
         same.then_some(decide::key::Request(number))
     }
 
-    /// Counts a call as open until the guard is dropped; nothing comes back
-    /// when too many are.
-    pub(crate) fn open_call(self: &Arc<Self>) -> Option<Open> {
-        let open = Open {
+    /// Counts a call as open until the guard is dropped. Returns `None` if the limit on open
+    /// calls is reached.
+    pub(crate) fn try_open_call(self: &Arc<Self>) -> Option<OpenCall> {
+        let open = OpenCall {
             host: Arc::clone(self),
         };
-        let before = self.open.fetch_add(1, Ordering::SeqCst);
+        let before = self.open_calls.fetch_add(1, Ordering::SeqCst);
         (before < self.settings.limits.max_in_flight).then_some(open)
     }
 
     pub(crate) fn open_calls(&self) -> usize {
-        self.open.load(Ordering::SeqCst)
+        self.open_calls.load(Ordering::SeqCst)
     }
 }
 
-/// An open call.
-pub(crate) struct Open {
+/// A guard that counts one call as open.
+pub(crate) struct OpenCall {
     host: Arc<Host>,
 }
 
-impl Drop for Open {
+impl Drop for OpenCall {
     fn drop(&mut self) {
-        self.host.open.fetch_sub(1, Ordering::SeqCst);
+        self.host.open_calls.fetch_sub(1, Ordering::SeqCst);
     }
 }
--- a/crates/barleypind/src/main.rs
+++ b/crates/barleypind/src/main.rs
@@ -1,4 +1,5 @@
-//! The entry host daemon: settings, then the services, then a drain on SIGTERM.
+//! Command line of the entry host daemon. Starts the services and drains them on SIGTERM or
+//! SIGINT.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,17 +8,17 @@
 
 use async_signal::{Signal, Signals};
 use barleypind::log::Log;
-use barleypind::{Daemon, Ended, Error};
+use barleypind::{Daemon, DrainOutcome, Error};
 use clap::{Arg, Command, value_parser};
 use config::Settings;
 use error_stack::{Report, ResultExt};
 use futures::StreamExt;
 use kernel::SystemClock;
 
-/// Settings or keys can't be used.
+/// Exit code if the settings or keys can't be used, or the daemon can't start.
 const EXIT_SETTINGS: u8 = 2;
-/// The drain reached its bound with work or records left.
-const EXIT_BOUND: u8 = 3;
+/// Exit code if the drain reached its time limit with calls or records left.
+const EXIT_DRAIN_LIMIT: u8 = 3;
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
@@ -84,8 +85,8 @@
         futures::future::Either::Right(((), ended)) => ended.await,
     };
     Ok(match ended {
-        Ended::Whole => ExitCode::SUCCESS,
-        Ended::AtBound => ExitCode::from(EXIT_BOUND),
+        DrainOutcome::Complete => ExitCode::SUCCESS,
+        DrainOutcome::LimitReached => ExitCode::from(EXIT_DRAIN_LIMIT),
     })
 }
 
@@ -95,7 +96,7 @@
         .map_err(|faults| Report::new(Error::Faults(faults)))
 }
 
-/// The report's causes, one a line, the outermost first.
+/// Formats the error, its causes and attachments, one per line, outermost first.
 fn describe(report: &Report<Error>) -> String {
     let mut lines = vec![report.current_context().to_string()];
     for frame in report.frames() {
--- a/crates/barleypind/src/policy.rs
+++ b/crates/barleypind/src/policy.rs
@@ -1,4 +1,4 @@
-//! The configuration, compiled for decisions.
+//! Conversion of the configuration into the decider's policy.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 };
 use kernel::VersionId;
 
-/// Calls that one host may have in flight at one plain service. A service's
-/// own endpoints refuse earlier when they are full; this bounds the host.
+/// Maximum number of concurrent requests of this host to a plain service. The service's endpoints
+/// refuse earlier when they are full.
 const SERVICE_CONCURRENCY: u32 = 1024;
 
-/// Compiles `document`. What it names that isn't there is left out, which a
-/// committed document has none of.
+/// Compiles `document` into a policy. References to missing entries are left out; a committed
+/// document has none.
 #[must_use]
 pub(crate) fn compile(document: &Document) -> Policy {
     let versions = Index::new(document.versions.keys());
@@ -24,7 +24,7 @@
         .customers
         .keys()
         .enumerate()
-        .map(|(at, name)| (name, key::Customer::at(at)))
+        .map(|(index, name)| (name, key::Customer::at(index)))
         .collect();
     Policy {
         revision: document.revision,
@@ -41,7 +41,7 @@
                 allowed: allowances(it, &customers, &versions),
                 target: it.quality,
                 cap: Some(it.cost_cap),
-                repeat: repeat(it.retry_policy),
+                repeat: retry_policy(it.retry_policy),
                 priority: priority(it.priority),
                 deadline: it.deadline,
             })
@@ -76,16 +76,16 @@
     }
 }
 
-/// The decider's word for a repeat setting.
+/// Converts a retry policy into the decider's form.
 #[must_use]
-pub(crate) fn repeat(repeat: config::RetryPolicy) -> Repeat {
-    match repeat {
+pub(crate) fn retry_policy(policy: config::RetryPolicy) -> Repeat {
+    match policy {
         config::RetryPolicy::Idempotent => Repeat::Idempotent,
         config::RetryPolicy::AtMostOnce => Repeat::AtMostOnce,
     }
 }
 
-/// The decider's word for a priority.
+/// Converts a priority into the decider's form.
 #[must_use]
 pub(crate) fn priority(priority: config::Priority) -> Priority {
     match priority {
@@ -101,7 +101,7 @@
     fn new(ids: impl Iterator<Item = &'a VersionId>) -> Self {
         Self(
             ids.enumerate()
-                .map(|(at, id)| (id, key::Version::at(at)))
+                .map(|(index, id)| (id, key::Version::at(index)))
                 .collect(),
         )
     }
--- a/crates/barleypind/src/service/configure.rs
+++ b/crates/barleypind/src/service/configure.rs
@@ -1,8 +1,8 @@
-//! The service that commits operators' changes.
+//! Commits operators' changes to the table.
 //!
-//! A change is one transaction: the head at its next revision, the change's
-//! own row and its line of the history, on the condition that the head is the
-//! one that was read and the change's row is absent. See `docs/design/config.md`.
+//! A change is one transaction. It writes the configuration's head at its next revision, a row of
+//! the change and a history entry, on condition that the head is still at the version that was
+//! read and that the row of the change doesn't exist. See `docs/design/config.md`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,21 +19,27 @@
 use crate::event::Event;
 use crate::service::fleet;
 
-/// How often a change is applied again on a head that moved on. Operators make
-/// hundreds of changes a day, so even two collisions in a row are rare.
-const ROUNDS: u32 = 16;
-/// How often the outcome of a write is asked for when its answer was lost.
-const SETTLE_ROUNDS: u32 = 3;
+/// Maximum number of attempts to commit a change, each on a newer head after a conflict. Operators
+/// make hundreds of changes a day, so even two conflicts in a row are rare.
+const MAX_COMMIT_ATTEMPTS: u32 = 16;
+/// Maximum number of reads to determine the outcome of a write whose response was lost.
+const MAX_OUTCOME_READS: u32 = 3;
 
-/// Commits `change`, or says why not.
+/// Commits `change`.
 ///
 /// # Errors
-/// The refusal, `not_run` only when the change has no effect and won't have one.
+/// Returns the refusal. It says `not_run` only if the change has no effect and never will have
+/// one.
 pub(crate) async fn commit(cx: &Arc<Context>, change: &Change) -> Result<Accepted, Refusal> {
-    for _ in 0..ROUNDS {
+    for _ in 0..MAX_COMMIT_ATTEMPTS {
         let asked = cx.host.now();
-        if let Some(done) = committed(cx, &change.id).await.map_err(|_| out())? {
-            return done.repeat(change).ok_or_else(|| done.reused());
+        if let Some(committed) = read_committed(cx, &change.id)
+            .await
+            .map_err(|_| store_unavailable())?
+        {
+            return committed
+                .retry_response(change)
+                .ok_or_else(|| committed.reused_id_refusal());
         }
         let (document, version) = head(cx).await?;
         let next = match document.apply(change) {
@@ -41,12 +47,12 @@
             Err(refused) => return Err(refuse(cx, change, refused)),
         };
         match write(cx, change, &next, version).await {
-            Ok(()) => return Ok(accept(cx, change, &next, asked).await),
-            // Another change came first; this one is applied to its result,
-            // and only a change of the same entry is a conflict.
+            Ok(()) => return Ok(report_committed(cx, change, &next, asked).await),
+            // Another change was committed first. Apply this one to its result, which is a
+            // conflict only if both edit the same entry.
             Err(Error::Conflict { .. }) => {}
-            Err(Error::NotApplied(_)) => return Err(out()),
-            Err(Error::Unknown(_)) => return settle(cx, change, next, asked).await,
+            Err(Error::NotApplied(_)) => return Err(store_unavailable()),
+            Err(Error::Unknown(_)) => return resolve_unknown_write(cx, change, next, asked).await,
         }
     }
     Err(Problem::not_run(
@@ -56,10 +62,10 @@
     .into())
 }
 
-/// Reads the newest lines of the history.
+/// Returns the newest `limit` entries of the history, newest first.
 ///
 /// # Errors
-/// A refusal when the table doesn't answer.
+/// Returns a refusal if the table doesn't respond or the head can't be parsed.
 pub(crate) async fn history(cx: &Context, limit: usize) -> Result<Vec<Commit>, Refusal> {
     let (document, _) = head(cx).await?;
     let newest = document.revision.0;
@@ -67,15 +73,20 @@
     let mut commits = Vec::new();
     for revision in ((oldest + 1)..=newest).rev() {
         let key = Key::ConfigHistory(Revision(revision));
-        let row = cx.table.get(&key).await.map_err(|_| out())?;
+        let row = cx.table.get(&key).await.map_err(|_| store_unavailable())?;
         commits.extend(row.and_then(|it| it.value::<Commit>()));
     }
     Ok(commits)
 }
 
-/// The committed document and its row's version, none before the first change.
+/// Returns the committed document and its row's version, or an empty document and `None` before
+/// the first change.
 async fn head(cx: &Context) -> Result<(Document, Option<Version>), Refusal> {
-    let row = cx.table.get(&Key::ConfigHead).await.map_err(|_| out())?;
+    let row = cx
+        .table
+        .get(&Key::ConfigHead)
+        .await
+        .map_err(|_| store_unavailable())?;
     let Some(row) = row else {
         return Ok((Document::default(), None));
     };
@@ -89,19 +100,17 @@
     Ok((document, Some(row.version)))
 }
 
-/// The row of a committed change.
+/// The table row of a committed change.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Done {
-    /// The revision that it made.
+struct CommittedChange {
+    /// The revision that the change created.
     revision: Revision,
-    /// The hash of its edit.
-    ///
-    /// Failure: two different edits under one change id. The second would be
-    /// taken for a repeat of the first, and its operator would think it in force.
+    /// The hash of the edit. Detects a different edit under the same change id, which would
+    /// otherwise be taken for a retry and reported as in force.
     edit: String,
 }
 
-impl Done {
+impl CommittedChange {
     fn new(change: &Change, revision: Revision) -> Self {
         let edit = serde_json::to_vec(&change.edit).expect("an edit has a JSON form");
         Self {
@@ -110,16 +119,15 @@
         }
     }
 
-    /// The answer to a change that comes again under an id that is committed;
-    /// nothing when it is another change.
-    fn repeat(&self, change: &Change) -> Option<Accepted> {
+    /// Returns the response to a retry of this change, or `None` if `change` is a different one.
+    fn retry_response(&self, change: &Change) -> Option<Accepted> {
         (*self == Self::new(change, self.revision)).then_some(Accepted {
             revision: self.revision,
             repeated: true,
         })
     }
 
-    fn reused(&self) -> Refusal {
+    fn reused_id_refusal(&self) -> Refusal {
         Problem::not_run(
             Reason::KeyReused,
             format!(
@@ -131,7 +139,7 @@
     }
 }
 
-async fn committed(cx: &Context, change: &ChangeId) -> Result<Option<Done>, Error> {
+async fn read_committed(cx: &Context, change: &ChangeId) -> Result<Option<CommittedChange>, Error> {
     let row = cx.table.get(&Key::ConfigChange(change.clone())).await?;
     Ok(row.and_then(|it| it.value()))
 }
@@ -146,34 +154,37 @@
         Some(version) => Condition::At(Key::ConfigHead, version),
         None => Condition::Absent(Key::ConfigHead),
     };
-    let changed = Key::ConfigChange(change.id.clone());
-    let line = Commit::new(change, next.revision, cx.host.clock.wall());
+    let change_key = Key::ConfigChange(change.id.clone());
+    let history_entry = Commit::new(change, next.revision, cx.host.clock.wall());
     let transaction = Transaction::default()
         .when(head)
-        .when(Condition::Absent(changed.clone()))
+        .when(Condition::Absent(change_key.clone()))
         .put(&Key::ConfigHead, next)
-        .put(&changed, &Done::new(change, next.revision))
-        .put(&Key::ConfigHistory(next.revision), &line);
+        .put(&change_key, &CommittedChange::new(change, next.revision))
+        .put(&Key::ConfigHistory(next.revision), &history_entry);
     cx.table.transact(&transaction).await.map(|_| ())
 }
 
-/// Finds out what became of a write whose answer was lost.
+/// Determines the outcome of a write whose response was lost.
 ///
-/// Failure: the write takes effect, its answer doesn't come. The change's own
-/// row tells; while it is absent and the head is unchanged the write may still
-/// be on its way, so nothing is concluded from that.
-async fn settle(
+/// The write took effect if the row of the change exists. If it doesn't, the write may still be
+/// in flight, so a missing row proves nothing.
+async fn resolve_unknown_write(
     cx: &Arc<Context>,
     change: &Change,
     next: Document,
     asked: Duration,
 ) -> Result<Accepted, Refusal> {
-    for _ in 0..SETTLE_ROUNDS {
-        match committed(cx, &change.id).await {
-            Ok(Some(done)) if done == Done::new(change, next.revision) => {
-                return Ok(accept(cx, change, &next, asked).await);
+    for _ in 0..MAX_OUTCOME_READS {
+        match read_committed(cx, &change.id).await {
+            Ok(Some(committed)) if committed == CommittedChange::new(change, next.revision) => {
+                return Ok(report_committed(cx, change, &next, asked).await);
+            }
+            Ok(Some(committed)) => {
+                return committed
+                    .retry_response(change)
+                    .ok_or_else(|| committed.reused_id_refusal());
             }
-            Ok(Some(done)) => return done.repeat(change).ok_or_else(|| done.reused()),
             Ok(None) | Err(_) => async_std::task::sleep(cx.host.settings.platform.connect).await,
         }
     }
@@ -188,11 +199,17 @@
     .into())
 }
 
-/// The change is committed: this host needs no poll to know.
+/// Reports a committed change to the fleet service, so that it is in force on this host without
+/// waiting for a poll.
 ///
-/// `asked` is a time before the write was sent, from which the proof counts
-/// that nothing newer was committed.
-async fn accept(cx: &Context, change: &Change, next: &Document, asked: Duration) -> Accepted {
+/// `asked` is a time before the write was sent. The age of the proof that no newer revision
+/// exists counts from it.
+async fn report_committed(
+    cx: &Context,
+    change: &Change,
+    next: &Document,
+    asked: Duration,
+) -> Accepted {
     let name = change.edit.name();
     cx.host.log.emit(
         Event::ChangeCommitted,
@@ -208,9 +225,10 @@
         json: Some(next.to_json().into_bytes().into()),
     });
     if let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() {
-        // Whoever made the change finds it in force here when it has its answer.
+        // Wait until the change is in force here, so that the operator sees it on this host once
+        // the response arrives.
         fleet
-            .ask(|reply| fleet::Message::Settle(polled, reply))
+            .ask(|reply| fleet::Message::EventAndWait(polled, reply))
             .await;
     }
     Accepted {
@@ -229,7 +247,7 @@
     refused.into()
 }
 
-fn out() -> Refusal {
+fn store_unavailable() -> Refusal {
     Problem::not_run(
         Reason::StoreOut,
         "the table does not answer; nothing was changed",
--- a/crates/barleypind/src/service/decide.rs
+++ b/crates/barleypind/src/service/decide.rs
@@ -1,9 +1,8 @@
 //! The service that owns the decider.
 //!
-//! Calls reach it directly, under a short lock: a queue in between would put
-//! the executor's scheduling delay into every step of every call. What it
-//! decides about a call goes to that call's own queue, the rest to the
-//! services that see to it.
+//! Calls use it directly under a short lock, since a queue would add the executor's scheduling
+//! delay to every step of a call. Actions on one call are sent to that call's queue, all others
+//! to the services that carry them out.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,22 +19,22 @@
 
 use crate::host::Host;
 
-/// What a call is told to do next.
+/// An instruction of the decider to a call.
 #[derive(Clone, Debug)]
 pub(crate) enum Directive {
-    /// Make an attempt.
+    /// Send an attempt.
     Dispatch(Dispatch),
-    /// Stop an attempt.
+    /// Abort an attempt.
     Cancel(AttemptId),
-    /// Send the answer of this attempt to the rating service.
+    /// Send this attempt's response to the rating service.
     Sample(AttemptId),
-    /// Done: the answer of this attempt is the caller's.
+    /// Complete the call with an attempt's response.
     Deliver(Delivery),
-    /// Done: refuse.
+    /// Complete the call with a refusal.
     Refuse(Refusal),
 }
 
-/// An attempt to be made.
+/// An attempt to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Dispatch {
     pub(crate) attempt: AttemptId,
@@ -49,7 +48,7 @@
     pub(crate) priority: Priority,
 }
 
-/// The answer that the caller gets.
+/// The completion of a call with an attempt's response.
 #[derive(Clone, Debug)]
 pub(crate) struct Delivery {
     pub(crate) attempt: AttemptId,
@@ -58,26 +57,26 @@
     pub(crate) attempts: u32,
 }
 
-/// What concerns more than one call.
+/// A decider action that isn't specific to one call.
 #[derive(Clone, Debug)]
-pub(crate) enum Notice {
-    /// To the other hosts.
+pub(crate) enum DeciderEffect {
+    /// Evidence for the other hosts.
     Evidence(Evidence),
-    /// To the other hosts.
+    /// This host's demand, for the other hosts.
     Demand(Demand),
-    /// A version was judged anew.
+    /// The verdict on a version changed.
     Verdict(VersionId, Verdict),
-    /// A quarantined version stays in use for want of another.
+    /// A quarantined version is used as a last resort.
     LastResort(VersionId),
-    /// A roll-out is to take a step.
+    /// The roll-out of a version requests a step.
     Step(VersionId, Step),
 }
 
-/// The owner of the decider.
-pub(crate) struct Decide {
+/// A shared handle of the decider.
+pub(crate) struct DeciderHandle {
     core: Mutex<Core>,
     host: Arc<Host>,
-    notices: UnboundedSender<Notice>,
+    effects: UnboundedSender<DeciderEffect>,
 }
 
 struct Core {
@@ -88,14 +87,14 @@
     actions: Vec<Action>,
 }
 
-impl Decide {
-    /// A decider without policy, and the queue of what concerns other services.
+impl DeciderHandle {
+    /// Returns a decider without a policy, and the queue of its actions for other services.
     pub(crate) fn new(
         host: Arc<Host>,
         seed: u64,
         tuning: Tuning,
-    ) -> (Arc<Self>, UnboundedReceiver<Notice>) {
-        let (notices, receiver) = unbounded();
+    ) -> (Arc<Self>, UnboundedReceiver<DeciderEffect>) {
+        let (effects, receiver) = unbounded();
         let core = Core {
             decider: Decider::new(seed, tuning),
             policy: Arc::default(),
@@ -103,19 +102,20 @@
             attempts: HashMap::new(),
             actions: Vec::new(),
         };
-        let decide = Self {
+        let decider_handle = Self {
             core: Mutex::new(core),
             host,
-            notices,
+            effects,
         };
-        (Arc::new(decide), receiver)
+        (Arc::new(decider_handle), receiver)
     }
 
-    /// Passes in a call. `arrival` is built from the policy that the decider
-    /// has, since the keys in it are that policy's.
+    /// Passes a call to the decider and returns the call's queue of directives.
+    ///
+    /// `arrival` is built from the decider's present policy, whose keys it contains.
     ///
     /// # Errors
-    /// What `arrival` returns, and then nothing was passed in.
+    /// Returns the error of `arrival`. The decider then has no record of the call.
     pub(crate) fn arrive<E>(
         &self,
         arrival: impl FnOnce(&Policy) -> Result<Arrival, E>,
@@ -131,13 +131,13 @@
         })
     }
 
-    /// Says that the first byte of an attempt's answer came. When this returns
-    /// every cancellation that follows from it is in its call's queue.
+    /// Reports the first byte of an attempt's response. Once this returns, all cancellations that
+    /// follow from it are in the call's queue.
     pub(crate) fn started(&self, attempt: AttemptId) {
         self.handle(Event::Started { attempt });
     }
 
-    /// Says how an attempt ended.
+    /// Reports the outcome of an attempt.
     pub(crate) fn ended(&self, attempt: AttemptId, outcome: Outcome) {
         self.with(|core, now| {
             core.attempts.remove(&attempt);
@@ -146,7 +146,7 @@
         });
     }
 
-    /// Says that the caller is gone.
+    /// Reports that the call is given up, for instance because its caller disconnected.
     pub(crate) fn cancelled(&self, request: key::Request) {
         self.with(|core, now| {
             let event = Event::Cancelled { request };
@@ -155,7 +155,7 @@
         self.with(|core, _| core.calls.remove(&request));
     }
 
-    /// Puts a policy in force.
+    /// Puts a policy in force unless a newer one is.
     pub(crate) fn configure(&self, policy: Arc<Policy>) {
         self.with(|core, now| {
             if policy.revision >= core.policy.revision {
@@ -166,67 +166,67 @@
         });
     }
 
-    /// The endpoints that the decider sends to, whose load it has to know.
+    /// Returns the endpoints that the decider sends to and whose load it needs.
     pub(crate) fn watched(&self) -> Vec<endpoint::Id> {
         let core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
         core.decider.watched()
     }
 
-    /// What this host has learned, for one that starts.
+    /// Returns the evidence of this host, for a host that starts.
     pub(crate) fn digest(&self) -> Evidence {
         let core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
         core.decider.digest()
     }
 
-    /// Passes in any other event.
+    /// Passes any other event to the decider.
     pub(crate) fn handle(&self, event: Event) {
         self.with(|core, now| core.decider.handle(now, event, &mut core.actions));
     }
 
     fn with<T>(&self, work: impl FnOnce(&mut Core, Duration) -> T) -> T {
         let mut core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
-        let began = Instant::now();
-        // Read under the lock, so that time never goes back for the decider.
+        let start = Instant::now();
+        // Read the time under the lock, so that it never decreases for the decider.
         let now = self.host.now();
         let result = work(&mut core, now);
-        core.route(&self.notices);
+        core.route(&self.effects);
         drop(core);
-        self.host.metrics.decided(began.elapsed());
+        self.host.metrics.decided(start.elapsed());
         result
     }
 }
 
 impl Core {
-    /// Passes the actions on. A call that is gone has dropped its queue, and a
-    /// process that is ending its services; what is meant for them is lost rightly.
-    fn route(&mut self, notices: &UnboundedSender<Notice>) {
+    /// Sends the actions to their receivers. Actions for a call that has ended, or for a service
+    /// that has stopped during the exit of the process, are dropped.
+    fn route(&mut self, effects: &UnboundedSender<DeciderEffect>) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match self.translate(action) {
-                Routed::Call(request, directive) => {
+                Destination::Call(request, directive) => {
                     if let Some(call) = self.calls.get(&request) {
                         let _ = call.unbounded_send(directive);
                     }
                 }
-                Routed::Last(request, directive) => {
+                Destination::CallEnd(request, directive) => {
                     if let Some(call) = self.calls.remove(&request) {
                         let _ = call.unbounded_send(directive);
                     }
                 }
-                Routed::Notice(notice) => {
-                    let _ = notices.unbounded_send(notice);
+                Destination::Effect(effect) => {
+                    let _ = effects.unbounded_send(effect);
                 }
-                Routed::Nowhere => {}
+                Destination::Dropped => {}
             }
         }
         self.actions = actions;
     }
 
-    fn translate(&mut self, action: Action) -> Routed {
+    fn translate(&mut self, action: Action) -> Destination {
         match action {
             Action::Dispatch(it) => {
                 self.attempts.insert(it.attempt, it.request);
-                Routed::Call(
+                Destination::Call(
                     it.request,
                     Directive::Dispatch(Dispatch {
                         attempt: it.attempt,
@@ -242,25 +242,29 @@
                 )
             }
             Action::Cancel { attempt } => match self.attempts.remove(&attempt) {
-                Some(request) => Routed::Call(request, Directive::Cancel(attempt)),
-                None => Routed::Nowhere,
+                Some(request) => Destination::Call(request, Directive::Cancel(attempt)),
+                None => Destination::Dropped,
             },
             Action::Sample {
                 request, attempt, ..
-            } => Routed::Call(request, Directive::Sample(attempt)),
-            Action::Deliver(it) => Routed::Last(it.request, Directive::Deliver(self.delivery(it))),
+            } => Destination::Call(request, Directive::Sample(attempt)),
+            Action::Deliver(it) => {
+                Destination::CallEnd(it.request, Directive::Deliver(self.delivery(it)))
+            }
             Action::Refuse { request, refusal } => {
-                Routed::Last(request, Directive::Refuse(refusal))
+                Destination::CallEnd(request, Directive::Refuse(refusal))
             }
-            Action::Publish(evidence) => Routed::Notice(Notice::Evidence(evidence)),
-            Action::Demand(demand) => Routed::Notice(Notice::Demand(demand)),
+            Action::Publish(evidence) => Destination::Effect(DeciderEffect::Evidence(evidence)),
+            Action::Demand(demand) => Destination::Effect(DeciderEffect::Demand(demand)),
             Action::Version { version, verdict } => {
-                Routed::Notice(Notice::Verdict(self.version(version), verdict))
+                Destination::Effect(DeciderEffect::Verdict(self.version(version), verdict))
             }
             Action::LastResort { version, .. } => {
-                Routed::Notice(Notice::LastResort(self.version(version)))
+                Destination::Effect(DeciderEffect::LastResort(self.version(version)))
+            }
+            Action::Step(step) => {
+                Destination::Effect(DeciderEffect::Step(self.version(step.version), step))
             }
-            Action::Step(step) => Routed::Notice(Notice::Step(self.version(step.version), step)),
         }
     }
 
@@ -273,7 +277,7 @@
         }
     }
 
-    /// The version under the key. The decider's keys are those of the policy
+    /// Returns the id of the version with this key. The decider's keys are those of the policy
     /// that it was given last, which is the one kept here.
     fn version(&self, key: key::Version) -> VersionId {
         self.policy
@@ -283,9 +287,9 @@
     }
 }
 
-enum Routed {
+enum Destination {
     Call(key::Request, Directive),
-    Last(key::Request, Directive),
-    Notice(Notice),
-    Nowhere,
+    CallEnd(key::Request, Directive),
+    Effect(DeciderEffect),
+    Dropped,
 }
--- a/crates/barleypind/src/service/fleet/configuration.rs
+++ b/crates/barleypind/src/service/fleet/configuration.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration from the table, and putting it in force.
+//! Reads the configuration from the table and puts it in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,18 +7,17 @@
 use clients::row::Key;
 use kernel::Revision;
 
-use super::tell;
+use super::send_event;
 use crate::context::Context;
 use crate::current::Adopted;
 use crate::event::Event as Logged;
 use crate::host::Phase;
 
-/// Reads the configuration's head from the table and tells the core.
+/// Reads the configuration's head from the table and passes the result to the core.
 pub(super) async fn poll(cx: Arc<Context>) {
     let asked = cx.host.now();
     let event = if let Ok(row) = cx.table.get(&Key::ConfigHead).await {
-        // Before the first change there is no row, and the empty configuration
-        // is in force.
+        // Before the first change there is no row, and the empty configuration is in force.
         let document = match &row {
             Some(row) => row.value(),
             None => Some(config::Document::default()),
@@ -28,7 +27,7 @@
         cx.host.metrics.platform_failed("table");
         Event::PollFailed
     };
-    tell(&cx, event);
+    send_event(&cx, event);
 }
 
 fn polled(cx: &Context, asked: Duration, document: Option<config::Document>) -> Event {
@@ -43,8 +42,8 @@
     })
 }
 
-/// Puts a document in force. The order matters: calls check against the
-/// current configuration at dispatch, so it is there before the decider has it.
+/// Puts a document in force. Calls check the current configuration at dispatch, so it is set
+/// before the decider's policy.
 pub(super) fn apply(cx: &Context, revision: Revision, json: &[u8]) {
     let document = std::str::from_utf8(json)
         .ok()
@@ -53,10 +52,10 @@
         let fields: &[crate::log::Field<'_>] = &[("revision", &revision)];
         return cx.host.log.emit(Logged::ConfigUnreadable, fields);
     };
-    match cx.host.current.adopt(document) {
+    match cx.host.current_config.adopt(document) {
         Adopted::Newer => {
-            cx.decide
-                .configure(Arc::clone(&cx.host.current.get().policy));
+            cx.decider
+                .configure(Arc::clone(&cx.host.current_config.get().policy));
             cx.host
                 .log
                 .emit(Logged::RevisionInForce, &[("revision", &revision)]);
@@ -68,7 +67,7 @@
         }
         Adopted::Same => {}
     }
-    if cx.host.enter(Phase::Ready) == Phase::Starting {
+    if cx.host.advance_to(Phase::Ready) == Phase::Starting {
         cx.host.log.emit(Logged::Ready, &[("revision", &revision)]);
     }
 }
--- a/crates/barleypind/src/service/rollout.rs
+++ b/crates/barleypind/src/service/rollout.rs
@@ -1,11 +1,10 @@
-//! The service that moves roll-outs on and tells engines what to load.
+//! The roll-out controller: makes the steps of roll-outs and orders engines to load versions.
 //!
-//! One host at a time does it, the holder of the lease `orders`. A step is a
-//! change like an operator's, under an id that follows from the step, so that
-//! two hosts that both believe to hold the lease make it once. An order names
-//! the wanted state and carries the lease's fencing number; engines that ignore
-//! the number get none before orders of the last holder have died out. See
-//! `docs/design/lease.md`.
+//! One host at a time runs it, the holder of the lease `orders`. A step is a change like an
+//! operator's, with an id derived from the step, so that it takes effect once even if two hosts
+//! both assume that they hold the lease. An order names the wanted state and contains the lease's
+//! fencing number. Engines that ignore the number get no orders until those of the previous
+//! holder can no longer arrive. See `docs/design/lease.md`.
 
 mod holder;
 mod orders;
@@ -22,14 +21,14 @@
 
 use crate::context::Context;
 use crate::host::Phase;
-use holder::Holder;
+use holder::LeaseHolder;
 
-/// How often the engines' state is set against the wanted one.
-const LOOK: Duration = Duration::from_millis(500);
-/// How many hosts try to hold the lease. More would read its row for nothing.
-const CANDIDATES: usize = 5;
+/// Interval between comparisons of the engines' state with the wanted one.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of hosts that compete for the lease. More would only read its row more often.
+const MAX_CANDIDATES: usize = 5;
 
-/// The name of the service.
+/// The roll-out service.
 pub(crate) struct Rollout;
 
 impl Service for Rollout {
@@ -38,34 +37,34 @@
     const CAPACITY: usize = 64;
 }
 
-/// What the service takes.
+/// A message to the service.
 pub(crate) enum Message {
-    /// The decider wants a step.
+    /// The decider requests a step.
     Step(VersionId, Step),
 }
 
 struct Actor {
     cx: Arc<Context>,
-    holder: Holder,
-    /// When an order was last given, by engine and version.
-    ordered: HashMap<(HostName, VersionId), Duration>,
+    holder: LeaseHolder,
+    /// The time of the last order, by engine and version.
+    last_orders: HashMap<(HostName, VersionId), Duration>,
 }
 
 /// Runs the service until its queue is closed.
 pub(crate) async fn run(cx: Arc<Context>, queue: Receiver<Message>) {
     let mut actor = Actor {
-        holder: Holder::new(&cx),
+        holder: LeaseHolder::new(&cx),
         cx,
-        ordered: HashMap::new(),
+        last_orders: HashMap::new(),
     };
-    let mut looked = Duration::ZERO;
+    let mut last_check = Duration::ZERO;
     loop {
         let now = actor.cx.host.now();
-        if now >= looked + LOOK {
-            looked = now;
-            actor.look().await;
+        if now >= last_check + CHECK_INTERVAL {
+            last_check = now;
+            actor.check().await;
         }
-        match timeout(LOOK, queue.recv()).await {
+        match timeout(CHECK_INTERVAL, queue.recv()).await {
             Ok(Ok(Message::Step(version, step))) => actor.step(&version, &step).await,
             Ok(Err(_)) => return,
             Err(_) => {}
@@ -74,25 +73,25 @@
 }
 
 impl Actor {
-    /// Renews or seeks the lease, and gives the orders that are due.
-    async fn look(&mut self) {
+    /// Renews or requests the lease, and sends the orders that are due.
+    async fn check(&mut self) {
         if self.cx.host.phase() == Phase::Leaving {
-            return self.holder.resign(&self.cx).await;
+            return self.holder.release(&self.cx).await;
         }
         if !self.holder.holds(&self.cx) && !self.is_candidate().await {
             return;
         }
         self.holder.tick(&self.cx).await;
         if self.holder.holds(&self.cx) {
-            self.order().await;
+            self.send_due_orders().await;
         }
     }
 
-    /// Whether this host is one of the few that try to hold the lease. All
-    /// hosts that know the same members agree; when they differ for a while
-    /// there is one candidate more or less, and the table decides anyway.
+    /// Returns whether this host may compete for the lease. All hosts with the same view of the
+    /// members agree. Different views only change the number of candidates, since the table
+    /// decides.
     async fn is_candidate(&self) -> bool {
-        let members = crate::operate::members(&self.cx).await;
+        let members = crate::operator_api::members(&self.cx).await;
         let mut names: Vec<_> = members
             .iter()
             .filter(|it| it.state == wire::State::Alive)
@@ -100,6 +99,6 @@
             .collect();
         names.sort();
         let me = blake3::hash(self.cx.host.settings.host.name.as_str().as_bytes()).to_hex();
-        names.iter().take(CANDIDATES).any(|it| *it == me)
+        names.iter().take(MAX_CANDIDATES).any(|it| *it == me)
     }
 }
--- a/crates/barleypind/src/service/rollout/holder.rs
+++ b/crates/barleypind/src/service/rollout/holder.rs
@@ -1,4 +1,4 @@
-//! This host as a candidate for the lease on orders.
+//! This host's part in the lease on orders.
 
 use clients::row::Key;
 use clients::{Condition, Error, Transaction};
@@ -8,11 +8,10 @@
 use crate::context::Context;
 use crate::event::Event as Logged;
 
-/// The name of the lease.
-const NAME: &str = "orders";
+const LEASE_NAME: &str = "orders";
 
-/// The candidate, and the lease's actions carried out on the table.
-pub(crate) struct Holder {
+/// The lease, whose actions are carried out on the table.
+pub(crate) struct LeaseHolder {
     lease: Lease,
     held: Held,
 }
@@ -23,7 +22,7 @@
     No,
 }
 
-impl Holder {
+impl LeaseHolder {
     pub(crate) fn new(cx: &Context) -> Self {
         Self {
             lease: Lease::new(cx.host.incarnation(), Tuning::default()),
@@ -31,13 +30,17 @@
         }
     }
 
-    /// Whether this host holds the lease now, by its own clock.
+    /// Returns whether this host holds the lease now, by its own clock.
     pub(crate) fn holds(&self, cx: &Context) -> bool {
         self.lease.order(cx.host.now(), Endpoint::Checks).is_ok()
     }
 
-    /// The number for an order that is given now.
-    pub(crate) fn order(&self, cx: &Context, endpoint: Endpoint) -> Result<Fencing, Denied> {
+    /// Returns the fencing number for an order that is sent now.
+    pub(crate) fn fencing_number(
+        &self,
+        cx: &Context,
+        endpoint: Endpoint,
+    ) -> Result<Fencing, Denied> {
         self.lease.order(cx.host.now(), endpoint)
     }
 
@@ -45,8 +48,8 @@
         self.handle(cx, Event::Tick).await;
     }
 
-    /// Gives the lease back.
-    pub(crate) async fn resign(&mut self, cx: &Context) {
+    /// Releases the lease if this host holds it.
+    pub(crate) async fn release(&mut self, cx: &Context) {
         if self.held == Held::Yes {
             self.handle(cx, Event::Resign).await;
         }
@@ -71,7 +74,7 @@
                 Held::Yes => Logged::LeaseTaken,
                 Held::No => Logged::LeaseLost,
             };
-            cx.host.log.emit(event, &[("lease", &NAME)]);
+            cx.host.log.emit(event, &[("lease", &LEASE_NAME)]);
             self.held = held;
         }
     }
@@ -85,7 +88,7 @@
             cx.endpoints.poll().await;
             Some(Event::ReadBack)
         }
-        // The service looks often enough by itself.
+        // The service checks the lease at a fixed interval anyway.
         Action::Lost | Action::Wake { .. } => None,
     }
 }
@@ -119,5 +122,5 @@
 }
 
 fn key() -> Key {
-    Key::Lease(NAME.into())
+    Key::Lease(LEASE_NAME.into())
 }
--- a/crates/barleypind/tests/catalogue.rs
+++ b/crates/barleypind/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The reference pages list what the code has, no more and no less.
+//! Checks that the reference pages list exactly the events and metrics in the code.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use barleypind::event::Event;
-use barleypind::metrics::{CATALOGUE, Kind, Metrics};
+use barleypind::metrics::{CATALOGUE, CallKind, Metrics};
 use expect_test::expect_file;
 
 #[test]
-fn the_event_page_lists_every_event() {
+fn event_page_lists_all_events() {
     let mut page = String::from(
-        "# Events\n\nWhat the daemon logs. Numbers are never reused. Beside the event stand fields that say about what; key material is never among them.\n\n| number | level | name | message |\n|---|---|---|---|\n",
+        "# Events\n\nThe daemon's log events. Numbers are never reused. Events have fields with details, which never contain key material.\n\n| number | level | name | message |\n|---|---|---|---|\n",
     );
     for event in Event::ALL {
         writeln!(
@@ -41,7 +41,7 @@
     for event in Event::ALL {
         let logged = source.contains(&format!("Event::{event:?}"))
             || source.contains(&format!("Logged::{event:?}"));
-        assert!(logged, "{event:?} is catalogued and never logged");
+        assert!(logged, "{event:?} is in the catalogue but never logged");
     }
 }
 
@@ -57,9 +57,9 @@
 }
 
 #[test]
-fn the_metrics_page_lists_every_metric() {
+fn metrics_page_lists_all_metrics() {
     let mut page = String::from(
-        "# Metrics\n\n`GET /metrics` answers in Prometheus' text. Every reason of a refusal or retry is there as zero from the start.\n\n| metric | tells |\n|---|---|\n",
+        "# Metrics\n\n`GET /metrics` returns Prometheus' text format. Counters by reason are exported as zero for every reason from the start.\n\n| metric | description |\n|---|---|\n",
     );
     for (name, help) in CATALOGUE {
         writeln!(page, "| `{name}` | {help} |").unwrap();
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn the_catalogue_is_what_is_exported() {
+fn exported_metrics_equal_the_catalogue() {
     let metrics = Metrics::new();
-    metrics.call_ended(Kind::Chat, Duration::ZERO);
+    metrics.call_ended(CallKind::Chat, Duration::ZERO);
     metrics.first_token(Duration::ZERO);
     metrics.decided(Duration::ZERO);
     let text = metrics.text();
--- a/crates/barleypind/tests/check.rs
+++ b/crates/barleypind/tests/check.rs
@@ -1,4 +1,4 @@
-//! `barleypind check`: bad settings and key files, each with its error and exit code.
+//! Tests of `barleypind check` with faulty settings and key files: errors and exit codes.
 
 use std::fs;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use link::keys::Authority;
 use tempfile::TempDir;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [host]
 name = "entry-1"
 data_centre = "dar-1"
@@ -40,8 +40,11 @@
     fs::write(dir.path().join("host.pem"), keys.certificate).unwrap();
     fs::write(dir.path().join("host.key.pem"), keys.key).unwrap();
     let path = dir.path().join("host.toml");
-    fs::write(&path, settings.replace("DIR", &shown(dir.path()))).unwrap();
-    expect.assert_eq(&run(&["check", "--settings", &shown(&path)], dir.path()));
+    fs::write(&path, settings.replace("DIR", &display_path(dir.path()))).unwrap();
+    expect.assert_eq(&run(
+        &["check", "--settings", &display_path(&path)],
+        dir.path(),
+    ));
 }
 
 fn run(args: &[&str], dir: &Path) -> String {
@@ -50,18 +53,20 @@
         .output()
         .unwrap();
     let text = [output.stdout, output.stderr].concat();
-    let text = String::from_utf8(text).unwrap().replace(&shown(dir), "DIR");
+    let text = String::from_utf8(text)
+        .unwrap()
+        .replace(&display_path(dir), "DIR");
     format!("{text}exit {}\n", output.status.code().unwrap())
 }
 
-fn shown(path: &Path) -> String {
+fn display_path(path: &Path) -> String {
     path.display().to_string()
 }
 
 #[test]
-fn good_settings_pass() {
+fn valid_settings_pass() {
     check(
-        GOOD,
+        VALID,
         &expect![[r"
         DIR/host.toml: no faults
         exit 0
@@ -70,8 +75,8 @@
 }
 
 #[test]
-fn every_fault_is_told_in_one_run() {
-    let settings = GOOD
+fn all_faults_are_reported_in_one_run() {
+    let settings = VALID
         .replace("region = \"dar\"", "regoin = \"dar\"")
         .replace("callers = \"127.0.0.1:0\"", "callers = \"here\"")
         + "[limits]\nmax_connections = 0\n[colours]\n";
@@ -89,7 +94,7 @@
 }
 
 #[test]
-fn text_that_is_not_toml_is_told_by_its_line() {
+fn invalid_toml_is_reported_with_its_line() {
     check(
         "[host]\nname = entry 1\n",
         &expect![[r#"
@@ -101,9 +106,9 @@
 }
 
 #[test]
-fn a_key_file_that_is_missing_or_empty_is_named() {
+fn missing_or_empty_key_file_is_reported() {
     check(
-        &GOOD.replace("operator_key = \"DIR/key\"", "operator_key = \"DIR/none\""),
+        &VALID.replace("operator_key = \"DIR/key\"", "operator_key = \"DIR/none\""),
         &expect![[r"
             key file DIR/none: can't be used
               because: No such file or directory (os error 2)
@@ -111,7 +116,7 @@
         "]],
     );
     check(
-        &GOOD.replace("session_key = \"DIR/key\"", "session_key = \"DIR/empty\""),
+        &VALID.replace("session_key = \"DIR/key\"", "session_key = \"DIR/empty\""),
         &expect![[r"
             key file DIR/empty: can't be used
               the file is empty
@@ -121,9 +126,9 @@
 }
 
 #[test]
-fn fleet_keys_that_do_not_fit_are_refused() {
+fn mismatched_fleet_keys_are_refused() {
     check(
-        &GOOD.replace("host_key = \"DIR/host.key.pem\"", "host_key = \"DIR/key\""),
+        &VALID.replace("host_key = \"DIR/host.key.pem\"", "host_key = \"DIR/key\""),
         &expect![[r"
             the link to the other hosts can't be set up
               because: the fleet's keys can't be used
@@ -134,9 +139,9 @@
 }
 
 #[test]
-fn a_settings_file_that_is_missing_is_named() {
+fn missing_settings_file_is_reported() {
     let dir = TempDir::new().unwrap();
-    let path = shown(&dir.path().join("none.toml"));
+    let path = display_path(&dir.path().join("none.toml"));
     expect![[r"
         settings DIR/none.toml: can't be read
           because: No such file or directory (os error 2)
@@ -152,7 +157,7 @@
 }
 
 #[test]
-fn an_unknown_argument_is_refused() {
+fn unknown_argument_is_refused() {
     let dir = TempDir::new().unwrap();
     expect![[r"
         error: unexpected argument '--colour' found
--- a/crates/barleypind/tests/golden/site.rs
+++ b/crates/barleypind/tests/golden/site.rs
@@ -1,4 +1,4 @@
-//! Daemons and stand-ins of one session file, in this process, on loopback.
+//! The daemons and stand-ins of one session file, run in this process on the loopback interface.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -8,7 +8,7 @@
 
 use async_std::task;
 use barleypind::log::Log;
-use barleypind::{Daemon, Ended};
+use barleypind::{Daemon, DrainOutcome};
 use config::{Customer, Settings};
 use datadriven::TestCase;
 use fakes::Started;
@@ -17,11 +17,11 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use crate::clock::Shifted;
+use crate::clock::ShiftedClock;
 
-/// The bound of every wait; nothing here takes a tenth of it.
-const WAIT: Duration = Duration::from_secs(20);
-const PAUSE: Duration = Duration::from_millis(5);
+/// Timeout of every wait.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 pub(crate) const OPERATOR_KEY: &str = "the-operators-key";
 
@@ -29,18 +29,18 @@
     pub(crate) daemons: Vec<Daemon>,
     pub(crate) saved: BTreeMap<String, String>,
     pub(crate) addresses: BTreeMap<String, SocketAddr>,
-    clock: Arc<Shifted>,
+    clock: Arc<ShiftedClock>,
     client: Client,
     _started: Started,
     dir: TempDir,
-    /// The share of answers that are rated.
+    /// The fraction of responses that are rated.
     rated: f64,
 }
 
 impl Site {
     pub(crate) async fn start(case: &TestCase) -> Self {
         let hosts = argument(case, "hosts").unwrap_or(1);
-        let clock = Arc::new(Shifted::default());
+        let clock = Arc::new(ShiftedClock::default());
         let settings = fakes::Settings::parse(&format!("{PLATFORM}\n{}", case.input)).unwrap();
         let endpoints = settings.engine.len() + settings.service.len();
         let started = Started::start(clock.clone(), settings).await.unwrap();
@@ -97,25 +97,25 @@
             .unwrap_or_else(|err| panic!("{to}: {err}"))
     }
 
-    /// Drains the host that the case names and says how it ended.
+    /// Runs `drain`: drains the host named in the case and shows the outcome.
     pub(crate) async fn drain(&self, case: &TestCase) -> String {
         let daemon = &self.daemons[host(case)];
         daemon.drain();
         match daemon.ended().await {
-            Ended::Whole => "whole\n".to_owned(),
-            Ended::AtBound => "at the bound\n".to_owned(),
+            DrainOutcome::Complete => "whole\n".to_owned(),
+            DrainOutcome::LimitReached => "at the bound\n".to_owned(),
         }
     }
 
-    /// Waits until every host has the revision that the case names in force.
+    /// Runs `wait`: waits until all hosts have the revision named in the case in force.
     pub(crate) async fn wait(&self, case: &TestCase) -> String {
         let revision: u64 = argument(case, "revision").expect("a revision");
         self.in_force(revision).await;
         "in force\n".to_owned()
     }
 
-    /// Puts the clock of all hosts ahead by the case's seconds, and waits until
-    /// each has a proof again that its configuration is the newest.
+    /// Runs `advance`: advances the clock of all hosts by the case's seconds, and waits until
+    /// each has a new proof that its configuration is the newest.
     pub(crate) async fn advance(&self, case: &TestCase) -> String {
         let seconds = argument(case, "seconds").expect("seconds");
         self.clock.advance(Duration::from_secs(seconds));
@@ -154,10 +154,10 @@
     }
 
     pub(crate) async fn until(&self, what: &str, check: impl AsyncFn(&Self) -> bool) {
-        let deadline = Instant::now() + WAIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !check(self).await {
-            assert!(Instant::now() < deadline, "waited in vain for: {what}");
-            task::sleep(PAUSE).await;
+            assert!(Instant::now() < deadline, "timed out waiting for: {what}");
+            task::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -234,7 +234,7 @@
         self.send(self.addresses["hosts"], request).await;
     }
 
-    /// Commits the configuration that all session files share.
+    /// Commits the configuration shared by all session files.
     async fn configure(&self) {
         let entries: Value = serde_json::from_str(include_str!("config.json")).unwrap();
         let mut revision = 0;
@@ -256,7 +256,7 @@
     }
 }
 
-/// The bearer key of a customer.
+/// Returns the bearer key of a customer.
 pub(crate) fn key_of(customer: &str) -> String {
     format!("key-of-{customer}")
 }
@@ -270,7 +270,7 @@
     String::from_utf8(bytes).unwrap()
 }
 
-/// The host that the case names, the first one otherwise.
+/// Returns the index of the host named in the case, by default the first.
 pub(crate) fn host(case: &TestCase) -> usize {
     argument(case, "host").map_or(0, |at: usize| at - 1)
 }
