--- a/crates/framing/src/body.rs
+++ b/crates/framing/src/body.rs
@@ -4,11 +4,11 @@
 
 use crate::Error;
 
-/// Maximum number of bytes buffered of an incomplete line of chunk framing, with room for chunk
-/// extensions and trailer fields.
+/// Maximum number of bytes passed to the decoder of a line of chunk framing whose line feed hasn't
+/// arrived.
 const MAX_INCOMPLETE_LINE: usize = 1024;
 
-/// The framing of a body, which determines where it ends.
+/// The length of a body, as the framing of its message determines it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Length {
     /// The body has this number of bytes.
@@ -150,6 +150,7 @@
 fn parse_chunk_size(line: &[u8]) -> Result<u64, Error> {
     let digits = line.split(|&it| it == b';').next().unwrap_or_default();
     let digits = digits.trim_ascii_end();
+    // A number of 15 hexadecimal digits fits a `u64`.
     if digits.is_empty() || digits.len() > 15 || !digits.iter().all(u8::is_ascii_hexdigit) {
         return Err(Error::Malformed);
     }
--- a/crates/framing/src/error.rs
+++ b/crates/framing/src/error.rs
@@ -5,7 +5,8 @@
 /// An error of parsing a head or decoding a body.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// The bytes violate the grammar, or different parsers could read them differently.
+    /// The bytes violate the grammar, are incomplete, could be read differently by different
+    /// parsers, or use a feature that this crate doesn't support.
     #[display("message is malformed")]
     Malformed,
     /// The head has more fields than allowed.
--- a/crates/framing/src/events.rs
+++ b/crates/framing/src/events.rs
@@ -15,7 +15,7 @@
 pub struct Event<'a> {
     /// The event as sent, including the blank line at its end.
     pub bytes: &'a [u8],
-    /// The value of its `id` field, if that is a number.
+    /// The value of its first `id` field, if that parses as a `u64`.
     pub id: Option<u64>,
 }
 
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Returns whether unconsumed bytes are buffered.
+    /// Returns whether bytes are buffered that [`Events::take`] hasn't returned.
     #[must_use]
     pub fn has_unread(&self) -> bool {
         self.start < self.pending.len()
--- a/crates/framing/src/fields.rs
+++ b/crates/framing/src/fields.rs
@@ -1,4 +1,4 @@
-//! Header fields of a message, as sent.
+//! Header fields of a message, with the whitespace around values removed.
 
 use std::ops::Range;
 
@@ -56,7 +56,7 @@
         self.all(name).next().and_then(|it| str::from_utf8(it).ok())
     }
 
-    /// Returns the first value with this name, if it is a number.
+    /// Returns the first value with this name, if it parses as a `u64`.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         self.text(name)?.parse().ok()
@@ -90,8 +90,9 @@
 
     /// Returns the body's length as the fields state it, if they do.
     ///
-    /// Rejects more than one length, and a length together with a transfer coding: parsers
-    /// differ in which of them they use, which allows request smuggling.
+    /// Rejects a second `Content-Length`, even an equal one, a length together with a transfer
+    /// coding, a length that isn't a `u64` in digits, and transfer codings other than a single
+    /// `chunked`. Parsers differ in how they read most of these, which allows request smuggling.
     pub(crate) fn length(&self) -> Result<Option<Length>, Error> {
         let mut lengths = self.all("content-length");
         let length = lengths.next();
--- a/crates/framing/src/request.rs
+++ b/crates/framing/src/request.rs
@@ -8,13 +8,13 @@
 pub struct Head {
     /// The method, as sent.
     pub method: String,
-    /// The request target, as sent: a path and an optional query.
+    /// The request target, as sent; usually a path and an optional query.
     pub target: String,
     /// The header fields.
     pub fields: Fields,
     /// The length of the body.
     pub length: Length,
-    /// Whether the connection stays open for another request after this one.
+    /// Whether the sender allows another request on the connection after this one.
     pub keep_alive: bool,
     /// Whether the sender supports the chunked transfer coding, which HTTP/1.0 lacks.
     pub supports_chunked: bool,
--- a/crates/framing/src/response.rs
+++ b/crates/framing/src/response.rs
@@ -50,7 +50,8 @@
         })
     }
 
-    /// Returns whether this is an interim response (1xx), which precedes the final one.
+    /// Returns whether the status is informational (1xx). Except for 101, such a response precedes
+    /// the final one.
     #[must_use]
     pub fn is_informational(&self) -> bool {
         (100..200).contains(&self.status)
--- a/crates/framing/tests/framing.rs
+++ b/crates/framing/tests/framing.rs
@@ -73,8 +73,9 @@
     );
 }
 
-/// Guards against request smuggling: if the relay and the endpoint disagree on where a request
-/// ends, the endpoint runs the rest as a request that the relay never checked.
+/// Most of these could make the relay and the endpoint disagree on where a request ends (request
+/// smuggling): the endpoint takes the rest for another request, which the relay never checked. The
+/// others lack exactly one host or use an unsupported coding.
 #[test]
 fn an_ambiguous_request_is_rejected() {
     let ambiguous = [
--- a/crates/http/benches/churn.rs
+++ b/crates/http/benches/churn.rs
@@ -3,7 +3,8 @@
 //! connection for each request.
 //!
 //! `cargo bench -p http --bench churn -- [idle|drain|cost] [requests]` prints the number of
-//! requests by outcome. Requests that ended with `MaybeSent` or `Cut` are lost; one that ended
+//! requests by outcome, and for `cost` the rate and latency of requests. Several runs may be named;
+//! all run if none is. Requests that ended with `MaybeSent` or `Cut` are lost; one that ended
 //! with `NotSent` can be sent to another server.
 
 use std::collections::BTreeMap;
@@ -274,7 +275,7 @@
                     Err(err) => format!("{err:?} in the body"),
                 },
                 Err(err) => {
-                    // The caller looks up the addresses again only after a failure.
+                    // The caller looks up the addresses again only after `send` has failed.
                     to = self.cluster.address(caller);
                     format!("{err:?}")
                 }
--- a/crates/http/benches/relay.rs
+++ b/crates/http/benches/relay.rs
@@ -2,8 +2,8 @@
 //! and through a second server that forwards them with the client.
 //!
 //! `cargo bench -p http --bench relay -- [requests per second] [tokens per request]` runs all
-//! parts in one process and prints the delay between writing and reading a token. To run the
-//! parts in separate processes: `-- engine TOKENS`, `-- relay ENGINE`,
+//! parts in one process and prints the delay between writing and reading a token, and the processor
+//! use. To run the parts in separate processes: `-- engine TOKENS`, `-- relay ENGINE`,
 //! `-- caller ADDRESS REQUESTS`.
 
 use std::net::SocketAddr;
@@ -38,14 +38,14 @@
 }
 
 fn number(text: &str) -> u32 {
-    text.parse().expect("a number")
+    text.parse().expect("the argument is a number")
 }
 
 fn address(text: &str) -> SocketAddr {
-    text.parse().expect("an address")
+    text.parse().expect("the argument is an address")
 }
 
-/// Prints the processor use of each second until the process is killed.
+/// Prints the address, then the processor use of each second until the process is killed.
 async fn print_cpu_usage(address: SocketAddr) {
     println!("{address}");
     let mut before = cpu_time();
@@ -155,7 +155,8 @@
 
 async fn generate_load(address: SocketAddr, requests: u32) -> Histogram<u64> {
     let longest = micros(Duration::from_mins(1));
-    let delays = Histogram::new_with_bounds(1, longest, 3).expect("the bounds are in order");
+    let delays =
+        Histogram::new_with_bounds(1, longest, 3).expect("the bounds of the histogram are valid");
     let delays = Arc::new(Mutex::new(delays));
     let client = client();
     let mut callers = Vec::new();
@@ -183,14 +184,14 @@
         .await;
     let mut response = match response {
         Ok(response) => response,
-        Err(err) => return eprintln!("{err}"),
+        Err(err) => return eprintln!("caller: request failed: {err}"),
     };
     let mut pending = Vec::new();
     loop {
         let piece = match response.body.piece().await {
             Ok(Some(piece)) => piece,
             Ok(None) => return,
-            Err(err) => return eprintln!("{err}"),
+            Err(err) => return eprintln!("caller: body failed: {err}"),
         };
         pending.extend_from_slice(&piece);
         let whole = pending.len() / TOKEN_SIZE * TOKEN_SIZE;
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -61,14 +61,14 @@
     /// Creates a body with `value` serialized as JSON.
     ///
     /// The body is empty if `value` can't be serialized, for example because of a map whose keys
-    /// aren't strings. No type of this workspace has such values.
+    /// aren't strings.
     #[must_use]
     pub fn json<T: Serialize + ?Sized>(value: &T) -> Self {
         Self::bytes(serde_json::to_vec(value).unwrap_or_default())
     }
 
-    /// Creates a streamed body and its sender. At most `capacity` pieces are buffered, and at
-    /// least one.
+    /// Creates a streamed body and its sender. Up to `capacity` pieces are buffered; a capacity
+    /// of 0 counts as 1.
     #[must_use]
     pub fn channel(capacity: usize) -> (Sender, Self) {
         let (sender, pieces) = channel::open(capacity);
@@ -115,7 +115,8 @@
     /// Reads the whole body, up to `limit` bytes.
     ///
     /// # Errors
-    /// [`Error::TooLarge`] if the body exceeds the limit, [`Error::Cut`] if it ended early.
+    /// [`Error::TooLarge`] if the body exceeds `limit`, or if a request's body exceeds the server's
+    /// limit; [`Error::Cut`] if reading it failed.
     pub async fn collect(mut self, limit: usize) -> Result<Vec<u8>, Error> {
         self.drain(limit).await
     }
@@ -128,7 +129,7 @@
         self.drain_json(limit).await
     }
 
-    /// Like [`Body::collect`], but keeps the body, so that a caller that doesn't accept the
+    /// Like [`Body::collect`], but borrows the body, so that a caller that doesn't accept the
     /// response can still call [`Body::discard_connection`].
     ///
     /// # Errors
@@ -150,7 +151,7 @@
         Ok(collected)
     }
 
-    /// Like [`Body::parse`], but keeps the body. If the bytes don't parse as a `T`, they may
+    /// Like [`Body::parse`], but borrows the body. If the bytes don't parse as a `T`, they may
     /// belong to the response to another request, and this calls [`Body::discard_connection`].
     ///
     /// # Errors
@@ -163,7 +164,11 @@
         })
     }
 
-    /// Prevents the connection of this response from being reused, so that it is closed.
+    /// Prevents the connection of this response from being reused, so that it is closed when the
+    /// body is dropped.
+    ///
+    /// Has no effect on a response without a body, whose connection may already be back in the
+    /// pool, nor on bodies that aren't those of received responses.
     ///
     /// If a peer sends two responses to one request, every later request on the connection gets
     /// the response to the request before it. Callers that detect such a response call this,
@@ -177,7 +182,7 @@
     /// Returns the next bytes as soon as some are available, or `None` at the end.
     ///
     /// # Errors
-    /// [`Error::Cut`] if the body ended early, [`Error::TooLarge`] if a request's body exceeds
+    /// [`Error::Cut`] if reading the body failed, [`Error::TooLarge`] if a request's body exceeds
     /// the server's limit.
     pub async fn piece(&mut self) -> Result<Option<Vec<u8>>, Error> {
         let bytes = self.fill_buf().await.map_err(|err| Error::body(&err))?;
--- a/crates/http/src/body/channel.rs
+++ b/crates/http/src/body/channel.rs
@@ -9,7 +9,7 @@
 
 use crate::Cause;
 
-/// Creates a sender and a receiver that buffer `capacity` pieces, and at least one.
+/// Creates a sender and a receiver with a buffer for `capacity` pieces, or for one if that is 0.
 pub(super) fn open(capacity: usize) -> (Sender, PieceReader) {
     let (sender, receiver) = channel::bounded(capacity.max(1));
     let reader = PieceReader {
@@ -23,8 +23,8 @@
 
 /// The sender of a streamed body.
 ///
-/// If it is dropped without [`Sender::finish`], reading the body fails, so that the receiver
-/// doesn't mistake the output of a failed producer for a complete body.
+/// If all clones are dropped and none called [`Sender::finish`], reading the body fails, so that
+/// the receiver doesn't mistake the output of a failed producer for a complete body.
 #[derive(Clone, Debug)]
 pub struct Sender {
     sender: channel::Sender<Piece>,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -73,10 +73,11 @@
     /// Sends `request` to the peer at `to` and returns as soon as the response's head has been
     /// received; the body is streamed.
     ///
-    /// If a pooled connection turns out to be closed before any byte of a response, the request
-    /// is sent again on another connection, provided that [`Options::retry_policy`] allows it and
-    /// that the body is in memory. Other requests use a new connection, or one that was used less
-    /// than [`Pool::max_age_at_most_once`] ago.
+    /// If a pooled connection turns out to be closed, the request is sent again on another one,
+    /// provided that its body is in memory, and that either none of its bytes were sent, or the
+    /// failure is [`Error::MaybeSent`] and [`Options::retry_policy`] is
+    /// [`RetryPolicy::Idempotent`]. Requests that aren't idempotent, or whose body isn't in memory,
+    /// use a new connection, or one that was used less than [`Pool::max_age_at_most_once`] ago.
     ///
     /// # Errors
     /// [`Error::NotSent`], [`Error::MaybeSent`] or [`Error::Cut`], depending on how far the
@@ -136,8 +137,9 @@
 
 /// Returns whether a request that failed on a pooled connection may be sent on another one.
 ///
-/// A connection that the peer closed while it was idle fails before any byte of a response. The
-/// peer may still have acted on the request.
+/// Only a failure with [`Cause::Closed`] is retried, since the peer may have closed the connection
+/// while it was idle. If bytes were sent, the peer may have acted on them, so the request must be
+/// idempotent.
 fn may_retry(err: Error, retry_policy: RetryPolicy) -> bool {
     match err {
         Error::NotSent(Cause::Closed) => true,
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -14,9 +14,11 @@
 pub struct Pool {
     /// Maximum number of idle connections for each address.
     pub max_idle: usize,
-    /// Maximum age of an idle connection. Should be shorter than the idle timeout of the peers.
+    /// Time without use after which a connection is no longer used for a request. Should be shorter
+    /// than the idle timeout of the peers.
     pub max_age: Duration,
-    /// Maximum age of an idle connection for a request that must not be sent twice. Should be
+    /// Time without use after which a connection is no longer used for a request that can't be sent
+    /// again, either because it isn't idempotent or because its body isn't in memory. Should be
     /// shorter, by more than the network latency, than the time for which peers keep a connection
     /// open after a response.
     pub max_age_at_most_once: Duration,
@@ -35,9 +37,10 @@
 /// The idle connections that a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reuse {
-    /// Any connection that looks open. If the peer has just closed it, the request is sent again.
+    /// Any connection that looks open and hasn't expired. If the peer has just closed it, the
+    /// request is sent again.
     AnyOpen,
-    /// Only a recently used one, which the peer can't have begun to close.
+    /// Only a recently used one, which the peer shouldn't have begun to close.
     Recent,
 }
 
@@ -100,8 +103,9 @@
         let now = self.clock.now();
         let mut state = self.state();
         let entries = state.by_address.get_mut(&to)?;
-        // The newest is last: if it is too old, all are. The caller will open a new connection,
-        // so one old connection is dropped.
+        // The most recently used connection is last: if it has been idle for too long, all have.
+        // The caller opens a new connection, which may be added here later, so the one idle longest
+        // is dropped to keep the number constant.
         if let Some(entry) = entries.pop_back_if(|it| now.saturating_sub(it.idle_since) < max_age) {
             return Some(entry.conn);
         }
@@ -109,8 +113,8 @@
         None
     }
 
-    /// Closes expired connections to all addresses. Those to addresses that are no longer used
-    /// would otherwise stay open forever.
+    /// Closes expired connections to all addresses, at most once in `max_age`. Called when a
+    /// connection is added. Those to addresses that are no longer used would otherwise stay open.
     fn sweep(&self, state: &mut State, now: Duration) {
         if now.saturating_sub(state.last_sweep) < self.limits.max_age {
             return;
--- a/crates/http/src/client/response_body.rs
+++ b/crates/http/src/client/response_body.rs
@@ -16,7 +16,7 @@
 
 type ReturnConn = Box<dyn FnOnce(Conn) + Send + Sync>;
 
-/// The framing of a response's body.
+/// The length of a response's body, as its framing determines it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length(u64),
@@ -25,7 +25,7 @@
 }
 
 /// Creates a response from a decoded head. `return_conn` is called with the connection if the peer
-/// keeps it open, once the body has been read to its end and dropped.
+/// keeps it open: once the body has been read to its end and dropped, or at once if it is empty.
 pub(super) fn build_response(
     mut head: http_types::Response,
     method: Method,
@@ -62,7 +62,8 @@
     Ok(response)
 }
 
-/// Returns the framing of a body, or `None` if the head is invalid.
+/// Returns the length of a body, or `None` if the head is invalid or has an unsupported transfer
+/// coding.
 ///
 /// The library treats a response without a length as empty, although its body ends with the
 /// connection.
@@ -116,7 +117,7 @@
             if !bytes?.is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            // The library treats a closed connection as the end of the body.
+            // In a body with a length, the library treats a closed connection as the end.
             if self.remaining.is_some() {
                 return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()));
             }
--- a/crates/http/src/conn.rs
+++ b/crates/http/src/conn.rs
@@ -3,7 +3,8 @@
 //! The library reads heads through a buffer that it drops together with the bytes after the
 //! head, asserts that header values are ASCII, treats a response without a length as empty, and
 //! may return `Pending` without registering a waker. This module therefore reads and checks each
-//! head itself, and lets the library read exactly the bytes of the head.
+//! head itself, lets the library read exactly the bytes of the head, and wakes the reader if no
+//! waker was registered. Bodies without a length are read past the library.
 
 mod input;
 
@@ -148,8 +149,9 @@
         poll_fn(|cx| Poll::Ready(peek.as_mut().poll(cx).is_pending())).await
     }
 
-    /// Waits until the peer has closed its side or the connection has failed. Never completes if
-    /// the peer has sent bytes after the body, because it then waits for its next response.
+    /// Waits until the body has been read, and then until the peer has closed its side or the
+    /// connection has failed. Never completes if bytes follow the body, since a disconnect after
+    /// them isn't detected.
     pub(crate) async fn wait_closed(&self) {
         self.wait_body_done().await;
         let mut byte = [0];
@@ -272,9 +274,10 @@
 
 /// Returns whether all line endings are CR LF.
 ///
-/// The library also ends a head at two line feeds, while this module ends it at two CR LF. If
-/// they differed, the library would drop a request after the first end as the rest of the head,
-/// and the caller would take each later response for that to the request before it.
+/// The library also ends a head at two line feeds, while this module ends it at two CR LF. In a
+/// head with two line feeds before its two CR LF, the library would take the line feeds for the end
+/// and drop the rest. If the rest is another request, it gets no response, and the caller matches
+/// each later response to the request before.
 fn has_valid_line_endings(head: &[u8]) -> bool {
     let lf = |at: usize| at > 0 && head[at - 1] == b'\r';
     let cr = |at: usize| head.get(at + 1) == Some(&b'\n');
--- a/crates/http/src/conn/input.rs
+++ b/crates/http/src/conn/input.rs
@@ -30,7 +30,7 @@
     /// Not expected, already written, or no longer possible.
     #[default]
     NotNeeded,
-    /// Expected by the peer; this number of its bytes has been written.
+    /// The peer expects it; this number of bytes of the interim response has been written.
     Expected(usize),
 }
 
--- a/crates/http/src/deadline.rs
+++ b/crates/http/src/deadline.rs
@@ -7,7 +7,7 @@
 
 use async_std::task::sleep;
 
-/// A deadline that a reader polls when no bytes are available.
+/// The deadline of reading a body.
 pub(crate) struct Deadline {
     at: Instant,
     /// Created only when the reader has to wait, since most bodies are read without waiting.
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of requests, classified by whether the peer may have acted on the request.
+//! Errors of sending requests and reading bodies.
 
 use std::io;
 
@@ -6,17 +6,20 @@
 
 /// An error of sending a request or reading a body.
 ///
-/// The variants tell whether the peer may have acted on the request, which decides whether it
-/// can be retried.
+/// [`Error::NotSent`] means that the peer can't have acted on the request, [`Error::MaybeSent`]
+/// that it may have, which decides whether the request can be retried. The other variants concern
+/// the reading of a response or body.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
     /// No byte of the request was sent, so the peer can't have acted on it.
     #[display("not sent: {_0}")]
     NotSent(#[error(not(source))] Cause),
-    /// Bytes of the request may have been sent, and no response was received.
+    /// Bytes of the request were sent, and the exchange failed while the request was being written
+    /// or before a final response began.
     #[display("no response: {_0}")]
     MaybeSent(#[error(not(source))] Cause),
-    /// The message began but ended early or was malformed.
+    /// Reading the message failed after its first byte, for example because it ended early, was
+    /// malformed, or took too long.
     #[display("cut: {_0}")]
     Cut(#[error(not(source))] Cause),
     /// The body is larger than the reader's limit.
@@ -30,7 +33,7 @@
     Json {
         /// Line of the parse error, starting at 1.
         line: usize,
-        /// Column of the parse error, starting at 1.
+        /// Column of the parse error, as reported by `serde_json`.
         column: usize,
     },
 }
@@ -44,10 +47,11 @@
     /// A timeout expired.
     #[display("timed out")]
     Timeout,
-    /// The peer closed the connection.
+    /// The connection was closed or reset, or a body ended early or was dropped.
     #[display("connection closed")]
     Closed,
-    /// The message isn't valid HTTP/1.1, or uses a feature that this crate doesn't support.
+    /// The message isn't valid HTTP/1.1 or uses a feature that this crate doesn't support, its head
+    /// is too large, or the target of a request to send is invalid.
     #[display("malformed")]
     Malformed,
     /// Any other I/O error.
--- a/crates/http/src/h1.rs
+++ b/crates/http/src/h1.rs
@@ -11,8 +11,8 @@
 use crate::copy::poll_copy;
 use crate::{Body, Headers, Method, Request, Response};
 
-/// Fields that are dropped because they concern one connection or the framing of one message.
-/// Forwarding them could make the next peer wait for bytes that never come.
+/// Fields that aren't copied to a message to send: they concern one connection or exchange, or this
+/// crate sets them itself (`content-length`, `host`, `transfer-encoding`).
 const HOP_BY_HOP: [&str; 12] = [
     "connection",
     "content-length",
@@ -28,7 +28,8 @@
     "upgrade",
 ];
 
-/// Converts a request for the peer at `to`. Returns `None` if its target isn't a valid path.
+/// Converts `request`, with `body` in place of its own, for the peer at `to`. Returns `None` if the
+/// target doesn't begin with `/` or can't be parsed.
 pub(crate) fn encode_request(
     request: &Request,
     to: SocketAddr,
@@ -67,8 +68,8 @@
         .collect()
 }
 
-/// Returns whether `text` consists of digits only. Integer parsers also accept a sign, which
-/// other HTTP implementations may read differently.
+/// Returns whether `text` consists of one or more ASCII digits. Integer parsers also accept a sign,
+/// which other HTTP implementations may read differently.
 pub(crate) fn is_number(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|it| it.is_ascii_digit())
 }
@@ -79,6 +80,7 @@
         .filter(|(name, _)| !HOP_BY_HOP.iter().any(|it| it.eq_ignore_ascii_case(name)))
 }
 
+/// Returns whether a request with this method gets a body, and so a length, even if it is empty.
 fn has_body(method: Method) -> bool {
     matches!(method, Method::Post | Method::Put | Method::Patch)
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! The client pools connections, and its errors tell whether a request may have reached its
 //! peer. The server enforces limits on what peers may send. The public API hides `async-h1`, so
-//! that it can be replaced; see `docs/PROTOCOLS.md` for the protocols on top of HTTP.
+//! that it can be replaced, but re-exports `Method` and `StatusCode` of `http-types`; see
+//! `docs/PROTOCOLS.md` for the protocols on top of HTTP.
 
 mod body;
 mod client;
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -15,15 +15,15 @@
 pub struct Request {
     /// The method.
     pub method: Method,
-    /// The path and query of the request line.
+    /// The path and query. In a received request, dot segments of the path are resolved.
     pub target: String,
     /// The header fields. When a request is sent, this crate adds length, transfer coding and
-    /// host.
+    /// host, and drops fields that concern only one connection.
     pub headers: Headers,
     /// The body.
     pub body: Body,
-    /// Completes when the caller of a received request disconnects. Never completes for a request
-    /// to send.
+    /// Notification that the caller of a received request disconnected. See [`Hangup::wait`], which
+    /// never completes for a request to send.
     pub hangup: Hangup,
 }
 
@@ -82,7 +82,8 @@
             .map_or(&self.target, |(path, _)| path)
     }
 
-    /// Returns the first value of the query parameter `name`, percent-decoded.
+    /// Returns the first value of the query parameter `name`, decoded as a URL-encoded
+    /// form.
     #[must_use]
     pub fn query(&self, name: &str) -> Option<String> {
         let url = Url::parse("http://host/").ok()?.join(&self.target).ok()?;
@@ -92,7 +93,11 @@
     }
 }
 
-/// Notification that the caller disconnected before it received the whole response.
+/// Notification that the response can't be completed: the caller disconnected, or writing the
+/// response failed.
+///
+/// A disconnect is noticed only once the request's body has been read, and not if more bytes follow
+/// the body.
 ///
 /// A caller that closes only its sending side also counts as disconnected, because the server
 /// can't tell the difference.
@@ -112,7 +117,7 @@
         (sender, Self { closed })
     }
 
-    /// Waits until the caller has disconnected. Never completes otherwise.
+    /// Waits for the notification. Never completes if the response is completed.
     pub async fn wait(&self) {
         match &self.closed {
             Some(closed) if closed.clone().await.is_ok() => {}
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -11,7 +11,7 @@
     /// The status code.
     pub status: StatusCode,
     /// The header fields. When a response is sent, this crate adds length, transfer coding and
-    /// date.
+    /// date, and drops fields that concern only one connection.
     pub headers: Headers,
     /// The body.
     pub body: Body,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -84,19 +84,21 @@
     }
 
     /// Returns the number of requests in flight, from the first byte of their head to the last
-    /// byte of their response.
+    /// byte of their response, or to the closing of the connection if they are rejected.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight()
     }
 
     /// Shuts down gracefully. For `grace`, serves as before but asks callers to close their
-    /// connections. Then accepts no more connections and waits up to `limit` for requests in
-    /// flight and for connections on which a request may be about to arrive.
+    /// connections. Then stops listening, and waits up to `limit` for requests in flight, for
+    /// connections on which a request may be about to arrive, and for connections that are being
+    /// closed.
     ///
-    /// If `grace` is at least [`Limits::min_open_time`], callers whose
-    /// [`Pool::max_age_at_most_once`](crate::Pool::max_age_at_most_once) is shorter lose no
-    /// request that must not be sent twice.
+    /// Until `limit` has passed, connections stay open for [`Limits::min_open_time`] as described
+    /// there, so that callers whose
+    /// [`Pool::max_age_at_most_once`](crate::Pool::max_age_at_most_once) is shorter don't send
+    /// requests that must not be sent twice on connections that the server is closing.
     pub async fn drain(&self, grace: Duration, limit: Duration) -> Drained {
         self.shared.begin_drain();
         if !grace.is_zero() {
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -52,8 +52,8 @@
 /// A caller that has just connected, or has just received a response on a kept connection, may
 /// already have sent a request. If the connection were closed at once, the caller couldn't tell
 /// whether the request ran. The connection therefore stays open for the minimum open time,
-/// counted from the start of the wait; connections that were idle throughout the drain's grace
-/// close at once.
+/// counted from the start of the wait; a connection that has been idle for longer closes at once
+/// when the server stops.
 async fn await_request(conn: &Conn, shared: &Shared) -> bool {
     let since = Instant::now();
     let first = timeout(shared.limits.idle_timeout, conn.wait_first_byte());
@@ -86,7 +86,8 @@
         notify_hangup(&mut hangup_sender);
         handling.await
     };
-    // An unread rest of the body would be parsed as the next request.
+    // An unread rest of the body would be parsed as the next request. During a drain, callers are
+    // asked to close their connections.
     if !conn.is_body_done() || shared.is_draining() {
         next = Next::Close;
     }
@@ -101,7 +102,7 @@
 
 fn notify_hangup(hangup_sender: &mut Option<oneshot::Sender<()>>) {
     if let Some(sender) = hangup_sender.take() {
-        // Fails if the handler has dropped the request.
+        // Fails if all receivers have been dropped.
         let _ = sender.send(());
     }
 }
@@ -112,8 +113,8 @@
     Incomplete,
 }
 
-/// Writes the response, unless the caller disconnects first. Then the body is dropped, so that its
-/// producer notices the disconnect even while it has nothing to send.
+/// Writes the response, unless the caller disconnects first. In that case the body is dropped, so
+/// that `send` fails for its producer.
 async fn write(
     watch: &mut Watch<'_>,
     conn: &Conn,
--- a/crates/http/src/server/head.rs
+++ b/crates/http/src/server/head.rs
@@ -15,18 +15,19 @@
 pub(super) enum Next {
     Request,
     Close,
-    /// Close without lingering: the peer is gone, or must see that its response is incomplete.
+    /// Close without lingering: the peer is gone or must see that its response is incomplete, or
+    /// the connection has already been shut down.
     Abort,
 }
 
-/// A request, and what the connection needs to know about it.
+/// A received request, its method, and the use of the connection after it.
 pub(super) struct Head {
     pub(super) request: Request,
     pub(super) method: Method,
     pub(super) next: Next,
 }
 
-/// Reads and checks a head. Returns `None` if the peer disconnected within it.
+/// Reads and checks a head. Returns `None` if the connection ended or failed first.
 pub(super) async fn read(conn: &Conn, shared: &Shared) -> Result<Option<Head>, Refusal> {
     let limits = &shared.limits;
     let head = conn.read_head(limits.max_head, HeadPolicy::Strict);
@@ -49,7 +50,8 @@
     }
 }
 
-/// Rejects requests with ambiguous framing, and those whose stated length is too large.
+/// Checks a decoded head, prepares `conn` for the body, and converts the request. Rejects ambiguous
+/// framing, a missing or invalid host, and a stated length above the limit.
 fn check(mut decoded: http_types::Request, conn: &Conn, shared: &Shared) -> Result<Head, Refusal> {
     let limits = &shared.limits;
     let chunked = match decoded.header(TRANSFER_ENCODING) {
@@ -125,7 +127,7 @@
 /// Returns whether a byte is allowed in a `Host` value.
 ///
 /// The library concatenates host and path into a URL and parses that. A byte such as `/` or `?`
-/// in the host would become part of the path and change the routing of the request.
+/// in the host would become part of the path and change the path that the handler sees.
 fn is_host_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"-._:[]~%".contains(&byte)
 }
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -17,12 +17,13 @@
     pub max_head: usize,
     /// Maximum size of a body, in bytes.
     pub max_body: usize,
-    /// Minimum time for which a connection is kept open after its accept, and after each response
-    /// that didn't ask the caller to close it, even if the server shuts down. Should be longer than
+    /// Minimum time for which a served connection is kept open after its accept, and after each
+    /// response that didn't ask the caller to close it, even if the server shuts down, unless
+    /// `idle_timeout` is shorter. Should be longer than
     /// [`Pool::max_age_at_most_once`](crate::Pool::max_age_at_most_once) of the callers plus the
     /// network latency, because a request may already have been sent.
     pub min_open_time: Duration,
-    /// Maximum number of open connections.
+    /// Maximum number of connections served; further ones are rejected with status 503.
     pub max_connections: usize,
 }
 
--- a/crates/http/src/server/listen.rs
+++ b/crates/http/src/server/listen.rs
@@ -6,10 +6,7 @@
 use async_std::net::TcpListener;
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// Maximum number of connections that wait to be accepted, also limited by the system.
-///
-/// When another host fails, its callers connect here all at once. With the standard library's 128,
-/// the system would drop connection attempts, which are retransmitted only after a second.
+/// Maximum number of connections that wait to be accepted. The system may have a lower limit.
 const BACKLOG: i32 = 4096;
 
 /// Listens on `address`.
--- a/crates/http/src/server/shared.rs
+++ b/crates/http/src/server/shared.rs
@@ -79,7 +79,7 @@
         self.stop_sender.close();
     }
 
-    /// Waits until the server stops accepting connections.
+    /// Waits until [`Self::stop`] is called.
     pub(super) async fn wait_stopped(&self) {
         // Nothing is sent on this channel; `recv` returns an error once it is closed.
         let _ = self.stop_receiver.recv().await;
--- a/crates/http/src/server/watch.rs
+++ b/crates/http/src/server/watch.rs
@@ -11,8 +11,9 @@
 
 /// Watches a connection for a disconnect during an exchange.
 ///
-/// Each poll of the peek costs a system call. `FuturesUnordered` polls it only when it was woken
-/// itself, not for each token of a stream. It is started when the awaited future is first pending.
+/// The disconnect is detected with a peek at the socket, and each poll of that is a system call.
+/// `FuturesUnordered` polls it only when the socket has woken it, not at each wake-up of the other
+/// future. The peek is started when the other future is first pending.
 pub(super) struct Watch<'a> {
     conn: &'a Conn,
     disconnect: FuturesUnordered<Pin<Box<dyn Future<Output = ()> + Send + 'a>>>,
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -10,9 +10,10 @@
 use futures::future::poll_fn;
 use futures::io::{AsyncRead, AsyncWriteExt};
 
-/// Initial and maximum size of the buffer, in bytes. It starts small, because thousands of
-/// streams may be waiting for their next token, and doubles for messages that fill it.
+/// Initial size of the buffer, in bytes. It is doubled up to [`MAX_BUFFER`] when a message fills
+/// it.
 const INITIAL_BUFFER: usize = 2 * 1024;
+/// Maximum size of the buffer, in bytes.
 const MAX_BUFFER: usize = 32 * 1024;
 /// Minimum free space in the buffer for a read, in bytes. The chunk encoder of `async-h1` panics
 /// without room for its framing.
@@ -29,8 +30,9 @@
 
 /// Copies `source` to `stream` until it ends, and adds the number of bytes written to `sent`.
 ///
-/// All bytes that are available are written at once: a token isn't delayed until the next one,
-/// and a head shares a packet with a short body. `stall` is the timeout of each write.
+/// Bytes are written as soon as no more are available or the buffer is nearly full: a token
+/// isn't delayed until the next one, and a head shares a packet with a short body. `stall` is the
+/// timeout of each write.
 pub(crate) async fn copy_to_stream(
     source: &mut (impl AsyncRead + Unpin),
     mut stream: &TcpStream,
@@ -66,7 +68,7 @@
     Failed(io::Error),
 }
 
-/// Reads all bytes that are available, waiting only if there are none.
+/// Reads the available bytes until the buffer is nearly full, waiting only if there are none.
 async fn fill(source: &mut (impl AsyncRead + Unpin), buf: &mut [u8]) -> (usize, SourceState) {
     let mut len = 0;
     poll_fn(|cx| {
--- a/crates/http/tests/suite/client.rs
+++ b/crates/http/tests/suite/client.rs
@@ -16,6 +16,8 @@
 /// A peer that plays one script for each connection, in the order in which they are accepted.
 struct Peer {
     address: SocketAddr,
+    /// Receives a message for each connection that the peer has closed at the end of its
+    /// script.
     closed: Receiver<()>,
     /// Dropping these ends the scripts that hold their connection open.
     release: Vec<Sender<()>>,
@@ -56,7 +58,7 @@
         match line.split_once(' ').unwrap_or((line, "")) {
             ("recv", _) => drop(message::read_message(&mut stream)),
             ("send", text) => support::send(&mut stream, text),
-            // Until the test ends.
+            // Waits until the test drops the senders in `release`.
             ("hold", _) => drop(hold.recv()),
             other => panic!("unknown step {other:?}"),
         }
@@ -130,7 +132,7 @@
 
 #[test]
 fn a_refused_connection_is_reported_as_not_sent() {
-    // A refused connection must be reported as not sent, so that the caller can retry.
+    // A caller that must not send a request twice retries only if it is reported as not sent.
     let closed = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
@@ -168,8 +170,8 @@
 
 #[test]
 fn an_expired_connection_is_not_reused() {
-    // A request on an old connection could meet the peer's idle close, so that the caller can't
-    // know whether it ran.
+    // The peer may close an old connection while a request is sent on it; the caller then can't
+    // know whether the request ran.
     let script = "conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\none\nhold\n\
                   conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\ntwo\nhold\n";
     let peer = Peer::start(script);
@@ -215,7 +217,8 @@
 #[test]
 fn an_at_most_once_request_needs_a_recently_used_connection() {
     // A peer may close an idle connection just when a request is written to it, and the caller
-    // can't know whether it ran. A recently used connection can't be about to be closed.
+    // can't know whether the request ran. A recently used connection shouldn't be about to be
+    // closed.
     let lines = responses_on_idle_connection(RetryPolicy::Never);
     assert_eq!(lines, ["200 first", "200 again", "200 fresh"]);
 }
--- a/crates/http/tests/suite/message.rs
+++ b/crates/http/tests/suite/message.rs
@@ -3,7 +3,8 @@
 use std::io::Read;
 use std::net::TcpStream;
 
-/// Reads the head and body of a message. Returns `None` if the connection ends first.
+/// Reads a head, and the body if the head has a `content-length` in lower case. Returns `None` if
+/// reading fails or times out.
 pub(crate) fn read_message(stream: &mut TcpStream) -> Option<(String, String)> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/http/tests/suite/order.rs
+++ b/crates/http/tests/suite/order.rs
@@ -56,8 +56,9 @@
 
 #[gtest]
 fn a_head_with_bare_line_feeds_is_rejected() {
-    // The library also ends a head at two line feeds. A second request after such an end would be
-    // dropped, and the caller would take each later response for that to the request before it.
+    // The library also ends a head at two line feeds, and would drop the second request as the rest
+    // of the head. It would get no response, and the caller would match each later response to the
+    // request before.
     block_on(async {
         let server = Server::bind(LOCAL, Limits::default(), echo).await.unwrap();
         let mut stream = support::connect(server.address());
--- a/crates/http/tests/suite/server.rs
+++ b/crates/http/tests/suite/server.rs
@@ -184,7 +184,10 @@
     let drained = drain.await;
     let (head, body) = response.unwrap_or_default();
     let is_closing = head.contains("connection: close");
-    format!("{body}, closing: {is_closing}, left: {}", drained.in_flight)
+    format!(
+        "{body}, closing: {is_closing}, in flight: {}",
+        drained.in_flight
+    )
 }
 
 #[gtest]
@@ -199,7 +202,7 @@
             message::read_message(&mut stream).unwrap();
             request_after_stop(&server, stream).await
         });
-        expect_that!(end, eq("GET /late [-] , closing: true, left: 0"));
+        expect_that!(end, eq("GET /late [-] , closing: true, in flight: 0"));
     }
 }
 
@@ -213,7 +216,7 @@
             let stream = support::connect(server.address());
             request_after_stop(&server, stream).await
         });
-        expect_that!(end, eq("GET /late [-] , closing: true, left: 0"));
+        expect_that!(end, eq("GET /late [-] , closing: true, in flight: 0"));
     }
 }
 
--- a/crates/http/tests/suite/support.rs
+++ b/crates/http/tests/suite/support.rs
@@ -21,7 +21,7 @@
                 let hex = std::str::from_utf8(&hex).unwrap();
                 out.push(u8::from_str_radix(hex, 16).unwrap());
             }
-            other => panic!("unknown escape {other}"),
+            other => panic!("unknown escape: byte {other}"),
         }
     }
     out
