--- a/crates/framing/tests/framing.rs
+++ b/crates/framing/tests/framing.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_request_keeps_its_target() {
+fn a_request_head_is_parsed() {
     check_request(
         "POST /a/b%2F?x=1 HTTP/1.1\nHost: shop\nContent-Length: 3\n\n",
         &expect!["POST /a/b%2F?x=1 Known(3) keep true"],
@@ -77,7 +77,7 @@
 /// smuggling): the endpoint takes the rest for another request, which the relay never checked. The
 /// others lack exactly one host or use an unsupported coding.
 #[test]
-fn an_ambiguous_request_is_rejected() {
+fn an_ambiguous_or_invalid_request_is_rejected() {
     let ambiguous = [
         "POST / HTTP/1.1\nHost: a\nContent-Length: 3\nTransfer-Encoding: chunked\n\n",
         "POST / HTTP/1.1\nHost: a\nContent-Length: 3\nContent-Length: 5\n\n",
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_response_without_a_length_ends_with_its_connection() {
+fn the_length_of_a_response_depends_on_status_method_and_fields() {
     check_response(
         "HTTP/1.1 200 OK\nA: b\n\n",
         "GET",
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_body_ends_where_its_framing_says() {
+fn bodies_are_decoded_and_malformed_chunks_rejected() {
     check_body(
         Length::Known(3),
         "abcdef",
--- a/crates/http/benches/relay.rs
+++ b/crates/http/benches/relay.rs
@@ -28,8 +28,8 @@
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
     task::block_on(async {
         match args.as_slice() {
-            ["engine", tokens] => print_cpu_usage(engine(number(tokens)).await).await,
-            ["relay", engine] => print_cpu_usage(relay(address(engine)).await).await,
+            ["engine", tokens] => print_address_and_cpu_use(engine(number(tokens)).await).await,
+            ["relay", engine] => print_address_and_cpu_use(relay(address(engine)).await).await,
             ["caller", to, requests] => report("caller", address(to), number(requests)).await,
             [requests, tokens] => run_all(number(requests), number(tokens)).await,
             _ => run_all(1000, 100).await,
@@ -46,7 +46,7 @@
 }
 
 /// Prints the address, then the processor use of each second until the process is killed.
-async fn print_cpu_usage(address: SocketAddr) {
+async fn print_address_and_cpu_use(address: SocketAddr) {
     println!("{address}");
     let mut before = cpu_time();
     loop {
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -185,7 +185,10 @@
     /// [`Error::Cut`] if reading the body failed, [`Error::TooLarge`] if a request's body exceeds
     /// the server's limit.
     pub async fn piece(&mut self) -> Result<Option<Vec<u8>>, Error> {
-        let bytes = self.fill_buf().await.map_err(|err| Error::body(&err))?;
+        let bytes = self
+            .fill_buf()
+            .await
+            .map_err(|err| Error::from_body_error(&err))?;
         let piece = bytes.to_vec();
         self.consume_unpin(piece.len());
         Ok((!piece.is_empty()).then_some(piece))
--- a/crates/http/src/client/response_body.rs
+++ b/crates/http/src/client/response_body.rs
@@ -18,10 +18,10 @@
 
 /// The length of a response's body, as its framing determines it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Framing {
-    Length(u64),
+enum Length {
+    Known(u64),
     Chunked,
-    Close,
+    UntilClose,
 }
 
 /// Creates a response from a decoded head. `return_conn` is called with the connection if the peer
@@ -33,20 +33,20 @@
     deadline: Instant,
     return_conn: impl FnOnce(Conn) + Send + Sync + 'static,
 ) -> Result<Response, Error> {
-    let framing = framing(&head, method).ok_or(Error::Cut(Cause::Malformed))?;
-    let keep_alive = framing != Framing::Close && !has_connection_close(&head);
+    let length = length(&head, method).ok_or(Error::Cut(Cause::Malformed))?;
+    let keep_alive = length != Length::UntilClose && !has_connection_close(&head);
     let mut response = Response::new(head.status());
     response.headers = h1::decode_headers(head.as_ref());
-    if framing == Framing::Length(0) {
+    if length == Length::Known(0) {
         if keep_alive {
             return_conn(conn);
         }
         return Ok(response);
     }
-    let (len, reader): (_, Box<dyn AsyncBufRead + Send + Sync + Unpin>) = match framing {
-        Framing::Length(len) => (Some(len), Box::new(head.take_body())),
-        Framing::Chunked => (None, Box::new(head.take_body())),
-        Framing::Close => (None, Box::new(BufReader::new(conn.clone()))),
+    let (len, reader): (_, Box<dyn AsyncBufRead + Send + Sync + Unpin>) = match length {
+        Length::Known(len) => (Some(len), Box::new(head.take_body())),
+        Length::Chunked => (None, Box::new(head.take_body())),
+        Length::UntilClose => (None, Box::new(BufReader::new(conn.clone()))),
     };
     conn.allow_body(len);
     let return_conn = keep_alive.then(|| Box::new(return_conn) as ReturnConn);
@@ -67,18 +67,18 @@
 ///
 /// The library treats a response without a length as empty, although its body ends with the
 /// connection.
-fn framing(head: &http_types::Response, method: Method) -> Option<Framing> {
+fn length(head: &http_types::Response, method: Method) -> Option<Length> {
     let status = head.status();
     if method == Method::Head || matches!(status, Status::NoContent | Status::NotModified) {
-        return Some(Framing::Length(0));
+        return Some(Length::Known(0));
     }
     if let Some(codings) = head.header(TRANSFER_ENCODING) {
-        return (codings.last().as_str() == "chunked").then_some(Framing::Chunked);
+        return (codings.last().as_str() == "chunked").then_some(Length::Chunked);
     }
     match head.header(CONTENT_LENGTH) {
         Some(len) if !h1::is_number(len.last().as_str()) => None,
-        Some(len) => len.last().as_str().parse().ok().map(Framing::Length),
-        None => Some(Framing::Close),
+        Some(len) => len.last().as_str().parse().ok().map(Length::Known),
+        None => Some(Length::UntilClose),
     }
 }
 
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -78,7 +78,7 @@
 impl Error {
     /// Converts an error of reading a body. An `Error` that was wrapped in an [`io::Error`],
     /// such as [`Error::TooLarge`], is unwrapped.
-    pub(crate) fn body(err: &io::Error) -> Self {
+    pub(crate) fn from_body_error(err: &io::Error) -> Self {
         match err.get_ref().and_then(|it| it.downcast_ref::<Self>()) {
             Some(inner) => *inner,
             None => Self::Cut(err.into()),
--- a/crates/http/src/h1.rs
+++ b/crates/http/src/h1.rs
@@ -13,7 +13,7 @@
 
 /// Fields that aren't copied to a message to send: they concern one connection or exchange, or this
 /// crate sets them itself (`content-length`, `host`, `transfer-encoding`).
-const HOP_BY_HOP: [&str; 12] = [
+const NOT_COPIED: [&str; 12] = [
     "connection",
     "content-length",
     "expect",
@@ -40,10 +40,10 @@
     }
     let url = Url::parse(&format!("http://{to}{}", request.target)).ok()?;
     let mut encoded = http_types::Request::new(request.method, url);
-    for (name, value) in end_to_end(&request.headers) {
+    for (name, value) in copied_fields(&request.headers) {
         encoded.append_header(name, value);
     }
-    if !body.is_empty() || has_body(request.method) {
+    if !body.is_empty() || states_empty_body(request.method) {
         encoded.set_body(encode_body(body));
     }
     Some(encoded)
@@ -51,7 +51,7 @@
 
 pub(crate) fn encode_response(response: Response) -> http_types::Response {
     let mut encoded = http_types::Response::new(response.status);
-    for (name, value) in end_to_end(&response.headers) {
+    for (name, value) in copied_fields(&response.headers) {
         encoded.append_header(name, value);
     }
     if !response.body.is_empty() {
@@ -74,20 +74,20 @@
     !text.is_empty() && text.bytes().all(|it| it.is_ascii_digit())
 }
 
-fn end_to_end(headers: &Headers) -> impl Iterator<Item = (&str, &str)> {
+fn copied_fields(headers: &Headers) -> impl Iterator<Item = (&str, &str)> {
     headers
         .iter()
-        .filter(|(name, _)| !HOP_BY_HOP.iter().any(|it| it.eq_ignore_ascii_case(name)))
+        .filter(|(name, _)| !NOT_COPIED.iter().any(|it| it.eq_ignore_ascii_case(name)))
 }
 
 /// Returns whether a request with this method gets a body, and so a length, even if it is empty.
-fn has_body(method: Method) -> bool {
+fn states_empty_body(method: Method) -> bool {
     matches!(method, Method::Post | Method::Put | Method::Patch)
 }
 
 fn encode_body(body: Body) -> http_types::Body {
     let len = body.len();
-    let reader = ExactLength {
+    let reader = MinLength {
         body,
         remaining: len,
     };
@@ -96,12 +96,12 @@
 
 /// A body that fails if it ends before its stated length. The encoder would otherwise end the
 /// message there and leave the peer waiting for the rest.
-struct ExactLength {
+struct MinLength {
     body: Body,
     remaining: Option<u64>,
 }
 
-impl AsyncBufRead for ExactLength {
+impl AsyncBufRead for MinLength {
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
         let bytes = ready!(Pin::new(&mut this.body).poll_fill_buf(cx))?;
@@ -119,7 +119,7 @@
     }
 }
 
-impl AsyncRead for ExactLength {
+impl AsyncRead for MinLength {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -4,7 +4,7 @@
 mod head;
 mod limits;
 mod listen;
-mod refusal;
+mod rejection;
 mod request_body;
 mod shared;
 mod watch;
@@ -22,7 +22,7 @@
 use futures::{FutureExt, pin_mut};
 
 use crate::{Request, Response, Status};
-use refusal::{Refusal, refuse};
+use rejection::{Rejection, reject};
 use shared::Shared;
 
 pub use limits::Limits;
@@ -155,6 +155,6 @@
 }
 
 async fn reject_connection(stream: &TcpStream, shared: &Shared) {
-    let refusal = Refusal::new(Status::ServiceUnavailable, "too many connections");
-    refuse(stream, shared, refusal).await;
+    let rejection = Rejection::new(Status::ServiceUnavailable, "too many connections");
+    reject(stream, shared, rejection).await;
 }
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -12,7 +12,7 @@
 use http_types::headers::CONNECTION;
 
 use super::head::{self, Head, Next};
-use super::refusal::{linger, refuse};
+use super::rejection::{linger, reject};
 use super::shared::Shared;
 use super::watch::Watch;
 use crate::conn::Conn;
@@ -32,8 +32,8 @@
         let next = match head::read(&conn, shared).await {
             Ok(Some(head)) => exchange(&conn, shared, handler, head).await,
             Ok(None) => Next::Abort,
-            Err(refusal) => {
-                refuse(conn.stream(), shared, refusal).await;
+            Err(rejection) => {
+                reject(conn.stream(), shared, rejection).await;
                 Next::Abort
             }
         };
--- a/crates/http/src/server/head.rs
+++ b/crates/http/src/server/head.rs
@@ -3,7 +3,7 @@
 use async_std::future::timeout;
 use http_types::headers::{CONNECTION, CONTENT_LENGTH, EXPECT, HOST, TRANSFER_ENCODING};
 
-use super::refusal::Refusal;
+use super::rejection::Rejection;
 use super::request_body::RequestBody;
 use super::shared::Shared;
 use crate::conn::{Conn, HeadError, HeadPolicy};
@@ -28,23 +28,28 @@
 }
 
 /// Reads and checks a head. Returns `None` if the connection ended or failed first.
-pub(super) async fn read(conn: &Conn, shared: &Shared) -> Result<Option<Head>, Refusal> {
+pub(super) async fn read(conn: &Conn, shared: &Shared) -> Result<Option<Head>, Rejection> {
     let limits = &shared.limits;
     let head = conn.read_head(limits.max_head, HeadPolicy::Strict);
     match timeout(limits.head_timeout, head).await {
         Ok(Ok(())) => {}
         Ok(Err(HeadError::Closed | HeadError::Broken(_))) => return Ok(None),
         Ok(Err(HeadError::TooLarge)) => {
-            return Err(Refusal::new(
+            return Err(Rejection::new(
                 Status::RequestHeaderFieldsTooLarge,
                 "head too large",
             ));
         }
         Ok(Err(HeadError::Malformed)) => return Err(malformed("byte that no head may have")),
-        Err(_) => return Err(Refusal::new(Status::RequestTimeout, "head came too slowly")),
+        Err(_) => {
+            return Err(Rejection::new(
+                Status::RequestTimeout,
+                "head came too slowly",
+            ));
+        }
     }
     match async_h1::server::decode(conn.clone()).await {
-        Ok(Some((request, _))) => check(request, conn, shared).map(Some),
+        Ok(Some((request, _))) => check_and_convert(request, conn, shared).map(Some),
         Ok(None) => Ok(None),
         Err(_) => Err(malformed("not an HTTP/1.1 request")),
     }
@@ -52,7 +57,11 @@
 
 /// Checks a decoded head, prepares `conn` for the body, and converts the request. Rejects ambiguous
 /// framing, a missing or invalid host, and a stated length above the limit.
-fn check(mut decoded: http_types::Request, conn: &Conn, shared: &Shared) -> Result<Head, Refusal> {
+fn check_and_convert(
+    mut decoded: http_types::Request,
+    conn: &Conn,
+    shared: &Shared,
+) -> Result<Head, Rejection> {
     let limits = &shared.limits;
     let chunked = match decoded.header(TRANSFER_ENCODING) {
         None => false,
@@ -76,7 +85,7 @@
         len => Some(len.unwrap_or(0) as u64),
     };
     if len.is_some_and(|len| len > limits.max_body as u64) {
-        return Err(Refusal::new(Status::PayloadTooLarge, "body too large"));
+        return Err(Rejection::new(Status::PayloadTooLarge, "body too large"));
     }
     conn.allow_body(len);
     if len != Some(0) && expects_continue(&decoded) {
@@ -132,6 +141,6 @@
     byte.is_ascii_alphanumeric() || b"-._:[]~%".contains(&byte)
 }
 
-fn malformed(detail: &'static str) -> Refusal {
-    Refusal::new(Status::BadRequest, detail)
+fn malformed(detail: &'static str) -> Rejection {
+    Rejection::new(Status::BadRequest, detail)
 }
--- a/crates/http/src/server/refusal.rs
+++ b/crates/http/src/server/rejection.rs
@@ -20,12 +20,12 @@
 
 /// The status and detail of a response that rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Refusal {
+pub(super) struct Rejection {
     status: Status,
     detail: &'static str,
 }
 
-impl Refusal {
+impl Rejection {
     pub(super) fn new(status: Status, detail: &'static str) -> Self {
         Self { status, detail }
     }
@@ -62,8 +62,8 @@
 }
 
 /// Writes a rejection, then lingers until the connection can be closed.
-pub(super) async fn refuse(stream: &TcpStream, shared: &Shared, refusal: Refusal) {
-    let mut message = h1::encode_response(refusal.into_response());
+pub(super) async fn reject(stream: &TcpStream, shared: &Shared, rejection: Rejection) {
+    let mut message = h1::encode_response(rejection.into_response());
     message.insert_header(CONNECTION, "close");
     let mut encoder = async_h1::server::Encoder::new(message, Method::Get);
     let mut sent = 0;
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -31,12 +31,12 @@
 /// Copies `source` to `stream` until it ends, and adds the number of bytes written to `sent`.
 ///
 /// Bytes are written as soon as no more are available or the buffer is nearly full: a token
-/// isn't delayed until the next one, and a head shares a packet with a short body. `stall` is the
-/// timeout of each write.
+/// isn't delayed until the next one, and a head shares a packet with a short body. `write_timeout`
+/// is the timeout of each write.
 pub(crate) async fn copy_to_stream(
     source: &mut (impl AsyncRead + Unpin),
     mut stream: &TcpStream,
-    stall: Duration,
+    write_timeout: Duration,
     sent: &mut u64,
 ) -> Result<(), CopyError> {
     let mut buf = vec![0; INITIAL_BUFFER];
@@ -44,7 +44,7 @@
         let (len, state) = fill(source, &mut buf).await;
         let mut rest = &buf[..len];
         while !rest.is_empty() {
-            let written = timeout(stall, stream.write(rest))
+            let written = timeout(write_timeout, stream.write(rest))
                 .await
                 .map_err(|_| CopyError::Sink(io::ErrorKind::TimedOut.into()))?
                 .map_err(CopyError::Sink)?;
--- a/crates/http/tests/suite/client.rs
+++ b/crates/http/tests/suite/client.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn scripted_peers() {
+fn the_client_handles_scripted_responses_as_recorded() {
     walk("tests/data/client", |file| {
         file.run(|case| match case.directive.as_str() {
             "exchange" => exchange(case),
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn an_expired_connection_is_not_reused() {
+fn an_at_most_once_request_uses_no_expired_connection() {
     // The peer may close an old connection while a request is sent on it; the caller then can't
     // know whether the request ran.
     let script = "conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\none\nhold\n\
--- a/crates/http/tests/suite/order.rs
+++ b/crates/http/tests/suite/order.rs
@@ -8,7 +8,7 @@
 use crate::{message, support};
 
 #[gtest]
-fn a_caller_may_wait_for_100_continue() {
+fn a_caller_that_expects_100_continue_gets_it_before_sending_the_body() {
     // A caller that sent `Expect: 100-continue` waits for `100 Continue` before it sends the body.
     block_on(async {
         let server = Server::bind(LOCAL, Limits::default(), echo).await.unwrap();
@@ -29,11 +29,11 @@
 fn a_100_continue_never_follows_the_response() {
     // A caller sends `Expect: 100-continue` but doesn't wait. A `100 Continue` within or after the
     // final response would be read as part of it, or as the start of the next one.
-    const ATTEMPTS: usize = 200;
+    const ROUNDS: usize = 200;
     block_on(async {
         let server = Server::bind(LOCAL, Limits::default(), echo).await.unwrap();
         let mut stream = support::connect(server.address());
-        for number in 0..ATTEMPTS {
+        for number in 0..ROUNDS {
             support::send(
                 &mut stream,
                 r"POST / HTTP/1.1\r\nhost: h\r\nexpect: 100-continue\r\ncontent-length: 2\r\n\r\nhi",
--- a/crates/http/tests/suite/server.rs
+++ b/crates/http/tests/suite/server.rs
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn scripted_callers() {
+fn the_server_responds_to_scripted_requests_as_recorded() {
     walk("tests/data/server", |file| {
         file.run(|case| match case.directive.as_str() {
             "raw" => raw(case),
@@ -114,14 +114,14 @@
 
 /// Starts a server whose handler passes on each request and waits for its response, both through
 /// the returned channels.
-async fn start_gated_server() -> (Server, Receiver<Request>, Sender<Response>) {
+async fn start_server_with_manual_responses() -> (Server, Receiver<Request>, Sender<Response>) {
     let (started, requests) = bounded(8);
-    let (responses, gate) = bounded::<Response>(8);
+    let (responses, response_receiver) = bounded::<Response>(8);
     let server = Server::bind(LOCAL, Limits::default(), move |request| {
-        let (started, gate) = (started.clone(), gate.clone());
+        let (started, response_receiver) = (started.clone(), response_receiver.clone());
         async move {
             started.send(request).await.unwrap();
-            gate.recv().await.unwrap()
+            response_receiver.recv().await.unwrap()
         }
     });
     (server.await.unwrap(), requests, responses)
@@ -131,7 +131,7 @@
 fn a_drain_waits_for_requests_in_flight() {
     // A restart must not truncate the response to a request in flight.
     block_on(async {
-        let (server, requests, responses) = start_gated_server().await;
+        let (server, requests, responses) = start_server_with_manual_responses().await;
         let mut stream = support::connect(server.address());
         support::send(&mut stream, r"GET / HTTP/1.1\r\nhost: h\r\n\r\n");
         requests.recv().await.unwrap();
@@ -224,7 +224,7 @@
 fn a_handler_is_notified_when_its_caller_disconnects() {
     // Without the notification, an engine would keep generating for a caller that disconnected.
     block_on(async {
-        let (server, requests, _responses) = start_gated_server().await;
+        let (server, requests, _responses) = start_server_with_manual_responses().await;
         let mut stream = support::connect(server.address());
         support::send(
             &mut stream,
@@ -242,7 +242,7 @@
 fn a_producer_is_notified_when_its_caller_disconnects() {
     // A disconnect during a stream must be noticed even while the producer sends nothing.
     block_on(async {
-        let (server, requests, responses) = start_gated_server().await;
+        let (server, requests, responses) = start_server_with_manual_responses().await;
         let mut stream = support::connect(server.address());
         support::send(&mut stream, r"GET / HTTP/1.1\r\nhost: h\r\n\r\n");
         let request = requests.recv().await.unwrap();
@@ -263,7 +263,7 @@
     // If the producer fails halfway, the final chunk must be missing, so that the caller doesn't
     // take the partial response for a complete one.
     block_on(async {
-        let (server, requests, responses) = start_gated_server().await;
+        let (server, requests, responses) = start_server_with_manual_responses().await;
         let mut stream = support::connect(server.address());
         support::send(&mut stream, r"GET / HTTP/1.1\r\nhost: h\r\n\r\n");
         requests.recv().await.unwrap();
--- a/crates/http/tests/suite/support.rs
+++ b/crates/http/tests/suite/support.rs
@@ -30,8 +30,8 @@
 /// Opens a connection with a read timeout, so that a test fails instead of hanging.
 pub(crate) fn connect(to: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(to).unwrap();
-    let patience = Some(Duration::from_secs(20));
-    stream.set_read_timeout(patience).unwrap();
+    let read_timeout = Some(Duration::from_secs(20));
+    stream.set_read_timeout(read_timeout).unwrap();
     stream
 }
 
