--- a/crates/barleyctl/src/client.rs
+++ b/crates/barleyctl/src/client.rs
@@ -12,7 +12,7 @@
 use futures::future::join_all;
 use gate::operator::{History, Refusal, Snapshot, Status};
 use gate::problem::{Problem, Reason};
-use http::{Method, Options, Pool, Request, Response, RetryPolicy};
+use http::{Method, Options, PoolLimits, Request, Response, RetryPolicy};
 use kernel::{HostName, SystemClock};
 use serde::de::DeserializeOwned;
 
@@ -42,7 +42,7 @@
     /// A client that shows `key` to `hosts` and waits `limit` for each answer.
     pub(crate) fn new(hosts: Vec<SocketAddr>, key: &str, limit: Duration) -> Self {
         Self {
-            http: http::Client::new(Arc::new(SystemClock::new()), Pool::default()),
+            http: http::Client::new(Arc::new(SystemClock::new()), PoolLimits::default()),
             hosts,
             authorization: format!("Bearer {key}"),
             options: Options {
--- a/crates/barleypind/src/call/run.rs
+++ b/crates/barleypind/src/call/run.rs
@@ -15,7 +15,7 @@
 use futures::channel::mpsc::UnboundedReceiver;
 use futures::{FutureExt, StreamExt, pin_mut, select_biased};
 use gate::problem::{Problem, Reason};
-use http::Hangup;
+use http::Disconnect;
 use kernel::{AttemptId, VersionId};
 
 use super::Call;
@@ -80,13 +80,13 @@
     }
 
     /// Runs the call to its end.
-    pub(crate) async fn run(mut self, hangup: Hangup) {
-        let ending = self.perform(hangup).await;
+    pub(crate) async fn run(mut self, disconnect: Disconnect) {
+        let ending = self.perform(disconnect).await;
         self.stop_all();
         self.settle(ending).await;
     }
 
-    async fn perform(&mut self, hangup: Hangup) -> Ending {
+    async fn perform(&mut self, disconnect: Disconnect) -> Ending {
         // A call that must not run twice is not given up with its caller: it
         // may have run already, and a repeat of its key is to find its outcome.
         let stays = self.work.repeat() == Repeat::AtMostOnce && self.call.headers.key.is_some();
@@ -94,7 +94,7 @@
             if stays {
                 futures::future::pending::<()>().await;
             }
-            hangup.wait().await;
+            disconnect.wait().await;
         }
         .fuse();
         pin_mut!(gone);
--- a/crates/barleypind/src/call/start.rs
+++ b/crates/barleypind/src/call/start.rs
@@ -12,7 +12,7 @@
 use gate::chat::{Limits, Message};
 use gate::problem::{Problem, Reason};
 use gate::session::Token;
-use http::{Body, Hangup, Request, Response};
+use http::{Body, Disconnect, Request, Response};
 use kernel::{ProfileName, ServiceName};
 use ledger::{Event, Fingerprint};
 
@@ -32,14 +32,14 @@
 
 /// Serves a chat completion.
 pub(crate) async fn chat(cx: Arc<Context>, call: Call, request: Request) -> Response {
-    let hangup = request.hangup.clone();
+    let disconnect = request.disconnect.clone();
     let original = forward::Original::of(&request);
     let body = match read_body(&cx.host, &call, request.body).await {
         Ok(body) => body,
         Err(problem) => return reply::refuse(&cx.host, &problem),
     };
     match parse_chat(&cx.host, &call, &body) {
-        Ok(chat) => start(cx, call, Work::Chat(chat), original, body, hangup).await,
+        Ok(chat) => start(cx, call, Work::Chat(chat), original, body, disconnect).await,
         Err(problem) => {
             let problem = problem.of_request(call.request.as_str());
             reply::refuse(&cx.host, &problem)
@@ -55,7 +55,7 @@
     target: String,
     request: Request,
 ) -> Response {
-    let hangup = request.hangup.clone();
+    let disconnect = request.disconnect.clone();
     let original = forward::Original::of(&request);
     let (method, headers) = (request.method, work::passed_on(&request.headers));
     let body = match read_body(&cx.host, &call, request.body).await {
@@ -85,7 +85,7 @@
         body: body.clone().into(),
         repeat,
     });
-    start(cx, call, work, original, body, hangup).await
+    start(cx, call, work, original, body, disconnect).await
 }
 
 /// The refusal of a host that can't prove its configuration to be the newest,
@@ -117,18 +117,18 @@
     work: Work,
     original: forward::Original,
     body: Vec<u8>,
-    hangup: Hangup,
+    disconnect: Disconnect,
 ) -> Response {
     let arrival = match booking(&cx.host, &call, &work, &original, &body) {
         Ok(arrival) => arrival,
         Err(problem) => return reply::refuse(&cx.host, &problem),
     };
-    let Some(admission) = admit(&cx, arrival, &hangup).await else {
+    let Some(admission) = admit(&cx, arrival, &disconnect).await else {
         let problem = call.refuse(Reason::Leaving, "the call was dropped by its host");
         return reply::refuse(&cx.host, &problem);
     };
     match admission {
-        Admission::Permit => permitted(cx, call, work, hangup).await,
+        Admission::Permit => permitted(cx, call, work, disconnect).await,
         Admission::Replay(outcome) => replay::response(&cx.host, &call, &work, &outcome),
         Admission::Forward(home) => forward::relay(cx, call, original, body, home).await,
         Admission::Refuse(refusal) => {
@@ -138,10 +138,14 @@
     }
 }
 
-async fn admit(cx: &Arc<Context>, arrival: ledger::Arrival, hangup: &Hangup) -> Option<Admission> {
+async fn admit(
+    cx: &Arc<Context>,
+    arrival: ledger::Arrival,
+    disconnect: &Disconnect,
+) -> Option<Admission> {
     let request = arrival.request.clone();
     let admitted = cx.books.admit(arrival);
-    let gone = hangup.wait();
+    let gone = disconnect.wait();
     pin_mut!(admitted, gone);
     match select(admitted, gone).await {
         Either::Left((admission, _)) => admission,
@@ -152,7 +156,7 @@
     }
 }
 
-async fn permitted(cx: Arc<Context>, call: Call, work: Work, hangup: Hangup) -> Response {
+async fn permitted(cx: Arc<Context>, call: Call, work: Work, disconnect: Disconnect) -> Response {
     let arrived = cx.decide.arrive(|policy| arrival(policy, &call, &work));
     let directives = match arrived {
         Ok(directives) => directives,
@@ -166,7 +170,7 @@
     let request = call.request.clone();
     let (head, response) = oneshot::channel();
     let run = Run::new(cx, call, work, Caller::Waiting(head), directives);
-    task::spawn(run.run(hangup));
+    task::spawn(run.run(disconnect));
     response.await.unwrap_or_else(|_| {
         // The caller left, so nobody reads this.
         let problem = Problem::new(
--- a/crates/barleypind/src/host.rs
+++ b/crates/barleypind/src/host.rs
@@ -49,10 +49,10 @@
         log: Log,
         incarnation: Incarnation,
     ) -> Self {
-        let pool = http::Pool {
+        let pool = http::PoolLimits {
             max_idle: settings.http.idle_connections,
-            max_age: settings.http.idle,
-            ..http::Pool::default()
+            max_idle_time: settings.http.idle,
+            ..http::PoolLimits::default()
         };
         Self {
             http: http::Client::new(Arc::clone(&clock), pool),
--- a/crates/barleypind/tests/golden/site.rs
+++ b/crates/barleypind/tests/golden/site.rs
@@ -12,7 +12,7 @@
 use config::{Customer, Settings};
 use datadriven::TestCase;
 use fakes::Started;
-use http::{Client, Method, Options, Pool, Request, Response};
+use http::{Client, Method, Options, PoolLimits, Request, Response};
 use link::keys::Authority;
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -55,7 +55,7 @@
             daemons: Vec::new(),
             saved: BTreeMap::new(),
             addresses,
-            client: Client::new(clock.clone(), Pool::default()),
+            client: Client::new(clock.clone(), PoolLimits::default()),
             clock,
             _started: started,
             dir,
--- a/crates/clients/tests/suite/calls.rs
+++ b/crates/clients/tests/suite/calls.rs
@@ -14,7 +14,7 @@
     Transaction, Tuning, Version,
 };
 use datadriven::{TestCase, walk};
-use http::{Client, Options, Pool};
+use http::{Client, Options, PoolLimits};
 use kernel::{Clock, Incarnation, ManualClock, Revision, SystemClock};
 
 /// Accepts one connection per element of `responses`, reads a request and sends
@@ -50,7 +50,7 @@
 }
 
 fn service(address: SocketAddr, clock: Arc<dyn Clock>, options: Options) -> Service {
-    let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+    let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
     let circuit = Circuit::new(7, Tuning::default());
     Service::new(client, address, clock, options, circuit)
 }
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -70,7 +70,7 @@
     ) -> Result<Answer, Failure> {
         let response = self.send_chat(to, attempt, chat, false, options).await?;
         let mut body = response.body;
-        let unstreamed: UnstreamedResponse = body.drain_json(MAX_CHAT_RESPONSE_BYTES).await?;
+        let unstreamed: UnstreamedResponse = body.read_json(MAX_CHAT_RESPONSE_BYTES).await?;
         unstreamed.into_answer(&attempt.wire_id()).map_err(|it| {
             body.discard_connection();
             Failure::Cut(FailureCause::Content(it))
--- a/crates/engine/src/failure.rs
+++ b/crates/engine/src/failure.rs
@@ -107,7 +107,7 @@
         headers,
         mut body,
     } = response;
-    let bytes = body.drain(MAX_REFUSAL_BYTES).await?;
+    let bytes = body.read_all(MAX_REFUSAL_BYTES).await?;
     if let Ok(refusal) = serde_json::from_slice::<Refusal>(&bytes) {
         body.discard_connection();
         return Ok(Reply::Refusal(refusal.error.code));
--- a/crates/engine/tests/suite/client.rs
+++ b/crates/engine/tests/suite/client.rs
@@ -13,7 +13,7 @@
     Attempt, Call, Chat, Client, Code, Endpoint, Failure, FailureCause, Fault, Order, Priority,
     Wanted,
 };
-use http::{Body, Headers, Method, Options, Pool};
+use http::{Body, Headers, Method, Options, PoolLimits};
 use kernel::{AttemptId, Incarnation, SystemClock};
 use serde_json::json;
 
@@ -68,7 +68,7 @@
 }
 
 fn client() -> Client {
-    let http = http::Client::new(Arc::new(SystemClock::new()), Pool::default());
+    let http = http::Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
     Client::new(http)
 }
 
--- a/crates/fakes/tests/sockets.rs
+++ b/crates/fakes/tests/sockets.rs
@@ -6,7 +6,7 @@
 use async_std::task;
 use fakes::{Settings, Started};
 use googletest::prelude::*;
-use http::{Cause, Client, Error, Options, Pool, Request};
+use http::{Cause, Client, Error, Options, PoolLimits, Request};
 use kernel::{Clock, SystemClock};
 use serde_json::{Value, json};
 
@@ -102,7 +102,7 @@
         let started = Started::start(Arc::clone(&clock), settings)
             .await
             .expect("free ports");
-        let client = Client::new(clock, Pool::default());
+        let client = Client::new(clock, PoolLimits::default());
         test(Site { client, started }).await;
     });
 }
--- a/crates/forward/src/caller.rs
+++ b/crates/forward/src/caller.rs
@@ -147,7 +147,7 @@
             Some(end) if end > max => return Err(Incoming::Rejected(431)),
             Some(end) => {
                 let head = request::Head::parse(&unread[..end]).map_err(|err| match err {
-                    framing::Error::TooLarge => Incoming::Rejected(431),
+                    framing::Error::TooManyFields => Incoming::Rejected(431),
                     _ => Incoming::Rejected(400),
                 })?;
                 conn.consume(end);
--- a/crates/framing/src/error.rs
+++ b/crates/framing/src/error.rs
@@ -11,7 +11,7 @@
     Malformed,
     /// The head has more fields than allowed.
     #[display("head has too many fields")]
-    TooLarge,
+    TooManyFields,
     /// The peer closed the connection before the end of the message.
     #[display("message is incomplete")]
     Truncated,
--- a/crates/framing/src/head.rs
+++ b/crates/framing/src/head.rs
@@ -33,7 +33,7 @@
 impl From<httparse::Error> for Error {
     fn from(err: httparse::Error) -> Self {
         match err {
-            httparse::Error::TooManyHeaders => Self::TooLarge,
+            httparse::Error::TooManyHeaders => Self::TooManyFields,
             _ => Self::Malformed,
         }
     }
--- a/crates/framing/src/request.rs
+++ b/crates/framing/src/request.rs
@@ -24,7 +24,7 @@
     /// Parses a complete head, including its blank line.
     ///
     /// # Errors
-    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooLarge`] if it has
+    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooManyFields`] if it has
     /// too many fields.
     pub fn parse(bytes: &[u8]) -> Result<Self, Error> {
         check_line_ends(bytes)?;
--- a/crates/framing/src/response.rs
+++ b/crates/framing/src/response.rs
@@ -21,7 +21,7 @@
     /// method.
     ///
     /// # Errors
-    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooLarge`] if it has
+    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooManyFields`] if it has
     /// too many fields.
     pub fn parse(bytes: &[u8], method: &str) -> Result<Self, Error> {
         check_line_ends(bytes)?;
--- a/crates/http/benches/churn.rs
+++ b/crates/http/benches/churn.rs
@@ -15,7 +15,8 @@
 
 use async_std::task::{self, sleep};
 use http::{
-    Body, Client, Limits, Method, Options, Pool, Request, Response, RetryPolicy, Server, Status,
+    Body, Client, Limits, Method, Options, PoolLimits, Request, Response, RetryPolicy, Server,
+    Status,
 };
 use kernel::SystemClock;
 
@@ -43,11 +44,11 @@
         named => named,
     };
     if with_cost {
-        let fresh = Pool {
-            max_age_at_most_once: Duration::ZERO,
-            ..Pool::default()
+        let fresh = PoolLimits {
+            max_idle_time_at_most_once: Duration::ZERO,
+            ..PoolLimits::default()
         };
-        task::block_on(cost("kept", requests, Pool::default()));
+        task::block_on(cost("kept", requests, PoolLimits::default()));
         task::block_on(cost("fresh", requests, fresh));
     }
     for retry_policy in [RetryPolicy::Idempotent, RetryPolicy::Never] {
@@ -68,16 +69,16 @@
     };
     let cluster = Arc::new(Cluster::default());
     let _servers = cluster.start(&limits).await;
-    let pool = Pool {
-        max_age_at_most_once: IDLE_TIMEOUT / 2,
-        ..Pool::default()
+    let pool = PoolLimits {
+        max_idle_time_at_most_once: IDLE_TIMEOUT / 2,
+        ..PoolLimits::default()
     };
     let load = Load::new(cluster, requests, retry_policy, pool, IDLE_TIMEOUT);
     load.run("idle").await;
 }
 
 /// Measures sequential requests, with new or kept connections depending on `pool`.
-async fn cost(name: &str, requests: usize, pool: Pool) {
+async fn cost(name: &str, requests: usize, pool: PoolLimits) {
     let server = start_server(&Limits::default()).await;
     let client = Client::new(Arc::new(SystemClock::new()), pool);
     let mut durations = Vec::with_capacity(requests);
@@ -116,7 +117,13 @@
         })
         .collect();
     let pause = Duration::from_millis(10);
-    let load = Load::new(cluster, requests, retry_policy, Pool::default(), pause);
+    let load = Load::new(
+        cluster,
+        requests,
+        retry_policy,
+        PoolLimits::default(),
+        pause,
+    );
     load.run("drain").await;
     is_over.store(true, Ordering::Relaxed);
     let mut left = 0;
@@ -210,7 +217,7 @@
     cluster: Arc<Cluster>,
     requests: usize,
     retry_policy: RetryPolicy,
-    pool: Pool,
+    pool: PoolLimits,
     pause: Duration,
     sent: AtomicUsize,
     outcomes: Mutex<BTreeMap<String, usize>>,
@@ -221,7 +228,7 @@
         cluster: Arc<Cluster>,
         requests: usize,
         retry_policy: RetryPolicy,
-        pool: Pool,
+        pool: PoolLimits,
         pause: Duration,
     ) -> Self {
         Self {
--- a/crates/http/benches/relay.rs
+++ b/crates/http/benches/relay.rs
@@ -12,7 +12,7 @@
 
 use async_std::task::{self, sleep};
 use hdrhistogram::Histogram;
-use http::{Client, Limits, Options, Pool, Request, Response, Sender, Server, Status};
+use http::{Client, Limits, Options, PoolLimits, Request, Response, Sender, Server, Status};
 use kernel::SystemClock;
 
 const RUN_DURATION: Duration = Duration::from_secs(5);
@@ -97,9 +97,9 @@
 }
 
 fn client() -> Client {
-    let pool = Pool {
+    let pool = PoolLimits {
         max_idle: 10_000,
-        ..Pool::default()
+        ..PoolLimits::default()
     };
     Client::new(Arc::new(SystemClock::new()), pool)
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -118,7 +118,7 @@
     /// [`Error::TooLarge`] if the body exceeds `limit`, or if a request's body exceeds the server's
     /// limit; [`Error::Cut`] if reading it failed.
     pub async fn collect(mut self, limit: usize) -> Result<Vec<u8>, Error> {
-        self.drain(limit).await
+        self.read_all(limit).await
     }
 
     /// Reads the whole body, up to `limit` bytes, and parses it as JSON.
@@ -126,7 +126,7 @@
     /// # Errors
     /// The errors of [`Body::collect`], and [`Error::Json`] if the bytes don't parse as a `T`.
     pub async fn parse<T: DeserializeOwned>(mut self, limit: usize) -> Result<T, Error> {
-        self.drain_json(limit).await
+        self.read_json(limit).await
     }
 
     /// Like [`Body::collect`], but borrows the body, so that a caller that doesn't accept the
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     /// The errors of [`Body::collect`].
-    pub async fn drain(&mut self, limit: usize) -> Result<Vec<u8>, Error> {
+    pub async fn read_all(&mut self, limit: usize) -> Result<Vec<u8>, Error> {
         if self.len().is_some_and(|len| len > limit as u64) {
             return Err(Error::TooLarge { limit });
         }
@@ -156,8 +156,8 @@
     ///
     /// # Errors
     /// The errors of [`Body::parse`].
-    pub async fn drain_json<T: DeserializeOwned>(&mut self, limit: usize) -> Result<T, Error> {
-        let bytes = self.drain(limit).await?;
+    pub async fn read_json<T: DeserializeOwned>(&mut self, limit: usize) -> Result<T, Error> {
+        let bytes = self.read_all(limit).await?;
         serde_json::from_slice(&bytes).map_err(|err| {
             self.discard_connection();
             Error::from(&err)
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -18,7 +18,7 @@
 
 use pool::Reuse;
 
-pub use pool::Pool;
+pub use pool::PoolLimits;
 pub(crate) use response_body::ResponseBody;
 
 /// An HTTP client with a connection pool. Clones share the pool.
@@ -64,9 +64,9 @@
 impl Client {
     /// Creates a client with an empty connection pool.
     #[must_use]
-    pub fn new(clock: Arc<dyn Clock>, pool: Pool) -> Self {
+    pub fn new(clock: Arc<dyn Clock>, limits: PoolLimits) -> Self {
         Self {
-            pool: Arc::new(pool::ConnPool::new(clock, pool)),
+            pool: Arc::new(pool::ConnPool::new(clock, limits)),
         }
     }
 
@@ -77,7 +77,8 @@
     /// provided that its body is in memory, and that either none of its bytes were sent, or the
     /// failure is [`Error::MaybeSent`] and [`Options::retry_policy`] is
     /// [`RetryPolicy::Idempotent`]. Requests that aren't idempotent, or whose body isn't in memory,
-    /// use a new connection, or one that was used less than [`Pool::max_age_at_most_once`] ago.
+    /// use a new connection, or one that was used less than
+    /// [`PoolLimits::max_idle_time_at_most_once`] ago.
     ///
     /// # Errors
     /// [`Error::NotSent`], [`Error::MaybeSent`] or [`Error::Cut`], depending on how far the
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -19,10 +19,10 @@
 mod write;
 
 pub use body::{Body, Sender};
-pub use client::{Client, Options, Pool, RetryPolicy};
+pub use client::{Client, Options, PoolLimits, RetryPolicy};
 pub use error::{Cause, Error};
 pub use headers::Headers;
 pub use http_types::{Method, StatusCode as Status};
-pub use request::{Hangup, Request};
+pub use request::{Disconnect, Request};
 pub use response::Response;
 pub use server::{Drained, Limits, Server};
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -22,9 +22,9 @@
     pub headers: Headers,
     /// The body.
     pub body: Body,
-    /// Notification that the caller of a received request disconnected. See [`Hangup::wait`], which
-    /// never completes for a request to send.
-    pub hangup: Hangup,
+    /// Notification that the caller of a received request disconnected. See
+    /// [`Disconnect::wait`], which never completes for a request to send.
+    pub disconnect: Disconnect,
 }
 
 impl Request {
@@ -36,7 +36,7 @@
             target: target.into(),
             headers: Headers::default(),
             body: Body::empty(),
-            hangup: Hangup::never(),
+            disconnect: Disconnect::never(),
         }
     }
 
@@ -102,11 +102,11 @@
 /// A caller that closes only its sending side also counts as disconnected, because the server
 /// can't tell the difference.
 #[derive(Clone)]
-pub struct Hangup {
+pub struct Disconnect {
     closed: Option<Shared<oneshot::Receiver<()>>>,
 }
 
-impl Hangup {
+impl Disconnect {
     pub(crate) fn never() -> Self {
         Self { closed: None }
     }
@@ -126,8 +126,8 @@
     }
 }
 
-impl fmt::Debug for Hangup {
+impl fmt::Debug for Disconnect {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Hangup(..)")
+        f.write_str("Disconnect(..)")
     }
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -49,7 +49,7 @@
     /// [`Server::address`].
     ///
     /// The handler isn't cancelled when the caller disconnects, so that it can clean up; it is
-    /// notified through [`Request::hangup`].
+    /// notified through [`Request::disconnect`].
     ///
     /// # Errors
     /// The I/O error if the address can't be bound.
@@ -97,8 +97,9 @@
     ///
     /// Until `limit` has passed, connections stay open for [`Limits::min_open_time`] as described
     /// there, so that callers whose
-    /// [`Pool::max_age_at_most_once`](crate::Pool::max_age_at_most_once) is shorter don't send
-    /// requests that must not be sent twice on connections that the server is closing.
+    /// [`PoolLimits::max_idle_time_at_most_once`](crate::PoolLimits::max_idle_time_at_most_once) is
+    /// shorter don't send requests that must not be sent twice on connections that the server is
+    /// closing.
     pub async fn drain(&self, grace: Duration, limit: Duration) -> Drained {
         self.shared.begin_drain();
         if !grace.is_zero() {
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -18,7 +18,7 @@
 use crate::conn::Conn;
 use crate::h1;
 use crate::write::copy_to_stream;
-use crate::{Hangup, Method, Request, Response};
+use crate::{Disconnect, Method, Request, Response};
 
 /// Serves the requests of a connection, one after the other, until it closes.
 pub(super) async fn serve<H, F>(stream: TcpStream, shared: &Shared, handler: &H)
@@ -75,15 +75,15 @@
         method,
         mut next,
     } = head;
-    let (sender, hangup) = Hangup::new();
-    let mut hangup_sender = Some(sender);
-    request.hangup = hangup;
+    let (sender, disconnect) = Disconnect::new();
+    let mut disconnect_sender = Some(sender);
+    request.disconnect = disconnect;
     let mut watch = Watch::new(conn);
     let mut handling = pin!(handler(request));
     let response = if let Some(response) = watch.until_disconnect(handling.as_mut()).await {
         response
     } else {
-        notify_hangup(&mut hangup_sender);
+        notify_disconnect(&mut disconnect_sender);
         handling.await
     };
     // An unread rest of the body would be parsed as the next request. During a drain, callers are
@@ -94,14 +94,14 @@
     match write(&mut watch, conn, shared, response, method, next).await {
         Written::Complete => next,
         Written::Incomplete => {
-            notify_hangup(&mut hangup_sender);
+            notify_disconnect(&mut disconnect_sender);
             Next::Abort
         }
     }
 }
 
-fn notify_hangup(hangup_sender: &mut Option<oneshot::Sender<()>>) {
-    if let Some(sender) = hangup_sender.take() {
+fn notify_disconnect(disconnect_sender: &mut Option<oneshot::Sender<()>>) {
+    if let Some(sender) = disconnect_sender.take() {
         // Fails if all receivers have been dropped.
         let _ = sender.send(());
     }
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -20,8 +20,8 @@
     /// Minimum time for which a served connection is kept open after its accept, and after each
     /// response that didn't ask the caller to close it, even if the server shuts down, unless
     /// `idle_timeout` is shorter. Should be longer than
-    /// [`Pool::max_age_at_most_once`](crate::Pool::max_age_at_most_once) of the callers plus the
-    /// network latency, because a request may already have been sent.
+    /// [`PoolLimits::max_idle_time_at_most_once`](crate::PoolLimits::max_idle_time_at_most_once)
+    /// of the callers plus the network latency, because a request may already have been sent.
     pub min_open_time: Duration,
     /// Maximum number of connections served; further ones are rejected with status 503.
     pub max_connections: usize,
--- a/crates/http/tests/suite/client.rs
+++ b/crates/http/tests/suite/client.rs
@@ -8,7 +8,7 @@
 
 use async_std::task::block_on;
 use datadriven::{TestCase, walk};
-use http::{Body, Cause, Client, Error, Method, Options, Pool, Request, RetryPolicy};
+use http::{Body, Cause, Client, Error, Method, Options, PoolLimits, Request, RetryPolicy};
 use kernel::{ManualClock, SystemClock};
 
 use crate::{message, support};
@@ -106,7 +106,7 @@
         retry_policy,
     };
     let peer = Peer::start(&case.input);
-    let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+    let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
     let mut output = String::new();
     for idx in 0..requests {
         if await_close && idx > 0 {
@@ -136,7 +136,7 @@
     let closed = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
-    let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+    let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
     let line = block_on(send_request(
         &client,
         address,
@@ -159,7 +159,7 @@
         "x".repeat(content)
     );
     let peer = Peer::start(&script);
-    let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+    let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
     let options = Options {
         total: Duration::from_secs(5),
         ..Options::default()
@@ -176,18 +176,19 @@
                   conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\ntwo\nhold\n";
     let peer = Peer::start(script);
     let clock = Arc::new(ManualClock::default());
-    let pool = Pool::default();
+    let pool = PoolLimits::default();
     let client = Client::new(Arc::clone(&clock) as _, pool);
     let options = Options::default();
     for expected in ["200 one", "200 two"] {
         let line = block_on(send_request(&client, peer.address, Method::Post, &options));
         assert_eq!(line, expected);
-        clock.advance(pool.max_age);
+        clock.advance(pool.max_idle_time);
     }
 }
 
 /// Returns the responses to three requests to a peer that keeps its connections open. The second
-/// request follows the first at once, the third after [`Pool::max_age_at_most_once`].
+/// request follows the first at once, the third after
+/// [`PoolLimits::max_idle_time_at_most_once`].
 fn responses_on_idle_connection(retry_policy: RetryPolicy) -> Vec<String> {
     let response = |text: &str| {
         format!("recv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 5\\r\\n\\r\\n{text}\n")
@@ -201,7 +202,7 @@
     );
     let peer = Peer::start(&script);
     let clock = Arc::new(ManualClock::default());
-    let pool = Pool::default();
+    let pool = PoolLimits::default();
     let client = Client::new(Arc::clone(&clock) as _, pool);
     let options = Options {
         retry_policy,
@@ -209,7 +210,7 @@
     };
     let send = || block_on(send_request(&client, peer.address, Method::Post, &options));
     let mut lines = vec![send(), send()];
-    clock.advance(pool.max_age_at_most_once);
+    clock.advance(pool.max_idle_time_at_most_once);
     lines.push(send());
     lines
 }
@@ -234,7 +235,7 @@
     // After a body that ended early, the peer waits for the rest and never responds. Waiting for
     // its first byte would occupy a connection at both ends for nothing.
     let peer = Peer::start("conn\nrecv\n");
-    let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+    let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
     let half = Body::reader(futures::io::Cursor::new("half"), Some(8));
     let request = Request::new(Method::Post, "/").body(half);
     let options = Options {
@@ -258,7 +259,7 @@
              conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\ntwo\n"
         );
         let peer = Peer::start(&script);
-        let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+        let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
         let default_options = Options::default();
         let short_timeout = Options {
             first_byte: Duration::from_millis(100),
--- a/crates/http/tests/suite/round_trip.rs
+++ b/crates/http/tests/suite/round_trip.rs
@@ -5,11 +5,11 @@
 
 use async_std::task::block_on;
 use googletest::prelude::*;
-use http::{Body, Client, Limits, Method, Options, Pool, Request, Response, Server, Status};
+use http::{Body, Client, Limits, Method, Options, PoolLimits, Request, Response, Server, Status};
 use kernel::SystemClock;
 
 fn client() -> Client {
-    Client::new(Arc::new(SystemClock::new()), Pool::default())
+    Client::new(Arc::new(SystemClock::new()), PoolLimits::default())
 }
 
 async fn echo(request: Request) -> Response {
--- a/crates/http/tests/suite/server.rs
+++ b/crates/http/tests/suite/server.rs
@@ -231,10 +231,10 @@
             r"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 2\r\n\r\nhi",
         );
         let request = requests.recv().await.unwrap();
-        let hangup = request.hangup.clone();
+        let disconnect = request.disconnect.clone();
         expect_that!(request.body.collect(16).await, ok(eq(b"hi".as_slice())));
         drop(stream);
-        hangup.wait().await;
+        disconnect.wait().await;
     });
 }
 
@@ -252,7 +252,7 @@
         let mut seen = [0; 8];
         stream.read_exact(&mut seen).unwrap();
         drop(stream);
-        request.hangup.wait().await;
+        request.disconnect.wait().await;
         while pieces.send("data: two\n\n").await.is_ok() {}
         expect_that!(pieces.is_closed(), is_true());
     });
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use http::{Options, Pool, Request, RetryPolicy, Status};
+use http::{Options, PoolLimits, Request, RetryPolicy, Status};
 use kernel::SystemClock;
 use serde_json::Value;
 
@@ -20,10 +20,10 @@
 
 impl Client {
     pub(crate) fn new() -> Self {
-        let pool = Pool {
+        let pool = PoolLimits {
             max_idle: 0,
-            max_age: Duration::ZERO,
-            ..Pool::default()
+            max_idle_time: Duration::ZERO,
+            ..PoolLimits::default()
         };
         Self {
             http: http::Client::new(Arc::new(SystemClock::new()), pool),
--- a/xtask/src/site.rs
+++ b/xtask/src/site.rs
@@ -16,7 +16,7 @@
 
 use async_std::task;
 use error_stack::{Report, ResultExt};
-use http::{Client, Options, Pool, Request};
+use http::{Client, Options, PoolLimits, Request};
 use kernel::{Clock, SystemClock};
 use tempfile::TempDir;
 use toml::Table;
@@ -61,9 +61,9 @@
     pub fn start(binaries: Binaries, settings: &fakes::Settings) -> Result<Self, Report<Error>> {
         let dir = TempDir::new().change_context(Error::Site)?;
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
-        let pool = Pool {
+        let pool = PoolLimits {
             max_idle: 4096,
-            ..Pool::default()
+            ..PoolLimits::default()
         };
         let client = Client::new(Arc::clone(&clock), pool);
         let stand_ins = StandIns::start(&binaries.fakes, dir.path(), settings, client.clone())?;
