--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -117,7 +117,8 @@
         (sender, Self { closed })
     }
 
-    /// Waits for the notification. Never completes if the response is completed.
+    /// Waits for the notification. Never completes if the response is completed, nor for a request
+    /// to send.
     pub async fn wait(&self) {
         match &self.closed {
             Some(closed) if closed.clone().await.is_ok() => {}
--- a/crates/http/tests/suite/client.rs
+++ b/crates/http/tests/suite/client.rs
@@ -132,7 +132,7 @@
 
 #[test]
 fn a_refused_connection_is_reported_as_not_sent() {
-    // A caller that must not send a request twice retries only if it is reported as not sent.
+    // A caller may retry a request that must not run twice only if it is reported as not sent.
     let closed = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
