--- a/crates/barleypind/src/call/start.rs
+++ b/crates/barleypind/src/call/start.rs
@@ -12,7 +12,7 @@
 use gate::chat::{Limits, Message};
 use gate::problem::{Problem, Reason};
 use gate::session::Token;
-use http::{Body, Hangup, Request, Response};
+use http::{Body, Disconnect, Request, Response};
 use kernel::{ProfileName, ServiceName};
 use ledger::{Event, Fingerprint};
 
@@ -32,14 +32,14 @@
 
 /// Serves a chat completion.
 pub(crate) async fn chat(cx: Arc<Context>, call: Call, request: Request) -> Response {
-    let hangup = request.hangup.clone();
+    let disconnect = request.disconnect.clone();
     let original = forward::OriginalRequest::of(&request);
     let body = match read_body(&cx.host, &call, request.body).await {
         Ok(body) => body,
         Err(problem) => return reply::refuse(&cx.host, &problem),
     };
     match parse_chat(&cx.host, &call, &body) {
-        Ok(chat) => start(cx, call, Work::Chat(chat), original, body, hangup).await,
+        Ok(chat) => start(cx, call, Work::Chat(chat), original, body, disconnect).await,
         Err(problem) => {
             let problem = problem.of_request(call.request.as_str());
             reply::refuse(&cx.host, &problem)
@@ -56,7 +56,7 @@
     target: String,
     request: Request,
 ) -> Response {
-    let hangup = request.hangup.clone();
+    let disconnect = request.disconnect.clone();
     let original = forward::OriginalRequest::of(&request);
     let (method, headers) = (request.method, work::forwarded_headers(&request.headers));
     let body = match read_body(&cx.host, &call, request.body).await {
@@ -88,7 +88,7 @@
         body: body.clone().into(),
         retry_policy,
     });
-    start(cx, call, work, original, body, hangup).await
+    start(cx, call, work, original, body, disconnect).await
 }
 
 /// Returns a refusal if this host has had no recent proof that its configuration is the newest
@@ -120,18 +120,18 @@
     work: Work,
     original: forward::OriginalRequest,
     body: Vec<u8>,
-    hangup: Hangup,
+    disconnect: Disconnect,
 ) -> Response {
     let arrival = match ledger_arrival(&cx.host, &call, &work, &original, &body) {
         Ok(arrival) => arrival,
         Err(problem) => return reply::refuse(&cx.host, &problem),
     };
-    let Some(admission) = admit(&cx, arrival, &hangup).await else {
+    let Some(admission) = admit(&cx, arrival, &disconnect).await else {
         let problem = call.refusal(Reason::Leaving, "the call was dropped by its host");
         return reply::refuse(&cx.host, &problem);
     };
     match admission {
-        Admission::Permit => run_permitted(cx, call, work, hangup).await,
+        Admission::Permit => run_permitted(cx, call, work, disconnect).await,
         Admission::Replay(outcome) => replay::response(&cx.host, &call, &work, &outcome),
         Admission::Forward(home) => forward::relay(cx, call, original, body, home).await,
         Admission::Refuse(refusal) => {
@@ -141,10 +141,14 @@
     }
 }
 
-async fn admit(cx: &Arc<Context>, arrival: ledger::Arrival, hangup: &Hangup) -> Option<Admission> {
+async fn admit(
+    cx: &Arc<Context>,
+    arrival: ledger::Arrival,
+    disconnect: &Disconnect,
+) -> Option<Admission> {
     let request = arrival.request.clone();
     let admitted = cx.ledger_handle.admit(arrival);
-    let disconnected = hangup.wait();
+    let disconnected = disconnect.wait();
     pin_mut!(admitted, disconnected);
     match select(admitted, disconnected).await {
         Either::Left((admission, _)) => admission,
@@ -155,7 +159,12 @@
     }
 }
 
-async fn run_permitted(cx: Arc<Context>, call: Call, work: Work, hangup: Hangup) -> Response {
+async fn run_permitted(
+    cx: Arc<Context>,
+    call: Call,
+    work: Work,
+    disconnect: Disconnect,
+) -> Response {
     let arrived = cx
         .decider
         .arrive(|policy| decider_arrival(policy, &call, &work));
@@ -173,7 +182,7 @@
     let request = call.request.clone();
     let (head, response) = oneshot::channel();
     let run = Run::new(cx, call, work, Caller::Waiting(head), directives);
-    task::spawn(run.run(hangup));
+    task::spawn(run.run(disconnect));
     response.await.unwrap_or_else(|_| {
         // The caller disconnected, so nobody receives this.
         let problem = Problem::new(
--- a/crates/framing/src/request.rs
+++ b/crates/framing/src/request.rs
@@ -8,13 +8,13 @@
 pub struct Head {
     /// The method, as sent.
     pub method: String,
-    /// The request target, as sent: a path and an optional query.
+    /// The request target, as sent; usually a path and an optional query.
     pub target: String,
     /// The header fields.
     pub fields: Fields,
     /// The length of the body.
     pub length: Length,
-    /// Whether the connection stays open for another request after this one.
+    /// Whether the sender allows another request on the connection after this one.
     pub keep_alive: bool,
     /// Whether the sender supports the chunked transfer coding, which HTTP/1.0 lacks.
     pub supports_chunked: bool,
@@ -24,7 +24,7 @@
     /// Parses a complete head, including its blank line.
     ///
     /// # Errors
-    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooLarge`] if it has
+    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooManyFields`] if it has
     /// too many fields.
     pub fn parse(bytes: &[u8]) -> Result<Self, Error> {
         check_line_ends(bytes)?;
--- a/crates/framing/src/response.rs
+++ b/crates/framing/src/response.rs
@@ -21,7 +21,7 @@
     /// method.
     ///
     /// # Errors
-    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooLarge`] if it has
+    /// [`Error::Malformed`] if the head is invalid or ambiguous, [`Error::TooManyFields`] if it has
     /// too many fields.
     pub fn parse(bytes: &[u8], method: &str) -> Result<Self, Error> {
         check_line_ends(bytes)?;
@@ -50,7 +50,8 @@
         })
     }
 
-    /// Returns whether this is an interim response (1xx), which precedes the final one.
+    /// Returns whether the status is informational (1xx). Except for 101, such a response precedes
+    /// the final one.
     #[must_use]
     pub fn is_informational(&self) -> bool {
         (100..200).contains(&self.status)
--- a/crates/http/src/client/response_body.rs
+++ b/crates/http/src/client/response_body.rs
@@ -16,16 +16,16 @@
 
 type ReturnConn = Box<dyn FnOnce(Conn) + Send + Sync>;
 
-/// The framing of a response's body.
+/// The length of a response's body, as its framing determines it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Framing {
-    Length(u64),
+enum Length {
+    Known(u64),
     Chunked,
-    Close,
+    UntilClose,
 }
 
 /// Creates a response from a decoded head. `return_conn` is called with the connection if the peer
-/// keeps it open, once the body has been read to its end and dropped.
+/// keeps it open: once the body has been read to its end and dropped, or at once if it is empty.
 pub(super) fn build_response(
     mut head: http_types::Response,
     method: Method,
@@ -33,20 +33,20 @@
     deadline: Instant,
     return_conn: impl FnOnce(Conn) + Send + Sync + 'static,
 ) -> Result<Response, Error> {
-    let framing = framing(&head, method).ok_or(Error::Cut(Cause::Malformed))?;
-    let keep_alive = framing != Framing::Close && !has_connection_close(&head);
+    let length = length(&head, method).ok_or(Error::Cut(Cause::Malformed))?;
+    let keep_alive = length != Length::UntilClose && !has_connection_close(&head);
     let mut response = Response::new(head.status());
     response.headers = h1::decode_headers(head.as_ref());
-    if framing == Framing::Length(0) {
+    if length == Length::Known(0) {
         if keep_alive {
             return_conn(conn);
         }
         return Ok(response);
     }
-    let (len, reader): (_, Box<dyn AsyncBufRead + Send + Sync + Unpin>) = match framing {
-        Framing::Length(len) => (Some(len), Box::new(head.take_body())),
-        Framing::Chunked => (None, Box::new(head.take_body())),
-        Framing::Close => (None, Box::new(BufReader::new(conn.clone()))),
+    let (len, reader): (_, Box<dyn AsyncBufRead + Send + Sync + Unpin>) = match length {
+        Length::Known(len) => (Some(len), Box::new(head.take_body())),
+        Length::Chunked => (None, Box::new(head.take_body())),
+        Length::UntilClose => (None, Box::new(BufReader::new(conn.clone()))),
     };
     conn.allow_body(len);
     let return_conn = keep_alive.then(|| Box::new(return_conn) as ReturnConn);
@@ -62,22 +62,23 @@
     Ok(response)
 }
 
-/// Returns the framing of a body, or `None` if the head is invalid.
+/// Returns the length of a body, or `None` if the head is invalid or has an unsupported transfer
+/// coding.
 ///
 /// The library treats a response without a length as empty, although its body ends with the
 /// connection.
-fn framing(head: &http_types::Response, method: Method) -> Option<Framing> {
+fn length(head: &http_types::Response, method: Method) -> Option<Length> {
     let status = head.status();
     if method == Method::Head || matches!(status, Status::NoContent | Status::NotModified) {
-        return Some(Framing::Length(0));
+        return Some(Length::Known(0));
     }
     if let Some(codings) = head.header(TRANSFER_ENCODING) {
-        return (codings.last().as_str() == "chunked").then_some(Framing::Chunked);
+        return (codings.last().as_str() == "chunked").then_some(Length::Chunked);
     }
     match head.header(CONTENT_LENGTH) {
         Some(len) if !h1::is_number(len.last().as_str()) => None,
-        Some(len) => len.last().as_str().parse().ok().map(Framing::Length),
-        None => Some(Framing::Close),
+        Some(len) => len.last().as_str().parse().ok().map(Length::Known),
+        None => Some(Length::UntilClose),
     }
 }
 
@@ -116,7 +117,7 @@
             if !bytes?.is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            // The library treats a closed connection as the end of the body.
+            // In a body with a length, the library treats a closed connection as the end.
             if self.remaining.is_some() {
                 return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()));
             }
--- a/crates/http/src/h1.rs
+++ b/crates/http/src/h1.rs
@@ -11,9 +11,9 @@
 use crate::copy::poll_copy;
 use crate::{Body, Headers, Method, Request, Response};
 
-/// Fields that are dropped because they concern one connection or the framing of one message.
-/// Forwarding them could make the next peer wait for bytes that never come.
-const HOP_BY_HOP: [&str; 12] = [
+/// Fields that aren't copied to a message to send: they concern one connection or exchange, or this
+/// crate sets them itself (`content-length`, `host`, `transfer-encoding`).
+const NOT_COPIED: [&str; 12] = [
     "connection",
     "content-length",
     "expect",
@@ -28,7 +28,8 @@
     "upgrade",
 ];
 
-/// Converts a request for the peer at `to`. Returns `None` if its target isn't a valid path.
+/// Converts `request`, with `body` in place of its own, for the peer at `to`. Returns `None` if the
+/// target doesn't begin with `/` or can't be parsed.
 pub(crate) fn encode_request(
     request: &Request,
     to: SocketAddr,
@@ -39,10 +40,10 @@
     }
     let url = Url::parse(&format!("http://{to}{}", request.target)).ok()?;
     let mut encoded = http_types::Request::new(request.method, url);
-    for (name, value) in end_to_end(&request.headers) {
+    for (name, value) in copied_fields(&request.headers) {
         encoded.append_header(name, value);
     }
-    if !body.is_empty() || has_body(request.method) {
+    if !body.is_empty() || states_empty_body(request.method) {
         encoded.set_body(encode_body(body));
     }
     Some(encoded)
@@ -50,7 +51,7 @@
 
 pub(crate) fn encode_response(response: Response) -> http_types::Response {
     let mut encoded = http_types::Response::new(response.status);
-    for (name, value) in end_to_end(&response.headers) {
+    for (name, value) in copied_fields(&response.headers) {
         encoded.append_header(name, value);
     }
     if !response.body.is_empty() {
@@ -67,25 +68,26 @@
         .collect()
 }
 
-/// Returns whether `text` consists of digits only. Integer parsers also accept a sign, which
-/// other HTTP implementations may read differently.
+/// Returns whether `text` consists of one or more ASCII digits. Integer parsers also accept a sign,
+/// which other HTTP implementations may read differently.
 pub(crate) fn is_number(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|it| it.is_ascii_digit())
 }
 
-fn end_to_end(headers: &Headers) -> impl Iterator<Item = (&str, &str)> {
+fn copied_fields(headers: &Headers) -> impl Iterator<Item = (&str, &str)> {
     headers
         .iter()
-        .filter(|(name, _)| !HOP_BY_HOP.iter().any(|it| it.eq_ignore_ascii_case(name)))
+        .filter(|(name, _)| !NOT_COPIED.iter().any(|it| it.eq_ignore_ascii_case(name)))
 }
 
-fn has_body(method: Method) -> bool {
+/// Returns whether a request with this method gets a body, and so a length, even if it is empty.
+fn states_empty_body(method: Method) -> bool {
     matches!(method, Method::Post | Method::Put | Method::Patch)
 }
 
 fn encode_body(body: Body) -> http_types::Body {
     let len = body.len();
-    let reader = ExactLength {
+    let reader = MinLength {
         body,
         remaining: len,
     };
@@ -94,12 +96,12 @@
 
 /// A body that fails if it ends before its stated length. The encoder would otherwise end the
 /// message there and leave the peer waiting for the rest.
-struct ExactLength {
+struct MinLength {
     body: Body,
     remaining: Option<u64>,
 }
 
-impl AsyncBufRead for ExactLength {
+impl AsyncBufRead for MinLength {
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
         let bytes = ready!(Pin::new(&mut this.body).poll_fill_buf(cx))?;
@@ -117,7 +119,7 @@
     }
 }
 
-impl AsyncRead for ExactLength {
+impl AsyncRead for MinLength {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! The client pools connections, and its errors tell whether a request may have reached its
 //! peer. The server enforces limits on what peers may send. The public API hides `async-h1`, so
-//! that it can be replaced; see `docs/PROTOCOLS.md` for the protocols on top of HTTP.
+//! that it can be replaced, but re-exports `Method` and `StatusCode` of `http-types`; see
+//! `docs/PROTOCOLS.md` for the protocols on top of HTTP.
 
 mod body;
 mod client;
@@ -18,10 +19,10 @@
 mod write;
 
 pub use body::{Body, Sender};
-pub use client::{Client, Options, Pool, RetryPolicy};
+pub use client::{Client, Options, PoolLimits, RetryPolicy};
 pub use error::{Cause, Error};
 pub use headers::Headers;
 pub use http_types::{Method, StatusCode as Status};
-pub use request::{Hangup, Request};
+pub use request::{Disconnect, Request};
 pub use response::Response;
 pub use server::{Drained, Limits, Server};
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -4,7 +4,7 @@
 mod head;
 mod limits;
 mod listen;
-mod refusal;
+mod rejection;
 mod request_body;
 mod shared;
 mod watch;
@@ -22,7 +22,7 @@
 use futures::{FutureExt, pin_mut};
 
 use crate::{Request, Response, Status};
-use refusal::{Refusal, refuse};
+use rejection::{Rejection, reject};
 use shared::Shared;
 
 pub use limits::Limits;
@@ -49,7 +49,7 @@
     /// [`Server::address`].
     ///
     /// The handler isn't cancelled when the caller disconnects, so that it can clean up; it is
-    /// notified through [`Request::hangup`].
+    /// notified through [`Request::disconnect`].
     ///
     /// # Errors
     /// The I/O error if the address can't be bound.
@@ -84,19 +84,22 @@
     }
 
     /// Returns the number of requests in flight, from the first byte of their head to the last
-    /// byte of their response.
+    /// byte of their response, or to the closing of the connection if they are rejected.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight()
     }
 
     /// Shuts down gracefully. For `grace`, serves as before but asks callers to close their
-    /// connections. Then accepts no more connections and waits up to `limit` for requests in
-    /// flight and for connections on which a request may be about to arrive.
+    /// connections. Then stops listening, and waits up to `limit` for requests in flight, for
+    /// connections on which a request may be about to arrive, and for connections that are being
+    /// closed.
     ///
-    /// If `grace` is at least [`Limits::min_open_time`], callers whose
-    /// [`Pool::max_age_at_most_once`](crate::Pool::max_age_at_most_once) is shorter lose no
-    /// request that must not be sent twice.
+    /// Until `limit` has passed, connections stay open for [`Limits::min_open_time`] as described
+    /// there, so that callers whose
+    /// [`PoolLimits::max_idle_time_at_most_once`](crate::PoolLimits::max_idle_time_at_most_once) is
+    /// shorter don't send requests that must not be sent twice on connections that the server is
+    /// closing.
     pub async fn drain(&self, grace: Duration, limit: Duration) -> Drained {
         self.shared.begin_drain();
         if !grace.is_zero() {
@@ -153,6 +156,6 @@
 }
 
 async fn reject_connection(stream: &TcpStream, shared: &Shared) {
-    let refusal = Refusal::new(Status::ServiceUnavailable, "too many connections");
-    refuse(stream, shared, refusal).await;
+    let rejection = Rejection::new(Status::ServiceUnavailable, "too many connections");
+    reject(stream, shared, rejection).await;
 }
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -12,13 +12,13 @@
 use http_types::headers::CONNECTION;
 
 use super::head::{self, Head, Next};
-use super::refusal::{linger, refuse};
+use super::rejection::{linger, reject};
 use super::shared::Shared;
 use super::watch::Watch;
 use crate::conn::Conn;
 use crate::h1;
 use crate::write::copy_to_stream;
-use crate::{Hangup, Method, Request, Response};
+use crate::{Disconnect, Method, Request, Response};
 
 /// Serves the requests of a connection, one after the other, until it closes.
 pub(super) async fn serve<H, F>(stream: TcpStream, shared: &Shared, handler: &H)
@@ -32,8 +32,8 @@
         let next = match head::read(&conn, shared).await {
             Ok(Some(head)) => exchange(&conn, shared, handler, head).await,
             Ok(None) => Next::Abort,
-            Err(refusal) => {
-                refuse(conn.stream(), shared, refusal).await;
+            Err(rejection) => {
+                reject(conn.stream(), shared, rejection).await;
                 Next::Abort
             }
         };
@@ -52,8 +52,8 @@
 /// A caller that has just connected, or has just received a response on a kept connection, may
 /// already have sent a request. If the connection were closed at once, the caller couldn't tell
 /// whether the request ran. The connection therefore stays open for the minimum open time,
-/// counted from the start of the wait; connections that were idle throughout the drain's grace
-/// close at once.
+/// counted from the start of the wait; a connection that has been idle for longer closes at once
+/// when the server stops.
 async fn await_request(conn: &Conn, shared: &Shared) -> bool {
     let since = Instant::now();
     let first = timeout(shared.limits.idle_timeout, conn.wait_first_byte());
@@ -75,33 +75,34 @@
         method,
         mut next,
     } = head;
-    let (sender, hangup) = Hangup::new();
-    let mut hangup_sender = Some(sender);
-    request.hangup = hangup;
+    let (sender, disconnect) = Disconnect::new();
+    let mut disconnect_sender = Some(sender);
+    request.disconnect = disconnect;
     let mut watch = Watch::new(conn);
     let mut handling = pin!(handler(request));
     let response = if let Some(response) = watch.until_disconnect(handling.as_mut()).await {
         response
     } else {
-        notify_hangup(&mut hangup_sender);
+        notify_disconnect(&mut disconnect_sender);
         handling.await
     };
-    // An unread rest of the body would be parsed as the next request.
+    // An unread rest of the body would be parsed as the next request. During a drain, callers are
+    // asked to close their connections.
     if !conn.is_body_done() || shared.is_draining() {
         next = Next::Close;
     }
     match write(&mut watch, conn, shared, response, method, next).await {
         Written::Complete => next,
         Written::Incomplete => {
-            notify_hangup(&mut hangup_sender);
+            notify_disconnect(&mut disconnect_sender);
             Next::Abort
         }
     }
 }
 
-fn notify_hangup(hangup_sender: &mut Option<oneshot::Sender<()>>) {
-    if let Some(sender) = hangup_sender.take() {
-        // Fails if the handler has dropped the request.
+fn notify_disconnect(disconnect_sender: &mut Option<oneshot::Sender<()>>) {
+    if let Some(sender) = disconnect_sender.take() {
+        // Fails if all receivers have been dropped.
         let _ = sender.send(());
     }
 }
@@ -112,8 +113,8 @@
     Incomplete,
 }
 
-/// Writes the response, unless the caller disconnects first. Then the body is dropped, so that its
-/// producer notices the disconnect even while it has nothing to send.
+/// Writes the response, unless the caller disconnects first. In that case the body is dropped, so
+/// that `send` fails for its producer.
 async fn write(
     watch: &mut Watch<'_>,
     conn: &Conn,
--- a/crates/http/tests/suite/client.rs
+++ b/crates/http/tests/suite/client.rs
@@ -8,7 +8,7 @@
 
 use async_std::task::block_on;
 use datadriven::{TestCase, walk};
-use http::{Body, Cause, Client, Error, Method, Options, Pool, Request, RetryPolicy};
+use http::{Body, Cause, Client, Error, Method, Options, PoolLimits, Request, RetryPolicy};
 use kernel::{ManualClock, SystemClock};
 
 use crate::{message, support};
@@ -16,6 +16,8 @@
 /// A peer that plays one script for each connection, in the order in which they are accepted.
 struct Peer {
     address: SocketAddr,
+    /// Receives a message for each connection that the peer has closed at the end of its
+    /// script.
     closed: Receiver<()>,
     /// Dropping these ends the scripts that hold their connection open.
     release: Vec<Sender<()>>,
@@ -56,7 +58,7 @@
         match line.split_once(' ').unwrap_or((line, "")) {
             ("recv", _) => drop(message::read_message(&mut stream)),
             ("send", text) => support::send(&mut stream, text),
-            // Until the test ends.
+            // Waits until the test drops the senders in `release`.
             ("hold", _) => drop(hold.recv()),
             other => panic!("unknown step {other:?}"),
         }
@@ -104,7 +106,7 @@
         retry_policy,
     };
     let peer = Peer::start(&case.input);
-    let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+    let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
     let mut output = String::new();
     for idx in 0..requests {
         if await_close && idx > 0 {
@@ -119,7 +121,7 @@
 }
 
 #[test]
-fn scripted_peers() {
+fn the_client_handles_scripted_responses_as_recorded() {
     walk("tests/data/client", |file| {
         file.run(|case| match case.directive.as_str() {
             "exchange" => exchange(case),
@@ -130,11 +132,11 @@
 
 #[test]
 fn a_refused_connection_is_reported_as_not_sent() {
-    // A refused connection must be reported as not sent, so that the caller can retry.
+    // A caller may retry a request that must not run twice only if it is reported as not sent.
     let closed = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
-    let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+    let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
     let line = block_on(send_request(
         &client,
         address,
@@ -157,7 +159,7 @@
         "x".repeat(content)
     );
     let peer = Peer::start(&script);
-    let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+    let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
     let options = Options {
         total: Duration::from_secs(5),
         ..Options::default()
@@ -167,25 +169,26 @@
 }
 
 #[test]
-fn an_expired_connection_is_not_reused() {
-    // A request on an old connection could meet the peer's idle close, so that the caller can't
-    // know whether it ran.
+fn an_at_most_once_request_uses_no_expired_connection() {
+    // The peer may close an old connection while a request is sent on it; the caller then can't
+    // know whether the request ran.
     let script = "conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\none\nhold\n\
                   conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\ntwo\nhold\n";
     let peer = Peer::start(script);
     let clock = Arc::new(ManualClock::default());
-    let pool = Pool::default();
+    let pool = PoolLimits::default();
     let client = Client::new(Arc::clone(&clock) as _, pool);
     let options = Options::default();
     for expected in ["200 one", "200 two"] {
         let line = block_on(send_request(&client, peer.address, Method::Post, &options));
         assert_eq!(line, expected);
-        clock.advance(pool.max_age);
+        clock.advance(pool.max_idle_time);
     }
 }
 
 /// Returns the responses to three requests to a peer that keeps its connections open. The second
-/// request follows the first at once, the third after [`Pool::max_age_at_most_once`].
+/// request follows the first at once, the third after
+/// [`PoolLimits::max_idle_time_at_most_once`].
 fn responses_on_idle_connection(retry_policy: RetryPolicy) -> Vec<String> {
     let response = |text: &str| {
         format!("recv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 5\\r\\n\\r\\n{text}\n")
@@ -199,7 +202,7 @@
     );
     let peer = Peer::start(&script);
     let clock = Arc::new(ManualClock::default());
-    let pool = Pool::default();
+    let pool = PoolLimits::default();
     let client = Client::new(Arc::clone(&clock) as _, pool);
     let options = Options {
         retry_policy,
@@ -207,7 +210,7 @@
     };
     let send = || block_on(send_request(&client, peer.address, Method::Post, &options));
     let mut lines = vec![send(), send()];
-    clock.advance(pool.max_age_at_most_once);
+    clock.advance(pool.max_idle_time_at_most_once);
     lines.push(send());
     lines
 }
@@ -215,7 +218,8 @@
 #[test]
 fn an_at_most_once_request_needs_a_recently_used_connection() {
     // A peer may close an idle connection just when a request is written to it, and the caller
-    // can't know whether it ran. A recently used connection can't be about to be closed.
+    // can't know whether the request ran. A recently used connection shouldn't be about to be
+    // closed.
     let lines = responses_on_idle_connection(RetryPolicy::Never);
     assert_eq!(lines, ["200 first", "200 again", "200 fresh"]);
 }
@@ -231,7 +235,7 @@
     // After a body that ended early, the peer waits for the rest and never responds. Waiting for
     // its first byte would occupy a connection at both ends for nothing.
     let peer = Peer::start("conn\nrecv\n");
-    let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+    let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
     let half = Body::reader(futures::io::Cursor::new("half"), Some(8));
     let request = Request::new(Method::Post, "/").body(half);
     let options = Options {
@@ -255,7 +259,7 @@
              conn\nrecv\nsend HTTP/1.1 200 OK\\r\\ncontent-length: 3\\r\\n\\r\\ntwo\n"
         );
         let peer = Peer::start(&script);
-        let client = Client::new(Arc::new(SystemClock::new()), Pool::default());
+        let client = Client::new(Arc::new(SystemClock::new()), PoolLimits::default());
         let default_options = Options::default();
         let short_timeout = Options {
             first_byte: Duration::from_millis(100),
