--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -15,16 +15,18 @@
     pub base: Revision,
     /// The operator who made the change.
     pub author: String,
-    /// Whether the safety checks apply.
+    /// Whether a withdrawal is rejected if it leaves a profile or customer without an
+    /// active version.
     #[serde(default)]
     pub mode: ChangeMode,
     /// The edit of the entry.
     pub edit: Edit,
 }
 
-/// Whether the safety checks apply to a change.
+/// Whether a withdrawal is rejected if it leaves a profile or customer without an
+/// active version.
 ///
-/// The checks of the document's consistency apply in both modes.
+/// All other checks apply in both modes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeMode {
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -48,7 +48,8 @@
     faults
 }
 
-/// Checks the rules for changes that go beyond a valid next document.
+/// Checks the rules that depend on the edit, the mode or the current document, and
+/// so aren't covered by the faults of the next document.
 fn check_edit(check: &mut EntryCheck, current: &Document, change: &Change, next: &Document) {
     match &change.edit {
         Edit::PutProfile(_, profile) => check_allowed_versions(check, profile, next),
@@ -71,7 +72,11 @@
         | Edit::RemoveService(_)
         | Edit::RemoveRollout(_) => {
             if current.entry(&change.edit.name()).is_none() {
-                check.add("name", FaultKind::Missing, "the name of an entry".into());
+                check.add(
+                    "name",
+                    FaultKind::Missing,
+                    "the name of an existing entry".into(),
+                );
             }
         }
     }
--- a/crates/config/src/commit.rs
+++ b/crates/config/src/commit.rs
@@ -8,7 +8,7 @@
 
 use crate::{Change, Edit, EntryName, VersionState};
 
-/// An accepted change in the history.
+/// The history record of an accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Commit {
--- a/crates/config/src/customer.rs
+++ b/crates/config/src/customer.rs
@@ -51,7 +51,7 @@
 
     pub(crate) const SECTION: Section = Section {
         name: "",
-        about: "how a customer is recognised and how much it may ask for",
+        about: "the credentials and quotas of a customer",
         shape: Shape::One,
         keys: &[&KEY_BLAKE3, &RATE, &BURST, &CONCURRENCY, &WEIGHT],
         sections: &[],
@@ -76,9 +76,9 @@
     ) {
         if !validate::is_hash(&self.key_blake3) {
             // The value isn't shown: it may be the key itself, sent instead of its hash.
-            check.report_value(&KEY_BLAKE3, "a text that isn't shown");
+            check.report_value(&KEY_BLAKE3, "a value (hidden)");
         }
-        // Of two customers with the same key, the later change has the fault.
+        // Of two customers with the same key, the one that was changed last has the fault.
         let mut others = document
             .customers
             .iter()
@@ -127,7 +127,7 @@
         max: 1_000_000,
     },
     fallback: Fallback::Whole(Customer::DEFAULT_RATE as u64),
-    about: "requests a second over all hosts",
+    about: "the sustained rate limit over all hosts, in requests per second",
 };
 
 const BURST: Key = Key {
@@ -137,7 +137,7 @@
         max: 1_000_000,
     },
     fallback: Fallback::Whole(Customer::DEFAULT_BURST as u64),
-    about: "requests that may come at once above the rate",
+    about: "the requests that may arrive at once above the rate",
 };
 
 const CONCURRENCY: Key = Key {
@@ -154,5 +154,5 @@
     name: "weight",
     accepts: Accepts::Whole { min: 1, max: 1_000 },
     fallback: Fallback::Whole(Customer::DEFAULT_WEIGHT as u64),
-    about: "the share when there is too little for all, against the weights of the others",
+    about: "the customer's share of scarce capacity, relative to the weights of the other customers",
 };
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -4,8 +4,8 @@
 
 use crate::{Document, Entry, EntryName, file};
 
-/// Returns the unified diff between two states of an entry; empty if they are
-/// equal. `None` stands for an entry that doesn't exist.
+/// Returns the unified diff between the TOML of two states of an entry; empty if
+/// it is the same. `None` stands for an entry that doesn't exist.
 #[must_use]
 pub fn entries(name: &EntryName, old: Option<&Entry>, new: Option<&Entry>) -> String {
     let old_text = old.map(file::to_toml).unwrap_or_default();
@@ -20,7 +20,7 @@
         .to_string()
 }
 
-/// Returns the unified diffs of all entries that differ between two documents.
+/// Returns the unified diffs of all entries whose TOML differs between two documents.
 #[must_use]
 pub fn documents(old: &Document, new: &Document) -> String {
     let mut names: Vec<EntryName> = old.names().chain(new.names()).collect();
--- a/crates/config/src/entry_check.rs
+++ b/crates/config/src/entry_check.rs
@@ -8,8 +8,7 @@
 
 /// Collects the faults of one entry during its validation.
 ///
-/// The accepted values come from the schema, so that files and changes are
-/// validated by the same rules.
+/// Bounds and the texts of accepted values come from the schema, as for files.
 pub(crate) struct EntryCheck {
     name: EntryName,
     faults: Vec<Fault>,
@@ -28,7 +27,8 @@
     }
 
     /// Checks a number against the key's bounds. Zero below the lower bound is
-    /// reported as missing, since an absent price deserializes to zero.
+    /// reported as missing, since an absent price deserializes to zero; an explicit
+    /// zero of any key is reported the same way.
     pub(crate) fn whole(&mut self, key: &Key, number: u64) {
         if key.accepts.admits(number) {
             return;
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -10,10 +10,10 @@
 use crate::{Customer, Entry, EntryKind, EntryName, Faults, Profile, Rollout, Service, Version};
 
 /// A file that holds one entry as TOML, below a header comment with the entry's
-/// name and the revision at which it was read.
+/// name and the revision that last changed it.
 ///
-/// `barleyctl apply` takes the change's base revision from the header, and so
-/// detects that another operator changed the entry in the meantime.
+/// Without `--revision`, `barleyctl apply` takes the change's base revision from the
+/// header, and so detects that another operator changed the entry in the meantime.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntryFile {
     /// The name in the header; `None` if there is no header for this kind of entry.
@@ -28,7 +28,8 @@
     /// Parses the text of a file. `file` is its name in errors.
     ///
     /// # Errors
-    /// All faults of the text, ordered by line.
+    /// All faults of the text, ordered by line. After a syntax error, missing keys
+    /// aren't reported.
     pub fn parse(kind: EntryKind, text: &str, file: &str) -> Result<Self, Faults> {
         let entry = Source::read(file, text, Self::schema(kind), |table| match kind {
             EntryKind::Version => Version::read(table).into(),
@@ -72,7 +73,7 @@
 /// Returns the entry as TOML, without the fields that operators can't set.
 pub(crate) fn to_toml(entry: &Entry) -> String {
     let mut text = String::new();
-    let value = serde_json::to_value(entry).expect("an entry holds only text keys and numbers");
+    let value = serde_json::to_value(entry).expect("every map of an entry has text keys");
     if let Value::Object(fields) = value {
         write_table(&mut text, EntryFile::schema(entry.kind()), &fields);
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,7 +2,7 @@
 //! customers, services and roll-outs), and the settings of a host.
 //!
 //! The crate does no input or output: it parses text into validated values, and
-//! applies a [`Change`] to a [`Document`], which gives the next [`Document`] or
+//! applies a [`Change`] to a [`Document`]; the result is the next [`Document`] or
 //! an error. The operators' reference is in docs/reference/profiles.md and
 //! docs/reference/settings.md; the guarantees for other crates are in
 //! docs/design/contracts.md.
--- a/crates/config/src/profile.rs
+++ b/crates/config/src/profile.rs
@@ -12,13 +12,13 @@
 use crate::table::Table;
 use crate::{Document, FaultKind, Priority, RetryPolicy, validate};
 
-/// The versions that may serve a request, with the required quality and the cost limit.
+/// The objectives, defaults and permissions of the requests that name this profile.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Profile {
     /// The versions that may serve requests, in no particular order.
     pub allow: Vec<VersionId>,
-    /// The share of responses, 0 to 1, that have to be rated good.
+    /// The minimum fraction of responses that are rated good, from 0 to 1.
     pub quality: f64,
     /// The maximum cost of a request, in microcents.
     #[serde(rename = "cost_cap_microcents")]
@@ -36,7 +36,7 @@
         default = "Profile::default_deadline"
     )]
     pub deadline: Duration,
-    /// The maximum of completion tokens of a request, and the default if the
+    /// The maximum number of completion tokens of a request, and the default if the
     /// request doesn't set it.
     #[serde(default = "Profile::default_max_tokens")]
     pub max_tokens: u32,
@@ -68,7 +68,7 @@
 
     pub(crate) const SECTION: Section = Section {
         name: "",
-        about: "which versions may answer, how good the answer has to be and what it may cost",
+        about: "the objectives, defaults and permissions of the requests that name this profile",
         shape: Shape::One,
         keys: &[
             &ALLOW,
@@ -194,12 +194,12 @@
     /// Serves requests with the configuration that it has.
     #[display("serve")]
     Serve,
-    /// Serves requests while the host list or another host is reachable, and
-    /// refuses them with the reason `stale` otherwise.
+    /// Serves requests if the host had contact with the host list or another host
+    /// within `freshness.bound_ms`, and refuses them with the reason `stale` otherwise.
     ///
-    /// An outage of the table must not stop the service: no one can change the
-    /// configuration during it. An isolated host can't tell an outage from its
-    /// own isolation.
+    /// During an outage of the table, the configuration can't change, so the service
+    /// continues. A host without contact can't tell such an outage from its own
+    /// isolation, in which it would miss changes.
     #[default]
     #[display("refuse_alone")]
     RefuseAlone,
@@ -230,14 +230,14 @@
     name: "allow",
     accepts: Accepts::Versions,
     fallback: Fallback::Required,
-    about: "the versions that may answer, in no particular order",
+    about: "the versions that may serve requests, in any order",
 };
 
 const QUALITY: Key = Key {
     name: "quality",
     accepts: Accepts::Fraction,
     fallback: Fallback::Required,
-    about: "the share of answers that has to be rated good",
+    about: "the minimum fraction of responses that are rated good",
 };
 
 const COST_CAP: Key = Key {
@@ -247,14 +247,13 @@
         max: 1_000_000_000_000_000,
     },
     fallback: Fallback::Required,
-    about: "what one request may cost at most, in microcents",
+    about: "the maximum cost of a request, in microcents",
 };
 
-const RETRY_POLICY: Key = RetryPolicy::key(
-    "whether a request may run again; `at_most_once` for what must not be doubled",
-);
+const RETRY_POLICY: Key =
+    RetryPolicy::key("the retry policy; `at_most_once` for requests that must not run twice");
 
-const PRIORITY: Key = Priority::key("the priority of a request that states none");
+const PRIORITY: Key = Priority::key("the default priority of requests");
 
 const DEADLINE: Key = Key {
     name: "deadline_ms",
@@ -263,7 +262,7 @@
         max: 3_600_000,
     },
     fallback: Fallback::Whole(Profile::DEFAULT_DEADLINE_MS),
-    about: "the time to the whole answer for a request that states none",
+    about: "the default deadline: the time to the end of the response",
 };
 
 const MAX_TOKENS: Key = Key {
@@ -273,19 +272,19 @@
         max: 1_000_000,
     },
     fallback: Fallback::Whole(Profile::DEFAULT_MAX_TOKENS as u64),
-    about: "the most completion tokens that a request may ask for, and what it gets when it asks for none",
+    about: "the maximum number of completion tokens, and the default if the request sets none",
 };
 
 const WHEN_STALE: Key = Key {
     name: "when_stale",
     accepts: Accepts::OneOf(&["serve", "refuse_alone", "refuse"]),
     fallback: Fallback::Word("refuse_alone"),
-    about: "what a host does that can't prove its configuration to be the newest",
+    about: "the behaviour of a host that can't confirm that its configuration is current",
 };
 
 const GRANT_ALLOW: Key = Key {
     name: "allow",
     accepts: Accepts::Versions,
     fallback: Fallback::Optional,
-    about: "the part of the profile's versions that may answer this customer; all of them when absent",
+    about: "the subset of the profile's versions that may serve this customer; all if absent",
 };
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -52,7 +52,7 @@
 
     pub(crate) const SECTION: Section = Section {
         name: "",
-        about: "a version that takes over the work of another in steps, under the id of the new version",
+        about: "a roll-out that shifts the traffic of a version to a new one in steps, named by the new version",
         shape: Shape::One,
         keys: &[&REPLACES, &STEPS, &STATE, &STEP],
         sections: &[],
@@ -97,7 +97,8 @@
     }
 
     /// Checks that no other open roll-out replaces the same version, since their
-    /// shares of its traffic would overlap. The later change has the fault.
+    /// shares of its traffic would overlap. The roll-out that was changed last has
+    /// the fault.
     fn check_overlap(&self, check: &mut EntryCheck, id: &VersionId, document: &Document) {
         if !self.state.is_open() {
             return;
@@ -108,7 +109,9 @@
         };
         if let Some((other, _)) = others.find(|(_, it)| overlaps(it)) {
             let found = FaultKind::Value(format!("`{}`", self.replaces));
-            let accepted = format!("a version that the roll-out of {other} doesn't replace now");
+            let accepted = format!(
+                "a version that no open roll-out replaces; the roll-out of {other} replaces it"
+            );
             check.add("replaces", found, accepted);
         }
     }
@@ -152,26 +155,26 @@
     name: "replaces",
     accepts: Accepts::Version,
     fallback: Fallback::Required,
-    about: "the version whose work is taken over",
+    about: "the version that the new one replaces",
 };
 
 const STEPS: Key = Key {
     name: "steps",
     accepts: Accepts::Steps,
     fallback: Fallback::Steps(Rollout::DEFAULT_STEPS),
-    about: "the share of that work that each step gives to the new version",
+    about: "the new version's share of the traffic at each step",
 };
 
 const STATE: Key = Key {
     name: "state",
     accepts: Accepts::OneOf(&["running", "paused", "aborted", "done"]),
     fallback: Fallback::Word("running"),
-    about: "how the roll-out stands; a paused one stays at its step",
+    about: "the state; a paused roll-out stays at its step",
 };
 
 const STEP: Key = Key {
     name: "step",
     accepts: Accepts::Whole { min: 0, max: 100 },
     fallback: Fallback::Whole(0),
-    about: "the index of the step in force, from 0 on",
+    about: "the index of the current step, from 0",
 };
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -55,7 +55,7 @@
 
     pub(crate) const SECTION: Section = Section {
         name: "",
-        about: "a plain service, and which of its calls may run again",
+        about: "a plain service, its timeouts and the retry policies of its calls",
         shape: Shape::One,
         keys: &[&FIRST_BYTE, &TOTAL],
         sections: &[&Route::SECTION],
@@ -121,7 +121,7 @@
 
     const SECTION: Section = Section {
         name: "routes",
-        about: "calls with one method below one path",
+        about: "the calls with a method and a path prefix",
         shape: Shape::List,
         keys: &[&METHOD, &PREFIX, &RETRY_POLICY, &PRIORITY],
         sections: &[],
@@ -166,7 +166,7 @@
         max: 3_600_000,
     },
     fallback: Fallback::Whole(Service::DEFAULT_FIRST_BYTE_MS),
-    about: "the time to the first byte of the answer",
+    about: "the timeout of the first byte of a response",
 };
 
 const TOTAL: Key = Key {
@@ -176,7 +176,7 @@
         max: 3_600_000,
     },
     fallback: Fallback::Whole(Service::DEFAULT_TOTAL_MS),
-    about: "the time to the whole answer",
+    about: "the timeout of a whole response",
 };
 
 const METHOD: Key = Key {
@@ -190,9 +190,9 @@
     name: "prefix",
     accepts: Accepts::Prefix,
     fallback: Fallback::Required,
-    about: "the beginning of their paths, which ends at a whole segment",
+    about: "the path prefix; it matches whole segments only",
 };
 
-const RETRY_POLICY: Key = RetryPolicy::key("whether such a call may run again");
+const RETRY_POLICY: Key = RetryPolicy::key("the retry policy of the calls");
 
-const PRIORITY: Key = Priority::key("the priority of a call that states none");
+const PRIORITY: Key = Priority::key("the default priority of the calls");
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -42,9 +42,10 @@
     pub keys: Keys,
     /// The log format and level.
     pub log: Log,
-    /// The limits on connections and requests of callers.
+    /// The limits on connections and requests of callers and operators.
     pub limits: Limits,
-    /// The attempts, timeouts and sampling of requests.
+    /// The attempts, timeouts and sampling of requests, and the intervals of load polls
+    /// and decider ticks.
     pub decide: Decide,
     /// The freshness of the configuration.
     pub freshness: Freshness,
@@ -78,7 +79,8 @@
     /// Parses the text of a settings file. `file` is its name in errors.
     ///
     /// # Errors
-    /// All faults of the text, ordered by line.
+    /// All faults of the text, ordered by line. After a syntax error, missing keys
+    /// aren't reported.
     pub fn parse(text: &str, file: &str) -> Result<Self, Faults> {
         Source::read(file, text, &Self::SCHEMA, |root| {
             let settings = Self {
@@ -98,14 +100,16 @@
         })
     }
 
-    /// Checks the constraints between keys.
+    /// Checks the constraints between keys. For a key with a fault, it checks the
+    /// placeholder.
     fn check(&self, root: &Table<'_>) {
         if self.host.drain_limit < self.limits.hosts_keep {
-            let accepted = "at least `limits.hosts_keep_ms`, for which callers may still come";
+            let accepted = "at least `limits.hosts_keep_ms`, the time for which callers may cache the host list";
             root.report_inconsistent_value(&Host::SECTION, &host::DRAIN_LIMIT_S, accepted);
         }
         if self.freshness.bound <= self.freshness.poll {
-            let accepted = "more than `freshness.poll_ms`, after which a proof can be renewed";
+            let accepted =
+                "more than `freshness.poll_ms`, the interval between two reads of the table";
             root.report_inconsistent_value(&Freshness::SECTION, &freshness::BOUND_MS, accepted);
         }
     }
--- a/crates/config/src/settings/decide.rs
+++ b/crates/config/src/settings/decide.rs
@@ -5,24 +5,25 @@
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// The attempts, timeouts and sampling of requests.
+/// The attempts, timeouts and sampling of requests, and the intervals of load polls
+/// and decider ticks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Decide {
-    /// The maximum of attempts of a request, including the first one.
+    /// The maximum number of attempts of a request, including the first one.
     pub max_attempts: u32,
     /// The limit on retries and hedges, as a fraction of first attempts.
     pub retry_budget: f64,
     /// The maximum fraction of responses sent to the rating service once a version
-    /// has enough ratings.
+    /// has enough ratings for the class of the request.
     pub rating_share: f64,
     /// The fraction of requests that explore a version outside the plan, before the
     /// factors for its ratings and cost.
     pub explore_share: f64,
-    /// Timeout of the first byte of an attempt.
+    /// Timeout of the first byte of an attempt of a chat request; services have their own.
     pub first_byte: Duration,
     /// Timeout between two bytes of a stream.
     pub stall: Duration,
-    /// Interval between two polls of an endpoint's load.
+    /// Minimum interval between two polls of an endpoint's load.
     pub load_poll: Duration,
     /// Interval between two ticks of the decider.
     pub tick: Duration,
@@ -31,7 +32,7 @@
 impl Decide {
     pub(crate) const SECTION: Section = Section {
         name: "decide",
-        about: "how the host decides",
+        about: "the attempts, timeouts and sampling of requests, and the intervals of load polls and decider ticks",
         shape: Shape::One,
         keys: &[
             &MAX_ATTEMPTS,
@@ -65,25 +66,25 @@
     name: "max_attempts",
     accepts: Accepts::Whole { min: 1, max: 16 },
     fallback: Fallback::Whole(5),
-    about: "the attempts that a request may take, the first one counted",
+    about: "the maximum number of attempts of a request, including the first",
 };
 const RETRY_BUDGET: Key = Key {
     name: "retry_budget",
     accepts: Accepts::Fraction,
     fallback: Fallback::Fraction(0.1),
-    about: "retries and hedges as a share of first attempts",
+    about: "the limit on retries and hedges, as a fraction of first attempts",
 };
 const RATING_SHARE: Key = Key {
     name: "rating_share",
     accepts: Accepts::Fraction,
     fallback: Fallback::Fraction(0.5),
-    about: "the share of answers that is sent to the rating service where enough is known of a version already",
+    about: "the maximum fraction of responses sent to the rating service once a version has enough ratings for the class of the request",
 };
 const EXPLORE_SHARE: Key = Key {
     name: "explore_share",
     accepts: Accepts::Fraction,
     fallback: Fallback::Fraction(0.06),
-    about: "the share of requests on which a version that isn't believed to be the best is tried beside it, where little is known of it",
+    about: "the fraction of requests that explore a version outside the plan, before the factors for its ratings and cost",
 };
 const FIRST_BYTE_MS: Key = Key {
     name: "first_byte_ms",
@@ -92,7 +93,7 @@
         max: 600_000,
     },
     fallback: Fallback::Whole(10_000),
-    about: "the time to the first byte after which an attempt is given up",
+    about: "the timeout of the first byte of an attempt of a chat request; services have their own",
 };
 const STALL_MS: Key = Key {
     name: "stall_ms",
@@ -101,7 +102,7 @@
         max: 600_000,
     },
     fallback: Fallback::Whole(5_000),
-    about: "the time between two bytes after which a stream is given up",
+    about: "the timeout between two bytes of a stream",
 };
 const LOAD_POLL_MS: Key = Key {
     name: "load_poll_ms",
@@ -110,11 +111,11 @@
         max: 60_000,
     },
     fallback: Fallback::Whole(250),
-    about: "the time between two reads of the load of an endpoint",
+    about: "the minimum time between two polls of an endpoint's load",
 };
 const TICK_MS: Key = Key {
     name: "tick_ms",
     accepts: Accepts::Millis { min: 1, max: 1_000 },
     fallback: Fallback::Whole(100),
-    about: "the time between two ticks of the decisions",
+    about: "the time between two ticks of the decider",
 };
--- a/crates/config/src/settings/freshness.rs
+++ b/crates/config/src/settings/freshness.rs
@@ -18,7 +18,7 @@
 impl Freshness {
     pub(crate) const SECTION: Section = Section {
         name: "freshness",
-        about: "how the host keeps its configuration the newest",
+        about: "the freshness of the configuration",
         shape: Shape::One,
         keys: &[&BOUND_MS, &POLL_MS],
         sections: &[],
@@ -40,7 +40,7 @@
         max: 600_000,
     },
     fallback: Fallback::Whole(10_000),
-    about: "the age of the last proof that the configuration is the newest, past which the `when_stale` of a profile decides",
+    about: "the maximum age of the last confirmation that the configuration is current; beyond it, the `when_stale` of a profile applies",
 };
 const POLL_MS: Key = Key {
     name: "poll_ms",
--- a/crates/config/src/settings/host.rs
+++ b/crates/config/src/settings/host.rs
@@ -16,15 +16,16 @@
     pub data_centre: DataCentre,
     /// The region of the host.
     pub region: Region,
-    /// Timeout of a drain. It has to cover the longest request and the time for
-    /// which callers cache the response to `GET /v1/hosts`.
+    /// Timeout of a drain. It should be at least the sum of the longest request and the
+    /// time for which callers cache the response to `GET /v1/hosts`; only the latter is
+    /// checked.
     pub drain_limit: Duration,
 }
 
 impl Host {
     pub(crate) const SECTION: Section = Section {
         name: "host",
-        about: "who the host is",
+        about: "the identity of the host",
         shape: Shape::One,
         keys: &[&NAME, &DATA_CENTRE, &REGION, &DRAIN_LIMIT_S],
         sections: &[],
@@ -63,5 +64,5 @@
     name: "drain_limit_s",
     accepts: Accepts::Seconds { min: 1, max: 3_600 },
     fallback: Fallback::Whole(330),
-    about: "the longest that a drain may take: at least the longest request and `limits.hosts_keep_ms`",
+    about: "the timeout of a drain; it should be at least the sum of the longest request and `limits.hosts_keep_ms`",
 };
--- a/crates/config/src/settings/keys.rs
+++ b/crates/config/src/settings/keys.rs
@@ -5,7 +5,7 @@
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// The files with the host's keys; see docs/operate/keys.md.
+/// The paths of the files with the host's keys; see docs/operate/keys.md.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keys {
     /// The certificate of the fleet's certificate authority, PEM.
@@ -16,7 +16,8 @@
     pub host_key: PathBuf,
     /// The operators' bearer key.
     pub operator_key: PathBuf,
-    /// The key that signs session tokens, the same on all hosts.
+    /// The secret from which the keys that sign session tokens and tickets are derived,
+    /// the same on all hosts.
     pub session_key: PathBuf,
 }
 
@@ -51,7 +52,7 @@
     name: "fleet_ca",
     accepts: Accepts::Path,
     fallback: Fallback::Required,
-    about: "the certificate of the authority that vouches for the hosts, PEM",
+    about: "the certificate of the fleet's certificate authority, PEM",
 };
 const HOST_CERTIFICATE: Key = Key {
     name: "host_certificate",
@@ -75,5 +76,5 @@
     name: "session_key",
     accepts: Accepts::Path,
     fallback: Fallback::Required,
-    about: "what signs session tokens, the same on all hosts",
+    about: "the secret from which the keys that sign session tokens and tickets are derived, the same on all hosts",
 };
--- a/crates/config/src/settings/ledger.rs
+++ b/crates/config/src/settings/ledger.rs
@@ -8,17 +8,19 @@
 /// The storage of billing records on the host until they are in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ledger {
-    /// The minimum interval between two batches.
+    /// The minimum time for which a record waits for others of its batch. A full batch,
+    /// urgent records and a drain don't wait for it.
     pub batch: Duration,
-    /// The maximum of records in a batch.
+    /// The maximum number of records in a batch.
     pub batch_records: usize,
-    /// The maximum of the host's records that aren't in the table yet. At this
-    /// limit, the host refuses new billable requests.
+    /// The maximum number of the host's records that aren't in the table yet. At
+    /// this limit, the host refuses new billable requests.
     pub held_records: usize,
-    /// Timeout of a partner's acknowledgement of a copy, after which another host
-    /// is asked.
+    /// Timeout for a partner to acknowledge a copy of a record; then another host is
+    /// asked.
     pub partner: Duration,
-    /// The retention of idempotency keys and their responses.
+    /// The retention of idempotency keys and their responses; for keys with a ticket of
+    /// this host, it begins when the ticket expires.
     pub remember: Duration,
     /// The time for which a host has to be gone before it is fenced and its records
     /// are settled without it.
@@ -28,7 +30,7 @@
 impl Ledger {
     pub(crate) const SECTION: Section = Section {
         name: "ledger",
-        about: "how the host keeps billing records until the table has them",
+        about: "the storage of billing records until they are in the table",
         shape: Shape::One,
         keys: &[
             &BATCH_MS,
@@ -61,7 +63,7 @@
         max: 60_000,
     },
     fallback: Fallback::Whole(1_000),
-    about: "the time for which records are gathered into one batch",
+    about: "the minimum time for which a record waits for others of its batch; a full batch, urgent records and a drain don't wait for it",
 };
 const BATCH_RECORDS: Key = Key {
     name: "batch_records",
@@ -70,7 +72,7 @@
         max: 100_000,
     },
     fallback: Fallback::Whole(500),
-    about: "the records of a batch at most",
+    about: "the maximum number of records in a batch",
 };
 const HELD_RECORDS: Key = Key {
     name: "held_records",
@@ -79,7 +81,7 @@
         max: 10_000_000,
     },
     fallback: Fallback::Whole(40_000),
-    about: "the records that may wait for the table before new work is refused",
+    about: "the maximum number of the host's records that aren't in the table yet; at this limit, new billable requests are refused",
 };
 const PARTNER_MS: Key = Key {
     name: "partner_ms",
@@ -88,7 +90,7 @@
         max: 60_000,
     },
     fallback: Fallback::Whole(250),
-    about: "the time within which the partner has to acknowledge a copy before another host is asked",
+    about: "the timeout for a partner to acknowledge a copy of a record; then another host is asked",
 };
 const REMEMBER_MS: Key = Key {
     name: "remember_ms",
@@ -97,7 +99,7 @@
         max: 86_400_000,
     },
     fallback: Fallback::Whole(3_600_000),
-    about: "the time for which the answer to an idempotency key is remembered",
+    about: "the retention of idempotency keys and their responses; for keys with a ticket of this host, it begins when the ticket expires",
 };
 const FENCE_AFTER_MS: Key = Key {
     name: "fence_after_ms",
@@ -106,5 +108,5 @@
         max: 3_600_000,
     },
     fallback: Fallback::Whole(30_000),
-    about: "the time for which a host has to be gone before its records are settled without it; shorter than a restart costs needless work, never a record",
+    about: "the time for which a host has to be gone before its records are settled without it; if a restart takes longer, its records are settled needlessly, but none is lost",
 };
--- a/crates/config/src/settings/limits.rs
+++ b/crates/config/src/settings/limits.rs
@@ -5,20 +5,20 @@
 use crate::schema::{Accepts, Fallback, Key, Section, Shape};
 use crate::table::Table;
 
-/// The limits on connections and requests of callers.
+/// The limits on connections and requests of callers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Timeout of the head of a request.
+    /// Timeout for receiving the head of a request.
     pub header_time: Duration,
-    /// Timeout of the body of a request.
+    /// Timeout for receiving the body of a request.
     pub body_time: Duration,
     /// Timeout after which an idle connection is closed.
     pub idle_time: Duration,
-    /// The maximum of open connections.
+    /// The maximum number of open connections per listening address.
     pub max_connections: usize,
-    /// The maximum of requests in flight.
+    /// The maximum number of requests in flight.
     pub max_in_flight: usize,
     /// The time for which callers may cache the response to `GET /v1/hosts`.
     pub hosts_keep: Duration,
@@ -27,7 +27,7 @@
 impl Limits {
     pub(crate) const SECTION: Section = Section {
         name: "limits",
-        about: "what the host takes from callers at most",
+        about: "the limits on connections and requests of callers and operators",
         shape: Shape::One,
         keys: &[
             &MAX_BODY_BYTES,
@@ -62,7 +62,7 @@
         max: 1_073_741_824,
     },
     fallback: Fallback::Whole(8_388_608),
-    about: "the bytes of a body",
+    about: "the maximum size of a request body, in bytes",
 };
 const HEADER_TIME_MS: Key = Key {
     name: "header_time_ms",
@@ -71,7 +71,7 @@
         max: 600_000,
     },
     fallback: Fallback::Whole(5_000),
-    about: "the time within which the head of a request has to come",
+    about: "the timeout for receiving the head of a request",
 };
 const BODY_TIME_MS: Key = Key {
     name: "body_time_ms",
@@ -80,7 +80,7 @@
         max: 600_000,
     },
     fallback: Fallback::Whole(30_000),
-    about: "the time within which the body of a request has to come",
+    about: "the timeout for receiving the body of a request",
 };
 const IDLE_TIME_MS: Key = Key {
     name: "idle_time_ms",
@@ -98,7 +98,7 @@
         max: 1_000_000,
     },
     fallback: Fallback::Whole(4_096),
-    about: "the connections that are open at a time",
+    about: "the maximum number of open connections per listening address",
 };
 const MAX_IN_FLIGHT: Key = Key {
     name: "max_in_flight",
@@ -107,7 +107,7 @@
         max: 1_000_000,
     },
     fallback: Fallback::Whole(2_048),
-    about: "the requests that are in flight at a time",
+    about: "the maximum number of requests in flight",
 };
 const HOSTS_KEEP_MS: Key = Key {
     name: "hosts_keep_ms",
@@ -116,5 +116,5 @@
         max: 600_000,
     },
     fallback: Fallback::Whole(10_000),
-    about: "the time for which callers may keep the answer to `GET /v1/hosts`",
+    about: "the time for which callers may cache the response to `GET /v1/hosts`",
 };
--- a/crates/config/src/settings/listen.rs
+++ b/crates/config/src/settings/listen.rs
@@ -19,7 +19,7 @@
 impl Listen {
     pub(crate) const SECTION: Section = Section {
         name: "listen",
-        about: "where the host listens",
+        about: "the listening addresses",
         shape: Shape::One,
         keys: &[&CALLERS, &OPERATORS, &FLEET],
         sections: &[],
--- a/crates/config/src/settings/log.rs
+++ b/crates/config/src/settings/log.rs
@@ -17,7 +17,7 @@
 impl Log {
     pub(crate) const SECTION: Section = Section {
         name: "log",
-        about: "how the host logs",
+        about: "the log format and level",
         shape: Shape::One,
         keys: &[&FORMAT, &LEVEL],
         sections: &[],
@@ -36,7 +36,7 @@
     name: "format",
     accepts: Accepts::OneOf(&["text", "json", "auto"]),
     fallback: Fallback::Word("auto"),
-    about: "the shape of a line; `auto` is text on a terminal, otherwise JSON",
+    about: "the format of a log line; `auto` is text on a terminal, otherwise JSON",
 };
 const LEVEL: Key = Key {
     name: "level",
@@ -65,13 +65,13 @@
     /// A failure that needs the attention of an operator.
     #[display("error")]
     Error,
-    /// A failure that the host recovered from.
+    /// A failure or an unusual state that may need attention.
     #[display("warning")]
     Warning,
-    /// An event of the host.
+    /// A notable event in normal operation.
     #[display("info")]
     Info,
-    /// An event of a single request.
+    /// An event of each request, such as its response.
     #[display("debug")]
     Debug,
 }
--- a/crates/config/src/settings/platform.rs
+++ b/crates/config/src/settings/platform.rs
@@ -17,7 +17,7 @@
     pub host_list: SocketAddr,
     /// The address of the rating service.
     pub ratings: SocketAddr,
-    /// Timeout of a connection to any of these services.
+    /// Timeout for establishing a connection to any of these services.
     pub connect: Duration,
     /// Timeout of a whole response of any of these services.
     pub request: Duration,
@@ -30,7 +30,7 @@
 impl Platform {
     pub(crate) const SECTION: Section = Section {
         name: "platform",
-        about: "where the platform's services are, and how long the host waits for them",
+        about: "the addresses, timeouts and poll intervals of the platform's services",
         shape: Shape::One,
         keys: &[
             &TABLE,
@@ -70,7 +70,7 @@
     name: "objects",
     accepts: Accepts::Address,
     fallback: Fallback::Required,
-    about: "the object store; nothing is kept there yet",
+    about: "the object store; unused",
 };
 const HOST_LIST: Key = Key {
     name: "host_list",
@@ -91,7 +91,7 @@
         max: 60_000,
     },
     fallback: Fallback::Whole(500),
-    about: "the time to connect to any of them",
+    about: "the timeout for connecting to any of these services",
 };
 const REQUEST_MS: Key = Key {
     name: "request_ms",
@@ -100,7 +100,7 @@
         max: 60_000,
     },
     fallback: Fallback::Whole(2_000),
-    about: "the time to the whole answer of any of them",
+    about: "the timeout of a whole response of any of these services",
 };
 const HOST_LIST_POLL_MS: Key = Key {
     name: "host_list_poll_ms",
--- a/crates/config/src/settings/pool.rs
+++ b/crates/config/src/settings/pool.rs
@@ -8,10 +8,10 @@
 /// The pool of outgoing HTTP connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// Timeout of a connection to an endpoint or another host; for the platform's
-    /// services, see [`crate::settings::Platform`].
+    /// Timeout for establishing a connection to an endpoint or another host; for the
+    /// platform's services, see [`crate::settings::Platform`].
     pub connect: Duration,
-    /// The maximum of idle connections to each address.
+    /// The maximum number of idle connections to each address.
     pub idle_connections: usize,
     /// Timeout after which an idle connection is closed.
     pub idle: Duration,
@@ -20,7 +20,7 @@
 impl Pool {
     pub(crate) const SECTION: Section = Section {
         name: "http",
-        about: "the pooled connections to endpoints",
+        about: "the pool of outgoing HTTP connections",
         shape: Shape::One,
         keys: &[&CONNECT_MS, &IDLE_CONNECTIONS, &IDLE_MS],
         sections: &[],
@@ -43,7 +43,7 @@
         max: 60_000,
     },
     fallback: Fallback::Whole(250),
-    about: "the time to connect",
+    about: "the timeout for connecting to an endpoint or another host",
 };
 const IDLE_CONNECTIONS: Key = Key {
     name: "idle_connections",
@@ -52,7 +52,7 @@
         max: 10_000,
     },
     fallback: Fallback::Whole(64),
-    about: "the idle connections that are kept to each address",
+    about: "the maximum number of idle connections to each address",
 };
 const IDLE_MS: Key = Key {
     name: "idle_ms",
@@ -61,5 +61,5 @@
         max: 3_600_000,
     },
     fallback: Fallback::Whole(30_000),
-    about: "the time for which an idle connection is kept",
+    about: "the time after which an idle connection is closed",
 };
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -21,7 +21,8 @@
     /// Parses `text` as TOML with the schema `section`, and converts it with `read`.
     ///
     /// `read` gets a placeholder for each key with a fault, so that it runs to its
-    /// end and all faults are reported at once. Its result is then discarded.
+    /// end and all faults are reported at once. Its result is then discarded. After
+    /// a syntax error, missing keys aren't reported.
     pub(crate) fn read<T>(
         file: &'a str,
         text: &'a str,
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -15,8 +15,9 @@
 
 /// A table of a TOML text with its schema; it may be absent.
 ///
-/// The accessors report a fault for a value that the key doesn't accept, or for
-/// the absence of a required key, and return a placeholder then.
+/// The accessors return the default of an absent key. For a value that the key
+/// doesn't accept, or an absent required key, they report a fault and return a
+/// placeholder; [`Table::versions`] returns `None`.
 pub(crate) struct Table<'a> {
     source: &'a Source<'a>,
     values: Option<&'a DeTable<'a>>,
@@ -43,7 +44,8 @@
         root
     }
 
-    /// Returns a single table. If it is absent, all its keys are.
+    /// Returns a single table. If it is absent, all its keys count as absent: required
+    /// ones are reported, the others have their defaults.
     pub(crate) fn one(&self, section: &'static Section) -> Self {
         debug_assert_eq!(section.shape, Shape::One);
         match self.get(section.name) {
@@ -98,7 +100,8 @@
             .collect()
     }
 
-    /// Returns a duration, in the unit of the key's accepted values.
+    /// Returns a duration; the file gives it in seconds for [`Accepts::Seconds`],
+    /// else in milliseconds.
     pub(crate) fn duration(&self, key: &'static Key) -> Duration {
         match key.accepts {
             Accepts::Seconds { .. } => Duration::from_secs(self.whole(key)),
@@ -116,7 +119,7 @@
         usize::try_from(self.whole(key)).unwrap_or(usize::MAX)
     }
 
-    /// Returns an integer within the bounds of the key.
+    /// Returns the integer of a key; a value out of the key's bounds is a fault.
     pub(crate) fn whole(&self, key: &'static Key) -> u64 {
         self.value(key, |value| {
             whole(value).filter(|number| key.accepts.admits(*number))
@@ -127,7 +130,7 @@
         })
     }
 
-    /// Returns a fraction from 0 to 1.
+    /// Returns the fraction of a key; a value that isn't from 0 to 1 is a fault.
     pub(crate) fn fraction(&self, key: &'static Key) -> f64 {
         self.value(key, |value| {
             fraction(value).filter(|it| validate::is_fraction(*it))
@@ -150,7 +153,7 @@
         })
     }
 
-    /// Returns the value for one of a fixed set of words.
+    /// Returns the value that `words` maps the key's word to.
     pub(crate) fn word<T: Copy>(&self, key: &'static Key, words: &[(&str, T)]) -> T {
         let find = |text: &str| words.iter().find(|(word, _)| *word == text);
         self.value(key, |value| find(value.as_str()?).map(|(_, it)| *it))
@@ -163,7 +166,7 @@
             })
     }
 
-    /// Returns a string that is valid for the key.
+    /// Returns the string of a key.
     pub(crate) fn text(&self, key: &'static Key) -> String {
         self.value(key, |value| {
             let text = value.as_str()?;
@@ -180,7 +183,8 @@
         .unwrap_or_default()
     }
 
-    /// Returns a list of versions; `None` if the key is absent or has a fault.
+    /// Returns a list of versions; `None` if the key is absent or has a fault, which
+    /// is reported.
     pub(crate) fn versions(&self, key: &'static Key) -> Option<Vec<VersionId>> {
         self.value(key, |value| {
             let version = |value: &Spanned<DeValue<'_>>| {
@@ -218,9 +222,9 @@
             .add(offset, field, FaultKind::Value(shown), accepted.to_owned());
     }
 
-    /// Returns the value of a key as converted by `parse`. Returns `None` and
-    /// reports a fault if `parse` does or if a required key is absent, and `None`
-    /// alone if another key is absent.
+    /// Returns the value of a key as converted by `parse`. Reports a fault and returns
+    /// `None` if `parse` returns `None` or a required key is absent. If another key is
+    /// absent, it only returns `None`.
     fn value<T>(
         &self,
         key: &'static Key,
@@ -251,7 +255,7 @@
     fn report_key_value(&self, key: &Key, value: &Spanned<DeValue<'_>>) {
         let shown = match key.accepts {
             // The value isn't shown: it may be the key itself instead of its hash.
-            Accepts::Hash => "a text that isn't shown".to_owned(),
+            Accepts::Hash => "a value (hidden)".to_owned(),
             _ => self.source.show(value),
         };
         self.source.add(
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -41,7 +41,7 @@
 
     pub(crate) const SECTION: Section = Section {
         name: "",
-        about: "a version of a model, and what its tokens cost",
+        about: "a version of a model, its state and its token prices",
         shape: Shape::One,
         keys: &[&STATE, &PROMPT, &COMPLETION],
         sections: &[],
@@ -83,7 +83,7 @@
     name: "state",
     accepts: Accepts::OneOf(&["active", "withdrawn"]),
     fallback: Fallback::Word("active"),
-    about: "whether the version may get new work",
+    about: "the state; only an active version gets new requests",
 };
 
 const PROMPT: Key = Key {
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -87,8 +87,8 @@
     expect_that!(retry_policy("GET", "holds"), none());
 }
 
-/// Guards against an upgrade that blocks all changes: a document accepted by an
-/// earlier release may have faults by the rules of the new one.
+/// A document accepted by an earlier release may have faults by the rules of a later
+/// one. They must not block changes to other entries.
 #[gtest]
 fn an_existing_fault_of_another_entry_does_not_block_a_change() {
     let document = document();
--- a/crates/config/tests/pages.rs
+++ b/crates/config/tests/pages.rs
@@ -67,7 +67,11 @@
         .iter()
         .map(|section| section.keys.len())
         .sum();
-    assert_eq!(count_keys(SETTINGS), known);
+    assert_eq!(
+        count_keys(SETTINGS),
+        known,
+        "the page lists a different number of keys than the schema"
+    );
 }
 
 #[test]
@@ -86,5 +90,9 @@
             known += child.keys.len();
         }
     }
-    assert_eq!(count_keys(PROFILES), known);
+    assert_eq!(
+        count_keys(PROFILES),
+        known,
+        "the page lists a different number of keys than the schemas"
+    );
 }
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -25,6 +25,7 @@
     prop::collection::vec(line, 0..12).prop_map(|lines| lines.join("\n"))
 }
 
+/// Generates version ids. `elm` isn't a valid id: it has no `@`.
 fn version() -> impl Strategy<Value = VersionId> {
     prop::sample::select(vec!["oak@1", "oak@2", "fern@1", "elm"]).prop_map(VersionId::from)
 }
@@ -53,6 +54,7 @@
     })
 }
 
+/// Generates entries at a revision that [`Document::apply`] has to replace.
 fn entry() -> impl Strategy<Value = Entry> {
     let state = prop::sample::select(vec![VersionState::Active, VersionState::Withdrawn]);
     let version_entry = (state, 0..3_u64).prop_map(|(state, price)| {
@@ -94,7 +96,8 @@
     prop_oneof![4 => version_entry, 3 => profile(), 2 => customer, 2 => rollout, 1 => service]
 }
 
-/// Generates an edit of an entry, and whether its base is the entry's revision.
+/// Generates the name of an entry, its new state (`None` to remove it), a mode, and
+/// whether the change's base is the entry's current revision; otherwise it is 3.
 fn edit() -> impl Strategy<Value = (EntryName, Option<Entry>, ChangeMode, bool)> {
     let name = prop::sample::select(vec!["oak@1", "oak@2", "fern@1", "desk", "portal"]);
     let mode = prop::sample::select(vec![ChangeMode::Guarded, ChangeMode::Forced]);
