--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -57,7 +57,7 @@
             let withdrawn = next.versions.get(id).is_some_and(|it| !it.is_active());
             if withdrawn && rollout.state == RolloutState::Running {
                 let found = FaultKind::Value(format!("`{id}`"));
-                check.add("name", found, "a version that isn't withdrawn".into());
+                check.report("name", found, "a version that isn't withdrawn".into());
             }
         }
         Edit::PutVersion(id, version) => {
@@ -72,7 +72,7 @@
         | Edit::RemoveService(_)
         | Edit::RemoveRollout(_) => {
             if current.entry(&change.edit.name()).is_none() {
-                check.add(
+                check.report(
                     "name",
                     FaultKind::Missing,
                     "the name of an existing entry".into(),
@@ -86,7 +86,7 @@
     let withdrawn = |id: &&VersionId| next.versions.get(*id).is_some_and(|it| !it.is_active());
     for id in profile.allow.iter().filter(withdrawn) {
         let found = FaultKind::Value(format!("`{id}`"));
-        check.add("allow", found, "a version that isn't withdrawn".into());
+        check.report("allow", found, "a version that isn't withdrawn".into());
     }
 }
 
@@ -113,7 +113,7 @@
             [] => String::new(),
             customers => format!(" for {}", join(customers)),
         };
-        check.add(
+        check.report(
             "state",
             FaultKind::Harmful,
             format!(
--- a/crates/config/src/customer.rs
+++ b/crates/config/src/customer.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry_check::EntryCheck;
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 use crate::{Document, FaultKind, validate};
 
@@ -88,12 +88,12 @@
         if let Some((other, _)) = same_key {
             let found = FaultKind::Value(format!("the key of customer {other}"));
             let accepted = "a key that no other customer has".into();
-            check.add(KEY_BLAKE3.name, found, accepted);
+            check.report(KEY_BLAKE3.name, found, accepted);
         }
-        check.whole(&RATE, self.rate.into());
-        check.whole(&BURST, self.burst.into());
-        check.whole(&CONCURRENCY, self.concurrency.into());
-        check.whole(&WEIGHT, self.weight.into());
+        check.integer(&RATE, self.rate.into());
+        check.integer(&BURST, self.burst.into());
+        check.integer(&CONCURRENCY, self.concurrency.into());
+        check.integer(&WEIGHT, self.weight.into());
     }
 
     fn default_rate() -> u32 {
@@ -116,43 +116,43 @@
 const KEY_BLAKE3: Key = Key {
     name: "key_blake3",
     accepts: Accepts::Hash,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the BLAKE3 hash of the customer's bearer key",
 };
 
 const RATE: Key = Key {
     name: "rate_per_s",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 1_000_000,
     },
-    fallback: Fallback::Whole(Customer::DEFAULT_RATE as u64),
+    default: DefaultValue::Integer(Customer::DEFAULT_RATE as u64),
     about: "the sustained rate limit over all hosts, in requests per second",
 };
 
 const BURST: Key = Key {
     name: "burst",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 1_000_000,
     },
-    fallback: Fallback::Whole(Customer::DEFAULT_BURST as u64),
+    default: DefaultValue::Integer(Customer::DEFAULT_BURST as u64),
     about: "the requests that may arrive at once above the rate",
 };
 
 const CONCURRENCY: Key = Key {
     name: "concurrency",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 1_000_000,
     },
-    fallback: Fallback::Whole(Customer::DEFAULT_CONCURRENCY as u64),
+    default: DefaultValue::Integer(Customer::DEFAULT_CONCURRENCY as u64),
     about: "requests that may run at the same time over all hosts",
 };
 
 const WEIGHT: Key = Key {
     name: "weight",
-    accepts: Accepts::Whole { min: 1, max: 1_000 },
-    fallback: Fallback::Whole(Customer::DEFAULT_WEIGHT as u64),
+    accepts: Accepts::Integer { min: 1, max: 1_000 },
+    default: DefaultValue::Integer(Customer::DEFAULT_WEIGHT as u64),
     about: "the customer's share of scarce capacity, relative to the weights of the other customers",
 };
--- a/crates/config/src/entry_check.rs
+++ b/crates/config/src/entry_check.rs
@@ -29,12 +29,12 @@
     /// Checks a number against the key's bounds. Zero below the lower bound is
     /// reported as missing, since an absent price deserializes to zero; an explicit
     /// zero of any key is reported the same way.
-    pub(crate) fn whole(&mut self, key: &Key, number: u64) {
-        if key.accepts.admits(number) {
+    pub(crate) fn integer(&mut self, key: &Key, number: u64) {
+        if key.accepts.is_in_bounds(number) {
             return;
         }
         match number {
-            0 => self.add(key.name, FaultKind::Missing, key.accepts.to_string()),
+            0 => self.report(key.name, FaultKind::Missing, key.accepts.to_string()),
             _ => self.report_value(key, number),
         }
     }
@@ -45,16 +45,16 @@
             Accepts::Seconds { .. } => u128::from(duration.as_secs()),
             _ => duration.as_millis(),
         };
-        self.whole(key, u64::try_from(number).unwrap_or(u64::MAX));
+        self.integer(key, u64::try_from(number).unwrap_or(u64::MAX));
     }
 
     /// Reports a value that the key doesn't accept.
     pub(crate) fn report_value(&mut self, key: &Key, value: impl Display) {
         let found = FaultKind::Value(value.to_string());
-        self.add(key.name, found, key.accepts.to_string());
+        self.report(key.name, found, key.accepts.to_string());
     }
 
-    pub(crate) fn add(&mut self, field: impl Into<String>, found: FaultKind, accepted: String) {
+    pub(crate) fn report(&mut self, field: impl Into<String>, found: FaultKind, accepted: String) {
         self.faults.push(Fault {
             place: FaultLocation::Entry(self.name.clone()),
             field: field.into(),
--- a/crates/config/src/priority.rs
+++ b/crates/config/src/priority.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::schema::{Accepts, Fallback, Key};
+use crate::schema::{Accepts, DefaultValue, Key};
 
 /// The priority of a request; the highest priority sorts first.
 #[derive(
@@ -46,7 +46,7 @@
         Key {
             name: "priority",
             accepts: Accepts::OneOf(&["urgent", "interactive", "batch"]),
-            fallback: Fallback::Word("interactive"),
+            default: DefaultValue::Word("interactive"),
             about,
         }
     }
--- a/crates/config/src/profile.rs
+++ b/crates/config/src/profile.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry_check::EntryCheck;
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 use crate::{Document, FaultKind, Priority, RetryPolicy, validate};
 
@@ -87,7 +87,7 @@
         Self {
             allow: table.versions(&ALLOW).unwrap_or_default(),
             quality: table.fraction(&QUALITY),
-            cost_cap: Money(table.whole(&COST_CAP)),
+            cost_cap: Money(table.integer(&COST_CAP)),
             retry_policy: table.word(&RETRY_POLICY, &RetryPolicy::WORDS),
             priority: table.word(&PRIORITY, &Priority::WORDS),
             deadline: table.duration(&DEADLINE),
@@ -103,14 +103,14 @@
         let unknown = |id: &&VersionId| !document.versions.contains_key(*id);
         for id in self.allow.iter().filter(unknown) {
             let found = FaultKind::Value(format!("`{id}`"));
-            check.add("allow", found, "a version that is configured".into());
+            check.report("allow", found, "a version that is configured".into());
         }
         if !validate::is_fraction(self.quality) {
             check.report_value(&QUALITY, self.quality);
         }
-        check.whole(&COST_CAP, self.cost_cap.0);
+        check.integer(&COST_CAP, self.cost_cap.0);
         check.duration(&DEADLINE, self.deadline);
-        check.whole(&MAX_TOKENS, self.max_tokens.into());
+        check.integer(&MAX_TOKENS, self.max_tokens.into());
         for (customer, grant) in &self.customers {
             self.check_grant(check, customer, grant, document);
         }
@@ -132,14 +132,14 @@
         let field = format!("customers.{customer}");
         if !document.customers.contains_key(customer) {
             let found = FaultKind::Value(format!("`{customer}`"));
-            check.add(&field, found, "a customer that is configured".into());
+            check.report(&field, found, "a customer that is configured".into());
         }
         let Some(allow) = &grant.allow else { return };
         let field = format!("{field}.allow");
         check_versions(check, &field, allow);
         for id in allow.iter().filter(|id| !self.allow.contains(id)) {
             let found = FaultKind::Value(format!("`{id}`"));
-            check.add(
+            check.report(
                 &field,
                 found,
                 "a version of the profile's own `allow`".into(),
@@ -218,35 +218,35 @@
 
 fn check_versions(check: &mut EntryCheck, field: &str, versions: &[VersionId]) {
     if versions.is_empty() {
-        check.add(field, FaultKind::Missing, Accepts::Versions.to_string());
+        check.report(field, FaultKind::Missing, Accepts::Versions.to_string());
     }
     if !validate::are_distinct(versions) {
         let found = FaultKind::Value("a version twice".into());
-        check.add(field, found, Accepts::Versions.to_string());
+        check.report(field, found, Accepts::Versions.to_string());
     }
 }
 
 const ALLOW: Key = Key {
     name: "allow",
     accepts: Accepts::Versions,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the versions that may serve requests, in any order",
 };
 
 const QUALITY: Key = Key {
     name: "quality",
     accepts: Accepts::Fraction,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the minimum fraction of responses that are rated good",
 };
 
 const COST_CAP: Key = Key {
     name: "cost_cap_microcents",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 1_000_000_000_000_000,
     },
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the maximum cost of a request, in microcents",
 };
 
@@ -261,30 +261,30 @@
         min: 1,
         max: 3_600_000,
     },
-    fallback: Fallback::Whole(Profile::DEFAULT_DEADLINE_MS),
+    default: DefaultValue::Integer(Profile::DEFAULT_DEADLINE_MS),
     about: "the default deadline: the time to the end of the response",
 };
 
 const MAX_TOKENS: Key = Key {
     name: "max_tokens",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 1_000_000,
     },
-    fallback: Fallback::Whole(Profile::DEFAULT_MAX_TOKENS as u64),
+    default: DefaultValue::Integer(Profile::DEFAULT_MAX_TOKENS as u64),
     about: "the maximum number of completion tokens, and the default if the request sets none",
 };
 
 const WHEN_STALE: Key = Key {
     name: "when_stale",
     accepts: Accepts::OneOf(&["serve", "refuse_alone", "refuse"]),
-    fallback: Fallback::Word("refuse_alone"),
+    default: DefaultValue::Word("refuse_alone"),
     about: "the behaviour of a host that can't confirm that its configuration is current",
 };
 
 const GRANT_ALLOW: Key = Key {
     name: "allow",
     accepts: Accepts::Versions,
-    fallback: Fallback::Optional,
+    default: DefaultValue::Optional,
     about: "the subset of the profile's versions that may serve this customer; all if absent",
 };
--- a/crates/config/src/retry_policy.rs
+++ b/crates/config/src/retry_policy.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::schema::{Accepts, Fallback, Key};
+use crate::schema::{Accepts, DefaultValue, Key};
 
 /// Whether a request may be sent again when the outcome of an attempt is unknown.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
         Key {
             name: "repeat",
             accepts: Accepts::OneOf(&["idempotent", "at_most_once"]),
-            fallback: Fallback::Required,
+            default: DefaultValue::Required,
             about,
         }
     }
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry_check::EntryCheck;
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 use crate::{Document, FaultKind, validate};
 
@@ -72,11 +72,11 @@
     pub(crate) fn check(&self, check: &mut EntryCheck, id: &VersionId, document: &Document) {
         if !document.versions.contains_key(id) {
             let found = FaultKind::Value(format!("`{id}`"));
-            check.add("name", found, "a version that is configured".into());
+            check.report("name", found, "a version that is configured".into());
         }
         if !document.versions.contains_key(&self.replaces) || self.replaces == *id {
             let found = FaultKind::Value(format!("`{}`", self.replaces));
-            check.add(
+            check.report(
                 "replaces",
                 found,
                 "another version that is configured".into(),
@@ -87,7 +87,7 @@
         }
         if self.step >= self.steps.len() {
             let found = FaultKind::Value(self.step.to_string());
-            check.add(
+            check.report(
                 "step",
                 found,
                 "the index of one of the `steps`, from 0 on".into(),
@@ -112,7 +112,7 @@
             let accepted = format!(
                 "a version that no open roll-out replaces; the roll-out of {other} replaces it"
             );
-            check.add("replaces", found, accepted);
+            check.report("replaces", found, accepted);
         }
     }
 }
@@ -154,27 +154,27 @@
 const REPLACES: Key = Key {
     name: "replaces",
     accepts: Accepts::Version,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the version that the new one replaces",
 };
 
 const STEPS: Key = Key {
     name: "steps",
     accepts: Accepts::Steps,
-    fallback: Fallback::Steps(Rollout::DEFAULT_STEPS),
+    default: DefaultValue::Steps(Rollout::DEFAULT_STEPS),
     about: "the new version's share of the traffic at each step",
 };
 
 const STATE: Key = Key {
     name: "state",
     accepts: Accepts::OneOf(&["running", "paused", "aborted", "done"]),
-    fallback: Fallback::Word("running"),
+    default: DefaultValue::Word("running"),
     about: "the state; a paused roll-out stays at its step",
 };
 
 const STEP: Key = Key {
     name: "step",
-    accepts: Accepts::Whole { min: 0, max: 100 },
-    fallback: Fallback::Whole(0),
+    accepts: Accepts::Integer { min: 0, max: 100 },
+    default: DefaultValue::Integer(0),
     about: "the index of the current step, from 0",
 };
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -43,7 +43,7 @@
     /// The accepted values.
     pub accepts: Accepts,
     /// The default if the key is absent.
-    pub fallback: Fallback,
+    pub default: DefaultValue,
     /// The description in the reference page, as a phrase.
     pub about: &'static str,
 }
@@ -71,7 +71,7 @@
     Path,
     /// An integer within bounds.
     #[display("a whole number from {min} to {max}")]
-    Whole {
+    Integer {
         /// The minimum.
         min: u64,
         /// The maximum.
@@ -100,7 +100,7 @@
     #[display("a list of rising numbers above 0, at most 1")]
     Steps,
     /// One of a fixed set of words.
-    #[display("{}", list(_0))]
+    #[display("{}", join_alternatives(_0))]
     OneOf(&'static [&'static str]),
     /// The BLAKE3 hash of a bearer key.
     #[display("the BLAKE3 hash of the key, 64 lower-case hex digits")]
@@ -115,9 +115,9 @@
 
 impl Accepts {
     /// Returns whether a number is within the bounds; false for kinds without bounds.
-    pub(crate) fn admits(self, number: u64) -> bool {
+    pub(crate) fn is_in_bounds(self, number: u64) -> bool {
         match self {
-            Self::Whole { min, max } | Self::Millis { min, max } | Self::Seconds { min, max } => {
+            Self::Integer { min, max } | Self::Millis { min, max } | Self::Seconds { min, max } => {
                 (min..=max).contains(&number)
             }
             _ => false,
@@ -127,7 +127,7 @@
 
 /// The default of an absent key.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
-pub enum Fallback {
+pub enum DefaultValue {
     /// No default: the key is required.
     #[display("required")]
     Required,
@@ -136,7 +136,7 @@
     Optional,
     /// An integer.
     #[display("{_0}")]
-    Whole(u64),
+    Integer(u64),
     /// A fraction.
     #[display("{_0}")]
     Fraction(f64),
@@ -148,7 +148,7 @@
     Word(&'static str),
 }
 
-fn list(words: &[&str]) -> String {
+fn join_alternatives(words: &[&str]) -> String {
     let quoted: Vec<_> = words.iter().map(|word| format!("`{word}`")).collect();
     match quoted.split_last() {
         Some((last, rest)) if !rest.is_empty() => format!("{} or {last}", rest.join(", ")),
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry_check::EntryCheck;
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 use crate::{FaultKind, Priority, RetryPolicy, validate};
 
@@ -76,7 +76,7 @@
         check.duration(&TOTAL, self.total);
         if self.first_byte > self.total {
             let found = FaultKind::Value(self.first_byte.as_millis().to_string());
-            check.add(FIRST_BYTE.name, found, "no more than `total_ms`".into());
+            check.report(FIRST_BYTE.name, found, "no more than `total_ms`".into());
         }
         for (idx, route) in self.routes.iter().enumerate() {
             route.check(check, idx);
@@ -85,7 +85,7 @@
             if earlier.iter().any(same) {
                 let found = FaultKind::Value(format!("{} {}", route.method, route.prefix));
                 let accepted = "each method and prefix once".into();
-                check.add(format!("routes[{idx}]"), found, accepted);
+                check.report(format!("routes[{idx}]"), found, accepted);
             }
         }
     }
@@ -137,16 +137,16 @@
     }
 
     fn check(&self, check: &mut EntryCheck, idx: usize) {
-        let mut refuse = |key: &Key, value: &str| {
+        let mut report_key = |key: &Key, value: &str| {
             let found = FaultKind::Value(format!("{value:?}"));
             let field = format!("routes[{idx}].{}", key.name);
-            check.add(field, found, key.accepts.to_string());
+            check.report(field, found, key.accepts.to_string());
         };
         if !validate::is_method(&self.method) {
-            refuse(&METHOD, &self.method);
+            report_key(&METHOD, &self.method);
         }
         if !validate::is_prefix(&self.prefix) {
-            refuse(&PREFIX, &self.prefix);
+            report_key(&PREFIX, &self.prefix);
         }
     }
 
@@ -165,7 +165,7 @@
         min: 1,
         max: 3_600_000,
     },
-    fallback: Fallback::Whole(Service::DEFAULT_FIRST_BYTE_MS),
+    default: DefaultValue::Integer(Service::DEFAULT_FIRST_BYTE_MS),
     about: "the timeout of the first byte of a response",
 };
 
@@ -175,21 +175,21 @@
         min: 1,
         max: 3_600_000,
     },
-    fallback: Fallback::Whole(Service::DEFAULT_TOTAL_MS),
+    default: DefaultValue::Integer(Service::DEFAULT_TOTAL_MS),
     about: "the timeout of a whole response",
 };
 
 const METHOD: Key = Key {
     name: "method",
     accepts: Accepts::Method,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the method of the calls",
 };
 
 const PREFIX: Key = Key {
     name: "prefix",
     accepts: Accepts::Prefix,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the path prefix; it matches whole segments only",
 };
 
--- a/crates/config/src/settings/decide.rs
+++ b/crates/config/src/settings/decide.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The attempts, timeouts and sampling of requests, and the intervals of load polls
@@ -64,26 +64,26 @@
 
 const MAX_ATTEMPTS: Key = Key {
     name: "max_attempts",
-    accepts: Accepts::Whole { min: 1, max: 16 },
-    fallback: Fallback::Whole(5),
+    accepts: Accepts::Integer { min: 1, max: 16 },
+    default: DefaultValue::Integer(5),
     about: "the maximum number of attempts of a request, including the first",
 };
 const RETRY_BUDGET: Key = Key {
     name: "retry_budget",
     accepts: Accepts::Fraction,
-    fallback: Fallback::Fraction(0.1),
+    default: DefaultValue::Fraction(0.1),
     about: "the limit on retries and hedges, as a fraction of first attempts",
 };
 const RATING_SHARE: Key = Key {
     name: "rating_share",
     accepts: Accepts::Fraction,
-    fallback: Fallback::Fraction(0.5),
+    default: DefaultValue::Fraction(0.5),
     about: "the maximum fraction of responses sent to the rating service once a version has enough ratings for the class of the request",
 };
 const EXPLORE_SHARE: Key = Key {
     name: "explore_share",
     accepts: Accepts::Fraction,
-    fallback: Fallback::Fraction(0.06),
+    default: DefaultValue::Fraction(0.06),
     about: "the fraction of requests that explore a version outside the plan, before the factors for its ratings and cost",
 };
 const FIRST_BYTE_MS: Key = Key {
@@ -92,7 +92,7 @@
         min: 1,
         max: 600_000,
     },
-    fallback: Fallback::Whole(10_000),
+    default: DefaultValue::Integer(10_000),
     about: "the timeout of the first byte of an attempt of a chat request; services have their own",
 };
 const STALL_MS: Key = Key {
@@ -101,7 +101,7 @@
         min: 1,
         max: 600_000,
     },
-    fallback: Fallback::Whole(5_000),
+    default: DefaultValue::Integer(5_000),
     about: "the timeout between two bytes of a stream",
 };
 const LOAD_POLL_MS: Key = Key {
@@ -110,12 +110,12 @@
         min: 10,
         max: 60_000,
     },
-    fallback: Fallback::Whole(250),
+    default: DefaultValue::Integer(250),
     about: "the minimum time between two polls of an endpoint's load",
 };
 const TICK_MS: Key = Key {
     name: "tick_ms",
     accepts: Accepts::Millis { min: 1, max: 1_000 },
-    fallback: Fallback::Whole(100),
+    default: DefaultValue::Integer(100),
     about: "the time between two ticks of the decider",
 };
--- a/crates/config/src/settings/freshness.rs
+++ b/crates/config/src/settings/freshness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The freshness of the configuration.
@@ -39,7 +39,7 @@
         min: 100,
         max: 600_000,
     },
-    fallback: Fallback::Whole(10_000),
+    default: DefaultValue::Integer(10_000),
     about: "the maximum age of the last confirmation that the configuration is current; beyond it, the `when_stale` of a profile applies",
 };
 const POLL_MS: Key = Key {
@@ -48,6 +48,6 @@
         min: 10,
         max: 60_000,
     },
-    fallback: Fallback::Whole(1_000),
+    default: DefaultValue::Integer(1_000),
     about: "the time between two reads of the table by the hosts that poll it",
 };
--- a/crates/config/src/settings/host.rs
+++ b/crates/config/src/settings/host.rs
@@ -4,7 +4,7 @@
 
 use kernel::{DataCentre, HostName, Region};
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The identity of the host.
@@ -45,24 +45,24 @@
 const NAME: Key = Key {
     name: "name",
     accepts: Accepts::Name,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "its name, unique in the fleet and the same as in the host list",
 };
 const DATA_CENTRE: Key = Key {
     name: "data_centre",
     accepts: Accepts::Name,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "its data centre",
 };
 const REGION: Key = Key {
     name: "region",
     accepts: Accepts::Name,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "its region",
 };
 pub(super) const DRAIN_LIMIT_S: Key = Key {
     name: "drain_limit_s",
     accepts: Accepts::Seconds { min: 1, max: 3_600 },
-    fallback: Fallback::Whole(330),
+    default: DefaultValue::Integer(330),
     about: "the timeout of a drain; it should be at least the sum of the longest request and `limits.hosts_keep_ms`",
 };
--- a/crates/config/src/settings/keys.rs
+++ b/crates/config/src/settings/keys.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The paths of the files with the host's keys; see docs/operate/keys.md.
@@ -51,30 +51,30 @@
 const FLEET_CA: Key = Key {
     name: "fleet_ca",
     accepts: Accepts::Path,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the certificate of the fleet's certificate authority, PEM",
 };
 const HOST_CERTIFICATE: Key = Key {
     name: "host_certificate",
     accepts: Accepts::Path,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "this host's certificate, PEM",
 };
 const HOST_KEY: Key = Key {
     name: "host_key",
     accepts: Accepts::Path,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "this host's private key, PEM",
 };
 const OPERATOR_KEY: Key = Key {
     name: "operator_key",
     accepts: Accepts::Path,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the operators' bearer key",
 };
 const SESSION_KEY: Key = Key {
     name: "session_key",
     accepts: Accepts::Path,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the secret from which the keys that sign session tokens and tickets are derived, the same on all hosts",
 };
--- a/crates/config/src/settings/ledger.rs
+++ b/crates/config/src/settings/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The storage of billing records on the host until they are in the table.
@@ -62,25 +62,25 @@
         min: 1,
         max: 60_000,
     },
-    fallback: Fallback::Whole(1_000),
+    default: DefaultValue::Integer(1_000),
     about: "the minimum time for which a record waits for others of its batch; a full batch, urgent records and a drain don't wait for it",
 };
 const BATCH_RECORDS: Key = Key {
     name: "batch_records",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 100_000,
     },
-    fallback: Fallback::Whole(500),
+    default: DefaultValue::Integer(500),
     about: "the maximum number of records in a batch",
 };
 const HELD_RECORDS: Key = Key {
     name: "held_records",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 10_000_000,
     },
-    fallback: Fallback::Whole(40_000),
+    default: DefaultValue::Integer(40_000),
     about: "the maximum number of the host's records that aren't in the table yet; at this limit, new billable requests are refused",
 };
 const PARTNER_MS: Key = Key {
@@ -89,7 +89,7 @@
         min: 1,
         max: 60_000,
     },
-    fallback: Fallback::Whole(250),
+    default: DefaultValue::Integer(250),
     about: "the timeout for a partner to acknowledge a copy of a record; then another host is asked",
 };
 const REMEMBER_MS: Key = Key {
@@ -98,7 +98,7 @@
         min: 1_000,
         max: 86_400_000,
     },
-    fallback: Fallback::Whole(3_600_000),
+    default: DefaultValue::Integer(3_600_000),
     about: "the retention of idempotency keys and their responses; for keys with a ticket of this host, it begins when the ticket expires",
 };
 const FENCE_AFTER_MS: Key = Key {
@@ -107,6 +107,6 @@
         min: 100,
         max: 3_600_000,
     },
-    fallback: Fallback::Whole(30_000),
+    default: DefaultValue::Integer(30_000),
     about: "the time for which a host has to be gone before its records are settled without it; if a restart takes longer, its records are settled needlessly, but none is lost",
 };
--- a/crates/config/src/settings/limits.rs
+++ b/crates/config/src/settings/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The limits on connections and requests of callers and operators.
@@ -57,11 +57,11 @@
 
 const MAX_BODY_BYTES: Key = Key {
     name: "max_body_bytes",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1_024,
         max: 1_073_741_824,
     },
-    fallback: Fallback::Whole(8_388_608),
+    default: DefaultValue::Integer(8_388_608),
     about: "the maximum size of a request body, in bytes",
 };
 const HEADER_TIME_MS: Key = Key {
@@ -70,7 +70,7 @@
         min: 10,
         max: 600_000,
     },
-    fallback: Fallback::Whole(5_000),
+    default: DefaultValue::Integer(5_000),
     about: "the timeout for receiving the head of a request",
 };
 const BODY_TIME_MS: Key = Key {
@@ -79,7 +79,7 @@
         min: 10,
         max: 600_000,
     },
-    fallback: Fallback::Whole(30_000),
+    default: DefaultValue::Integer(30_000),
     about: "the timeout for receiving the body of a request",
 };
 const IDLE_TIME_MS: Key = Key {
@@ -88,25 +88,25 @@
         min: 10,
         max: 3_600_000,
     },
-    fallback: Fallback::Whole(60_000),
+    default: DefaultValue::Integer(60_000),
     about: "the time for which an idle connection stays open",
 };
 const MAX_CONNECTIONS: Key = Key {
     name: "max_connections",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 1_000_000,
     },
-    fallback: Fallback::Whole(4_096),
+    default: DefaultValue::Integer(4_096),
     about: "the maximum number of open connections per listening address",
 };
 const MAX_IN_FLIGHT: Key = Key {
     name: "max_in_flight",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 1_000_000,
     },
-    fallback: Fallback::Whole(2_048),
+    default: DefaultValue::Integer(2_048),
     about: "the maximum number of requests in flight",
 };
 const HOSTS_KEEP_MS: Key = Key {
@@ -115,6 +115,6 @@
         min: 100,
         max: 600_000,
     },
-    fallback: Fallback::Whole(10_000),
+    default: DefaultValue::Integer(10_000),
     about: "the time for which callers may cache the response to `GET /v1/hosts`",
 };
--- a/crates/config/src/settings/listen.rs
+++ b/crates/config/src/settings/listen.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The listening addresses of the host.
@@ -38,18 +38,18 @@
 const CALLERS: Key = Key {
     name: "callers",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "TCP, for callers",
 };
 const OPERATORS: Key = Key {
     name: "operators",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "TCP, for operators; may be the same as for callers",
 };
 const FLEET: Key = Key {
     name: "fleet",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "UDP, for the other hosts",
 };
--- a/crates/config/src/settings/log.rs
+++ b/crates/config/src/settings/log.rs
@@ -2,7 +2,7 @@
 
 use derive_more::Display;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The log format and level. docs/reference/events.md lists the events.
@@ -35,13 +35,13 @@
 const FORMAT: Key = Key {
     name: "format",
     accepts: Accepts::OneOf(&["text", "json", "auto"]),
-    fallback: Fallback::Word("auto"),
+    default: DefaultValue::Word("auto"),
     about: "the format of a log line; `auto` is text on a terminal, otherwise JSON",
 };
 const LEVEL: Key = Key {
     name: "level",
     accepts: Accepts::OneOf(&["error", "warning", "info", "debug"]),
-    fallback: Fallback::Word("info"),
+    default: DefaultValue::Word("info"),
     about: "the least severe level that is logged",
 };
 
--- a/crates/config/src/settings/platform.rs
+++ b/crates/config/src/settings/platform.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The addresses of the platform's services, with their timeouts and poll intervals.
@@ -63,25 +63,25 @@
 const TABLE: Key = Key {
     name: "table",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the table service",
 };
 const OBJECTS: Key = Key {
     name: "objects",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the object store; unused",
 };
 const HOST_LIST: Key = Key {
     name: "host_list",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the host list",
 };
 const RATINGS: Key = Key {
     name: "ratings",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the rating service",
 };
 const CONNECT_MS: Key = Key {
@@ -90,7 +90,7 @@
         min: 1,
         max: 60_000,
     },
-    fallback: Fallback::Whole(500),
+    default: DefaultValue::Integer(500),
     about: "the timeout for connecting to any of these services",
 };
 const REQUEST_MS: Key = Key {
@@ -99,7 +99,7 @@
         min: 1,
         max: 60_000,
     },
-    fallback: Fallback::Whole(2_000),
+    default: DefaultValue::Integer(2_000),
     about: "the timeout of a whole response of any of these services",
 };
 const HOST_LIST_POLL_MS: Key = Key {
@@ -108,7 +108,7 @@
         min: 10,
         max: 60_000,
     },
-    fallback: Fallback::Whole(1_000),
+    default: DefaultValue::Integer(1_000),
     about: "the time between two reads of the host list",
 };
 const RATINGS_POLL_MS: Key = Key {
@@ -117,6 +117,6 @@
         min: 10,
         max: 60_000,
     },
-    fallback: Fallback::Whole(1_000),
+    default: DefaultValue::Integer(1_000),
     about: "the time between two reads of ratings",
 };
--- a/crates/config/src/settings/pool.rs
+++ b/crates/config/src/settings/pool.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The pool of outgoing HTTP connections.
@@ -42,16 +42,16 @@
         min: 1,
         max: 60_000,
     },
-    fallback: Fallback::Whole(250),
+    default: DefaultValue::Integer(250),
     about: "the timeout for connecting to an endpoint or another host",
 };
 const IDLE_CONNECTIONS: Key = Key {
     name: "idle_connections",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 0,
         max: 10_000,
     },
-    fallback: Fallback::Whole(64),
+    default: DefaultValue::Integer(64),
     about: "the maximum number of idle connections to each address",
 };
 const IDLE_MS: Key = Key {
@@ -60,6 +60,6 @@
         min: 1,
         max: 3_600_000,
     },
-    fallback: Fallback::Whole(30_000),
+    default: DefaultValue::Integer(30_000),
     about: "the time after which an idle connection is closed",
 };
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -37,7 +37,7 @@
         let (root, errors) = DeTable::parse_recoverable(text);
         for error in &errors {
             let offset = error.span().map_or(0, |span| span.start);
-            source.add(
+            source.report(
                 offset,
                 String::new(),
                 FaultKind::Syntax,
@@ -48,7 +48,7 @@
         source.finish(value)
     }
 
-    pub(crate) fn add(&self, offset: usize, field: String, found: FaultKind, accepted: String) {
+    pub(crate) fn report(&self, offset: usize, field: String, found: FaultKind, accepted: String) {
         let place = FaultLocation::Line {
             file: self.file.to_owned(),
             line: self.line(offset),
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -9,7 +9,7 @@
 use toml::de::{DeTable, DeValue};
 
 use crate::FaultKind;
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::source::Source;
 use crate::validate;
 
@@ -104,28 +104,28 @@
     /// else in milliseconds.
     pub(crate) fn duration(&self, key: &'static Key) -> Duration {
         match key.accepts {
-            Accepts::Seconds { .. } => Duration::from_secs(self.whole(key)),
-            _ => Duration::from_millis(self.whole(key)),
+            Accepts::Seconds { .. } => Duration::from_secs(self.integer(key)),
+            _ => Duration::from_millis(self.integer(key)),
         }
     }
 
     /// Returns an integer; the key's bounds have to fit a `u32`.
     pub(crate) fn count(&self, key: &'static Key) -> u32 {
-        u32::try_from(self.whole(key)).unwrap_or(u32::MAX)
+        u32::try_from(self.integer(key)).unwrap_or(u32::MAX)
     }
 
     /// Returns an integer as a `usize`.
     pub(crate) fn size(&self, key: &'static Key) -> usize {
-        usize::try_from(self.whole(key)).unwrap_or(usize::MAX)
+        usize::try_from(self.integer(key)).unwrap_or(usize::MAX)
     }
 
     /// Returns the integer of a key; a value out of the key's bounds is a fault.
-    pub(crate) fn whole(&self, key: &'static Key) -> u64 {
+    pub(crate) fn integer(&self, key: &'static Key) -> u64 {
         self.value(key, |value| {
-            whole(value).filter(|number| key.accepts.admits(*number))
+            integer(value).filter(|number| key.accepts.is_in_bounds(*number))
         })
-        .unwrap_or(match key.fallback {
-            Fallback::Whole(number) => number,
+        .unwrap_or(match key.default {
+            DefaultValue::Integer(number) => number,
             _ => 0,
         })
     }
@@ -133,10 +133,10 @@
     /// Returns the fraction of a key; a value that isn't from 0 to 1 is a fault.
     pub(crate) fn fraction(&self, key: &'static Key) -> f64 {
         self.value(key, |value| {
-            fraction(value).filter(|it| validate::is_fraction(*it))
+            float(value).filter(|it| validate::is_fraction(*it))
         })
-        .unwrap_or(match key.fallback {
-            Fallback::Fraction(share) => share,
+        .unwrap_or(match key.default {
+            DefaultValue::Fraction(share) => share,
             _ => 0.0,
         })
     }
@@ -144,11 +144,11 @@
     /// Returns the traffic shares of a roll-out's steps.
     pub(crate) fn steps(&self, key: &'static Key) -> Vec<f64> {
         self.value(key, |value| {
-            let steps: Option<Vec<f64>> = value.as_array()?.iter().map(number).collect();
+            let steps: Option<Vec<f64>> = value.as_array()?.iter().map(spanned_float).collect();
             steps.filter(|steps| validate::are_steps(steps))
         })
-        .unwrap_or_else(|| match key.fallback {
-            Fallback::Steps(steps) => steps.to_vec(),
+        .unwrap_or_else(|| match key.default {
+            DefaultValue::Steps(steps) => steps.to_vec(),
             _ => Vec::new(),
         })
     }
@@ -158,11 +158,11 @@
         let find = |text: &str| words.iter().find(|(word, _)| *word == text);
         self.value(key, |value| find(value.as_str()?).map(|(_, it)| *it))
             .unwrap_or_else(|| {
-                let fallback = match key.fallback {
-                    Fallback::Word(word) => find(word),
+                let default = match key.default {
+                    DefaultValue::Word(word) => find(word),
                     _ => None,
                 };
-                fallback.unwrap_or(&words[0]).1
+                default.unwrap_or(&words[0]).1
             })
     }
 
@@ -214,12 +214,12 @@
         let value = values.and_then(|values| values.get(key.name));
         let (offset, shown) = match (value, table) {
             (Some(value), _) => (value.span().start, self.source.show(value)),
-            (None, Some((offset, _))) => (offset, key.fallback.to_string()),
-            (None, None) => (self.offset, key.fallback.to_string()),
+            (None, Some((offset, _))) => (offset, key.default.to_string()),
+            (None, None) => (self.offset, key.default.to_string()),
         };
         let field = format!("{}.{}", section.name, key.name);
         self.source
-            .add(offset, field, FaultKind::Value(shown), accepted.to_owned());
+            .report(offset, field, FaultKind::Value(shown), accepted.to_owned());
     }
 
     /// Returns the value of a key as converted by `parse`. Reports a fault and returns
@@ -237,11 +237,11 @@
             key.name,
         );
         let Some((_, value)) = self.get(key.name) else {
-            if key.fallback == Fallback::Required {
+            if key.default == DefaultValue::Required {
                 let field = self.path_of(key.name);
                 let accepted = key.accepts.to_string();
                 self.source
-                    .add(self.offset, field, FaultKind::Missing, accepted);
+                    .report(self.offset, field, FaultKind::Missing, accepted);
             }
             return None;
         };
@@ -258,7 +258,7 @@
             Accepts::Hash => "a value (hidden)".to_owned(),
             _ => self.source.show(value),
         };
-        self.source.add(
+        self.source.report(
             value.span().start,
             self.path_of(key.name),
             FaultKind::Value(shown),
@@ -270,7 +270,7 @@
         let found = FaultKind::Value(self.source.show(value));
         let field = self.path_of(name);
         self.source
-            .add(value.span().start, field, found, accepted.to_owned());
+            .report(value.span().start, field, found, accepted.to_owned());
     }
 
     fn child(
@@ -307,7 +307,7 @@
             let field = self.path_of(name.get_ref());
             let accepted = suggest(name.get_ref(), &known);
             self.source
-                .add(name.span().start, field, FaultKind::UnknownKey, accepted);
+                .report(name.span().start, field, FaultKind::UnknownKey, accepted);
         }
     }
 
@@ -325,13 +325,13 @@
     }
 }
 
-fn whole(value: &DeValue<'_>) -> Option<u64> {
-    let integer = value.as_integer()?;
-    u64::from_str_radix(integer.as_str(), integer.radix()).ok()
+fn integer(value: &DeValue<'_>) -> Option<u64> {
+    let literal = value.as_integer()?;
+    u64::from_str_radix(literal.as_str(), literal.radix()).ok()
 }
 
 /// Parses a float, or an integer such as `0` or `1`, as a float.
-fn fraction(value: &DeValue<'_>) -> Option<f64> {
+fn float(value: &DeValue<'_>) -> Option<f64> {
     let text = value
         .as_float()
         .map(toml::de::DeFloat::as_str)
@@ -339,8 +339,8 @@
     text.parse().ok()
 }
 
-fn number(value: &Spanned<DeValue<'_>>) -> Option<f64> {
-    fraction(value.get_ref())
+fn spanned_float(value: &Spanned<DeValue<'_>>) -> Option<f64> {
+    float(value.get_ref())
 }
 
 fn suggest(name: &str, known: &[&str]) -> String {
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry_check::EntryCheck;
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// A version of a model, with its state and token prices.
@@ -50,15 +50,15 @@
     pub(crate) fn read(table: &Table<'_>) -> Self {
         Self {
             state: table.word(&STATE, &VersionState::WORDS),
-            prompt: Money(table.whole(&PROMPT)),
-            completion: Money(table.whole(&COMPLETION)),
+            prompt: Money(table.integer(&PROMPT)),
+            completion: Money(table.integer(&COMPLETION)),
             changed: Revision(0),
         }
     }
 
     pub(crate) fn check(&self, check: &mut EntryCheck) {
-        check.whole(&PROMPT, self.prompt.0);
-        check.whole(&COMPLETION, self.completion.0);
+        check.integer(&PROMPT, self.prompt.0);
+        check.integer(&COMPLETION, self.completion.0);
     }
 }
 
@@ -82,26 +82,26 @@
 const STATE: Key = Key {
     name: "state",
     accepts: Accepts::OneOf(&["active", "withdrawn"]),
-    fallback: Fallback::Word("active"),
+    default: DefaultValue::Word("active"),
     about: "the state; only an active version gets new requests",
 };
 
 const PROMPT: Key = Key {
     name: "prompt_microcents_per_million",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 1_000_000_000_000_000,
     },
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the price of a million prompt tokens, in microcents",
 };
 
 const COMPLETION: Key = Key {
     name: "completion_microcents_per_million",
-    accepts: Accepts::Whole {
+    accepts: Accepts::Integer {
         min: 1,
         max: 1_000_000_000_000_000,
     },
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the price of a million completion tokens, in microcents",
 };
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn changes_are_accepted_or_rejected_as_expected() {
+fn a_change_is_applied_or_rejected_with_its_conflict_or_faults() {
     datadriven::walk("tests/changes", |file| {
         let mut document = document();
         file.run(|case| trim_line_ends(&run(&mut document, case)));
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn a_call_takes_the_route_with_the_longest_prefix_of_whole_segments() {
+fn the_longest_prefix_of_whole_segments_then_the_method_selects_the_route() {
     let route = |method: &str, prefix: &str, retry_policy| Route {
         method: method.to_owned(),
         prefix: prefix.to_owned(),
@@ -90,7 +90,7 @@
 /// A document accepted by an earlier release may have faults by the rules of a later
 /// one. They must not block changes to other entries.
 #[gtest]
-fn an_existing_fault_of_another_entry_does_not_block_a_change() {
+fn an_existing_fault_rejects_only_changes_to_its_entry() {
     let document = document();
     expect_that!(document.faults().0, not(is_empty()));
     let service = Service {
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -2,7 +2,7 @@
 
 use config::{EntryFile, EntryKind};
 
-fn check(kind: EntryKind, text: &str) -> String {
+fn parse_and_format(kind: EntryKind, text: &str) -> String {
     match EntryFile::parse(kind, text, "file.toml") {
         Ok(file) => {
             let header = match (&file.name, file.revision) {
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn files_are_formatted_or_all_faults_are_reported() {
+fn valid_files_are_formatted_and_faults_of_others_are_reported() {
     datadriven::walk("tests/files", |file| {
         file.run(|case| {
             let kind = EntryKind::ALL
                 .into_iter()
                 .find(|kind| kind.to_string() == case.directive);
-            check(kind.expect("the directive is a kind"), &case.input)
+            parse_and_format(kind.expect("the directive is a kind"), &case.input)
         });
     });
 }
--- a/crates/config/tests/pages.rs
+++ b/crates/config/tests/pages.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use config::schema::{Fallback, Section, Shape};
+use config::schema::{DefaultValue, Section, Shape};
 use config::{EntryFile, EntryKind, Settings};
 
 const SETTINGS: &str = include_str!("../../../docs/reference/settings.md");
@@ -23,9 +23,9 @@
         text.push_str("| key | accepts | default | meaning |\n|---|---|---|---|\n");
     }
     for key in section.keys {
-        let default = match key.fallback {
-            Fallback::Required => "(required)".to_owned(),
-            Fallback::Optional => "(none)".to_owned(),
+        let default = match key.default {
+            DefaultValue::Required => "(required)".to_owned(),
+            DefaultValue::Optional => "(none)".to_owned(),
             other => format!("`{other}`"),
         };
         writeln!(
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -101,16 +101,18 @@
 fn edit() -> impl Strategy<Value = (EntryName, Option<Entry>, ChangeMode, bool)> {
     let name = prop::sample::select(vec!["oak@1", "oak@2", "fern@1", "desk", "portal"]);
     let mode = prop::sample::select(vec![ChangeMode::Guarded, ChangeMode::Forced]);
-    let kept = prop::option::weighted(0.8, Just(()));
-    (name, entry(), mode, kept, any::<bool>()).prop_map(|(name, entry, mode, kept, fresh)| {
-        let name = EntryName::new(entry.kind(), name);
-        (name, kept.map(|()| entry), mode, fresh)
-    })
+    let put = prop::option::weighted(0.8, Just(()));
+    (name, entry(), mode, put, any::<bool>()).prop_map(
+        |(name, entry, mode, put, is_current_base)| {
+            let name = EntryName::new(entry.kind(), name);
+            (name, put.map(|()| entry), mode, is_current_base)
+        },
+    )
 }
 
 proptest! {
     #[test]
-    fn parsers_accept_any_text_without_panic(text in text()) {
+    fn parsers_never_panic_and_a_shown_file_parses_to_the_same_entry(text in text()) {
         for kind in EntryKind::ALL {
             let name = EntryName::new(kind, "some");
             if let Ok(file) = EntryFile::parse(kind, &text, "file.toml") {
@@ -125,11 +127,13 @@
     }
 
     #[test]
-    fn accepted_changes_increment_the_revision(edits in prop::collection::vec(edit(), 1..40)) {
+    fn accepted_changes_give_a_valid_document_at_the_next_revision(
+        edits in prop::collection::vec(edit(), 1..40),
+    ) {
         let mut document = Document::default();
-        for (name, entry, mode, fresh) in edits {
+        for (name, entry, mode, is_current_base) in edits {
             let current = document.entry(&name).map_or(Revision(0), |entry| entry.changed());
-            let base = if fresh { current } else { Revision(3) };
+            let base = if is_current_base { current } else { Revision(3) };
             let edit = match entry {
                 Some(entry) => Edit::put(name.clone(), entry).expect("the kinds match"),
                 None => Edit::remove(name.clone()),
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -25,7 +25,7 @@
 session_key = "session.key"
 "#;
 
-fn check(text: &str) -> String {
+fn parse_and_format(text: &str) -> String {
     match Settings::parse(text, "host.toml") {
         Ok(settings) => format!("{settings:#?}\n"),
         Err(faults) => format!("{faults}\n"),
@@ -33,11 +33,11 @@
 }
 
 #[test]
-fn files_are_parsed_or_all_faults_are_reported() {
+fn valid_files_are_parsed_and_faults_of_others_are_reported() {
     datadriven::walk("tests/settings", |file| {
         file.run(|case| match case.directive.as_str() {
-            "settings" => check(&case.input),
-            "required" => check(&format!("{REQUIRED}{}", case.input)),
+            "settings" => parse_and_format(&case.input),
+            "required" => parse_and_format(&format!("{REQUIRED}{}", case.input)),
             other => panic!("unknown directive {other}"),
         });
     });
