--- a/crates/config/src/settings/freshness.rs
+++ b/crates/config/src/settings/freshness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The freshness of the configuration.
@@ -18,7 +18,7 @@
 impl Freshness {
     pub(crate) const SECTION: Section = Section {
         name: "freshness",
-        about: "how the host keeps its configuration the newest",
+        about: "the freshness of the configuration",
         shape: Shape::One,
         keys: &[&BOUND_MS, &POLL_MS],
         sections: &[],
@@ -39,8 +39,8 @@
         min: 100,
         max: 600_000,
     },
-    fallback: Fallback::Whole(10_000),
-    about: "the age of the last proof that the configuration is the newest, past which the `when_stale` of a profile decides",
+    default: DefaultValue::Integer(10_000),
+    about: "the maximum age of the last confirmation that the configuration is current; beyond it, the `when_stale` of a profile applies",
 };
 const POLL_MS: Key = Key {
     name: "poll_ms",
@@ -48,6 +48,6 @@
         min: 10,
         max: 60_000,
     },
-    fallback: Fallback::Whole(1_000),
+    default: DefaultValue::Integer(1_000),
     about: "the time between two reads of the table by the hosts that poll it",
 };
--- a/crates/config/src/settings/log.rs
+++ b/crates/config/src/settings/log.rs
@@ -2,7 +2,7 @@
 
 use derive_more::Display;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The log format and level. docs/reference/events.md lists the events.
@@ -17,7 +17,7 @@
 impl Log {
     pub(crate) const SECTION: Section = Section {
         name: "log",
-        about: "how the host logs",
+        about: "the log format and level",
         shape: Shape::One,
         keys: &[&FORMAT, &LEVEL],
         sections: &[],
@@ -35,13 +35,13 @@
 const FORMAT: Key = Key {
     name: "format",
     accepts: Accepts::OneOf(&["text", "json", "auto"]),
-    fallback: Fallback::Word("auto"),
-    about: "the shape of a line; `auto` is text on a terminal, otherwise JSON",
+    default: DefaultValue::Word("auto"),
+    about: "the format of a log line; `auto` is text on a terminal, otherwise JSON",
 };
 const LEVEL: Key = Key {
     name: "level",
     accepts: Accepts::OneOf(&["error", "warning", "info", "debug"]),
-    fallback: Fallback::Word("info"),
+    default: DefaultValue::Word("info"),
     about: "the least severe level that is logged",
 };
 
@@ -65,13 +65,13 @@
     /// A failure that needs the attention of an operator.
     #[display("error")]
     Error,
-    /// A failure that the host recovered from.
+    /// A failure or an unusual state that may need attention.
     #[display("warning")]
     Warning,
-    /// An event of the host.
+    /// A notable event in normal operation.
     #[display("info")]
     Info,
-    /// An event of a single request.
+    /// An event of each request, such as its response.
     #[display("debug")]
     Debug,
 }
--- a/crates/config/src/settings/platform.rs
+++ b/crates/config/src/settings/platform.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::table::Table;
 
 /// The addresses of the platform's services, with their timeouts and poll intervals.
@@ -17,7 +17,7 @@
     pub host_list: SocketAddr,
     /// The address of the rating service.
     pub ratings: SocketAddr,
-    /// Timeout of a connection to any of these services.
+    /// Timeout for establishing a connection to any of these services.
     pub connect: Duration,
     /// Timeout of a whole response of any of these services.
     pub request: Duration,
@@ -30,7 +30,7 @@
 impl Platform {
     pub(crate) const SECTION: Section = Section {
         name: "platform",
-        about: "where the platform's services are, and how long the host waits for them",
+        about: "the addresses, timeouts and poll intervals of the platform's services",
         shape: Shape::One,
         keys: &[
             &TABLE,
@@ -63,25 +63,25 @@
 const TABLE: Key = Key {
     name: "table",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the table service",
 };
 const OBJECTS: Key = Key {
     name: "objects",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
-    about: "the object store; nothing is kept there yet",
+    default: DefaultValue::Required,
+    about: "the object store; unused",
 };
 const HOST_LIST: Key = Key {
     name: "host_list",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the host list",
 };
 const RATINGS: Key = Key {
     name: "ratings",
     accepts: Accepts::Address,
-    fallback: Fallback::Required,
+    default: DefaultValue::Required,
     about: "the rating service",
 };
 const CONNECT_MS: Key = Key {
@@ -90,8 +90,8 @@
         min: 1,
         max: 60_000,
     },
-    fallback: Fallback::Whole(500),
-    about: "the time to connect to any of them",
+    default: DefaultValue::Integer(500),
+    about: "the timeout for connecting to any of these services",
 };
 const REQUEST_MS: Key = Key {
     name: "request_ms",
@@ -99,8 +99,8 @@
         min: 1,
         max: 60_000,
     },
-    fallback: Fallback::Whole(2_000),
-    about: "the time to the whole answer of any of them",
+    default: DefaultValue::Integer(2_000),
+    about: "the timeout of a whole response of any of these services",
 };
 const HOST_LIST_POLL_MS: Key = Key {
     name: "host_list_poll_ms",
@@ -108,7 +108,7 @@
         min: 10,
         max: 60_000,
     },
-    fallback: Fallback::Whole(1_000),
+    default: DefaultValue::Integer(1_000),
     about: "the time between two reads of the host list",
 };
 const RATINGS_POLL_MS: Key = Key {
@@ -117,6 +117,6 @@
         min: 10,
         max: 60_000,
     },
-    fallback: Fallback::Whole(1_000),
+    default: DefaultValue::Integer(1_000),
     about: "the time between two reads of ratings",
 };
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -21,7 +21,8 @@
     /// Parses `text` as TOML with the schema `section`, and converts it with `read`.
     ///
     /// `read` gets a placeholder for each key with a fault, so that it runs to its
-    /// end and all faults are reported at once. Its result is then discarded.
+    /// end and all faults are reported at once. Its result is then discarded. After
+    /// a syntax error, missing keys aren't reported.
     pub(crate) fn read<T>(
         file: &'a str,
         text: &'a str,
@@ -36,7 +37,7 @@
         let (root, errors) = DeTable::parse_recoverable(text);
         for error in &errors {
             let offset = error.span().map_or(0, |span| span.start);
-            source.add(
+            source.report(
                 offset,
                 String::new(),
                 FaultKind::Syntax,
@@ -47,7 +48,7 @@
         source.finish(value)
     }
 
-    pub(crate) fn add(&self, offset: usize, field: String, found: FaultKind, accepted: String) {
+    pub(crate) fn report(&self, offset: usize, field: String, found: FaultKind, accepted: String) {
         let place = FaultLocation::Line {
             file: self.file.to_owned(),
             line: self.line(offset),
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -9,14 +9,15 @@
 use toml::de::{DeTable, DeValue};
 
 use crate::FaultKind;
-use crate::schema::{Accepts, Fallback, Key, Section, Shape};
+use crate::schema::{Accepts, DefaultValue, Key, Section, Shape};
 use crate::source::Source;
 use crate::validate;
 
 /// A table of a TOML text with its schema; it may be absent.
 ///
-/// The accessors report a fault for a value that the key doesn't accept, or for
-/// the absence of a required key, and return a placeholder then.
+/// The accessors return the default of an absent key. For a value that the key
+/// doesn't accept, or an absent required key, they report a fault and return a
+/// placeholder; [`Table::versions`] returns `None`.
 pub(crate) struct Table<'a> {
     source: &'a Source<'a>,
     values: Option<&'a DeTable<'a>>,
@@ -43,7 +44,8 @@
         root
     }
 
-    /// Returns a single table. If it is absent, all its keys are.
+    /// Returns a single table. If it is absent, all its keys count as absent: required
+    /// ones are reported, the others have their defaults.
     pub(crate) fn one(&self, section: &'static Section) -> Self {
         debug_assert_eq!(section.shape, Shape::One);
         match self.get(section.name) {
@@ -98,42 +100,43 @@
             .collect()
     }
 
-    /// Returns a duration, in the unit of the key's accepted values.
+    /// Returns a duration; the file gives it in seconds for [`Accepts::Seconds`],
+    /// else in milliseconds.
     pub(crate) fn duration(&self, key: &'static Key) -> Duration {
         match key.accepts {
-            Accepts::Seconds { .. } => Duration::from_secs(self.whole(key)),
-            _ => Duration::from_millis(self.whole(key)),
+            Accepts::Seconds { .. } => Duration::from_secs(self.integer(key)),
+            _ => Duration::from_millis(self.integer(key)),
         }
     }
 
     /// Returns an integer; the key's bounds have to fit a `u32`.
     pub(crate) fn count(&self, key: &'static Key) -> u32 {
-        u32::try_from(self.whole(key)).unwrap_or(u32::MAX)
+        u32::try_from(self.integer(key)).unwrap_or(u32::MAX)
     }
 
     /// Returns an integer as a `usize`.
     pub(crate) fn size(&self, key: &'static Key) -> usize {
-        usize::try_from(self.whole(key)).unwrap_or(usize::MAX)
+        usize::try_from(self.integer(key)).unwrap_or(usize::MAX)
     }
 
-    /// Returns an integer within the bounds of the key.
-    pub(crate) fn whole(&self, key: &'static Key) -> u64 {
+    /// Returns the integer of a key; a value out of the key's bounds is a fault.
+    pub(crate) fn integer(&self, key: &'static Key) -> u64 {
         self.value(key, |value| {
-            whole(value).filter(|number| key.accepts.admits(*number))
+            integer(value).filter(|number| key.accepts.is_in_bounds(*number))
         })
-        .unwrap_or(match key.fallback {
-            Fallback::Whole(number) => number,
+        .unwrap_or(match key.default {
+            DefaultValue::Integer(number) => number,
             _ => 0,
         })
     }
 
-    /// Returns a fraction from 0 to 1.
+    /// Returns the fraction of a key; a value that isn't from 0 to 1 is a fault.
     pub(crate) fn fraction(&self, key: &'static Key) -> f64 {
         self.value(key, |value| {
-            fraction(value).filter(|it| validate::is_fraction(*it))
+            float(value).filter(|it| validate::is_fraction(*it))
         })
-        .unwrap_or(match key.fallback {
-            Fallback::Fraction(share) => share,
+        .unwrap_or(match key.default {
+            DefaultValue::Fraction(share) => share,
             _ => 0.0,
         })
     }
@@ -141,29 +144,29 @@
     /// Returns the traffic shares of a roll-out's steps.
     pub(crate) fn steps(&self, key: &'static Key) -> Vec<f64> {
         self.value(key, |value| {
-            let steps: Option<Vec<f64>> = value.as_array()?.iter().map(number).collect();
+            let steps: Option<Vec<f64>> = value.as_array()?.iter().map(spanned_float).collect();
             steps.filter(|steps| validate::are_steps(steps))
         })
-        .unwrap_or_else(|| match key.fallback {
-            Fallback::Steps(steps) => steps.to_vec(),
+        .unwrap_or_else(|| match key.default {
+            DefaultValue::Steps(steps) => steps.to_vec(),
             _ => Vec::new(),
         })
     }
 
-    /// Returns the value for one of a fixed set of words.
+    /// Returns the value that `words` maps the key's word to.
     pub(crate) fn word<T: Copy>(&self, key: &'static Key, words: &[(&str, T)]) -> T {
         let find = |text: &str| words.iter().find(|(word, _)| *word == text);
         self.value(key, |value| find(value.as_str()?).map(|(_, it)| *it))
             .unwrap_or_else(|| {
-                let fallback = match key.fallback {
-                    Fallback::Word(word) => find(word),
+                let default = match key.default {
+                    DefaultValue::Word(word) => find(word),
                     _ => None,
                 };
-                fallback.unwrap_or(&words[0]).1
+                default.unwrap_or(&words[0]).1
             })
     }
 
-    /// Returns a string that is valid for the key.
+    /// Returns the string of a key.
     pub(crate) fn text(&self, key: &'static Key) -> String {
         self.value(key, |value| {
             let text = value.as_str()?;
@@ -180,7 +183,8 @@
         .unwrap_or_default()
     }
 
-    /// Returns a list of versions; `None` if the key is absent or has a fault.
+    /// Returns a list of versions; `None` if the key is absent or has a fault, which
+    /// is reported.
     pub(crate) fn versions(&self, key: &'static Key) -> Option<Vec<VersionId>> {
         self.value(key, |value| {
             let version = |value: &Spanned<DeValue<'_>>| {
@@ -210,17 +214,17 @@
         let value = values.and_then(|values| values.get(key.name));
         let (offset, shown) = match (value, table) {
             (Some(value), _) => (value.span().start, self.source.show(value)),
-            (None, Some((offset, _))) => (offset, key.fallback.to_string()),
-            (None, None) => (self.offset, key.fallback.to_string()),
+            (None, Some((offset, _))) => (offset, key.default.to_string()),
+            (None, None) => (self.offset, key.default.to_string()),
         };
         let field = format!("{}.{}", section.name, key.name);
         self.source
-            .add(offset, field, FaultKind::Value(shown), accepted.to_owned());
+            .report(offset, field, FaultKind::Value(shown), accepted.to_owned());
     }
 
-    /// Returns the value of a key as converted by `parse`. Returns `None` and
-    /// reports a fault if `parse` does or if a required key is absent, and `None`
-    /// alone if another key is absent.
+    /// Returns the value of a key as converted by `parse`. Reports a fault and returns
+    /// `None` if `parse` returns `None` or a required key is absent. If another key is
+    /// absent, it only returns `None`.
     fn value<T>(
         &self,
         key: &'static Key,
@@ -233,11 +237,11 @@
             key.name,
         );
         let Some((_, value)) = self.get(key.name) else {
-            if key.fallback == Fallback::Required {
+            if key.default == DefaultValue::Required {
                 let field = self.path_of(key.name);
                 let accepted = key.accepts.to_string();
                 self.source
-                    .add(self.offset, field, FaultKind::Missing, accepted);
+                    .report(self.offset, field, FaultKind::Missing, accepted);
             }
             return None;
         };
@@ -251,10 +255,10 @@
     fn report_key_value(&self, key: &Key, value: &Spanned<DeValue<'_>>) {
         let shown = match key.accepts {
             // The value isn't shown: it may be the key itself instead of its hash.
-            Accepts::Hash => "a text that isn't shown".to_owned(),
+            Accepts::Hash => "a value (hidden)".to_owned(),
             _ => self.source.show(value),
         };
-        self.source.add(
+        self.source.report(
             value.span().start,
             self.path_of(key.name),
             FaultKind::Value(shown),
@@ -266,7 +270,7 @@
         let found = FaultKind::Value(self.source.show(value));
         let field = self.path_of(name);
         self.source
-            .add(value.span().start, field, found, accepted.to_owned());
+            .report(value.span().start, field, found, accepted.to_owned());
     }
 
     fn child(
@@ -303,7 +307,7 @@
             let field = self.path_of(name.get_ref());
             let accepted = suggest(name.get_ref(), &known);
             self.source
-                .add(name.span().start, field, FaultKind::UnknownKey, accepted);
+                .report(name.span().start, field, FaultKind::UnknownKey, accepted);
         }
     }
 
@@ -321,13 +325,13 @@
     }
 }
 
-fn whole(value: &DeValue<'_>) -> Option<u64> {
-    let integer = value.as_integer()?;
-    u64::from_str_radix(integer.as_str(), integer.radix()).ok()
+fn integer(value: &DeValue<'_>) -> Option<u64> {
+    let literal = value.as_integer()?;
+    u64::from_str_radix(literal.as_str(), literal.radix()).ok()
 }
 
 /// Parses a float, or an integer such as `0` or `1`, as a float.
-fn fraction(value: &DeValue<'_>) -> Option<f64> {
+fn float(value: &DeValue<'_>) -> Option<f64> {
     let text = value
         .as_float()
         .map(toml::de::DeFloat::as_str)
@@ -335,8 +339,8 @@
     text.parse().ok()
 }
 
-fn number(value: &Spanned<DeValue<'_>>) -> Option<f64> {
-    fraction(value.get_ref())
+fn spanned_float(value: &Spanned<DeValue<'_>>) -> Option<f64> {
+    float(value.get_ref())
 }
 
 fn suggest(name: &str, known: &[&str]) -> String {
--- a/crates/config/tests/pages.rs
+++ b/crates/config/tests/pages.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use config::schema::{Fallback, Section, Shape};
+use config::schema::{DefaultValue, Section, Shape};
 use config::{EntryFile, EntryKind, Settings};
 
 const SETTINGS: &str = include_str!("../../../docs/reference/settings.md");
@@ -23,9 +23,9 @@
         text.push_str("| key | accepts | default | meaning |\n|---|---|---|---|\n");
     }
     for key in section.keys {
-        let default = match key.fallback {
-            Fallback::Required => "(required)".to_owned(),
-            Fallback::Optional => "(none)".to_owned(),
+        let default = match key.default {
+            DefaultValue::Required => "(required)".to_owned(),
+            DefaultValue::Optional => "(none)".to_owned(),
             other => format!("`{other}`"),
         };
         writeln!(
@@ -67,7 +67,11 @@
         .iter()
         .map(|section| section.keys.len())
         .sum();
-    assert_eq!(count_keys(SETTINGS), known);
+    assert_eq!(
+        count_keys(SETTINGS),
+        known,
+        "the page lists a different number of keys than the schema"
+    );
 }
 
 #[test]
@@ -86,5 +90,9 @@
             known += child.keys.len();
         }
     }
-    assert_eq!(count_keys(PROFILES), known);
+    assert_eq!(
+        count_keys(PROFILES),
+        known,
+        "the page lists a different number of keys than the schemas"
+    );
 }
