--- a/crates/ledger/examples/measure.rs
+++ b/crates/ledger/examples/measure.rs
@@ -5,6 +5,7 @@
 
 /// Size of a memory page in bytes.
 const PAGE_BYTES: usize = 4096;
+/// Number of records, and of remembered keys, whose memory is measured.
 const RECORDS: usize = 20_000;
 
 fn main() {
--- a/crates/ledger/src/action.rs
+++ b/crates/ledger/src/action.rs
@@ -8,9 +8,10 @@
 
 /// An action that the daemon performs for the ledger.
 ///
-/// Every arrival gets exactly one of [`Action::Permit`], [`Action::Replay`], [`Action::Forward`]
-/// and [`Action::Refuse`]. Every permitted request that was reported as finished gets exactly one
-/// of [`Action::Release`] and [`Action::Close`].
+/// Every arrival that isn't cancelled gets one of [`Action::Permit`], [`Action::Replay`],
+/// [`Action::Forward`] and [`Action::Refuse`]. After a [`Action::Forward`] that failed it also gets
+/// an [`Action::Replay`] or an [`Action::Refuse`]. Every permitted request that was
+/// reported as finished gets exactly one of [`Action::Release`] and [`Action::Close`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Dispatch the request. The daemon reports each attempt and the end.
@@ -29,7 +30,7 @@
     Forward {
         /// The request that arrived.
         request: RequestId,
-        /// The incarnation that minted the caller's ticket.
+        /// The incarnation that minted the ticket or, without a ticket, holds the claim.
         home: Incarnation,
     },
     /// Refuse the request without dispatching it.
@@ -39,7 +40,8 @@
         /// The reason, and whether the request may have run.
         refusal: Refusal,
     },
-    /// Send the end of the response, which was held back until its billing record was safe.
+    /// Send the end of the response, which was held back until its billing record was safe or the
+    /// release timeout expired.
     Release {
         /// The request that was answered.
         request: RequestId,
@@ -85,15 +87,16 @@
         /// The maximum number of rows.
         limit: usize,
     },
-    /// Take a new incarnation and report it by [`crate::Event::Renew`], because another host fenced
-    /// this one.
+    /// Take a new incarnation and report it by [`crate::Event::Renew`], because this one was fenced
+    /// or another process writes under it.
     Retire {
-        /// The fenced incarnation.
+        /// The incarnation to replace.
         fenced: Incarnation,
     },
     /// The drain is complete: the process may exit.
     Drained,
-    /// Send [`crate::Event::Tick`] at this time, which is earlier than requested before.
+    /// Send [`crate::Event::Tick`] at this time. Requested only if no tick at this time or earlier
+    /// is outstanding.
     Wake {
         /// Monotonic time of this process.
         at: Duration,
--- a/crates/ledger/src/admission.rs
+++ b/crates/ledger/src/admission.rs
@@ -29,7 +29,8 @@
 ///
 /// Invariant: exactly one incarnation decides about an at-most-once key. It is the one that minted
 /// the ticket or, without a ticket, the one whose claim is in the table. No other incarnation ever
-/// runs the key, not even after the deciding one is gone.
+/// runs the key, not even after the deciding one is gone, unless the claim is deleted because
+/// nothing ran under it.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     calls: Calls,
@@ -84,7 +85,8 @@
         self.registry.len() >= cx.shared.tuning.max_keys
     }
 
-    /// Starts a call whose key isn't remembered.
+    /// Starts a call that needs no entry: one without a key, or an idempotent one that another host
+    /// or no host decides about.
     fn start_unremembered(&mut self, cx: &mut Context, view: &View, call: CallKey) {
         match refusal_reason(cx, view) {
             Some(reason) => {
@@ -96,7 +98,8 @@
     }
 
     /// Starts the first call of a key under a ticket of this incarnation. No other host can have
-    /// run the key, and this host remembers its keys for longer than the ticket is valid.
+    /// run an at-most-once key, and this host remembers its keys for longer than the ticket is
+    /// valid.
     fn start_at_home(&mut self, cx: &mut Context, view: &View, call: CallKey, expires: Duration) {
         let full = self.is_full(cx).then_some(Reason::Overloaded);
         if let Some(reason) = refusal_reason(cx, view).or(full) {
@@ -156,7 +159,7 @@
         };
         let retry_policy = call.retry_policy;
         if retry_policy == RetryPolicy::AtMostOnce && it.fingerprint != call.fingerprint {
-            // Once the claim is settled, the other body is the only one that can have run under the
+            // Unless the claim is still being written, only the other body can have run under the
             // key.
             let run = if it.state == State::Claiming {
                 Run::Unknown
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Starts a call of a key of which no attempt has run.
+    /// Starts a call whose key is [`State::Runnable`].
     fn start_runnable(&mut self, cx: &mut Context, view: &View, entry: EntryKey, call: CallKey) {
         let run = self.run_state(call);
         match refusal_reason(cx, view) {
--- a/crates/ledger/src/admission/adopt.rs
+++ b/crates/ledger/src/admission/adopt.rs
@@ -14,13 +14,13 @@
 pub(crate) enum AdoptionResult {
     /// The record was taken over, or its key had been billed before.
     Accepted,
-    /// There is no room. The holder keeps the record and offers it again.
+    /// There is no room. Whoever has the record keeps it and tries again later.
     NoRoom(Box<Record>),
 }
 
 impl Admission {
-    /// Adopts records of idempotent work that ran at `from` under tickets of this incarnation. Each
-    /// key is billed once.
+    /// Adopts records that `from` offers, of idempotent work that ran on another host under tickets
+    /// of this incarnation. Each key is billed once.
     pub(crate) fn adopt(
         &mut self,
         cx: &mut Context,
@@ -40,8 +40,8 @@
 
     /// Adopts a record of this incarnation's tickets from the copies of a host that is gone.
     ///
-    /// It must be remembered by key and not settled by itself, because the lost host, or another
-    /// host that inherits from it, may offer the same key again.
+    /// It is adopted like an offered record, because the lost host, or another host that takes over
+    /// its copies, may offer the same key.
     pub(crate) fn adopt_inherited(
         &mut self,
         cx: &mut Context,
--- a/crates/ledger/src/admission/finish.rs
+++ b/crates/ledger/src/admission/finish.rs
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Records that a key was sent without a response. It stays unknown permanently.
+    /// Records that an attempt of a key was sent and got no response. The key stays unknown.
     fn record_unknown(&mut self, cx: &mut Context, entry: EntryKey) {
         if let Some(it) = self.registry.get_mut(entry) {
             it.state = State::Unknown;
--- a/crates/ledger/src/arrival.rs
+++ b/crates/ledger/src/arrival.rs
@@ -41,7 +41,7 @@
 pub enum RetryPolicy {
     /// A second run is harmless, and both runs are billed once.
     Idempotent,
-    /// It runs at most once, such as a booking.
+    /// The request runs at most once, for example a booking.
     AtMostOnce,
 }
 
--- a/crates/ledger/src/batch_writer.rs
+++ b/crates/ledger/src/batch_writer.rs
@@ -56,12 +56,12 @@
     }
 }
 
-/// Whether a batch showed that this incarnation is fenced.
+/// Whether a batch showed that this incarnation may write no more batches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FenceStatus {
-    /// It isn't known to be fenced.
+    /// It isn't known to be fenced, or to be used by another process.
     NotSeen,
-    /// Another host has fenced it.
+    /// It is fenced, or another process writes under it.
     Fenced,
 }
 
--- a/crates/ledger/src/calls.rs
+++ b/crates/ledger/src/calls.rs
@@ -16,7 +16,7 @@
     pub(crate) struct CallKey;
 }
 
-/// A call that has arrived and not ended.
+/// A call, from its arrival to its end.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) request: RequestId,
@@ -57,7 +57,7 @@
     Permitted { sent: u32 },
 }
 
-/// The calls that have arrived and not ended.
+/// The calls by key and by request ID.
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
     calls: SlotMap<CallKey, Call>,
--- a/crates/ledger/src/context.rs
+++ b/crates/ledger/src/context.rs
@@ -145,7 +145,7 @@
         self.shared.timers.arm(self.now + after, timer);
     }
 
-    /// The time of the next try of a failed write.
+    /// The time of the next try after a failure.
     pub(crate) fn retry_at(&self) -> Duration {
         self.now + self.shared.tuning.retry_interval
     }
@@ -170,8 +170,8 @@
         self.shared.failures >= FAILURES_UNTIL_UNAVAILABLE
     }
 
-    /// Whether a table operation would probably only delay the caller. One operation per retry
-    /// interval is still tried, to notice when the table is available again.
+    /// Whether a table operation would probably only delay the caller. After the retry interval
+    /// operations are tried again until one fails.
     pub(crate) fn table_recently_failed(&self) -> bool {
         self.table_unavailable()
             && self.now < self.shared.failed_at + self.shared.tuning.retry_interval
--- a/crates/ledger/src/core.rs
+++ b/crates/ledger/src/core.rs
@@ -136,8 +136,9 @@
         }
     }
 
-    /// Takes over the records of an owner that is gone: they are copied to another host and settled
-    /// under the homes of their keys.
+    /// Takes over the records of an owner that is gone. Those of other homes are copied to another
+    /// host and settled under the homes of their keys. Those about whose keys this process decides
+    /// are adopted, or kept as copies without room.
     fn take_over(&mut self, cx: &mut Context, owner: Incarnation) {
         let mut rejected = Vec::new();
         for record in self.received_copies.take_owned(owner) {
@@ -278,8 +279,9 @@
         }
     }
 
-    /// Handles a fence on this incarnation, set by a host that took this one for dead. No further
-    /// batch would be applied, so all records are settled one by one.
+    /// Handles a fence on this incarnation, set by a host that took this one for dead, or another
+    /// process that writes under it. No further batch is written, so all records are settled one
+    /// by one.
     fn on_fence_status(&mut self, cx: &mut Context, status: FenceStatus) {
         if status == FenceStatus::NotSeen {
             return;
--- a/crates/ledger/src/event.rs
+++ b/crates/ledger/src/event.rs
@@ -19,7 +19,8 @@
         /// A permitted request.
         request: RequestId,
     },
-    /// A permitted request has ended. Reported exactly once per permit.
+    /// A permitted request has ended. Reported once per permit, unless [`Event::Cancelled`] is
+    /// reported instead.
     Finished {
         /// A permitted request.
         request: RequestId,
@@ -27,7 +28,7 @@
         end: End,
     },
     /// The caller disconnected before its request was dispatched, and it won't be dispatched any
-    /// more. If the request was permitted at the same moment, the ledger closes it.
+    /// more. If the request was already permitted, the ledger closes it.
     Cancelled {
         /// A request of which no attempt was sent.
         request: RequestId,
--- a/crates/ledger/src/lease/action.rs
+++ b/crates/ledger/src/lease/action.rs
@@ -17,7 +17,8 @@
         row: Row,
     },
     /// Read back the state that earlier orders left at the endpoints, then report
-    /// [`super::Event::ReadBack`]. Requested after a takeover, before the first order.
+    /// [`super::Event::ReadBack`]. Requested after a takeover, before the first order to an
+    /// endpoint that ignores fencing numbers.
     ReadBack,
     /// Stop: the lease is no longer held.
     Lost,
--- a/crates/ledger/src/lease/event.rs
+++ b/crates/ledger/src/lease/event.rs
@@ -27,7 +27,7 @@
     },
     /// It was not applied, because another write came first.
     Failed,
-    /// It was not applied, because it never reached the table.
+    /// It was not applied: it wasn't sent, or the table rejected it.
     NotApplied,
     /// It may be applied, already or later.
     Unknown,
--- a/crates/ledger/src/lease/row.rs
+++ b/crates/ledger/src/lease/row.rs
@@ -13,7 +13,7 @@
 pub struct Row {
     /// The holder, or `None` after a release.
     pub holder: Option<Incarnation>,
-    /// The fencing number, higher for each new holder.
+    /// The fencing number, which rises each time the lease is taken.
     pub fencing: Fencing,
     /// Differs for each write of one holder, so that the holder recognises its own write after a
     /// lost response.
--- a/crates/ledger/src/lease/state.rs
+++ b/crates/ledger/src/lease/state.rs
@@ -40,8 +40,8 @@
 /// A candidate for the lease of one job.
 ///
 /// The candidates need no common clock. The holder's lease ends on its own clock, counted from
-/// before it sent its last successful renewal. Another candidate takes over only after it has seen
-/// the row unchanged for longer than that on its own clock.
+/// before it sent its last successful renewal. Another candidate takes over a lease that wasn't
+/// released only after it has seen the row unchanged for longer than that on its own clock.
 #[derive(Debug)]
 pub struct Lease {
     me: Incarnation,
@@ -101,7 +101,7 @@
     row: Row,
     /// The time at which it was sent, from which the lease's duration counts.
     started: Duration,
-    /// Whether the row names a holder that the write replaces.
+    /// Whether the row that this write replaces names a holder.
     takes_over: bool,
 }
 
@@ -211,7 +211,8 @@
     }
 
     fn written(&mut self, now: Duration, result: Written, actions: &mut Vec<Action>) {
-        // The result of the write that releases the lease is ignored.
+        // After a resignation all results are ignored: those of the release and of a write that was
+        // in flight.
         let Some(pending) = self.writing.take() else {
             return;
         };
@@ -232,8 +233,8 @@
         }
     }
 
-    /// Takes the lease after a successful write. Its duration counts from before the write was
-    /// sent, because other candidates may have read the row from that time on.
+    /// Takes or renews the lease after a successful write. Its duration counts from before the
+    /// write was sent, because other candidates may have read the row from that time on.
     fn acquire(
         &mut self,
         now: Duration,
@@ -309,7 +310,7 @@
         Some(seen.since + self.tuning.duration + self.tuning.margin)
     }
 
-    /// Returns the condition and the fencing number of a takeover, and whether it replaces another
+    /// Returns the condition and the fencing number of a takeover, and whether the row names a
     /// holder, if the lease is free.
     fn takeover(&self, now: Duration) -> Option<(Expect, Fencing, bool)> {
         let seen = self.seen.as_ref()?;
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -10,7 +10,8 @@
 
 /// At-most-once execution and billing on one host, without IO.
 ///
-/// The daemon passes in events and performs the returned actions. Any monotonic clock will do.
+/// The daemon passes in events and performs the returned actions. `now` is read from a monotonic
+/// clock of this process.
 #[derive(Debug)]
 pub struct Ledger {
     shared: Shared,
--- a/crates/ledger/src/measure.rs
+++ b/crates/ledger/src/measure.rs
@@ -1,6 +1,6 @@
-//! Measurements of the ledger's cost per host, for the capacity page.
+//! Measures the ledger's computing time, messages and table writes per host.
 //!
-//! A host and its partner run against a simulated table on a virtual clock; only the processor time
+//! A host and its partner run against a simulated table on a virtual clock; only the computing time
 //! is real.
 
 mod pair;
@@ -29,7 +29,7 @@
 pub struct Figures {
     /// Number of records made in the run.
     pub records: u64,
-    /// Processor time per record, including its copy and the encoding of both.
+    /// Elapsed time per record, including its copy, the encoding of both, and the simulation.
     pub processor: Duration,
     /// Messages sent per second.
     pub messages_per_second: f64,
--- a/crates/ledger/src/measure/pair.rs
+++ b/crates/ledger/src/measure/pair.rs
@@ -18,7 +18,7 @@
 /// Delay of a message and of a write.
 const DELAY: Duration = Duration::from_millis(2);
 
-/// A host and its partner, with a table that only counts writes.
+/// Two ledgers on a virtual clock, and counts of their messages and table writes.
 pub(super) struct Pair {
     host: Ledger,
     partner: Ledger,
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -37,15 +37,16 @@
         /// The serials of the records.
         serials: Vec<Serial>,
     },
-    /// Adopt the records of work that ran at the sender under the receiver's tickets. The receiver
-    /// bills each key once.
+    /// Adopt these records of work that ran on other hosts under the receiver's tickets. The
+    /// receiver bills each key once.
     Adopt {
         /// The records, under the sender's serials.
         records: Vec<Record>,
     },
-    /// The receiver of an [`Message::Adopt`] is now responsible for these records.
+    /// The sender has adopted these records or has billed their keys before, so the receiver may
+    /// delete them.
     Adopted {
-        /// The sender's serials of the records.
+        /// The serials under which the receiver of this message offered the records.
         serials: Vec<Serial>,
     },
 }
--- a/crates/ledger/src/peers.rs
+++ b/crates/ledger/src/peers.rs
@@ -64,16 +64,16 @@
             .count()
     }
 
-    /// Returns when `incarnation` disappeared, or `now` if it was never seen.
+    /// Returns the start of the absence of `incarnation`. If none is recorded, records `now`.
     ///
-    /// A host that has just started knows no other host. It counts from its own first look, so it
-    /// fences no host before it has heard from the fleet.
+    /// A host that has just started thus waits for the whole `fence_after`, counted from the first
+    /// time it asks for this incarnation.
     pub(crate) fn gone_since(&mut self, now: Duration, incarnation: Incarnation) -> Duration {
         *self.gone.entry(incarnation).or_insert(now)
     }
 
-    /// Restarts the count for a missing `incarnation` that sent a message: it is alive, whatever
-    /// the membership says.
+    /// Restarts the count for a missing `incarnation` that sent a message: it is alive, even
+    /// if the membership doesn't list it.
     pub(crate) fn record_contact(&mut self, now: Duration, incarnation: Incarnation) {
         if let Some(since) = self.gone.get_mut(&incarnation) {
             *since = now;
--- a/crates/ledger/src/pending.rs
+++ b/crates/ledger/src/pending.rs
@@ -14,7 +14,7 @@
 use copies::CopyInFlight;
 pub(crate) use record::{PendingRecord, SettlementPhase, Waiter, WritePath};
 
-/// The records of this host that aren't in the table yet, and their copies.
+/// The unwritten records by serial, the queues in which they are written, and their copies.
 #[derive(Debug)]
 pub(crate) struct PendingRecords {
     next: Serial,
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Removes the records inherited from `home` and returns them under their original serials.
+    /// Removes the records inherited from `home` and returns them under their original serials. The
+    /// floor of a record that its home made for a batch is its serial there.
     pub(crate) fn take_inherited(&mut self, cx: &mut Context, home: Incarnation) -> Vec<Record> {
         let inherited = self
             .single(home)
@@ -197,13 +198,13 @@
             cx.shared.counters.single_copy += 1;
             release(cx, record, Durability::SingleCopy);
         }
-        // The host that ran the work waits on: no caller waits for its record, and it keeps the
-        // record until this host has a second copy.
+        // The host that offers the record waits on: no caller waits for it, and that host keeps
+        // the record until this host has a second copy.
         record.waiting = adopters;
     }
 
     /// Adds `waiting` to those that wait for the record, or returns it as an error if the record is
-    /// already safe.
+    /// gone or nothing waits for it any more.
     pub(crate) fn wait(&mut self, serial: Serial, waiting: Waiter) -> Result<(), Waiter> {
         match self.by_serial.get_mut(&serial) {
             Some(record) if !record.waiting.is_empty() => {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Removes records that are in the table, and releases their copies.
+    /// Removes records that this host needn't keep any more, and releases their copies.
     pub(crate) fn settle(&mut self, cx: &mut Context, serials: &[Serial]) {
         let mut copies: BTreeMap<Incarnation, Vec<Serial>> = BTreeMap::new();
         for &serial in serials {
--- a/crates/ledger/src/pending/copies.rs
+++ b/crates/ledger/src/pending/copies.rs
@@ -13,7 +13,7 @@
 
 /// Maximum number of records in one copy message.
 const MAX_COPY_RECORDS: usize = 128;
-/// Time for which a partner that didn't confirm a copy is avoided.
+/// Time for which a partner that refused a copy or didn't confirm it is avoided.
 const AVOID_DURATION: Duration = Duration::from_secs(5);
 /// Number of copies that a record needs when this host shuts down while the table is unavailable.
 const HANDOVER_COPIES: usize = 2;
--- a/crates/ledger/src/pending/record.rs
+++ b/crates/ledger/src/pending/record.rs
@@ -33,8 +33,9 @@
 pub(crate) enum SettlementPhase {
     /// Nothing was done yet.
     Pending,
-    /// The record was made by its home and taken over because the home seemed to be gone. If the
-    /// home is alive it still has the record, so the record must not be offered to it for adoption.
+    /// The record was made by its home. Unless this process is the home, the record was taken over
+    /// because the home seemed to be gone. If the home is alive it still has the record, so the
+    /// record must not be offered to it for adoption.
     Inherited,
     /// The home was asked to adopt it.
     Offered,
@@ -49,7 +50,7 @@
     Response(RequestId),
     /// A retry that gets the same response.
     Retry(RequestId, Outcome),
-    /// The host that ran the work, and its serial of the record.
+    /// The host that offers the record, and its serial there.
     Adopter(Incarnation, Serial),
 }
 
--- a/crates/ledger/src/received_copies.rs
+++ b/crates/ledger/src/received_copies.rs
@@ -30,7 +30,7 @@
 struct Owner {
     /// All serials below this are released, even if their copies arrive later.
     below: Serial,
-    /// The highest serial that was stored when the owner was last asked.
+    /// The highest stored serial at the last run of [`ReceivedCopies::query_owners`].
     at_last_query: Serial,
     records: BTreeMap<Serial, EncodedRecord>,
 }
@@ -71,7 +71,7 @@
         cx.send(from, Message::Copied { copy_id });
     }
 
-    /// Stores records of `owner`, except those it has released.
+    /// Stores records of `owner`, except those below the serial up to which it has released all.
     pub(crate) fn store(&mut self, cx: &mut Context, owner: Incarnation, records: Vec<Record>) {
         if records.is_empty() {
             return;
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -43,16 +43,17 @@
     pub revision: Revision,
 }
 
-/// The billing record of a request. There is at most one per [`RequestKey`].
+/// The billing record of a request. Several hosts may hold a record of the same [`RequestKey`]; at
+/// most one of them is written to the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Its serial in the incarnation that holds it.
     pub serial: Serial,
     /// The request key, which includes the customer.
     pub key: RequestKey,
-    /// The incarnation that puts the record into one of its batches or, if the work ran elsewhere
-    /// than at its home, the one that ran it. A home never adopts a record that it made itself: it
-    /// still has the record, or has written it to the table.
+    /// The incarnation that ran the request or, once the home has put the record into its batches,
+    /// the home. A home adopts no record of which it is the maker: it still has the record, or has
+    /// written it to the table.
     pub maker: Incarnation,
     /// The lowest serial that a record of the same key can have in the home's batches.
     pub floor: Serial,
@@ -67,7 +68,7 @@
 pub struct Replay {
     /// The hash of path and body.
     pub fingerprint: Fingerprint,
-    /// The response, or `None` if it was too large to store.
+    /// The response, or `None` if it isn't stored.
     pub outcome: Option<Outcome>,
 }
 
--- a/crates/ledger/src/refusal.rs
+++ b/crates/ledger/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The refusal of a call.
+//! Refusals of calls.
 
 use std::time::Duration;
 
@@ -21,16 +21,18 @@
     /// The table is needed and unavailable, or too many records wait for it.
     #[display("store_out")]
     StoreOut,
-    /// Another arrival of the same key is running.
+    /// Another arrival of the key is undecided or running and no more may wait for it, or a
+    /// forwarded call reached a host that doesn't decide about its key.
     #[display("in_progress")]
     InProgress,
-    /// The host that decided about the key is gone, or has forgotten it.
+    /// The host that decided about the key is gone, didn't respond, or may have forgotten it; or
+    /// the ticket has expired.
     #[display("holder_gone")]
     HolderGone,
     /// The key was used for another body.
     #[display("key_reused")]
     KeyReused,
-    /// The request got a response that is no longer stored.
+    /// The request got a response that isn't stored or can't be read.
     #[display("answer_cut")]
     AnswerCut,
     /// An earlier arrival of the key was sent and got no response.
--- a/crates/ledger/src/registry.rs
+++ b/crates/ledger/src/registry.rs
@@ -40,9 +40,9 @@
 pub(crate) enum State {
     /// The claim is being written.
     Claiming,
-    /// No attempt has run, so a call may start.
+    /// A call may start. No attempt of an at-most-once key has run.
     Runnable,
-    /// A call is running.
+    /// An at-most-once call is running.
     Running,
     /// A call ran to a response.
     Answered(Option<Outcome>),
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OwnClaim {
     pub(crate) nonce: u64,
-    /// The time at which the claim's write is abandoned.
+    /// The time from which a failed write of the claim isn't retried.
     pub(crate) deadline: Duration,
 }
 
--- a/crates/ledger/src/rows.rs
+++ b/crates/ledger/src/rows.rs
@@ -93,7 +93,7 @@
 }
 
 /// Returns the claim row from which retries of an at-most-once call are handled once its host is
-/// gone.
+/// gone, or `None` if the record has no replay data.
 pub(crate) fn claim_outcome(record: &Record) -> Option<Put> {
     let replay = record.replay.as_ref()?;
     let value = Claim::Answered {
--- a/crates/ledger/src/settler.rs
+++ b/crates/ledger/src/settler.rs
@@ -15,10 +15,10 @@
 
 /// Number of batches that a search reads at a time.
 const SCAN_LIMIT: usize = 32;
-/// Maximum number of records that one transaction inserts.
+/// Maximum number of records that one transaction inserts or one message offers.
 const MAX_INSERTS: usize = 100;
 
-/// Settles the records of other homes one by one.
+/// Settles records that aren't written in batches.
 ///
 /// A live home adopts its records. For a home that is gone, the settler fences it, so that it can
 /// write no further batch, searches its batches for the keys, and inserts one row for each key that
@@ -120,7 +120,7 @@
         settlement.step = Step::Idle;
         match result {
             Written::Applied => cx.shared.counters.fences += 1,
-            // Another host has already fenced the home.
+            // The home is already fenced.
             Written::Failed { .. } => {}
             Written::NotApplied | Written::Unknown => return settlement.retry_later(cx, home),
         }
--- a/crates/ledger/src/status.rs
+++ b/crates/ledger/src/status.rs
@@ -11,7 +11,7 @@
     pub me: Incarnation,
     /// Number of records of this host that aren't in the table yet.
     pub held: usize,
-    /// Limit of [`Status::held`].
+    /// Value of [`Status::held`] from which no call is started.
     pub held_bound: usize,
     /// Number of copies stored for other hosts.
     pub copies: usize,
@@ -26,17 +26,17 @@
 /// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Records made.
+    /// Records added: made, adopted or taken over.
     pub records: u64,
-    /// Responses released while the record was on this host alone.
+    /// Records whose responses were released while the record was on this host alone.
     pub single_copy: u64,
     /// Stored responses sent to retries, from memory or from the table.
     pub replays: u64,
-    /// Copies sent again because a partner refused them or didn't confirm in time.
+    /// Copy messages that were refused or not confirmed in time.
     pub copy_retries: u64,
     /// Batches written.
     pub batches: u64,
-    /// Writes that were found applied after their response was lost.
+    /// Batches and claims confirmed after the response to an earlier write was lost.
     pub lost_responses: u64,
     /// Fences set by this host.
     pub fences: u64,
--- a/crates/ledger/src/table.rs
+++ b/crates/ledger/src/table.rs
@@ -75,7 +75,7 @@
         /// The rows' keys.
         keys: Vec<String>,
     },
-    /// It was not applied, because it never reached the table.
+    /// It was not applied: it wasn't sent, or the table rejected it.
     NotApplied,
     /// It may be applied, already or later.
     Unknown,
--- a/crates/ledger/src/timers.rs
+++ b/crates/ledger/src/timers.rs
@@ -8,7 +8,7 @@
 use crate::Serial;
 use crate::registry::EntryKey;
 
-/// A timer, named by the action that is due.
+/// A timer. The text of each variant states the action that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// Retry the write of a claim.
--- a/crates/ledger/src/tuning.rs
+++ b/crates/ledger/src/tuning.rs
@@ -1,18 +1,20 @@
-//! Limits and times of the ledger.
+//! The ledger's tuning parameters.
 
 use std::time::Duration;
 
 /// Limits and times of the ledger. The reasons are in `docs/design/ledger.md`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// Minimum interval between two batches of a host.
+    /// Minimum time for which a record waits for its batch, unless the batch is full, no host can
+    /// store copies, or this host shuts down.
     pub flush_interval: Duration,
-    /// Maximum number of batch transactions per second of all hosts together. In a large fleet each
-    /// host waits longer between batches.
+    /// Number of batch transactions per second of all hosts together, from which the waiting time
+    /// of a record in a large fleet is derived. The same exceptions apply.
     pub fleet_batches_per_second: u32,
     /// Maximum number of records in a batch.
     pub batch_records: usize,
-    /// Number of its own unwritten records at which a host refuses billable calls.
+    /// Number of unwritten records, including those adopted and taken over, at which a host starts
+    /// no call and adopts no record.
     pub held_records: usize,
     /// Maximum number of copies that a host stores for other hosts.
     pub held_copies: usize,
@@ -25,18 +27,19 @@
     pub release_timeout: Duration,
     /// Time for which a host must be gone before it is fenced.
     pub fence_after: Duration,
-    /// Maximum time to write a claim, retries included.
+    /// Time after which a failed write of a claim isn't retried.
     pub claim_timeout: Duration,
-    /// Delay before a failed write is retried.
+    /// Delay before a failed table operation is retried.
     pub retry_interval: Duration,
     /// Maximum number of remembered keys.
     pub max_keys: usize,
-    /// Time for which a key is remembered after its ticket has expired or, without a ticket, after
-    /// its first call.
+    /// Time for which a key is remembered after its ticket has expired, after its first call if it
+    /// has no ticket, or after its adoption if another host ran it.
     pub key_retention: Duration,
     /// Maximum size of a response that is stored for retries, in bytes.
     pub max_outcome_bytes: usize,
-    /// Maximum size of all stored responses, in bytes.
+    /// Maximum size of the stored responses in bytes, for the remembered keys, the unwritten
+    /// records and the received copies each.
     pub max_total_outcome_bytes: usize,
     /// Maximum number of retries that wait for the response of one key.
     pub max_waiters: usize,
@@ -66,8 +69,8 @@
 }
 
 impl Tuning {
-    /// Returns the interval between two batches of a host in a fleet of `hosts`, such that the
-    /// whole fleet stays within `fleet_batches_per_second`.
+    /// Returns the time for which a record waits for its batch in a fleet of `hosts`, such that the
+    /// whole fleet stays within `fleet_batches_per_second`. Full and urgent batches don't wait.
     #[must_use]
     pub fn interval(&self, hosts: usize) -> Duration {
         let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
--- a/crates/ledger/tests/lease.rs
+++ b/crates/ledger/tests/lease.rs
@@ -18,7 +18,7 @@
 }
 
 fn run(simulation: &mut Simulation, case: &TestCase) -> String {
-    assert_eq!(case.directive, "step", "commands must stand below `step`");
+    assert_eq!(case.directive, "step", "the only directive is `step`");
     for line in case.input.lines() {
         let words: Vec<&str> = line.split_whitespace().collect();
         command(simulation, &words);
@@ -89,8 +89,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Guards against two hosts that issue orders at the same time, and against fencing numbers
-    /// that fall from one holder to the next, whatever hosts freeze and however the table fails.
+    /// At most one candidate may issue orders at a time, fencing numbers don't fall, and one
+    /// candidate holds the lease after the faults have ended.
     #[test]
     fn one_holder_at_a_time(
         schedule in prop::collection::vec((0_u64..12_000, fault()), 1..12),
--- a/crates/ledger/tests/lease/simulation.rs
+++ b/crates/ledger/tests/lease/simulation.rs
@@ -37,7 +37,7 @@
     LateWrite(Expect, Row),
 }
 
-/// A simulation of candidates for one lease, its row, and two endpoints that take orders.
+/// The state of the simulation, and the faults to inject.
 #[derive(Debug, Default)]
 pub(super) struct Simulation {
     now: Duration,
@@ -52,8 +52,9 @@
     pub(super) lost_responses: u32,
     pub(super) late_writes: u32,
     pub(super) trace: String,
-    /// The highest fencing number that the checking endpoint has received.
+    /// The highest fencing number that either endpoint has received.
     highest_fencing: Fencing,
+    /// The fencing number of the holder at the last check.
     last_fencing: Fencing,
 }
 
--- a/crates/ledger/tests/pairs.rs
+++ b/crates/ledger/tests/pairs.rs
@@ -1,4 +1,4 @@
-//! Random pairs of faults against callers that retry.
+//! Runs with two random faults, during which callers retry. Invariants are checked at the end.
 //!
 //! A failure names its seed; `LEDGER_SEEDS=17..18` runs that seed alone, and a longer range is a
 //! soak test.
@@ -32,7 +32,7 @@
 const FAULT_PERIOD: Duration = Duration::from_mins(1);
 /// Time allowed for settling everything after the faults have ended.
 const SETTLE_PERIOD: Duration = Duration::from_mins(3);
-/// Time after which a caller tries another host.
+/// Time after which a caller stops waiting and retries.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(4);
 const MAX_RETRIES: u32 = 6;
 
--- a/crates/ledger/tests/pairs/check.rs
+++ b/crates/ledger/tests/pairs/check.rs
@@ -14,7 +14,7 @@
     pub(super) violations: Vec<String>,
     pub(super) responses: usize,
     /// Number of billing records lost because all hosts that held them died: two hosts, or one if
-    /// the ledger had reported a single copy.
+    /// no other host is known to hold a copy.
     pub(super) lost: usize,
 }
 
@@ -85,7 +85,7 @@
     if !holders.is_empty() {
         return holders.iter().all(is_dead);
     }
-    // No other host ever had the record, so only the host that ran the call held it.
+    // No host is known to hold the record, so it can only be lost with the host that ran the call.
     let request = call.arrival.request.as_str();
     let ran_for = |it: &&Call| {
         it.arrival.request.as_str() == request || it.relays.as_deref() == Some(request)
--- a/crates/ledger/tests/pairs/job.rs
+++ b/crates/ledger/tests/pairs/job.rs
@@ -9,7 +9,7 @@
 
 use crate::sim::{World, mint};
 
-/// Validity of a ticket, shorter than some callers keep retrying.
+/// Validity of a ticket. Some callers retry for longer than this.
 const TICKET_VALIDITY: Duration = Duration::from_secs(25);
 
 /// A request that a caller wants to be executed.
--- a/crates/ledger/tests/scripts.rs
+++ b/crates/ledger/tests/scripts.rs
@@ -12,7 +12,7 @@
 
 /// Validity of a ticket.
 const TICKET_VALIDITY: Duration = Duration::from_mins(10);
-/// Time that passes after a command that names none.
+/// Time that passes after a command other than `run` without the option `after`.
 const DEFAULT_PAUSE: Duration = Duration::from_millis(20);
 
 #[test]
@@ -32,7 +32,7 @@
 impl Script {
     /// Runs the commands of one step, one per line.
     fn run(&mut self, case: &TestCase) -> String {
-        assert_eq!(case.directive, "step", "commands must stand below `step`");
+        assert_eq!(case.directive, "step", "the only directive is `step`");
         for line in case.input.lines() {
             self.command(&Command::parse(line));
         }
--- a/crates/ledger/tests/sim.rs
+++ b/crates/ledger/tests/sim.rs
@@ -25,7 +25,7 @@
 const TABLE_DELAY: Duration = Duration::from_millis(2);
 /// Timeout of the table's client.
 const TABLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay after which a late write is applied, from when it was sent.
+/// Delay after which a late write is applied, from when the table received it.
 const LATE_WRITE_DELAY: Duration = Duration::from_secs(4);
 
 /// A scheduled event of the simulation.
--- a/crates/ledger/tests/sim/call.rs
+++ b/crates/ledger/tests/sim/call.rs
@@ -37,7 +37,7 @@
 }
 
 impl Call {
-    /// Returns the identity of the request, equal for all arrivals of the same request.
+    /// Returns customer, home and key, or the request ID without a key. The body is not part of it.
     pub(crate) fn identity(&self) -> String {
         let home = self.arrival.ticket.map_or(0, |ticket| ticket.home.0);
         let key = self.arrival.key.as_deref();
--- a/crates/ledger/tests/sim/faults.rs
+++ b/crates/ledger/tests/sim/faults.rs
@@ -7,7 +7,7 @@
 
 use super::{Reply, RunState, Scheduled, World};
 
-/// Delay until the fleet detects a failure.
+/// Delay until the membership views follow a change.
 const DETECTION_DELAY: Duration = Duration::from_secs(3);
 
 impl World {
--- a/crates/ledger/tests/sim/holders.rs
+++ b/crates/ledger/tests/sim/holders.rs
@@ -5,7 +5,7 @@
 use kernel::Incarnation;
 use ledger::{Message, Serial};
 
-/// The hosts that hold each record, derived from the messages between them.
+/// The records that each host holds, by owner and serial.
 #[derive(Debug, Default)]
 pub(crate) struct Holders {
     /// The key of each record, by owner and serial.
--- a/crates/ledger/tests/sim/host.rs
+++ b/crates/ledger/tests/sim/host.rs
@@ -15,7 +15,7 @@
     Killed,
 }
 
-/// A simulated host.
+/// A host with its ledger, and the events that wait while it is frozen.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) name: String,
--- a/crates/ledger/tests/sim/table.rs
+++ b/crates/ledger/tests/sim/table.rs
@@ -13,7 +13,7 @@
     Fine,
     /// Operations fail at once.
     Out,
-    /// Operations fail when the client's timeout expires.
+    /// Writes fail when the client's timeout expires, reads after the usual delay.
     Hanging,
 }
 
@@ -22,9 +22,9 @@
 pub(crate) struct Table {
     pub(crate) rows: BTreeMap<String, (u64, String)>,
     pub(crate) mode: Mode,
-    /// The number of next writes that are applied while their responses are lost.
+    /// The number of coming writes that are applied while their responses are lost.
     pub(crate) lost_responses: u32,
-    /// The number of next writes that are applied after their clients gave up.
+    /// The number of coming writes that are applied after their clients gave up.
     pub(crate) late_writes: u32,
     versions: u64,
 }
