--- a/crates/ledger/examples/measure.rs
+++ b/crates/ledger/examples/measure.rs
@@ -6,13 +6,13 @@
 /// Size of a memory page in bytes.
 const PAGE_BYTES: usize = 4096;
 /// Number of records, and of remembered keys, whose memory is measured.
-const RECORDS: usize = 20_000;
+const COUNT: usize = 20_000;
 
 fn main() {
     // Measures memory before anything else and frees nothing in between, because the allocator
     // would reuse freed memory and hide the growth.
-    let held = print_growth("records and as many copies", || measure::outage(RECORDS));
-    let remembering = print_growth("remembered keys", || measure::remembering(RECORDS));
+    let held = print_growth("records and as many copies", || measure::outage(COUNT));
+    let remembering = print_growth("remembered keys", || measure::remembering(COUNT));
     print_costs();
     drop((held, remembering));
 }
@@ -22,9 +22,9 @@
     let result = make();
     let bytes = resident().saturating_sub(before);
     println!(
-        "{RECORDS} {what}: {} kB, {} bytes each",
+        "{COUNT} {what}: {} kB, {} bytes each",
         bytes / 1000,
-        bytes / RECORDS
+        bytes / COUNT
     );
     result
 }
--- a/crates/ledger/src/admission.rs
+++ b/crates/ledger/src/admission.rs
@@ -65,14 +65,14 @@
             return self.handle_known_key(cx, view, entry, call);
         }
         match (scope, retry_policy) {
-            (Scope::Keyless, _) => self.start_unremembered(cx, view, call),
+            (Scope::Keyless, _) => self.start_without_entry(cx, view, call),
             (Scope::Home { expires } | Scope::Foreign { expires }, _) if expires <= cx.now => {
                 // The home may have run the key and forgotten it since.
                 self.refuse(cx, call, Reason::HolderGone, Run::Unknown);
             }
             (Scope::Home { expires }, _) => self.start_at_home(cx, view, call, expires),
             (Scope::Foreign { .. } | Scope::Unticketed, RetryPolicy::Idempotent) => {
-                self.start_unremembered(cx, view, call);
+                self.start_without_entry(cx, view, call);
             }
             (Scope::Foreign { .. }, RetryPolicy::AtMostOnce) => {
                 self.forward_or_look_up(cx, view, call);
@@ -87,7 +87,7 @@
 
     /// Starts a call that needs no entry: one without a key, or an idempotent one that another host
     /// or no host decides about.
-    fn start_unremembered(&mut self, cx: &mut Context, view: &View, call: CallKey) {
+    fn start_without_entry(&mut self, cx: &mut Context, view: &View, call: CallKey) {
         match refusal_reason(cx, view) {
             Some(reason) => {
                 let run = self.run_state(call);
--- a/crates/ledger/src/admission/adopt.rs
+++ b/crates/ledger/src/admission/adopt.rs
@@ -31,9 +31,9 @@
         for record in records {
             // A fenced or former incarnation decides about no key. The holder settles its records.
             if cx.shared.decides(record.key.home) {
-                let adopter = Waiter::Adopter(from, record.serial);
+                let offerer = Waiter::Offerer(from, record.serial);
                 // Without room nothing is confirmed, and `from` offers the record again.
-                let _ = self.adopt_one(cx, pending, vec![adopter], record);
+                let _ = self.adopt_one(cx, pending, vec![offerer], record);
             }
         }
     }
@@ -55,12 +55,12 @@
         &mut self,
         cx: &mut Context,
         pending: &mut PendingRecords,
-        adopter: Vec<Waiter>,
+        offerer: Vec<Waiter>,
         record: Record,
     ) -> AdoptionResult {
         if record.is_homes_own() {
             // This process made the record, so it already has it or has written it to the table.
-            confirm(cx, adopter);
+            confirm(cx, offerer);
             return AdoptionResult::Accepted;
         }
         if pending.len() >= cx.shared.tuning.held_records {
@@ -70,13 +70,13 @@
         if let Some(it) = found.and_then(|entry| self.registry.get_mut(entry)) {
             it.sent = it.sent.max(1);
             match it.billed {
-                Some(serial) => wait(cx, pending, serial, adopter),
-                None => it.billed = Some(pending.add(cx, record, WritePath::Batch, adopter)),
+                Some(serial) => wait(cx, pending, serial, offerer),
+                None => it.billed = Some(pending.add(cx, record, WritePath::Batch, offerer)),
             }
             return AdoptionResult::Accepted;
         }
-        if !self.registry.is_whole_since(record.floor) {
-            search(cx, pending, record, adopter);
+        if !self.registry.remembers_all_billed_since(record.floor) {
+            search(cx, pending, record, offerer);
             return AdoptionResult::Accepted;
         }
         if self.is_full(cx) {
@@ -88,7 +88,7 @@
         // billed.
         let mut entry = Entry::new(record.key.clone(), Fingerprint(0), State::Runnable);
         entry.sent = 1;
-        let serial = pending.add(cx, record, WritePath::Batch, adopter);
+        let serial = pending.add(cx, record, WritePath::Batch, offerer);
         entry.billed = Some(serial);
         self.registry
             .add(entry, cx.now + cx.shared.tuning.key_retention);
@@ -99,16 +99,16 @@
 
 /// Settles a record by itself: its key may have been billed and forgotten, so this host's own
 /// batches must be searched for it.
-fn search(cx: &mut Context, pending: &mut PendingRecords, record: Record, adopter: Vec<Waiter>) {
+fn search(cx: &mut Context, pending: &mut PendingRecords, record: Record, offerer: Vec<Waiter>) {
     if let Some(serial) = pending.find_single(&record.key) {
-        return wait(cx, pending, serial, adopter);
+        return wait(cx, pending, serial, offerer);
     }
     let write_path = WritePath::Single(cx.shared.me);
-    pending.add(cx, record, write_path, adopter);
+    pending.add(cx, record, write_path, offerer);
 }
 
-fn wait(cx: &mut Context, pending: &mut PendingRecords, serial: Serial, adopter: Vec<Waiter>) {
-    for waiting in adopter {
+fn wait(cx: &mut Context, pending: &mut PendingRecords, serial: Serial, offerer: Vec<Waiter>) {
+    for waiting in offerer {
         if let Err(waiting) = pending.wait(serial, waiting) {
             confirm(cx, vec![waiting]);
         }
@@ -116,9 +116,9 @@
 }
 
 /// Confirms the adoption of a record that doesn't have to wait for a copy.
-fn confirm(cx: &mut Context, adopter: Vec<Waiter>) {
-    for waiting in adopter {
-        if let Waiter::Adopter(to, serial) = waiting {
+fn confirm(cx: &mut Context, offerer: Vec<Waiter>) {
+    for waiting in offerer {
+        if let Waiter::Offerer(to, serial) = waiting {
             let serials = vec![serial];
             cx.send(to, Message::Adopted { serials });
         }
--- a/crates/ledger/src/admission/outcome.rs
+++ b/crates/ledger/src/admission/outcome.rs
@@ -37,8 +37,8 @@
     }
 
     fn respond_without_row(&mut self, cx: &mut Context, key: CallKey) {
-        let is_own = self.calls.get(key).is_some_and(|call| call.entry.is_some());
-        let reason = if is_own {
+        let is_remembered = self.calls.get(key).is_some_and(|call| call.entry.is_some());
+        let reason = if is_remembered {
             Reason::AnswerCut
         } else {
             Reason::HolderGone
--- a/crates/ledger/src/batch_writer.rs
+++ b/crates/ledger/src/batch_writer.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct BatchWriter {
     in_flight: Option<BatchInFlight>,
-    written_at: Option<Duration>,
+    started_at: Option<Duration>,
     retry_at: Option<Duration>,
 }
 
@@ -106,7 +106,7 @@
             return Some(cx.now);
         }
         if urgent {
-            let after = self.written_at.map(|at| at + URGENT_INTERVAL);
+            let after = self.started_at.map(|at| at + URGENT_INTERVAL);
             return Some(after.unwrap_or(cx.now));
         }
         Some(added_at + cx.shared.tuning.interval(peers.host_count()))
@@ -144,7 +144,7 @@
             response_lost: false,
         });
         self.retry_at = None;
-        self.written_at = Some(cx.now);
+        self.started_at = Some(cx.now);
     }
 
     /// Handles the result of a batch's write.
--- a/crates/ledger/src/pending.rs
+++ b/crates/ledger/src/pending.rs
@@ -190,9 +190,9 @@
         let Some(record) = self.by_serial.get_mut(&serial) else {
             return;
         };
-        let (adopters, callers) = std::mem::take(&mut record.waiting)
+        let (offerers, callers) = std::mem::take(&mut record.waiting)
             .into_iter()
-            .partition(|it| matches!(it, Waiter::Adopter(..)));
+            .partition(|it| matches!(it, Waiter::Offerer(..)));
         record.waiting = callers;
         if !record.waiting.is_empty() {
             cx.shared.counters.single_copy += 1;
@@ -200,7 +200,7 @@
         }
         // The host that offers the record waits on: no caller waits for it, and that host keeps
         // the record until this host has a second copy.
-        record.waiting = adopters;
+        record.waiting = offerers;
     }
 
     /// Adds `waiting` to those that wait for the record, or returns it as an error if the record is
@@ -258,7 +258,7 @@
                 cx.shared.counters.replays += 1;
                 cx.push(Action::Replay { request, outcome });
             }
-            Waiter::Adopter(to, serial) => cx.send(
+            Waiter::Offerer(to, serial) => cx.send(
                 to,
                 Message::Adopted {
                     serials: vec![serial],
--- a/crates/ledger/src/pending/record.rs
+++ b/crates/ledger/src/pending/record.rs
@@ -51,7 +51,7 @@
     /// A retry that gets the same response.
     Retry(RequestId, Outcome),
     /// The host that offers the record, and its serial there.
-    Adopter(Incarnation, Serial),
+    Offerer(Incarnation, Serial),
 }
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/ledger/src/registry.rs
+++ b/crates/ledger/src/registry.rs
@@ -193,7 +193,8 @@
         }
     }
 
-    /// Removes an entry and records its billing serial; see [`KeyRegistry::is_whole_since`].
+    /// Removes an entry and records its billing serial; see
+    /// [`KeyRegistry::remembers_all_billed_since`].
     pub(crate) fn forget(&mut self, entry: EntryKey) {
         if let Some(removed) = self.remove(entry) {
             self.forgotten = self.forgotten.max(removed.billed.unwrap_or_default());
@@ -201,7 +202,7 @@
     }
 
     /// Whether every key that was billed at serial `floor` or later is still remembered.
-    pub(crate) fn is_whole_since(&self, floor: Serial) -> bool {
+    pub(crate) fn remembers_all_billed_since(&self, floor: Serial) -> bool {
         self.forgotten < floor
     }
 
--- a/crates/ledger/tests/lease.rs
+++ b/crates/ledger/tests/lease.rs
@@ -10,7 +10,7 @@
 use simulation::{Candidate, Simulation};
 
 #[test]
-fn leases() {
+fn scripted_faults_of_leases_have_the_expected_traces() {
     datadriven::walk("tests/leases", |file| {
         let mut simulation = Simulation::default();
         file.run(|case| run(&mut simulation, case));
--- a/crates/ledger/tests/pairs.rs
+++ b/crates/ledger/tests/pairs.rs
@@ -44,7 +44,7 @@
 const GIVE_UP: u32 = 4;
 
 #[test]
-fn pairs() {
+fn two_random_faults_violate_no_invariant() {
     let mut responses = 0;
     let mut lost = 0;
     for seed in seeds() {
@@ -141,7 +141,7 @@
 
     fn toggle_fault(&mut self, idx: usize) {
         let fault = self.faults[idx].1.clone();
-        match fault.end() {
+        match fault.duration() {
             None if idx < 2 => fault.begin(&mut self.world),
             Some(span) if idx < 2 => {
                 fault.begin(&mut self.world);
--- a/crates/ledger/tests/pairs/fault.rs
+++ b/crates/ledger/tests/pairs/fault.rs
@@ -44,7 +44,7 @@
     }
 
     /// The duration of the fault, if it has one.
-    pub(super) fn end(&self) -> Option<Duration> {
+    pub(super) fn duration(&self) -> Option<Duration> {
         match *self {
             Self::Freeze(_, span)
             | Self::Disconnect(_, _, span)
--- a/crates/ledger/tests/scripts.rs
+++ b/crates/ledger/tests/scripts.rs
@@ -16,7 +16,7 @@
 const DEFAULT_PAUSE: Duration = Duration::from_millis(20);
 
 #[test]
-fn scripts() {
+fn scripted_faults_have_the_expected_actions() {
     datadriven::walk("tests/scripts", |file| {
         let mut script = Script::default();
         file.run(|case| script.run(case));
--- a/crates/ledger/tests/sim.rs
+++ b/crates/ledger/tests/sim.rs
@@ -37,7 +37,7 @@
     LateWrite(Transaction),
     Tick(Incarnation),
     UpdateView(usize),
-    Forwarded(String),
+    ForwardTimeout(String),
     /// A step of a call, handled by the test driver.
     Step(String, u32),
     /// The start of a job or fault, handled by the test driver.
@@ -138,7 +138,7 @@
             }
             Scheduled::Tick(to) => self.feed(to, Event::Tick),
             Scheduled::UpdateView(host) => self.update_view(host),
-            Scheduled::Forwarded(request) => self.forward_failed(&request),
+            Scheduled::ForwardTimeout(request) => self.forward_failed(&request),
             it @ (Scheduled::Step(..) | Scheduled::Plan(_)) => return Next::Driver(it),
         }
         Next::Done
--- a/crates/ledger/tests/sim/traffic.rs
+++ b/crates/ledger/tests/sim/traffic.rs
@@ -30,7 +30,10 @@
             format_args!("forwards {request} to {}", self.name(home)),
         );
         let me = self.hosts[idx].incarnation;
-        self.schedule(FORWARD_TIMEOUT, Scheduled::Forwarded(request.to_string()));
+        self.schedule(
+            FORWARD_TIMEOUT,
+            Scheduled::ForwardTimeout(request.to_string()),
+        );
         let Some(to) = self.find(home).filter(|_| self.connected(me, home)) else {
             return;
         };
