--- a/crates/barleypind/src/service/rollout/holder.rs
+++ b/crates/barleypind/src/service/rollout/holder.rs
@@ -2,7 +2,7 @@
 
 use clients::row::Key;
 use clients::{Condition, Error, Transaction};
-use ledger::lease::{Action, Denied, Endpoint, Event, Fencing, Lease, Row, Tuning, Written};
+use ledger::lease::{Action, Denied, Event, Fencing, FencingCheck, Lease, Row, Tuning, Written};
 use ledger::table::{Expect, Unavailable};
 
 use crate::context::Context;
@@ -32,14 +32,16 @@
 
     /// Returns whether this host holds the lease now, by its own clock.
     pub(crate) fn holds(&self, cx: &Context) -> bool {
-        self.lease.order(cx.host.now(), Endpoint::Checks).is_ok()
+        self.lease
+            .order(cx.host.now(), FencingCheck::Checks)
+            .is_ok()
     }
 
     /// Returns the fencing number for an order that is sent now.
     pub(crate) fn fencing_number(
         &self,
         cx: &Context,
-        endpoint: Endpoint,
+        endpoint: FencingCheck,
     ) -> Result<Fencing, Denied> {
         self.lease.order(cx.host.now(), endpoint)
     }
--- a/crates/barleypind/src/service/rollout/orders.rs
+++ b/crates/barleypind/src/service/rollout/orders.rs
@@ -37,8 +37,8 @@
             return;
         }
         let fencing_check = match engine.fencing {
-            Fencing::Checks => lease::Endpoint::Checks,
-            Fencing::Ignores => lease::Endpoint::Ignores,
+            Fencing::Checks => lease::FencingCheck::Checks,
+            Fencing::Ignores => lease::FencingCheck::Ignores,
         };
         // Check the lease immediately before sending: a holder that was frozen finds here that
         // its lease has expired.
--- a/crates/ledger/src/lease.rs
+++ b/crates/ledger/src/lease.rs
@@ -12,5 +12,5 @@
 pub use action::Action;
 pub use event::{Event, Written};
 pub use row::Row;
-pub use state::{Denied, Endpoint, Fencing, Lease};
+pub use state::{Denied, Fencing, FencingCheck, Lease};
 pub use tuning::Tuning;
--- a/crates/ledger/src/lease/state.rs
+++ b/crates/ledger/src/lease/state.rs
@@ -16,9 +16,9 @@
 #[serde(transparent)]
 pub struct Fencing(pub u64);
 
-/// Whether an endpoint checks fencing numbers.
+/// Whether an endpoint checks the fencing numbers of its orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Endpoint {
+pub enum FencingCheck {
     /// It refuses an order with an old number.
     Checks,
     /// It carries out every order.
@@ -147,15 +147,17 @@
     ///
     /// # Errors
     /// [`Denied`] if no order may be issued.
-    pub fn order(&self, now: Duration, endpoint: Endpoint) -> Result<Fencing, Denied> {
+    pub fn order(&self, now: Duration, check: FencingCheck) -> Result<Fencing, Denied> {
         let held = self
             .held
             .as_ref()
             .filter(|held| now < held.deadline)
             .ok_or(Denied::NotHeld)?;
-        match (endpoint, held.settling) {
-            (Endpoint::Checks, _) | (Endpoint::Ignores, Settling::Done) => Ok(held.row.fencing),
-            (Endpoint::Ignores, _) => Err(Denied::Settling),
+        match (check, held.settling) {
+            (FencingCheck::Checks, _) | (FencingCheck::Ignores, Settling::Done) => {
+                Ok(held.row.fencing)
+            }
+            (FencingCheck::Ignores, _) => Err(Denied::Settling),
         }
     }
 
--- a/crates/ledger/tests/lease/simulation.rs
+++ b/crates/ledger/tests/lease/simulation.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kernel::Incarnation;
-use ledger::lease::{Action, Denied, Endpoint, Event, Fencing, Lease, Row, Tuning, Written};
+use ledger::lease::{Action, Denied, Event, Fencing, FencingCheck, Lease, Row, Tuning, Written};
 use ledger::table::{Expect, Unavailable};
 use proptest::prelude::*;
 
@@ -211,37 +211,36 @@
         self.feed(self.idx(name), Event::Resign);
     }
 
-    fn check_order(&self, idx: usize, endpoint: Endpoint) -> Result<Fencing, Denied> {
+    fn check_order(&self, idx: usize, check: FencingCheck) -> Result<Fencing, Denied> {
         let candidate = &self.candidates[idx];
-        candidate.lease.order(self.clock(idx), endpoint)
+        candidate.lease.order(self.clock(idx), check)
     }
 
     /// Sends an order to both endpoints.
     pub(super) fn order(&mut self, name: &str) {
         let idx = self.idx(name);
-        for endpoint in [Endpoint::Checks, Endpoint::Ignores] {
-            match self.check_order(idx, endpoint) {
-                Ok(fencing) => self.execute(idx, endpoint, fencing),
-                Err(denied) => self.log(
-                    idx,
-                    &format!("may not order where it {endpoint:?}: {denied}"),
-                ),
+        for check in [FencingCheck::Checks, FencingCheck::Ignores] {
+            match self.check_order(idx, check) {
+                Ok(fencing) => self.execute(idx, check, fencing),
+                Err(denied) => {
+                    self.log(idx, &format!("may not order where it {check:?}: {denied}"));
+                }
             }
         }
     }
 
-    fn execute(&mut self, idx: usize, endpoint: Endpoint, fencing: Fencing) {
-        if endpoint == Endpoint::Checks && fencing < self.highest_fencing {
+    fn execute(&mut self, idx: usize, check: FencingCheck, fencing: Fencing) {
+        if check == FencingCheck::Checks && fencing < self.highest_fencing {
             return self.log(idx, &format!("is refused with {fencing} where it Checks"));
         }
         self.highest_fencing = self.highest_fencing.max(fencing);
-        self.log(idx, &format!("orders with {fencing} where it {endpoint:?}"));
+        self.log(idx, &format!("orders with {fencing} where it {check:?}"));
     }
 
     /// Decides on an order without sending it.
     pub(super) fn decide(&mut self, name: &str) {
         let idx = self.idx(name);
-        self.candidates[idx].decided = self.check_order(idx, Endpoint::Ignores).ok();
+        self.candidates[idx].decided = self.check_order(idx, FencingCheck::Ignores).ok();
     }
 
     /// Sends the order that was decided on.
@@ -250,15 +249,15 @@
         let Some(fencing) = self.candidates[idx].decided.take() else {
             return self.log(idx, "has decided nothing");
         };
-        self.execute(idx, Endpoint::Checks, fencing);
-        self.execute(idx, Endpoint::Ignores, fencing);
+        self.execute(idx, FencingCheck::Checks, fencing);
+        self.execute(idx, FencingCheck::Ignores, fencing);
     }
 
     /// The candidates that may issue orders now. A frozen host counts, because it may resume at any
     /// moment.
     pub(super) fn holders(&self) -> Vec<(usize, Fencing)> {
         (0..self.candidates.len())
-            .filter_map(|idx| Some((idx, self.check_order(idx, Endpoint::Checks).ok()?)))
+            .filter_map(|idx| Some((idx, self.check_order(idx, FencingCheck::Checks).ok()?)))
             .collect()
     }
 
