--- a/crates/ledger/src/pending.rs
+++ b/crates/ledger/src/pending.rs
@@ -14,7 +14,7 @@
 use copies::CopyInFlight;
 pub(crate) use record::{PendingRecord, SettlementPhase, Waiter, WritePath};
 
-/// The records of this host that aren't in the table yet, and their copies.
+/// The unwritten records by serial, the queues in which they are written, and their copies.
 #[derive(Debug)]
 pub(crate) struct PendingRecords {
     next: Serial,
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Removes the records inherited from `home` and returns them under their original serials.
+    /// Removes the records inherited from `home` and returns them under their original serials. The
+    /// floor of a record that its home made for a batch is its serial there.
     pub(crate) fn take_inherited(&mut self, cx: &mut Context, home: Incarnation) -> Vec<Record> {
         let inherited = self
             .single(home)
@@ -189,21 +190,21 @@
         let Some(record) = self.by_serial.get_mut(&serial) else {
             return;
         };
-        let (adopters, callers) = std::mem::take(&mut record.waiting)
+        let (offerers, callers) = std::mem::take(&mut record.waiting)
             .into_iter()
-            .partition(|it| matches!(it, Waiter::Adopter(..)));
+            .partition(|it| matches!(it, Waiter::Offerer(..)));
         record.waiting = callers;
         if !record.waiting.is_empty() {
             cx.shared.counters.single_copy += 1;
             release(cx, record, Durability::SingleCopy);
         }
-        // The host that ran the work waits on: no caller waits for its record, and it keeps the
-        // record until this host has a second copy.
-        record.waiting = adopters;
+        // The host that offers the record waits on: no caller waits for it, and that host keeps
+        // the record until this host has a second copy.
+        record.waiting = offerers;
     }
 
     /// Adds `waiting` to those that wait for the record, or returns it as an error if the record is
-    /// already safe.
+    /// gone or nothing waits for it any more.
     pub(crate) fn wait(&mut self, serial: Serial, waiting: Waiter) -> Result<(), Waiter> {
         match self.by_serial.get_mut(&serial) {
             Some(record) if !record.waiting.is_empty() => {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Removes records that are in the table, and releases their copies.
+    /// Removes records that this host needn't keep any more, and releases their copies.
     pub(crate) fn settle(&mut self, cx: &mut Context, serials: &[Serial]) {
         let mut copies: BTreeMap<Incarnation, Vec<Serial>> = BTreeMap::new();
         for &serial in serials {
@@ -257,7 +258,7 @@
                 cx.shared.counters.replays += 1;
                 cx.push(Action::Replay { request, outcome });
             }
-            Waiter::Adopter(to, serial) => cx.send(
+            Waiter::Offerer(to, serial) => cx.send(
                 to,
                 Message::Adopted {
                     serials: vec![serial],
--- a/crates/ledger/src/registry.rs
+++ b/crates/ledger/src/registry.rs
@@ -40,9 +40,9 @@
 pub(crate) enum State {
     /// The claim is being written.
     Claiming,
-    /// No attempt has run, so a call may start.
+    /// A call may start. No attempt of an at-most-once key has run.
     Runnable,
-    /// A call is running.
+    /// An at-most-once call is running.
     Running,
     /// A call ran to a response.
     Answered(Option<Outcome>),
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OwnClaim {
     pub(crate) nonce: u64,
-    /// The time at which the claim's write is abandoned.
+    /// The time from which a failed write of the claim isn't retried.
     pub(crate) deadline: Duration,
 }
 
@@ -193,7 +193,8 @@
         }
     }
 
-    /// Removes an entry and records its billing serial; see [`KeyRegistry::is_whole_since`].
+    /// Removes an entry and records its billing serial; see
+    /// [`KeyRegistry::remembers_all_billed_since`].
     pub(crate) fn forget(&mut self, entry: EntryKey) {
         if let Some(removed) = self.remove(entry) {
             self.forgotten = self.forgotten.max(removed.billed.unwrap_or_default());
@@ -201,7 +202,7 @@
     }
 
     /// Whether every key that was billed at serial `floor` or later is still remembered.
-    pub(crate) fn is_whole_since(&self, floor: Serial) -> bool {
+    pub(crate) fn remembers_all_billed_since(&self, floor: Serial) -> bool {
         self.forgotten < floor
     }
 
--- a/crates/ledger/tests/pairs.rs
+++ b/crates/ledger/tests/pairs.rs
@@ -1,4 +1,4 @@
-//! Random pairs of faults against callers that retry.
+//! Runs with two random faults, during which callers retry. Invariants are checked at the end.
 //!
 //! A failure names its seed; `LEDGER_SEEDS=17..18` runs that seed alone, and a longer range is a
 //! soak test.
@@ -32,7 +32,7 @@
 const FAULT_PERIOD: Duration = Duration::from_mins(1);
 /// Time allowed for settling everything after the faults have ended.
 const SETTLE_PERIOD: Duration = Duration::from_mins(3);
-/// Time after which a caller tries another host.
+/// Time after which a caller stops waiting and retries.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(4);
 const MAX_RETRIES: u32 = 6;
 
@@ -44,7 +44,7 @@
 const GIVE_UP: u32 = 4;
 
 #[test]
-fn pairs() {
+fn two_random_faults_violate_no_invariant() {
     let mut responses = 0;
     let mut lost = 0;
     for seed in seeds() {
@@ -141,7 +141,7 @@
 
     fn toggle_fault(&mut self, idx: usize) {
         let fault = self.faults[idx].1.clone();
-        match fault.end() {
+        match fault.duration() {
             None if idx < 2 => fault.begin(&mut self.world),
             Some(span) if idx < 2 => {
                 fault.begin(&mut self.world);
--- a/crates/ledger/tests/sim.rs
+++ b/crates/ledger/tests/sim.rs
@@ -25,7 +25,7 @@
 const TABLE_DELAY: Duration = Duration::from_millis(2);
 /// Timeout of the table's client.
 const TABLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay after which a late write is applied, from when it was sent.
+/// Delay after which a late write is applied, from when the table received it.
 const LATE_WRITE_DELAY: Duration = Duration::from_secs(4);
 
 /// A scheduled event of the simulation.
@@ -37,7 +37,7 @@
     LateWrite(Transaction),
     Tick(Incarnation),
     UpdateView(usize),
-    Forwarded(String),
+    ForwardTimeout(String),
     /// A step of a call, handled by the test driver.
     Step(String, u32),
     /// The start of a job or fault, handled by the test driver.
@@ -138,7 +138,7 @@
             }
             Scheduled::Tick(to) => self.feed(to, Event::Tick),
             Scheduled::UpdateView(host) => self.update_view(host),
-            Scheduled::Forwarded(request) => self.forward_failed(&request),
+            Scheduled::ForwardTimeout(request) => self.forward_failed(&request),
             it @ (Scheduled::Step(..) | Scheduled::Plan(_)) => return Next::Driver(it),
         }
         Next::Done
