--- a/crates/link/examples/overhead.rs
+++ b/crates/link/examples/overhead.rs
@@ -1,8 +1,5 @@
-//! Measures the overhead of QUIC per frame and per connection, in bytes and in time.
+//! Measures the cost of frames and connections over QUIC: traffic, time and memory.
 //! `docs/design/membership.md` quotes the figures.
-//!
-//! Frames are sent in one direction with pauses, so that each is acknowledged
-//! separately, as between two hosts that exchange few frames.
 
 use std::time::{Duration, Instant};
 
@@ -49,6 +46,8 @@
         let (sent, received) = (a.transport(), b.transport());
         println!("first frame and handshake: {sent:?} at the opener");
 
+        // The pauses let each frame be acknowledged separately, as between two hosts that
+        // exchange few frames.
         for _ in 0..FRAMES {
             a.send(&to_b, &frame);
             inbox.recv().await.unwrap();
@@ -56,8 +55,8 @@
         }
         let (sent, received) = (a.transport() - sent, b.transport() - received);
         println!("{FRAMES} frames of {size} bytes, without IP and UDP headers:");
-        println!("  there {sent:?}");
-        println!("  back {received:?}");
+        println!("  at the sender {sent:?}");
+        println!("  at the receiver {received:?}");
 
         let started = Instant::now();
         for _ in 0..BURST_FRAMES {
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -10,7 +10,7 @@
 
 use crate::{Counters, Incoming, Peer, Rejection, Reply};
 
-/// The channel and counters for frames received from authenticated hosts.
+/// The channel that delivers frames of authenticated hosts, and the link's counters.
 #[derive(Clone)]
 pub(crate) struct Inbox {
     pub(crate) sender: Sender<Incoming>,
@@ -73,8 +73,8 @@
 
 impl Inbox {
     /// Decodes a frame and puts it into the inbox. A full inbox drops it, so that a
-    /// peer that sends faster than this host processes frames can't exhaust its
-    /// memory; senders tolerate lost frames.
+    /// peer that sends faster than this host processes frames can't exhaust this host's
+    /// memory by frames in the inbox; senders tolerate lost frames.
     fn receive(&self, from: Peer, bytes: &[u8], reply_stream: Option<SendStream>) {
         self.counters.count_received(bytes.len());
         let frame = match Frame::decode(bytes) {
--- a/crates/link/src/counters.rs
+++ b/crates/link/src/counters.rs
@@ -12,7 +12,7 @@
     /// The handshake of an accepted connection failed or timed out, for instance because
     /// the peer has no certificate of the fleet's CA.
     Handshake,
-    /// The peer's certificate names no host, or more than one.
+    /// The certificate of a host that opened a connection contains no DNS name, or several.
     CertificateName,
     /// The received bytes can't be decoded as a frame.
     Malformed,
@@ -87,11 +87,12 @@
 pub struct Snapshot {
     /// Frames sent.
     pub frames_sent: u64,
-    /// Frames received, including malformed ones and those dropped by a full inbox.
+    /// Frames received, including responses, malformed frames and those dropped by a full
+    /// inbox, but not those that are too large.
     pub frames_received: u64,
     /// Bytes of the frames sent, without QUIC's overhead.
     pub bytes_sent: u64,
-    /// Bytes of the frames received, without QUIC's overhead.
+    /// Bytes of these received frames, without QUIC's overhead.
     pub bytes_received: u64,
     /// Frames passed to [`Link::send`](crate::Link::send) that could not be sent.
     pub unsent: u64,
@@ -120,7 +121,7 @@
         self.rejected[reason as usize].load(Ordering::Relaxed)
     }
 
-    /// Returns the traffic of all closed connections.
+    /// Returns the traffic of all closed connections to authenticated hosts.
     pub(crate) fn closed(&self) -> Transport {
         *self.closed.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/link/src/incoming.rs
+++ b/crates/link/src/incoming.rs
@@ -27,8 +27,8 @@
     }
 }
 
-/// Sends the response to a request. Dropping it closes the stream, which tells the
-/// sender that there is no response.
+/// Sends the response to a request. Dropping it ends the stream without a response; the
+/// sender's request then fails with [`Error::Frame`](crate::Error::Frame).
 #[derive(Debug)]
 pub struct Reply {
     pub(crate) stream: SendStream,
@@ -36,8 +36,8 @@
 }
 
 impl Reply {
-    /// Sends the response. Failures are ignored, because the sender may have stopped
-    /// waiting.
+    /// Sends the response. Failures are ignored: the sender may have stopped waiting. A
+    /// frame that can't be encoded is not sent.
     pub async fn send(mut self, frame: &Frame) {
         let Ok(bytes) = frame.encode() else { return };
         if self.stream.write_all(&bytes).await.is_ok() && self.stream.finish().is_ok() {
--- a/crates/link/src/keys.rs
+++ b/crates/link/src/keys.rs
@@ -10,18 +10,19 @@
 
 use crate::Error;
 
-/// The PEM files by which a host authenticates itself and others.
+/// The PEM texts with which a host authenticates itself and others.
 #[derive(Clone)]
 pub struct Keys {
     /// The certificates of the trusted CAs; more than one while a CA is being replaced.
     pub ca: String,
-    /// The host's certificate.
+    /// The host's certificate, possibly followed by those of intermediate CAs.
     pub certificate: String,
     /// The host's private key.
     pub key: String,
 }
 
-/// A CA with its private key, as PEM. Only the operator holds the key; no host needs it.
+/// A CA with its private key, as PEM. Whoever holds the key can issue certificates for any
+/// host name.
 #[derive(Clone)]
 pub struct Authority {
     /// The CA's certificate.
@@ -52,7 +53,7 @@
     ///
     /// # Errors
     /// [`Error::HostName`] if the name isn't a DNS name, [`Error::Keys`] if the CA is
-    /// invalid.
+    /// invalid or the key or certificate can't be generated.
     pub fn issue(&self, host: &HostName) -> Result<Keys, Report<Error>> {
         if !is_dns_name(host) {
             return Err(Report::new(Error::HostName));
@@ -82,8 +83,8 @@
     }
 }
 
-/// Returns whether the host's name is a DNS name. A certificate would contain an IP
-/// address as such, which names no host.
+/// Returns whether the host's name is a DNS name. An IP address would be put into the
+/// certificate as an IP address, and other hosts accept only a DNS name as a host's name.
 fn is_dns_name(host: &HostName) -> bool {
     matches!(
         ServerName::try_from(host.as_str()),
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,8 +1,9 @@
 //! Transport of frames between hosts: QUIC with mutual TLS.
 //!
-//! A host authenticates itself with a certificate signed by the fleet's CA; all other
-//! connections are rejected and counted. `wire` defines the frames, `fleet` and
-//! `ledger` decide when they are sent. See
+//! Both sides of a connection authenticate themselves with certificates signed by the
+//! fleet's CA. The side that opens it requires the other host's name in the certificate.
+//! The side that accepts it requires exactly one DNS name, and counts the connections that
+//! it rejects. `wire` defines the frames; other crates decide when they are sent. See
 //! `docs/design/membership.md` and `docs/operate/keys.md`.
 
 mod connection;
--- a/crates/link/src/link.rs
+++ b/crates/link/src/link.rs
@@ -1,4 +1,4 @@
-//! Sends frames to other hosts over pooled connections and accepts theirs.
+//! Sends frames to other hosts over pooled connections, and accepts connections from them.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -91,7 +91,8 @@
         self.inner.lock_open_connections().len()
     }
 
-    /// Returns the UDP traffic of all connections since the link was bound.
+    /// Returns the UDP traffic of all connections to authenticated hosts, open and closed,
+    /// since the link was bound.
     #[must_use]
     pub fn transport(&self) -> Transport {
         let mut sum = self.counters().closed();
@@ -113,11 +114,13 @@
         }
     }
 
-    /// Sends a frame and waits for the response.
+    /// Sends a frame and waits for the response. `time_limit` begins once there is a
+    /// connection; opening one may take up to the connect timeout in addition.
     ///
     /// # Errors
-    /// [`Error::Unreachable`] if the frame was not sent. After any other error the peer
-    /// may have received it.
+    /// [`Error::Unreachable`] if no connection was established, and [`Error::Frame`] if the
+    /// frame can't be encoded; in both cases it was not sent. After any other error, or if
+    /// the response isn't a frame (also [`Error::Frame`]), the peer may have received it.
     pub async fn request(
         &self,
         peer: &Peer,
@@ -260,8 +263,8 @@
     while let Some(incoming) = inner.endpoint.accept().await {
         let inner = inner.clone();
         task::spawn(async move {
-            // The timeout stops a client that starts a handshake and then stays silent
-            // from holding resources.
+            // Without a timeout, a client that starts a handshake and then sends nothing
+            // would hold resources for longer.
             let Ok(Ok(connection)) = timeout(inner.connect_timeout, incoming.into_future()).await
             else {
                 return inner.inbox.counters.count_rejected(Rejection::Handshake);
--- a/crates/link/src/pool.rs
+++ b/crates/link/src/pool.rs
@@ -15,12 +15,14 @@
     connections: Mutex<HashMap<HostName, PooledConnection>>,
 }
 
-/// A connection, and the state that detects that its peer no longer responds.
+/// A connection, and the data from which [`Pool::find_usable`] sees that its peer no longer
+/// responds.
 struct PooledConnection {
     connection: Connection,
-    /// Time of the first send since a datagram was last seen to arrive.
+    /// Time of the first send since a UDP datagram was last seen to arrive.
     unanswered_since: Option<Instant>,
-    /// Number of datagrams received up to the last send.
+    /// Number of UDP datagrams received as of the last call of [`Pool::find_usable`], or when
+    /// the connection was added.
     datagrams_received: u64,
 }
 
--- a/crates/link/src/settings.rs
+++ b/crates/link/src/settings.rs
@@ -16,10 +16,10 @@
     pub idle_timeout: Duration,
     /// Timeout of a handshake, in either direction.
     pub connect_timeout: Duration,
-    /// Time after a send within which the peer must have sent something, or else the
-    /// connection is replaced by a new one.
+    /// Time after a send within which the peer must have sent something; otherwise the next
+    /// send or request opens a new connection.
     pub stall_timeout: Duration,
-    /// Maximum number of frames queued per peer while its connection is established.
+    /// Maximum number of frames queued per peer while the connection to it is being opened.
     pub max_queued_frames: usize,
     /// Maximum number of received frames that wait to be processed; further ones are
     /// dropped and counted.
--- a/crates/link/src/tls.rs
+++ b/crates/link/src/tls.rs
@@ -19,11 +19,11 @@
 /// The ALPN protocol name.
 const PROTOCOL: &[u8] = b"barleypin/1";
 
-/// Maximum number of concurrent requests of one peer.
+/// Maximum number of concurrent requests of the peer on one connection.
 const MAX_CONCURRENT_REQUESTS: u32 = 256;
 
-/// Maximum number of frames that one peer may send on streams concurrently, besides
-/// requests.
+/// Maximum number of frames that the peer may send on streams of one connection
+/// concurrently, besides requests.
 const MAX_CONCURRENT_STREAM_FRAMES: u32 = 64;
 
 /// The configuration for accepted and for opened connections.
@@ -42,8 +42,8 @@
     Ok(Configs { server, client })
 }
 
-/// Returns the host name in the peer's certificate. A certificate with several names
-/// is not accepted, because its holder could act as several hosts.
+/// Returns the DNS name in the peer's certificate, or `None` if there isn't exactly one:
+/// the holder of a certificate with several could act as several hosts.
 pub(crate) fn authenticated_name(connection: &Connection) -> Option<HostName> {
     let identity = connection.peer_identity()?;
     let chain = identity.downcast::<Vec<CertificateDer<'static>>>().ok()?;
--- a/crates/link/tests/loopback.rs
+++ b/crates/link/tests/loopback.rs
@@ -11,7 +11,7 @@
 use link::{Error, Incoming, Keys, Link, Peer, Rejection, Settings};
 use wire::{Frame, Identity, Payload};
 
-/// Fails a test that would otherwise wait forever.
+/// Time limit of requests, and of the wait for a rejection.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Host {
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_certificate_of_another_ca_is_rejected_and_counted() {
-    // Guards against frames from outside the fleet, such as an order to drain.
+    // Otherwise anyone could order a host to drain.
     block_on(async {
         let authority = Authority::generate("test").unwrap();
         let b = host(&authority, "b");
--- a/crates/link/tests/rejections.rs
+++ b/crates/link/tests/rejections.rs
@@ -33,7 +33,8 @@
         Self { link, inbox }
     }
 
-    /// Waits for a rejection for `reason`, and checks that there are no others.
+    /// Waits for a rejection for `reason`. Checks that none was counted for another reason
+    /// and no frame was delivered.
     async fn check_rejected(&self, reason: Rejection) {
         let counted = async {
             while self.link.counters().rejected(reason) == 0 {
@@ -81,7 +82,7 @@
 async fn host_and_connection() -> (Host, Endpoint, Connection) {
     let authority = Authority::generate("test").unwrap();
     let host = Host::new(&authority);
-    let keys = authority.issue(&"broken".into()).unwrap();
+    let keys = authority.issue(&"sender".into()).unwrap();
     let to = host.link.address().unwrap();
     let (endpoint, connection) = connect(&authority.certificate, Some(&keys), to)
         .await
@@ -133,7 +134,7 @@
         host.check_rejected(Rejection::Malformed).await;
         send_on_stream(&connection, &Frame::Done.encode().unwrap()).await;
         let incoming = timeout(TIMEOUT, host.inbox.recv()).await.unwrap().unwrap();
-        assert_eq!(incoming.host().as_str(), "broken");
+        assert_eq!(incoming.host().as_str(), "sender");
     });
 }
 
--- a/crates/link/tests/restart.rs
+++ b/crates/link/tests/restart.rs
@@ -13,7 +13,7 @@
 use link::{Incoming, Keys, Link, Peer, Settings};
 use wire::{Frame, Identity};
 
-/// Fails a test that would otherwise wait forever.
+/// Time limit of the wait for a frame at the restarted host, and for unsent frames.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn numbered_frame(number: u64) -> Frame {
@@ -43,6 +43,8 @@
         let back = Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap());
         let address = front.local_addr().unwrap();
         let target = Arc::new(Mutex::new(target));
+        // Until a packet arrives, the caller's address is the front socket's own; by that
+        // `forward` recognizes its direction.
         let caller = Arc::new(Mutex::new(address));
         forward(&front, &back, &caller, &target);
         forward(&back, &front, &target, &caller);
@@ -127,6 +129,7 @@
 
 #[test]
 fn frames_to_a_host_that_is_not_running_are_counted_as_unsent() {
+    // Two wait for the connection, which fails; three exceed the queue.
     block_on(async {
         let authority = Authority::generate("test").unwrap();
         let mut settings = Settings::new(
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -12,7 +12,8 @@
     /// Encodes the frame.
     ///
     /// # Errors
-    /// [`Error::TooLarge`] if it exceeds [`MAX_FRAME_BYTES`].
+    /// [`Error::TooLarge`] if it exceeds [`MAX_FRAME_BYTES`], [`Error::Malformed`] if it can't
+    /// be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let bytes = postcard::to_extend(self, vec![VERSION]).map_err(|_| Error::Malformed)?;
         if bytes.len() > MAX_FRAME_BYTES {
--- a/crates/wire/src/counts.rs
+++ b/crates/wire/src/counts.rs
@@ -1,11 +1,11 @@
-//! A set of counters.
+//! Counters that are identified by a number.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Counters by number; the decision core defines the meaning of each number. Counters
-/// at zero are not stored.
+/// Counters by number; the code that creates the deltas defines the meaning of each number.
+/// `add` and `subtract` store no zeros; a decoded set may contain some.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Counts(BTreeMap<u8, u64>);
--- a/crates/wire/src/delta.rs
+++ b/crates/wire/src/delta.rs
@@ -7,16 +7,17 @@
 
 use crate::{Counts, Topic};
 
-/// Maximum number of failed endpoints in a merged delta.
+/// Number of failed endpoints from which on [`Delta::merge`] adds no more.
 const MAX_FAILED_ENDPOINTS: usize = 4;
 
-/// The counts of one topic over some time. Hosts merge deltas; the order doesn't affect
-/// the counts.
+/// The counts of one topic since they were last sent. Hosts merge deltas; the order doesn't
+/// affect the counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// The topic.
     pub topic: Topic,
-    /// Whether it reports a failure, which is sent with a shorter delay.
+    /// Whether it reports a failure, which is sent with a shorter delay on the way to the
+    /// homes, or directly to all hosts.
     pub is_urgent: bool,
     /// The counts.
     pub counts: Counts,
@@ -25,10 +26,10 @@
     pub failed_endpoints: BTreeSet<FailedEndpoint>,
 }
 
-/// One incarnation of an endpoint that failed.
+/// An endpoint that failed, and the incarnation of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FailedEndpoint {
-    /// A hash of the host's name.
+    /// A hash of the endpoint's host name.
     pub host: u64,
     /// The incarnation of its process.
     pub incarnation: Incarnation,
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -4,17 +4,19 @@
 
 use crate::{GossipMessage, Identity};
 
-/// A summary of the sender's view. The receiver responds with its records in the buckets
-/// that differ, which repairs lost gossip updates. If `reply` is set, the response is a
-/// digest of the receiver's differing buckets.
+/// A summary of the sender's view (its records of members, verdicts and endpoints). The
+/// receiver responds with its records in the buckets that differ, which repairs lost gossip
+/// updates. It leaves out dead members and records that the digest contained. If `reply` is
+/// false, the records are sent as [`Frame::Gossip`](crate::Frame::Gossip), if there are any.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The sender.
     pub from: Identity,
-    /// The fingerprints of the sender's non-empty buckets. A response contains only the
-    /// differing ones.
+    /// The fingerprints of the sender's buckets: in a request of those that aren't empty, in
+    /// a response of those that differ, also empty ones.
     pub buckets: Vec<Bucket>,
-    /// The sender's own record, or in a response its records in the differing buckets.
+    /// The sender's own record, or in a response its records in the differing buckets and its
+    /// configuration revision.
     pub gossip_message: GossipMessage,
     /// Whether the receiver is asked to respond with a digest.
     pub reply: bool,
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -14,7 +14,7 @@
     /// The frame exceeds [`crate::MAX_FRAME_BYTES`].
     #[display("{_0} bytes exceed the maximum size of a frame")]
     TooLarge(#[error(not(source))] usize),
-    /// The body can't be decoded as a frame.
+    /// The body can't be encoded, or can't be decoded as a frame.
     #[display("the frame's body is malformed")]
     Malformed,
     /// The frame is followed by further bytes.
--- a/crates/wire/src/evidence.rs
+++ b/crates/wire/src/evidence.rs
@@ -20,16 +20,17 @@
 pub enum Hop {
     /// From a host to another in a small fleet. The receiver doesn't forward the counts.
     Direct,
-    /// From a host to the relay of its data centre, which aggregates the counts.
+    /// From a host to the relay of the topic's group in its data centre, which aggregates the
+    /// counts.
     Host,
     /// From a relay to the topic's first home, which aggregates the counts of all data
-    /// centres and returns the totals to all hosts.
+    /// centres and returns the sums to all hosts via the relays.
     DataCentre,
-    /// From a relay to the topic's other homes, which don't return totals.
+    /// From a relay to the topic's other homes, which don't return sums.
     Standby,
-    /// The totals, from the first home to a relay, which forwards them to the hosts of its
-    /// data centre.
+    /// The sums over all data centres since the last return, from the first home to a relay,
+    /// which forwards them to the hosts of its data centre.
     Fleet,
-    /// The totals, from a relay to a host of its data centre.
+    /// The returned sums, from a relay to a host of its data centre.
     Final,
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -18,7 +18,7 @@
     Ack(Ack),
     /// Asks a third host to probe the target.
     ProbeRequest(ProbeRequest),
-    /// Gossip updates sent at once rather than on a probe.
+    /// Gossip updates in a frame of their own rather than on a probe, ack or digest.
     Gossip(GossipMessage),
     /// Compares two hosts' views.
     Digest(Digest),
@@ -26,24 +26,25 @@
     Fetch(Fetch),
     /// The configuration.
     Document(Document),
-    /// Counts for aggregation.
+    /// Counts about versions and customers' demand, see [`Hop`](crate::Hop).
     Evidence(Evidence),
     /// Orders the given incarnation to drain.
     #[from(skip)]
     Drain(Identity),
-    /// Confirms a frame that has no other response.
+    /// A frame without content. Hosts ignore it.
     #[from(skip)]
     Done,
     /// A message between the ledgers of two hosts, encoded by the ledger.
     #[from(skip)]
     Ledger(Payload),
-    /// A message between the decision cores of two hosts, encoded by them.
+    /// A message between the daemons of two hosts, encoded by the crate that runs them.
     #[from(skip)]
     Decide(Payload),
 }
 
 impl Frame {
-    /// Returns the name of the variant in snake case.
+    /// Returns the name of the frame's kind: the variant in snake case, except `news` for
+    /// [`Self::Gossip`].
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip updates, which hosts forward to each other until all have them.
+//! Gossip updates. Hosts forward membership records, verdicts and the states of endpoints
+//! to each other; each host announces its configuration revision itself.
 
 use kernel::{HostName, Incarnation, Revision};
 use serde::{Deserialize, Serialize};
@@ -8,8 +9,9 @@
 /// The gossip updates that a host sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// Number of hosts that the sender reaches, including itself. If it reaches far fewer
-    /// than the receiver, it is probably partitioned and its accusations are ignored.
+    /// Number of hosts that the sender reaches, including itself; 1 while it is isolated. If
+    /// it reaches far fewer than the receiver, it is probably partitioned and its accusations
+    /// are ignored. If it reaches far more, the receiver retracts all accusations.
     pub reach: u32,
     /// The updates.
     pub updates: Vec<GossipUpdate>,
@@ -18,9 +20,9 @@
 /// A gossip update.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipUpdate {
-    /// A member joined or changed its state.
+    /// A membership record.
     Member(Member),
-    /// A newer configuration exists.
+    /// The configuration revision in force at the sender.
     Revision(NewestRevision),
     /// A version was quarantined or released from quarantine.
     Verdict(Verdict),
@@ -28,16 +30,16 @@
     Endpoint(Endpoint),
 }
 
-/// The newest revision that the sender knows, and a host that has its document.
+/// A revision, and a host that has it in force and can send its document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewestRevision {
     /// The revision.
     pub revision: Revision,
-    /// A host that has it in force.
+    /// The host that has it in force and from which its document can be fetched.
     pub holder: Identity,
 }
 
-/// The state of an endpoint. Updates arrive before the host list shows the change.
+/// The state of an endpoint. Updates usually arrive before the host list shows the change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
     /// The endpoint's host name.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
 //! The frames that hosts send to each other, and their encoding.
 //!
 //! This crate defines the messages only. `fleet` decides when those for membership,
-//! gossip and evidence are sent, `ledger` when those for its records are. See
-//! `docs/design/membership.md`.
+//! gossip, configuration and evidence are sent; the crates that encode a [`Payload`] decide
+//! that for theirs. See `docs/design/membership.md`.
 
 mod codec;
 mod counts;
--- a/crates/wire/src/load.rs
+++ b/crates/wire/src/load.rs
@@ -5,7 +5,7 @@
 use kernel::HostName;
 use serde::{Deserialize, Serialize};
 
-/// The load of a host, as its neighbours forward it.
+/// The load of a host, reported by itself or forwarded by another host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// The host.
--- a/crates/wire/src/member.rs
+++ b/crates/wire/src/member.rs
@@ -9,7 +9,7 @@
 use crate::Identity;
 
 /// The state of a member. A later variant overrides an earlier one of the same
-/// incarnation and refutation.
+/// incarnation and refutation; `Dead` overrides any refutation.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -23,8 +23,8 @@
     /// It didn't refute the suspicion in time. It may be partitioned rather than dead, so
     /// the same incarnation may become alive again.
     Unreachable,
-    /// It announced its exit, was replaced by a higher incarnation, or was fenced in the
-    /// store. The state is final for the incarnation.
+    /// It announced its exit, was replaced by a higher incarnation, was fenced in the store,
+    /// or stayed unreachable for too long. The state is final for the incarnation.
     Dead,
 }
 
--- a/crates/wire/src/millis.rs
+++ b/crates/wire/src/millis.rs
@@ -1,5 +1,5 @@
-//! Encodes durations as whole milliseconds, which takes fewer bytes than the derived
-//! encoding.
+//! Encodes durations as whole milliseconds, which takes fewer bytes than serde's encoding
+//! of [`Duration`].
 
 use std::time::Duration;
 
--- a/crates/wire/src/payload.rs
+++ b/crates/wire/src/payload.rs
@@ -4,7 +4,8 @@
 
 use crate::Identity;
 
-/// An encoded message to the same core on another host, opaque to this crate.
+/// A message that another crate encodes, for the same crate on another host; opaque to
+/// this one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Payload {
     /// The sender.
--- a/crates/wire/src/probe.rs
+++ b/crates/wire/src/probe.rs
@@ -21,9 +21,9 @@
     /// A fingerprint of the sender's view. A lasting difference starts a comparison of the
     /// views, see [`crate::Digest`].
     pub view: u64,
-    /// Gossip updates that ride on the probe.
+    /// Gossip updates piggybacked on the probe.
     pub gossip_message: GossipMessage,
-    /// The newest loads that the sender knows.
+    /// The sender's own load, and a sample of recent loads of hosts in its data centre.
     pub loads: Vec<Load>,
 }
 
@@ -34,13 +34,14 @@
     pub sequence: u32,
     /// The target of the probe, also if another host forwards the ack.
     pub from: Identity,
-    /// The sender's configuration revision, and the age of the proof that it is the newest.
+    /// The target's configuration revision, and the age of the proof that it is the newest.
     pub proof: Proof,
-    /// See [`Probe::view`].
+    /// A fingerprint of the target's view, see [`Probe::view`].
     pub view: u64,
-    /// Gossip updates that ride on the ack.
+    /// Gossip updates piggybacked on the ack; none if another host forwards it.
     pub gossip_message: GossipMessage,
-    /// The newest loads that the sender knows.
+    /// The target's own load, and a sample of recent loads of hosts in its data centre; empty
+    /// if another host forwards the ack.
     pub loads: Vec<Load>,
 }
 
--- a/crates/wire/src/proof.rs
+++ b/crates/wire/src/proof.rs
@@ -11,8 +11,8 @@
 pub struct Proof {
     /// The revision in force.
     pub revision: Revision,
-    /// Time from the start of the read of the store to the creation of the frame; `None` if
-    /// there is no proof.
+    /// At least the time from the start of the read of the store to the creation of the
+    /// frame; `None` if there is no proof.
     pub age: Option<Age>,
 }
 
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Frames decode to what was encoded; the decoder rejects anything else without a panic.
+//! Frames decode to what was encoded; invalid bytes are rejected, and no input makes the
+//! decoder panic.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -318,8 +319,7 @@
 
 #[test]
 fn a_length_beyond_the_end_of_the_frame_is_rejected() {
-    // A frame that claims u32::MAX gossip updates and contains none must not make the
-    // decoder allocate memory for them.
+    // The frame claims u32::MAX gossip updates and contains none.
     check_error(
         &[VERSION, 3, 0, 0xff, 0xff, 0xff, 0xff, 0x0f],
         Error::Malformed,
