--- a/crates/link/examples/overhead.rs
+++ b/crates/link/examples/overhead.rs
@@ -12,7 +12,7 @@
 const FRAMES: u32 = 100;
 const PAUSE_BETWEEN_FRAMES: Duration = Duration::from_millis(60);
 const HANDSHAKES: u32 = 50;
-const BURST_FRAMES: u32 = 20_000;
+const TIMED_FRAMES: u32 = 20_000;
 const CONNECTIONS: u64 = 200;
 const PAGE_KB: u64 = 4;
 
@@ -43,8 +43,8 @@
         a.send(&to_b, &frame);
         inbox.recv().await.unwrap();
         sleep(Duration::from_secs(1)).await;
-        let (sent, received) = (a.transport(), b.transport());
-        println!("first frame and handshake: {sent:?} at the opener");
+        let (at_sender, at_receiver) = (a.transport(), b.transport());
+        println!("first frame and handshake: {at_sender:?} at the opener");
 
         // The pauses let each frame be acknowledged separately, as between two hosts that
         // exchange few frames.
@@ -53,19 +53,19 @@
             inbox.recv().await.unwrap();
             sleep(PAUSE_BETWEEN_FRAMES).await;
         }
-        let (sent, received) = (a.transport() - sent, b.transport() - received);
+        let (at_sender, at_receiver) = (a.transport() - at_sender, b.transport() - at_receiver);
         println!("{FRAMES} frames of {size} bytes, without IP and UDP headers:");
-        println!("  at the sender {sent:?}");
-        println!("  at the receiver {received:?}");
+        println!("  at the sender {at_sender:?}");
+        println!("  at the receiver {at_receiver:?}");
 
         let started = Instant::now();
-        for _ in 0..BURST_FRAMES {
+        for _ in 0..TIMED_FRAMES {
             a.send(&to_b, &frame);
             inbox.recv().await.unwrap();
         }
         println!(
             "frame by frame, sender and receiver: {:?} a frame",
-            started.elapsed() / BURST_FRAMES
+            started.elapsed() / TIMED_FRAMES
         );
 
         // Each change of the peer's address opens a new connection; the old one stays
--- a/crates/link/tests/rejections.rs
+++ b/crates/link/tests/rejections.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_stream_that_is_not_a_frame_is_rejected() {
+fn a_stream_whose_bytes_are_not_a_frame_is_rejected() {
     block_on(async {
         let (host, _endpoint, connection) = host_and_connection().await;
         send_on_stream(&connection, &[1, 0xff, 0xff]).await;
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn an_age_is_rounded_up() {
+fn an_age_is_rounded_up_to_whole_milliseconds() {
     let age = Age(Duration::from_micros(1500));
     let document = Document {
         sequence: 1,
