--- a/crates/fleet/src/fleet/anti_entropy.rs
+++ b/crates/fleet/src/fleet/anti_entropy.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kernel::HostName;
-use wire::{Bucket, Digest, GossipMessage, GossipUpdate, Member, NewestRevision, State};
+use wire::{AnnouncedRevision, Bucket, Digest, GossipMessage, GossipUpdate, Member, State};
 
 use crate::cx::Cx;
 use crate::view::bucket_of;
@@ -94,7 +94,7 @@
             from: self.me.identity.clone(),
             buckets: self.view.listing(),
             gossip_message: self.gossip_message(cx, vec![GossipUpdate::Member(self.me.clone())]),
-            reply: true,
+            wants_response: true,
         };
         cx.push(Action::Send {
             host: host.clone(),
@@ -132,14 +132,14 @@
             return;
         }
         let is_joining = self.members.reachable().next().is_none();
-        let differing = if digest.reply {
+        let differing = if digest.wants_response {
             self.view.differing(&digest.buckets)
         } else {
             self.still_differing(&digest.buckets)
         };
         let theirs = digest.gossip_message.updates.clone();
         self.apply_gossip_message(cx, digest.gossip_message, from);
-        if is_joining && !digest.reply {
+        if is_joining && !digest.wants_response {
             self.queue_only_own_record();
         }
         let Some(entry) = self.members.find(from) else {
@@ -148,13 +148,13 @@
         let to = entry.member.clone();
         let mut updates = self.updates_in(&differing);
         updates.retain(|it| !theirs.contains(it));
-        if digest.reply {
+        if digest.wants_response {
             updates.extend(self.revision_update());
             let response = Digest {
                 from: self.me.identity.clone(),
                 buckets: differing,
                 gossip_message: self.gossip_message(cx, updates),
-                reply: false,
+                wants_response: false,
             };
             cx.send(&to, response);
         } else if !updates.is_empty() {
@@ -201,7 +201,7 @@
 
     fn revision_update(&self) -> Option<GossipUpdate> {
         self.configuration.json()?;
-        Some(GossipUpdate::Revision(NewestRevision {
+        Some(GossipUpdate::Revision(AnnouncedRevision {
             revision: self.configuration.revision(),
             holder: self.me.identity.clone(),
         }))
--- a/crates/fleet/src/fleet/config_sync.rs
+++ b/crates/fleet/src/fleet/config_sync.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kernel::{HostName, Revision};
-use wire::{Age, Document, Fetch, NewestRevision};
+use wire::{Age, AnnouncedRevision, Document, Fetch};
 
 use crate::configuration::Fetching;
 use crate::cx::Cx;
@@ -60,8 +60,8 @@
         }
     }
 
-    pub(super) fn apply_revision(&mut self, cx: &mut Cx, newest: &NewestRevision) {
-        self.record_revision_holder(cx, &newest.holder.host, newest.revision);
+    pub(super) fn apply_revision(&mut self, cx: &mut Cx, announced: &AnnouncedRevision) {
+        self.record_revision_holder(cx, &announced.holder.host, announced.revision);
     }
 
     pub(super) fn fetch_deadline(&self) -> Option<Duration> {
--- a/crates/fleet/src/fleet/dissemination.rs
+++ b/crates/fleet/src/fleet/dissemination.rs
@@ -4,7 +4,7 @@
 
 use kernel::HostName;
 use wire::{
-    Endpoint, GossipMessage, GossipUpdate, Identity, Member, NewestRevision, State, Verdict,
+    AnnouncedRevision, Endpoint, GossipMessage, GossipUpdate, Identity, Member, State, Verdict,
 };
 
 use crate::cx::Cx;
@@ -34,7 +34,7 @@
             match update {
                 GossipUpdate::Member(member) if is_sender_isolated && is_accused(member.state) => {}
                 GossipUpdate::Member(member) => self.apply_member(cx, &member, Some(from)),
-                GossipUpdate::Revision(newest) => self.apply_revision(cx, &newest),
+                GossipUpdate::Revision(announced) => self.apply_revision(cx, &announced),
                 GossipUpdate::Verdict(verdict) => self.apply_verdict(cx, &verdict, Some(from)),
                 GossipUpdate::Endpoint(endpoint) => self.apply_endpoint(cx, &endpoint, Some(from)),
             }
@@ -174,7 +174,7 @@
 
     /// Gossips that this host has the document of the revision in force.
     pub(super) fn announce_revision(&mut self) {
-        let update = GossipUpdate::Revision(NewestRevision {
+        let update = GossipUpdate::Revision(AnnouncedRevision {
             revision: self.configuration.revision(),
             holder: self.me.identity.clone(),
         });
--- a/crates/fleet/src/measure/traffic.rs
+++ b/crates/fleet/src/measure/traffic.rs
@@ -58,7 +58,7 @@
 pub(super) fn acknowledgement_bytes(frame: &Frame) -> u64 {
     match frame {
         Frame::Probe(_) | Frame::Fetch(_) => 0,
-        Frame::Digest(digest) if digest.reply => 0,
+        Frame::Digest(digest) if digest.wants_response => 0,
         _ => ACKNOWLEDGEMENT_BYTES,
     }
 }
--- a/crates/host/src/report.rs
+++ b/crates/host/src/report.rs
@@ -176,12 +176,12 @@
     let Some(link) = host.link.borrow().clone() else {
         return Links::default();
     };
-    let transport = link.transport();
+    let traffic = link.udp_traffic();
     Links {
-        connections: link.connections() as u64,
+        connections: link.connection_count() as u64,
         handshakes: link.counters().snapshot().handshakes,
-        sent: transport.bytes_sent,
-        received: transport.bytes_received,
+        sent: traffic.bytes_sent,
+        received: traffic.bytes_received,
     }
 }
 
--- a/crates/link/examples/overhead.rs
+++ b/crates/link/examples/overhead.rs
@@ -43,7 +43,7 @@
         a.send(&to_b, &frame);
         inbox.recv().await.unwrap();
         sleep(Duration::from_secs(1)).await;
-        let (at_sender, at_receiver) = (a.transport(), b.transport());
+        let (at_sender, at_receiver) = (a.udp_traffic(), b.udp_traffic());
         println!("first frame and handshake: {at_sender:?} at the opener");
 
         // The pauses let each frame be acknowledged separately, as between two hosts that
@@ -53,7 +53,7 @@
             inbox.recv().await.unwrap();
             sleep(PAUSE_BETWEEN_FRAMES).await;
         }
-        let (at_sender, at_receiver) = (a.transport() - at_sender, b.transport() - at_receiver);
+        let (at_sender, at_receiver) = (a.udp_traffic() - at_sender, b.udp_traffic() - at_receiver);
         println!("{FRAMES} frames of {size} bytes, without IP and UDP headers:");
         println!("  at the sender {at_sender:?}");
         println!("  at the receiver {at_receiver:?}");
--- a/crates/link/src/counters.rs
+++ b/crates/link/src/counters.rs
@@ -54,13 +54,13 @@
     bytes_received: AtomicU64,
     unsent: AtomicU64,
     handshakes: AtomicU64,
-    closed: Mutex<Transport>,
+    closed: Mutex<UdpTraffic>,
     rejected: [AtomicU64; Rejection::ALL.len()],
 }
 
 /// UDP traffic, including the overhead of QUIC and TLS but not the UDP and IP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, AddAssign, Sub)]
-pub struct Transport {
+pub struct UdpTraffic {
     /// UDP payload bytes sent.
     pub bytes_sent: u64,
     /// UDP payload bytes received.
@@ -71,7 +71,7 @@
     pub datagrams_received: u64,
 }
 
-impl From<ConnectionStats> for Transport {
+impl From<ConnectionStats> for UdpTraffic {
     fn from(stats: ConnectionStats) -> Self {
         Self {
             bytes_sent: stats.udp_tx.bytes,
@@ -122,12 +122,12 @@
     }
 
     /// Returns the traffic of all closed connections to authenticated hosts.
-    pub(crate) fn closed(&self) -> Transport {
+    pub(crate) fn closed(&self) -> UdpTraffic {
         *self.closed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn count_closed(&self, transport: Transport) {
-        *self.closed.lock().unwrap_or_else(PoisonError::into_inner) += transport;
+    pub(crate) fn count_closed(&self, traffic: UdpTraffic) {
+        *self.closed.lock().unwrap_or_else(PoisonError::into_inner) += traffic;
     }
 
     pub(crate) fn count_sent(&self, bytes: usize) {
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -17,7 +17,7 @@
 mod settings;
 mod tls;
 
-pub use counters::{Counters, Rejection, Snapshot, Transport};
+pub use counters::{Counters, Rejection, Snapshot, UdpTraffic};
 pub use error::Error;
 pub use incoming::{Incoming, Reply};
 pub use keys::Keys;
--- a/crates/link/src/link.rs
+++ b/crates/link/src/link.rs
@@ -15,7 +15,7 @@
 
 use crate::connection::{self, Inbox};
 use crate::pool::Pool;
-use crate::{Counters, Error, Incoming, Peer, Rejection, Settings, Transport, tls};
+use crate::{Counters, Error, Incoming, Peer, Rejection, Settings, UdpTraffic, tls};
 
 /// The connections to other hosts of the fleet. Clones share them.
 #[derive(Clone)]
@@ -87,14 +87,14 @@
 
     /// Returns the number of open connections, opened by either side.
     #[must_use]
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.inner.lock_open_connections().len()
     }
 
     /// Returns the UDP traffic of all connections to authenticated hosts, open and closed,
     /// since the link was bound.
     #[must_use]
-    pub fn transport(&self) -> Transport {
+    pub fn udp_traffic(&self) -> UdpTraffic {
         let mut sum = self.counters().closed();
         for connection in self.inner.lock_open_connections().values() {
             sum += connection.stats().into();
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -6,8 +6,9 @@
 
 /// A summary of the sender's view (its records of members, verdicts and endpoints). The
 /// receiver responds with its records in the buckets that differ, which repairs lost gossip
-/// updates. It leaves out dead members and records that the digest contained. If `reply` is
-/// false, the records are sent as [`Frame::Gossip`](crate::Frame::Gossip), if there are any.
+/// updates. It leaves out dead members and records that the digest contained. If
+/// `wants_response` is false, the records are sent as
+/// [`Frame::Gossip`](crate::Frame::Gossip), if there are any.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The sender.
@@ -19,7 +20,7 @@
     /// configuration revision.
     pub gossip_message: GossipMessage,
     /// Whether the receiver is asked to respond with a digest.
-    pub reply: bool,
+    pub wants_response: bool,
 }
 
 /// The fingerprint of the records whose keys fall into one bucket.
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -23,7 +23,7 @@
     /// A membership record.
     Member(Member),
     /// The configuration revision in force at the sender.
-    Revision(NewestRevision),
+    Revision(AnnouncedRevision),
     /// A version was quarantined or released from quarantine.
     Verdict(Verdict),
     /// An endpoint is leaving, is gone, or was replaced.
@@ -32,7 +32,7 @@
 
 /// A revision, and a host that has it in force and can send its document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewestRevision {
+pub struct AnnouncedRevision {
     /// The revision.
     pub revision: Revision,
     /// The host that has it in force and from which its document can be fetched.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -31,7 +31,7 @@
 pub use error::Error;
 pub use evidence::{Evidence, Hop};
 pub use frame::Frame;
-pub use gossip::{Endpoint, EndpointState, GossipMessage, GossipUpdate, NewestRevision};
+pub use gossip::{AnnouncedRevision, Endpoint, EndpointState, GossipMessage, GossipUpdate};
 pub use identity::Identity;
 pub use load::Load;
 pub use member::{Member, State};
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -8,10 +8,10 @@
 use proptest::collection::{btree_set, vec};
 use proptest::prelude::*;
 use wire::{
-    Ack, Age, Bucket, Delta, Digest, Document, Endpoint, EndpointState, Error, Evidence,
-    FailedEndpoint, Fetch, Frame, GossipMessage, GossipUpdate, Hop, Identity, Load,
-    MAX_FRAME_BYTES, Member, NewestRevision, Payload, Probe, ProbeRequest, Proof, Ruling, State,
-    Topic, VERSION, Verdict,
+    Ack, Age, AnnouncedRevision, Bucket, Delta, Digest, Document, Endpoint, EndpointState, Error,
+    Evidence, FailedEndpoint, Fetch, Frame, GossipMessage, GossipUpdate, Hop, Identity, Load,
+    MAX_FRAME_BYTES, Member, Payload, Probe, ProbeRequest, Proof, Ruling, State, Topic, VERSION,
+    Verdict,
 };
 
 fn text() -> impl Strategy<Value = String> {
@@ -98,13 +98,13 @@
 }
 
 fn gossip_message() -> impl Strategy<Value = GossipMessage> {
-    let newest = (any::<u64>(), identity()).prop_map(|(revision, holder)| NewestRevision {
+    let announced = (any::<u64>(), identity()).prop_map(|(revision, holder)| AnnouncedRevision {
         revision: Revision(revision),
         holder,
     });
     let one = prop_oneof![
         member().prop_map(GossipUpdate::Member),
-        newest.prop_map(GossipUpdate::Revision),
+        announced.prop_map(GossipUpdate::Revision),
         verdict().prop_map(GossipUpdate::Verdict),
         endpoint().prop_map(GossipUpdate::Endpoint),
     ];
@@ -161,7 +161,7 @@
         ),
         gossip_message().prop_map(Frame::Gossip),
         (identity(), buckets, gossip_message(), any::<bool>()).prop_map(
-            |(from, buckets, gossip_message, reply)| {
+            |(from, buckets, gossip_message, wants_response)| {
                 let buckets = buckets
                     .into_iter()
                     .map(|(index, hash)| Bucket { index, hash })
@@ -170,7 +170,7 @@
                     from,
                     buckets,
                     gossip_message,
-                    reply,
+                    wants_response,
                 })
             }
         ),
