--- a/crates/link/examples/overhead.rs
+++ b/crates/link/examples/overhead.rs
@@ -1,8 +1,5 @@
-//! Measures the overhead of QUIC per frame and per connection, in bytes and in time.
+//! Measures the cost of frames and connections over QUIC: traffic, time and memory.
 //! `docs/design/membership.md` quotes the figures.
-//!
-//! Frames are sent in one direction with pauses, so that each is acknowledged
-//! separately, as between two hosts that exchange few frames.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +12,7 @@
 const FRAMES: u32 = 100;
 const PAUSE_BETWEEN_FRAMES: Duration = Duration::from_millis(60);
 const HANDSHAKES: u32 = 50;
-const BURST_FRAMES: u32 = 20_000;
+const TIMED_FRAMES: u32 = 20_000;
 const CONNECTIONS: u64 = 200;
 const PAGE_KB: u64 = 4;
 
@@ -46,27 +43,29 @@
         a.send(&to_b, &frame);
         inbox.recv().await.unwrap();
         sleep(Duration::from_secs(1)).await;
-        let (sent, received) = (a.transport(), b.transport());
-        println!("first frame and handshake: {sent:?} at the opener");
+        let (at_sender, at_receiver) = (a.udp_traffic(), b.udp_traffic());
+        println!("first frame and handshake: {at_sender:?} at the opener");
 
+        // The pauses let each frame be acknowledged separately, as between two hosts that
+        // exchange few frames.
         for _ in 0..FRAMES {
             a.send(&to_b, &frame);
             inbox.recv().await.unwrap();
             sleep(PAUSE_BETWEEN_FRAMES).await;
         }
-        let (sent, received) = (a.transport() - sent, b.transport() - received);
+        let (at_sender, at_receiver) = (a.udp_traffic() - at_sender, b.udp_traffic() - at_receiver);
         println!("{FRAMES} frames of {size} bytes, without IP and UDP headers:");
-        println!("  there {sent:?}");
-        println!("  back {received:?}");
+        println!("  at the sender {at_sender:?}");
+        println!("  at the receiver {at_receiver:?}");
 
         let started = Instant::now();
-        for _ in 0..BURST_FRAMES {
+        for _ in 0..TIMED_FRAMES {
             a.send(&to_b, &frame);
             inbox.recv().await.unwrap();
         }
         println!(
             "frame by frame, sender and receiver: {:?} a frame",
-            started.elapsed() / BURST_FRAMES
+            started.elapsed() / TIMED_FRAMES
         );
 
         // Each change of the peer's address opens a new connection; the old one stays
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
 //! The frames that hosts send to each other, and their encoding.
 //!
 //! This crate defines the messages only. `fleet` decides when those for membership,
-//! gossip and evidence are sent, `ledger` when those for its records are. See
-//! `docs/design/membership.md`.
+//! gossip, configuration and evidence are sent; the crates that encode a [`Payload`] decide
+//! that for theirs. See `docs/design/membership.md`.
 
 mod codec;
 mod counts;
@@ -31,7 +31,7 @@
 pub use error::Error;
 pub use evidence::{Evidence, Hop};
 pub use frame::Frame;
-pub use gossip::{Endpoint, EndpointState, GossipMessage, GossipUpdate, NewestRevision};
+pub use gossip::{AnnouncedRevision, Endpoint, EndpointState, GossipMessage, GossipUpdate};
 pub use identity::Identity;
 pub use load::Load;
 pub use member::{Member, State};
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Frames decode to what was encoded; the decoder rejects anything else without a panic.
+//! Frames decode to what was encoded; invalid bytes are rejected, and no input makes the
+//! decoder panic.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -7,10 +8,10 @@
 use proptest::collection::{btree_set, vec};
 use proptest::prelude::*;
 use wire::{
-    Ack, Age, Bucket, Delta, Digest, Document, Endpoint, EndpointState, Error, Evidence,
-    FailedEndpoint, Fetch, Frame, GossipMessage, GossipUpdate, Hop, Identity, Load,
-    MAX_FRAME_BYTES, Member, NewestRevision, Payload, Probe, ProbeRequest, Proof, Ruling, State,
-    Topic, VERSION, Verdict,
+    Ack, Age, AnnouncedRevision, Bucket, Delta, Digest, Document, Endpoint, EndpointState, Error,
+    Evidence, FailedEndpoint, Fetch, Frame, GossipMessage, GossipUpdate, Hop, Identity, Load,
+    MAX_FRAME_BYTES, Member, Payload, Probe, ProbeRequest, Proof, Ruling, State, Topic, VERSION,
+    Verdict,
 };
 
 fn text() -> impl Strategy<Value = String> {
@@ -97,13 +98,13 @@
 }
 
 fn gossip_message() -> impl Strategy<Value = GossipMessage> {
-    let newest = (any::<u64>(), identity()).prop_map(|(revision, holder)| NewestRevision {
+    let announced = (any::<u64>(), identity()).prop_map(|(revision, holder)| AnnouncedRevision {
         revision: Revision(revision),
         holder,
     });
     let one = prop_oneof![
         member().prop_map(GossipUpdate::Member),
-        newest.prop_map(GossipUpdate::Revision),
+        announced.prop_map(GossipUpdate::Revision),
         verdict().prop_map(GossipUpdate::Verdict),
         endpoint().prop_map(GossipUpdate::Endpoint),
     ];
@@ -160,7 +161,7 @@
         ),
         gossip_message().prop_map(Frame::Gossip),
         (identity(), buckets, gossip_message(), any::<bool>()).prop_map(
-            |(from, buckets, gossip_message, reply)| {
+            |(from, buckets, gossip_message, wants_response)| {
                 let buckets = buckets
                     .into_iter()
                     .map(|(index, hash)| Bucket { index, hash })
@@ -169,7 +170,7 @@
                     from,
                     buckets,
                     gossip_message,
-                    reply,
+                    wants_response,
                 })
             }
         ),
@@ -318,8 +319,7 @@
 
 #[test]
 fn a_length_beyond_the_end_of_the_frame_is_rejected() {
-    // A frame that claims u32::MAX gossip updates and contains none must not make the
-    // decoder allocate memory for them.
+    // The frame claims u32::MAX gossip updates and contains none.
     check_error(
         &[VERSION, 3, 0, 0xff, 0xff, 0xff, 0xff, 0x0f],
         Error::Malformed,
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn an_age_is_rounded_up() {
+fn an_age_is_rounded_up_to_whole_milliseconds() {
     let age = Age(Duration::from_micros(1500));
     let document = Document {
         sequence: 1,
