--- a/crates/barleyctl/src/cli.rs
+++ b/crates/barleyctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line.
 
 mod value;
 
@@ -10,7 +10,7 @@
 use clap_complete::Shell;
 use config::{EntryKind, Rollout};
 
-/// The names of arguments.
+/// Names of arguments.
 pub(crate) mod arg {
     pub(crate) const AUTHOR: &str = "author";
     pub(crate) const CHANGE: &str = "change";
@@ -32,7 +32,7 @@
     pub(crate) const TIMEOUT: &str = "timeout";
 }
 
-/// The names of commands that aren't kinds of entries.
+/// Names of commands, except those that are named after a kind of entry.
 pub(crate) mod verb {
     pub(crate) const ABORT: &str = "abort";
     pub(crate) const APPLY: &str = "apply";
@@ -59,14 +59,13 @@
     pub(crate) const WITHDRAW: &str = "withdraw";
 }
 
-/// The seconds for which a command waits until its change is in force, when
-/// the command line doesn't say.
+/// Default timeout, in seconds, of the wait for a change to be in force.
 const DEFAULT_TIMEOUT: &str = "30";
 
-/// The commits that `history` lists, when the command line doesn't say.
+/// Default number of commits that `history` lists.
 const DEFAULT_LIMIT: &str = "20";
 
-/// The whole command line.
+/// Returns the definition of the command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("barleyctl")
@@ -316,7 +315,7 @@
         )
 }
 
-/// What each command takes that changes an entry.
+/// Adds the arguments of commands that change an entry.
 fn writes(command: Command) -> Command {
     command
         .arg(
--- a/crates/barleyctl/src/cli/value.rs
+++ b/crates/barleyctl/src/cli/value.rs
@@ -1,11 +1,11 @@
-//! Values of arguments that aren't plain numbers or texts.
+//! Parsers for values of arguments.
 
 use std::time::Duration;
 
-/// The longest id of a change that hosts take, in bytes.
+/// Maximum length of a change id that hosts accept, in bytes.
 const MAX_CHANGE: usize = 128;
 
-/// Seconds, perhaps with a fraction.
+/// Parses a number of seconds above 0, possibly with a fraction.
 pub(super) fn seconds(text: &str) -> Result<Duration, String> {
     let seconds: Option<f64> = text.parse().ok();
     seconds
@@ -14,7 +14,7 @@
         .ok_or_else(|| "expected a number of seconds above 0".to_owned())
 }
 
-/// The id of a change.
+/// Parses a change id.
 pub(super) fn change_id(text: &str) -> Result<String, String> {
     let fits = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     if (1..=MAX_CHANGE).contains(&text.len()) && text.bytes().all(fits) {
--- a/crates/barleyctl/src/client.rs
+++ b/crates/barleyctl/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' protocol, spoken to any of several hosts.
+//! Client of the operator interface, for several hosts.
 
 mod change;
 mod tried;
@@ -21,16 +21,16 @@
 pub(crate) use change::{Change, History as ChangeHistory};
 use tried::Tried;
 
-/// The largest answer that is read: a document of thousands of entries fits.
+/// Maximum size of a response body; fits a document of thousands of entries.
 const MAX_ANSWER: usize = 64 << 20;
 
-/// The time to connect to a host before the next one is tried.
+/// Timeout of connecting to a host; the next host is tried after it.
 const CONNECT: Duration = Duration::from_secs(1);
 
-/// The operators' protocol, spoken to any of several hosts.
+/// A client of the operator interface.
 ///
-/// All hosts are equal, so each call goes to them in the order given until one
-/// answers.
+/// Any host can serve a call, so calls go to the hosts in the order given until
+/// one gives a usable response. [`Self::statuses`] asks all of them.
 pub(crate) struct Client {
     http: http::Client,
     hosts: Vec<SocketAddr>,
@@ -39,7 +39,8 @@
 }
 
 impl Client {
-    /// A client that shows `key` to `hosts` and waits `limit` for each answer.
+    /// Creates a client that authenticates to `hosts` with `key` and waits at most
+    /// `limit` for each response.
     pub(crate) fn new(hosts: Vec<SocketAddr>, key: &str, limit: Duration) -> Self {
         Self {
             http: http::Client::new(Arc::new(SystemClock::new()), Pool::default()),
@@ -58,10 +59,14 @@
         self.get("/operator/v1/document").await
     }
 
-    /// What each host that answers knows of the fleet, in the order given; at
-    /// least one answer.
+    /// Returns the status from each host that responds, in the order given; at
+    /// least one.
     ///
-    /// A host knows itself best: what the others know of it has travelled.
+    /// All hosts are asked, since only a host's own status reports the revision
+    /// in force on it reliably.
+    ///
+    /// # Errors
+    /// Fails if no host responds, or if one refuses the call permanently.
     pub(crate) async fn statuses(&self) -> Result<Vec<Status>, Report<Error>> {
         let request = || Request::get("/operator/v1/status");
         let asked = self.hosts.iter().map(|host| {
@@ -90,7 +95,7 @@
             .await
     }
 
-    /// Asks a host to drain. Asking twice is harmless.
+    /// Asks a host to drain. Idempotent.
     pub(crate) async fn drain(&self, host: &HostName) -> Result<(), Report<Error>> {
         let target = format!("/operator/v1/hosts/{host}/drain");
         let request = || Request::new(Method::Post, target.clone());
@@ -102,7 +107,11 @@
             .await
     }
 
-    /// The first answer that a host gives; a host that can't answer now is passed over.
+    /// Sends the request to one host after the other and returns the first response
+    /// that parses.
+    ///
+    /// A host that can't be reached, refuses for a transient reason or sends an
+    /// invalid response is skipped; a permanent refusal is returned at once.
     async fn first<T>(
         &self,
         hosts: &[SocketAddr],
@@ -145,7 +154,7 @@
     serde_json::from_slice(body).map_err(|err| err.to_string())
 }
 
-/// What a refusal means when no other host can do better.
+/// Converts a refusal that another host wouldn't decide differently.
 fn refused(refusal: Refusal) -> Error {
     let Refusal {
         problem, faults, ..
@@ -157,7 +166,7 @@
     }
 }
 
-/// Whether another host may answer what this one refuses.
+/// Returns whether another host, or this one later, may accept the same request.
 fn may_differ_elsewhere(problem: &Problem) -> bool {
     matches!(
         problem.reason,
--- a/crates/barleyctl/src/client/change.rs
+++ b/crates/barleyctl/src/client/change.rs
@@ -1,4 +1,4 @@
-//! A change, repeated safely until its outcome is known.
+//! Submits a change, with retries until its outcome is known.
 
 use std::time::Duration;
 
@@ -13,51 +13,56 @@
 use super::{Client, Tried, refused};
 use crate::error::{Attempt, Conflict, Error};
 
-/// How often each host is tried before the outcome counts as unknown.
+/// Maximum number of attempts per host.
 const ROUNDS: u32 = 3;
 
-/// The pause after the first round; it doubles with each one.
+/// Delay between the first two rounds; doubles with each further round.
 const PAUSE: Duration = Duration::from_millis(200);
 
 /// A change to one entry.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
-    /// Its id, the same at every try.
+    /// The change's id, the same for every attempt.
     pub(crate) id: ChangeId,
-    /// Whether an earlier command may have made it.
+    /// Whether an earlier command may have submitted it.
     pub(crate) history: History,
-    /// The revision of the entry that it was made from.
+    /// The revision of the entry on which it is based; zero for a new entry.
     pub(crate) base: Revision,
-    /// Who makes it.
+    /// The author, for the history.
     pub(crate) author: String,
-    /// Whether the guards against accidents apply.
+    /// Whether a withdrawal that leaves a profile or one of its customers without a
+    /// version is refused.
     pub(crate) mode: ChangeMode,
-    /// The entry.
+    /// The name of the entry.
     pub(crate) name: EntryName,
-    /// What the entry becomes; nothing when it is removed.
+    /// The new content of the entry; `None` removes it.
     pub(crate) entry: Option<Entry>,
 }
 
-/// Whether an earlier command may have made a change.
+/// Whether an earlier command may have submitted a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum History {
-    /// The id is new.
+    /// The change id is new.
     New,
-    /// It repeats the command whose outcome isn't known. A host that can't
-    /// reach the table says of this try that it changed nothing, which says
-    /// nothing of the earlier one.
+    /// The command retries a change whose outcome is unknown. A refusal that a
+    /// host gives without looking up the change id, such as while the store is
+    /// out, says nothing about the earlier attempt.
     Repeat,
 }
 
 impl Client {
-    /// Makes a change, at any host.
+    /// Submits a change to the hosts in turn until its outcome is known.
     ///
-    /// An answer that is lost leaves it open whether the change was accepted:
-    /// the operator would see an error after a change that is in force. So the
-    /// same change goes to the next host under the same id, by which a host
-    /// knows a change that is accepted already, and it is accepted once at
-    /// most. Once a try is in doubt, only an answer that was given in
-    /// knowledge of the change's id settles it.
+    /// If a response is lost, the change may be accepted, and a new change in
+    /// its place would conflict with it. Every attempt therefore carries the same
+    /// change id, by which a host recognizes a change that is accepted already:
+    /// it is accepted at most once. Once an attempt is in doubt, only an
+    /// acceptance or a refusal given after the lookup of the change id settles
+    /// the outcome.
+    ///
+    /// # Errors
+    /// Fails if the change is refused, if no host received it, or if its outcome
+    /// is still unknown after all attempts.
     pub(crate) async fn change(&self, change: &Change) -> Result<Accepted, Report<Error>> {
         let mut attempts = Vec::new();
         let mut in_doubt = change.history == History::Repeat;
@@ -147,17 +152,18 @@
     }
 }
 
-/// What a refusal says about the change.
+/// The meaning of a refusal for the change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Verdict {
-    /// The change isn't accepted, also not by an earlier try: the host looked
-    /// its id up before it compared and checked the entry.
+    /// No attempt was accepted: the host looks up the change id before it
+    /// compares revisions and validates the entry.
     Settled,
-    /// This try isn't accepted, and no other one would be.
+    /// This attempt wasn't accepted, and another one wouldn't be either.
     Final,
-    /// This try isn't accepted; another host or moment may do better.
+    /// This attempt wasn't accepted; another host, or a later attempt, may accept
+    /// it.
     Passing,
-    /// This try may have been accepted.
+    /// This attempt may have been accepted.
     InDoubt,
 }
 
--- a/crates/barleyctl/src/client/tried.rs
+++ b/crates/barleyctl/src/client/tried.rs
@@ -1,15 +1,15 @@
-//! What became of one try.
+//! The outcome of an attempt.
 
 use gate::operator::Refusal;
 
-/// What became of one try, told by what it means for a change.
+/// The outcome of an attempt at one host.
 pub(crate) enum Tried {
-    /// The host did it.
+    /// The host carried out the request; holds the response body.
     Answered(Vec<u8>),
-    /// The host said why not.
+    /// The host refused the request.
     Refused(Box<Refusal>),
-    /// Nothing left this process.
+    /// No byte of the request was sent; holds the reason.
     NotSent(String),
-    /// The host may have done it.
+    /// The host may have carried out the request; holds the reason.
     InDoubt(String),
 }
--- a/crates/barleyctl/src/command.rs
+++ b/crates/barleyctl/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Runs the commands.
 
 mod completions;
 mod customers;
@@ -19,7 +19,7 @@
 use crate::error::Error;
 use crate::session::Session;
 
-/// Runs the command that `matches` name.
+/// Runs the command that the command line names.
 pub(crate) async fn run(
     matches: &ArgMatches,
     console: &mut Console<'_>,
@@ -71,14 +71,14 @@
 fn subcommand(matches: &ArgMatches) -> (&str, &ArgMatches) {
     matches
         .subcommand()
-        .expect("the command line asks for a command at each level")
+        .expect("a subcommand is required at each level")
 }
 
-/// The name that the command line gives, in the form that a path can hold.
+/// Returns the entry name from the command line; fails if hosts wouldn't accept it.
 fn name(kind: EntryKind, matches: &ArgMatches) -> Result<EntryName, Report<Error>> {
     let name: &String = matches
         .get_one(arg::NAME)
-        .expect("the command line asks for a name");
+        .expect("the name is a required argument");
     let name = EntryName::new(kind, name);
     match name.check() {
         Ok(()) => Ok(name),
--- a/crates/barleyctl/src/command/completions.rs
+++ b/crates/barleyctl/src/command/completions.rs
@@ -1,4 +1,4 @@
-//! `completions`.
+//! The command `completions`.
 
 use clap::ArgMatches;
 use clap_complete::Shell;
@@ -6,11 +6,11 @@
 use crate::cli::{self, arg};
 use crate::console::Console;
 
-/// Prints the completions for a shell.
+/// Prints the completion script for a shell.
 pub(super) fn run(matches: &ArgMatches, console: &mut Console<'_>) {
     let shell = *matches
         .get_one::<Shell>(arg::SHELL)
-        .expect("the command line asks for a shell");
+        .expect("the shell is a required argument");
     let mut command = cli::command();
     let name = command.get_name().to_owned();
     let mut text = Vec::new();
--- a/crates/barleyctl/src/command/customers.rs
+++ b/crates/barleyctl/src/command/customers.rs
@@ -1,4 +1,4 @@
-//! What only customers have.
+//! Commands that only `customers` has.
 
 use clap::ArgMatches;
 use config::Customer;
@@ -8,7 +8,7 @@
 use crate::console::Console;
 use crate::error::Error;
 
-/// Prints the hash that stands for a bearer key in the configuration.
+/// Prints the hash by which the configuration identifies a bearer key.
 pub(super) fn hash(matches: &ArgMatches, console: &mut Console<'_>) -> Result<(), Report<Error>> {
     let (path, text) = entries::read(matches, console)?;
     let key = text.trim();
--- a/crates/barleyctl/src/command/entries.rs
+++ b/crates/barleyctl/src/command/entries.rs
@@ -1,4 +1,4 @@
-//! What entries of all kinds have in common.
+//! Commands that all kinds of entries have.
 
 use std::path::PathBuf;
 
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// Prints an entry as a file that [`apply`] takes.
+/// Prints an entry as a file that [`apply`] accepts.
 pub(super) async fn show(
     name: &EntryName,
     session: &mut Session<'_, '_>,
@@ -49,7 +49,10 @@
     Ok(())
 }
 
-/// Puts what a file says.
+/// Replaces or creates an entry with the content of a file.
+///
+/// The base revision is `--revision`, else the one in the file's first line if the
+/// file was printed from this entry.
 pub(super) async fn apply(
     name: EntryName,
     matches: &ArgMatches,
@@ -74,7 +77,7 @@
     session.change(matches, base, name, Some(file.entry)).await
 }
 
-/// Shows what a file would change.
+/// Prints the diff from the current entry to the content of a file.
 pub(super) async fn diff(
     name: &EntryName,
     matches: &ArgMatches,
@@ -90,7 +93,7 @@
     Ok(())
 }
 
-/// Removes an entry, as it is now unless a revision is given.
+/// Removes an entry, by default at its current revision.
 pub(super) async fn remove(
     name: EntryName,
     matches: &ArgMatches,
@@ -103,7 +106,7 @@
     session.change(matches, base, name, None).await
 }
 
-/// Lists the changes of a kind's entries, or of one, newest first.
+/// Lists the changes to the entries of a kind, or to one entry, newest first.
 pub(super) async fn history(
     kind: EntryKind,
     matches: &ArgMatches,
@@ -111,7 +114,7 @@
 ) -> Result<(), Report<Error>> {
     let wanted = *matches
         .get_one::<u32>(arg::LIMIT)
-        .expect("it has a default") as usize;
+        .expect("the argument has a default") as usize;
     let only: Option<&String> = matches.get_one(arg::NAME);
     let is_meant = |commit: &Commit| {
         is_of(kind, &commit.entry) && only.is_none_or(|name| commit.entry.as_str() == name)
@@ -135,7 +138,7 @@
     Ok(())
 }
 
-/// The entry as it is in the document.
+/// Returns the current entry; fails if it doesn't exist.
 pub(super) async fn current(
     name: &EntryName,
     session: &mut Session<'_, '_>,
@@ -145,12 +148,15 @@
     entry.ok_or_else(|| Error::Absent(name.clone()).into())
 }
 
-/// The text of the file that the command line names, and what errors call it.
+/// Reads the file that the command line names, or standard input for `-`. Returns
+/// its name for error messages and its text.
 pub(super) fn read(
     matches: &ArgMatches,
     console: &mut Console<'_>,
 ) -> Result<(String, String), Report<Error>> {
-    let path: &PathBuf = matches.get_one(arg::FILE).expect("it has a default");
+    let path: &PathBuf = matches
+        .get_one(arg::FILE)
+        .expect("the argument has a default");
     if path.as_os_str() == "-" {
         let shown = "standard input";
         let text = console.read().change_context(Error::Read(shown.into()))?;
@@ -173,13 +179,13 @@
     }
 }
 
-/// The most commits that a host tells of in one answer.
+/// Maximum number of commits in a response of a host.
 const MAX_HISTORY: usize = 500;
 
-/// The newest commits that are meant, at most as many as wanted.
+/// Returns the newest commits for which `is_meant` is true, at most `wanted`.
 ///
-/// The history is one for all entries and each commit costs the host a read,
-/// so it is asked for more of them only while too few are found.
+/// The history covers all entries, and each commit costs the host a read, so the
+/// requested number grows only while too few commits match.
 async fn newest(
     wanted: usize,
     is_meant: impl Fn(&Commit) -> bool,
@@ -199,7 +205,8 @@
     }
 }
 
-/// The history of versions is also that of their roll-outs.
+/// Returns whether changes to an entry are listed in the history of a kind; those
+/// of roll-outs are listed with versions.
 fn is_of(kind: EntryKind, name: &EntryName) -> bool {
     name.kind() == kind || (kind == EntryKind::Version && name.kind() == EntryKind::Rollout)
 }
--- a/crates/barleyctl/src/command/entries/columns.rs
+++ b/crates/barleyctl/src/command/entries/columns.rs
@@ -1,8 +1,8 @@
-//! What a list shows of each kind of entry.
+//! Table columns for each kind of entry.
 
 use config::{Entry, EntryKind, EntryName};
 
-/// The heads of the columns.
+/// Returns the table header.
 pub(super) fn head(kind: EntryKind) -> &'static [&'static str] {
     match kind {
         EntryKind::Version => &["VERSION", "STATE", "PROMPT", "COMPLETION", "REVISION"],
@@ -29,7 +29,7 @@
     }
 }
 
-/// The columns of an entry.
+/// Returns the table row of an entry.
 pub(super) fn row(name: &EntryName, entry: &Entry) -> Vec<String> {
     let mut row = vec![name.as_str().to_owned()];
     match entry {
--- a/crates/barleyctl/src/command/explain.rs
+++ b/crates/barleyctl/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! What became of a request, from the log lines of the hosts.
+//! The command `explain`: the outcome of a request, from the hosts' logs.
 
 mod line;
 
@@ -16,7 +16,7 @@
 
 use line::{Line, Lines};
 
-/// Events by their numbers; docs/reference/relay-events.md lists them all.
+/// Event numbers; docs/reference/relay-events.md lists all of them.
 mod event {
     pub(super) const ANSWERED: u64 = 1100;
     pub(super) const DENIED: u64 = 1101;
@@ -27,11 +27,11 @@
     pub(super) const ATTEMPT: u64 = 1200;
 }
 
-/// Reads log lines and says what became of the request that is named.
+/// Reads logs and prints a summary and the events of a request.
 pub(crate) fn run(matches: &ArgMatches, console: &mut Console<'_>) -> Result<(), Report<Error>> {
     let request: &String = matches
         .get_one(arg::NAME)
-        .expect("the command line asks for a request");
+        .expect("the request is a required argument");
     let lines = read(matches, console)?;
     let found = lines.about(request);
     if found.is_empty() {
@@ -71,7 +71,7 @@
         lines.add(&text);
     }
     for path in files {
-        // A log may be cut in the middle of a character.
+        // A truncated log may end within a UTF-8 character.
         let bytes = fs::read(path).change_context_lazy(|| Error::Read(path.clone()))?;
         lines.add(&String::from_utf8_lossy(&bytes));
     }
@@ -116,7 +116,7 @@
     )
 }
 
-/// How it ended, and whether it can have run.
+/// Describes the end of the request and whether it may have run.
 fn ending(end: &Line) -> String {
     let ms = end.count("ms").unwrap_or(0);
     let config = end
@@ -156,7 +156,7 @@
     }
 }
 
-/// What the host believed when it chose the last endpoint that a line tells of.
+/// Describes the last logged attempt and the data from which its endpoint was chosen.
 fn belief(attempt: &Line) -> String {
     let number = |name: &str| {
         attempt
--- a/crates/barleyctl/src/command/explain/line.rs
+++ b/crates/barleyctl/src/command/explain/line.rs
@@ -1,16 +1,16 @@
-//! Log lines.
+//! Parses log lines.
 
 use serde_json::Value;
 
-/// The lines of one or several logs.
+/// The events of one or several logs.
 #[derive(Debug, Default)]
 pub(super) struct Lines {
     pub(super) all: Vec<Line>,
-    /// How many lines are no events: other programs', or cut off.
+    /// Number of lines that aren't events: of other programs, or truncated.
     pub(super) foreign: usize,
 }
 
-/// One event.
+/// A log line that holds an event.
 #[derive(Debug)]
 pub(super) struct Line {
     pub(super) value: Value,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Orders them by their time: logs of several hosts come one after the other.
+    /// Sorts the events by time, since logs of several hosts are read one by one.
     pub(super) fn sort(&mut self) {
         self.all.sort_by(|a, b| a.time().cmp(b.time()));
     }
@@ -40,7 +40,7 @@
 }
 
 impl Line {
-    /// Reads a line; a collector may have put words of its own before it.
+    /// Parses a line; skips a prefix that a log collector added before the JSON.
     fn parse(line: &str) -> Option<Self> {
         let value: Value = serde_json::from_str(&line[line.find('{')?..]).ok()?;
         value.get("event")?.as_u64()?;
--- a/crates/barleyctl/src/command/hosts.rs
+++ b/crates/barleyctl/src/command/hosts.rs
@@ -1,4 +1,4 @@
-//! `hosts`.
+//! The command `hosts`, and the table of hosts.
 
 use clap::ArgMatches;
 use error_stack::Report;
@@ -13,7 +13,7 @@
 use crate::roster::Roster;
 use crate::session::Session;
 
-/// The heads of a table of hosts.
+/// The header of the table of hosts.
 pub(super) const HEAD: [&str; 7] = [
     "HOST",
     "DATA CENTRE",
@@ -24,7 +24,7 @@
     "LOAD",
 ];
 
-/// Runs a command on hosts.
+/// Runs a subcommand of `hosts`.
 pub(super) async fn run(
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The columns of a host.
+/// Returns the table row of a host.
 pub(super) fn row(host: &Host) -> Vec<String> {
     vec![
         host.name.to_string(),
@@ -49,7 +49,8 @@
     ]
 }
 
-/// How long ago the host had proof that its configuration is the newest.
+/// Formats the time since the host last had proof that its configuration is the
+/// newest.
 fn proof(host: &Host) -> String {
     match host.proof_age_ms {
         u64::MAX => "unknown".to_owned(),
@@ -67,7 +68,7 @@
 async fn drain(matches: &ArgMatches, session: &mut Session<'_, '_>) -> Result<(), Report<Error>> {
     let name: &String = matches
         .get_one(arg::NAME)
-        .expect("the command line asks for a name");
+        .expect("the name is a required argument");
     let name = HostName::from(name.as_str());
     let roster = Roster::of(&session.client.statuses().await?);
     if !roster.hosts.iter().any(|host| host.name == name) {
--- a/crates/barleyctl/src/command/keys.rs
+++ b/crates/barleyctl/src/command/keys.rs
@@ -1,4 +1,5 @@
-//! `keys`: the files that prove who a host or an operator is; see docs/operate/keys.md.
+//! The command `keys`: generates the keys and certificates of a fleet; see
+//! docs/operate/keys.md.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -20,19 +21,21 @@
 const OPERATOR_KEY: &str = "operator.key";
 const SESSION_KEY: &str = "session.key";
 
-/// Who may read a file.
+/// The permissions of a file.
 #[derive(Clone, Copy, Debug)]
 enum Access {
-    /// Everybody: it is no secret.
+    /// Readable by all users.
     Public = 0o644,
-    /// The user who made it.
+    /// Readable and writable by its owner only.
     Private = 0o600,
 }
 
-/// Runs a command on keys.
+/// Runs a subcommand of `keys`.
 pub(super) fn run(matches: &ArgMatches, console: &mut Console<'_>) -> Result<(), Report<Error>> {
     let (verb, matches) = subcommand(matches);
-    let directory: &PathBuf = matches.get_one(arg::DIRECTORY).expect("it has a default");
+    let directory: &PathBuf = matches
+        .get_one(arg::DIRECTORY)
+        .expect("the argument has a default");
     match verb {
         verb::INIT => init(matches, directory, console),
         _ => host(matches, directory, console),
@@ -44,7 +47,9 @@
     directory: &Path,
     console: &mut Console<'_>,
 ) -> Result<(), Report<Error>> {
-    let fleet: &String = matches.get_one(arg::FLEET).expect("it has a default");
+    let fleet: &String = matches
+        .get_one(arg::FLEET)
+        .expect("the argument has a default");
     let authority = Authority::generate(fleet).change_context(Error::Keys)?;
     let files = [
         (CA_KEY, authority.key, Access::Private),
@@ -65,7 +70,7 @@
 ) -> Result<(), Report<Error>> {
     let name: &String = matches
         .get_one(arg::NAME)
-        .expect("the command line asks for a name");
+        .expect("the name is a required argument");
     if name.contains(['/', '\\']) || name.starts_with('.') {
         let fault = format!("{name:?} can't name a host's files");
         return Err(Error::Input(fault).into());
@@ -83,7 +88,7 @@
     write(&certificate, &keys.certificate, Access::Public, console)
 }
 
-/// 256 random bits as one line of text.
+/// Returns 256 random bits as a line of hexadecimal digits.
 fn random_key() -> String {
     let [high, low]: [u128; 2] = rand::random();
     format!("{high:032x}{low:032x}\n")
@@ -93,8 +98,10 @@
     std::fs::read_to_string(path).change_context(Error::Read(path.to_owned()))
 }
 
-/// Writes a new file. One that is there stays: a fleet whose authority is
-/// overwritten has hosts that no longer know each other.
+/// Writes a new file and prints its path.
+///
+/// Fails if the file exists: after the loss of its authority, a fleet can't issue
+/// certificates that its hosts accept.
 fn write(
     path: &Path,
     text: &str,
--- a/crates/barleyctl/src/command/rollout.rs
+++ b/crates/barleyctl/src/command/rollout.rs
@@ -1,4 +1,4 @@
-//! `versions rollout`.
+//! The command `versions rollout`.
 
 use clap::ArgMatches;
 use config::{Entry, EntryKind, EntryName, Rollout, RolloutState};
@@ -10,7 +10,7 @@
 use crate::error::Error;
 use crate::session::{Session, is_repeat};
 
-/// Runs a command on roll-outs.
+/// Runs a subcommand of `versions rollout`.
 pub(super) async fn run(
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Starts a roll-out from its first step, also where an earlier one ended.
+/// Starts a roll-out at its first step, possibly in place of one that has ended.
 async fn start(
     name: EntryName,
     matches: &ArgMatches,
@@ -41,7 +41,7 @@
     };
     let replaces: &String = matches
         .get_one(arg::REPLACES)
-        .expect("the command line asks for it");
+        .expect("the replaced version is a required argument");
     let steps = matches.get_many::<f64>(arg::STEPS);
     let rollout = Rollout {
         replaces: replaces.as_str().into(),
@@ -56,7 +56,7 @@
         .await
 }
 
-/// Pauses, resumes or aborts a roll-out at the step that it has reached.
+/// Pauses, resumes or aborts a roll-out at its current step.
 async fn turn(
     name: EntryName,
     state: RolloutState,
@@ -78,9 +78,11 @@
         .await
 }
 
-/// The base of a change for which the roll-out is in the wrong state, unless
-/// the change itself brought it there: a host that knows the change's id takes
-/// it as a repeat, and for any other one it is a conflict.
+/// Returns the base revision of a retried change that the roll-out's state
+/// doesn't allow; fails if the change is new.
+///
+/// The first attempt may itself have caused that state. A host that knows the
+/// change id reports the change as accepted; otherwise revision 0 is a conflict.
 fn base_of_repeat(
     name: &EntryName,
     state: RolloutState,
--- a/crates/barleyctl/src/command/status.rs
+++ b/crates/barleyctl/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`.
+//! The command `status`.
 
 use error_stack::Report;
 use gate::operator::{Backlog, Health, Rollout};
@@ -10,7 +10,8 @@
 use crate::roster::Roster;
 use crate::session::Session;
 
-/// Shows the hosts, and what the first one that answers knows besides.
+/// Prints the hosts, and the versions, roll-outs and backlog as known to the first
+/// host, in the order given, that responds.
 pub(super) async fn run(session: &mut Session<'_, '_>) -> Result<(), Report<Error>> {
     let statuses = session.client.statuses().await?;
     let roster = Roster::of(&statuses);
--- a/crates/barleyctl/src/command/versions.rs
+++ b/crates/barleyctl/src/command/versions.rs
@@ -1,4 +1,4 @@
-//! What only versions have.
+//! Commands that only `versions` has.
 
 use clap::ArgMatches;
 use config::{Entry, EntryName, Version, VersionState};
@@ -10,7 +10,8 @@
 use crate::error::Error;
 use crate::session::Session;
 
-/// Puts an active version with its prices, new or as it is now.
+/// Creates a version or replaces it at its current revision, active and with the
+/// prices given.
 pub(super) async fn put(
     name: EntryName,
     matches: &ArgMatches,
@@ -22,7 +23,7 @@
         Money(
             *matches
                 .get_one(arg)
-                .expect("the command line asks for prices"),
+                .expect("the prices are required arguments"),
         )
     };
     let version = Version {
@@ -36,7 +37,7 @@
         .await
 }
 
-/// Withdraws a version.
+/// Withdraws a version at its current revision.
 pub(super) async fn withdraw(
     name: EntryName,
     matches: &ArgMatches,
--- a/crates/barleyctl/src/console.rs
+++ b/crates/barleyctl/src/console.rs
@@ -1,28 +1,28 @@
-//! The streams of the process.
+//! Input and output streams.
 
 use std::io::{self, Read, Write};
 
-/// The streams of the process, so that a test can take their place.
+/// The standard streams of the process; tests substitute their own.
 pub struct Console<'a> {
     /// Standard input.
     pub input: &'a mut dyn Read,
-    /// Standard output, for what was asked for.
+    /// Standard output, for results.
     pub out: &'a mut dyn Write,
-    /// Standard error, for progress and failures.
+    /// Standard error, for progress and errors.
     pub err: &'a mut dyn Write,
 }
 
 impl Console<'_> {
-    /// Prints what was asked for.
+    /// Prints a result to standard output.
     ///
-    /// A reader that has gone away, such as `head`, wants no more, so a
-    /// failed write is no failure of the command.
+    /// Ignores write errors: a reader such as `head` may close the pipe early,
+    /// which isn't a failure of the command.
     pub(crate) fn print(&mut self, text: &str) {
         let _ = self.out.write_all(text.as_bytes());
         let _ = self.out.flush();
     }
 
-    /// Prints progress or a failure.
+    /// Prints progress or an error to standard error; ignores write errors.
     pub(crate) fn warn(&mut self, text: &str) {
         let _ = self.err.write_all(text.as_bytes());
         let _ = self.err.flush();
--- a/crates/barleyctl/src/error.rs
+++ b/crates/barleyctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what it was asked.
+//! Errors of commands.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,37 +11,37 @@
 use crate::Exit;
 use crate::wait::Reach;
 
-/// Why a command did not do what it was asked.
+/// The reason why a command failed.
 #[derive(Debug, Display, Error)]
 pub(crate) enum Error {
-    /// The command line lacks something that only this command needs.
+    /// The command line lacks an argument that clap doesn't enforce.
     #[display("{_0}")]
     Usage(#[error(not(source))] String),
-    /// A file can't be read.
+    /// A file or standard input can't be read.
     #[display("can't read {}", _0.display())]
     Read(#[error(not(source))] PathBuf),
     /// A file can't be written.
     #[display("can't write {}", _0.display())]
     Write(#[error(not(source))] PathBuf),
-    /// A file holds what it should not.
+    /// The content of a file, or an argument, is invalid.
     #[display("{_0}")]
     Input(#[error(not(source))] String),
-    /// Keys can't be made.
+    /// Keys or certificates can't be generated.
     #[display("can't make the keys")]
     Keys,
-    /// A file or an entry has faults.
+    /// A file, an entry or a name has faults.
     #[display("{_0}")]
     Faults(#[error(not(source))] Faults),
-    /// There is no entry of that name.
+    /// The entry doesn't exist.
     #[display("there is no {_0}")]
     Absent(#[error(not(source))] EntryName),
-    /// Somebody else changed the entry.
+    /// The entry was changed since the base revision.
     #[display("{_0}")]
     Conflict(#[error(not(source))] Conflict),
-    /// The host refused.
+    /// The host refused the request.
     #[display("refused ({}): {}", _0.reason, _0.detail)]
     Refused(#[error(not(source))] Box<Problem>),
-    /// No host answered.
+    /// No host gave a usable response.
     #[display("no host answered:{}", list(_0))]
     Unreachable(#[error(not(source))] Vec<Attempt>),
     /// The change may or may not have been accepted.
@@ -53,7 +53,7 @@
     Unknown {
         /// The change.
         change: ChangeId,
-        /// What became of each try.
+        /// The attempts, none of which settled the outcome.
         attempts: Vec<Attempt>,
     },
     /// The change is accepted, but not yet in force everywhere.
@@ -62,7 +62,7 @@
 }
 
 impl Error {
-    /// How the process ends.
+    /// Returns the exit status of a process that fails with this error.
     pub(crate) fn exit(&self) -> Exit {
         match self {
             Self::Usage(_) => Exit::Usage,
@@ -82,7 +82,7 @@
     }
 }
 
-/// A change that was made from a state of the entry that is no more.
+/// A change whose base revision is no longer the entry's current one.
 #[derive(Clone, Debug, Display)]
 #[display(
     "{entry} was changed meanwhile, it is at revision {current_revision}; \
@@ -91,19 +91,19 @@
 pub(crate) struct Conflict {
     /// The entry.
     pub(crate) entry: EntryName,
-    /// The revision of its last change; zero when it is gone.
+    /// The revision of its last change; zero if it doesn't exist.
     pub(crate) current_revision: Revision,
-    /// What differs between the entry as it stands and as this change wants it.
+    /// The diff from the current entry to the one that this change would make.
     pub(crate) diff: String,
 }
 
-/// One try at one host that gave no answer to go by.
+/// An attempt at one host that didn't settle the outcome.
 #[derive(Clone, Debug, Display)]
 #[display("{host}: {outcome}")]
 pub(crate) struct Attempt {
     /// The host.
     pub(crate) host: SocketAddr,
-    /// What became of it.
+    /// The reason, as shown to the operator.
     pub(crate) outcome: String,
 }
 
--- a/crates/barleyctl/src/exit.rs
+++ b/crates/barleyctl/src/exit.rs
@@ -1,28 +1,28 @@
-//! How the process ends.
+//! Exit codes of the process.
 
 use std::process::ExitCode;
 
 use derive_more::Display;
 
-/// How the process ends; the numbers are part of the tool's interface.
+/// The result of a command; its exit code is part of the tool's interface.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what it was asked; a change is in force on every live host.
+    /// The command succeeded; a change is in force on every live host.
     #[display("done")]
     Done,
-    /// A file, an entry or a name has a fault; nothing was changed.
+    /// A file, an entry or a name is invalid; nothing was changed.
     #[display("fault in the input")]
     Input,
-    /// The command line has a fault; nothing was changed.
+    /// The command line is invalid; nothing was changed.
     #[display("fault in the command line")]
     Usage,
-    /// Somebody else changed the entry meanwhile; nothing was changed.
+    /// Another change to the entry was committed first; nothing was changed.
     #[display("conflict")]
     Conflict,
-    /// The host doesn't allow it or can't do it now; nothing was changed.
+    /// The host refused the request, for now or permanently; nothing was changed.
     #[display("refused")]
     Refused,
-    /// No host answered; nothing was changed.
+    /// No host gave a usable response; nothing was changed.
     #[display("unreachable")]
     Unreachable,
     /// The change may or may not have been accepted.
@@ -34,7 +34,7 @@
 }
 
 impl Exit {
-    /// Every way to end, for the reference and the test that compares it.
+    /// All values, for the test that compares them with the reference.
     pub const ALL: [Self; 8] = [
         Self::Done,
         Self::Input,
@@ -46,7 +46,7 @@
         Self::Lagging,
     ];
 
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
--- a/crates/barleyctl/src/lib.rs
+++ b/crates/barleyctl/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' tool: it reads and changes the configuration through any
-//! entry host, by the protocol of docs/PROTOCOLS.md, and waits until a change
-//! is in force everywhere.
+//! The operators' command line. It reads and changes the configuration through
+//! any entry host, by the protocol of docs/PROTOCOLS.md, and waits until a
+//! change is in force on every live host.
 //!
-//! It is a library so that whole sessions can be run in a test; docs/reference/barleyctl.md
-//! is its reference.
+//! It is a library so that tests can run commands in-process. The commands are
+//! documented in docs/reference/barleyctl.md.
 
 mod cli;
 mod client;
@@ -24,7 +24,7 @@
 pub use console::Console;
 pub use exit::Exit;
 
-/// Runs the command that `args` give, the program's name first.
+/// Runs the command line `args`, whose first item is the program's name.
 pub fn run(args: impl IntoIterator<Item = OsString>, console: &mut Console<'_>) -> Exit {
     let matches = match cli::command().try_get_matches_from(args) {
         Ok(matches) => matches,
--- a/crates/barleyctl/src/output.rs
+++ b/crates/barleyctl/src/output.rs
@@ -1,4 +1,4 @@
-//! How answers and failures are printed.
+//! Printing of results and errors.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -15,17 +15,17 @@
 use crate::session::Session;
 use crate::wait::Reach;
 
-/// How answers are printed.
+/// The output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Format {
-    /// For people.
+    /// Text for people, with rows as a table.
     Table,
-    /// For programs, one JSON value.
+    /// JSON for programs, one value per command.
     Json,
 }
 
 impl Format {
-    /// The format that the command line asks for.
+    /// Returns the format that the command line selects.
     pub(crate) fn of(matches: &ArgMatches) -> Self {
         match matches.get_one::<String>(arg::OUTPUT).map(String::as_str) {
             Some("json") => Self::Json,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Prints rows below a head, or their JSON.
+/// Prints a table with a header, or `json`, depending on the output format.
 pub(crate) fn rows(
     session: &mut Session<'_, '_>,
     head: &[&str],
@@ -47,7 +47,7 @@
     }
 }
 
-/// Prints a text, or its JSON.
+/// Prints `text` or `json`, depending on the output format.
 pub(crate) fn text(session: &mut Session<'_, '_>, text: &str, json: &Value) {
     match session.format {
         Format::Table => session.console.print(text),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Prints what became of a change.
+/// Prints the result of an accepted change.
 pub(crate) fn accepted(
     session: &mut Session<'_, '_>,
     change: &Change,
@@ -82,7 +82,7 @@
     text(session, &lines.concat(), &json);
 }
 
-/// Prints why a command failed.
+/// Prints the error of a command to standard error.
 pub(crate) fn failure(console: &mut Console<'_>, format: Format, report: &Report<Error>) {
     let error = report.current_context();
     match format {
@@ -94,7 +94,7 @@
     }
 }
 
-/// A table of text, with neither borders nor blanks at the ends of lines.
+/// Formats a table without borders, indentation or trailing blanks.
 pub(crate) fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING).set_header(head.to_vec());
@@ -113,9 +113,9 @@
     lines.join("\n") + "\n"
 }
 
-/// A time since the Unix epoch, for people.
+/// Formats a time since the Unix epoch in UTC (RFC 3339), to the second.
 pub(crate) fn time(when: Duration) -> String {
-    // Years past 9999 have no such form; only a broken clock gives them.
+    // A time that overflows `SystemTime` is shown in seconds.
     let time = UNIX_EPOCH.checked_add(when);
     let formatted = time.map(|time| humantime::format_rfc3339_seconds(time).to_string());
     formatted.unwrap_or_else(|| format!("{} s", when.as_secs()))
--- a/crates/barleyctl/src/roster.rs
+++ b/crates/barleyctl/src/roster.rs
@@ -1,19 +1,20 @@
-//! The entry hosts, from what several of them know.
+//! The entry hosts, merged from the statuses of several hosts.
 
 use gate::operator::{Host, Status};
 
-/// The entry hosts by name, from what several of them know.
+/// The entry hosts by name, merged from the statuses of several hosts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Roster {
-    /// Each host once.
+    /// The hosts, each once, sorted by name.
     pub(crate) hosts: Vec<Host>,
 }
 
 impl Roster {
-    /// Joins what hosts said, at least one of them.
+    /// Merges the statuses of several hosts.
     ///
-    /// What a host says of itself counts. Of the others' words the latest
-    /// revision does, since the revision in force at a host never falls.
+    /// A host's own status takes precedence over what its peers report of it.
+    /// Of several reports of a peer, the one with the highest revision counts,
+    /// since the revision in force on a host never decreases.
     pub(crate) fn of(statuses: &[Status]) -> Self {
         let mut roster = Self::default();
         for status in statuses {
--- a/crates/barleyctl/src/session.rs
+++ b/crates/barleyctl/src/session.rs
@@ -1,4 +1,4 @@
-//! What a command that talks to hosts works with.
+//! State shared by the commands that call hosts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,25 +16,28 @@
 use crate::output::{self, Format};
 use crate::wait;
 
-/// The longest wait for one answer; a host that takes longer is passed over.
+/// Timeout of a request to one host; the next host is tried after it.
 const ANSWER: Duration = Duration::from_secs(5);
 
-/// The longest author that hosts take, in bytes.
+/// Maximum length of an author that hosts accept, in bytes.
 const MAX_AUTHOR: usize = 64;
 
-/// What a command that talks to hosts works with.
+/// State shared by the commands that call hosts.
 pub(crate) struct Session<'a, 'b> {
-    /// The process's streams.
+    /// The standard streams.
     pub(crate) console: &'a mut Console<'b>,
-    /// The hosts.
+    /// The client for the hosts.
     pub(crate) client: Client,
-    /// How answers are printed.
+    /// The output format.
     pub(crate) format: Format,
     timeout: Duration,
 }
 
 impl<'a, 'b> Session<'a, 'b> {
-    /// Opens a session with the hosts and the key file that the command line names.
+    /// Creates a session with the hosts and the key file that the command line names.
+    ///
+    /// # Errors
+    /// Fails if one of them is missing or the key file is unreadable or invalid.
     pub(crate) fn open(
         matches: &ArgMatches,
         console: &'a mut Console<'b>,
@@ -49,7 +52,7 @@
             .ok_or_else(|| usage("this command needs `--key-file FILE`"))?;
         let timeout = *matches
             .get_one::<Duration>(arg::TIMEOUT)
-            .expect("it has a default");
+            .expect("the argument has a default");
         let client = Client::new(hosts, &read_key(path)?, ANSWER.min(timeout));
         Ok(Self {
             console,
@@ -59,7 +62,12 @@
         })
     }
 
-    /// Makes a change and waits until it is in force everywhere.
+    /// Submits a change, waits until it is in force on every live host and prints
+    /// the result.
+    ///
+    /// # Errors
+    /// Fails if the change isn't accepted, if its outcome is unknown, or if it
+    /// isn't in force when the timeout expires.
     pub(crate) async fn change(
         &mut self,
         matches: &ArgMatches,
@@ -80,8 +88,8 @@
             name,
             entry,
         };
-        // Printed before the first try, so that the operator has it whatever
-        // becomes of this process.
+        // Printed before the first attempt, so that the operator can retry the
+        // change by its id even if this process is killed.
         self.console.warn(&format!("change {}\n", change.id));
         let accepted = self.client.change(&change).await?;
         let again = if accepted.repeated {
@@ -101,7 +109,7 @@
         Ok(())
     }
 
-    /// How long the command may wait for a change to be in force.
+    /// Returns the timeout of the wait for a change to be in force.
     pub(crate) fn timeout(&self) -> Duration {
         self.timeout
     }
@@ -111,8 +119,8 @@
     Error::Usage(text.to_owned()).into()
 }
 
-/// Reads the operators' key. It comes from a file alone, since a command line
-/// shows in lists of processes and stays in a shell's history.
+/// Reads the operators' key from a file. It isn't accepted as an argument, since
+/// process lists and shell histories expose command lines.
 fn read_key(path: &Path) -> Result<String, Report<Error>> {
     let text = std::fs::read_to_string(path).change_context(Error::Read(path.to_owned()))?;
     let key = text.trim();
@@ -124,10 +132,10 @@
     Ok(key.to_owned())
 }
 
-/// Whether the command repeats a change whose outcome isn't known.
+/// Returns whether the command retries a change whose outcome is unknown.
 ///
-/// The entry may then show the change already, so that what would be wrong
-/// for a new change is right for this one. The host knows it by its id.
+/// The change may then be committed already, so checks of a new change against
+/// the entry's current state don't apply. The host recognizes it by its id.
 pub(crate) fn is_repeat(matches: &ArgMatches) -> bool {
     matches.contains_id(arg::CHANGE)
 }
--- a/crates/barleyctl/src/wait.rs
+++ b/crates/barleyctl/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting until a change is in force everywhere.
+//! Waits until a change is in force on every live host.
 
 use std::time::{Duration, Instant};
 
@@ -11,28 +11,28 @@
 use crate::roster::Roster;
 use crate::session::Session;
 
-/// The time between two looks at the hosts.
+/// Interval between polls of the hosts' statuses.
 const POLL: Duration = Duration::from_millis(200);
 
-/// How far a revision has come.
+/// The hosts on which a revision is in force, and those on which it isn't yet.
 #[derive(Clone, Debug, Default, Display, Serialize)]
 #[display("{}", self.describe())]
 pub(crate) struct Reach {
     /// The revision.
     pub(crate) revision: Revision,
-    /// Whether any host told of the others.
+    /// Whether at least one poll got a status.
     #[serde(skip)]
     pub(crate) heard: bool,
-    /// The hosts that have it or a later one in force.
+    /// The hosts that have this or a later revision in force.
     pub(crate) in_force: Vec<HostName>,
-    /// The live hosts that don't.
+    /// The live or leaving hosts that have an earlier revision in force.
     pub(crate) lagging: Vec<Lag>,
-    /// The hosts that haven't been heard from. They may be gone; one that
-    /// comes back takes the newest revision before it is ready.
+    /// The suspect hosts that aren't known to have it in force. They may be
+    /// down; one that returns takes the newest revision before it is ready.
     pub(crate) not_heard_from: Vec<HostName>,
 }
 
-/// A host that is behind.
+/// A host with an earlier revision in force.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[display("{name} (revision {revision})")]
 pub(crate) struct Lag {
@@ -42,8 +42,8 @@
     pub(crate) revision: Revision,
 }
 
-/// Waits until every live host has `revision` in force, or the session's
-/// timeout is over, and tells the progress meanwhile.
+/// Waits until every live host has `revision` in force or the session's timeout
+/// expires, and prints the progress. Returns the last known state.
 pub(crate) async fn in_force(session: &mut Session<'_, '_>, revision: Revision) -> Reach {
     let deadline = Instant::now() + session.timeout();
     let mut told = String::new();
@@ -52,8 +52,8 @@
         ..Reach::default()
     };
     loop {
-        // A host that fails now may answer at the next look, so its failure
-        // only ends the wait with the time.
+        // A failed poll is retried until the timeout, since a host may respond
+        // to a later one.
         if let Ok(statuses) = session.client.statuses().await {
             reach = Reach::of(revision, Roster::of(&statuses));
             let progress = reach.progress();
@@ -93,7 +93,7 @@
         reach
     }
 
-    /// Names of hosts, for people.
+    /// Joins hosts with commas.
     pub(crate) fn names<T: ToString>(hosts: &[T]) -> String {
         let names: Vec<_> = hosts.iter().map(T::to_string).collect();
         names.join(", ")
--- a/crates/barleyctl/tests/explain.rs
+++ b/crates/barleyctl/tests/explain.rs
@@ -1,5 +1,5 @@
-//! `explain` on a log that hosts really wrote, with two lines in it that aren't
-//! theirs; and the commands of the on-call page on the same log.
+//! Tests of `explain` and of the commands of the on-call page, on a recorded log
+//! of hosts with two lines that aren't events.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -51,15 +51,15 @@
     assert_eq!(json["unreadable"], 2);
 }
 
-/// Each command of the on-call page finds lines in the recorded log. `jq` isn't
-/// on every machine; its commands are checked where it is.
+/// Each command of the on-call page finds lines in the recorded log. Commands
+/// with `jq` are skipped where it isn't installed.
 #[test]
 fn the_on_call_pages_commands_work() {
     let has_jq = Command::new("jq").arg("--version").output().is_ok();
     let mut commands = 0;
     for line in PAGE.lines().filter_map(|it| it.strip_prefix("    $ ")) {
         if line.contains("jq ") && !has_jq {
-            eprintln!("not run without jq: {line}");
+            eprintln!("skipped because jq is not installed: {line}");
             continue;
         }
         let line = line
--- a/crates/barleyctl/tests/process.rs
+++ b/crates/barleyctl/tests/process.rs
@@ -1,4 +1,4 @@
-//! The tool as a process: its exit codes, completions and reference.
+//! Tests of the binary: exit codes, completions, and the reference page.
 
 use std::process::Command;
 
@@ -8,8 +8,11 @@
 
 fn check(args: &[&str]) -> (Option<i32>, String) {
     let tool = env!("CARGO_BIN_EXE_barleyctl");
-    let output = Command::new(tool).args(args).output().expect("it starts");
-    let text = String::from_utf8(output.stdout).expect("text");
+    let output = Command::new(tool)
+        .args(args)
+        .output()
+        .expect("the binary starts");
+    let text = String::from_utf8(output.stdout).expect("UTF-8 output");
     (output.status.code(), text)
 }
 
@@ -59,7 +62,7 @@
     assert_eq!(listed, known);
 }
 
-/// The commands without their arguments.
+/// Collects the full names of all commands without subcommands.
 fn walk(command: &clap::Command, path: &[&str], known: &mut Vec<String>) {
     if !command.has_subcommands() {
         known.push(path.join(" "));
@@ -69,7 +72,7 @@
     }
 }
 
-/// The commands in the first cell of a row, without their arguments.
+/// Returns the commands in the first cell of a row, without their arguments.
 fn commands(row: &str) -> Vec<String> {
     let cell = row.split(" |").next().unwrap_or_default();
     let is_verb = |word: &&str| word.bytes().all(|byte| byte.is_ascii_lowercase());
--- a/crates/barleyctl/tests/sessions/main.rs
+++ b/crates/barleyctl/tests/sessions/main.rs
@@ -1,4 +1,4 @@
-//! Whole sessions of operators, against a stand-in for the hosts.
+//! Tests of command sequences against a fake fleet of two hosts.
 
 mod operator;
 mod pages;
@@ -14,7 +14,8 @@
 use kernel::Revision;
 use operator::Fleet;
 
-/// What takes the place of what differs from run to run.
+/// A fake fleet and a directory of files; their addresses and path, which differ
+/// between runs, are replaced by placeholders in the output.
 struct World {
     fleet: Arc<Mutex<Fleet>>,
     hosts: [Server; 2],
@@ -22,17 +23,17 @@
 }
 
 impl World {
-    /// With two versions, a customer and a profile.
+    /// Creates a fleet with two versions, a customer and a profile.
     fn new() -> Self {
         let world = Self::empty();
-        start_document(&mut world.fleet.lock().expect("nobody else has it"));
+        start_document(&mut world.fleet.lock().expect("not poisoned"));
         world
     }
 
-    /// With nothing configured.
+    /// Creates a fleet with an empty configuration.
     fn empty() -> Self {
         let fleet = Arc::new(Mutex::new(Fleet::default()));
-        let directory = tempfile::tempdir().expect("a directory of our own");
+        let directory = tempfile::tempdir().expect("a temporary directory");
         let world = Self {
             hosts: operator::start(&fleet),
             fleet,
@@ -45,7 +46,7 @@
     }
 
     fn write(&self, name: &str, text: &str) {
-        std::fs::write(self.directory.path().join(name), text).expect("a file");
+        std::fs::write(self.directory.path().join(name), text).expect("the file is written");
     }
 
     fn names(&self) -> Vec<(&'static str, String)> {
@@ -71,7 +72,7 @@
         let exit = run(line.split_whitespace().map(OsString::from), &mut console);
         let mut text = String::new();
         for (stream, bytes) in [("err", err), ("out", out)] {
-            for line in String::from_utf8(bytes).expect("text").lines() {
+            for line in String::from_utf8(bytes).expect("UTF-8 output").lines() {
                 text += format!("{stream}: {line}").trim_end();
                 text += "\n";
             }
@@ -88,9 +89,9 @@
             "ctl" => self.ctl("--host {a} --key-file {dir}/key", &case.input),
             "raw" => self.ctl("", &case.input),
             "fleet" => {
-                let mut fleet = self.fleet.lock().expect("nobody else has it");
+                let mut fleet = self.fleet.lock().expect("not poisoned");
                 let arg = |name: &str, case: &mut TestCase| {
-                    case.try_take_args::<String>(name).expect("names")
+                    case.try_take_args::<String>(name).expect("host names")
                 };
                 fleet.lagging = arg("lagging", case).unwrap_or_default();
                 fleet.silent = arg("silent", case).unwrap_or_default();
@@ -101,7 +102,7 @@
                 "ok\n".to_owned()
             }
             "revision" => {
-                let fleet = self.fleet.lock().expect("nobody else has it");
+                let fleet = self.fleet.lock().expect("not poisoned");
                 format!("{}\n", fleet.document.revision)
             }
             "file" => {
@@ -115,7 +116,7 @@
     }
 }
 
-/// Puts a mark in place of an id that the tool made.
+/// Replaces a change id that the command generated with a placeholder.
 fn without_random_id(text: &str) -> String {
     let id = text
         .lines()
@@ -127,7 +128,7 @@
     }
 }
 
-/// Two versions, a customer and a profile.
+/// Commits two versions, a customer and a profile.
 fn start_document(fleet: &mut Fleet) {
     let prices = "prompt_microcents_per_million = 100\ncompletion_microcents_per_million = 400\n";
     let customer = format!("key_blake3 = \"{}\"\n", "0a".repeat(32));
@@ -140,28 +141,31 @@
         (EntryKind::Profile, "dossier", profile),
     ];
     for (idx, (kind, name, text)) in entries.into_iter().enumerate() {
-        let file = EntryFile::parse(kind, text, "start").expect("the start is sound");
+        let file = EntryFile::parse(kind, text, "start").expect("the initial entry is valid");
         let change = Change {
             id: format!("start-{idx}").into(),
             base: Revision(0),
             author: "installation".to_owned(),
             mode: ChangeMode::Guarded,
-            edit: Edit::put(EntryName::new(kind, name), file.entry).expect("the kinds agree"),
+            edit: Edit::put(EntryName::new(kind, name), file.entry)
+                .expect("name and entry are of one kind"),
         };
-        fleet.commit(&change).expect("the start is sound");
+        fleet
+            .commit(&change)
+            .expect("the initial change is accepted");
     }
     assert_ne!(fleet.document, Document::default());
 }
 
-/// The names of the files and who may read them.
+/// Lists the files of a directory and their permissions.
 fn list(directory: &Path) -> String {
     use std::os::unix::fs::PermissionsExt;
 
-    let entries = std::fs::read_dir(directory).expect("a directory");
+    let entries = std::fs::read_dir(directory).expect("a readable directory");
     let mut lines: Vec<_> = entries
         .map(|entry| {
             let entry = entry.expect("an entry");
-            let mode = entry.metadata().expect("a file").permissions().mode();
+            let mode = entry.metadata().expect("metadata").permissions().mode();
             format!("{} {:o}\n", entry.file_name().display(), mode & 0o777)
         })
         .collect();
--- a/crates/barleyctl/tests/sessions/operator.rs
+++ b/crates/barleyctl/tests/sessions/operator.rs
@@ -1,5 +1,5 @@
-//! A small stand-in for the operators' side of a fleet of hosts: one document
-//! behind two addresses.
+//! A fake of the operator interface of a fleet: one document, served at two
+//! addresses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,26 +15,26 @@
 use http::{Body, Limits, Method, Request, Response, Server, Status as Code};
 use kernel::{ChangeId, Incarnation, Revision};
 
-/// The key that the operators show.
+/// The operators' key.
 pub(crate) const KEY: &str = "the-operators-key";
 
-/// The wall time of the first commit.
+/// The time, since the Unix epoch, from which commits are dated.
 const EPOCH: Duration = Duration::from_secs(1_790_000_000);
 
-/// What the fleet knows and how it misbehaves.
+/// The state of the fleet and the failures that it simulates.
 #[derive(Default)]
 pub(crate) struct Fleet {
     /// The committed configuration.
     pub(crate) document: Document,
-    /// The writes that take effect and whose answers are lost, from now on.
+    /// The number of next accepted changes whose responses are cut.
     pub(crate) lose_answers: u32,
-    /// The hosts that stay at the revision they have.
+    /// The hosts that report an earlier revision than the current one.
     pub(crate) lagging: Vec<String>,
-    /// The hosts that haven't been heard from.
+    /// The hosts that are reported as suspect, at an earlier revision.
     pub(crate) silent: Vec<String>,
-    /// Whether the table service is out.
+    /// Whether changes are refused because the table service is out.
     pub(crate) store_out: bool,
-    /// Whether the hosts know of each other only that they live.
+    /// Whether the hosts don't know the revision and proof of their peers.
     pub(crate) strangers: bool,
     /// The hosts that were asked to drain.
     pub(crate) drained: Vec<String>,
@@ -42,7 +42,7 @@
     changes: HashMap<ChangeId, Revision>,
 }
 
-/// Starts two hosts of one fleet.
+/// Starts two hosts that share the fleet's state.
 pub(crate) fn start(fleet: &Arc<Mutex<Fleet>>) -> [Server; 2] {
     ["e1", "e2"].map(|name| {
         let fleet = Arc::clone(fleet);
@@ -55,7 +55,7 @@
 async fn answer(fleet: Arc<Mutex<Fleet>>, name: &'static str, mut request: Request) -> Response {
     let body = std::mem::replace(&mut request.body, Body::empty());
     let body = body.collect(1 << 20).await.expect("a small body");
-    let mut fleet = fleet.lock().expect("no test failed while holding it");
+    let mut fleet = fleet.lock().expect("not poisoned");
     let expected = format!("Bearer {KEY}");
     if request.headers.get("authorization") != Some(expected.as_str()) {
         let problem = Problem::not_run(Reason::Unauthorized, "the key is not the operators'");
@@ -73,7 +73,7 @@
 }
 
 impl Fleet {
-    /// Makes a change that no operator's tool had a part in.
+    /// Commits a change; reports one that is committed already as repeated.
     pub(crate) fn commit(&mut self, change: &Change) -> Result<Accepted, Box<Refusal>> {
         if let Some(revision) = self.changes.get(&change.id) {
             return Ok(Accepted {
@@ -123,7 +123,7 @@
             (Method::Get, ["history"]) => {
                 let limit = request.query("limit").and_then(|limit| limit.parse().ok());
                 let limit = limit.filter(|limit| (1..=500).contains(limit));
-                let limit = limit.expect("a limit that hosts take");
+                let limit = limit.expect("a limit that hosts accept");
                 let entries = self.commits.iter().take(limit).cloned().collect();
                 Ok(Response::json(Code::Ok, &History { entries }))
             }
@@ -135,7 +135,7 @@
                 let kind = EntryKind::from_plural(plural).expect("a known kind");
                 self.write(method, EntryName::new(kind, name), request, body)
             }
-            (method, path) => panic!("no such call: {method} {path:?}"),
+            (method, path) => panic!("unexpected request: {method} {path:?}"),
         }
     }
 
@@ -150,8 +150,8 @@
             .map_err(|problem| Box::new(problem.into()))?;
         let edit = match method {
             Method::Put => {
-                let entry = Entry::from_json(name.kind(), body).expect("the tool sends entries");
-                Edit::put(name, entry).expect("the kinds agree")
+                let entry = Entry::from_json(name.kind(), body).expect("the body is an entry");
+                Edit::put(name, entry).expect("name and entry are of one kind")
             }
             _ => Edit::remove(name),
         };
@@ -200,7 +200,7 @@
         }
     }
 
-    /// A host as another one knows it.
+    /// Returns a host as its peers report it.
     fn peer(&self, name: &str) -> Host {
         let host = self.host(name);
         if !self.strangers {
--- a/crates/barleyctl/tests/sessions/pages.rs
+++ b/crates/barleyctl/tests/sessions/pages.rs
@@ -1,7 +1,7 @@
-//! The commands of the operators' pages do what the pages say.
+//! Runs the commands of the operators' pages; each has to succeed.
 //!
-//! A block marked `sh` holds commands that are run, one a line; a block marked
-//! `toml NAME` holds a file that they read. Other blocks are only shown.
+//! A block marked `sh` holds the commands, one per line; a block marked
+//! `toml NAME` holds a file that they read. Other blocks are ignored.
 
 use super::World;
 
@@ -11,16 +11,18 @@
 const LOST_DATA_CENTRE: &str = include_str!("../../../../docs/operate/lost-data-centre.md");
 const DRAIN: &str = include_str!("../../../../docs/operate/drain.md");
 
-/// Runs the commands of a page.
+/// Runs the commands of a page, after writing the files that they read.
 fn follow(world: &World, page: &str) {
     let mut commands = 0;
     for block in page.split("\n```").skip(1).step_by(2) {
-        let (mark, text) = block.split_once('\n').expect("a block has a first line");
+        let (mark, text) = block.split_once('\n').expect("a block has an info line");
         match mark.split_once(' ') {
             Some(("toml", name)) => world.write(name, text),
             _ if mark == "sh" => {
                 for line in text.lines() {
-                    let line = line.strip_prefix("barleyctl ").expect("only our commands");
+                    let line = line
+                        .strip_prefix("barleyctl ")
+                        .expect("a barleyctl command");
                     run(world, line);
                     commands += 1;
                 }
@@ -37,7 +39,7 @@
     assert!(output.ends_with("exit 0: done\n"), "{line}\n{output}");
 }
 
-/// The command with the paths of its files.
+/// Prefixes the files of a command with the placeholder of the test's directory.
 fn in_directory(line: &str) -> String {
     let words = line.split(' ').map(|word| {
         if word.contains(".toml") {
