--- a/crates/barleyctl/src/cli.rs
+++ b/crates/barleyctl/src/cli.rs
@@ -14,7 +14,7 @@
 pub(crate) mod arg {
     pub(crate) const AUTHOR: &str = "author";
     pub(crate) const CHANGE: &str = "change";
-    pub(crate) const COMPLETION: &str = "completion-price";
+    pub(crate) const COMPLETION_PRICE: &str = "completion-price";
     pub(crate) const DIRECTORY: &str = "directory";
     pub(crate) const FILE: &str = "file";
     pub(crate) const FLEET: &str = "fleet";
@@ -24,7 +24,7 @@
     pub(crate) const LIMIT: &str = "limit";
     pub(crate) const NAME: &str = "name";
     pub(crate) const OUTPUT: &str = "output";
-    pub(crate) const PROMPT: &str = "prompt-price";
+    pub(crate) const PROMPT_PRICE: &str = "prompt-price";
     pub(crate) const REPLACES: &str = "replaces";
     pub(crate) const REVISION: &str = "revision";
     pub(crate) const SHELL: &str = "shell";
@@ -73,11 +73,14 @@
         .about("Edits profiles, rolls versions in and out and looks after the hosts of barleypin")
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .args(global())
-        .subcommand(kind(EntryKind::Profile, "Profiles: what callers name"))
+        .args(global_args())
+        .subcommand(entry_command(
+            EntryKind::Profile,
+            "Profiles: what callers name",
+        ))
         .subcommand(versions())
         .subcommand(customers())
-        .subcommand(kind(EntryKind::Service, "Plain services"))
+        .subcommand(entry_command(EntryKind::Service, "Plain services"))
         .subcommand(explain())
         .subcommand(hosts())
         .subcommand(Command::new(verb::STATUS).about("Shows the fleet as one host knows it"))
@@ -93,7 +96,7 @@
         )
 }
 
-fn global() -> [Arg; 4] {
+fn global_args() -> [Arg; 4] {
     [
         Arg::new(arg::HOST)
             .long(arg::HOST)
@@ -125,7 +128,7 @@
     ]
 }
 
-fn kind(kind: EntryKind, about: &'static str) -> Command {
+fn entry_command(kind: EntryKind, about: &'static str) -> Command {
     Command::new(kind.plural())
         .about(about)
         .subcommand_required(true)
@@ -134,61 +137,61 @@
         .subcommand(
             Command::new(verb::SHOW)
                 .about("Prints one as a file that `apply` takes")
-                .arg(name()),
+                .arg(name_arg()),
         )
-        .subcommand(writes(
+        .subcommand(with_change_args(
             Command::new(verb::APPLY)
                 .about("Puts what a file says, from the revision that its first line names")
-                .arg(name())
-                .arg(file())
-                .arg(revision()),
+                .arg(name_arg())
+                .arg(file_arg())
+                .arg(revision_arg()),
         ))
-        .subcommand(writes(
+        .subcommand(with_change_args(
             Command::new(verb::EDIT)
                 .about("Puts what a file says, from the revision that is given")
-                .arg(name())
-                .arg(file())
-                .arg(revision().required(true)),
+                .arg(name_arg())
+                .arg(file_arg())
+                .arg(revision_arg().required(true)),
         ))
         .subcommand(
             Command::new(verb::DIFF)
                 .about("Shows what a file would change")
-                .arg(name())
-                .arg(file()),
+                .arg(name_arg())
+                .arg(file_arg()),
         )
-        .subcommand(writes(
+        .subcommand(with_change_args(
             Command::new(verb::REMOVE)
                 .about("Removes one")
-                .arg(name())
-                .arg(revision()),
+                .arg(name_arg())
+                .arg(revision_arg()),
         ))
         .subcommand(
             Command::new(verb::HISTORY)
                 .about("Lists the changes, newest first")
-                .arg(name().required(false))
-                .arg(limit()),
+                .arg(name_arg().required(false))
+                .arg(limit_arg()),
         )
 }
 
 fn versions() -> Command {
-    kind(EntryKind::Version, "Versions of models")
-        .subcommand(writes(
+    entry_command(EntryKind::Version, "Versions of models")
+        .subcommand(with_change_args(
             Command::new(verb::PUT)
                 .about("Puts an active version with its prices")
-                .arg(name())
-                .arg(price(
-                    arg::PROMPT,
+                .arg(name_arg())
+                .arg(price_arg(
+                    arg::PROMPT_PRICE,
                     "The price of a million prompt tokens, in microcents",
                 ))
-                .arg(price(
-                    arg::COMPLETION,
+                .arg(price_arg(
+                    arg::COMPLETION_PRICE,
                     "The price of a million completion tokens, in microcents",
                 )),
         ))
-        .subcommand(writes(
+        .subcommand(with_change_args(
             Command::new(verb::WITHDRAW)
                 .about("Withdraws a version: it gets no new work")
-                .arg(name())
+                .arg(name_arg())
                 .arg(
                     Arg::new(arg::FORCE)
                         .long(arg::FORCE)
@@ -205,10 +208,10 @@
         .about("Rolls a version out in steps")
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .subcommand(writes(
+        .subcommand(with_change_args(
             Command::new(verb::START)
                 .about("Starts the roll-out of a version")
-                .arg(name())
+                .arg(name_arg())
                 .arg(
                     Arg::new(arg::REPLACES)
                         .long(arg::REPLACES)
@@ -226,29 +229,29 @@
                         .help("The share of that work that each step gives to the new version"),
                 ),
         ))
-        .subcommand(writes(
+        .subcommand(with_change_args(
             Command::new(verb::PAUSE)
                 .about("Stays at the step in force")
-                .arg(name()),
+                .arg(name_arg()),
         ))
-        .subcommand(writes(
+        .subcommand(with_change_args(
             Command::new(verb::RESUME)
                 .about("Goes on after a pause")
-                .arg(name()),
+                .arg(name_arg()),
         ))
-        .subcommand(writes(
+        .subcommand(with_change_args(
             Command::new(verb::ABORT)
                 .about("Gives the work back to the replaced version")
-                .arg(name()),
+                .arg(name_arg()),
         ))
         .subcommand(Command::new(verb::STATUS).about("Shows the roll-outs"))
 }
 
 fn customers() -> Command {
-    kind(EntryKind::Customer, "Customers").subcommand(
+    entry_command(EntryKind::Customer, "Customers").subcommand(
         Command::new(verb::HASH)
             .about("Prints the hash of the bearer key in a file")
-            .arg(file()),
+            .arg(file_arg()),
     )
 }
 
@@ -261,7 +264,7 @@
         .subcommand(
             Command::new(verb::DRAIN)
                 .about("Asks a host to finish its work and end")
-                .arg(name()),
+                .arg(name_arg()),
         )
 }
 
@@ -310,13 +313,13 @@
         .subcommand(
             Command::new(verb::HOST)
                 .about("Makes the key and the certificate of a host")
-                .arg(name())
+                .arg(name_arg())
                 .arg(directory),
         )
 }
 
 /// Adds the arguments of commands that change an entry.
-fn writes(command: Command) -> Command {
+fn with_change_args(command: Command) -> Command {
     command
         .arg(
             Arg::new(arg::CHANGE)
@@ -333,11 +336,11 @@
         )
 }
 
-fn name() -> Arg {
+fn name_arg() -> Arg {
     Arg::new(arg::NAME).required(true).value_name("NAME")
 }
 
-fn file() -> Arg {
+fn file_arg() -> Arg {
     Arg::new(arg::FILE)
         .value_name("FILE")
         .default_value("-")
@@ -345,7 +348,7 @@
         .help("The file, or `-` for standard input")
 }
 
-fn revision() -> Arg {
+fn revision_arg() -> Arg {
     Arg::new(arg::REVISION)
         .long(arg::REVISION)
         .value_name("REVISION")
@@ -353,7 +356,7 @@
         .help("The revision that the entry was read at, 0 for a new one")
 }
 
-fn limit() -> Arg {
+fn limit_arg() -> Arg {
     Arg::new(arg::LIMIT)
         .long(arg::LIMIT)
         .value_name("COUNT")
@@ -362,7 +365,7 @@
         .help("How many are listed")
 }
 
-fn price(name: &'static str, help: &'static str) -> Arg {
+fn price_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .required(true)
--- a/crates/barleyctl/src/cli/value.rs
+++ b/crates/barleyctl/src/cli/value.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Maximum length of a change id that hosts accept, in bytes.
-const MAX_CHANGE: usize = 128;
+const MAX_CHANGE_ID_BYTES: usize = 128;
 
 /// Parses a number of seconds above 0, possibly with a fraction.
 pub(super) fn seconds(text: &str) -> Result<Duration, String> {
@@ -16,12 +16,12 @@
 
 /// Parses a change id.
 pub(super) fn change_id(text: &str) -> Result<String, String> {
-    let fits = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    if (1..=MAX_CHANGE).contains(&text.len()) && text.bytes().all(fits) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    if (1..=MAX_CHANGE_ID_BYTES).contains(&text.len()) && text.bytes().all(is_allowed) {
         Ok(text.to_owned())
     } else {
         Err(format!(
-            "expected 1 to {MAX_CHANGE} letters, digits, `-`, `_` or `.`"
+            "expected 1 to {MAX_CHANGE_ID_BYTES} letters, digits, `-`, `_` or `.`"
         ))
     }
 }
--- a/crates/barleyctl/src/client.rs
+++ b/crates/barleyctl/src/client.rs
@@ -1,7 +1,7 @@
 //! Client of the operator interface, for several hosts.
 
 mod change;
-mod tried;
+mod outcome;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use kernel::{HostName, SystemClock};
 use serde::de::DeserializeOwned;
 
-use crate::error::{Attempt, Error};
+use crate::error::{Error, FailedAttempt};
 
-pub(crate) use change::{Change, History as ChangeHistory};
-use tried::Tried;
+pub(crate) use change::{Change, Submission};
+use outcome::AttemptOutcome;
 
 /// Maximum size of a response body; fits a document of thousands of entries.
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Timeout of connecting to a host; the next host is tried after it.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A client of the operator interface.
 ///
@@ -40,16 +40,16 @@
 
 impl Client {
     /// Creates a client that authenticates to `hosts` with `key` and waits at most
-    /// `limit` for each response.
-    pub(crate) fn new(hosts: Vec<SocketAddr>, key: &str, limit: Duration) -> Self {
+    /// `timeout` for each response.
+    pub(crate) fn new(hosts: Vec<SocketAddr>, key: &str, timeout: Duration) -> Self {
         Self {
             http: http::Client::new(Arc::new(SystemClock::new()), Pool::default()),
             hosts,
             authorization: format!("Bearer {key}"),
             options: Options {
-                connect: CONNECT.min(limit),
-                first_byte: limit,
-                total: limit,
+                connect: CONNECT_TIMEOUT.min(timeout),
+                first_byte: timeout,
+                total: timeout,
                 retry_policy: RetryPolicy::Idempotent,
             },
         }
@@ -69,14 +69,14 @@
     /// Fails if no host responds, or if one refuses the call permanently.
     pub(crate) async fn statuses(&self) -> Result<Vec<Status>, Report<Error>> {
         let request = || Request::get("/operator/v1/status");
-        let asked = self.hosts.iter().map(|host| {
+        let calls = self.hosts.iter().map(|host| {
             let hosts = std::slice::from_ref(host);
-            self.first(hosts, request, from_json)
+            self.first_response(hosts, request, parse_json)
         });
         let mut statuses = Vec::new();
         let mut attempts = Vec::new();
-        for answer in join_all(asked).await {
-            match answer {
+        for response in join_all(calls).await {
+            match response {
                 Ok(status) => statuses.push(status),
                 Err(report) => match report.current_context() {
                     Error::Unreachable(failed) => attempts.extend_from_slice(failed),
@@ -99,11 +99,11 @@
     pub(crate) async fn drain(&self, host: &HostName) -> Result<(), Report<Error>> {
         let target = format!("/operator/v1/hosts/{host}/drain");
         let request = || Request::new(Method::Post, target.clone());
-        self.first(&self.hosts, request, |_| Ok(())).await
+        self.first_response(&self.hosts, request, |_| Ok(())).await
     }
 
     async fn get<T: DeserializeOwned>(&self, target: &str) -> Result<T, Report<Error>> {
-        self.first(&self.hosts, || Request::get(target), from_json)
+        self.first_response(&self.hosts, || Request::get(target), parse_json)
             .await
     }
 
@@ -112,7 +112,7 @@
     ///
     /// A host that can't be reached, refuses for a transient reason or sends an
     /// invalid response is skipped; a permanent refusal is returned at once.
-    async fn first<T>(
+    async fn first_response<T>(
         &self,
         hosts: &[SocketAddr],
         request: impl Fn() -> Request,
@@ -120,42 +120,46 @@
     ) -> Result<T, Report<Error>> {
         let mut attempts = Vec::new();
         for host in hosts {
-            let outcome = match self.send(*host, request()).await {
-                Tried::Answered(body) => match parse(&body) {
-                    Ok(answer) => return Ok(answer),
+            let reason = match self.send(*host, request()).await {
+                AttemptOutcome::Succeeded(body) => match parse(&body) {
+                    Ok(response) => return Ok(response),
                     Err(fault) => format!("not an answer of this protocol: {fault}"),
                 },
-                Tried::Refused(refusal) if may_differ_elsewhere(&refusal.problem) => {
+                AttemptOutcome::Refused(refusal) if is_retryable(&refusal.problem) => {
                     refusal.problem.detail
                 }
-                Tried::Refused(refusal) => return Err(refused(*refusal).into()),
-                Tried::NotSent(outcome) | Tried::InDoubt(outcome) => outcome,
+                AttemptOutcome::Refused(refusal) => return Err(refusal_error(*refusal).into()),
+                AttemptOutcome::NotSent(reason) | AttemptOutcome::InDoubt(reason) => reason,
             };
-            attempts.push(Attempt {
+            attempts.push(FailedAttempt {
                 host: *host,
-                outcome,
+                reason,
             });
         }
         Err(Error::Unreachable(attempts).into())
     }
 
-    async fn send(&self, host: SocketAddr, request: Request) -> Tried {
+    async fn send(&self, host: SocketAddr, request: Request) -> AttemptOutcome {
         let request = request.header("authorization", self.authorization.clone());
         match self.http.send(host, request, &self.options).await {
-            Ok(response) => read(response).await,
-            Err(http::Error::NotSent(cause)) => Tried::NotSent(format!("not sent: {cause}")),
-            Err(http::Error::MaybeSent(cause)) => Tried::InDoubt(format!("no answer: {cause}")),
-            Err(err) => Tried::InDoubt(unread(err)),
+            Ok(response) => read_response(response).await,
+            Err(http::Error::NotSent(cause)) => {
+                AttemptOutcome::NotSent(format!("not sent: {cause}"))
+            }
+            Err(http::Error::MaybeSent(cause)) => {
+                AttemptOutcome::InDoubt(format!("no answer: {cause}"))
+            }
+            Err(err) => AttemptOutcome::InDoubt(describe_read_error(err)),
         }
     }
 }
 
-fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
+fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
     serde_json::from_slice(body).map_err(|err| err.to_string())
 }
 
 /// Converts a refusal that another host wouldn't decide differently.
-fn refused(refusal: Refusal) -> Error {
+fn refusal_error(refusal: Refusal) -> Error {
     let Refusal {
         problem, faults, ..
     } = refusal;
@@ -167,26 +171,28 @@
 }
 
 /// Returns whether another host, or this one later, may accept the same request.
-fn may_differ_elsewhere(problem: &Problem) -> bool {
+fn is_retryable(problem: &Problem) -> bool {
     matches!(
         problem.reason,
         Reason::NotReady | Reason::Leaving | Reason::StoreOut | Reason::Stale | Reason::Overloaded
     )
 }
 
-async fn read(response: Response) -> Tried {
+async fn read_response(response: Response) -> AttemptOutcome {
     let status = response.status;
-    match response.body.collect(MAX_ANSWER).await {
-        Ok(body) if status.is_success() => Tried::Answered(body),
+    match response.body.collect(MAX_RESPONSE_BYTES).await {
+        Ok(body) if status.is_success() => AttemptOutcome::Succeeded(body),
         Ok(body) => match serde_json::from_slice(&body) {
-            Ok(refusal) => Tried::Refused(Box::new(refusal)),
-            Err(_) => Tried::InDoubt(format!("status {status} without a problem document")),
+            Ok(refusal) => AttemptOutcome::Refused(Box::new(refusal)),
+            Err(_) => {
+                AttemptOutcome::InDoubt(format!("status {status} without a problem document"))
+            }
         },
-        Err(err) => Tried::InDoubt(unread(err)),
+        Err(err) => AttemptOutcome::InDoubt(describe_read_error(err)),
     }
 }
 
-fn unread(err: http::Error) -> String {
+fn describe_read_error(err: http::Error) -> String {
     match err {
         http::Error::Cut(cause) => format!("answer cut: {cause}"),
         other => other.to_string(),
--- a/crates/barleyctl/src/client/change.rs
+++ b/crates/barleyctl/src/client/change.rs
@@ -10,14 +10,14 @@
 use http::{Method, Request};
 use kernel::{ChangeId, Revision};
 
-use super::{Client, Tried, refused};
-use crate::error::{Attempt, Conflict, Error};
+use super::{AttemptOutcome, Client, refusal_error};
+use crate::error::{Conflict, Error, FailedAttempt};
 
 /// Maximum number of attempts per host.
-const ROUNDS: u32 = 3;
+const MAX_ROUNDS: u32 = 3;
 
 /// Delay between the first two rounds; doubles with each further round.
-const PAUSE: Duration = Duration::from_millis(200);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 
 /// A change to one entry.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
     /// The change's id, the same for every attempt.
     pub(crate) id: ChangeId,
     /// Whether an earlier command may have submitted it.
-    pub(crate) history: History,
+    pub(crate) submission: Submission,
     /// The revision of the entry on which it is based; zero for a new entry.
     pub(crate) base: Revision,
     /// The author, for the history.
@@ -41,13 +41,13 @@
 
 /// Whether an earlier command may have submitted a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum History {
+pub(crate) enum Submission {
     /// The change id is new.
     New,
     /// The command retries a change whose outcome is unknown. A refusal that a
     /// host gives without looking up the change id, such as while the store is
     /// out, says nothing about the earlier attempt.
-    Repeat,
+    Retry,
 }
 
 impl Client {
@@ -65,40 +65,44 @@
     /// is still unknown after all attempts.
     pub(crate) async fn change(&self, change: &Change) -> Result<Accepted, Report<Error>> {
         let mut attempts = Vec::new();
-        let mut in_doubt = change.history == History::Repeat;
+        let mut in_doubt = change.submission == Submission::Retry;
         let mut last_refusal = None;
-        for round in 0..ROUNDS {
+        for round in 0..MAX_ROUNDS {
             if round > 0 {
-                sleep(PAUSE * 2_u32.pow(round - 1)).await;
+                sleep(INITIAL_BACKOFF * 2_u32.pow(round - 1)).await;
             }
             for host in &self.hosts {
-                let outcome = match self.send(*host, change.request()).await {
-                    Tried::Answered(body) => match serde_json::from_slice(&body) {
+                let reason = match self.send(*host, change.to_request()).await {
+                    AttemptOutcome::Succeeded(body) => match serde_json::from_slice(&body) {
                         Ok(accepted) => return Ok(accepted),
                         Err(err) => {
                             in_doubt = true;
                             format!("not an answer of this protocol: {err}")
                         }
                     },
-                    Tried::Refused(refusal) => match Verdict::of(&refusal) {
-                        Verdict::Settled => return Err(change.refused(*refusal).into()),
-                        Verdict::Final if !in_doubt => return Err(refused(*refusal).into()),
-                        verdict => {
-                            in_doubt |= verdict == Verdict::InDoubt;
+                    AttemptOutcome::Refused(refusal) => match RefusalKind::of(&refusal) {
+                        RefusalKind::ChangeNotAccepted => {
+                            return Err(change.to_error(*refusal).into());
+                        }
+                        RefusalKind::Permanent if !in_doubt => {
+                            return Err(refusal_error(*refusal).into());
+                        }
+                        kind => {
+                            in_doubt |= kind == RefusalKind::InDoubt;
                             let detail = refusal.problem.detail.clone();
                             last_refusal = Some(*refusal);
                             detail
                         }
                     },
-                    Tried::NotSent(outcome) => outcome,
-                    Tried::InDoubt(outcome) => {
+                    AttemptOutcome::NotSent(reason) => reason,
+                    AttemptOutcome::InDoubt(reason) => {
                         in_doubt = true;
-                        outcome
+                        reason
                     }
                 };
-                attempts.push(Attempt {
+                attempts.push(FailedAttempt {
                     host: *host,
-                    outcome,
+                    reason,
                 });
             }
         }
@@ -107,7 +111,7 @@
                 change: change.id.clone(),
                 attempts,
             },
-            (false, Some(refusal)) => refused(refusal),
+            (false, Some(refusal)) => refusal_error(refusal),
             (false, None) => Error::Unreachable(attempts),
         }
         .into())
@@ -115,7 +119,7 @@
 }
 
 impl Change {
-    fn request(&self) -> Request {
+    fn to_request(&self) -> Request {
         let target = format!(
             "/operator/v1/{}/{}",
             self.name.kind().plural(),
@@ -136,9 +140,9 @@
             .header(MODE, mode)
     }
 
-    fn refused(&self, refusal: Refusal) -> Error {
+    fn to_error(&self, refusal: Refusal) -> Error {
         if refusal.problem.reason != Reason::Conflict {
-            return refused(refusal);
+            return refusal_error(refusal);
         }
         let current = refusal.current.and_then(|value| {
             let body = serde_json::to_vec(&value).ok()?;
@@ -154,27 +158,27 @@
 
 /// The meaning of a refusal for the change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
+enum RefusalKind {
     /// No attempt was accepted: the host looks up the change id before it
     /// compares revisions and validates the entry.
-    Settled,
+    ChangeNotAccepted,
     /// This attempt wasn't accepted, and another one wouldn't be either.
-    Final,
+    Permanent,
     /// This attempt wasn't accepted; another host, or a later attempt, may accept
     /// it.
-    Passing,
+    Transient,
     /// This attempt may have been accepted.
     InDoubt,
 }
 
-impl Verdict {
+impl RefusalKind {
     fn of(refusal: &Refusal) -> Self {
         match refusal.problem.reason {
-            Reason::Conflict => Self::Settled,
-            Reason::BadRequest if !refusal.faults.is_empty() => Self::Settled,
+            Reason::Conflict => Self::ChangeNotAccepted,
+            Reason::BadRequest if !refusal.faults.is_empty() => Self::ChangeNotAccepted,
             _ if refusal.problem.run == Run::Unknown => Self::InDoubt,
-            _ if super::may_differ_elsewhere(&refusal.problem) => Self::Passing,
-            _ => Self::Final,
+            _ if super::is_retryable(&refusal.problem) => Self::Transient,
+            _ => Self::Permanent,
         }
     }
 }
--- a/crates/barleyctl/src/client/tried.rs
+++ b/crates/barleyctl/src/client/outcome.rs
@@ -3,9 +3,9 @@
 use gate::operator::Refusal;
 
 /// The outcome of an attempt at one host.
-pub(crate) enum Tried {
+pub(crate) enum AttemptOutcome {
     /// The host carried out the request; holds the response body.
-    Answered(Vec<u8>),
+    Succeeded(Vec<u8>),
     /// The host refused the request.
     Refused(Box<Refusal>),
     /// No byte of the request was sent; holds the reason.
--- a/crates/barleyctl/src/command.rs
+++ b/crates/barleyctl/src/command.rs
@@ -37,12 +37,12 @@
         plural => {
             let kind =
                 EntryKind::from_plural(plural).expect("the command line has no other command");
-            of_kind(kind, matches, console).await
+            run_entry_command(kind, matches, console).await
         }
     }
 }
 
-async fn of_kind(
+async fn run_entry_command(
     kind: EntryKind,
     matches: &ArgMatches,
     console: &mut Console<'_>,
@@ -54,15 +54,17 @@
     let mut session = Session::open(matches, console)?;
     match verb {
         verb::LIST => entries::list(kind, &mut session).await,
-        verb::SHOW => entries::show(&name(kind, matches)?, &mut session).await,
+        verb::SHOW => entries::show(&entry_name(kind, matches)?, &mut session).await,
         verb::APPLY | verb::EDIT => {
-            entries::apply(name(kind, matches)?, matches, &mut session).await
+            entries::apply(entry_name(kind, matches)?, matches, &mut session).await
         }
-        verb::DIFF => entries::diff(&name(kind, matches)?, matches, &mut session).await,
-        verb::REMOVE => entries::remove(name(kind, matches)?, matches, &mut session).await,
+        verb::DIFF => entries::diff(&entry_name(kind, matches)?, matches, &mut session).await,
+        verb::REMOVE => entries::remove(entry_name(kind, matches)?, matches, &mut session).await,
         verb::HISTORY => entries::history(kind, matches, &mut session).await,
-        verb::PUT => versions::put(name(kind, matches)?, matches, &mut session).await,
-        verb::WITHDRAW => versions::withdraw(name(kind, matches)?, matches, &mut session).await,
+        verb::PUT => versions::put(entry_name(kind, matches)?, matches, &mut session).await,
+        verb::WITHDRAW => {
+            versions::withdraw(entry_name(kind, matches)?, matches, &mut session).await
+        }
         verb::ROLLOUT => rollout::run(matches, &mut session).await,
         other => unreachable!("the command line has no command {other}"),
     }
@@ -75,7 +77,7 @@
 }
 
 /// Returns the entry name from the command line; fails if hosts wouldn't accept it.
-fn name(kind: EntryKind, matches: &ArgMatches) -> Result<EntryName, Report<Error>> {
+fn entry_name(kind: EntryKind, matches: &ArgMatches) -> Result<EntryName, Report<Error>> {
     let name: &String = matches
         .get_one(arg::NAME)
         .expect("the name is a required argument");
--- a/crates/barleyctl/src/command/customers.rs
+++ b/crates/barleyctl/src/command/customers.rs
@@ -10,7 +10,7 @@
 
 /// Prints the hash by which the configuration identifies a bearer key.
 pub(super) fn hash(matches: &ArgMatches, console: &mut Console<'_>) -> Result<(), Report<Error>> {
-    let (path, text) = entries::read(matches, console)?;
+    let (path, text) = entries::read_input(matches, console)?;
     let key = text.trim();
     if key.is_empty() {
         let fault = format!("{path} holds no key: expected one line of text");
--- a/crates/barleyctl/src/command/entries.rs
+++ b/crates/barleyctl/src/command/entries.rs
@@ -12,7 +12,7 @@
 use crate::console::Console;
 use crate::error::Error;
 use crate::output;
-use crate::session::{Session, is_repeat, usage};
+use crate::session::{Session, is_retry, usage_error};
 
 mod columns;
 
@@ -22,16 +22,16 @@
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
     let document = session.client.document().await?.document;
-    let entries: Vec<_> = entries(&document, kind).collect();
+    let entries: Vec<_> = entries_of_kind(&document, kind).collect();
     let rows: Vec<_> = entries
         .iter()
         .map(|(name, entry)| columns::row(name, entry))
         .collect();
     let json = entries
         .iter()
-        .map(|(name, entry)| as_json(name, entry))
+        .map(|(name, entry)| entry_json(name, entry))
         .collect();
-    output::rows(session, columns::head(kind), &rows, &Value::Array(json));
+    output::print_rows(session, columns::header(kind), &rows, &Value::Array(json));
     Ok(())
 }
 
@@ -40,11 +40,11 @@
     name: &EntryName,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
-    let entry = current(name, session).await?;
-    output::text(
+    let entry = fetch_entry(name, session).await?;
+    output::print_text(
         session,
         &EntryFile::show(name, &entry),
-        &as_json(name, &entry),
+        &entry_json(name, &entry),
     );
     Ok(())
 }
@@ -61,14 +61,14 @@
     let (path, file) = read_file(&name, matches, session.console)?;
     let base = match (revision(matches), file.revision, &file.name) {
         (Some(given), _, _) => given,
-        (None, Some(revision), Some(of)) if *of == name => revision,
-        (None, Some(_), Some(of)) => {
-            return Err(usage(&format!(
-                "{path} was read from {of}: give `--revision`, 0 for a new {name}"
+        (None, Some(revision), Some(read_from)) if *read_from == name => revision,
+        (None, Some(_), Some(read_from)) => {
+            return Err(usage_error(&format!(
+                "{path} was read from {read_from}: give `--revision`, 0 for a new {name}"
             )));
         }
         (None, _, _) => {
-            return Err(usage(&format!(
+            return Err(usage_error(&format!(
                 "{path} doesn't say at which revision it was read: \
                  give `--revision`, 0 for a new {name}"
             )));
@@ -89,7 +89,7 @@
     let text = diff::entries(name, current.as_ref(), Some(&file.entry));
     let revision = current.map(|entry| entry.changed());
     let json = json!({"entry": name, "current_revision": revision, "diff": text});
-    output::text(session, &text, &json);
+    output::print_text(session, &text, &json);
     Ok(())
 }
 
@@ -101,7 +101,7 @@
 ) -> Result<(), Report<Error>> {
     let base = match revision(matches) {
         Some(revision) => revision,
-        None => removable(&name, matches, session).await?,
+        None => base_for_removal(&name, matches, session).await?,
     };
     session.change(matches, base, name, None).await
 }
@@ -112,20 +112,21 @@
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
-    let wanted = *matches
+    let max_commits = *matches
         .get_one::<u32>(arg::LIMIT)
         .expect("the argument has a default") as usize;
-    let only: Option<&String> = matches.get_one(arg::NAME);
-    let is_meant = |commit: &Commit| {
-        is_of(kind, &commit.entry) && only.is_none_or(|name| commit.entry.as_str() == name)
+    let only_name: Option<&String> = matches.get_one(arg::NAME);
+    let is_selected = |commit: &Commit| {
+        is_in_history_of(kind, &commit.entry)
+            && only_name.is_none_or(|name| commit.entry.as_str() == name)
     };
-    let commits = newest(wanted, is_meant, session).await?;
+    let commits = newest_commits(max_commits, is_selected, session).await?;
     let rows: Vec<_> = commits
         .iter()
         .map(|commit| {
             vec![
                 commit.revision.to_string(),
-                output::time(commit.when),
+                output::format_time(commit.when),
                 commit.entry.to_string(),
                 commit.action.to_string(),
                 commit.author.clone(),
@@ -133,24 +134,24 @@
             ]
         })
         .collect();
-    let head = ["REVISION", "TIME", "ENTRY", "WHAT", "AUTHOR", "CHANGE"];
-    output::rows(session, &head, &rows, &json!(commits));
+    let header = ["REVISION", "TIME", "ENTRY", "WHAT", "AUTHOR", "CHANGE"];
+    output::print_rows(session, &header, &rows, &json!(commits));
     Ok(())
 }
 
 /// Returns the current entry; fails if it doesn't exist.
-pub(super) async fn current(
+pub(super) async fn fetch_entry(
     name: &EntryName,
     session: &mut Session<'_, '_>,
 ) -> Result<Entry, Report<Error>> {
     let document = session.client.document().await?.document;
     let entry = document.entry(name);
-    entry.ok_or_else(|| Error::Absent(name.clone()).into())
+    entry.ok_or_else(|| Error::NotFound(name.clone()).into())
 }
 
 /// Reads the file that the command line names, or standard input for `-`. Returns
 /// its name for error messages and its text.
-pub(super) fn read(
+pub(super) fn read_input(
     matches: &ArgMatches,
     console: &mut Console<'_>,
 ) -> Result<(String, String), Report<Error>> {
@@ -159,14 +160,16 @@
         .expect("the argument has a default");
     if path.as_os_str() == "-" {
         let shown = "standard input";
-        let text = console.read().change_context(Error::Read(shown.into()))?;
+        let text = console
+            .read_input()
+            .change_context(Error::ReadFile(shown.into()))?;
         return Ok((shown.to_owned(), text));
     }
-    let text = std::fs::read_to_string(path).change_context(Error::Read(path.clone()))?;
+    let text = std::fs::read_to_string(path).change_context(Error::ReadFile(path.clone()))?;
     Ok((path.display().to_string(), text))
 }
 
-async fn removable(
+async fn base_for_removal(
     name: &EntryName,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
@@ -174,31 +177,32 @@
     let document = session.client.document().await?.document;
     match document.entry(name) {
         Some(entry) => Ok(entry.changed()),
-        None if is_repeat(matches) => Ok(Revision(0)),
-        None => Err(Error::Absent(name.clone()).into()),
+        None if is_retry(matches) => Ok(Revision(0)),
+        None => Err(Error::NotFound(name.clone()).into()),
     }
 }
 
 /// Maximum number of commits in a response of a host.
 const MAX_HISTORY: usize = 500;
 
-/// Returns the newest commits for which `is_meant` is true, at most `wanted`.
+/// Returns the newest commits for which `is_selected` is true, at most
+/// `max_commits`.
 ///
 /// The history covers all entries, and each commit costs the host a read, so the
 /// requested number grows only while too few commits match.
-async fn newest(
-    wanted: usize,
-    is_meant: impl Fn(&Commit) -> bool,
+async fn newest_commits(
+    max_commits: usize,
+    is_selected: impl Fn(&Commit) -> bool,
     session: &mut Session<'_, '_>,
 ) -> Result<Vec<Commit>, Report<Error>> {
-    let mut limit = wanted.min(MAX_HISTORY);
+    let mut limit = max_commits.min(MAX_HISTORY);
     loop {
         let history = session.client.history(limit).await?;
-        let whole = history.entries.len() < limit || limit == MAX_HISTORY;
+        let is_complete = history.entries.len() < limit || limit == MAX_HISTORY;
         let mut commits = history.entries;
-        commits.retain(&is_meant);
-        commits.truncate(wanted);
-        if whole || commits.len() == wanted {
+        commits.retain(&is_selected);
+        commits.truncate(max_commits);
+        if is_complete || commits.len() == max_commits {
             return Ok(commits);
         }
         limit = (limit * 2).min(MAX_HISTORY);
@@ -207,7 +211,7 @@
 
 /// Returns whether changes to an entry are listed in the history of a kind; those
 /// of roll-outs are listed with versions.
-fn is_of(kind: EntryKind, name: &EntryName) -> bool {
+fn is_in_history_of(kind: EntryKind, name: &EntryName) -> bool {
     name.kind() == kind || (kind == EntryKind::Version && name.kind() == EntryKind::Rollout)
 }
 
@@ -216,7 +220,7 @@
     matches: &ArgMatches,
     console: &mut Console<'_>,
 ) -> Result<(String, EntryFile), Report<Error>> {
-    let (path, text) = read(matches, console)?;
+    let (path, text) = read_input(matches, console)?;
     let file = EntryFile::parse(name.kind(), &text, &path).map_err(Error::Faults)?;
     Ok((path, file))
 }
@@ -225,7 +229,10 @@
     matches.get_one(arg::REVISION).copied().map(Revision)
 }
 
-fn entries(document: &Document, kind: EntryKind) -> impl Iterator<Item = (EntryName, Entry)> {
+fn entries_of_kind(
+    document: &Document,
+    kind: EntryKind,
+) -> impl Iterator<Item = (EntryName, Entry)> {
     let names = document.names().filter(move |name| name.kind() == kind);
     names.filter_map(|name| {
         let entry = document.entry(&name)?;
@@ -233,6 +240,6 @@
     })
 }
 
-fn as_json(name: &EntryName, entry: &Entry) -> Value {
+fn entry_json(name: &EntryName, entry: &Entry) -> Value {
     json!({"name": name.as_str(), "revision": entry.changed(), "entry": entry})
 }
--- a/crates/barleyctl/src/command/entries/columns.rs
+++ b/crates/barleyctl/src/command/entries/columns.rs
@@ -3,7 +3,7 @@
 use config::{Entry, EntryKind, EntryName};
 
 /// Returns the table header.
-pub(super) fn head(kind: EntryKind) -> &'static [&'static str] {
+pub(super) fn header(kind: EntryKind) -> &'static [&'static str] {
     match kind {
         EntryKind::Version => &["VERSION", "STATE", "PROMPT", "COMPLETION", "REVISION"],
         EntryKind::Profile => &[
--- a/crates/barleyctl/src/command/explain.rs
+++ b/crates/barleyctl/src/command/explain.rs
@@ -14,7 +14,7 @@
 use crate::error::Error;
 use crate::output::{self, Format};
 
-use line::{Line, Lines};
+use line::{LogLine, LogLines};
 
 /// Event numbers; docs/reference/relay-events.md lists all of them.
 mod event {
@@ -32,27 +32,27 @@
     let request: &String = matches
         .get_one(arg::NAME)
         .expect("the request is a required argument");
-    let lines = read(matches, console)?;
-    let found = lines.about(request);
-    if found.is_empty() {
-        let (read, foreign) = (lines.all.len(), lines.foreign);
+    let lines = read_logs(matches, console)?;
+    let matching = lines.of_request(request);
+    if matching.is_empty() {
+        let (read, unreadable) = (lines.events.len(), lines.unreadable);
         let text = format!(
-            "no line is about request {request}, of {read} read; {foreign} could not be read"
+            "no line is about request {request}, of {read} read; {unreadable} could not be read"
         );
         return Err(Error::Input(text).into());
     }
-    let story = story(request, &found, lines.foreign);
-    match Format::of(matches) {
+    let summary = summarize(request, &matching, lines.unreadable);
+    match Format::from_matches(matches) {
         Format::Table => {
-            console.print(&format!("{story}\n\n"));
-            console.print(&table(&found));
+            console.print(&format!("{summary}\n\n"));
+            console.print(&table(&matching));
         }
         Format::Json => {
-            let raw: Vec<_> = found.iter().map(|it| &it.value).collect();
+            let raw: Vec<_> = matching.iter().map(|it| &it.value).collect();
             let json = json!({
                 "request": request,
-                "story": story,
-                "unreadable": lines.foreign,
+                "story": summary,
+                "unreadable": lines.unreadable,
                 "lines": raw,
             });
             console.print(&format!("{json}\n"));
@@ -61,48 +61,48 @@
     Ok(())
 }
 
-fn read(matches: &ArgMatches, console: &mut Console<'_>) -> Result<Lines, Report<Error>> {
-    let mut lines = Lines::default();
+fn read_logs(matches: &ArgMatches, console: &mut Console<'_>) -> Result<LogLines, Report<Error>> {
+    let mut lines = LogLines::default();
     let files = matches.get_many::<PathBuf>(arg::FILE).unwrap_or_default();
     if files.len() == 0 {
         let text = console
-            .read()
+            .read_input()
             .change_context_lazy(|| Error::Input("can't read standard input".to_owned()))?;
         lines.add(&text);
     }
     for path in files {
         // A truncated log may end within a UTF-8 character.
-        let bytes = fs::read(path).change_context_lazy(|| Error::Read(path.clone()))?;
+        let bytes = fs::read(path).change_context_lazy(|| Error::ReadFile(path.clone()))?;
         lines.add(&String::from_utf8_lossy(&bytes));
     }
     lines.sort();
     Ok(lines)
 }
 
-fn story(request: &str, found: &[&Line], foreign: usize) -> String {
+fn summarize(request: &str, matching: &[&LogLine], unreadable: usize) -> String {
     let mut parts = Vec::new();
-    match found.iter().rfind(|it| it.event() != event::ATTEMPT) {
+    match matching.iter().rfind(|it| it.event() != event::ATTEMPT) {
         Some(end) => {
-            parts.push(format!("Request {request}{}.", origin(end)));
+            parts.push(format!("Request {request}{}.", describe_origin(end)));
             if let Some(trail) = end.text("trail").filter(|it| !it.is_empty()) {
                 parts.push(format!("Its attempts (endpoint, ending, ms): {trail}."));
             }
-            parts.push(ending(end));
+            parts.push(describe_end(end));
         }
         None => parts.push(format!(
             "Request {request}: the lines have attempts and no end. It may be under way, or the \
              host ended, or the line was dropped."
         )),
     }
-    let last = found.iter().rfind(|it| it.event() == event::ATTEMPT);
-    parts.extend(last.map(|it| belief(it)));
-    if foreign > 0 {
-        parts.push(format!("{foreign} lines could not be read."));
+    let last = matching.iter().rfind(|it| it.event() == event::ATTEMPT);
+    parts.extend(last.map(|it| describe_last_attempt(it)));
+    if unreadable > 0 {
+        parts.push(format!("{unreadable} lines could not be read."));
     }
     parts.join(" ")
 }
 
-fn origin(end: &Line) -> String {
+fn describe_origin(end: &LogLine) -> String {
     let named = |name: &str, words: &str| {
         end.text(name)
             .map(|it| format!(" {words} {it}"))
@@ -117,7 +117,7 @@
 }
 
 /// Describes the end of the request and whether it may have run.
-fn ending(end: &Line) -> String {
+fn describe_end(end: &LogLine) -> String {
     let ms = end.count("ms").unwrap_or(0);
     let config = end
         .count("config")
@@ -157,7 +157,7 @@
 }
 
 /// Describes the last logged attempt and the data from which its endpoint was chosen.
-fn belief(attempt: &Line) -> String {
+fn describe_last_attempt(attempt: &LogLine) -> String {
     let number = |name: &str| {
         attempt
             .number(name)
@@ -172,8 +172,8 @@
         _ => "",
     };
     format!(
-        "The last attempt told of, to {} at {}, ended as {}{withheld}: chosen among {} candidates, believed \
-         {} full by a report {} ms old and a listing {} ms old, with {} ms left.",
+        "The last attempt told of, to {} at {}, ended as {}{withheld}: chosen among {} candidates, \
+         believed {} full by a report {} ms old and a listing {} ms old, with {} ms left.",
         attempt.text("endpoint").unwrap_or("an unknown endpoint"),
         attempt.text("address").unwrap_or("an unknown address"),
         attempt.text("ending").unwrap_or("unknown"),
@@ -185,8 +185,8 @@
     )
 }
 
-fn table(found: &[&Line]) -> String {
-    let rows: Vec<Vec<String>> = found
+fn table(matching: &[&LogLine]) -> String {
+    let rows: Vec<Vec<String>> = matching
         .iter()
         .map(|it| {
             let text = |name: &str| it.text(name).unwrap_or_default().to_owned();
@@ -202,8 +202,8 @@
             ]
         })
         .collect();
-    let head = [
+    let header = [
         "time", "host", "event", "endpoint", "ending", "status", "ms",
     ];
-    output::table(&head, &rows)
+    output::format_table(&header, &rows)
 }
--- a/crates/barleyctl/src/command/explain/line.rs
+++ b/crates/barleyctl/src/command/explain/line.rs
@@ -4,42 +4,42 @@
 
 /// The events of one or several logs.
 #[derive(Debug, Default)]
-pub(super) struct Lines {
-    pub(super) all: Vec<Line>,
+pub(super) struct LogLines {
+    pub(super) events: Vec<LogLine>,
     /// Number of lines that aren't events: of other programs, or truncated.
-    pub(super) foreign: usize,
+    pub(super) unreadable: usize,
 }
 
 /// A log line that holds an event.
 #[derive(Debug)]
-pub(super) struct Line {
+pub(super) struct LogLine {
     pub(super) value: Value,
 }
 
-impl Lines {
+impl LogLines {
     pub(super) fn add(&mut self, text: &str) {
         for line in text.lines().filter(|it| !it.trim().is_empty()) {
-            match Line::parse(line) {
-                Some(it) => self.all.push(it),
-                None => self.foreign += 1,
+            match LogLine::parse(line) {
+                Some(it) => self.events.push(it),
+                None => self.unreadable += 1,
             }
         }
     }
 
     /// Sorts the events by time, since logs of several hosts are read one by one.
     pub(super) fn sort(&mut self) {
-        self.all.sort_by(|a, b| a.time().cmp(b.time()));
+        self.events.sort_by(|a, b| a.time().cmp(b.time()));
     }
 
-    pub(super) fn about(&self, request: &str) -> Vec<&Line> {
-        self.all
+    pub(super) fn of_request(&self, request: &str) -> Vec<&LogLine> {
+        self.events
             .iter()
             .filter(|it| it.text("request") == Some(request))
             .collect()
     }
 }
 
-impl Line {
+impl LogLine {
     /// Parses a line; skips a prefix that a log collector added before the JSON.
     fn parse(line: &str) -> Option<Self> {
         let value: Value = serde_json::from_str(&line[line.find('{')?..]).ok()?;
--- a/crates/barleyctl/src/command/hosts.rs
+++ b/crates/barleyctl/src/command/hosts.rs
@@ -14,7 +14,7 @@
 use crate::session::Session;
 
 /// The header of the table of hosts.
-pub(super) const HEAD: [&str; 7] = [
+pub(super) const HEADER: [&str; 7] = [
     "HOST",
     "DATA CENTRE",
     "ADDRESS",
@@ -59,9 +59,9 @@
 }
 
 async fn list(session: &mut Session<'_, '_>) -> Result<(), Report<Error>> {
-    let roster = Roster::of(&session.client.statuses().await?);
+    let roster = Roster::merge(&session.client.statuses().await?);
     let rows: Vec<_> = roster.hosts.iter().map(row).collect();
-    output::rows(session, &HEAD, &rows, &json!(roster.hosts));
+    output::print_rows(session, &HEADER, &rows, &json!(roster.hosts));
     Ok(())
 }
 
@@ -70,13 +70,13 @@
         .get_one(arg::NAME)
         .expect("the name is a required argument");
     let name = HostName::from(name.as_str());
-    let roster = Roster::of(&session.client.statuses().await?);
+    let roster = Roster::merge(&session.client.statuses().await?);
     if !roster.hosts.iter().any(|host| host.name == name) {
         return Err(Error::Input(format!("there is no host {name}")).into());
     }
     session.client.drain(&name).await?;
     let text =
         format!("host {name} was asked to drain; `barleyctl hosts list` shows how far it is\n");
-    output::text(session, &text, &json!({"host": name, "asked": true}));
+    output::print_text(session, &text, &json!({"host": name, "asked": true}));
     Ok(())
 }
--- a/crates/barleyctl/src/command/keys.rs
+++ b/crates/barleyctl/src/command/keys.rs
@@ -95,7 +95,7 @@
 }
 
 fn read(path: &Path) -> Result<String, Report<Error>> {
-    std::fs::read_to_string(path).change_context(Error::Read(path.to_owned()))
+    std::fs::read_to_string(path).change_context(Error::ReadFile(path.to_owned()))
 }
 
 /// Writes a new file and prints its path.
@@ -113,9 +113,9 @@
         .create_new(true)
         .mode(access as u32)
         .open(path)
-        .change_context_lazy(|| Error::Write(path.to_owned()))?;
+        .change_context_lazy(|| Error::WriteFile(path.to_owned()))?;
     file.write_all(text.as_bytes())
-        .change_context_lazy(|| Error::Write(path.to_owned()))?;
+        .change_context_lazy(|| Error::WriteFile(path.to_owned()))?;
     console.print(&format!("{}\n", path.display()));
     Ok(())
 }
--- a/crates/barleyctl/src/command/rollout.rs
+++ b/crates/barleyctl/src/command/rollout.rs
@@ -5,10 +5,10 @@
 use error_stack::Report;
 use kernel::Revision;
 
-use super::{entries, name, subcommand};
+use super::{entries, entry_name, subcommand};
 use crate::cli::{arg, verb};
 use crate::error::Error;
-use crate::session::{Session, is_repeat};
+use crate::session::{Session, is_retry};
 
 /// Runs a subcommand of `versions rollout`.
 pub(super) async fn run(
@@ -16,12 +16,12 @@
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
     let (verb, matches) = subcommand(matches);
-    let rollout = || name(EntryKind::Rollout, matches);
+    let rollout = || entry_name(EntryKind::Rollout, matches);
     match verb {
         verb::START => start(rollout()?, matches, session).await,
-        verb::PAUSE => turn(rollout()?, RolloutState::Paused, matches, session).await,
-        verb::RESUME => turn(rollout()?, RolloutState::Running, matches, session).await,
-        verb::ABORT => turn(rollout()?, RolloutState::Aborted, matches, session).await,
+        verb::PAUSE => set_state(rollout()?, RolloutState::Paused, matches, session).await,
+        verb::RESUME => set_state(rollout()?, RolloutState::Running, matches, session).await,
+        verb::ABORT => set_state(rollout()?, RolloutState::Aborted, matches, session).await,
         _ => entries::list(EntryKind::Rollout, session).await,
     }
 }
@@ -35,7 +35,7 @@
     let document = session.client.document().await?.document;
     let base = match document.entry(&name) {
         Some(Entry::Rollout(rollout)) if rollout.state.is_open() => {
-            base_of_repeat(&name, rollout.state, matches)?
+            base_for_retry(&name, rollout.state, matches)?
         }
         current => current.map_or(Revision(0), |entry| entry.changed()),
     };
@@ -57,20 +57,20 @@
 }
 
 /// Pauses, resumes or aborts a roll-out at its current step.
-async fn turn(
+async fn set_state(
     name: EntryName,
     state: RolloutState,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
-    let entry = entries::current(&name, session).await?;
+    let entry = entries::fetch_entry(&name, session).await?;
     let Entry::Rollout(rollout) = entry else {
-        return Err(Error::Absent(name).into());
+        return Err(Error::NotFound(name).into());
     };
     let base = if rollout.state.is_open() {
         rollout.changed
     } else {
-        base_of_repeat(&name, rollout.state, matches)?
+        base_for_retry(&name, rollout.state, matches)?
     };
     let rollout = Rollout { state, ..rollout };
     session
@@ -83,12 +83,12 @@
 ///
 /// The first attempt may itself have caused that state. A host that knows the
 /// change id reports the change as accepted; otherwise revision 0 is a conflict.
-fn base_of_repeat(
+fn base_for_retry(
     name: &EntryName,
     state: RolloutState,
     matches: &ArgMatches,
 ) -> Result<Revision, Report<Error>> {
-    if is_repeat(matches) {
+    if is_retry(matches) {
         return Ok(Revision(0));
     }
     let fault = format!("the roll-out of {} is {state} already", name.as_str());
--- a/crates/barleyctl/src/command/status.rs
+++ b/crates/barleyctl/src/command/status.rs
@@ -14,11 +14,11 @@
 /// host, in the order given, that responds.
 pub(super) async fn run(session: &mut Session<'_, '_>) -> Result<(), Report<Error>> {
     let statuses = session.client.statuses().await?;
-    let roster = Roster::of(&statuses);
+    let roster = Roster::merge(&statuses);
     let rows: Vec<_> = roster.hosts.iter().map(hosts::row).collect();
     let status = &statuses[0];
     let mut parts = vec![
-        output::table(&hosts::HEAD, &rows),
+        output::format_table(&hosts::HEADER, &rows),
         format!("as {} knows it:\n", status.host.name),
     ];
     if !status.versions.is_empty() {
@@ -35,7 +35,7 @@
         "rollouts": status.rollouts,
         "backlog": status.backlog,
     });
-    output::text(session, &parts.join("\n"), &json);
+    output::print_text(session, &parts.join("\n"), &json);
     Ok(())
 }
 
@@ -49,7 +49,7 @@
         ]
     };
     let rows: Vec<_> = versions.iter().map(row).collect();
-    output::table(&["VERSION", "STATE", "HEALTH", "ENDPOINTS"], &rows)
+    output::format_table(&["VERSION", "STATE", "HEALTH", "ENDPOINTS"], &rows)
 }
 
 fn rollouts(rollouts: &[Rollout]) -> String {
@@ -65,7 +65,7 @@
         ]
     };
     let rows: Vec<_> = rollouts.iter().map(row).collect();
-    output::table(&["ROLL-OUT", "STATE", "STEP", "HOLDER"], &rows)
+    output::format_table(&["ROLL-OUT", "STATE", "STEP", "HOLDER"], &rows)
 }
 
 fn backlog(backlog: Backlog) -> String {
@@ -75,6 +75,7 @@
         oldest_ms,
     } = backlog;
     format!(
-        "billing records waiting for the table: {own} own, {held} of others, oldest {oldest_ms} ms\n"
+        "billing records waiting for the table: {own} own, {held} of others, \
+         oldest {oldest_ms} ms\n"
     )
 }
--- a/crates/barleyctl/src/command/versions.rs
+++ b/crates/barleyctl/src/command/versions.rs
@@ -28,8 +28,8 @@
     };
     let version = Version {
         state: VersionState::Active,
-        prompt: price(arg::PROMPT),
-        completion: price(arg::COMPLETION),
+        prompt: price(arg::PROMPT_PRICE),
+        completion: price(arg::COMPLETION_PRICE),
         changed: Revision(0),
     };
     session
@@ -43,7 +43,7 @@
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
-    let entry = entries::current(&name, session).await?;
+    let entry = entries::fetch_entry(&name, session).await?;
     let base = entry.changed();
     let entry = match entry {
         Entry::Version(version) => Entry::Version(Version {
--- a/crates/barleyctl/src/console.rs
+++ b/crates/barleyctl/src/console.rs
@@ -23,12 +23,12 @@
     }
 
     /// Prints progress or an error to standard error; ignores write errors.
-    pub(crate) fn warn(&mut self, text: &str) {
+    pub(crate) fn print_err(&mut self, text: &str) {
         let _ = self.err.write_all(text.as_bytes());
         let _ = self.err.flush();
     }
 
-    pub(crate) fn read(&mut self) -> io::Result<String> {
+    pub(crate) fn read_input(&mut self) -> io::Result<String> {
         let mut text = String::new();
         self.input.read_to_string(&mut text)?;
         Ok(text)
--- a/crates/barleyctl/src/error.rs
+++ b/crates/barleyctl/src/error.rs
@@ -9,7 +9,7 @@
 use kernel::{ChangeId, Revision};
 
 use crate::Exit;
-use crate::wait::Reach;
+use crate::wait::Propagation;
 
 /// The reason why a command failed.
 #[derive(Debug, Display, Error)]
@@ -19,10 +19,10 @@
     Usage(#[error(not(source))] String),
     /// A file or standard input can't be read.
     #[display("can't read {}", _0.display())]
-    Read(#[error(not(source))] PathBuf),
+    ReadFile(#[error(not(source))] PathBuf),
     /// A file can't be written.
     #[display("can't write {}", _0.display())]
-    Write(#[error(not(source))] PathBuf),
+    WriteFile(#[error(not(source))] PathBuf),
     /// The content of a file, or an argument, is invalid.
     #[display("{_0}")]
     Input(#[error(not(source))] String),
@@ -34,7 +34,7 @@
     Faults(#[error(not(source))] Faults),
     /// The entry doesn't exist.
     #[display("there is no {_0}")]
-    Absent(#[error(not(source))] EntryName),
+    NotFound(#[error(not(source))] EntryName),
     /// The entry was changed since the base revision.
     #[display("{_0}")]
     Conflict(#[error(not(source))] Conflict),
@@ -42,23 +42,23 @@
     #[display("refused ({}): {}", _0.reason, _0.detail)]
     Refused(#[error(not(source))] Box<Problem>),
     /// No host gave a usable response.
-    #[display("no host answered:{}", list(_0))]
-    Unreachable(#[error(not(source))] Vec<Attempt>),
+    #[display("no host answered:{}", format_attempts(_0))]
+    Unreachable(#[error(not(source))] Vec<FailedAttempt>),
     /// The change may or may not have been accepted.
     #[display(
         "it is not known whether change {change} was accepted:{}\n\
          repeat the command with `--change {change}`: it is accepted once at most",
-        list(attempts)
+        format_attempts(attempts)
     )]
     Unknown {
         /// The change.
         change: ChangeId,
         /// The attempts, none of which settled the outcome.
-        attempts: Vec<Attempt>,
+        attempts: Vec<FailedAttempt>,
     },
     /// The change is accepted, but not yet in force everywhere.
     #[display("{_0}")]
-    Lagging(#[error(not(source))] Box<Reach>),
+    Lagging(#[error(not(source))] Box<Propagation>),
 }
 
 impl Error {
@@ -66,12 +66,12 @@
     pub(crate) fn exit(&self) -> Exit {
         match self {
             Self::Usage(_) => Exit::Usage,
-            Self::Read(_)
-            | Self::Write(_)
+            Self::ReadFile(_)
+            | Self::WriteFile(_)
             | Self::Input(_)
             | Self::Keys
             | Self::Faults(_)
-            | Self::Absent(_) => Exit::Input,
+            | Self::NotFound(_) => Exit::Input,
             Self::Conflict(_) => Exit::Conflict,
             Self::Refused(problem) if problem.reason == Reason::BadRequest => Exit::Input,
             Self::Refused(_) => Exit::Refused,
@@ -99,15 +99,15 @@
 
 /// An attempt at one host that didn't settle the outcome.
 #[derive(Clone, Debug, Display)]
-#[display("{host}: {outcome}")]
-pub(crate) struct Attempt {
+#[display("{host}: {reason}")]
+pub(crate) struct FailedAttempt {
     /// The host.
     pub(crate) host: SocketAddr,
     /// The reason, as shown to the operator.
-    pub(crate) outcome: String,
+    pub(crate) reason: String,
 }
 
-fn list(attempts: &[Attempt]) -> String {
+fn format_attempts(attempts: &[FailedAttempt]) -> String {
     let lines = attempts.iter().map(|attempt| format!("\n  {attempt}"));
     lines.collect::<Vec<_>>().concat()
 }
--- a/crates/barleyctl/src/exit.rs
+++ b/crates/barleyctl/src/exit.rs
@@ -9,7 +9,7 @@
 pub enum Exit {
     /// The command succeeded; a change is in force on every live host.
     #[display("done")]
-    Done,
+    Success,
     /// A file, an entry or a name is invalid; nothing was changed.
     #[display("fault in the input")]
     Input,
@@ -36,7 +36,7 @@
 impl Exit {
     /// All values, for the test that compares them with the reference.
     pub const ALL: [Self; 8] = [
-        Self::Done,
+        Self::Success,
         Self::Input,
         Self::Usage,
         Self::Conflict,
@@ -50,7 +50,7 @@
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
-            Self::Done => 0,
+            Self::Success => 0,
             Self::Input => 1,
             Self::Usage => 2,
             Self::Conflict => 3,
--- a/crates/barleyctl/src/lib.rs
+++ b/crates/barleyctl/src/lib.rs
@@ -29,18 +29,18 @@
     let matches = match cli::command().try_get_matches_from(args) {
         Ok(matches) => matches,
         Err(err) if err.use_stderr() => {
-            console.warn(&err.to_string());
+            console.print_err(&err.to_string());
             return Exit::Usage;
         }
         Err(help) => {
             console.print(&help.to_string());
-            return Exit::Done;
+            return Exit::Success;
         }
     };
     match block_on(command::run(&matches, console)) {
-        Ok(()) => Exit::Done,
+        Ok(()) => Exit::Success,
         Err(report) => {
-            output::failure(console, output::Format::of(&matches), &report);
+            output::print_failure(console, output::Format::from_matches(&matches), &report);
             report.current_context().exit()
         }
     }
--- a/crates/barleyctl/src/output.rs
+++ b/crates/barleyctl/src/output.rs
@@ -13,7 +13,7 @@
 use crate::console::Console;
 use crate::error::Error;
 use crate::session::Session;
-use crate::wait::Reach;
+use crate::wait::Propagation;
 
 /// The output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 
 impl Format {
     /// Returns the format that the command line selects.
-    pub(crate) fn of(matches: &ArgMatches) -> Self {
+    pub(crate) fn from_matches(matches: &ArgMatches) -> Self {
         match matches.get_one::<String>(arg::OUTPUT).map(String::as_str) {
             Some("json") => Self::Json,
             _ => Self::Table,
@@ -35,20 +35,20 @@
 }
 
 /// Prints a table with a header, or `json`, depending on the output format.
-pub(crate) fn rows(
+pub(crate) fn print_rows(
     session: &mut Session<'_, '_>,
-    head: &[&str],
+    header: &[&str],
     rows: &[Vec<String>],
     json: &Value,
 ) {
     match session.format {
-        Format::Table => session.console.print(&table(head, rows)),
+        Format::Table => session.console.print(&format_table(header, rows)),
         Format::Json => print_json(session.console, json),
     }
 }
 
 /// Prints `text` or `json`, depending on the output format.
-pub(crate) fn text(session: &mut Session<'_, '_>, text: &str, json: &Value) {
+pub(crate) fn print_text(session: &mut Session<'_, '_>, text: &str, json: &Value) {
     match session.format {
         Format::Table => session.console.print(text),
         Format::Json => print_json(session.console, json),
@@ -56,19 +56,19 @@
 }
 
 /// Prints the result of an accepted change.
-pub(crate) fn accepted(
+pub(crate) fn print_accepted(
     session: &mut Session<'_, '_>,
     change: &Change,
     accepted: &Accepted,
-    reach: &Reach,
+    propagation: &Propagation,
 ) {
-    let hosts = Reach::names(&reach.in_force);
+    let hosts = Propagation::join_names(&propagation.in_force);
     let (name, revision) = (&change.name, accepted.revision);
     let mut lines = vec![format!(
         "{name}: revision {revision} is in force on {hosts}\n"
     )];
-    if !reach.not_heard_from.is_empty() {
-        let names = Reach::names(&reach.not_heard_from);
+    if !propagation.not_heard_from.is_empty() {
+        let names = Propagation::join_names(&propagation.not_heard_from);
         lines.push(format!("not heard from: {names}\n"));
     }
     let json = json!({
@@ -76,28 +76,30 @@
         "change": change.id,
         "revision": accepted.revision,
         "repeated": accepted.repeated,
-        "in_force": reach.in_force,
-        "not_heard_from": reach.not_heard_from,
+        "in_force": propagation.in_force,
+        "not_heard_from": propagation.not_heard_from,
     });
-    text(session, &lines.concat(), &json);
+    print_text(session, &lines.concat(), &json);
 }
 
 /// Prints the error of a command to standard error.
-pub(crate) fn failure(console: &mut Console<'_>, format: Format, report: &Report<Error>) {
+pub(crate) fn print_failure(console: &mut Console<'_>, format: Format, report: &Report<Error>) {
     let error = report.current_context();
     match format {
-        Format::Table => console.warn(&format!("{}\n", format!("{report:#}").trim_end())),
+        Format::Table => console.print_err(&format!("{}\n", format!("{report:#}").trim_end())),
         Format::Json => {
             let json = failure_json(error, &format!("{report:#}"));
-            console.warn(&format!("{json}\n"));
+            console.print_err(&format!("{json}\n"));
         }
     }
 }
 
 /// Formats a table without borders, indentation or trailing blanks.
-pub(crate) fn table(head: &[&str], rows: &[Vec<String>]) -> String {
+pub(crate) fn format_table(header: &[&str], rows: &[Vec<String>]) -> String {
     let mut table = Table::new();
-    table.load_style(presets::NOTHING).set_header(head.to_vec());
+    table
+        .load_style(presets::NOTHING)
+        .set_header(header.to_vec());
     for row in rows {
         table.add_row(row.clone());
     }
@@ -114,7 +116,7 @@
 }
 
 /// Formats a time since the Unix epoch in UTC (RFC 3339), to the second.
-pub(crate) fn time(when: Duration) -> String {
+pub(crate) fn format_time(when: Duration) -> String {
     // A time that overflows `SystemTime` is shown in seconds.
     let time = UNIX_EPOCH.checked_add(when);
     let formatted = time.map(|time| humantime::format_rfc3339_seconds(time).to_string());
@@ -137,13 +139,13 @@
         }
         Error::Refused(problem) => json["problem"] = json!(problem),
         Error::Unknown { change, .. } => json["change"] = json!(change),
-        Error::Lagging(reach) => json["reach"] = json!(reach),
+        Error::Lagging(propagation) => json["reach"] = json!(propagation),
         Error::Usage(_)
-        | Error::Read(_)
-        | Error::Write(_)
+        | Error::ReadFile(_)
+        | Error::WriteFile(_)
         | Error::Input(_)
         | Error::Keys
-        | Error::Absent(_)
+        | Error::NotFound(_)
         | Error::Unreachable(_) => {}
     }
     json
--- a/crates/barleyctl/src/roster.rs
+++ b/crates/barleyctl/src/roster.rs
@@ -15,14 +15,14 @@
     /// A host's own status takes precedence over what its peers report of it.
     /// Of several reports of a peer, the one with the highest revision counts,
     /// since the revision in force on a host never decreases.
-    pub(crate) fn of(statuses: &[Status]) -> Self {
+    pub(crate) fn merge(statuses: &[Status]) -> Self {
         let mut roster = Self::default();
         for status in statuses {
-            roster.add(&status.host);
+            roster.insert_or_update(&status.host);
         }
         for peer in statuses.iter().flat_map(|status| &status.peers) {
             if statuses.iter().all(|status| status.host.name != peer.name) {
-                roster.add(peer);
+                roster.insert_or_update(peer);
             }
         }
         roster
@@ -31,7 +31,7 @@
         roster
     }
 
-    fn add(&mut self, host: &Host) {
+    fn insert_or_update(&mut self, host: &Host) {
         let known = self.hosts.iter_mut().find(|known| known.name == host.name);
         match known {
             Some(known) if known.revision < host.revision => *known = host.clone(),
--- a/crates/barleyctl/src/session.rs
+++ b/crates/barleyctl/src/session.rs
@@ -10,17 +10,17 @@
 use kernel::{ChangeId, Revision};
 
 use crate::cli::arg;
-use crate::client::{Change, ChangeHistory, Client};
+use crate::client::{Change, Client, Submission};
 use crate::console::Console;
 use crate::error::Error;
 use crate::output::{self, Format};
 use crate::wait;
 
 /// Timeout of a request to one host; the next host is tried after it.
-const ANSWER: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Maximum length of an author that hosts accept, in bytes.
-const MAX_AUTHOR: usize = 64;
+const MAX_AUTHOR_BYTES: usize = 64;
 
 /// State shared by the commands that call hosts.
 pub(crate) struct Session<'a, 'b> {
@@ -45,19 +45,19 @@
         let hosts = matches.get_many::<SocketAddr>(arg::HOST);
         let hosts: Vec<_> = hosts.into_iter().flatten().copied().collect();
         if hosts.is_empty() {
-            return Err(usage("this command needs `--host ADDRESS`"));
+            return Err(usage_error("this command needs `--host ADDRESS`"));
         }
         let path: &PathBuf = matches
             .get_one(arg::KEY_FILE)
-            .ok_or_else(|| usage("this command needs `--key-file FILE`"))?;
+            .ok_or_else(|| usage_error("this command needs `--key-file FILE`"))?;
         let timeout = *matches
             .get_one::<Duration>(arg::TIMEOUT)
             .expect("the argument has a default");
-        let client = Client::new(hosts, &read_key(path)?, ANSWER.min(timeout));
+        let client = Client::new(hosts, &read_key(path)?, RESPONSE_TIMEOUT.min(timeout));
         Ok(Self {
             console,
             client,
-            format: Format::of(matches),
+            format: Format::from_matches(matches),
             timeout,
         })
     }
@@ -77,10 +77,10 @@
     ) -> Result<(), Report<Error>> {
         let change = Change {
             id: change_id(matches),
-            history: if is_repeat(matches) {
-                ChangeHistory::Repeat
+            submission: if is_retry(matches) {
+                Submission::Retry
             } else {
-                ChangeHistory::New
+                Submission::New
             },
             base,
             author: author(matches),
@@ -90,22 +90,22 @@
         };
         // Printed before the first attempt, so that the operator can retry the
         // change by its id even if this process is killed.
-        self.console.warn(&format!("change {}\n", change.id));
+        self.console.print_err(&format!("change {}\n", change.id));
         let accepted = self.client.change(&change).await?;
-        let again = if accepted.repeated {
+        let by_earlier_attempt = if accepted.repeated {
             ", by an earlier try"
         } else {
             ""
         };
-        self.console.warn(&format!(
-            "accepted as revision {}{again}\n",
+        self.console.print_err(&format!(
+            "accepted as revision {}{by_earlier_attempt}\n",
             accepted.revision
         ));
-        let reach = wait::in_force(self, accepted.revision).await;
-        if !reach.lagging.is_empty() || !reach.heard {
-            return Err(Error::Lagging(Box::new(reach)).into());
+        let propagation = wait::until_in_force(self, accepted.revision).await;
+        if !propagation.lagging.is_empty() || !propagation.status_received {
+            return Err(Error::Lagging(Box::new(propagation)).into());
         }
-        output::accepted(self, &change, &accepted, &reach);
+        output::print_accepted(self, &change, &accepted, &propagation);
         Ok(())
     }
 
@@ -115,17 +115,17 @@
     }
 }
 
-pub(crate) fn usage(text: &str) -> Report<Error> {
+pub(crate) fn usage_error(text: &str) -> Report<Error> {
     Error::Usage(text.to_owned()).into()
 }
 
 /// Reads the operators' key from a file. It isn't accepted as an argument, since
 /// process lists and shell histories expose command lines.
 fn read_key(path: &Path) -> Result<String, Report<Error>> {
-    let text = std::fs::read_to_string(path).change_context(Error::Read(path.to_owned()))?;
+    let text = std::fs::read_to_string(path).change_context(Error::ReadFile(path.to_owned()))?;
     let key = text.trim();
-    let fits = !key.is_empty() && key.bytes().all(|byte| byte.is_ascii_graphic());
-    if !fits {
+    let is_valid = !key.is_empty() && key.bytes().all(|byte| byte.is_ascii_graphic());
+    if !is_valid {
         let text = format!("{} holds no key: expected one line of text", path.display());
         return Err(Error::Input(text).into());
     }
@@ -136,7 +136,7 @@
 ///
 /// The change may then be committed already, so checks of a new change against
 /// the entry's current state don't apply. The host recognizes it by its id.
-pub(crate) fn is_repeat(matches: &ArgMatches) -> bool {
+pub(crate) fn is_retry(matches: &ArgMatches) -> bool {
     matches.contains_id(arg::CHANGE)
 }
 
@@ -152,7 +152,11 @@
     let author = given.or_else(|| std::env::var("USER").ok());
     let printable = |it: &char| it.is_ascii_graphic() || *it == ' ';
     let author = author.unwrap_or_default();
-    author.chars().filter(printable).take(MAX_AUTHOR).collect()
+    author
+        .chars()
+        .filter(printable)
+        .take(MAX_AUTHOR_BYTES)
+        .collect()
 }
 
 fn mode(matches: &ArgMatches) -> ChangeMode {
--- a/crates/barleyctl/src/wait.rs
+++ b/crates/barleyctl/src/wait.rs
@@ -12,21 +12,21 @@
 use crate::session::Session;
 
 /// Interval between polls of the hosts' statuses.
-const POLL: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The hosts on which a revision is in force, and those on which it isn't yet.
 #[derive(Clone, Debug, Default, Display, Serialize)]
 #[display("{}", self.describe())]
-pub(crate) struct Reach {
+pub(crate) struct Propagation {
     /// The revision.
     pub(crate) revision: Revision,
     /// Whether at least one poll got a status.
     #[serde(skip)]
-    pub(crate) heard: bool,
+    pub(crate) status_received: bool,
     /// The hosts that have this or a later revision in force.
     pub(crate) in_force: Vec<HostName>,
     /// The live or leaving hosts that have an earlier revision in force.
-    pub(crate) lagging: Vec<Lag>,
+    pub(crate) lagging: Vec<LaggingHost>,
     /// The suspect hosts that aren't known to have it in force. They may be
     /// down; one that returns takes the newest revision before it is ready.
     pub(crate) not_heard_from: Vec<HostName>,
@@ -35,7 +35,7 @@
 /// A host with an earlier revision in force.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[display("{name} (revision {revision})")]
-pub(crate) struct Lag {
+pub(crate) struct LaggingHost {
     /// The host.
     pub(crate) name: HostName,
     /// The revision that it has in force.
@@ -44,57 +44,60 @@
 
 /// Waits until every live host has `revision` in force or the session's timeout
 /// expires, and prints the progress. Returns the last known state.
-pub(crate) async fn in_force(session: &mut Session<'_, '_>, revision: Revision) -> Reach {
+pub(crate) async fn until_in_force(
+    session: &mut Session<'_, '_>,
+    revision: Revision,
+) -> Propagation {
     let deadline = Instant::now() + session.timeout();
-    let mut told = String::new();
-    let mut reach = Reach {
+    let mut last_progress = String::new();
+    let mut propagation = Propagation {
         revision,
-        ..Reach::default()
+        ..Propagation::default()
     };
     loop {
         // A failed poll is retried until the timeout, since a host may respond
         // to a later one.
         if let Ok(statuses) = session.client.statuses().await {
-            reach = Reach::of(revision, Roster::of(&statuses));
-            let progress = reach.progress();
-            if progress != told {
-                session.console.warn(&format!("{progress}\n"));
-                told = progress;
+            propagation = Propagation::from_roster(revision, Roster::merge(&statuses));
+            let progress = propagation.progress();
+            if progress != last_progress {
+                session.console.print_err(&format!("{progress}\n"));
+                last_progress = progress;
             }
-            if reach.lagging.is_empty() {
-                return reach;
+            if propagation.lagging.is_empty() {
+                return propagation;
             }
         }
-        if Instant::now() + POLL >= deadline {
-            return reach;
+        if Instant::now() + POLL_INTERVAL >= deadline {
+            return propagation;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-impl Reach {
-    fn of(revision: Revision, roster: Roster) -> Self {
-        let mut reach = Self {
+impl Propagation {
+    fn from_roster(revision: Revision, roster: Roster) -> Self {
+        let mut propagation = Self {
             revision,
-            heard: true,
+            status_received: true,
             ..Self::default()
         };
         for host in roster.hosts {
             let name = host.name;
             match host.state {
-                _ if host.revision >= revision => reach.in_force.push(name),
-                State::Suspect => reach.not_heard_from.push(name),
-                State::Live | State::Leaving => reach.lagging.push(Lag {
+                _ if host.revision >= revision => propagation.in_force.push(name),
+                State::Suspect => propagation.not_heard_from.push(name),
+                State::Live | State::Leaving => propagation.lagging.push(LaggingHost {
                     name,
                     revision: host.revision,
                 }),
             }
         }
-        reach
+        propagation
     }
 
     /// Joins hosts with commas.
-    pub(crate) fn names<T: ToString>(hosts: &[T]) -> String {
+    pub(crate) fn join_names<T: ToString>(hosts: &[T]) -> String {
         let names: Vec<_> = hosts.iter().map(T::to_string).collect();
         names.join(", ")
     }
@@ -105,14 +108,14 @@
         if self.lagging.is_empty() {
             return format!("in force on {reached} of {all} hosts");
         }
-        let lagging = Self::names(&self.lagging);
+        let lagging = Self::join_names(&self.lagging);
         format!("in force on {reached} of {all} hosts, waiting for {lagging}")
     }
 
     fn describe(&self) -> String {
         let revision = self.revision;
-        if self.heard {
-            let lagging = Self::names(&self.lagging);
+        if self.status_received {
+            let lagging = Self::join_names(&self.lagging);
             format!("revision {revision} is accepted, but not yet in force on {lagging}")
         } else {
             format!(
--- a/crates/barleyctl/tests/explain.rs
+++ b/crates/barleyctl/tests/explain.rs
@@ -9,11 +9,11 @@
 const LOG: &str = "tests/logs/hosts.log";
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-fn tool() -> Command {
+fn barleyctl() -> Command {
     Command::new(env!("CARGO_BIN_EXE_barleyctl"))
 }
 
-fn show(command: &mut Command) -> String {
+fn run_and_show(command: &mut Command) -> String {
     let output = command.output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
     let err = String::from_utf8(output.stderr).unwrap();
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn explanations() {
+fn explain_output_matches_the_cases() {
     walk("tests/explain", |file| {
         file.run(|case| match case.directive.as_str() {
-            "explain" => show(
-                tool()
+            "explain" => run_and_show(
+                barleyctl()
                     .arg("explain")
                     .args(case.input.split_whitespace())
                     .arg(LOG),
@@ -36,16 +36,16 @@
 }
 
 #[test]
-fn logs_come_from_standard_input_too() {
-    let mut tool = tool()
+fn explain_reads_standard_input_without_files() {
+    let mut child = barleyctl()
         .args(["explain", "4a6777875b40ea23", "--output", "json"])
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
     let log = std::fs::read(LOG).unwrap();
-    tool.stdin.take().unwrap().write_all(&log).unwrap();
-    let output = tool.wait_with_output().unwrap();
+    child.stdin.take().unwrap().write_all(&log).unwrap();
+    let output = child.wait_with_output().unwrap();
     let json: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(json["lines"].as_array().unwrap().len(), 3);
     assert_eq!(json["unreadable"], 2);
@@ -54,7 +54,7 @@
 /// Each command of the on-call page finds lines in the recorded log. Commands
 /// with `jq` are skipped where it isn't installed.
 #[test]
-fn the_on_call_pages_commands_work() {
+fn commands_of_the_on_call_page_find_lines() {
     let has_jq = Command::new("jq").arg("--version").output().is_ok();
     let mut commands = 0;
     for line in PAGE.lines().filter_map(|it| it.strip_prefix("    $ ")) {
--- a/crates/barleyctl/tests/process.rs
+++ b/crates/barleyctl/tests/process.rs
@@ -6,7 +6,7 @@
 
 const PAGE: &str = include_str!("../../../docs/reference/barleyctl.md");
 
-fn check(args: &[&str]) -> (Option<i32>, String) {
+fn run_tool(args: &[&str]) -> (Option<i32>, String) {
     let tool = env!("CARGO_BIN_EXE_barleyctl");
     let output = Command::new(tool)
         .args(args)
@@ -17,16 +17,16 @@
 }
 
 #[test]
-fn the_exit_code_tells_how_it_ended() {
-    assert_eq!(check(&["--version"]).0, Some(0));
-    assert_eq!(check(&["profiles", "list"]).0, Some(2));
-    assert_eq!(check(&[]).0, Some(2));
+fn exit_codes_of_success_and_usage_errors() {
+    assert_eq!(run_tool(&["--version"]).0, Some(0));
+    assert_eq!(run_tool(&["profiles", "list"]).0, Some(2));
+    assert_eq!(run_tool(&[]).0, Some(2));
 }
 
 #[test]
-fn completions_name_the_commands() {
+fn completions_list_the_commands() {
     for shell in ["bash", "zsh", "fish"] {
-        let (code, text) = check(&["completions", shell]);
+        let (code, text) = run_tool(&["completions", shell]);
         assert_eq!(code, Some(0));
         assert!(text.contains("withdraw"), "{shell}");
     }
@@ -50,12 +50,12 @@
 #[test]
 fn the_page_lists_every_command_and_no_other() {
     let mut known = Vec::new();
-    walk(&barleyctl::command(), &[], &mut known);
+    collect_commands(&barleyctl::command(), &[], &mut known);
     let mut listed: Vec<String> = PAGE
         .lines()
         .filter_map(|line| line.strip_prefix("| `"))
         .filter(|row| !row.starts_with('-'))
-        .flat_map(commands)
+        .flat_map(row_commands)
         .collect();
     known.sort();
     listed.sort();
@@ -63,17 +63,17 @@
 }
 
 /// Collects the full names of all commands without subcommands.
-fn walk(command: &clap::Command, path: &[&str], known: &mut Vec<String>) {
+fn collect_commands(command: &clap::Command, path: &[&str], known: &mut Vec<String>) {
     if !command.has_subcommands() {
         known.push(path.join(" "));
     }
     for child in command.get_subcommands() {
-        walk(child, &[path, &[child.get_name()]].concat(), known);
+        collect_commands(child, &[path, &[child.get_name()]].concat(), known);
     }
 }
 
 /// Returns the commands in the first cell of a row, without their arguments.
-fn commands(row: &str) -> Vec<String> {
+fn row_commands(row: &str) -> Vec<String> {
     let cell = row.split(" |").next().unwrap_or_default();
     let is_verb = |word: &&str| word.bytes().all(|byte| byte.is_ascii_lowercase());
     cell.split("`, `")
--- a/crates/barleyctl/tests/sessions/operator.rs
+++ b/crates/barleyctl/tests/sessions/fake_fleet.rs
@@ -19,23 +19,23 @@
 pub(crate) const KEY: &str = "the-operators-key";
 
 /// The time, since the Unix epoch, from which commits are dated.
-const EPOCH: Duration = Duration::from_secs(1_790_000_000);
+const START_TIME: Duration = Duration::from_secs(1_790_000_000);
 
 /// The state of the fleet and the failures that it simulates.
 #[derive(Default)]
-pub(crate) struct Fleet {
+pub(crate) struct FakeFleet {
     /// The committed configuration.
     pub(crate) document: Document,
-    /// The number of next accepted changes whose responses are cut.
-    pub(crate) lose_answers: u32,
+    /// The number of accepted changes, from now on, whose responses are cut.
+    pub(crate) responses_to_cut: u32,
     /// The hosts that report an earlier revision than the current one.
     pub(crate) lagging: Vec<String>,
     /// The hosts that are reported as suspect, at an earlier revision.
-    pub(crate) silent: Vec<String>,
+    pub(crate) suspect: Vec<String>,
     /// Whether changes are refused because the table service is out.
     pub(crate) store_out: bool,
     /// Whether the hosts don't know the revision and proof of their peers.
-    pub(crate) strangers: bool,
+    pub(crate) peers_unknown: bool,
     /// The hosts that were asked to drain.
     pub(crate) drained: Vec<String>,
     commits: Vec<Commit>,
@@ -43,36 +43,40 @@
 }
 
 /// Starts two hosts that share the fleet's state.
-pub(crate) fn start(fleet: &Arc<Mutex<Fleet>>) -> [Server; 2] {
+pub(crate) fn start(fleet: &Arc<Mutex<FakeFleet>>) -> [Server; 2] {
     ["e1", "e2"].map(|name| {
         let fleet = Arc::clone(fleet);
         let address: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let handler = move |request| answer(Arc::clone(&fleet), name, request);
+        let handler = move |request| respond(Arc::clone(&fleet), name, request);
         block_on(Server::bind(address, Limits::default(), handler)).expect("a free port")
     })
 }
 
-async fn answer(fleet: Arc<Mutex<Fleet>>, name: &'static str, mut request: Request) -> Response {
+async fn respond(
+    fleet: Arc<Mutex<FakeFleet>>,
+    name: &'static str,
+    mut request: Request,
+) -> Response {
     let body = std::mem::replace(&mut request.body, Body::empty());
     let body = body.collect(1 << 20).await.expect("a small body");
     let mut fleet = fleet.lock().expect("not poisoned");
     let expected = format!("Bearer {KEY}");
     if request.headers.get("authorization") != Some(expected.as_str()) {
         let problem = Problem::not_run(Reason::Unauthorized, "the key is not the operators'");
-        return refuse(&problem.into());
+        return refusal_response(&problem.into());
     }
     match fleet.route(name, &request, &body) {
         Ok(response) => response,
-        Err(refusal) => refuse(&refusal),
+        Err(refusal) => refusal_response(&refusal),
     }
 }
 
-fn refuse(refusal: &Refusal) -> Response {
+fn refusal_response(refusal: &Refusal) -> Response {
     let code = Code::try_from(refusal.problem.status).expect("a known status");
     Response::json(code, refusal)
 }
 
-impl Fleet {
+impl FakeFleet {
     /// Commits a change; reports one that is committed already as repeated.
     pub(crate) fn commit(&mut self, change: &Change) -> Result<Accepted, Box<Refusal>> {
         if let Some(revision) = self.changes.get(&change.id) {
@@ -89,9 +93,9 @@
         self.document = self
             .document
             .apply(change)
-            .map_err(|refused| Box::new(refused.into()))?;
+            .map_err(|error| Box::new(error.into()))?;
         let revision = self.document.revision;
-        let when = EPOCH + Duration::from_mins(1) * u32::try_from(revision.0).unwrap_or(0);
+        let when = START_TIME + Duration::from_mins(1) * u32::try_from(revision.0).unwrap_or(0);
         self.commits.insert(0, Commit::new(change, revision, when));
         self.changes.insert(change.id.clone(), revision);
         Ok(Accepted {
@@ -162,8 +166,8 @@
             mode: condition.mode,
             edit,
         })?;
-        if self.lose_answers > 0 {
-            self.lose_answers -= 1;
+        if self.responses_to_cut > 0 {
+            self.responses_to_cut -= 1;
             let (cut, body) = Body::channel(1);
             drop(cut);
             return Ok(Response::new(Code::Ok).body(body));
@@ -203,7 +207,7 @@
     /// Returns a host as its peers report it.
     fn peer(&self, name: &str) -> Host {
         let host = self.host(name);
-        if !self.strangers {
+        if !self.peers_unknown {
             return host;
         }
         Host {
@@ -215,14 +219,14 @@
 
     fn host(&self, name: &str) -> Host {
         let is_in = |names: &[String]| names.iter().any(|it| it == name);
-        let behind = u64::from(is_in(&self.lagging) || is_in(&self.silent));
+        let behind = u64::from(is_in(&self.lagging) || is_in(&self.suspect));
         Host {
             name: name.into(),
             incarnation: Incarnation(7),
             address: format!("10.0.0.{}:7000", &name[1..]),
             data_centre: format!("dar-{}", &name[1..]).into(),
             state: match () {
-                () if is_in(&self.silent) => State::Suspect,
+                () if is_in(&self.suspect) => State::Suspect,
                 () if is_in(&self.drained) => State::Leaving,
                 () => State::Live,
             },
--- a/crates/barleyctl/tests/sessions/main.rs
+++ b/crates/barleyctl/tests/sessions/main.rs
@@ -1,6 +1,6 @@
 //! Tests of command sequences against a fake fleet of two hosts.
 
-mod operator;
+mod fake_fleet;
 mod pages;
 
 use std::ffi::OsString;
@@ -10,46 +10,46 @@
 use barleyctl::{Console, run};
 use config::{Change, ChangeMode, Document, Edit, EntryFile, EntryKind, EntryName};
 use datadriven::TestCase;
+use fake_fleet::FakeFleet;
 use http::Server;
 use kernel::Revision;
-use operator::Fleet;
 
 /// A fake fleet and a directory of files; their addresses and path, which differ
 /// between runs, are replaced by placeholders in the output.
-struct World {
-    fleet: Arc<Mutex<Fleet>>,
+struct Harness {
+    fleet: Arc<Mutex<FakeFleet>>,
     hosts: [Server; 2],
     directory: tempfile::TempDir,
 }
 
-impl World {
+impl Harness {
     /// Creates a fleet with two versions, a customer and a profile.
     fn new() -> Self {
-        let world = Self::empty();
-        start_document(&mut world.fleet.lock().expect("not poisoned"));
-        world
+        let harness = Self::empty();
+        commit_initial_entries(&mut harness.fleet.lock().expect("not poisoned"));
+        harness
     }
 
     /// Creates a fleet with an empty configuration.
     fn empty() -> Self {
-        let fleet = Arc::new(Mutex::new(Fleet::default()));
+        let fleet = Arc::new(Mutex::new(FakeFleet::default()));
         let directory = tempfile::tempdir().expect("a temporary directory");
-        let world = Self {
-            hosts: operator::start(&fleet),
+        let harness = Self {
+            hosts: fake_fleet::start(&fleet),
             fleet,
             directory,
         };
-        world.write("key", &format!("{}\n", operator::KEY));
-        world.write("wrong-key", "guessed\n");
-        world.write("empty-key", "\n");
-        world
+        harness.write("key", &format!("{}\n", fake_fleet::KEY));
+        harness.write("wrong-key", "guessed\n");
+        harness.write("empty-key", "\n");
+        harness
     }
 
     fn write(&self, name: &str, text: &str) {
         std::fs::write(self.directory.path().join(name), text).expect("the file is written");
     }
 
-    fn names(&self) -> Vec<(&'static str, String)> {
+    fn placeholders(&self) -> Vec<(&'static str, String)> {
         vec![
             ("{a}", self.hosts[0].address().to_string()),
             ("{b}", self.hosts[1].address().to_string()),
@@ -57,10 +57,10 @@
         ]
     }
 
-    fn ctl(&self, prefix: &str, input: &str) -> String {
+    fn run_command(&self, prefix: &str, input: &str) -> String {
         let (line, stdin) = input.split_once('\n').unwrap_or((input, ""));
         let mut line = format!("barleyctl {prefix} {line}");
-        for (name, value) in self.names() {
+        for (name, value) in self.placeholders() {
             line = line.replace(name, &value);
         }
         let (mut out, mut err) = (Vec::new(), Vec::new());
@@ -77,26 +77,26 @@
                 text += "\n";
             }
         }
-        for (name, value) in self.names() {
+        for (name, value) in self.placeholders() {
             text = text.replace(&value, name);
         }
-        text = without_random_id(&text);
+        text = replace_generated_id(&text);
         text + &format!("exit {}: {exit}\n", exit.code())
     }
 
-    fn case(&self, case: &mut TestCase) -> String {
+    fn run_case(&self, case: &mut TestCase) -> String {
         match case.directive.as_str() {
-            "ctl" => self.ctl("--host {a} --key-file {dir}/key", &case.input),
-            "raw" => self.ctl("", &case.input),
+            "ctl" => self.run_command("--host {a} --key-file {dir}/key", &case.input),
+            "raw" => self.run_command("", &case.input),
             "fleet" => {
                 let mut fleet = self.fleet.lock().expect("not poisoned");
                 let arg = |name: &str, case: &mut TestCase| {
                     case.try_take_args::<String>(name).expect("host names")
                 };
                 fleet.lagging = arg("lagging", case).unwrap_or_default();
-                fleet.silent = arg("silent", case).unwrap_or_default();
-                fleet.lose_answers = case.try_take_arg("lose").expect("a number").unwrap_or(0);
-                fleet.strangers = case.take_flag("strangers").expect("a flag");
+                fleet.suspect = arg("silent", case).unwrap_or_default();
+                fleet.responses_to_cut = case.try_take_arg("lose").expect("a number").unwrap_or(0);
+                fleet.peers_unknown = case.take_flag("strangers").expect("a flag");
                 fleet.store_out = case.take_flag("store_out").expect("a flag");
                 case.expect_empty().expect("known arguments");
                 "ok\n".to_owned()
@@ -110,14 +110,14 @@
                 self.write(&name, &case.input);
                 "ok\n".to_owned()
             }
-            "list" => list(self.directory.path()),
+            "list" => list_files(self.directory.path()),
             other => panic!("unknown directive {other}"),
         }
     }
 }
 
 /// Replaces a change id that the command generated with a placeholder.
-fn without_random_id(text: &str) -> String {
+fn replace_generated_id(text: &str) -> String {
     let id = text
         .lines()
         .filter_map(|line| line.strip_prefix("err: change "))
@@ -129,7 +129,7 @@
 }
 
 /// Commits two versions, a customer and a profile.
-fn start_document(fleet: &mut Fleet) {
+fn commit_initial_entries(fleet: &mut FakeFleet) {
     let prices = "prompt_microcents_per_million = 100\ncompletion_microcents_per_million = 400\n";
     let customer = format!("key_blake3 = \"{}\"\n", "0a".repeat(32));
     let profile = "allow = [\"oak@1\", \"oak@2\"]\nquality = 0.9\ncost_cap_microcents = 500\n\
@@ -158,7 +158,7 @@
 }
 
 /// Lists the files of a directory and their permissions.
-fn list(directory: &Path) -> String {
+fn list_files(directory: &Path) -> String {
     use std::os::unix::fs::PermissionsExt;
 
     let entries = std::fs::read_dir(directory).expect("a readable directory");
@@ -174,9 +174,9 @@
 }
 
 #[test]
-fn sessions_go_as_written() {
+fn command_output_matches_the_cases() {
     datadriven::walk("tests/sessions/cases", |file| {
-        let world = World::new();
-        file.run(|case| world.case(case));
+        let harness = Harness::new();
+        file.run(|case| harness.run_case(case));
     });
 }
