--- a/crates/barleyctl/src/wait.rs
+++ b/crates/barleyctl/src/wait.rs
@@ -25,20 +25,20 @@
     pub(crate) status_received: bool,
     /// The hosts that have this or a later revision in force.
     pub(crate) in_force: Vec<HostName>,
-    /// The live or leaving hosts that have an earlier revision in force.
+    /// The live or leaving hosts that aren't known to have it in force.
     pub(crate) lagging: Vec<LaggingHost>,
     /// The suspect hosts that aren't known to have it in force. They may be
     /// down; one that returns takes the newest revision before it is ready.
     pub(crate) not_heard_from: Vec<HostName>,
 }
 
-/// A host with an earlier revision in force.
+/// A host that isn't known to have the revision in force.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[display("{name} (revision {revision})")]
 pub(crate) struct LaggingHost {
     /// The host.
     pub(crate) name: HostName,
-    /// The revision that it has in force.
+    /// The latest revision that it is known to have in force; zero if unknown.
     pub(crate) revision: Revision,
 }
 
