--- a/crates/barleyctl/src/client.rs
+++ b/crates/barleyctl/src/client.rs
@@ -1,7 +1,7 @@
-//! The operators' protocol, spoken to any of several hosts.
+//! Client of the operator interface, for several hosts.
 
 mod change;
-mod tried;
+mod outcome;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,21 +16,21 @@
 use kernel::{HostName, SystemClock};
 use serde::de::DeserializeOwned;
 
-use crate::error::{Attempt, Error};
+use crate::error::{Error, FailedAttempt};
 
-pub(crate) use change::{Change, History as ChangeHistory};
-use tried::Tried;
+pub(crate) use change::{Change, Submission};
+use outcome::AttemptOutcome;
 
-/// The largest answer that is read: a document of thousands of entries fits.
-const MAX_ANSWER: usize = 64 << 20;
+/// Maximum size of a response body; fits a document of thousands of entries.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// The time to connect to a host before the next one is tried.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Timeout of connecting to a host; the next host is tried after it.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The operators' protocol, spoken to any of several hosts.
+/// A client of the operator interface.
 ///
-/// All hosts are equal, so each call goes to them in the order given until one
-/// answers.
+/// Any host can serve a call, so calls go to the hosts in the order given until
+/// one gives a usable response. [`Self::statuses`] asks all of them.
 pub(crate) struct Client {
     http: http::Client,
     hosts: Vec<SocketAddr>,
@@ -39,16 +39,17 @@
 }
 
 impl Client {
-    /// A client that shows `key` to `hosts` and waits `limit` for each answer.
-    pub(crate) fn new(hosts: Vec<SocketAddr>, key: &str, limit: Duration) -> Self {
+    /// Creates a client that authenticates to `hosts` with `key` and waits at most
+    /// `timeout` for each response.
+    pub(crate) fn new(hosts: Vec<SocketAddr>, key: &str, timeout: Duration) -> Self {
         Self {
             http: http::Client::new(Arc::new(SystemClock::new()), PoolLimits::default()),
             hosts,
             authorization: format!("Bearer {key}"),
             options: Options {
-                connect: CONNECT.min(limit),
-                first_byte: limit,
-                total: limit,
+                connect: CONNECT_TIMEOUT.min(timeout),
+                first_byte: timeout,
+                total: timeout,
                 retry_policy: RetryPolicy::Idempotent,
             },
         }
@@ -58,20 +59,24 @@
         self.get("/operator/v1/document").await
     }
 
-    /// What each host that answers knows of the fleet, in the order given; at
-    /// least one answer.
+    /// Returns the status from each host that responds, in the order given; at
+    /// least one.
     ///
-    /// A host knows itself best: what the others know of it has travelled.
+    /// All hosts are asked, since only a host's own status reports the revision
+    /// in force on it reliably.
+    ///
+    /// # Errors
+    /// Fails if no host responds, or if one refuses the call permanently.
     pub(crate) async fn statuses(&self) -> Result<Vec<Status>, Report<Error>> {
         let request = || Request::get("/operator/v1/status");
-        let asked = self.hosts.iter().map(|host| {
+        let calls = self.hosts.iter().map(|host| {
             let hosts = std::slice::from_ref(host);
-            self.first(hosts, request, from_json)
+            self.first_response(hosts, request, parse_json)
         });
         let mut statuses = Vec::new();
         let mut attempts = Vec::new();
-        for answer in join_all(asked).await {
-            match answer {
+        for response in join_all(calls).await {
+            match response {
                 Ok(status) => statuses.push(status),
                 Err(report) => match report.current_context() {
                     Error::Unreachable(failed) => attempts.extend_from_slice(failed),
@@ -90,20 +95,24 @@
             .await
     }
 
-    /// Asks a host to drain. Asking twice is harmless.
+    /// Asks a host to drain. Idempotent.
     pub(crate) async fn drain(&self, host: &HostName) -> Result<(), Report<Error>> {
         let target = format!("/operator/v1/hosts/{host}/drain");
         let request = || Request::new(Method::Post, target.clone());
-        self.first(&self.hosts, request, |_| Ok(())).await
+        self.first_response(&self.hosts, request, |_| Ok(())).await
     }
 
     async fn get<T: DeserializeOwned>(&self, target: &str) -> Result<T, Report<Error>> {
-        self.first(&self.hosts, || Request::get(target), from_json)
+        self.first_response(&self.hosts, || Request::get(target), parse_json)
             .await
     }
 
-    /// The first answer that a host gives; a host that can't answer now is passed over.
-    async fn first<T>(
+    /// Sends the request to one host after the other and returns the first response
+    /// that parses.
+    ///
+    /// A host that can't be reached, refuses for a transient reason or sends an
+    /// invalid response is skipped; a permanent refusal is returned at once.
+    async fn first_response<T>(
         &self,
         hosts: &[SocketAddr],
         request: impl Fn() -> Request,
@@ -111,42 +120,46 @@
     ) -> Result<T, Report<Error>> {
         let mut attempts = Vec::new();
         for host in hosts {
-            let outcome = match self.send(*host, request()).await {
-                Tried::Answered(body) => match parse(&body) {
-                    Ok(answer) => return Ok(answer),
+            let reason = match self.send(*host, request()).await {
+                AttemptOutcome::Succeeded(body) => match parse(&body) {
+                    Ok(response) => return Ok(response),
                     Err(fault) => format!("not an answer of this protocol: {fault}"),
                 },
-                Tried::Refused(refusal) if may_differ_elsewhere(&refusal.problem) => {
+                AttemptOutcome::Refused(refusal) if is_retryable(&refusal.problem) => {
                     refusal.problem.detail
                 }
-                Tried::Refused(refusal) => return Err(refused(*refusal).into()),
-                Tried::NotSent(outcome) | Tried::InDoubt(outcome) => outcome,
+                AttemptOutcome::Refused(refusal) => return Err(refusal_error(*refusal).into()),
+                AttemptOutcome::NotSent(reason) | AttemptOutcome::InDoubt(reason) => reason,
             };
-            attempts.push(Attempt {
+            attempts.push(FailedAttempt {
                 host: *host,
-                outcome,
+                reason,
             });
         }
         Err(Error::Unreachable(attempts).into())
     }
 
-    async fn send(&self, host: SocketAddr, request: Request) -> Tried {
+    async fn send(&self, host: SocketAddr, request: Request) -> AttemptOutcome {
         let request = request.header("authorization", self.authorization.clone());
         match self.http.send(host, request, &self.options).await {
-            Ok(response) => read(response).await,
-            Err(http::Error::NotSent(cause)) => Tried::NotSent(format!("not sent: {cause}")),
-            Err(http::Error::MaybeSent(cause)) => Tried::InDoubt(format!("no answer: {cause}")),
-            Err(err) => Tried::InDoubt(unread(err)),
+            Ok(response) => read_response(response).await,
+            Err(http::Error::NotSent(cause)) => {
+                AttemptOutcome::NotSent(format!("not sent: {cause}"))
+            }
+            Err(http::Error::MaybeSent(cause)) => {
+                AttemptOutcome::InDoubt(format!("no answer: {cause}"))
+            }
+            Err(err) => AttemptOutcome::InDoubt(describe_read_error(err)),
         }
     }
 }
 
-fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
+fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
     serde_json::from_slice(body).map_err(|err| err.to_string())
 }
 
-/// What a refusal means when no other host can do better.
-fn refused(refusal: Refusal) -> Error {
+/// Converts a refusal that another host wouldn't decide differently.
+fn refusal_error(refusal: Refusal) -> Error {
     let Refusal {
         problem, faults, ..
     } = refusal;
@@ -157,27 +170,29 @@
     }
 }
 
-/// Whether another host may answer what this one refuses.
-fn may_differ_elsewhere(problem: &Problem) -> bool {
+/// Returns whether another host, or this one later, may accept the same request.
+fn is_retryable(problem: &Problem) -> bool {
     matches!(
         problem.reason,
         Reason::NotReady | Reason::Leaving | Reason::StoreOut | Reason::Stale | Reason::Overloaded
     )
 }
 
-async fn read(response: Response) -> Tried {
+async fn read_response(response: Response) -> AttemptOutcome {
     let status = response.status;
-    match response.body.collect(MAX_ANSWER).await {
-        Ok(body) if status.is_success() => Tried::Answered(body),
+    match response.body.collect(MAX_RESPONSE_BYTES).await {
+        Ok(body) if status.is_success() => AttemptOutcome::Succeeded(body),
         Ok(body) => match serde_json::from_slice(&body) {
-            Ok(refusal) => Tried::Refused(Box::new(refusal)),
-            Err(_) => Tried::InDoubt(format!("status {status} without a problem document")),
+            Ok(refusal) => AttemptOutcome::Refused(Box::new(refusal)),
+            Err(_) => {
+                AttemptOutcome::InDoubt(format!("status {status} without a problem document"))
+            }
         },
-        Err(err) => Tried::InDoubt(unread(err)),
+        Err(err) => AttemptOutcome::InDoubt(describe_read_error(err)),
     }
 }
 
-fn unread(err: http::Error) -> String {
+fn describe_read_error(err: http::Error) -> String {
     match err {
         http::Error::Cut(cause) => format!("answer cut: {cause}"),
         other => other.to_string(),
--- a/crates/barleyctl/src/client/change.rs
+++ b/crates/barleyctl/src/client/change.rs
@@ -1,4 +1,4 @@
-//! A change, repeated safely until its outcome is known.
+//! Submits a change, with retries until its outcome is known.
 
 use std::time::Duration;
 
@@ -10,90 +10,99 @@
 use http::{Method, Request};
 use kernel::{ChangeId, Revision};
 
-use super::{Client, Tried, refused};
-use crate::error::{Attempt, Conflict, Error};
+use super::{AttemptOutcome, Client, refusal_error};
+use crate::error::{Conflict, Error, FailedAttempt};
 
-/// How often each host is tried before the outcome counts as unknown.
-const ROUNDS: u32 = 3;
+/// Maximum number of attempts per host.
+const MAX_ROUNDS: u32 = 3;
 
-/// The pause after the first round; it doubles with each one.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay between the first two rounds; doubles with each further round.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 
 /// A change to one entry.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
-    /// Its id, the same at every try.
+    /// The change's id, the same for every attempt.
     pub(crate) id: ChangeId,
-    /// Whether an earlier command may have made it.
-    pub(crate) history: History,
-    /// The revision of the entry that it was made from.
+    /// Whether an earlier command may have submitted it.
+    pub(crate) submission: Submission,
+    /// The revision of the entry on which it is based; zero for a new entry.
     pub(crate) base: Revision,
-    /// Who makes it.
+    /// The author, for the history.
     pub(crate) author: String,
-    /// Whether the guards against accidents apply.
+    /// Whether a withdrawal that leaves a profile or one of its customers without a
+    /// version is refused.
     pub(crate) mode: ChangeMode,
-    /// The entry.
+    /// The name of the entry.
     pub(crate) name: EntryName,
-    /// What the entry becomes; nothing when it is removed.
+    /// The new content of the entry; `None` removes it.
     pub(crate) entry: Option<Entry>,
 }
 
-/// Whether an earlier command may have made a change.
+/// Whether an earlier command may have submitted a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum History {
-    /// The id is new.
+pub(crate) enum Submission {
+    /// The change id is new.
     New,
-    /// It repeats the command whose outcome isn't known. A host that can't
-    /// reach the table says of this try that it changed nothing, which says
-    /// nothing of the earlier one.
-    Repeat,
+    /// The command retries a change whose outcome is unknown. A refusal that a
+    /// host gives without looking up the change id, such as while the store is
+    /// out, says nothing about the earlier attempt.
+    Retry,
 }
 
 impl Client {
-    /// Makes a change, at any host.
+    /// Submits a change to the hosts in turn until its outcome is known.
     ///
-    /// An answer that is lost leaves it open whether the change was accepted:
-    /// the operator would see an error after a change that is in force. So the
-    /// same change goes to the next host under the same id, by which a host
-    /// knows a change that is accepted already, and it is accepted once at
-    /// most. Once a try is in doubt, only an answer that was given in
-    /// knowledge of the change's id settles it.
+    /// If a response is lost, the change may be accepted, and a new change in
+    /// its place would conflict with it. Every attempt therefore carries the same
+    /// change id, by which a host recognizes a change that is accepted already:
+    /// it is accepted at most once. Once an attempt is in doubt, only an
+    /// acceptance or a refusal given after the lookup of the change id settles
+    /// the outcome.
+    ///
+    /// # Errors
+    /// Fails if the change is refused, if no host received it, or if its outcome
+    /// is still unknown after all attempts.
     pub(crate) async fn change(&self, change: &Change) -> Result<Accepted, Report<Error>> {
         let mut attempts = Vec::new();
-        let mut in_doubt = change.history == History::Repeat;
+        let mut in_doubt = change.submission == Submission::Retry;
         let mut last_refusal = None;
-        for round in 0..ROUNDS {
+        for round in 0..MAX_ROUNDS {
             if round > 0 {
-                sleep(PAUSE * 2_u32.pow(round - 1)).await;
+                sleep(INITIAL_BACKOFF * 2_u32.pow(round - 1)).await;
             }
             for host in &self.hosts {
-                let outcome = match self.send(*host, change.request()).await {
-                    Tried::Answered(body) => match serde_json::from_slice(&body) {
+                let reason = match self.send(*host, change.to_request()).await {
+                    AttemptOutcome::Succeeded(body) => match serde_json::from_slice(&body) {
                         Ok(accepted) => return Ok(accepted),
                         Err(err) => {
                             in_doubt = true;
                             format!("not an answer of this protocol: {err}")
                         }
                     },
-                    Tried::Refused(refusal) => match Verdict::of(&refusal) {
-                        Verdict::Settled => return Err(change.refused(*refusal).into()),
-                        Verdict::Final if !in_doubt => return Err(refused(*refusal).into()),
-                        verdict => {
-                            in_doubt |= verdict == Verdict::InDoubt;
+                    AttemptOutcome::Refused(refusal) => match RefusalKind::of(&refusal) {
+                        RefusalKind::ChangeNotAccepted => {
+                            return Err(change.to_error(*refusal).into());
+                        }
+                        RefusalKind::Permanent if !in_doubt => {
+                            return Err(refusal_error(*refusal).into());
+                        }
+                        kind => {
+                            in_doubt |= kind == RefusalKind::InDoubt;
                             let detail = refusal.problem.detail.clone();
                             last_refusal = Some(*refusal);
                             detail
                         }
                     },
-                    Tried::NotSent(outcome) => outcome,
-                    Tried::InDoubt(outcome) => {
+                    AttemptOutcome::NotSent(reason) => reason,
+                    AttemptOutcome::InDoubt(reason) => {
                         in_doubt = true;
-                        outcome
+                        reason
                     }
                 };
-                attempts.push(Attempt {
+                attempts.push(FailedAttempt {
                     host: *host,
-                    outcome,
+                    reason,
                 });
             }
         }
@@ -102,7 +111,7 @@
                 change: change.id.clone(),
                 attempts,
             },
-            (false, Some(refusal)) => refused(refusal),
+            (false, Some(refusal)) => refusal_error(refusal),
             (false, None) => Error::Unreachable(attempts),
         }
         .into())
@@ -110,7 +119,7 @@
 }
 
 impl Change {
-    fn request(&self) -> Request {
+    fn to_request(&self) -> Request {
         let target = format!(
             "/operator/v1/{}/{}",
             self.name.kind().plural(),
@@ -131,9 +140,9 @@
             .header(MODE, mode)
     }
 
-    fn refused(&self, refusal: Refusal) -> Error {
+    fn to_error(&self, refusal: Refusal) -> Error {
         if refusal.problem.reason != Reason::Conflict {
-            return refused(refusal);
+            return refusal_error(refusal);
         }
         let current = refusal.current.and_then(|value| {
             let body = serde_json::to_vec(&value).ok()?;
@@ -147,28 +156,29 @@
     }
 }
 
-/// What a refusal says about the change.
+/// The meaning of a refusal for the change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
-    /// The change isn't accepted, also not by an earlier try: the host looked
-    /// its id up before it compared and checked the entry.
-    Settled,
-    /// This try isn't accepted, and no other one would be.
-    Final,
-    /// This try isn't accepted; another host or moment may do better.
-    Passing,
-    /// This try may have been accepted.
+enum RefusalKind {
+    /// No attempt was accepted: the host looks up the change id before it
+    /// compares revisions and validates the entry.
+    ChangeNotAccepted,
+    /// This attempt wasn't accepted, and another one wouldn't be either.
+    Permanent,
+    /// This attempt wasn't accepted; another host, or a later attempt, may accept
+    /// it.
+    Transient,
+    /// This attempt may have been accepted.
     InDoubt,
 }
 
-impl Verdict {
+impl RefusalKind {
     fn of(refusal: &Refusal) -> Self {
         match refusal.problem.reason {
-            Reason::Conflict => Self::Settled,
-            Reason::BadRequest if !refusal.faults.is_empty() => Self::Settled,
+            Reason::Conflict => Self::ChangeNotAccepted,
+            Reason::BadRequest if !refusal.faults.is_empty() => Self::ChangeNotAccepted,
             _ if refusal.problem.run == Run::Unknown => Self::InDoubt,
-            _ if super::may_differ_elsewhere(&refusal.problem) => Self::Passing,
-            _ => Self::Final,
+            _ if super::is_retryable(&refusal.problem) => Self::Transient,
+            _ => Self::Permanent,
         }
     }
 }
--- a/crates/barleyctl/src/command.rs
+++ b/crates/barleyctl/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Runs the commands.
 
 mod completions;
 mod customers;
@@ -19,7 +19,7 @@
 use crate::error::Error;
 use crate::session::Session;
 
-/// Runs the command that `matches` name.
+/// Runs the command that the command line names.
 pub(crate) async fn run(
     matches: &ArgMatches,
     console: &mut Console<'_>,
@@ -37,12 +37,12 @@
         plural => {
             let kind =
                 EntryKind::from_plural(plural).expect("the command line has no other command");
-            of_kind(kind, matches, console).await
+            run_entry_command(kind, matches, console).await
         }
     }
 }
 
-async fn of_kind(
+async fn run_entry_command(
     kind: EntryKind,
     matches: &ArgMatches,
     console: &mut Console<'_>,
@@ -54,15 +54,17 @@
     let mut session = Session::open(matches, console)?;
     match verb {
         verb::LIST => entries::list(kind, &mut session).await,
-        verb::SHOW => entries::show(&name(kind, matches)?, &mut session).await,
+        verb::SHOW => entries::show(&entry_name(kind, matches)?, &mut session).await,
         verb::APPLY | verb::EDIT => {
-            entries::apply(name(kind, matches)?, matches, &mut session).await
+            entries::apply(entry_name(kind, matches)?, matches, &mut session).await
         }
-        verb::DIFF => entries::diff(&name(kind, matches)?, matches, &mut session).await,
-        verb::REMOVE => entries::remove(name(kind, matches)?, matches, &mut session).await,
+        verb::DIFF => entries::diff(&entry_name(kind, matches)?, matches, &mut session).await,
+        verb::REMOVE => entries::remove(entry_name(kind, matches)?, matches, &mut session).await,
         verb::HISTORY => entries::history(kind, matches, &mut session).await,
-        verb::PUT => versions::put(name(kind, matches)?, matches, &mut session).await,
-        verb::WITHDRAW => versions::withdraw(name(kind, matches)?, matches, &mut session).await,
+        verb::PUT => versions::put(entry_name(kind, matches)?, matches, &mut session).await,
+        verb::WITHDRAW => {
+            versions::withdraw(entry_name(kind, matches)?, matches, &mut session).await
+        }
         verb::ROLLOUT => rollout::run(matches, &mut session).await,
         other => unreachable!("the command line has no command {other}"),
     }
@@ -71,14 +73,14 @@
 fn subcommand(matches: &ArgMatches) -> (&str, &ArgMatches) {
     matches
         .subcommand()
-        .expect("the command line asks for a command at each level")
+        .expect("a subcommand is required at each level")
 }
 
-/// The name that the command line gives, in the form that a path can hold.
-fn name(kind: EntryKind, matches: &ArgMatches) -> Result<EntryName, Report<Error>> {
+/// Returns the entry name from the command line; fails if hosts wouldn't accept it.
+fn entry_name(kind: EntryKind, matches: &ArgMatches) -> Result<EntryName, Report<Error>> {
     let name: &String = matches
         .get_one(arg::NAME)
-        .expect("the command line asks for a name");
+        .expect("the name is a required argument");
     let name = EntryName::new(kind, name);
     match name.check() {
         Ok(()) => Ok(name),
--- a/crates/barleyctl/src/command/hosts.rs
+++ b/crates/barleyctl/src/command/hosts.rs
@@ -1,4 +1,4 @@
-//! `hosts`.
+//! The command `hosts`, and the table of hosts.
 
 use clap::ArgMatches;
 use error_stack::Report;
@@ -13,8 +13,8 @@
 use crate::roster::Roster;
 use crate::session::Session;
 
-/// The heads of a table of hosts.
-pub(super) const HEAD: [&str; 7] = [
+/// The header of the table of hosts.
+pub(super) const HEADER: [&str; 7] = [
     "HOST",
     "DATA CENTRE",
     "ADDRESS",
@@ -24,7 +24,7 @@
     "LOAD",
 ];
 
-/// Runs a command on hosts.
+/// Runs a subcommand of `hosts`.
 pub(super) async fn run(
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The columns of a host.
+/// Returns the table row of a host.
 pub(super) fn row(host: &Host) -> Vec<String> {
     vec![
         host.name.to_string(),
@@ -49,7 +49,8 @@
     ]
 }
 
-/// How long ago the host had proof that its configuration is the newest.
+/// Formats the time since the host last had proof that its configuration is the
+/// newest.
 fn proof(host: &Host) -> String {
     match host.proof_age_ms {
         u64::MAX => "unknown".to_owned(),
@@ -58,24 +59,24 @@
 }
 
 async fn list(session: &mut Session<'_, '_>) -> Result<(), Report<Error>> {
-    let roster = Roster::of(&session.client.statuses().await?);
+    let roster = Roster::merge(&session.client.statuses().await?);
     let rows: Vec<_> = roster.hosts.iter().map(row).collect();
-    output::rows(session, &HEAD, &rows, &json!(roster.hosts));
+    output::print_rows(session, &HEADER, &rows, &json!(roster.hosts));
     Ok(())
 }
 
 async fn drain(matches: &ArgMatches, session: &mut Session<'_, '_>) -> Result<(), Report<Error>> {
     let name: &String = matches
         .get_one(arg::NAME)
-        .expect("the command line asks for a name");
+        .expect("the name is a required argument");
     let name = HostName::from(name.as_str());
-    let roster = Roster::of(&session.client.statuses().await?);
+    let roster = Roster::merge(&session.client.statuses().await?);
     if !roster.hosts.iter().any(|host| host.name == name) {
         return Err(Error::Input(format!("there is no host {name}")).into());
     }
     session.client.drain(&name).await?;
     let text =
         format!("host {name} was asked to drain; `barleyctl hosts list` shows how far it is\n");
-    output::text(session, &text, &json!({"host": name, "asked": true}));
+    output::print_text(session, &text, &json!({"host": name, "asked": true}));
     Ok(())
 }
--- a/crates/barleyctl/src/command/versions.rs
+++ b/crates/barleyctl/src/command/versions.rs
@@ -1,4 +1,4 @@
-//! What only versions have.
+//! Commands that only `versions` has.
 
 use clap::ArgMatches;
 use config::{Entry, EntryName, Version, VersionState};
@@ -10,7 +10,8 @@
 use crate::error::Error;
 use crate::session::Session;
 
-/// Puts an active version with its prices, new or as it is now.
+/// Creates a version or replaces it at its current revision, active and with the
+/// prices given.
 pub(super) async fn put(
     name: EntryName,
     matches: &ArgMatches,
@@ -22,13 +23,13 @@
         Money(
             *matches
                 .get_one(arg)
-                .expect("the command line asks for prices"),
+                .expect("the prices are required arguments"),
         )
     };
     let version = Version {
         state: VersionState::Active,
-        prompt: price(arg::PROMPT),
-        completion: price(arg::COMPLETION),
+        prompt: price(arg::PROMPT_PRICE),
+        completion: price(arg::COMPLETION_PRICE),
         changed: Revision(0),
     };
     session
@@ -36,13 +37,13 @@
         .await
 }
 
-/// Withdraws a version.
+/// Withdraws a version at its current revision.
 pub(super) async fn withdraw(
     name: EntryName,
     matches: &ArgMatches,
     session: &mut Session<'_, '_>,
 ) -> Result<(), Report<Error>> {
-    let entry = entries::current(&name, session).await?;
+    let entry = entries::fetch_entry(&name, session).await?;
     let base = entry.changed();
     let entry = match entry {
         Entry::Version(version) => Entry::Version(Version {
--- a/crates/barleyctl/src/session.rs
+++ b/crates/barleyctl/src/session.rs
@@ -1,4 +1,4 @@
-//! What a command that talks to hosts works with.
+//! State shared by the commands that call hosts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,31 +10,34 @@
 use kernel::{ChangeId, Revision};
 
 use crate::cli::arg;
-use crate::client::{Change, ChangeHistory, Client};
+use crate::client::{Change, Client, Submission};
 use crate::console::Console;
 use crate::error::Error;
 use crate::output::{self, Format};
 use crate::wait;
 
-/// The longest wait for one answer; a host that takes longer is passed over.
-const ANSWER: Duration = Duration::from_secs(5);
+/// Timeout of a request to one host; the next host is tried after it.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The longest author that hosts take, in bytes.
-const MAX_AUTHOR: usize = 64;
+/// Maximum length of an author that hosts accept, in bytes.
+const MAX_AUTHOR_BYTES: usize = 64;
 
-/// What a command that talks to hosts works with.
+/// State shared by the commands that call hosts.
 pub(crate) struct Session<'a, 'b> {
-    /// The process's streams.
+    /// The standard streams.
     pub(crate) console: &'a mut Console<'b>,
-    /// The hosts.
+    /// The client for the hosts.
     pub(crate) client: Client,
-    /// How answers are printed.
+    /// The output format.
     pub(crate) format: Format,
     timeout: Duration,
 }
 
 impl<'a, 'b> Session<'a, 'b> {
-    /// Opens a session with the hosts and the key file that the command line names.
+    /// Creates a session with the hosts and the key file that the command line names.
+    ///
+    /// # Errors
+    /// Fails if one of them is missing or the key file is unreadable or invalid.
     pub(crate) fn open(
         matches: &ArgMatches,
         console: &'a mut Console<'b>,
@@ -42,24 +45,29 @@
         let hosts = matches.get_many::<SocketAddr>(arg::HOST);
         let hosts: Vec<_> = hosts.into_iter().flatten().copied().collect();
         if hosts.is_empty() {
-            return Err(usage("this command needs `--host ADDRESS`"));
+            return Err(usage_error("this command needs `--host ADDRESS`"));
         }
         let path: &PathBuf = matches
             .get_one(arg::KEY_FILE)
-            .ok_or_else(|| usage("this command needs `--key-file FILE`"))?;
+            .ok_or_else(|| usage_error("this command needs `--key-file FILE`"))?;
         let timeout = *matches
             .get_one::<Duration>(arg::TIMEOUT)
-            .expect("it has a default");
-        let client = Client::new(hosts, &read_key(path)?, ANSWER.min(timeout));
+            .expect("the argument has a default");
+        let client = Client::new(hosts, &read_key(path)?, RESPONSE_TIMEOUT.min(timeout));
         Ok(Self {
             console,
             client,
-            format: Format::of(matches),
+            format: Format::from_matches(matches),
             timeout,
         })
     }
 
-    /// Makes a change and waits until it is in force everywhere.
+    /// Submits a change, waits until it is in force on every live host and prints
+    /// the result.
+    ///
+    /// # Errors
+    /// Fails if the change isn't accepted, if its outcome is unknown, or if it
+    /// isn't in force when the timeout expires.
     pub(crate) async fn change(
         &mut self,
         matches: &ArgMatches,
@@ -69,10 +77,10 @@
     ) -> Result<(), Report<Error>> {
         let change = Change {
             id: change_id(matches),
-            history: if is_repeat(matches) {
-                ChangeHistory::Repeat
+            submission: if is_retry(matches) {
+                Submission::Retry
             } else {
-                ChangeHistory::New
+                Submission::New
             },
             base,
             author: author(matches),
@@ -80,55 +88,55 @@
             name,
             entry,
         };
-        // Printed before the first try, so that the operator has it whatever
-        // becomes of this process.
-        self.console.warn(&format!("change {}\n", change.id));
+        // Printed before the first attempt, so that the operator can retry the
+        // change by its id even if this process is killed.
+        self.console.print_err(&format!("change {}\n", change.id));
         let accepted = self.client.change(&change).await?;
-        let again = if accepted.repeated {
+        let by_earlier_attempt = if accepted.repeated {
             ", by an earlier try"
         } else {
             ""
         };
-        self.console.warn(&format!(
-            "accepted as revision {}{again}\n",
+        self.console.print_err(&format!(
+            "accepted as revision {}{by_earlier_attempt}\n",
             accepted.revision
         ));
-        let reach = wait::in_force(self, accepted.revision).await;
-        if !reach.lagging.is_empty() || !reach.heard {
-            return Err(Error::Lagging(Box::new(reach)).into());
+        let propagation = wait::until_in_force(self, accepted.revision).await;
+        if !propagation.lagging.is_empty() || !propagation.status_received {
+            return Err(Error::Lagging(Box::new(propagation)).into());
         }
-        output::accepted(self, &change, &accepted, &reach);
+        output::print_accepted(self, &change, &accepted, &propagation);
         Ok(())
     }
 
-    /// How long the command may wait for a change to be in force.
+    /// Returns the timeout of the wait for a change to be in force.
     pub(crate) fn timeout(&self) -> Duration {
         self.timeout
     }
 }
 
-pub(crate) fn usage(text: &str) -> Report<Error> {
+pub(crate) fn usage_error(text: &str) -> Report<Error> {
     Error::Usage(text.to_owned()).into()
 }
 
-/// Reads the operators' key. It comes from a file alone, since a command line
-/// shows in lists of processes and stays in a shell's history.
+/// Reads the operators' key from a file. It isn't accepted as an argument, since
+/// process lists and shell histories expose command lines.
 fn read_key(path: &Path) -> Result<String, Report<Error>> {
-    let text = std::fs::read_to_string(path).change_context(Error::Read(path.to_owned()))?;
+    let text = std::fs::read_to_string(path).change_context(Error::ReadFile(path.to_owned()))?;
     let key = text.trim();
-    let fits = !key.is_empty() && key.bytes().all(|byte| byte.is_ascii_graphic());
-    if !fits {
+    let is_valid = !key.is_empty() && key.bytes().all(|byte| byte.is_ascii_graphic());
+    if !is_valid {
         let text = format!("{} holds no key: expected one line of text", path.display());
         return Err(Error::Input(text).into());
     }
     Ok(key.to_owned())
 }
 
-/// Whether the command repeats a change whose outcome isn't known.
+/// Returns whether the command retries a change whose outcome is unknown.
 ///
-/// The entry may then show the change already, so that what would be wrong
-/// for a new change is right for this one. The host knows it by its id.
-pub(crate) fn is_repeat(matches: &ArgMatches) -> bool {
+/// The change may then be committed already, so checks of a new change against
+/// the entry's current state don't apply. The host recognizes it by its id.
+pub(crate) fn is_retry(matches: &ArgMatches) -> bool {
     matches.contains_id(arg::CHANGE)
 }
 
@@ -144,7 +152,11 @@
     let author = given.or_else(|| std::env::var("USER").ok());
     let printable = |it: &char| it.is_ascii_graphic() || *it == ' ';
     let author = author.unwrap_or_default();
-    author.chars().filter(printable).take(MAX_AUTHOR).collect()
+    author
+        .chars()
+        .filter(printable)
+        .take(MAX_AUTHOR_BYTES)
+        .collect()
 }
 
 fn mode(matches: &ArgMatches) -> ChangeMode {
--- a/crates/barleyctl/src/wait.rs
+++ b/crates/barleyctl/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting until a change is in force everywhere.
+//! Waits until a change is in force on every live host.
 
 use std::time::{Duration, Instant};
 
@@ -11,90 +11,93 @@
 use crate::roster::Roster;
 use crate::session::Session;
 
-/// The time between two looks at the hosts.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval between polls of the hosts' statuses.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How far a revision has come.
+/// The hosts on which a revision is in force, and those on which it isn't yet.
 #[derive(Clone, Debug, Default, Display, Serialize)]
 #[display("{}", self.describe())]
-pub(crate) struct Reach {
+pub(crate) struct Propagation {
     /// The revision.
     pub(crate) revision: Revision,
-    /// Whether any host told of the others.
+    /// Whether at least one poll got a status.
     #[serde(skip)]
-    pub(crate) heard: bool,
-    /// The hosts that have it or a later one in force.
+    pub(crate) status_received: bool,
+    /// The hosts that have this or a later revision in force.
     pub(crate) in_force: Vec<HostName>,
-    /// The live hosts that don't.
-    pub(crate) lagging: Vec<Lag>,
-    /// The hosts that haven't been heard from. They may be gone; one that
-    /// comes back takes the newest revision before it is ready.
+    /// The live or leaving hosts that aren't known to have it in force.
+    pub(crate) lagging: Vec<LaggingHost>,
+    /// The suspect hosts that aren't known to have it in force. They may be
+    /// down; one that returns takes the newest revision before it is ready.
     pub(crate) not_heard_from: Vec<HostName>,
 }
 
-/// A host that is behind.
+/// A host that isn't known to have the revision in force.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[display("{name} (revision {revision})")]
-pub(crate) struct Lag {
+pub(crate) struct LaggingHost {
     /// The host.
     pub(crate) name: HostName,
-    /// The revision that it has in force.
+    /// The latest revision that it is known to have in force; zero if unknown.
     pub(crate) revision: Revision,
 }
 
-/// Waits until every live host has `revision` in force, or the session's
-/// timeout is over, and tells the progress meanwhile.
-pub(crate) async fn in_force(session: &mut Session<'_, '_>, revision: Revision) -> Reach {
+/// Waits until every live host has `revision` in force or the session's timeout
+/// expires, and prints the progress. Returns the last known state.
+pub(crate) async fn until_in_force(
+    session: &mut Session<'_, '_>,
+    revision: Revision,
+) -> Propagation {
     let deadline = Instant::now() + session.timeout();
-    let mut told = String::new();
-    let mut reach = Reach {
+    let mut last_progress = String::new();
+    let mut propagation = Propagation {
         revision,
-        ..Reach::default()
+        ..Propagation::default()
     };
     loop {
-        // A host that fails now may answer at the next look, so its failure
-        // only ends the wait with the time.
+        // A failed poll is retried until the timeout, since a host may respond
+        // to a later one.
         if let Ok(statuses) = session.client.statuses().await {
-            reach = Reach::of(revision, Roster::of(&statuses));
-            let progress = reach.progress();
-            if progress != told {
-                session.console.warn(&format!("{progress}\n"));
-                told = progress;
+            propagation = Propagation::from_roster(revision, Roster::merge(&statuses));
+            let progress = propagation.progress();
+            if progress != last_progress {
+                session.console.print_err(&format!("{progress}\n"));
+                last_progress = progress;
             }
-            if reach.lagging.is_empty() {
-                return reach;
+            if propagation.lagging.is_empty() {
+                return propagation;
             }
         }
-        if Instant::now() + POLL >= deadline {
-            return reach;
+        if Instant::now() + POLL_INTERVAL >= deadline {
+            return propagation;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-impl Reach {
-    fn of(revision: Revision, roster: Roster) -> Self {
-        let mut reach = Self {
+impl Propagation {
+    fn from_roster(revision: Revision, roster: Roster) -> Self {
+        let mut propagation = Self {
             revision,
-            heard: true,
+            status_received: true,
             ..Self::default()
         };
         for host in roster.hosts {
             let name = host.name;
             match host.state {
-                _ if host.revision >= revision => reach.in_force.push(name),
-                State::Suspect => reach.not_heard_from.push(name),
-                State::Live | State::Leaving => reach.lagging.push(Lag {
+                _ if host.revision >= revision => propagation.in_force.push(name),
+                State::Suspect => propagation.not_heard_from.push(name),
+                State::Live | State::Leaving => propagation.lagging.push(LaggingHost {
                     name,
                     revision: host.revision,
                 }),
             }
         }
-        reach
+        propagation
     }
 
-    /// Names of hosts, for people.
-    pub(crate) fn names<T: ToString>(hosts: &[T]) -> String {
+    /// Joins hosts with commas.
+    pub(crate) fn join_names<T: ToString>(hosts: &[T]) -> String {
         let names: Vec<_> = hosts.iter().map(T::to_string).collect();
         names.join(", ")
     }
@@ -105,14 +108,14 @@
         if self.lagging.is_empty() {
             return format!("in force on {reached} of {all} hosts");
         }
-        let lagging = Self::names(&self.lagging);
+        let lagging = Self::join_names(&self.lagging);
         format!("in force on {reached} of {all} hosts, waiting for {lagging}")
     }
 
     fn describe(&self) -> String {
         let revision = self.revision;
-        if self.heard {
-            let lagging = Self::names(&self.lagging);
+        if self.status_received {
+            let lagging = Self::join_names(&self.lagging);
             format!("revision {revision} is accepted, but not yet in force on {lagging}")
         } else {
             format!(
--- a/crates/barleyctl/tests/explain.rs
+++ b/crates/barleyctl/tests/explain.rs
@@ -1,5 +1,5 @@
-//! `explain` on a log that hosts really wrote, with two lines in it that aren't
-//! theirs; and the commands of the on-call page on the same log.
+//! Tests of `explain` and of the commands of the on-call page, on a recorded log
+//! of hosts with two lines that aren't events.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -9,11 +9,11 @@
 const LOG: &str = "tests/logs/hosts.log";
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-fn tool() -> Command {
+fn barleyctl() -> Command {
     Command::new(env!("CARGO_BIN_EXE_barleyctl"))
 }
 
-fn show(command: &mut Command) -> String {
+fn run_and_show(command: &mut Command) -> String {
     let output = command.output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
     let err = String::from_utf8(output.stderr).unwrap();
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn explanations() {
+fn explain_output_matches_the_cases() {
     walk("tests/explain", |file| {
         file.run(|case| match case.directive.as_str() {
-            "explain" => show(
-                tool()
+            "explain" => run_and_show(
+                barleyctl()
                     .arg("explain")
                     .args(case.input.split_whitespace())
                     .arg(LOG),
@@ -36,30 +36,30 @@
 }
 
 #[test]
-fn logs_come_from_standard_input_too() {
-    let mut tool = tool()
+fn explain_reads_standard_input_without_files() {
+    let mut child = barleyctl()
         .args(["explain", "4a6777875b40ea23", "--output", "json"])
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
     let log = std::fs::read(LOG).unwrap();
-    tool.stdin.take().unwrap().write_all(&log).unwrap();
-    let output = tool.wait_with_output().unwrap();
+    child.stdin.take().unwrap().write_all(&log).unwrap();
+    let output = child.wait_with_output().unwrap();
     let json: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(json["lines"].as_array().unwrap().len(), 3);
     assert_eq!(json["unreadable"], 2);
 }
 
-/// Each command of the on-call page finds lines in the recorded log. `jq` isn't
-/// on every machine; its commands are checked where it is.
+/// Each command of the on-call page finds lines in the recorded log. Commands
+/// with `jq` are skipped where it isn't installed.
 #[test]
-fn the_on_call_pages_commands_work() {
+fn commands_of_the_on_call_page_find_lines() {
     let has_jq = Command::new("jq").arg("--version").output().is_ok();
     let mut commands = 0;
     for line in PAGE.lines().filter_map(|it| it.strip_prefix("    $ ")) {
         if line.contains("jq ") && !has_jq {
-            eprintln!("not run without jq: {line}");
+            eprintln!("skipped because jq is not installed: {line}");
             continue;
         }
         let line = line
--- a/crates/barleyctl/tests/sessions/operator.rs
+++ b/crates/barleyctl/tests/sessions/fake_fleet.rs
@@ -1,5 +1,5 @@
-//! A small stand-in for the operators' side of a fleet of hosts: one document
-//! behind two addresses.
+//! A fake of the operator interface of a fleet: one document, served at two
+//! addresses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,65 +15,69 @@
 use http::{Body, Limits, Method, Request, Response, Server, Status as Code};
 use kernel::{ChangeId, Incarnation, Revision};
 
-/// The key that the operators show.
+/// The operators' key.
 pub(crate) const KEY: &str = "the-operators-key";
 
-/// The wall time of the first commit.
-const EPOCH: Duration = Duration::from_secs(1_790_000_000);
+/// The time, since the Unix epoch, from which commits are dated.
+const START_TIME: Duration = Duration::from_secs(1_790_000_000);
 
-/// What the fleet knows and how it misbehaves.
+/// The state of the fleet and the failures that it simulates.
 #[derive(Default)]
-pub(crate) struct Fleet {
+pub(crate) struct FakeFleet {
     /// The committed configuration.
     pub(crate) document: Document,
-    /// The writes that take effect and whose answers are lost, from now on.
-    pub(crate) lose_answers: u32,
-    /// The hosts that stay at the revision they have.
+    /// The number of accepted changes, from now on, whose responses are cut.
+    pub(crate) responses_to_cut: u32,
+    /// The hosts that report an earlier revision than the current one.
     pub(crate) lagging: Vec<String>,
-    /// The hosts that haven't been heard from.
-    pub(crate) silent: Vec<String>,
-    /// Whether the table service is out.
+    /// The hosts that are reported as suspect, at an earlier revision.
+    pub(crate) suspect: Vec<String>,
+    /// Whether changes are refused because the table service is out.
     pub(crate) store_out: bool,
-    /// Whether the hosts know of each other only that they live.
-    pub(crate) strangers: bool,
+    /// Whether the hosts don't know the revision and proof of their peers.
+    pub(crate) peers_unknown: bool,
     /// The hosts that were asked to drain.
     pub(crate) drained: Vec<String>,
     commits: Vec<Commit>,
     changes: HashMap<ChangeId, Revision>,
 }
 
-/// Starts two hosts of one fleet.
-pub(crate) fn start(fleet: &Arc<Mutex<Fleet>>) -> [Server; 2] {
+/// Starts two hosts that share the fleet's state.
+pub(crate) fn start(fleet: &Arc<Mutex<FakeFleet>>) -> [Server; 2] {
     ["e1", "e2"].map(|name| {
         let fleet = Arc::clone(fleet);
         let address: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let handler = move |request| answer(Arc::clone(&fleet), name, request);
+        let handler = move |request| respond(Arc::clone(&fleet), name, request);
         block_on(Server::bind(address, Limits::default(), handler)).expect("a free port")
     })
 }
 
-async fn answer(fleet: Arc<Mutex<Fleet>>, name: &'static str, mut request: Request) -> Response {
+async fn respond(
+    fleet: Arc<Mutex<FakeFleet>>,
+    name: &'static str,
+    mut request: Request,
+) -> Response {
     let body = std::mem::replace(&mut request.body, Body::empty());
     let body = body.collect(1 << 20).await.expect("a small body");
-    let mut fleet = fleet.lock().expect("no test failed while holding it");
+    let mut fleet = fleet.lock().expect("not poisoned");
     let expected = format!("Bearer {KEY}");
     if request.headers.get("authorization") != Some(expected.as_str()) {
         let problem = Problem::not_run(Reason::Unauthorized, "the key is not the operators'");
-        return refuse(&problem.into());
+        return refusal_response(&problem.into());
     }
     match fleet.route(name, &request, &body) {
         Ok(response) => response,
-        Err(refusal) => refuse(&refusal),
+        Err(refusal) => refusal_response(&refusal),
     }
 }
 
-fn refuse(refusal: &Refusal) -> Response {
+fn refusal_response(refusal: &Refusal) -> Response {
     let code = Code::try_from(refusal.problem.status).expect("a known status");
     Response::json(code, refusal)
 }
 
-impl Fleet {
-    /// Makes a change that no operator's tool had a part in.
+impl FakeFleet {
+    /// Commits a change; reports one that is committed already as repeated.
     pub(crate) fn commit(&mut self, change: &Change) -> Result<Accepted, Box<Refusal>> {
         if let Some(revision) = self.changes.get(&change.id) {
             return Ok(Accepted {
@@ -89,9 +93,9 @@
         self.document = self
             .document
             .apply(change)
-            .map_err(|refused| Box::new(refused.into()))?;
+            .map_err(|error| Box::new(error.into()))?;
         let revision = self.document.revision;
-        let when = EPOCH + Duration::from_mins(1) * u32::try_from(revision.0).unwrap_or(0);
+        let when = START_TIME + Duration::from_mins(1) * u32::try_from(revision.0).unwrap_or(0);
         self.commits.insert(0, Commit::new(change, revision, when));
         self.changes.insert(change.id.clone(), revision);
         Ok(Accepted {
@@ -123,7 +127,7 @@
             (Method::Get, ["history"]) => {
                 let limit = request.query("limit").and_then(|limit| limit.parse().ok());
                 let limit = limit.filter(|limit| (1..=500).contains(limit));
-                let limit = limit.expect("a limit that hosts take");
+                let limit = limit.expect("a limit that hosts accept");
                 let entries = self.commits.iter().take(limit).cloned().collect();
                 Ok(Response::json(Code::Ok, &History { entries }))
             }
@@ -135,7 +139,7 @@
                 let kind = EntryKind::from_plural(plural).expect("a known kind");
                 self.write(method, EntryName::new(kind, name), request, body)
             }
-            (method, path) => panic!("no such call: {method} {path:?}"),
+            (method, path) => panic!("unexpected request: {method} {path:?}"),
         }
     }
 
@@ -150,8 +154,8 @@
             .map_err(|problem| Box::new(problem.into()))?;
         let edit = match method {
             Method::Put => {
-                let entry = Entry::from_json(name.kind(), body).expect("the tool sends entries");
-                Edit::put(name, entry).expect("the kinds agree")
+                let entry = Entry::from_json(name.kind(), body).expect("the body is an entry");
+                Edit::put(name, entry).expect("name and entry are of one kind")
             }
             _ => Edit::remove(name),
         };
@@ -162,8 +166,8 @@
             mode: condition.mode,
             edit,
         })?;
-        if self.lose_answers > 0 {
-            self.lose_answers -= 1;
+        if self.responses_to_cut > 0 {
+            self.responses_to_cut -= 1;
             let (cut, body) = Body::channel(1);
             drop(cut);
             return Ok(Response::new(Code::Ok).body(body));
@@ -200,10 +204,10 @@
         }
     }
 
-    /// A host as another one knows it.
+    /// Returns a host as its peers report it.
     fn peer(&self, name: &str) -> Host {
         let host = self.host(name);
-        if !self.strangers {
+        if !self.peers_unknown {
             return host;
         }
         Host {
@@ -215,14 +219,14 @@
 
     fn host(&self, name: &str) -> Host {
         let is_in = |names: &[String]| names.iter().any(|it| it == name);
-        let behind = u64::from(is_in(&self.lagging) || is_in(&self.silent));
+        let behind = u64::from(is_in(&self.lagging) || is_in(&self.suspect));
         Host {
             name: name.into(),
             incarnation: Incarnation(7),
             address: format!("10.0.0.{}:7000", &name[1..]),
             data_centre: format!("dar-{}", &name[1..]).into(),
             state: match () {
-                () if is_in(&self.silent) => State::Suspect,
+                () if is_in(&self.suspect) => State::Suspect,
                 () if is_in(&self.drained) => State::Leaving,
                 () => State::Live,
             },
