--- a/crates/barleypind/src/backlog.rs
+++ b/crates/barleypind/src/backlog.rs
@@ -5,10 +5,12 @@
 
 use ledger::Status;
 
-/// Samples of the number of records created, kept while some of them are unwritten.
+/// Pairs of the number of records created so far and the time at which it was seen. A pair is kept
+/// until as many records are written.
 ///
-/// The table takes records in the order of their creation, so the first sample above the number
-/// of written records gives the age of the oldest unwritten one.
+/// The first pair whose number is above that of the written records gives the age of the oldest
+/// unwritten one, if the table takes records in the order of their creation. If it takes later
+/// ones first, the oldest unwritten record is older.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
     made: VecDeque<(u64, Duration)>,
--- a/crates/barleypind/src/call.rs
+++ b/crates/barleypind/src/call.rs
@@ -46,14 +46,14 @@
         }))
     }
 
-    /// Returns a refusal issued before the ledger checked the call.
+    /// Returns a refusal with the execution state that is certain without the ledger.
     fn refusal(&self, reason: Reason, detail: impl Into<String>) -> Problem {
         let run = run_before_admission(self.headers.key.as_deref());
         Problem::new(reason, run, detail).of_request(self.request.as_str())
     }
 }
 
-/// Returns the execution state for a refusal issued before the ledger checked the call.
+/// Returns the execution state that is certain without the ledger.
 ///
 /// Guards against `not_run` for a key whose earlier call has run: a hold runs, its caller retries
 /// under the same key, and this host refuses the retry, for instance because it is full. Only a
--- a/crates/barleypind/src/call/attempt.rs
+++ b/crates/barleypind/src/call/attempt.rs
@@ -22,12 +22,11 @@
 /// whose response is cut off may be retried elsewhere.
 pub(crate) const MAX_PLAIN_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Maximum length in tokens of a response that is requested unstreamed if its caller doesn't
-/// stream. Avoids a wake-up per token. A longer response is streamed to this host in any case, to
-/// detect a stalled engine.
+/// Maximum `max_tokens` of a request that is sent unstreamed if its caller doesn't stream. The
+/// responses to all others are streamed to this host, so that a stalled engine is detected.
 pub(crate) const MAX_UNSTREAMED_TOKENS: u32 = 256;
 /// Minimum timeout of the first byte of an unstreamed response, which the engine sends only once
-/// it is complete.
+/// it is complete, unless the attempt's total timeout is shorter.
 const MIN_UNSTREAMED_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A progress event of an attempt.
@@ -109,14 +108,14 @@
         });
     }
 
-    /// Drops an attempt and returns it, so that its endpoint can be told.
+    /// Removes an attempt, which closes its connection, and returns it with its endpoint.
     pub(crate) fn stop(&mut self, id: AttemptId) -> Option<(Attempt, Endpoint)> {
         let index = self.attempts.iter().position(|it| it.attempt.id == id)?;
         let entry = self.attempts.swap_remove(index);
         Some((entry.attempt, entry.endpoint))
     }
 
-    /// Drops all attempts and returns them.
+    /// Removes all attempts and returns them with their endpoints.
     pub(crate) fn stop_all(&mut self) -> Vec<(Attempt, Endpoint)> {
         self.attempts
             .drain(..)
--- a/crates/barleypind/src/call/run/settle.rs
+++ b/crates/barleypind/src/call/run/settle.rs
@@ -189,9 +189,9 @@
 
     /// Bills the response and waits until its end may be sent.
     ///
-    /// Guards against a host that is killed between the end of a response and its billing. The
-    /// end mark waits until another host or the table has the record, or until neither has
-    /// responded in time.
+    /// Guards against a host that is killed between the end of a response and its billing. The end
+    /// of a stream, or all of an unstreamed response, waits until another host or the table has
+    /// the record, or until neither has responded in time.
     async fn bill(&mut self, delivery: &Delivery, usage: Usage, outcome: Option<Outcome>) {
         let charge = Charge {
             profile: self.work.profile().cloned(),
@@ -263,7 +263,7 @@
         self.cx.host.clock.wall().as_secs()
     }
 
-    /// Returns the headers of every response.
+    /// Returns the headers that every response has.
     fn headers(&self) -> Headers {
         let host = &self.cx.host;
         [
--- a/crates/barleypind/src/call/work.rs
+++ b/crates/barleypind/src/call/work.rs
@@ -12,8 +12,8 @@
 
 use super::attempt::{self, Progress, Timeouts};
 
-/// Headers of the caller's connection, of this system or of the caller's authentication. They
-/// aren't forwarded.
+/// Headers of the caller's connection or authentication, and those with the caller's ticket and
+/// session. They aren't forwarded.
 const UNFORWARDED_HEADERS: [&str; 13] = [
     "authorization",
     "connection",
--- a/crates/barleypind/src/contact.rs
+++ b/crates/barleypind/src/contact.rs
@@ -1,9 +1,9 @@
-//! The time of the last sign of life from the systems around this host.
+//! The time of the last contact with the host list or another host.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The time of the last response of the host list or frame of another host.
+/// The time at which the host list last responded or a frame of another host last arrived.
 ///
 /// Distinguishes an isolated host from an outage of the table. A host that is cut off from
 /// everything but its callers misses a withdrawal and would go on using the withdrawn version.
@@ -14,13 +14,13 @@
 }
 
 impl LastContact {
-    /// Records a sign of life received at `now`.
+    /// Records a contact at `now`.
     pub(crate) fn record(&self, now: Duration) {
         let micros = u64::try_from(now.as_micros()).unwrap_or(u64::MAX);
         self.micros.fetch_max(micros, Ordering::Relaxed);
     }
 
-    /// Returns the time since the last sign of life, or since the start of the clock without one.
+    /// Returns the time since the last contact, or since the start of the clock without one.
     pub(crate) fn age(&self, now: Duration) -> Duration {
         now.saturating_sub(Duration::from_micros(self.micros.load(Ordering::Relaxed)))
     }
--- a/crates/barleypind/src/daemon.rs
+++ b/crates/barleypind/src/daemon.rs
@@ -41,7 +41,8 @@
     /// Starts all services.
     ///
     /// # Errors
-    /// Returns [`Error`] if a key file can't be used or an address can't be bound.
+    /// Returns [`Error`] if a key can't be used, the link can't be set up or an address can't be
+    /// bound.
     pub async fn start(
         settings: Settings,
         log: Log,
@@ -137,12 +138,12 @@
         self.fleet
     }
 
-    /// Requests a drain. [`Daemon::ended`] returns once it is complete.
+    /// Requests a drain. [`Daemon::ended`] returns once it has ended.
     pub fn drain(&self) {
         drain::begin(&self.host);
     }
 
-    /// Waits until the drain is complete.
+    /// Waits until the drain has ended, complete or at its time limit.
     pub async fn ended(&self) -> DrainOutcome {
         self.ended
             .recv()
@@ -193,7 +194,7 @@
 }
 
 /// Binds the servers for callers and operators: one server for both if the settings give them the
-/// same address.
+/// same address with a port other than 0.
 async fn listen(cx: &Arc<Context>) -> Result<Vec<Server>, Report<Error>> {
     let settings = &cx.host.settings.listen;
     let limits = tuning::http(&cx.host.settings);
--- a/crates/barleypind/src/gauges.rs
+++ b/crates/barleypind/src/gauges.rs
@@ -35,7 +35,7 @@
     cx.rejected_peers.update(cx);
 }
 
-/// Number of frames and connections of unauthenticated peers that have been added to the metric.
+/// The number of frames and connections rejected by the link that is already in the metric.
 #[derive(Debug, Default)]
 pub(crate) struct RejectedPeers {
     counted: AtomicU64,
--- a/crates/barleypind/src/host.rs
+++ b/crates/barleypind/src/host.rs
@@ -35,9 +35,10 @@
 pub(crate) enum Phase {
     /// No configuration is in force yet.
     Starting,
-    /// The host accepts calls.
+    /// A configuration is in force, and no drain was requested.
     Ready,
-    /// The host drains: it finishes its calls and exits.
+    /// The host drains. It accepts calls until callers have dropped its address, then finishes them
+    /// and exits.
     Leaving,
 }
 
@@ -97,7 +98,7 @@
         Incarnation(self.incarnation.load(Ordering::SeqCst))
     }
 
-    /// Sets a new incarnation after the old one was fenced or declared dead.
+    /// Sets a new incarnation; see [`crate::renew::renew`].
     pub(crate) fn renew(&self, incarnation: Incarnation) {
         self.incarnation.store(incarnation.0, Ordering::SeqCst);
     }
--- a/crates/barleypind/src/lib.rs
+++ b/crates/barleypind/src/lib.rs
@@ -32,8 +32,8 @@
 /// Reads them and binds a link on a free loopback port, which is closed again.
 ///
 /// # Errors
-/// Returns [`Error::Key`] with the file that can't be used, or [`Error::Link`] if the fleet's
-/// keys don't match.
+/// Returns [`Error::Key`] with the file that can't be read or is empty, or [`Error::Link`] if the
+/// keys of the link can't be used or it can't be bound.
 pub fn check_keys(settings: &config::Settings) -> Result<(), error_stack::Report<Error>> {
     use error_stack::ResultExt;
 
--- a/crates/barleypind/src/log.rs
+++ b/crates/barleypind/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: numbered events, written as text to a terminal and as JSON otherwise.
+//! The log: numbered events, written as text or JSON, by default as text only to a terminal.
 
 use std::fmt::Display;
 use std::io::{IsTerminal, stderr};
--- a/crates/barleypind/src/metrics.rs
+++ b/crates/barleypind/src/metrics.rs
@@ -8,8 +8,7 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 use telemetry::Instruments;
 
-/// Upper bounds of the histogram buckets in seconds. The lowest ones resolve the latency that the
-/// host itself adds to a call.
+/// Upper bounds of the histogram buckets in seconds.
 const BUCKET_BOUNDS: [f64; 16] = [
     0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5,
     10.0, 60.0,
@@ -141,7 +140,8 @@
 pub struct GaugeValues {
     /// The revision in force.
     pub revision: u64,
-    /// Time since the last proof that the revision is the newest.
+    /// Time since the last proof that the revision is the newest, or since the start of the clock
+    /// without one.
     pub proof_age: Duration,
     /// Billing records of this host that aren't in the table.
     pub unwritten: u64,
@@ -151,7 +151,7 @@
     pub live: u64,
     /// Leaving entry hosts.
     pub leaving: u64,
-    /// Suspected entry hosts.
+    /// Suspected and unreachable entry hosts.
     pub suspect: u64,
     /// Live endpoints.
     pub endpoints: u64,
@@ -183,8 +183,9 @@
 }
 
 impl Metrics {
-    /// Creates the instruments. Counters are exported as zero from the start, so that an alert on
-    /// a counter's rate works for its first increment.
+    /// Creates the instruments. All counters are exported as zero from the start, so that an alert
+    /// on a counter's rate works for its first increment, except those of attempts with another
+    /// outcome than `answered`.
     #[must_use]
     pub fn new() -> Self {
         let instruments = Instruments::new("barleypind", CATALOGUE, &BUCKET_BOUNDS);
@@ -220,12 +221,13 @@
         self.instruments.text()
     }
 
-    /// Counts an accepted call.
+    /// Counts a call that arrived.
     pub fn call(&self, kind: CallKind) {
         self.calls.add(1, &[label("kind", &kind)]);
     }
 
-    /// Records the duration of a call.
+    /// Records the time from a call's arrival to its outcome, before it is billed and the end of
+    /// the response is sent.
     pub fn call_ended(&self, kind: CallKind, took: Duration) {
         self.call_seconds
             .record(took.as_secs_f64(), &[label("kind", &kind)]);
@@ -236,7 +238,7 @@
         self.refusals.add(1, &[label("reason", &reason)]);
     }
 
-    /// Counts an attempt after the first one.
+    /// Counts a dispatch after a call's first one.
     pub fn retried(&self, reason: RetryReason) {
         self.retries.add(1, &[label("reason", &reason)]);
     }
@@ -246,7 +248,7 @@
         self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Records the time from a call's arrival to the first part of its response.
+    /// Records the time from a streamed call's arrival to the first text of an attempt.
     pub fn first_token(&self, after: Duration) {
         self.first_token_seconds.record(after.as_secs_f64(), &[]);
     }
@@ -271,7 +273,7 @@
             .add(1, &[KeyValue::new("service", service)]);
     }
 
-    /// Counts frames and connections dropped because the peer wasn't authenticated.
+    /// Counts frames and connections that the link rejected.
     pub fn rejected_peers(&self, count: u64) {
         self.rejected_peers.add(count, &[]);
     }
--- a/crates/barleypind/src/policy.rs
+++ b/crates/barleypind/src/policy.rs
@@ -11,8 +11,7 @@
 };
 use kernel::VersionId;
 
-/// Maximum number of concurrent requests of this host to a plain service. The service's endpoints
-/// refuse earlier when they are full.
+/// Maximum number of concurrent requests of this host to a plain service.
 const SERVICE_CONCURRENCY: u32 = 1024;
 
 /// Compiles `document` into a policy. References to missing entries are left out; a committed
--- a/crates/barleypind/src/renew.rs
+++ b/crates/barleypind/src/renew.rs
@@ -8,12 +8,11 @@
 use crate::context::Context;
 use crate::service::fleet;
 
-/// Number of low bits that are random. The others are milliseconds since the Unix epoch and
-/// suffice for the next century.
+/// Number of low bits that are random. The others are milliseconds since the Unix epoch.
 const RANDOM_BITS: u32 = 22;
 
-/// Returns an incarnation number that no other run of any host has and that is higher than those
-/// of all earlier runs of this host.
+/// Returns an incarnation number higher than `after`. It is practically unique, and higher than
+/// those of earlier runs of this host unless the clock was set back.
 ///
 /// Guards against a new run with a lower number than the last: the other hosts would take its
 /// updates for outdated ones and never hand it out. Wall time in the high bits makes numbers
@@ -26,16 +25,16 @@
     Incarnation(number.max(after.0 + 1))
 }
 
-/// Continues as a new incarnation after the old one was fenced or declared dead.
+/// Continues as a new incarnation after the old one was fenced, or is dead to the fleet or has to
+/// be assumed so, for instance because this host was frozen or cut off for long.
 ///
-/// This happens to a host that was frozen or cut off so long that others settled its billing
-/// records. New work must not use the settled incarnation.
+/// Other hosts may have settled the old incarnation's billing records, so new work must not use it.
 pub(crate) fn renew(cx: &Context) {
     let next = incarnation(cx.host.clock.wall(), cx.host.incarnation());
     cx.host.renew(next);
     cx.ledger_handle.handle(ledger::Event::Renew { me: next });
     if let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() {
-        // If the queue is full, the service learns of it with the next fence.
+        // If the queue is full, the fleet service keeps the old incarnation until the next renewal.
         let _ = fleet.offer(fleet::Message::Renewed);
     }
 }
--- a/crates/barleypind/src/reply.rs
+++ b/crates/barleypind/src/reply.rs
@@ -55,7 +55,7 @@
         .body(Body::bytes(text))
 }
 
-/// Returns the status with this number; reasons use known ones only.
+/// Returns the status with this number, or 500 for an unknown one.
 pub(crate) fn status_of(status: u16) -> Status {
     Status::try_from(status).unwrap_or(Status::InternalServerError)
 }
--- a/crates/barleypind/src/secrets.rs
+++ b/crates/barleypind/src/secrets.rs
@@ -11,7 +11,7 @@
 
 /// The keys with which this host authenticates itself and others.
 ///
-/// They are never logged: no type in here shows its bytes.
+/// They are never logged. The `Debug` output contains no key, only the operator key's MAC.
 #[derive(Clone, Debug)]
 pub(crate) struct Secrets {
     /// The key that signs session tokens.
--- a/crates/barleypind/src/service.rs
+++ b/crates/barleypind/src/service.rs
@@ -1,5 +1,5 @@
-//! The services of the process. They are found by name in the [`kernel::Registry`] and
-//! communicate by typed messages.
+//! The services of the process. Some are found in the [`kernel::Registry`] and get typed messages;
+//! the decider and the ledger are called through handles.
 
 pub(crate) mod configure;
 pub(crate) mod decide;
--- a/crates/barleypind/src/service/configure.rs
+++ b/crates/barleypind/src/service/configure.rs
@@ -1,4 +1,4 @@
-//! Commits operators' changes to the table.
+//! Commits changes of the configuration to the table and reads their history.
 //!
 //! A change is one transaction. It writes the configuration's head at its next revision, a row of
 //! the change and a history entry, on condition that the head is still at the version that was
@@ -19,8 +19,7 @@
 use crate::event::Event;
 use crate::service::fleet;
 
-/// Maximum number of attempts to commit a change, each on a newer head after a conflict. Operators
-/// make hundreds of changes a day, so even two conflicts in a row are rare.
+/// Maximum number of attempts to commit a change, each on a newer head after a conflict.
 const MAX_COMMIT_ATTEMPTS: u32 = 16;
 /// Maximum number of reads to determine the outcome of a write whose response was lost.
 const MAX_OUTCOME_READS: u32 = 3;
@@ -28,8 +27,8 @@
 /// Commits `change`.
 ///
 /// # Errors
-/// Returns the refusal. It says `not_run` only if the change has no effect and never will have
-/// one.
+/// Returns the refusal. It says `not_run` only if this request has no effect and never will have
+/// one. An earlier request with the same change id may have had one.
 pub(crate) async fn commit(cx: &Arc<Context>, change: &Change) -> Result<Accepted, Refusal> {
     for _ in 0..MAX_COMMIT_ATTEMPTS {
         let asked = cx.host.now();
@@ -48,7 +47,7 @@
         };
         match write(cx, change, &next, version).await {
             Ok(()) => return Ok(report_committed(cx, change, &next, asked).await),
-            // Another change was committed first. Apply this one to its result, which is a
+            // Another change was committed first. Apply this one to the new head. That is a
             // conflict only if both edit the same entry.
             Err(Error::Conflict { .. }) => {}
             Err(Error::NotApplied(_)) => return Err(store_unavailable()),
--- a/crates/barleypind/src/service/decide.rs
+++ b/crates/barleypind/src/service/decide.rs
@@ -112,7 +112,7 @@
 
     /// Passes a call to the decider and returns the call's queue of directives.
     ///
-    /// `arrival` is built from the decider's present policy, whose keys it contains.
+    /// `arrival` builds the arrival from the decider's present policy and uses that policy's keys.
     ///
     /// # Errors
     /// Returns the error of `arrival`. The decider then has no record of the call.
--- a/crates/barleypind/src/service/decider_effects.rs
+++ b/crates/barleypind/src/service/decider_effects.rs
@@ -66,7 +66,7 @@
 
 fn broadcast(cx: &Context, message: DeciderMessage) {
     if let Some(fleet) = cx.host.registry.find::<fleet::Fleet>() {
-        // Lost evidence only delays learning.
+        // A lost message only delays learning or the exchange of demand.
         let _ = fleet.offer(fleet::Message::Decide(message));
     }
 }
--- a/crates/barleypind/src/service/drain.rs
+++ b/crates/barleypind/src/service/drain.rs
@@ -1,8 +1,9 @@
-//! The service that drains this host and ends the process without cutting off calls.
+//! The service that drains this host: it finishes the calls within the drain limit and reports the
+//! outcome.
 //!
 //! Callers keep the response to `GET /v1/hosts` for a while. A leaving host is therefore first
 //! removed from new responses and still accepts calls until the old ones have expired. Then it
-//! finishes its calls and hands over its billing records.
+//! finishes its calls and waits until the ledger holds no more records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +18,7 @@
 use crate::host::{Host, Phase};
 use crate::service::fleet;
 
-/// Time for the last frames to be sent before the link closes.
+/// Time between the last frames and the close of the link, so that they are sent.
 const GOODBYE_DELAY: Duration = Duration::from_millis(200);
 
 /// The drain service.
--- a/crates/barleypind/src/service/endpoints.rs
+++ b/crates/barleypind/src/service/endpoints.rs
@@ -18,9 +18,9 @@
 use crate::service::decide::DeciderHandle;
 use crate::service::fleet;
 
-/// Maximum number of concurrent requests for load reports.
+/// Maximum number of concurrent requests of [`Endpoints::poll`].
 const MAX_CONCURRENT_POLLS: usize = 16;
-/// Minimum interval between two requests for load reports, to limit control traffic.
+/// Minimum interval between two requests of [`watch_load`], to limit control traffic.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(125);
 /// Timeout of a request for a load report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
@@ -111,7 +111,7 @@
     /// Applies the platform's host list.
     ///
     /// The list lags behind, so it never reverts what an endpoint itself reported: a leaving
-    /// endpoint stays so for the rest of its incarnation.
+    /// endpoint stays so as long as it is listed under this incarnation.
     pub(crate) fn apply_host_list(&self, hosts: &[clients::Host]) {
         let listed: Vec<_> = hosts.iter().filter_map(|it| self.endpoint_of(it)).collect();
         let mut known = self.write();
@@ -159,8 +159,8 @@
         self.announce(name, incarnation, state);
     }
 
-    /// Records an endpoint's state announced by another host. Only applies to endpoints in state
-    /// `Live`.
+    /// Records an endpoint's state that an attempt revealed or another host announced. Only applies
+    /// to endpoints in state `Live`.
     pub(crate) fn apply_announcement(
         &self,
         name: &HostName,
@@ -382,8 +382,8 @@
     }
 }
 
-/// Polls the watched endpoints' load forever, one after the other, at intervals that limit the
-/// cost for any number of endpoints.
+/// Requests load reports of the watched endpoints forever, starting one per interval. The interval
+/// limits the cost for any number of endpoints.
 pub(crate) async fn watch_load(host: Arc<Host>, endpoints: Arc<Endpoints>) {
     loop {
         let watched = endpoints.watched();
--- a/crates/barleypind/src/service/fleet.rs
+++ b/crates/barleypind/src/service/fleet.rs
@@ -270,7 +270,8 @@
         self.update_hosts();
     }
 
-    /// Passes the hosts that are up to the ledger and their number to the decider.
+    /// Passes the other hosts that are up to the ledger, and the number of hosts that are up,
+    /// including this one, to the decider.
     fn update_hosts(&self) {
         let region = &self.core.me().region;
         let peers: Vec<Peer> = self
@@ -318,8 +319,8 @@
     matches!(member.state, State::Alive | State::Leaving | State::Suspect)
 }
 
-/// Passes an event to the core, or drops it if the queue is full. All such events are repeated,
-/// and a flood must not block the sender.
+/// Passes an event to the core, or drops it if the queue is full, so that a flood doesn't block the
+/// sender.
 pub(crate) fn send_event(cx: &Context, event: Event) {
     if let Some(fleet) = cx.host.registry.find::<Fleet>() {
         let _ = fleet.offer(Message::Event(event));
--- a/crates/barleypind/src/service/fleet/decider_messages.rs
+++ b/crates/barleypind/src/service/fleet/decider_messages.rs
@@ -18,13 +18,13 @@
 pub(crate) enum DeciderMessage {
     Evidence(Evidence),
     Demand(Demand),
-    /// A request for a digest from a host that has started.
+    /// Requests the receiver's digest. Sent by a host that has started.
     DigestRequest,
     /// The sender's evidence, in response to [`DeciderMessage::DigestRequest`].
     Digest(Evidence),
 }
 
-/// Whether this host has received another host's evidence since its start.
+/// Whether this host has requested or received a digest since its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DigestState {
     NotRequested,
--- a/crates/barleypind/src/service/ledger.rs
+++ b/crates/barleypind/src/service/ledger.rs
@@ -214,7 +214,7 @@
     }
 }
 
-/// Can't fail, since the receiving service runs as long as the process.
+/// Sends an effect to the table service. That runs as long as the process, so sending doesn't fail.
 fn send(effects: &UnboundedSender<LedgerEffect>, effect: LedgerEffect) {
     let _ = effects.unbounded_send(effect);
 }
--- a/crates/barleypind/src/service/rate.rs
+++ b/crates/barleypind/src/service/rate.rs
@@ -64,8 +64,7 @@
     }
 }
 
-/// Passes a rating to the decider. Ratings of earlier incarnations are ignored, since the decider
-/// has no record of their requests.
+/// Passes a rating to the decider. Ratings of requests of earlier incarnations are ignored.
 fn pass_on(cx: &Context, rating: clients::Rating) {
     let Some(request) = cx.host.request_number(rating.request.as_str()) else {
         return;
--- a/crates/barleypind/src/service/rollout.rs
+++ b/crates/barleypind/src/service/rollout.rs
@@ -25,7 +25,7 @@
 
 /// Interval between comparisons of the engines' state with the wanted one.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Maximum number of hosts that compete for the lease. More would only read its row more often.
+/// Maximum number of hosts that compete for the lease.
 const MAX_CANDIDATES: usize = 5;
 
 /// The roll-out service.
--- a/crates/barleypind/src/service/rollout/holder.rs
+++ b/crates/barleypind/src/service/rollout/holder.rs
@@ -1,4 +1,4 @@
-//! This host's part in the lease on orders.
+//! The lease `orders`, as seen by this host.
 
 use clients::row::Key;
 use clients::{Condition, Error, Transaction};
@@ -10,7 +10,7 @@
 
 const LEASE_NAME: &str = "orders";
 
-/// The lease, whose actions are carried out on the table.
+/// The lease's state machine. Its reads and writes go to the table.
 pub(crate) struct LeaseHolder {
     lease: Lease,
     held: Held,
--- a/crates/barleypind/src/service/rollout/orders.rs
+++ b/crates/barleypind/src/service/rollout/orders.rs
@@ -13,7 +13,7 @@
 use crate::event::Event;
 use crate::service::endpoints::{Endpoint, Fencing};
 
-/// Interval after which an order is repeated if the load report doesn't show its effect.
+/// Minimum interval between two orders to one engine for one version.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Actor {
@@ -118,7 +118,7 @@
     let share = match rollout.state {
         RolloutState::Aborted => return Vec::new(),
         RolloutState::Done => 1.0,
-        // Engines of the next step load the version ahead of it.
+        // The engines that the next step needs load the version before that step.
         RolloutState::Running => {
             let next = rollout.steps.get(rollout.step + 1);
             next.copied().unwrap_or(1.0)
@@ -134,8 +134,8 @@
     rollout.is_some_and(|it| it.state == RolloutState::Aborted)
 }
 
-/// Returns the smallest number of engines, at least one, that is at least the given share of
-/// `count`.
+/// Returns the smallest number of engines, at least one if there are any, that is at least the
+/// given share of `count`.
 fn engine_count(count: usize, share: f64) -> usize {
     (1..=count)
         .find(|part| ratio(*part, count) >= share)
--- a/crates/barleypind/src/service/rollout/step.rs
+++ b/crates/barleypind/src/service/rollout/step.rs
@@ -54,7 +54,8 @@
     }
 }
 
-/// Returns the roll-out after the step, or `None` if the roll-out isn't at the step's start.
+/// Returns the roll-out after the step, or `None` if the roll-out isn't at the step's start, or
+/// isn't running and the step doesn't abort it.
 fn next(rollout: &Rollout, step: &Step) -> Option<Rollout> {
     if (rollout.share() - step.from).abs() > SHARE_TOLERANCE {
         return None;
--- a/crates/barleypind/src/service/table.rs
+++ b/crates/barleypind/src/service/table.rs
@@ -90,8 +90,9 @@
     }
 }
 
-/// Converts a transaction into the table client's form. Returns `None` for a key that isn't one
-/// of the rows in `docs/PROTOCOLS.md`, which the ledger never writes.
+/// Converts a transaction into the table client's form. Returns `None` for content that the ledger
+/// never writes: a key that isn't one of the rows in `docs/PROTOCOLS.md`, or a value that isn't
+/// JSON.
 fn translate(wanted: &Transaction) -> Option<clients::Transaction> {
     let mut transaction = clients::Transaction::default();
     for condition in &wanted.conditions {
--- a/crates/barleypind/src/tuning.rs
+++ b/crates/barleypind/src/tuning.rs
@@ -1,6 +1,7 @@
-//! Conversion of the settings into the parameters of each core.
+//! Conversion of the settings into the parameters of the cores and the HTTP servers.
 //!
-//! With default settings the result equals the core's own defaults, with which its tests run.
+//! With default settings the parameters of the decider, the ledger and the fleet core equal their
+//! own defaults, with which their tests run.
 
 use config::Settings;
 
--- a/crates/barleypind/tests/check.rs
+++ b/crates/barleypind/tests/check.rs
@@ -1,4 +1,4 @@
-//! Tests of `barleypind check` with faulty settings and key files: errors and exit codes.
+//! Tests of `barleypind check` and of the command line: output and exit codes.
 
 use std::fs;
 use std::path::Path;
--- a/crates/barleypind/tests/golden/call.rs
+++ b/crates/barleypind/tests/golden/call.rs
@@ -49,7 +49,8 @@
     show(site, case, response).await
 }
 
-/// Runs an operator's request, in the same form.
+/// Runs `operate [host=N] [save=name] [stranger]`, an operator's request with the request as its
+/// input. With `stranger` no key is sent.
 pub(crate) async fn operator_call(site: &mut Site, case: &TestCase) -> String {
     let mut request = parse(site, &case.input);
     if !case.args.contains_key("stranger") {
@@ -60,7 +61,7 @@
     show(site, case, response).await
 }
 
-/// Runs `stand-in name=table`, a request to a stand-in.
+/// Runs `stand-in name=table`: sends the input as a request to the stand-in and shows the status.
 pub(crate) async fn stand_in(site: &mut Site, case: &TestCase) -> String {
     let name: String = argument(case, "name").expect("a stand-in's name");
     let request = parse(site, &case.input);
--- a/crates/barleypind/tests/golden/main.rs
+++ b/crates/barleypind/tests/golden/main.rs
@@ -1,4 +1,5 @@
-//! Tests of sessions of callers and operators with daemons and the stand-ins.
+//! Runs session files: requests of callers and operators to daemons, with stand-ins for the
+//! platform and the endpoints.
 //!
 //! A file under `tests/sessions` starts with `site`, whose input is the stand-ins' settings,
 //! followed by calls. Text that varies between runs, such as request ids, tokens, ports and
--- a/crates/barleypind/tests/golden/site.rs
+++ b/crates/barleypind/tests/golden/site.rs
@@ -33,7 +33,7 @@
     client: Client,
     _started: Started,
     dir: TempDir,
-    /// The fraction of responses that are rated.
+    /// The fraction of responses that are rated, also used as the share of exploration.
     rated: f64,
 }
 
--- a/crates/barleypind/tests/proofs.rs
+++ b/crates/barleypind/tests/proofs.rs
@@ -1,4 +1,5 @@
-//! Checks that `docs/PROOFS.md` names existing tests only, and every script.
+//! Checks `docs/PROOFS.md` against the tests and scripts, and that a script or test covers each
+//! reason that may say `not_run`.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -115,8 +116,9 @@
     }
 }
 
-/// Reasons that a script can't produce reliably with nothing run. `Deadline` needs a queue longer
-/// than the deadline, `Leaving` a call at the moment at which a host hands over its records.
+/// Reasons that the script can't reliably produce, with the tests that cover them. `Deadline` needs
+/// a queue that outlasts the deadline, `Leaving` a call that arrives while the host drains its
+/// ledger.
 const COVERED_ELSEWHERE: [(Reason, &str); 2] = [
     (Reason::Deadline, "decide::deadlines"),
     (Reason::Leaving, "ledger::drain"),
