--- a/crates/barleypind/src/backlog.rs
+++ b/crates/barleypind/src/backlog.rs
@@ -13,25 +13,29 @@
 /// ones first, the oldest unwritten record is older.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
-    made: VecDeque<(u64, Duration)>,
+    samples: VecDeque<(u64, Duration)>,
 }
 
 impl Backlog {
     /// Records the ledger's status at `now`. Called every second.
     pub(crate) fn record(&mut self, now: Duration, status: &Status) {
-        let made = status.counters.records;
-        let written = made.saturating_sub(status.held as u64);
-        while self.made.front().is_some_and(|(made, _)| *made <= written) {
-            self.made.pop_front();
+        let created = status.counters.records;
+        let written = created.saturating_sub(status.held as u64);
+        while self
+            .samples
+            .front()
+            .is_some_and(|(created, _)| *created <= written)
+        {
+            self.samples.pop_front();
         }
-        if made > written && self.made.back().is_none_or(|(last, _)| *last < made) {
-            self.made.push_back((made, now));
+        if created > written && self.samples.back().is_none_or(|(last, _)| *last < created) {
+            self.samples.push_back((created, now));
         }
     }
 
     /// Returns the age of the oldest unwritten record, as of the last recorded status.
     pub(crate) fn oldest(&self, now: Duration) -> Duration {
-        self.made
+        self.samples
             .front()
             .map_or(Duration::ZERO, |(_, at)| now.saturating_sub(*at))
     }
--- a/crates/barleypind/src/call.rs
+++ b/crates/barleypind/src/call.rs
@@ -48,7 +48,7 @@
 
     /// Returns a refusal with the execution state that is certain without the ledger.
     fn refusal(&self, reason: Reason, detail: impl Into<String>) -> Problem {
-        let run = run_before_admission(self.headers.key.as_deref());
+        let run = run_without_ledger(self.headers.key.as_deref());
         Problem::new(reason, run, detail).of_request(self.request.as_str())
     }
 }
@@ -58,7 +58,7 @@
 /// Guards against `not_run` for a key whose earlier call has run: a hold runs, its caller retries
 /// under the same key, and this host refuses the retry, for instance because it is full. Only a
 /// call without a key has no other arrival that may have run.
-pub(crate) fn run_before_admission(key: Option<&str>) -> Run {
+pub(crate) fn run_without_ledger(key: Option<&str>) -> Run {
     match key {
         Some(_) => Run::Unknown,
         None => Run::NotRun,
--- a/crates/barleypind/src/call/run.rs
+++ b/crates/barleypind/src/call/run.rs
@@ -158,7 +158,7 @@
             cx.decider.ended(id, Outcome::NotSent);
             return None;
         };
-        let name = Attempt {
+        let engine_attempt = Attempt {
             request: self.call.request.clone(),
             host: cx.host.incarnation(),
             id,
@@ -169,10 +169,14 @@
             .handle(ledger::Event::AttemptSending { request });
         let timeouts = self.timeouts(dispatch.timeout);
         let version = dispatch.version.clone();
-        let progress =
-            self.work
-                .attempt(&cx.engine, endpoint.target, name.clone(), version, timeouts);
-        self.in_flight.start(name, endpoint, progress);
+        let progress = self.work.attempt(
+            &cx.engine,
+            endpoint.target,
+            engine_attempt.clone(),
+            version,
+            timeouts,
+        );
+        self.in_flight.start(engine_attempt, endpoint, progress);
         self.dispatched.push(Dispatched {
             dispatch,
             first_byte_received: false,
@@ -194,7 +198,8 @@
             (Work::Chat(chat), Some(version)) => {
                 let profile = snapshot.document.profiles.get(&chat.profile);
                 let allowed = profile.and_then(|it| it.allowed(&self.call.customer));
-                snapshot.in_service(version) && allowed.is_some_and(|it| it.contains(version))
+                snapshot.is_active_version(version)
+                    && allowed.is_some_and(|it| it.contains(version))
             }
         }
     }
--- a/crates/barleypind/src/caller_api.rs
+++ b/crates/barleypind/src/caller_api.rs
@@ -11,7 +11,7 @@
 use http::{Method, Request, Response, Status};
 use kernel::{DataCentre, ServiceName};
 
-use crate::call::{Call, run_before_admission};
+use crate::call::{Call, run_without_ledger};
 use crate::context::Context;
 use crate::event::Event;
 use crate::gauges;
@@ -92,7 +92,7 @@
     let Some(open) = cx.host.try_open_call() else {
         return Err(Problem::new(
             Reason::Overloaded,
-            run_before_admission(headers.key.as_deref()),
+            run_without_ledger(headers.key.as_deref()),
             "this host has its greatest number of calls open; use another one",
         ));
     };
@@ -109,7 +109,7 @@
 
 fn authenticate(cx: &Context, request: &Request) -> Result<kernel::Customer, Problem> {
     let key = call::bearer(request.headers.get("authorization"))?;
-    let run = run_before_admission(request.headers.get(call::IDEMPOTENCY_KEY));
+    let run = run_without_ledger(request.headers.get(call::IDEMPOTENCY_KEY));
     if cx.host.phase() == Phase::Starting {
         return Err(Problem::new(
             Reason::NotReady,
--- a/crates/barleypind/src/context.rs
+++ b/crates/barleypind/src/context.rs
@@ -5,7 +5,7 @@
 use clients::{HostList, Ratings, Table};
 
 use crate::backlog::Backlog;
-use crate::gauges::RejectedPeers;
+use crate::gauges::LinkRejections;
 use crate::host::Host;
 use crate::service::decide::DeciderHandle;
 use crate::service::endpoints::Endpoints;
@@ -20,7 +20,7 @@
     pub(crate) endpoints: Arc<Endpoints>,
     pub(crate) engine: engine::Client,
     pub(crate) link: link::Link,
-    pub(crate) rejected_peers: RejectedPeers,
+    pub(crate) link_rejections: LinkRejections,
     pub(crate) verdicts: Verdicts,
     pub(crate) backlog: Mutex<Backlog>,
     pub(crate) table: Table,
--- a/crates/barleypind/src/current.rs
+++ b/crates/barleypind/src/current.rs
@@ -47,7 +47,7 @@
     }
 
     /// Returns whether the version is active, so that new attempts may use it.
-    pub(crate) fn in_service(&self, version: &VersionId) -> bool {
+    pub(crate) fn is_active_version(&self, version: &VersionId) -> bool {
         self.document
             .versions
             .get(version)
--- a/crates/barleypind/src/daemon.rs
+++ b/crates/barleypind/src/daemon.rs
@@ -16,7 +16,7 @@
 use crate::context::Context;
 use crate::error::Error;
 use crate::event::Event;
-use crate::gauges::RejectedPeers;
+use crate::gauges::LinkRejections;
 use crate::host::Host;
 use crate::log::Log;
 use crate::secrets::Secrets;
@@ -183,7 +183,7 @@
         endpoints: Arc::new(endpoints),
         engine,
         link,
-        rejected_peers: RejectedPeers::default(),
+        link_rejections: LinkRejections::default(),
         verdicts: Verdicts::default(),
         backlog: Mutex::default(),
         table: Table::new(service(settings.platform.table)),
--- a/crates/barleypind/src/gauges.rs
+++ b/crates/barleypind/src/gauges.rs
@@ -32,16 +32,16 @@
         endpoints: cx.endpoints.live().len() as u64,
         open: cx.host.open_calls() as u64,
     });
-    cx.rejected_peers.update(cx);
+    cx.link_rejections.update(cx);
 }
 
 /// The number of frames and connections rejected by the link that is already in the metric.
 #[derive(Debug, Default)]
-pub(crate) struct RejectedPeers {
+pub(crate) struct LinkRejections {
     counted: AtomicU64,
 }
 
-impl RejectedPeers {
+impl LinkRejections {
     fn update(&self, cx: &Context) {
         let counters = cx.link.counters();
         let rejected = link::Rejection::ALL
@@ -51,7 +51,7 @@
         let before = self.counted.fetch_max(rejected, Ordering::SeqCst);
         if rejected > before {
             let dropped = rejected - before;
-            cx.host.metrics.rejected_peers(dropped);
+            cx.host.metrics.link_rejections(dropped);
             cx.host.log.emit(Event::Stranger, &[("dropped", &dropped)]);
         }
     }
--- a/crates/barleypind/src/metrics.rs
+++ b/crates/barleypind/src/metrics.rs
@@ -169,7 +169,7 @@
     tokens: Counter<u64>,
     billed: Counter<u64>,
     platform_errors: Counter<u64>,
-    rejected_peers: Counter<u64>,
+    link_rejections: Counter<u64>,
     call_seconds: Histogram<f64>,
     first_token_seconds: Histogram<f64>,
     decide_seconds: Histogram<f64>,
@@ -198,7 +198,7 @@
             tokens: it.counter("tokens"),
             billed: it.counter("billed_microcents"),
             platform_errors: it.counter("platform_errors"),
-            rejected_peers: it.counter("strangers"),
+            link_rejections: it.counter("strangers"),
             call_seconds: it.histogram("call_seconds"),
             first_token_seconds: it.histogram("first_token_seconds"),
             decide_seconds: it.histogram("decide_seconds"),
@@ -274,8 +274,8 @@
     }
 
     /// Counts frames and connections that the link rejected.
-    pub fn rejected_peers(&self, count: u64) {
-        self.rejected_peers.add(count, &[]);
+    pub fn link_rejections(&self, count: u64) {
+        self.link_rejections.add(count, &[]);
     }
 
     /// Sets the gauges.
@@ -316,7 +316,7 @@
         }
         self.attempts
             .add(0, &[KeyValue::new("outcome", "answered")]);
-        self.rejected_peers.add(0, &[]);
+        self.link_rejections.add(0, &[]);
         self.answered(0, 0, 0);
         self.set_gauges(&GaugeValues::default());
     }
--- a/crates/barleypind/src/service/drain.rs
+++ b/crates/barleypind/src/service/drain.rs
@@ -19,7 +19,7 @@
 use crate::service::fleet;
 
 /// Time between the last frames and the close of the link, so that they are sent.
-const GOODBYE_DELAY: Duration = Duration::from_millis(200);
+const LINK_CLOSE_DELAY: Duration = Duration::from_millis(200);
 
 /// The drain service.
 pub(crate) struct Drain;
@@ -84,7 +84,7 @@
         .await
         .is_err();
     fleet::send_event(cx, ::fleet::Event::Goodbye);
-    async_std::task::sleep(GOODBYE_DELAY).await;
+    async_std::task::sleep(LINK_CLOSE_DELAY).await;
     cx.link.close().await;
     if calls_left == 0 && !records_left {
         host.log.emit(Event::Drained, &[]);
--- a/crates/barleypind/src/service/endpoints.rs
+++ b/crates/barleypind/src/service/endpoints.rs
@@ -142,7 +142,7 @@
                 }
                 Some(old) if old.state == State::Live && endpoint.state == State::Leaving => {
                     old.state = State::Leaving;
-                    self.log_leaving(&old.name);
+                    self.log_unavailable(&old.name);
                     updates.push(old.update());
                 }
                 Some(_) => {}
@@ -155,18 +155,13 @@
     /// Records an endpoint's state that an attempt revealed, and announces it to the other hosts,
     /// which see it in the platform's list only later.
     pub(crate) fn report_state(&self, name: &HostName, incarnation: Incarnation, state: State) {
-        self.apply_announcement(name, incarnation, state);
+        self.record_state(name, incarnation, state);
         self.announce(name, incarnation, state);
     }
 
     /// Records an endpoint's state that an attempt revealed or another host announced. Only applies
     /// to endpoints in state `Live`.
-    pub(crate) fn apply_announcement(
-        &self,
-        name: &HostName,
-        incarnation: Incarnation,
-        state: State,
-    ) {
+    pub(crate) fn record_state(&self, name: &HostName, incarnation: Incarnation, state: State) {
         let id = Id::new(name, incarnation);
         let mut known = self.write();
         let Some(endpoint) = known.get_mut(&id) else {
@@ -174,7 +169,7 @@
         };
         if endpoint.state == State::Live && state != State::Live {
             endpoint.state = state;
-            self.log_leaving(name);
+            self.log_unavailable(name);
             let update = endpoint.update();
             drop(known);
             self.publish(vec![update]);
@@ -268,7 +263,7 @@
         )));
     }
 
-    fn log_leaving(&self, name: &HostName) {
+    fn log_unavailable(&self, name: &HostName) {
         self.host
             .log
             .emit(Event::EndpointLeaving, &[("endpoint", name)]);
--- a/crates/barleypind/src/service/fleet.rs
+++ b/crates/barleypind/src/service/fleet.rs
@@ -171,7 +171,7 @@
                 };
                 self.cx
                     .endpoints
-                    .apply_announcement(&endpoint.host, endpoint.incarnation, state);
+                    .record_state(&endpoint.host, endpoint.incarnation, state);
             }
             // Unused: deciders exchange evidence as [`DeciderMessage`].
             Action::Evidence(_) => {}
--- a/crates/barleypind/src/service/rollout.rs
+++ b/crates/barleypind/src/service/rollout.rs
@@ -6,7 +6,7 @@
 //! fencing number. Engines that ignore the number get no orders until those of the previous
 //! holder can no longer arrive. See `docs/design/lease.md`.
 
-mod holder;
+mod lease;
 mod orders;
 mod step;
 
@@ -21,7 +21,7 @@
 
 use crate::context::Context;
 use crate::host::Phase;
-use holder::LeaseHolder;
+use lease::OrdersLease;
 
 /// Interval between comparisons of the engines' state with the wanted one.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -45,7 +45,7 @@
 
 struct Actor {
     cx: Arc<Context>,
-    holder: LeaseHolder,
+    orders_lease: OrdersLease,
     /// The time of the last order, by engine and version.
     last_orders: HashMap<(HostName, VersionId), Duration>,
 }
@@ -53,7 +53,7 @@
 /// Runs the service until its queue is closed.
 pub(crate) async fn run(cx: Arc<Context>, queue: Receiver<Message>) {
     let mut actor = Actor {
-        holder: LeaseHolder::new(&cx),
+        orders_lease: OrdersLease::new(&cx),
         cx,
         last_orders: HashMap::new(),
     };
@@ -76,13 +76,13 @@
     /// Renews or requests the lease, and sends the orders that are due.
     async fn check(&mut self) {
         if self.cx.host.phase() == Phase::Leaving {
-            return self.holder.release(&self.cx).await;
+            return self.orders_lease.release(&self.cx).await;
         }
-        if !self.holder.holds(&self.cx) && !self.is_candidate().await {
+        if !self.orders_lease.holds(&self.cx) && !self.is_candidate().await {
             return;
         }
-        self.holder.tick(&self.cx).await;
-        if self.holder.holds(&self.cx) {
+        self.orders_lease.tick(&self.cx).await;
+        if self.orders_lease.holds(&self.cx) {
             self.send_due_orders().await;
         }
     }
--- a/crates/barleypind/src/service/rollout/holder.rs
+++ b/crates/barleypind/src/service/rollout/lease.rs
@@ -11,7 +11,7 @@
 const LEASE_NAME: &str = "orders";
 
 /// The lease's state machine. Its reads and writes go to the table.
-pub(crate) struct LeaseHolder {
+pub(crate) struct OrdersLease {
     lease: Lease,
     held: Held,
 }
@@ -22,7 +22,7 @@
     No,
 }
 
-impl LeaseHolder {
+impl OrdersLease {
     pub(crate) fn new(cx: &Context) -> Self {
         Self {
             lease: Lease::new(cx.host.incarnation(), Tuning::default()),
--- a/crates/barleypind/src/service/rollout/orders.rs
+++ b/crates/barleypind/src/service/rollout/orders.rs
@@ -14,7 +14,7 @@
 use crate::service::endpoints::{Endpoint, Fencing};
 
 /// Minimum interval between two orders to one engine for one version.
-const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(5);
+const MIN_ORDER_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Actor {
     /// Sends the orders that are due.
@@ -33,7 +33,7 @@
         let now = cx.host.now();
         let key = (engine.name.clone(), version.clone());
         let last_order = self.last_orders.get(&key);
-        if last_order.is_some_and(|at| now.saturating_sub(*at) < ORDER_RETRY_INTERVAL) {
+        if last_order.is_some_and(|at| now.saturating_sub(*at) < MIN_ORDER_INTERVAL) {
             return;
         }
         let fencing_check = match engine.fencing {
@@ -42,7 +42,7 @@
         };
         // Check the lease immediately before sending: a holder that was frozen finds here that
         // its lease has expired.
-        let Ok(fencing) = self.holder.fencing_number(cx, fencing_check) else {
+        let Ok(fencing) = self.orders_lease.fencing_number(cx, fencing_check) else {
             return;
         };
         let order = Order {
--- a/crates/barleypind/src/service/rollout/step.rs
+++ b/crates/barleypind/src/service/rollout/step.rs
@@ -14,7 +14,7 @@
 impl Actor {
     /// Makes a step if this host holds the lease and the step still applies.
     pub(super) async fn step(&mut self, version: &VersionId, step: &Step) {
-        if !self.holder.holds(&self.cx) {
+        if !self.orders_lease.holds(&self.cx) {
             return;
         }
         let snapshot = self.cx.host.current_config.get();
--- a/crates/barleypind/tests/check.rs
+++ b/crates/barleypind/tests/check.rs
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn mismatched_fleet_keys_are_refused() {
+fn invalid_host_key_is_refused() {
     check(
         &VALID.replace("host_key = \"DIR/host.key.pem\"", "host_key = \"DIR/key\""),
         &expect![[r"
--- a/crates/barleypind/tests/proofs.rs
+++ b/crates/barleypind/tests/proofs.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn rows_name_their_tests_or_what_is_missing() {
+fn rows_agree_with_their_state() {
     let page = page();
     let rows = rows(&page);
     assert!(!rows.is_empty(), "the page has no rows");
