--- a/crates/barleypind/src/service/drain.rs
+++ b/crates/barleypind/src/service/drain.rs
@@ -1,8 +1,9 @@
-//! The service that drains this host and ends the process without cutting off calls.
+//! The service that drains this host: it finishes the calls within the drain limit and reports the
+//! outcome.
 //!
 //! Callers keep the response to `GET /v1/hosts` for a while. A leaving host is therefore first
 //! removed from new responses and still accepts calls until the old ones have expired. Then it
-//! finishes its calls and hands over its billing records.
+//! finishes its calls and waits until the ledger holds no more records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +18,8 @@
 use crate::host::{Host, Phase};
 use crate::service::fleet;
 
-/// Time for the last frames to be sent before the link closes.
-const GOODBYE_DELAY: Duration = Duration::from_millis(200);
+/// Time between the last frames and the close of the link, so that they are sent.
+const LINK_CLOSE_DELAY: Duration = Duration::from_millis(200);
 
 /// The drain service.
 pub(crate) struct Drain;
@@ -83,7 +84,7 @@
         .await
         .is_err();
     fleet::send_event(cx, ::fleet::Event::Goodbye);
-    async_std::task::sleep(GOODBYE_DELAY).await;
+    async_std::task::sleep(LINK_CLOSE_DELAY).await;
     cx.link.close().await;
     if calls_left == 0 && !records_left {
         host.log.emit(Event::Drained, &[]);
--- a/crates/barleypind/src/service/endpoints.rs
+++ b/crates/barleypind/src/service/endpoints.rs
@@ -18,9 +18,9 @@
 use crate::service::decide::DeciderHandle;
 use crate::service::fleet;
 
-/// Maximum number of concurrent requests for load reports.
+/// Maximum number of concurrent requests of [`Endpoints::poll`].
 const MAX_CONCURRENT_POLLS: usize = 16;
-/// Minimum interval between two requests for load reports, to limit control traffic.
+/// Minimum interval between two requests of [`watch_load`], to limit control traffic.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(125);
 /// Timeout of a request for a load report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
@@ -111,7 +111,7 @@
     /// Applies the platform's host list.
     ///
     /// The list lags behind, so it never reverts what an endpoint itself reported: a leaving
-    /// endpoint stays so for the rest of its incarnation.
+    /// endpoint stays so as long as it is listed under this incarnation.
     pub(crate) fn apply_host_list(&self, hosts: &[clients::Host]) {
         let listed: Vec<_> = hosts.iter().filter_map(|it| self.endpoint_of(it)).collect();
         let mut known = self.write();
@@ -142,7 +142,7 @@
                 }
                 Some(old) if old.state == State::Live && endpoint.state == State::Leaving => {
                     old.state = State::Leaving;
-                    self.log_leaving(&old.name);
+                    self.log_unavailable(&old.name);
                     updates.push(old.update());
                 }
                 Some(_) => {}
@@ -155,18 +155,13 @@
     /// Records an endpoint's state that an attempt revealed, and announces it to the other hosts,
     /// which see it in the platform's list only later.
     pub(crate) fn report_state(&self, name: &HostName, incarnation: Incarnation, state: State) {
-        self.apply_announcement(name, incarnation, state);
+        self.record_state(name, incarnation, state);
         self.announce(name, incarnation, state);
     }
 
-    /// Records an endpoint's state announced by another host. Only applies to endpoints in state
-    /// `Live`.
-    pub(crate) fn apply_announcement(
-        &self,
-        name: &HostName,
-        incarnation: Incarnation,
-        state: State,
-    ) {
+    /// Records an endpoint's state that an attempt revealed or another host announced. Only applies
+    /// to endpoints in state `Live`.
+    pub(crate) fn record_state(&self, name: &HostName, incarnation: Incarnation, state: State) {
         let id = Id::new(name, incarnation);
         let mut known = self.write();
         let Some(endpoint) = known.get_mut(&id) else {
@@ -174,7 +169,7 @@
         };
         if endpoint.state == State::Live && state != State::Live {
             endpoint.state = state;
-            self.log_leaving(name);
+            self.log_unavailable(name);
             let update = endpoint.update();
             drop(known);
             self.publish(vec![update]);
@@ -268,7 +263,7 @@
         )));
     }
 
-    fn log_leaving(&self, name: &HostName) {
+    fn log_unavailable(&self, name: &HostName) {
         self.host
             .log
             .emit(Event::EndpointLeaving, &[("endpoint", name)]);
@@ -382,8 +377,8 @@
     }
 }
 
-/// Polls the watched endpoints' load forever, one after the other, at intervals that limit the
-/// cost for any number of endpoints.
+/// Requests load reports of the watched endpoints forever, starting one per interval. The interval
+/// limits the cost for any number of endpoints.
 pub(crate) async fn watch_load(host: Arc<Host>, endpoints: Arc<Endpoints>) {
     loop {
         let watched = endpoints.watched();
--- a/crates/barleypind/src/service/rollout/holder.rs
+++ b/crates/barleypind/src/service/rollout/lease.rs
@@ -1,4 +1,4 @@
-//! This host's part in the lease on orders.
+//! The lease `orders`, as seen by this host.
 
 use clients::row::Key;
 use clients::{Condition, Error, Transaction};
@@ -10,8 +10,8 @@
 
 const LEASE_NAME: &str = "orders";
 
-/// The lease, whose actions are carried out on the table.
-pub(crate) struct LeaseHolder {
+/// The lease's state machine. Its reads and writes go to the table.
+pub(crate) struct OrdersLease {
     lease: Lease,
     held: Held,
 }
@@ -22,7 +22,7 @@
     No,
 }
 
-impl LeaseHolder {
+impl OrdersLease {
     pub(crate) fn new(cx: &Context) -> Self {
         Self {
             lease: Lease::new(cx.host.incarnation(), Tuning::default()),
--- a/crates/barleypind/src/service/rollout/step.rs
+++ b/crates/barleypind/src/service/rollout/step.rs
@@ -14,7 +14,7 @@
 impl Actor {
     /// Makes a step if this host holds the lease and the step still applies.
     pub(super) async fn step(&mut self, version: &VersionId, step: &Step) {
-        if !self.holder.holds(&self.cx) {
+        if !self.orders_lease.holds(&self.cx) {
             return;
         }
         let snapshot = self.cx.host.current_config.get();
@@ -54,7 +54,8 @@
     }
 }
 
-/// Returns the roll-out after the step, or `None` if the roll-out isn't at the step's start.
+/// Returns the roll-out after the step, or `None` if the roll-out isn't at the step's start, or
+/// isn't running and the step doesn't abort it.
 fn next(rollout: &Rollout, step: &Step) -> Option<Rollout> {
     if (rollout.share() - step.from).abs() > SHARE_TOLERANCE {
         return None;
