--- a/crates/barleyctl/src/cli.rs
+++ b/crates/barleyctl/src/cli.rs
@@ -59,7 +59,8 @@
     pub(crate) const WITHDRAW: &str = "withdraw";
 }
 
-/// Default timeout, in seconds, of the wait for a change to be in force.
+/// Default timeout, in seconds, of the wait for a change to be in force; also the
+/// upper bound of each request's timeout.
 const DEFAULT_TIMEOUT: &str = "30";
 
 /// Default number of commits that `history` lists.
@@ -76,14 +77,17 @@
         .args(global_args())
         .subcommand(entry_command(
             EntryKind::Profile,
-            "Profiles: what callers name",
+            "Profiles, which callers name in requests",
         ))
         .subcommand(versions())
         .subcommand(customers())
         .subcommand(entry_command(EntryKind::Service, "Plain services"))
         .subcommand(explain())
         .subcommand(hosts())
-        .subcommand(Command::new(verb::STATUS).about("Shows the fleet as one host knows it"))
+        .subcommand(
+            Command::new(verb::STATUS)
+                .about("Shows the hosts, versions, roll-outs and billing backlog"),
+        )
         .subcommand(keys())
         .subcommand(
             Command::new(verb::COMPLETIONS)
@@ -104,7 +108,7 @@
             .action(ArgAction::Append)
             .value_name("ADDRESS")
             .value_parser(value_parser!(SocketAddr))
-            .help("The operators' address of a host; several are tried in order"),
+            .help("The operators' address of a host; repeat it for each host"),
         Arg::new(arg::KEY_FILE)
             .long(arg::KEY_FILE)
             .global(true)
@@ -117,7 +121,7 @@
             .value_name("FORMAT")
             .default_value("table")
             .value_parser(PossibleValuesParser::new(["table", "json"]))
-            .help("How answers are printed"),
+            .help("The output format"),
         Arg::new(arg::TIMEOUT)
             .long(arg::TIMEOUT)
             .global(true)
@@ -141,14 +145,16 @@
         )
         .subcommand(with_change_args(
             Command::new(verb::APPLY)
-                .about("Puts what a file says, from the revision that its first line names")
+                .about(
+                    "Puts the content of a file, by default at the base revision in its first line",
+                )
                 .arg(name_arg())
                 .arg(file_arg())
                 .arg(revision_arg()),
         ))
         .subcommand(with_change_args(
             Command::new(verb::EDIT)
-                .about("Puts what a file says, from the revision that is given")
+                .about("Puts the content of a file at the given base revision")
                 .arg(name_arg())
                 .arg(file_arg())
                 .arg(revision_arg().required(true)),
@@ -196,7 +202,7 @@
                     Arg::new(arg::FORCE)
                         .long(arg::FORCE)
                         .action(ArgAction::SetTrue)
-                        .help("Also when a profile or customer has no other version"),
+                        .help("Withdraws it even if a profile or customer has no other version"),
                 ),
         ))
         .subcommand(rollout())
@@ -270,11 +276,11 @@
 
 fn explain() -> Command {
     Command::new(verb::EXPLAIN)
-        .about("Tells what became of a request, from log lines of the hosts")
+        .about("Explains the outcome of a request from log lines of the hosts")
         .arg(
             Arg::new(arg::NAME)
                 .value_name("REQUEST-ID")
-                .help("The request, as its caller named it")
+                .help("The request id, as in the log lines")
                 .required(true),
         )
         .arg(
@@ -307,7 +313,7 @@
                         .long(arg::FLEET)
                         .value_name("NAME")
                         .default_value("barleypin")
-                        .help("The fleet's name, which stands in the certificate"),
+                        .help("The fleet's name, for the CA certificate"),
                 ),
         )
         .subcommand(
@@ -326,7 +332,7 @@
                 .long(arg::CHANGE)
                 .value_name("ID")
                 .value_parser(value::change_id)
-                .help("Repeats the change of this id, whose outcome is not known"),
+                .help("Repeats the change with this id if its outcome is unknown"),
         )
         .arg(
             Arg::new(arg::AUTHOR)
--- a/crates/barleyctl/src/client.rs
+++ b/crates/barleyctl/src/client.rs
@@ -21,7 +21,7 @@
 pub(crate) use change::{Change, Submission};
 use outcome::AttemptOutcome;
 
-/// Maximum size of a response body; fits a document of thousands of entries.
+/// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Timeout of connecting to a host; the next host is tried after it.
@@ -30,7 +30,8 @@
 /// A client of the operator interface.
 ///
 /// Any host can serve a call, so calls go to the hosts in the order given until
-/// one gives a usable response. [`Self::statuses`] asks all of them.
+/// one gives a usable response or refuses permanently. [`Self::statuses`] asks all of
+/// them, and [`Self::change`] retries in several rounds.
 pub(crate) struct Client {
     http: http::Client,
     hosts: Vec<SocketAddr>,
@@ -62,8 +63,8 @@
     /// Returns the status from each host that responds, in the order given; at
     /// least one.
     ///
-    /// All hosts are asked, since only a host's own status reports the revision
-    /// in force on it reliably.
+    /// All hosts are asked, since a host knows only its own revision in force and
+    /// reports zero for its peers.
     ///
     /// # Errors
     /// Fails if no host responds, or if one refuses the call permanently.
@@ -107,8 +108,8 @@
             .await
     }
 
-    /// Sends the request to one host after the other and returns the first response
-    /// that parses.
+    /// Sends the request to one host after the other and returns the first success
+    /// response that `parse` accepts.
     ///
     /// A host that can't be reached, refuses for a transient reason or sends an
     /// invalid response is skipped; a permanent refusal is returned at once.
@@ -123,7 +124,7 @@
             let reason = match self.send(*host, request()).await {
                 AttemptOutcome::Succeeded(body) => match parse(&body) {
                     Ok(response) => return Ok(response),
-                    Err(fault) => format!("not an answer of this protocol: {fault}"),
+                    Err(fault) => format!("invalid response: {fault}"),
                 },
                 AttemptOutcome::Refused(refusal) if is_retryable(&refusal.problem) => {
                     refusal.problem.detail
@@ -147,7 +148,7 @@
                 AttemptOutcome::NotSent(format!("not sent: {cause}"))
             }
             Err(http::Error::MaybeSent(cause)) => {
-                AttemptOutcome::InDoubt(format!("no answer: {cause}"))
+                AttemptOutcome::InDoubt(format!("no response: {cause}"))
             }
             Err(err) => AttemptOutcome::InDoubt(describe_read_error(err)),
         }
@@ -158,7 +159,7 @@
     serde_json::from_slice(body).map_err(|err| err.to_string())
 }
 
-/// Converts a refusal that another host wouldn't decide differently.
+/// Converts a refusal to its faults if it lists any, else to its problem.
 fn refusal_error(refusal: Refusal) -> Error {
     let Refusal {
         problem, faults, ..
--- a/crates/barleyctl/src/client/change.rs
+++ b/crates/barleyctl/src/client/change.rs
@@ -1,4 +1,4 @@
-//! Submits a change, with retries until its outcome is known.
+//! Submits a change, with a limited number of retries.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 pub(crate) struct Change {
     /// The change's id, the same for every attempt.
     pub(crate) id: ChangeId,
-    /// Whether an earlier command may have submitted it.
+    /// Whether its id is new.
     pub(crate) submission: Submission,
     /// The revision of the entry on which it is based; zero for a new entry.
     pub(crate) base: Revision,
@@ -44,21 +44,22 @@
 pub(crate) enum Submission {
     /// The change id is new.
     New,
-    /// The command retries a change whose outcome is unknown. A refusal that a
-    /// host gives without looking up the change id, such as while the store is
-    /// out, says nothing about the earlier attempt.
+    /// The command line gives the change id, so an earlier command may have
+    /// submitted the change. A refusal that a host gives without looking up the
+    /// change id, such as while the store is out, says nothing about the earlier
+    /// attempt.
     Retry,
 }
 
 impl Client {
-    /// Submits a change to the hosts in turn until its outcome is known.
+    /// Submits a change to the hosts in turn until its outcome is known, in at most
+    /// [`MAX_ROUNDS`] rounds.
     ///
     /// If a response is lost, the change may be accepted, and a new change in
     /// its place would conflict with it. Every attempt therefore carries the same
     /// change id, by which a host recognizes a change that is accepted already:
     /// it is accepted at most once. Once an attempt is in doubt, only an
-    /// acceptance or a refusal given after the lookup of the change id settles
-    /// the outcome.
+    /// acceptance, a conflict or a refusal with faults settles the outcome.
     ///
     /// # Errors
     /// Fails if the change is refused, if no host received it, or if its outcome
@@ -77,7 +78,7 @@
                         Ok(accepted) => return Ok(accepted),
                         Err(err) => {
                             in_doubt = true;
-                            format!("not an answer of this protocol: {err}")
+                            format!("invalid response: {err}")
                         }
                     },
                     AttemptOutcome::Refused(refusal) => match RefusalKind::of(&refusal) {
@@ -156,11 +157,12 @@
     }
 }
 
-/// The meaning of a refusal for the change.
+/// Classification of a refusal by whether the change can have been accepted and
+/// whether to retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RefusalKind {
-    /// No attempt was accepted: the host looks up the change id before it
-    /// compares revisions and validates the entry.
+    /// The host found no change with this id, then rejected the change because of a
+    /// conflict or faults.
     ChangeNotAccepted,
     /// This attempt wasn't accepted, and another one wouldn't be either.
     Permanent,
--- a/crates/barleyctl/src/command/entries.rs
+++ b/crates/barleyctl/src/command/entries.rs
@@ -106,7 +106,8 @@
     session.change(matches, base, name, None).await
 }
 
-/// Lists the changes to the entries of a kind, or to one entry, newest first.
+/// Lists the changes to the entries of a kind, or to those of one name, newest first.
+/// Roll-outs are listed with versions.
 pub(super) async fn history(
     kind: EntryKind,
     matches: &ArgMatches,
@@ -186,7 +187,7 @@
 const MAX_HISTORY: usize = 500;
 
 /// Returns the newest commits for which `is_selected` is true, at most
-/// `max_commits`.
+/// `max_commits`, among the newest [`MAX_HISTORY`] commits to all entries.
 ///
 /// The history covers all entries, and each commit costs the host a read, so the
 /// requested number grows only while too few commits match.
--- a/crates/barleyctl/src/command/explain.rs
+++ b/crates/barleyctl/src/command/explain.rs
@@ -116,7 +116,8 @@
     )
 }
 
-/// Describes the end of the request and whether it may have run.
+/// Describes the request's last event that isn't an attempt and, if the request was
+/// denied, refused or failed, whether it may have run.
 fn describe_end(end: &LogLine) -> String {
     let ms = end.count("ms").unwrap_or(0);
     let config = end
--- a/crates/barleyctl/src/command/explain/line.rs
+++ b/crates/barleyctl/src/command/explain/line.rs
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Sorts the events by time, since logs of several hosts are read one by one.
+    /// Sorts the events by the text of their time, since logs of several hosts are
+    /// read one by one.
     pub(super) fn sort(&mut self) {
         self.events.sort_by(|a, b| a.time().cmp(b.time()));
     }
--- a/crates/barleyctl/src/command/keys.rs
+++ b/crates/barleyctl/src/command/keys.rs
@@ -24,7 +24,7 @@
 /// The permissions of a file.
 #[derive(Clone, Copy, Debug)]
 enum Access {
-    /// Readable by all users.
+    /// Readable by all users, writable by its owner only.
     Public = 0o644,
     /// Readable and writable by its owner only.
     Private = 0o600,
@@ -100,8 +100,8 @@
 
 /// Writes a new file and prints its path.
 ///
-/// Fails if the file exists: after the loss of its authority, a fleet can't issue
-/// certificates that its hosts accept.
+/// Fails if the file exists, so that no key is overwritten. Without the CA's key, no
+/// more certificates can be issued that the hosts accept.
 fn write(
     path: &Path,
     text: &str,
--- a/crates/barleyctl/src/error.rs
+++ b/crates/barleyctl/src/error.rs
@@ -23,7 +23,8 @@
     /// A file can't be written.
     #[display("can't write {}", _0.display())]
     WriteFile(#[error(not(source))] PathBuf),
-    /// The content of a file, or an argument, is invalid.
+    /// An input is unreadable or invalid, or names something that doesn't exist or
+    /// whose state doesn't allow the command.
     #[display("{_0}")]
     Input(#[error(not(source))] String),
     /// Keys or certificates can't be generated.
@@ -97,7 +98,8 @@
     pub(crate) diff: String,
 }
 
-/// An attempt at one host that didn't settle the outcome.
+/// A failed attempt at one host: not sent, without a usable response, or refused in a
+/// way that doesn't end the command.
 #[derive(Clone, Debug, Display)]
 #[display("{host}: {reason}")]
 pub(crate) struct FailedAttempt {
--- a/crates/barleyctl/src/exit.rs
+++ b/crates/barleyctl/src/exit.rs
@@ -7,28 +7,32 @@
 /// The result of a command; its exit code is part of the tool's interface.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Exit {
-    /// The command succeeded; a change is in force on every live host.
+    /// The command succeeded; a change is in force on every host that isn't suspect.
     #[display("done")]
     Success,
-    /// A file, an entry or a name is invalid; nothing was changed.
+    /// An input is invalid or missing, an entry's state doesn't allow the command, or
+    /// a file can't be read or written; no entry was changed.
     #[display("fault in the input")]
     Input,
     /// The command line is invalid; nothing was changed.
     #[display("fault in the command line")]
     Usage,
-    /// Another change to the entry was committed first; nothing was changed.
+    /// The entry isn't at the change's base revision; this attempt changed nothing.
     #[display("conflict")]
     Conflict,
-    /// The host refused the request, for now or permanently; nothing was changed.
+    /// A host refused the request; nothing was changed. A request other than a change
+    /// that all hosts refuse for transient reasons is [`Self::Unreachable`].
     #[display("refused")]
     Refused,
-    /// No host gave a usable response; nothing was changed.
+    /// No host gave a usable response; no entry was changed, but a host may have been
+    /// asked to drain.
     #[display("unreachable")]
     Unreachable,
     /// The change may or may not have been accepted.
     #[display("outcome unknown")]
     Unknown,
-    /// The change is accepted, but not yet in force on every live host.
+    /// The change is accepted, but isn't known to be in force on every host that isn't
+    /// suspect.
     #[display("accepted, not yet in force everywhere")]
     Lagging,
 }
--- a/crates/barleyctl/src/lib.rs
+++ b/crates/barleyctl/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' command line. It reads and changes the configuration through
 //! any entry host, by the protocol of docs/PROTOCOLS.md, and waits until a
-//! change is in force on every live host.
+//! change is in force on every host that isn't suspect.
 //!
 //! It is a library so that tests can run commands in-process. The commands are
 //! documented in docs/reference/barleyctl.md.
--- a/crates/barleyctl/src/roster.rs
+++ b/crates/barleyctl/src/roster.rs
@@ -1,4 +1,4 @@
-//! The entry hosts, merged from the statuses of several hosts.
+//! Merges the statuses of several hosts.
 
 use gate::operator::{Host, Status};
 
@@ -14,7 +14,8 @@
     ///
     /// A host's own status takes precedence over what its peers report of it.
     /// Of several reports of a peer, the one with the highest revision counts,
-    /// since the revision in force on a host never decreases.
+    /// since the revision in force on a host never decreases; of those with equal
+    /// revisions, the first.
     pub(crate) fn merge(statuses: &[Status]) -> Self {
         let mut roster = Self::default();
         for status in statuses {
--- a/crates/barleyctl/src/session.rs
+++ b/crates/barleyctl/src/session.rs
@@ -1,4 +1,4 @@
-//! State shared by the commands that call hosts.
+//! The session: console, client and output format of a command that calls hosts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -62,8 +62,8 @@
         })
     }
 
-    /// Submits a change, waits until it is in force on every live host and prints
-    /// the result.
+    /// Submits a change, waits until it is in force on every host that isn't suspect
+    /// and prints the result.
     ///
     /// # Errors
     /// Fails if the change isn't accepted, if its outcome is unknown, or if it
@@ -132,7 +132,8 @@
     Ok(key.to_owned())
 }
 
-/// Returns whether the command retries a change whose outcome is unknown.
+/// Returns whether the command line gives a change id, and so may repeat an earlier
+/// change.
 ///
 /// The change may then be committed already, so checks of a new change against
 /// the entry's current state don't apply. The host recognizes it by its id.
--- a/crates/barleyctl/src/wait.rs
+++ b/crates/barleyctl/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waits until a change is in force on every live host.
+//! Waits until a change is in force on every host that isn't suspect.
 
 use std::time::{Duration, Instant};
 
@@ -27,8 +27,8 @@
     pub(crate) in_force: Vec<HostName>,
     /// The live or leaving hosts that aren't known to have it in force.
     pub(crate) lagging: Vec<LaggingHost>,
-    /// The suspect hosts that aren't known to have it in force. They may be
-    /// down; one that returns takes the newest revision before it is ready.
+    /// The suspect hosts that aren't known to have it in force. They may be down or
+    /// cut off.
     pub(crate) not_heard_from: Vec<HostName>,
 }
 
@@ -42,8 +42,8 @@
     pub(crate) revision: Revision,
 }
 
-/// Waits until every live host has `revision` in force or the session's timeout
-/// expires, and prints the progress. Returns the last known state.
+/// Waits until every host that isn't suspect has `revision` in force or the
+/// session's timeout expires, and prints the progress. Returns the last known state.
 pub(crate) async fn until_in_force(
     session: &mut Session<'_, '_>,
     revision: Revision,
@@ -119,7 +119,7 @@
             format!("revision {revision} is accepted, but not yet in force on {lagging}")
         } else {
             format!(
-                "revision {revision} is accepted, but no host told where it is in force; \
+                "revision {revision} is accepted, but no host reported where it is in force; \
                  see `barleyctl status`"
             )
         }
--- a/crates/barleyctl/tests/explain.rs
+++ b/crates/barleyctl/tests/explain.rs
@@ -1,5 +1,5 @@
-//! Tests of `explain` and of the commands of the on-call page, on a recorded log
-//! of hosts with two lines that aren't events.
+//! Tests of `explain` and of the commands of the on-call page (docs/OPERATIONS.md),
+//! on a recorded log of hosts with two lines that aren't events.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
--- a/crates/barleyctl/tests/process.rs
+++ b/crates/barleyctl/tests/process.rs
@@ -36,7 +36,7 @@
 fn the_page_lists_every_exit_code() {
     for exit in Exit::ALL {
         let row = format!("| {} | {exit} |", exit.code());
-        assert!(PAGE.contains(&row), "the page lacks {row}");
+        assert!(PAGE.contains(&row), "the reference lacks {row}");
     }
     let rows = PAGE.lines().filter(|line| {
         let cell = line
@@ -62,7 +62,7 @@
     assert_eq!(listed, known);
 }
 
-/// Collects the full names of all commands without subcommands.
+/// Collects the full name of each command that has no subcommands.
 fn collect_commands(command: &clap::Command, path: &[&str], known: &mut Vec<String>) {
     if !command.has_subcommands() {
         known.push(path.join(" "));
--- a/crates/barleyctl/tests/sessions/fake_fleet.rs
+++ b/crates/barleyctl/tests/sessions/fake_fleet.rs
@@ -22,17 +22,20 @@
 const START_TIME: Duration = Duration::from_secs(1_790_000_000);
 
 /// The state of the fleet and the failures that it simulates.
+///
+/// Of its three hosts, `e1` and `e2` serve; `e3` is only reported as their peer.
 #[derive(Default)]
 pub(crate) struct FakeFleet {
     /// The committed configuration.
     pub(crate) document: Document,
-    /// The number of accepted changes, from now on, whose responses are cut.
+    /// The number of responses to accepted or repeated changes, from now on, that are
+    /// cut.
     pub(crate) responses_to_cut: u32,
     /// The hosts that report an earlier revision than the current one.
     pub(crate) lagging: Vec<String>,
     /// The hosts that are reported as suspect, at an earlier revision.
     pub(crate) suspect: Vec<String>,
-    /// Whether changes are refused because the table service is out.
+    /// Whether new changes are refused because the table service is out.
     pub(crate) store_out: bool,
     /// Whether the hosts don't know the revision and proof of their peers.
     pub(crate) peers_unknown: bool,
--- a/crates/barleyctl/tests/sessions/main.rs
+++ b/crates/barleyctl/tests/sessions/main.rs
@@ -1,4 +1,4 @@
-//! Tests of command sequences against a fake fleet of two hosts.
+//! Tests of command sequences against a fake fleet, two of whose three hosts serve.
 
 mod fake_fleet;
 mod pages;
@@ -116,7 +116,7 @@
     }
 }
 
-/// Replaces a change id that the command generated with a placeholder.
+/// Replaces the change id by `{id}` if the command generated it.
 fn replace_generated_id(text: &str) -> String {
     let id = text
         .lines()
--- a/crates/barleyctl/tests/sessions/pages.rs
+++ b/crates/barleyctl/tests/sessions/pages.rs
@@ -11,7 +11,7 @@
 const LOST_DATA_CENTRE: &str = include_str!("../../../../docs/operate/lost-data-centre.md");
 const DRAIN: &str = include_str!("../../../../docs/operate/drain.md");
 
-/// Runs the commands of a page, after writing the files that they read.
+/// Writes the files and runs the commands of a page, in the order of its blocks.
 fn run_page(harness: &Harness, page: &str) {
     let mut commands = 0;
     for block in page.split("\n```").skip(1).step_by(2) {
@@ -51,6 +51,7 @@
     words.collect::<Vec<_>>().join(" ")
 }
 
+/// Runs the commands of a page on a new fleet, after those of the first-profile page.
 fn check_page(page: &str) {
     let harness = Harness::empty();
     run_page(&harness, FIRST_PROFILE);
