--- a/crates/barleyctl/src/client/change.rs
+++ b/crates/barleyctl/src/client/change.rs
@@ -82,7 +82,7 @@
                         }
                     },
                     AttemptOutcome::Refused(refusal) => match RefusalKind::of(&refusal) {
-                        RefusalKind::ChangeNotAccepted => {
+                        RefusalKind::Final => {
                             return Err(change.to_error(*refusal).into());
                         }
                         RefusalKind::Permanent if !in_doubt => {
@@ -163,7 +163,7 @@
 enum RefusalKind {
     /// The host found no change with this id, then rejected the change because of a
     /// conflict or faults.
-    ChangeNotAccepted,
+    Final,
     /// This attempt wasn't accepted, and another one wouldn't be either.
     Permanent,
     /// This attempt wasn't accepted; another host, or a later attempt, may accept
@@ -176,8 +176,8 @@
 impl RefusalKind {
     fn of(refusal: &Refusal) -> Self {
         match refusal.problem.reason {
-            Reason::Conflict => Self::ChangeNotAccepted,
-            Reason::BadRequest if !refusal.faults.is_empty() => Self::ChangeNotAccepted,
+            Reason::Conflict => Self::Final,
+            Reason::BadRequest if !refusal.faults.is_empty() => Self::Final,
             _ if refusal.problem.run == Run::Unknown => Self::InDoubt,
             _ if super::is_retryable(&refusal.problem) => Self::Transient,
             _ => Self::Permanent,
--- a/crates/barleyctl/src/command/entries.rs
+++ b/crates/barleyctl/src/command/entries.rs
@@ -61,10 +61,10 @@
     let (path, file) = read_file(&name, matches, session.console)?;
     let base = match (revision(matches), file.revision, &file.name) {
         (Some(given), _, _) => given,
-        (None, Some(revision), Some(read_from)) if *read_from == name => revision,
-        (None, Some(_), Some(read_from)) => {
+        (None, Some(revision), Some(header_name)) if *header_name == name => revision,
+        (None, Some(_), Some(header_name)) => {
             return Err(usage_error(&format!(
-                "{path} was read from {read_from}: give `--revision`, 0 for a new {name}"
+                "{path} was read from {header_name}: give `--revision`, 0 for a new {name}"
             )));
         }
         (None, _, _) => {
--- a/crates/barleyctl/src/command/explain.rs
+++ b/crates/barleyctl/src/command/explain.rs
@@ -82,12 +82,12 @@
 fn summarize(request: &str, matching: &[&LogLine], unreadable: usize) -> String {
     let mut parts = Vec::new();
     match matching.iter().rfind(|it| it.event() != event::ATTEMPT) {
-        Some(end) => {
-            parts.push(format!("Request {request}{}.", describe_origin(end)));
-            if let Some(trail) = end.text("trail").filter(|it| !it.is_empty()) {
+        Some(last_other) => {
+            parts.push(format!("Request {request}{}.", describe_origin(last_other)));
+            if let Some(trail) = last_other.text("trail").filter(|it| !it.is_empty()) {
                 parts.push(format!("Its attempts (endpoint, ending, ms): {trail}."));
             }
-            parts.push(describe_end(end));
+            parts.push(describe_end(last_other));
         }
         None => parts.push(format!(
             "Request {request}: the lines have attempts and no end. It may be under way, or the \
@@ -102,9 +102,9 @@
     parts.join(" ")
 }
 
-fn describe_origin(end: &LogLine) -> String {
+fn describe_origin(line: &LogLine) -> String {
     let named = |name: &str, words: &str| {
-        end.text(name)
+        line.text(name)
             .map(|it| format!(" {words} {it}"))
             .unwrap_or_default()
     };
@@ -118,25 +118,25 @@
 
 /// Describes the request's last event that isn't an attempt and, if the request was
 /// denied, refused or failed, whether it may have run.
-fn describe_end(end: &LogLine) -> String {
-    let ms = end.count("ms").unwrap_or(0);
-    let config = end
+fn describe_end(line: &LogLine) -> String {
+    let ms = line.count("ms").unwrap_or(0);
+    let config = line
         .count("config")
         .map_or("no configuration".to_owned(), |it| {
             format!("configuration {it}")
         });
-    let status = end.count("status").unwrap_or(0);
-    match end.event() {
+    let status = line.count("status").unwrap_or(0);
+    match line.event() {
         event::ANSWERED => format!("It was answered whole with status {status} after {ms} ms."),
         event::DENIED => {
-            let reason = end.text("reason").unwrap_or("unknown");
+            let reason = line.text("reason").unwrap_or("unknown");
             format!(
                 "It was turned away with status {status} ({reason}) under {config}; no endpoint \
                  saw it."
             )
         }
         event::REFUSED => {
-            let after = end.count("retry_after_ms").unwrap_or(0);
+            let after = line.count("retry_after_ms").unwrap_or(0);
             format!(
                 "It was refused with status {status} after {ms} ms and has not run; the caller \
                  was asked to come back after {after} ms."
@@ -146,14 +146,14 @@
             format!("Its answer broke off midway after {ms} ms; it may have run.")
         }
         event::FAILED => {
-            let reason = end.text("reason").unwrap_or("unknown");
+            let reason = line.text("reason").unwrap_or("unknown");
             format!("It failed with status {status} ({reason}) after {ms} ms; it may have run.")
         }
         event::PASSED => {
             format!("The endpoint's own failure, status {status}, was passed on after {ms} ms.")
         }
         event::CALLER_GONE => format!("The caller left after {ms} ms."),
-        _ => format!("{} (status {status}, after {ms} ms.)", end.message()),
+        _ => format!("{} (status {status}, after {ms} ms.)", line.message()),
     }
 }
 
--- a/crates/barleyctl/tests/process.rs
+++ b/crates/barleyctl/tests/process.rs
@@ -4,7 +4,7 @@
 
 use barleyctl::Exit;
 
-const PAGE: &str = include_str!("../../../docs/reference/barleyctl.md");
+const REFERENCE: &str = include_str!("../../../docs/reference/barleyctl.md");
 
 fn run_tool(args: &[&str]) -> (Option<i32>, String) {
     let tool = env!("CARGO_BIN_EXE_barleyctl");
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn exit_codes_of_success_and_usage_errors() {
+fn version_exits_with_0_and_usage_errors_exit_with_2() {
     assert_eq!(run_tool(&["--version"]).0, Some(0));
     assert_eq!(run_tool(&["profiles", "list"]).0, Some(2));
     assert_eq!(run_tool(&[]).0, Some(2));
 }
 
 #[test]
-fn completions_list_the_commands() {
+fn completions_contain_the_command_withdraw() {
     for shell in ["bash", "zsh", "fish"] {
         let (code, text) = run_tool(&["completions", shell]);
         assert_eq!(code, Some(0));
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn the_page_lists_every_exit_code() {
+fn the_reference_lists_every_exit_code_and_no_other() {
     for exit in Exit::ALL {
         let row = format!("| {} | {exit} |", exit.code());
-        assert!(PAGE.contains(&row), "the reference lacks {row}");
+        assert!(REFERENCE.contains(&row), "the reference lacks {row}");
     }
-    let rows = PAGE.lines().filter(|line| {
+    let rows = REFERENCE.lines().filter(|line| {
         let cell = line
             .strip_prefix("| ")
             .and_then(|line| line.split(' ').next());
@@ -48,10 +48,10 @@
 }
 
 #[test]
-fn the_page_lists_every_command_and_no_other() {
+fn the_reference_lists_every_command_and_no_other() {
     let mut known = Vec::new();
     collect_commands(&barleyctl::command(), &[], &mut known);
-    let mut listed: Vec<String> = PAGE
+    let mut listed: Vec<String> = REFERENCE
         .lines()
         .filter_map(|line| line.strip_prefix("| `"))
         .filter(|row| !row.starts_with('-'))
