--- a/crates/barleyctl/src/command/entries.rs
+++ b/crates/barleyctl/src/command/entries.rs
@@ -61,10 +61,10 @@
     let (path, file) = read_file(&name, matches, session.console)?;
     let base = match (revision(matches), file.revision, &file.name) {
         (Some(given), _, _) => given,
-        (None, Some(revision), Some(read_from)) if *read_from == name => revision,
-        (None, Some(_), Some(read_from)) => {
+        (None, Some(revision), Some(header_name)) if *header_name == name => revision,
+        (None, Some(_), Some(header_name)) => {
             return Err(usage_error(&format!(
-                "{path} was read from {read_from}: give `--revision`, 0 for a new {name}"
+                "{path} was read from {header_name}: give `--revision`, 0 for a new {name}"
             )));
         }
         (None, _, _) => {
@@ -106,7 +106,8 @@
     session.change(matches, base, name, None).await
 }
 
-/// Lists the changes to the entries of a kind, or to one entry, newest first.
+/// Lists the changes to the entries of a kind, or to those of one name, newest first.
+/// Roll-outs are listed with versions.
 pub(super) async fn history(
     kind: EntryKind,
     matches: &ArgMatches,
@@ -186,7 +187,7 @@
 const MAX_HISTORY: usize = 500;
 
 /// Returns the newest commits for which `is_selected` is true, at most
-/// `max_commits`.
+/// `max_commits`, among the newest [`MAX_HISTORY`] commits to all entries.
 ///
 /// The history covers all entries, and each commit costs the host a read, so the
 /// requested number grows only while too few commits match.
