--- a/xtask/src/caller.rs
+++ b/xtask/src/caller.rs
@@ -1,5 +1,7 @@
-//! A caller as a good one behaves: it asks which hosts to use, keeps the answer,
-//! repeats elsewhere under the same key and ticket, and heeds what it is told.
+//! A client that follows the caller protocol.
+//!
+//! It caches the list of hosts, retries at other hosts with the same idempotency key
+//! and ticket, and respects the retry delay in a refusal, up to a limit.
 
 mod events;
 mod hosts;
@@ -21,16 +23,16 @@
 pub use record::{Answer, Call, End, Refusal, Try};
 pub use request::Ask;
 
-/// How often a caller asks for one answer.
-const TRIES: usize = 6;
-/// How long a caller waits when it isn't told how long.
+/// Maximum number of tries of one call.
+const MAX_TRIES: usize = 6;
+/// Delay before the next try where the refusal names none.
 const PAUSE: Duration = Duration::from_millis(150);
-/// No caller waits longer than this between two tries.
+/// Maximum delay between two tries.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// An answer larger than this is a fault.
+/// Maximum size of a response body in bytes.
 const BODY_LIMIT: usize = 4 << 20;
 
-/// One caller's view of the hosts, shared by its calls.
+/// A client of one customer. Its calls share a cached list of hosts.
 pub struct Caller {
     clock: Arc<dyn Clock>,
     client: Client,
@@ -40,7 +42,7 @@
 }
 
 impl Caller {
-    /// A caller of one customer, which knows some hosts to start with.
+    /// Creates a caller that asks the hosts at `start` for the list of hosts.
     #[must_use]
     pub fn new(
         clock: Arc<dyn Clock>,
@@ -65,12 +67,12 @@
         }
     }
 
-    /// Makes one call, with its repeats.
+    /// Makes one call, with retries.
     pub async fn call(&self, ask: &Ask) -> Call {
         let started = self.clock.now();
         let mut tries: Vec<Try> = Vec::new();
         let mut ticket = None;
-        while tries.len() < TRIES {
+        while tries.len() < MAX_TRIES {
             let avoid: Vec<_> = tries.iter().map(|it| it.host).collect();
             let Some(target) = self
                 .hosts
@@ -114,7 +116,7 @@
     }
 }
 
-/// How long to wait before the next try; none when there is to be none.
+/// Returns the delay before the next try, or `None` if the call is not retried.
 fn pause(end: &End) -> Option<Duration> {
     match end {
         End::Answered(_) => None,
@@ -124,7 +126,7 @@
     }
 }
 
-/// Whether a repeat can't go better.
+/// Returns whether a retry after a refusal for this reason can't succeed.
 fn is_final(reason: Reason) -> bool {
     matches!(
         reason,
@@ -172,7 +174,8 @@
             run: it.run,
             retry_after: it.retry_after_ms.map(Duration::from_millis),
         }),
-        // The service's own answer, relayed: the call ran and failed there.
+        // An error response of the service itself, relayed by the host. The service may
+        // have executed the call.
         Err(_) => End::Refused(Refusal {
             request: String::new(),
             reason: Reason::UpstreamFailed,
--- a/xtask/src/caller/events.rs
+++ b/xtask/src/caller/events.rs
@@ -1,12 +1,12 @@
-//! Reading a streamed answer.
+//! Parser of streamed responses (server-sent events).
 
 use gate::problem::Problem;
 use serde_json::Value;
 
 use crate::caller::{Answer, End, Refusal};
 
-/// Reads all events of a stream that has ended. Without `[DONE]` and without an
-/// error at its end it is a cut one.
+/// Parses the events of a stream that has ended. A stream with neither `[DONE]` nor an
+/// error event was cut off and counts as failed.
 #[must_use]
 pub fn read(body: &[u8], mut answer: Answer) -> End {
     let text = String::from_utf8_lossy(body);
@@ -23,7 +23,7 @@
             take(&chunk, &mut answer);
         }
     }
-    End::Failed("the stream was cut".to_owned())
+    End::Failed("the stream ended without [DONE]".to_owned())
 }
 
 fn take(chunk: &Value, answer: &mut Answer) {
@@ -50,6 +50,6 @@
             run: it.run,
             retry_after: None,
         }),
-        Err(err) => End::Failed(format!("the stream's error can't be read: {err}")),
+        Err(err) => End::Failed(format!("the error event of the stream is invalid: {err}")),
     }
 }
--- a/xtask/src/caller/hosts.rs
+++ b/xtask/src/caller/hosts.rs
@@ -1,4 +1,4 @@
-//! Which host to use.
+//! Choice of the host for a try.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,7 @@
 
 const BODY_LIMIT: usize = 1 << 20;
 
-/// The hosts that a caller knows, and the answer that it keeps.
+/// The hosts that a caller knows, with a cached response to `GET /v1/hosts`.
 pub(crate) struct Hosts {
     clock: Arc<dyn Clock>,
     data_centre: String,
@@ -20,7 +20,7 @@
     kept: Mutex<Option<Kept>>,
 }
 
-/// Where to make the next try.
+/// The host and the ticket of a try.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
@@ -31,7 +31,7 @@
 struct Kept {
     until: Duration,
     hosts: Vec<SocketAddr>,
-    /// Only the host that minted the ticket may run what runs at most once.
+    /// The host that issued the ticket. Only this host may run an at-most-once call with it.
     minted_by: SocketAddr,
     ticket: String,
 }
@@ -46,7 +46,9 @@
         }
     }
 
-    /// The best host that was not tried yet, or the best of all.
+    /// Returns the preferred host that is not in `avoid`, or the preferred host if all are.
+    ///
+    /// The first try of an at-most-once call goes to the host that issued the ticket.
     pub(crate) async fn choose(
         &self,
         client: &Client,
@@ -65,7 +67,7 @@
         })
     }
 
-    /// Forgets the kept answer when it names a host that doesn't answer.
+    /// Drops the cached response if it names or came from the failed host `address`.
     pub(crate) fn forget(&self, address: SocketAddr) {
         let mut kept = self.lock();
         if kept
--- a/xtask/src/caller/record.rs
+++ b/xtask/src/caller/record.rs
@@ -1,4 +1,4 @@
-//! What a caller remembers of its calls.
+//! The recorded results of calls.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -10,83 +10,83 @@
 /// One call with all its tries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// The caller's name for it, its idempotency key as well.
+    /// The caller's name for the call, also its idempotency key.
     pub name: String,
-    /// What it is.
+    /// The kind of work.
     pub kind: Kind,
-    /// The customer on whose account it runs.
+    /// The customer who is billed.
     pub customer: &'static str,
-    /// The tries, in order; at least one.
+    /// The tries in order, at least one.
     pub tries: Vec<Try>,
-    /// The time from the first try to the last one's end.
+    /// The time from the start of the first try to the end of the last one.
     pub took: Duration,
 }
 
-/// One try at one host.
+/// One try of a call at a host. The host may make several attempts at endpoints for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Try {
-    /// The host's address.
+    /// The host's address; unspecified if no host was known.
     pub host: SocketAddr,
-    /// How it ended.
+    /// The result.
     pub end: End,
 }
 
-/// How a try ended.
+/// The result of a try.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
-    /// With an answer that the host called whole.
+    /// The host sent a success response.
     Answered(Answer),
-    /// With a refusal.
+    /// The host or the service sent an error.
     Refused(Refusal),
-    /// With neither, and why.
+    /// No complete response came, for this reason.
     Failed(String),
 }
 
-/// An answer as it came.
+/// A success response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// The host's name for the request.
+    /// The host's id of the request.
     pub request: String,
-    /// The version that the host says it was.
+    /// The version that served the request, according to the host.
     pub version: String,
-    /// What the host says it cost.
+    /// The cost, according to the host.
     pub cost_microcents: Option<u64>,
-    /// The session token to bring along.
+    /// The session token to send with the next request of the session.
     pub session: Option<String>,
-    /// Whether the host says that the session was moved to another version.
+    /// Whether the host reports that the session was moved to another version.
     pub moved: bool,
-    /// The answer's text; for a plain service the call that it says it was.
+    /// The text; from a plain service the name of the call that it served.
     pub text: String,
 }
 
-/// A refusal as it came.
+/// An error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The host's name for the request; empty before it had one.
+    /// The host's id of the request; empty if the error has none.
     pub request: String,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// What the host says about the execution.
+    /// Whether the request was executed, according to the host.
     pub run: Run,
-    /// When a repeat makes sense.
+    /// The delay before a retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Call {
-    /// How the call ended for its caller.
+    /// Returns the result of the last try.
     #[must_use]
     pub fn end(&self) -> &End {
-        &self.tries.last().expect("a call has a try").end
+        &self.tries.last().expect("a call has at least one try").end
     }
 }
 
 impl Try {
-    /// A try for which no host could be found.
+    /// Returns a failed try for which no host was known.
     #[must_use]
     pub(crate) fn nowhere() -> Self {
         Self {
             host: (Ipv4Addr::UNSPECIFIED, 0).into(),
-            end: End::Failed("no host answers which one to use".to_owned()),
+            end: End::Failed("no host responded with a list of hosts".to_owned()),
         }
     }
 }
--- a/xtask/src/caller/request.rs
+++ b/xtask/src/caller/request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for.
+//! The requests of a caller.
 
 use http::{Body, Method, Request};
 use serde_json::{Value, json};
@@ -6,23 +6,23 @@
 use crate::caller::{Answer, End};
 use crate::workload::{Kind, Route};
 
-/// One call to be made.
+/// A call to be made.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// The caller's name for it, its idempotency key as well.
+    /// The caller's name for the call, also its idempotency key.
     pub name: String,
-    /// What it is.
+    /// The kind of work.
     pub kind: Kind,
-    /// The customer on whose account it runs.
+    /// The customer who is billed.
     pub customer: &'static str,
-    /// The conversation so far, its newest message last: role and text.
+    /// The messages of the conversation as role and text, the newest last.
     pub messages: Vec<(&'static str, String)>,
-    /// The session token of the answer before.
+    /// The session token of the previous response.
     pub session: Option<String>,
 }
 
 impl Ask {
-    /// The request, the same at every try.
+    /// Returns the HTTP request, which is the same for every try.
     pub(crate) fn request(&self, key: &str, ticket: &str) -> Request {
         let request = match self.kind.route() {
             Route::Chat { profile, class } => {
@@ -41,10 +41,10 @@
         }
     }
 
-    /// Reads an answer that was not streamed.
+    /// Parses a response that is not streamed.
     pub(crate) fn read(&self, body: &[u8], answer: Answer) -> End {
         let Ok(body) = serde_json::from_slice::<Value>(body) else {
-            return End::Failed("the answer isn't JSON".to_owned());
+            return End::Failed("the response is not JSON".to_owned());
         };
         let text = match self.kind.route() {
             Route::Chat { .. } => &body["choices"][0]["message"]["content"],
--- a/xtask/src/capacity.rs
+++ b/xtask/src/capacity.rs
@@ -1,7 +1,7 @@
-//! `cargo xtask capacity`: what each mechanism costs as a function of a size,
-//! measured at four sizes or more and fitted, so that constant, linear and
-//! quadratic growth can be told apart. `docs/CAPACITY.md` sets the slopes
-//! against the target's sizes.
+//! `cargo xtask capacity`: measures the cost of each mechanism as a function of a size.
+//!
+//! Each series has at least four sizes and a least-squares fit, which distinguishes constant,
+//! linear and quadratic growth. `docs/CAPACITY.md` compares the results with the target sizes.
 
 mod decisions;
 mod document;
@@ -22,21 +22,21 @@
 pub use fit::{Fit, Growth};
 pub use series::{Sample, Series};
 
-/// The sub-command.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("capacity")
-        .about("Measures the slopes behind docs/CAPACITY.md")
+        .about("Measures the cost functions in docs/CAPACITY.md")
         .arg(
             Arg::new("json")
                 .long("json")
-                .help("Prints the series and their fits as JSON only")
+                .help("Print the series and their fits as JSON only")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("only")
                 .long("only")
-                .help("Measures only this part")
+                .help("Measure only this part")
                 .value_parser([
                     "decisions",
                     "document",
@@ -48,10 +48,10 @@
         )
 }
 
-/// Runs the measurement.
+/// Runs the measurements.
 ///
 /// # Errors
-/// When the processes of the measured site don't come up.
+/// If the processes of the measured site can't be built, started or observed.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let only = matches.get_one::<String>("only").map(String::as_str);
     let wanted = |part: &str| only.is_none_or(|it| it == part);
@@ -75,7 +75,7 @@
         all.extend(task::block_on(processes::measure())?);
     }
     if matches.get_flag("json") {
-        let json = serde_json::to_string_pretty(&all).expect("figures have a JSON form");
+        let json = serde_json::to_string_pretty(&all).expect("figures can be serialized to JSON");
         println!("{json}");
     } else {
         println!("{}", series::table(&all));
--- a/xtask/src/capacity/decisions.rs
+++ b/xtask/src/capacity/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision core: time a decision and memory, by versions, endpoints and customers.
+//! The decision core: processor time per request by numbers of versions, endpoints and customers.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 use crate::capacity::{Sample, Series};
 
-/// The target's sizes.
+/// The sizes of the target deployment.
 const TARGET: Sizes = Sizes {
     versions: 34,
     replicas: 1200,
@@ -60,7 +60,7 @@
     Series::new(name, "us", against, f64::from(target), samples.collect())
 }
 
-/// Microseconds of the core for one request: its arrival, first byte and end.
+/// Returns the microseconds per request in the core, from arrival to delivery.
 fn request(sizes: Sizes) -> f64 {
     let policy = Arc::new(policy(sizes));
     let mut core = Decider::new(1, Tuning::default());
@@ -93,7 +93,7 @@
 fn play(core: &mut Decider, now: Duration, number: u32, sizes: Sizes, actions: &mut Vec<Action>) {
     actions.clear();
     core.handle(now, Event::Arrive(arrival(number, sizes)), actions);
-    // What is dispatched is answered at once, until nothing more is.
+    // Each dispatched attempt responds at once. Its response may add further actions.
     let mut at = 0;
     while let Some(action) = actions.get(at) {
         at += 1;
@@ -113,7 +113,7 @@
     let delivered = actions.iter().any(|it| matches!(it, Action::Deliver(_)));
     assert!(
         delivered,
-        "a request that is refused costs nothing: {actions:?}"
+        "the request must be delivered to be measured: {actions:?}"
     );
     black_box(&actions);
 }
--- a/xtask/src/capacity/document.rs
+++ b/xtask/src/capacity/document.rs
@@ -1,4 +1,4 @@
-//! The configuration's document, by the number of profiles.
+//! Size and parse time of the configuration document by number of profiles.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 const CUSTOMERS: u32 = 10;
 const RUNS: usize = 5;
 const PARSES: u32 = 50;
-/// The target names no number of profiles; one a service of every customer is assumed.
+/// Assumed number of profiles; the target deployment specifies none.
 const TARGET: f64 = 100.0;
 
 pub(super) fn measure() -> Vec<Series> {
@@ -38,11 +38,12 @@
     ]
 }
 
-/// Microseconds to read the document.
+/// Returns the microseconds to parse the document.
 fn parse(text: &str) -> f64 {
     let start = Instant::now();
     for _ in 0..PARSES {
-        let document: Document = serde_json::from_str(text).expect("the document is ours");
+        let document: Document =
+            serde_json::from_str(text).expect("the generated document is valid");
         black_box(document);
     }
     start.elapsed().as_secs_f64() * 1e6 / f64::from(PARSES)
@@ -83,8 +84,9 @@
         "revision": 1, "versions": versions, "customers": customers,
         "profiles": profiles, "services": {}, "rollouts": {},
     });
-    let document: Document = serde_json::from_value(document).expect("the document is ours");
-    serde_json::to_string(&document).expect("a document has a JSON form")
+    let document: Document =
+        serde_json::from_value(document).expect("the generated document is valid");
+    serde_json::to_string(&document).expect("a document can be serialized to JSON")
 }
 
 fn named(count: u32, name: impl Fn(u32) -> String, value: impl Fn(u32) -> Value) -> Value {
--- a/xtask/src/capacity/fit.rs
+++ b/xtask/src/capacity/fit.rs
@@ -1,42 +1,42 @@
-//! A straight line through measured points, and how they grow.
+//! Least-squares fit of measured points and classification of their growth.
 
 use derive_more::Display;
 use serde::Serialize;
 
-/// Least squares over the points of a series.
+/// The least-squares line through the points of a series.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// The value at size zero.
+    /// The intercept: the value at size zero.
     pub base: f64,
-    /// What one more of the size adds.
+    /// The increase of the value per unit of size.
     pub slope: f64,
-    /// The share of the values' variance that the line explains.
+    /// The coefficient of determination; 1 for equal values.
     pub r_squared: f64,
-    /// The power of the size with which the values grow: 0 constant, 1 linear,
-    /// 2 quadratic. Nothing when a value is not above zero.
+    /// The exponent of a power law through the points: 0 constant, 1 linear, 2 quadratic.
+    /// `None` if a size or value is not positive.
     pub power: Option<f64>,
 }
 
-/// How a series grows, by its power.
+/// The growth class of a series, by its exponent.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Growth {
-    /// With the logarithm of the size or less.
+    /// An exponent below 0.2.
     #[display("constant")]
     Constant,
-    /// Slower than the size.
+    /// An exponent from 0.2 to below 0.8.
     #[display("sublinear")]
     Sublinear,
-    /// With the size.
+    /// An exponent from 0.8 to below 1.2.
     #[display("linear")]
     Linear,
-    /// Faster than the size.
+    /// An exponent of 1.2 or more.
     #[display("superlinear")]
     Superlinear,
 }
 
 impl Fit {
-    /// The fit of `(size, value)` points, at least two of different sizes.
+    /// Fits `(size, value)` points, of which at least two have different sizes.
     #[must_use]
     pub fn of(points: &[(f64, f64)]) -> Self {
         let (base, slope) = line(points);
@@ -54,13 +54,13 @@
         }
     }
 
-    /// The value that the line gives at a size.
+    /// Returns the value of the line at a size.
     #[must_use]
     pub fn at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 
-    /// How the values grow.
+    /// Returns the growth class, or `None` without an exponent.
     #[must_use]
     pub fn growth(&self) -> Option<Growth> {
         Some(match self.power? {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Base and slope of the least-squares line.
+/// Returns the intercept and slope of the least-squares line.
 fn line(points: &[(f64, f64)]) -> (f64, f64) {
     let mean_x = mean(points.iter().map(|it| it.0));
     let mean_y = mean(points.iter().map(|it| it.1));
--- a/xtask/src/capacity/fleet.rs
+++ b/xtask/src/capacity/fleet.rs
@@ -1,4 +1,4 @@
-//! Membership, news and evidence, by the size of the fleet.
+//! Cost of membership, gossip updates and evidence by number of hosts.
 
 use fleet::measure::{Cost, Figures, Incident, incident, measure as run};
 
@@ -56,7 +56,7 @@
     ]
 }
 
-/// What each kind of failure costs, by the size of the fleet.
+/// Measures the cost of each kind of failure by number of hosts.
 pub(super) fn incidents() -> Vec<Series> {
     INCIDENTS.iter().flat_map(|it| costs(*it)).collect()
 }
--- a/xtask/src/capacity/processes.rs
+++ b/xtask/src/capacity/processes.rs
@@ -1,5 +1,5 @@
-//! Real entry hosts without callers: what control alone costs each, and how
-//! long a change takes, by the number of hosts.
+//! Resource usage of idle `barleypind` processes, and the time until a configuration change is
+//! in force on all of them, by number of hosts.
 
 use std::time::{Duration, Instant};
 
@@ -15,13 +15,13 @@
 const SIZES: [u32; 5] = [2, 4, 8, 12, 16];
 const DATA_CENTRES: [&str; 4] = ["dar-1", "dar-2", "dar-3", "dar-4"];
 const TARGET: f64 = 330.0;
-/// The time for which the hosts are watched.
-const WATCH: Duration = Duration::from_secs(8);
+/// Duration of the measurement of idle hosts.
+const WATCH_TIME: Duration = Duration::from_secs(8);
 const CHANGES: u64 = 5;
 const POLL: Duration = Duration::from_millis(5);
 const CHANGE_LIMIT: Duration = Duration::from_secs(20);
 
-/// What one fleet size showed.
+/// The measurements at one fleet size.
 struct Figures {
     size: f64,
     cpu_percent: Vec<f64>,
@@ -68,8 +68,8 @@
     });
     let mut revision = site.operator().put("versions/some@1", 0, &version).await?;
     site.ready().await?;
-    // The first seconds are spent on getting to know each other.
-    task::sleep(WATCH / 2).await;
+    // Leaves the hosts time to discover each other, which is not measured.
+    task::sleep(WATCH_TIME / 2).await;
     let usage = |site: &Site| -> Result<Vec<Usage>, Report<Error>> {
         site.entries
             .iter()
@@ -77,7 +77,7 @@
             .collect()
     };
     let (before, reads) = (usage(&site)?, site.stand_ins.table().await?.reads);
-    task::sleep(WATCH).await;
+    task::sleep(WATCH_TIME).await;
     let (after, reads_after) = (usage(&site)?, site.stand_ins.table().await?.reads);
     let mut in_force_s = Vec::new();
     for _ in 0..CHANGES {
@@ -96,19 +96,19 @@
     Ok(Figures {
         size: f64::from(hosts),
         cpu_percent: spent
-            .map(|it| it.as_secs_f64() * 100.0 / WATCH.as_secs_f64())
+            .map(|it| it.as_secs_f64() * 100.0 / WATCH_TIME.as_secs_f64())
             .collect(),
         peak_mib: after
             .iter()
             .map(|it| f64::from(u32::try_from(it.peak_kib).unwrap_or(u32::MAX)) / 1024.0)
             .collect(),
         reads_per_s: f64::from(u32::try_from(reads_after - reads).unwrap_or(u32::MAX))
-            / WATCH.as_secs_f64(),
+            / WATCH_TIME.as_secs_f64(),
         in_force_s,
     })
 }
 
-/// Waits until every host has the revision.
+/// Waits until every host has the revision or a newer one.
 async fn everywhere(site: &Site, revision: u64) -> Result<(), Report<Error>> {
     let operator = site.operator();
     let end = Instant::now() + CHANGE_LIMIT;
@@ -122,7 +122,8 @@
                 break;
             }
             if Instant::now() > end {
-                return Err(Report::new(Error::Measure).attach(format!("{} lags", entry.name)));
+                return Err(Report::new(Error::Measure)
+                    .attach(format!("{} did not reach revision {revision}", entry.name)));
             }
             task::sleep(POLL).await;
         }
--- a/xtask/src/capacity/records.rs
+++ b/xtask/src/capacity/records.rs
@@ -1,4 +1,5 @@
-//! The ledger: a record's cost, by the fleet's size and by the records held.
+//! Cost of billing records in the ledger by numbers of hosts, records per second and held
+//! records.
 
 use std::fs;
 use std::hint::black_box;
@@ -8,15 +9,15 @@
 
 use crate::capacity::{Sample, Series};
 
-/// Requests a second of the whole fleet at the target's peak.
+/// Peak requests per second of the whole fleet at the target.
 const FLEET_RATE: f64 = 1_800.0;
 const HOSTS: [u32; 5] = [8, 32, 128, 330, 660];
 const RATES: [u32; 4] = [50, 100, 200, 400];
 const HELD: [u32; 4] = [2_500, 5_000, 10_000, 20_000];
 const TARGET_HOSTS: f64 = 330.0;
-/// A host's part of the peak, were all requests spread evenly.
+/// Peak requests per second of a host if all hosts have equal shares.
 const TARGET_RATE: f64 = FLEET_RATE / TARGET_HOSTS;
-/// The records that a host may hold by default.
+/// Default limit on the records that a host holds.
 const TARGET_HELD: f64 = 40_000.0;
 const RUNS: usize = 3;
 const KIB: f64 = 1024.0;
@@ -89,8 +90,8 @@
     Series::new(name, unit, against, target, samples.collect())
 }
 
-/// What the process grows by while it holds so much. Each size runs once:
-/// memory that was freed is used again and would hide in a second run.
+/// Measures the growth of peak memory while `hold` allocates records. Each size runs
+/// once: a second run would reuse freed memory and show no growth.
 fn memory(name: &str, hold: impl Fn(usize)) -> Series {
     let samples = HELD.map(|size| {
         let before = peak_kib();
--- a/xtask/src/capacity/series.rs
+++ b/xtask/src/capacity/series.rs
@@ -1,42 +1,42 @@
-//! Measured values of one thing at several sizes.
+//! Series of measured values at several sizes.
 
 use comfy_table::{Table, presets};
 use serde::Serialize;
 
 use crate::capacity::Fit;
 
-/// The values measured at one size.
+/// The result of the runs at one size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Sample {
     /// The size.
     pub size: f64,
     /// The median of the runs.
     pub value: f64,
-    /// The lowest and the highest of the runs.
+    /// The minimum and maximum of the runs.
     pub range: (f64, f64),
 }
 
-/// One thing measured at several sizes.
+/// A quantity measured at several sizes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Series {
-    /// What was measured.
+    /// The measured quantity.
     pub name: String,
     /// The unit of the values.
     pub unit: &'static str,
-    /// What the size counts.
+    /// The unit of the size, such as hosts.
     pub against: &'static str,
-    /// The size at the target.
+    /// The size at the target deployment.
     pub target: f64,
-    /// The values.
+    /// The samples in the order of their measurement.
     pub samples: Vec<Sample>,
-    /// Their fit.
+    /// The fit of the samples.
     pub fit: Fit,
-    /// What the fit gives at the target's size.
+    /// The value of the fit at the target size.
     pub at_target: f64,
 }
 
 impl Sample {
-    /// The median and range of some runs at one size.
+    /// Computes the median and the range of the runs at one size.
     #[must_use]
     pub fn of(size: f64, mut runs: Vec<f64>) -> Self {
         runs.sort_by(f64::total_cmp);
@@ -52,7 +52,7 @@
 }
 
 impl Series {
-    /// The samples with their fit.
+    /// Creates a series and fits its samples.
     #[must_use]
     pub fn new(
         name: impl Into<String>,
@@ -75,7 +75,7 @@
     }
 }
 
-/// The series as a table that people read.
+/// Renders the series as a Markdown table.
 pub(crate) fn table(all: &[Series]) -> Table {
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
--- a/xtask/src/days.rs
+++ b/xtask/src/days.rs
@@ -1,4 +1,5 @@
-//! Replays the days under `deploy/days/`: each kind of trouble alone, and pairs.
+//! `cargo xtask days`: replays the recorded days under `deploy/days/`. Each day has one kind
+//! of failure or a pair of them.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -11,44 +12,45 @@
 
 use crate::error::Error;
 
-/// Where the days are, from the repository's root.
+/// Folder of the days, relative to the root of the repository.
 const FOLDER: &str = "deploy/days";
 
-/// The command line.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("days")
-        .about("Replays the days under deploy/days/ with the users' bench, where it is there")
+        .about("Replays the days under deploy/days/ with the users' bench, if it is installed")
         .arg(
             Arg::new("bench")
                 .long("bench")
                 .value_name("PROGRAM")
-                .help("The users' bench; without it nothing is replayed")
+                .help("Program of the users' bench; without it nothing is replayed")
                 .value_parser(value_parser!(PathBuf)),
         )
         .arg(
             Arg::new("jobs")
                 .long("jobs")
                 .value_name("N")
-                .help("Days at a time")
+                .help("Number of days replayed in parallel")
                 .value_parser(value_parser!(usize))
                 .default_value("4"),
         )
         .arg(
             Arg::new("site")
                 .value_name("SITE")
-                .help("Site files")
+                .help("Site files on which the days are replayed")
                 .value_parser(value_parser!(PathBuf))
                 .action(ArgAction::Append)
                 .num_args(0..),
         )
 }
 
-/// Replays each day on each site, prints its worth and the rules it broke, and
-/// fails if any did.
+/// Replays each day on each site and prints its worth or the rules that it broke.
+///
+/// The exit code is a failure if a day broke a rule or was not replayed.
 ///
 /// # Errors
-/// [`Error::Measure`] when the days can't be read.
+/// [`Error::Measure`] if the folder of the days can't be read.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let bench = matches.get_one::<PathBuf>("bench");
     let Some(bench) = bench.filter(|it| it.exists()) else {
@@ -93,7 +95,7 @@
     Ok(days)
 }
 
-/// One line: the site, the day, and its worth or the rules it broke.
+/// Replays a day and returns a line with the site, the day, and its worth or the broken rules.
 fn play(bench: &Path, site: &Path, day: &Path) -> String {
     let name = |it: &Path| it.file_stem().unwrap_or_default().display().to_string();
     let title = format!("{} {}", name(site), name(day));
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -1,6 +1,5 @@
-//! `cargo xtask demo`: the whole path as processes, under a mixed workload of
-//! both organisations, while a version is rolled out, another withdrawn and a
-//! host killed.
+//! `cargo xtask demo`: runs stand-ins and hosts under a mixed workload of two organisations while
+//! a version is rolled out, another one is withdrawn and a host is killed.
 
 mod driver;
 pub(crate) mod organisations;
@@ -18,39 +17,39 @@
 use crate::reconcile::{Evidence, Tally};
 use crate::site::{Binaries, Entry, Profile, Site};
 
-/// How long a drained host may take to hand over its records and end.
+/// Timeout for a drained host to hand over its records and exit.
 const DRAIN_LIMIT: Duration = Duration::from_secs(12);
 
-/// The sub-command.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("demo")
-        .about("Starts stand-ins and three hosts, drives a mixed workload and sets the records against it")
+        .about("Starts stand-ins and three hosts, runs a mixed workload and checks the responses against the records")
         .arg(
             Arg::new("seconds")
                 .long("seconds")
-                .help("How long the workload runs")
+                .help("Duration of the workload")
                 .value_parser(value_parser!(u64).range(8..=40))
                 .default_value("20"),
         )
         .arg(
             Arg::new("rate")
                 .long("rate")
-                .help("Pieces of work a second")
+                .help("Work items per second")
                 .value_parser(value_parser!(u32).range(1..=500))
                 .default_value("60"),
         )
         .arg(
             Arg::new("seed")
                 .long("seed")
-                .help("What the random numbers come from")
+                .help("Seed of the random numbers")
                 .value_parser(value_parser!(u64))
                 .default_value("1"),
         )
         .arg(
             Arg::new("logs")
                 .long("logs")
-                .help("Prints the last lines of each host's log at the end")
+                .help("Print so many of the last lines of each host's log at the end")
                 .value_parser(value_parser!(usize))
                 .default_value("0"),
         )
@@ -59,8 +58,8 @@
 /// Runs the demo.
 ///
 /// # Errors
-/// When the site can't be brought up or a stand-in doesn't answer; a promise that
-/// did not hold is no error but shows in the figures and in the exit code.
+/// If the site doesn't start or a stand-in doesn't respond. A violated guarantee is not an error
+/// but shows in the figures and in the exit code.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Dev)?;
     task::block_on(play(binaries, matches))
@@ -107,12 +106,12 @@
     })
 }
 
-/// Drains the hosts that still run and says of each how it ended.
+/// Drains the hosts that still run and returns for each host whether its process exited.
 async fn drain(site: &mut Site) -> Vec<String> {
     let operator = site.operator();
     for entry in &mut site.entries {
         if entry.process.is_running() {
-            // A refused drain shows below: the process does not end.
+            // A refused drain shows below: the process does not exit.
             let _ = operator.drain(entry.operators, &entry.name).await;
         }
     }
@@ -130,5 +129,5 @@
     matches
         .get_one::<T>(name)
         .cloned()
-        .expect("each argument has a default value")
+        .expect("the argument has a default value")
 }
--- a/xtask/src/demo/driver.rs
+++ b/xtask/src/demo/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the planned work through the hosts, as many callers would.
+//! Runs the work items with concurrent callers.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -13,13 +13,13 @@
 use crate::site::Site;
 use crate::workload::{Item, Plan, prompt};
 
-/// How long a person reads an answer before the next message, so that
-/// conversations go on over the changes that the script makes.
-const THINKING: Duration = Duration::from_millis(1500);
+/// Pause between a response and the next message of a conversation. It lets conversations
+/// span the changes of the script.
+const THINK_TIME: Duration = Duration::from_millis(1500);
 
 type Callers = BTreeMap<(&'static str, usize), Arc<Caller>>;
 
-/// Starts all items, each at its time; gives their calls when all have ended.
+/// Starts the tasks of all items. The future resolves to their calls when all have finished.
 pub(crate) fn start(
     site: &Site,
     seed: u64,
@@ -41,7 +41,8 @@
     async move { join_all(tasks).await.into_iter().flatten().collect() }
 }
 
-/// The caller of an item: each customer has one in each data centre.
+/// Returns the caller of an item. Each customer has one caller per entry host, in the data
+/// centre of that host.
 fn caller(site: &Site, callers: &mut Callers, item: &Item) -> Arc<Caller> {
     let place = item.number as usize % site.entries.len();
     let customer = item.customer();
@@ -59,14 +60,15 @@
     Arc::clone(callers.entry((customer, place)).or_insert_with(make))
 }
 
-/// Makes the calls of one item, each with the conversation so far.
+/// Makes the calls of one item in turn, each with the messages before it. Stops after a call
+/// that failed.
 async fn converse(caller: &Caller, item: &Item) -> Vec<Call> {
     let mut calls = Vec::new();
     let mut messages = Vec::new();
     let mut session = None;
     for turn in 0..item.kind.turns() {
         if turn > 0 {
-            task::sleep(THINKING).await;
+            task::sleep(THINK_TIME).await;
         }
         messages.push(("user", prompt(item, turn)));
         let ask = Ask {
--- a/xtask/src/demo/organisations.rs
+++ b/xtask/src/demo/organisations.rs
@@ -1,4 +1,4 @@
-//! What the demo's two organisations have and how they configure it.
+//! Stand-ins and configuration of the demo's two organisations.
 
 use std::collections::BTreeMap;
 
@@ -21,18 +21,19 @@
     ("entry-3", "gua-1"),
 ];
 
-/// The version that is rolled out, and the one it replaces.
+/// The version that is rolled out.
 pub(crate) const NEW: &str = "small@2";
+/// The version that the new one replaces.
 pub(crate) const OLD: &str = "small@1";
-/// The version that turns bad and is withdrawn.
+/// The version whose responses turn bad and which is withdrawn.
 pub(crate) const BAD: &str = "mid@1";
 
-/// The customers, the first one of Kivuli's bench.
+/// The customers.
 pub(crate) const CUSTOMERS: [&str; 4] =
     ["kivuli-bench", "studio-baobab", "sal-visitors", "sal-gates"];
 
-/// A version: name, price of a prompt token in microcents, words of an answer,
-/// microseconds a token, and how good it is at tags, chats and dossiers.
+/// A version: name, price of a prompt token in microcents, words of a response, microseconds per
+/// generated token, and the probabilities of a good response to tags, chats and dossiers.
 type Row = (&'static str, u64, u64, u64, [f64; 3]);
 
 const VERSIONS: [Row; 5] = [
@@ -43,24 +44,24 @@
     ("strong@1", 30, 60, 1500, [0.99, 0.98, 0.97]),
 ];
 
-/// A completion token costs so many times a prompt token.
-const COMPLETION: u64 = 4;
+/// Ratio of the price of a completion token to that of a prompt token.
+const COMPLETION_PRICE_FACTOR: u64 = 4;
 const MILLION: u64 = 1_000_000;
 
-/// What the demo configured, as far as the rest needs it.
+/// The result of the configuration.
 pub(crate) struct Setup {
     pub(crate) allowed: Allowed,
-    /// The revisions at which the versions were put.
+    /// The revision at which each version was created.
     pub(crate) versions: BTreeMap<&'static str, u64>,
 }
 
-/// The bearer key of a customer.
+/// Returns the bearer key of a customer.
 pub(crate) fn key(customer: &str) -> String {
     format!("key-of-{customer}")
 }
 
-/// What takes minutes by default has to happen within the demo: half of the
-/// answers are rated, and a host that is gone is fenced soon.
+/// Returns settings of the hosts that shorten processes which by default take longer than the
+/// demo: half of the responses are rated, and a lost host is fenced after two seconds.
 pub(crate) fn settings() -> Table {
     toml! {
         [decide]
@@ -70,7 +71,7 @@
     }
 }
 
-/// The stand-ins of all data centres.
+/// Returns the settings of the stand-ins of all data centres.
 pub(crate) fn stand_ins(seed: u64) -> Settings {
     let store = |name: &str| StoreSettings {
         name: name.to_owned(),
@@ -110,7 +111,7 @@
     }
 }
 
-/// Puts versions, services, customers and profiles, as operators would.
+/// Creates versions, customers, services and profiles through the operators' API.
 pub(crate) async fn configure(operator: &Operator) -> Result<Setup, Report<Error>> {
     let mut versions = BTreeMap::new();
     for row in &VERSIONS {
@@ -139,10 +140,10 @@
     Ok(Setup { allowed, versions })
 }
 
-/// The body of a version's entry.
+/// Returns the configuration of a version of the demo.
 pub(crate) fn version_of(id: &str, state: &str) -> Value {
     let row = VERSIONS.iter().find(|it| it.0 == id);
-    version(row.expect("the demo names only its own versions"), state)
+    version(row.expect("the version is one of the demo's"), state)
 }
 
 const ANY: &str = "127.0.0.1:0";
@@ -160,7 +161,7 @@
         good: good.map(|(class, it)| (class.to_owned(), it)).into(),
         confidence: 0.8,
         price_prompt: price * MILLION,
-        price_completion: price * COMPLETION * MILLION,
+        price_completion: price * COMPLETION_PRICE_FACTOR * MILLION,
         words: *words,
         prompt_us: 5,
         token_us: *token_us,
@@ -204,7 +205,7 @@
     json!({
         "state": state,
         "prompt_microcents_per_million": price * MILLION,
-        "completion_microcents_per_million": price * COMPLETION * MILLION,
+        "completion_microcents_per_million": price * COMPLETION_PRICE_FACTOR * MILLION,
     })
 }
 
@@ -253,7 +254,7 @@
     ]
 }
 
-/// Notes whom a profile lets be answered by what.
+/// Adds the versions that a profile allows to each of its customers.
 fn allow(allowed: &mut Allowed, name: &str, profile: &Value) {
     let customers = profile["customers"].as_object().into_iter().flatten();
     for (customer, grant) in customers {
--- a/xtask/src/demo/report.rs
+++ b/xtask/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What the demo prints.
+//! The printed report of the demo.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 const MICROCENTS: u64 = 1_000_000;
 
-/// Prints a table for people and, as the last line, the figures as JSON.
+/// Prints tables and, as the last line, the figures as JSON.
 pub(crate) fn print(
     calls: &[Call],
     evidence: &Evidence,
@@ -43,11 +43,11 @@
         evidence.runs.len(),
         evidence.bills.len()
     );
-    let json = serde_json::to_string(tally).expect("the figures are plain numbers");
+    let json = serde_json::to_string(tally).expect("the figures can be serialized to JSON");
     println!("{json}");
 }
 
-/// Whether every promise held that allows no exception.
+/// Returns whether calls were answered and no guarantee without exceptions was violated.
 pub(crate) fn is_whole(tally: &Tally) -> bool {
     let broken = [
         tally.not_run_but_ran,
@@ -85,7 +85,7 @@
     list.join(", ")
 }
 
-/// Only an engine's answers are rated.
+/// Returns the number of good responses; only responses of engines have such a mark.
 fn good(line: &Line) -> String {
     match line.kind.route() {
         Route::Chat { .. } => line.good.to_string(),
@@ -93,7 +93,7 @@
     }
 }
 
-/// Cents with four digits behind the point.
+/// Formats an amount as cents with four decimal places.
 fn cents(microcents: u64) -> String {
     let rest = microcents % MICROCENTS / 100;
     format!("{}.{rest:04}", microcents / MICROCENTS)
--- a/xtask/src/demo/script.rs
+++ b/xtask/src/demo/script.rs
@@ -1,4 +1,4 @@
-//! What happens while the workload runs.
+//! The scripted changes and failures during the workload.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::reconcile::Withdrawal;
 use crate::site::Site;
 
-/// The host that is killed.
+/// Index of the host that is killed.
 const KILLED: usize = 1;
 
-/// Rolls a version out, lets another turn bad and withdraws it, and kills a host,
-/// each at its share of the workload's length.
+/// Rolls out a version, makes another one bad and withdraws it, and kills a host, each at a
+/// fixed fraction of the workload's duration.
 pub(crate) async fn play(
     site: &mut Site,
     setup: &Setup,
--- a/xtask/src/error.rs
+++ b/xtask/src/error.rs
@@ -1,29 +1,29 @@
-//! What can go wrong with a chore.
+//! Errors of the developer tasks.
 
 use derive_more::{Display, Error};
 
-/// Why a chore failed.
+/// The reason why a task failed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// Cargo could not build what the chore runs.
+    /// Cargo could not build the programs that the task runs.
     #[display("the build failed")]
     Build,
     /// A process could not be started.
     #[display("a process could not be started")]
     Start,
-    /// A process was not ready in time.
-    #[display("a process was not ready in time")]
+    /// A process was not ready before the timeout.
+    #[display("a process was not ready before the timeout")]
     NotReady,
-    /// A file of the trial site could not be written.
-    #[display("a file of the trial site could not be written")]
+    /// A file, certificate or address of the trial site could not be set up.
+    #[display("the trial site could not be set up")]
     Site,
-    /// A stand-in did not answer as agreed.
-    #[display("a stand-in did not answer as agreed")]
+    /// A stand-in could not be reached or sent an unexpected response.
+    #[display("a stand-in could not be reached or sent an unexpected response")]
     StandIn,
-    /// An operator's change was not accepted.
-    #[display("an operator's change was not accepted")]
+    /// A host did not accept a request of an operator.
+    #[display("a host did not accept an operator's request")]
     Operator,
-    /// The chore's figures can't be had.
-    #[display("the figures can't be had")]
+    /// A measurement failed or its input is invalid.
+    #[display("the measurement failed or its input is invalid")]
     Measure,
 }
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -1,4 +1,4 @@
-//! `cargo xtask experiment`: the decisions measured on a virtual clock.
+//! `cargo xtask experiment`: measures the quality of decisions on a virtual clock.
 
 use std::env;
 use std::process::{self, ExitCode};
@@ -9,7 +9,7 @@
 
 use crate::error::Error;
 
-/// The sub-command.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("experiment")
@@ -17,45 +17,46 @@
         .arg(
             Arg::new("workload")
                 .long("workload")
-                .help("Only this workload"),
+                .help("Run only this workload"),
         )
         .arg(
             Arg::new("scenario")
                 .long("scenario")
-                .help("Only this scenario")
+                .help("Run only this scenario")
                 .value_parser(Scenario::names().collect::<Vec<_>>()),
         )
         .arg(
             Arg::new("seed")
                 .long("seed")
-                .help("Only this seed, not the reported ones")
+                .help("Run only this seed instead of the reported ones")
                 .value_parser(value_parser!(u64)),
         )
         .arg(
             Arg::new("tuned")
                 .long("tuned")
-                .help("The seeds that constants are tuned on, not the reported ones")
+                .help("Run the seeds for tuning constants instead of the reported ones")
                 .conflicts_with("seed")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("quick")
                 .long("quick")
-                .help("A few minutes of virtual time and three hosts, for a first look")
+                .help("Simulate only three hosts for a few minutes of virtual time")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("json")
                 .long("json")
-                .help("Prints the figures as JSON")
+                .help("Print the figures as JSON")
                 .action(ArgAction::SetTrue),
         )
 }
 
-/// Runs the experiment, optimised also when the chore itself is not.
+/// Runs the experiment. A debug build runs the release build of this task instead.
 ///
 /// # Errors
-/// When a workload or scenario is unknown.
+/// [`Error::Measure`] if the experiment does not accept the options, [`Error::Start`] if the
+/// release build can't be started.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     if cfg!(debug_assertions) {
         return again_optimised();
@@ -89,8 +90,8 @@
     }
 }
 
-/// Runs this chore once more, built with optimisation: without it the virtual
-/// days take as long as real minutes.
+/// Runs this task again as a release build, because a debug build is too slow for days of
+/// virtual time.
 fn again_optimised() -> Result<ExitCode, Report<Error>> {
     let cargo = env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let status = process::Command::new(cargo)
--- a/xtask/src/lib.rs
+++ b/xtask/src/lib.rs
@@ -1,7 +1,4 @@
-//! The chores of this repository, as `cargo xtask <chore>`.
-//!
-//! Chores may start processes; nothing else in this workspace does. See
-//! `docs/DEVELOPERS.md`.
+//! Developer tasks, run as `cargo xtask <task>`. See `docs/DEVELOPERS.md`.
 
 pub mod caller;
 pub mod capacity;
--- a/xtask/src/load.rs
+++ b/xtask/src/load.rs
@@ -1,9 +1,9 @@
-//! `cargo xtask load`: what one host adds to an engine's own latency, what it
-//! sustains and what it costs.
+//! `cargo xtask load`: measures the latency that a host adds to an engine, its throughput and its
+//! resource usage.
 //!
-//! The load is open: each request starts at its time, whatever became of those
-//! before, and its latency counts from that time. A slow answer therefore can't
-//! hide the requests that had to wait behind it.
+//! The load is open-loop: each request has a scheduled start that doesn't depend on earlier
+//! responses, and its latency counts from there. This avoids coordinated omission: a slow response
+//! doesn't hide the delay of the requests after it.
 
 mod measure;
 mod pace;
@@ -29,43 +29,43 @@
 pub(crate) use setup::stand_ins;
 pub use usage::Usage;
 
-/// The direct path and the host take turns so often, so that what else the
-/// machine does hits both.
-const TURNS: u32 = 4;
-/// What is sent before anything is measured, to fill pools and caches.
+/// Number of rounds in which the stand-in and the host are measured in turn, so that other
+/// load of the machine affects both.
+const ROUNDS: u32 = 4;
+/// Duration of the load before the measurement, which fills pools and caches.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// How long hosts may take to find each other.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Time for the hosts to discover each other.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// The sub-command.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("load")
-        .about("Measures what one host adds to a stand-in's own latency under open-loop load")
+        .about("Measures the latency that a host adds to a stand-in's under open-loop load")
         .arg(
             Arg::new("json")
                 .long("json")
-                .help("Prints the figures as JSON only")
+                .help("Print the figures as JSON only")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("rate")
                 .long("rate")
-                .help("Requests a second")
+                .help("Requests per second")
                 .value_parser(value_parser!(u32).range(1..=50_000))
                 .default_value("1000"),
         )
         .arg(
             Arg::new("tokens")
                 .long("tokens")
-                .help("Tokens a second over all streams")
+                .help("Tokens per second over all streams")
                 .value_parser(value_parser!(u32).range(100..=1_000_000))
                 .default_value("100000"),
         )
         .arg(
             Arg::new("seconds")
                 .long("seconds")
-                .help("How long each kind of load runs on each target")
+                .help("Duration of each kind of load on each target")
                 .value_parser(value_parser!(u64).range(1..=600))
                 .default_value("8"),
         )
@@ -74,7 +74,7 @@
 /// Runs the measurement.
 ///
 /// # Errors
-/// When the site can't be brought up or nothing is answered.
+/// If the site doesn't start or the usage of a process can't be read.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Release)?;
     let figures = task::block_on(play(binaries, matches))?;
@@ -89,16 +89,16 @@
 async fn play(binaries: Binaries, matches: &ArgMatches) -> Result<Figures, Report<Error>> {
     let rate = value::<u32>(matches, "rate");
     let tokens = value::<u32>(matches, "tokens");
-    let turn = Duration::from_secs(value(matches, "seconds")) / TURNS;
+    let turn = Duration::from_secs(value(matches, "seconds")) / ROUNDS;
     let mut site = Site::start(binaries, &setup::stand_ins())?;
-    // The second host gets no load: it holds copies of the billing records, as
-    // a host in another data centre does for each host at work.
+    // The second host gets no load. It holds copies of the billing records, as a host in
+    // another data centre does for every host in production.
     site.add("entry-1", "dar-1").await?;
     site.add("entry-2", "dar-2").await?;
     site.alive().await?;
     setup::configure(&site.operator()).await?;
     site.ready().await?;
-    task::sleep(SETTLE).await;
+    task::sleep(SETTLE_TIME).await;
     let direct = Target::direct(&site);
     let host = Target::host(&site);
     for target in [&direct, &host] {
@@ -110,7 +110,7 @@
     let mut figures = Figures::new(rate, tokens);
     let streams = tokens / setup::WORDS;
     let usage = |idx: usize| Usage::of(site.entries[idx].process.id());
-    for _ in 0..TURNS {
+    for _ in 0..ROUNDS {
         target_turn(&direct, &mut figures.direct, rate, streams, turn).await;
         let (before, partner) = (usage(0)?, usage(1)?);
         host.run(Work::Whole, rate, turn, &mut figures.host.whole)
@@ -144,5 +144,5 @@
     matches
         .get_one::<T>(name)
         .cloned()
-        .expect("each argument has a default value")
+        .expect("the argument has a default value")
 }
--- a/xtask/src/load/measure.rs
+++ b/xtask/src/load/measure.rs
@@ -1,4 +1,4 @@
-//! What one kind of load measured on one target.
+//! Measurements of one kind of load on one target.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,49 +6,49 @@
 use hdrhistogram::Histogram;
 
 const DIGITS: u8 = 3;
-/// Longer times than an hour count as an hour.
+/// Upper bound of the histogram, one hour. Longer times are recorded as this value.
 const LONGEST_US: u64 = 3_600_000_000;
 
-/// Latencies from the intended starts, and counts.
+/// Latencies from the scheduled starts, and counts.
 #[derive(Clone, Debug)]
 pub(crate) struct Measure {
     latency: Histogram<u64>,
-    /// Answers that came whole.
+    /// Number of complete responses.
     pub(crate) answered: u64,
-    /// Requests without a whole answer, by the reason.
+    /// Number of requests without a complete response, by reason.
     pub(crate) failures: BTreeMap<String, u64>,
-    /// Tokens that came in the steady time.
+    /// Number of tokens received in the steady state.
     pub(crate) tokens: u64,
-    /// The time in which as many streams ended as began.
+    /// Duration of the steady state, in which as many streams end as start.
     pub(crate) steady: Duration,
-    /// From the first intended start to the last end.
+    /// Time from the first scheduled start to the last response.
     pub(crate) length: Duration,
 }
 
 impl Measure {
-    /// Notes a whole answer.
+    /// Records a complete response.
     pub(crate) fn answer(&mut self, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         self.latency.saturating_record(micros);
         self.answered += 1;
     }
 
-    /// Notes a request without a whole answer.
+    /// Records a request without a complete response.
     pub(crate) fn fail(&mut self, why: String) {
         *self.failures.entry(why).or_default() += 1;
     }
 
-    /// A quantile of the latency.
+    /// Returns a quantile of the latency.
     pub(crate) fn quantile(&self, quantile: f64) -> Duration {
         Duration::from_micros(self.latency.value_at_quantile(quantile))
     }
 
-    /// Whole answers a second.
+    /// Returns the complete responses per second.
     pub(crate) fn answers_per_second(&self) -> f64 {
         per_second(self.answered, self.length)
     }
 
-    /// Tokens a second in the steady time.
+    /// Returns the tokens per second in the steady state.
     pub(crate) fn tokens_per_second(&self) -> f64 {
         per_second(self.tokens, self.steady)
     }
@@ -63,7 +63,7 @@
     fn default() -> Self {
         Self {
             latency: Histogram::new_with_bounds(1, LONGEST_US, DIGITS)
-                .expect("the bounds and digits are within what the library allows"),
+                .expect("the bounds and digits are valid"),
             answered: 0,
             failures: BTreeMap::new(),
             tokens: 0,
--- a/xtask/src/load/pace.rs
+++ b/xtask/src/load/pace.rs
@@ -1,8 +1,8 @@
-//! When each request of an open-loop load is due.
+//! Scheduled starts of the requests of an open-loop load.
 
 use std::time::Duration;
 
-/// Requests at even distances.
+/// Iterator over the starts of requests at a constant rate.
 #[derive(Clone, Debug)]
 pub struct Pace {
     per_second: u32,
@@ -11,7 +11,7 @@
 }
 
 impl Pace {
-    /// So many a second, for so long.
+    /// Schedules `per_second` requests per second for `length`.
     #[must_use]
     pub fn new(per_second: u32, length: Duration) -> Self {
         let count = u128::from(per_second) * length.as_millis() / 1000;
@@ -26,7 +26,7 @@
 impl Iterator for Pace {
     type Item = Duration;
 
-    /// When the next request is due, from the start.
+    /// Returns the start of the next request, counted from the start of the load.
     fn next(&mut self) -> Option<Duration> {
         (self.next < self.count).then(|| {
             let due = Duration::from_secs(1) * self.next / self.per_second;
--- a/xtask/src/load/report.rs
+++ b/xtask/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The figures of a load measurement.
+//! The report of a load measurement.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 use crate::load::measure::Measure;
 use crate::load::setup::WORDS;
 
-/// Everything that was measured.
+/// The figures of both targets.
 #[derive(Debug)]
 pub(crate) struct Figures {
     offered_requests: u32,
     offered_tokens: u32,
     pub(crate) direct: Pair,
     pub(crate) host: Pair,
-    /// The host's processor time under whole answers.
+    /// The host's processor time under the load without streaming.
     pub(crate) cpu_whole: Duration,
-    /// The host's processor time under streams.
+    /// The host's processor time under the streaming load.
     pub(crate) cpu_stream: Duration,
-    /// The processor time of the host that holds copies of the records.
+    /// The processor time of the host that holds copies of the billing records.
     pub(crate) partner_cpu: Duration,
-    /// The host's peak memory.
+    /// The host's peak resident memory in KiB.
     pub(crate) peak_kib: u64,
 }
 
-/// Both kinds of load on one target.
+/// The measurements of both kinds of load on one target.
 #[derive(Debug, Default)]
 pub(crate) struct Pair {
     pub(crate) whole: Measure,
@@ -86,13 +86,13 @@
         );
     }
 
-    /// All tokens that the host relayed, those of the ramp as well.
+    /// Returns the number of tokens that the host relayed, including the ramp-up.
     fn streamed(&self) -> u64 {
         self.host.stream.answered * u64::from(WORDS)
     }
 
-    /// What the host adds at a quantile, in milliseconds; below zero when the
-    /// machine's noise is larger than that.
+    /// Returns the latency in milliseconds that the host adds at a quantile. It is negative if
+    /// the noise of the machine exceeds it.
     fn added(&self, quantile: f64) -> f64 {
         millis(self.host.whole.quantile(quantile)) - millis(self.direct.whole.quantile(quantile))
     }
@@ -117,7 +117,7 @@
     })
 }
 
-/// Microseconds for each of so many.
+/// Returns `time` divided by `count` in microseconds.
 fn per(time: Duration, count: u64) -> f64 {
     let count = u32::try_from(count.max(1)).unwrap_or(u32::MAX);
     time.as_secs_f64() * 1e6 / f64::from(count)
--- a/xtask/src/load/setup.rs
+++ b/xtask/src/load/setup.rs
@@ -1,4 +1,4 @@
-//! The site under load: one engine with room for everything, one host.
+//! Stand-ins and configuration of the site under load: one engine with ample slots.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 use crate::error::Error;
 use crate::site::Operator;
 
-/// The version that answers whole, at once.
+/// The version that responds at once, without streaming.
 pub(crate) const WHOLE: &str = "whole@1";
-/// The version that streams.
+/// The version whose responses are streamed.
 pub(crate) const STREAM: &str = "stream@1";
 /// The customer's bearer key.
 pub(crate) const KEY: &str = "key-of-load";
 /// The engine's name.
 pub(crate) const ENGINE: &str = "engine";
-/// Words in a streamed answer.
+/// Number of words in a streamed response.
 pub(crate) const WORDS: u32 = 100;
 
-/// The time between two tokens of a stream.
+/// Microseconds between two tokens of a stream.
 const TOKEN_US: u64 = 10_000;
-/// The time that a streamed answer takes.
+/// Duration of a streamed response.
 pub(crate) const STREAM_TIME: Duration = Duration::from_secs(1);
 const MILLION: u64 = 1_000_000;
 const ANY: &str = "127.0.0.1:0";
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-/// The profile that allows only this version.
+/// Returns the name of the profile that allows only this version.
 pub(crate) fn profile_of(version: &str) -> String {
     version.replace('@', "-")
 }
--- a/xtask/src/load/target.rs
+++ b/xtask/src/load/target.rs
@@ -1,4 +1,4 @@
-//! What is put under load: the engine's stand-in itself, or a host before it.
+//! Targets of the load: the engine's stand-in, or a host in front of it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,20 +17,20 @@
 use crate::site::Site;
 
 const BODY_LIMIT: usize = 1 << 20;
-/// How an event begins; each but the last two of a stream carries one token.
+/// Prefix of a server-sent event. All but the last two events of a stream carry a token.
 const EVENT: &[u8; 6] = b"data: ";
 
 /// The kind of load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Work {
-    /// Short answers in one piece.
+    /// Short responses without streaming.
     Whole,
-    /// Streams.
+    /// Streamed responses.
     Stream,
 }
 
 impl Work {
-    /// The time until as many requests end as begin.
+    /// Returns the duration of the ramp-up, after which as many requests end as start.
     fn ramp(self) -> Duration {
         match self {
             Self::Whole => Duration::ZERO,
@@ -39,7 +39,7 @@
     }
 }
 
-/// A target and how it is spoken to.
+/// A target with its client and counters.
 #[derive(Clone)]
 pub(crate) struct Target {
     client: Client,
@@ -55,16 +55,16 @@
     Host,
 }
 
-/// Each answer's latency, or why there is no whole answer.
+/// The latency of a complete response, or the reason why there is none.
 type Answered = Result<Duration, String>;
 
 impl Target {
-    /// The engine's stand-in.
+    /// Returns the engine's stand-in as the target.
     pub(crate) fn direct(site: &Site) -> Self {
         Self::new(site, site.stand_ins.address(ENGINE), Path::Direct)
     }
 
-    /// The first host.
+    /// Returns the first host as the target.
     pub(crate) fn host(site: &Site) -> Self {
         Self::new(site, site.entries[0].callers, Path::Host)
     }
@@ -79,8 +79,7 @@
         }
     }
 
-    /// Puts the target under load and adds what it measures. Tokens count from
-    /// when as many streams end as begin.
+    /// Runs a load and adds its results to `measure`. Tokens count only after the ramp-up.
     pub(crate) async fn run(
         &self,
         work: Work,
@@ -141,7 +140,7 @@
         Ok(due.elapsed())
     }
 
-    /// Reads a stream to its end and counts its tokens.
+    /// Reads a stream to its end and counts its events as tokens.
     async fn read(&self, mut body: Body) -> Result<(), String> {
         let mut end = Vec::new();
         while let Some(piece) = body.piece().await.map_err(|err| err.to_string())? {
@@ -152,7 +151,7 @@
         if end.ends_with(b"[DONE]\n\n") {
             Ok(())
         } else {
-            Err("the stream has no end mark".to_owned())
+            Err("the stream ended without [DONE]".to_owned())
         }
     }
 
--- a/xtask/src/load/usage.rs
+++ b/xtask/src/load/usage.rs
@@ -1,4 +1,4 @@
-//! What a process used, from the kernel's own files.
+//! Resource usage of a process, from `/proc`.
 
 use std::fs;
 use std::time::Duration;
@@ -7,10 +7,11 @@
 
 use crate::error::Error;
 
-/// Linux counts processor time in hundredths of a second towards programs.
+/// Unit of processor times in `/proc`.
 const TICK: Duration = Duration::from_millis(10);
-/// Where `utime` and `stime` stand behind the program's name in `stat`.
+/// Index of `utime` in the fields of `stat` after the program's name.
 const UTIME: usize = 11;
+/// Index of `stime`, likewise.
 const STIME: usize = 12;
 
 /// Processor time and peak memory.
@@ -18,12 +19,12 @@
 pub struct Usage {
     /// Processor time in user and kernel mode.
     pub cpu: Duration,
-    /// The most memory that was resident at once, in KiB.
+    /// Peak resident memory in KiB.
     pub peak_kib: u64,
 }
 
 impl Usage {
-    /// Reads the files of a process.
+    /// Reads the usage of a process from `/proc`.
     pub(crate) fn of(process: u32) -> Result<Self, Report<Error>> {
         let read = |name: &str| fs::read_to_string(format!("/proc/{process}/{name}"));
         let stat = read("stat").change_context(Error::Measure)?;
@@ -31,10 +32,10 @@
         Self::parse(&stat, &status).ok_or_else(|| Report::new(Error::Measure))
     }
 
-    /// Reads the texts of `stat` and `status`.
+    /// Parses the contents of `stat` and `status`.
     #[must_use]
     pub fn parse(stat: &str, status: &str) -> Option<Self> {
-        // The program's name may contain spaces; it ends at the last bracket.
+        // The program's name may contain spaces and parentheses; it ends at the last parenthesis.
         let (_, rest) = stat.rsplit_once(')')?;
         let fields: Vec<_> = rest.split_whitespace().collect();
         let ticks = |idx: usize| fields.get(idx)?.parse::<u32>().ok();
@@ -45,7 +46,7 @@
         })
     }
 
-    /// The processor time since an earlier look.
+    /// Returns the processor time since an earlier measurement.
     pub(crate) fn since(&self, earlier: &Self) -> Duration {
         self.cpu.saturating_sub(earlier.cpu)
     }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Chores: demo, load, experiment, capacity, soak, days and worth.
+//! Command line of the developer tasks.
 
 use std::process::ExitCode;
 
@@ -18,7 +18,7 @@
         Some(("soak", matches)) => soak::run(matches),
         Some(("days", matches)) => days::run(matches),
         Some(("worth", matches)) => worth::run(matches),
-        _ => unreachable!("clap requires one of the sub-commands"),
+        _ => unreachable!("clap requires one of the subcommands"),
     };
     done.unwrap_or_else(|report: Report<Error>| {
         eprintln!("{report:?}");
@@ -28,7 +28,7 @@
 
 fn command() -> Command {
     Command::new("xtask")
-        .about("The chores of this repository")
+        .about("Developer tasks of this repository")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(demo::command())
--- a/xtask/src/reconcile.rs
+++ b/xtask/src/reconcile.rs
@@ -1,8 +1,7 @@
-//! What the callers were told, set against what the stand-ins record.
+//! Comparison of the responses to callers with the stand-ins' records.
 //!
-//! Nothing here believes a host: an execution counts when the endpoint that ran
-//! it says so, and an answer counts when its text is one attempt's, whole, and
-//! to the caller's own call.
+//! It doesn't rely on reports of the hosts: executions are those that the endpoints recorded, and
+//! a response counts if its text is the complete output of one attempt of the caller's own call.
 
 mod allowed;
 mod bill;
--- a/xtask/src/reconcile/allowed.rs
+++ b/xtask/src/reconcile/allowed.rs
@@ -1,22 +1,22 @@
-//! Which versions a customer may be answered by, as the chore configured it.
+//! The versions that customers allow under their profiles.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The versions by customer and profile.
+/// The allowed versions by customer and profile.
 #[derive(Clone, Debug, Default)]
 pub struct Allowed {
     versions: BTreeMap<(String, String), BTreeSet<String>>,
 }
 
 impl Allowed {
-    /// Lets a customer be answered by these versions under a profile.
+    /// Allows these versions to serve a customer under a profile.
     pub fn insert(&mut self, customer: &str, profile: &str, versions: &[&str]) {
         let key = (customer.to_owned(), profile.to_owned());
         let versions = versions.iter().map(|it| (*it).to_owned());
         self.versions.entry(key).or_default().extend(versions);
     }
 
-    /// Whether the customer may be answered by the version.
+    /// Returns whether the version may serve the customer under the profile.
     #[must_use]
     pub fn contains(&self, customer: &str, profile: &str, version: &str) -> bool {
         self.versions
--- a/xtask/src/reconcile/bill.rs
+++ b/xtask/src/reconcile/bill.rs
@@ -1,22 +1,22 @@
-//! Billing records as the table has them.
+//! Billing records in the table.
 
 use serde_json::Value;
 
 /// One billing record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bill {
-    /// The customer who pays.
+    /// The customer who is billed.
     pub customer: String,
-    /// The caller's key, or the request when it gave none. What the ledger
-    /// adds behind a `/` to tell two bodies under one key apart is left out.
+    /// The caller's idempotency key, or the request's id if it sent none. The suffix after `~`, by
+    /// which the ledger distinguishes different bodies under one key, is removed.
     pub key: String,
-    /// The amount.
+    /// The amount in microcents.
     pub microcents: u64,
 }
 
 impl Bill {
-    /// All records within a table row, however its batch is laid out: a record
-    /// is an object with a request's `key` and its `charge`.
+    /// Returns the records at any depth of a table row. A record is an object with a request's
+    /// `key` and `charge`.
     #[must_use]
     pub fn within(row: &Value) -> Vec<Self> {
         match row {
@@ -44,7 +44,7 @@
     }
 }
 
-/// A value that was a text in a row; plain texts have no records in them.
+/// Returns the records in JSON that a row contains as text. Scalars contain none.
 fn nested(value: &Value) -> Vec<Bill> {
     if value.is_object() || value.is_array() {
         Bill::within(value)
--- a/xtask/src/reconcile/evidence.rs
+++ b/xtask/src/reconcile/evidence.rs
@@ -1,29 +1,29 @@
-//! The stand-ins' records of one run.
+//! The records that a run is checked against.
 
 use fakes::{Execution, Run};
 
 use crate::reconcile::{Allowed, Bill};
 
-/// Everything that the stand-ins recorded, and what the chore configured.
+/// The stand-ins' records of one run and the configuration of the site.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// What the engines executed.
+    /// The executions of the engines.
     pub executions: Vec<Execution>,
-    /// What the plain services executed.
+    /// The executions of the plain services.
     pub runs: Vec<Run>,
-    /// What the table holds as billed.
+    /// The billing records in the table.
     pub bills: Vec<Bill>,
-    /// Which versions may answer whom.
+    /// The versions that may serve each customer.
     pub allowed: Allowed,
-    /// The version that was withdrawn, if one was.
+    /// The withdrawal of a version in the run, if any.
     pub withdrawal: Option<Withdrawal>,
 }
 
-/// A version's withdrawal as its operator saw it.
+/// The withdrawal of a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Withdrawal {
     /// The version.
     pub version: String,
-    /// When the change was accepted, in milliseconds since the Unix epoch.
+    /// Time at which the change was accepted, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
 }
--- a/xtask/src/reconcile/line.rs
+++ b/xtask/src/reconcile/line.rs
@@ -1,4 +1,4 @@
-//! One line of the report: a kind of work.
+//! Rows of the report, one per kind of work.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,31 +14,31 @@
 pub struct Line {
     /// The kind.
     pub kind: Kind,
-    /// How many calls there were.
+    /// Number of calls.
     pub calls: u64,
-    /// How many were answered.
+    /// Number of calls with a complete response of their own.
     pub answered: u64,
-    /// How many of the answers are good, by the engines' own mark.
+    /// Number of these responses that the engines marked as good.
     pub good: u64,
-    /// How many calls had to be repeated.
+    /// Number of calls with more than one try.
     pub repeated: u64,
-    /// What its executions cost, by the engines' own record.
+    /// The cost of the executions in microcents, according to the engines.
     pub microcents: u64,
-    /// What was billed for it.
+    /// The billed amount in microcents.
     pub billed: u64,
-    /// How many answered calls have no billing record.
+    /// Number of answered calls without a billing record.
     pub unbilled: u64,
-    /// The median time of answered calls.
+    /// The median duration of the answered calls in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile of these.
+    /// The 99th percentile of the durations in milliseconds.
     pub p99_ms: f64,
-    /// Why calls were refused for good.
+    /// Number of calls that ended with a refusal, by reason.
     pub refusals: BTreeMap<String, u64>,
-    /// Why calls were lost.
+    /// Number of lost calls, by reason.
     pub losses: BTreeMap<String, u64>,
 }
 
-/// The lines of all kinds.
+/// Returns the lines of all kinds.
 #[must_use]
 pub fn lines(calls: &[Call], evidence: &Evidence) -> Vec<Line> {
     Kind::ALL
@@ -88,7 +88,7 @@
             }
             End::Failed(why) => *line.losses.entry(why.clone()).or_default() += 1,
             End::Answered(answer) if !is_own(call, answer) => {
-                let why = "not a whole answer to this call".to_owned();
+                let why = "incomplete response or response to another call".to_owned();
                 *line.losses.entry(why).or_default() += 1;
             }
             End::Answered(_) => {}
--- a/xtask/src/reconcile/sessions.rs
+++ b/xtask/src/reconcile/sessions.rs
@@ -1,4 +1,4 @@
-//! Whether conversations kept their version.
+//! Changes of version within conversations.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 
 use crate::caller::{Answer, Call, End};
 
-/// The conversations of a run.
+/// The number of conversations of a run and their changes of version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sessions {
-    /// Conversations with more than one answer.
+    /// Conversations with more than one response.
     pub conversations: u64,
-    /// Changes of version that the host told.
+    /// Changes of version that the host reported to the caller.
     pub moved: u64,
-    /// Changes of version that nobody told.
+    /// Changes of version that the host did not report.
     pub switched: u64,
 }
 
 impl Sessions {
-    /// Counts a run, by the versions that the engines wrote into the answers.
+    /// Counts the conversations by the versions that the engines marked in their responses.
     #[must_use]
     pub fn count(calls: &[Call]) -> Self {
         let mut by_item: BTreeMap<&str, Vec<&Call>> = BTreeMap::new();
@@ -53,7 +53,7 @@
     }
 }
 
-/// The version that wrote the answer, and the answer.
+/// Returns the version that generated the response, and the response.
 fn answer(call: &Call) -> Option<(String, &Answer)> {
     match call.end() {
         End::Answered(answer) => Some((Mark::parse(&answer.text)?.version, answer)),
--- a/xtask/src/reconcile/tally.rs
+++ b/xtask/src/reconcile/tally.rs
@@ -12,38 +12,38 @@
 use crate::reconcile::Evidence;
 use crate::workload::{Repeat, Route};
 
-/// Three significant digits are more than a run's noise.
 const DIGITS: u8 = 3;
-/// Longer times than an hour count as an hour.
+/// Upper bound of the histogram, one hour. Longer times are recorded as this value.
 const LONGEST_US: u64 = 3_600_000_000;
 
-/// The figures; the names are those of the report's last line.
+/// The figures, which are serialized as the report's last line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Tally {
-    /// Calls with a whole answer to their own request.
+    /// Calls with a complete response of their own.
     pub answered: u64,
     /// Calls that ended with a refusal.
     pub refused: u64,
-    /// Refusals that said "not run" of a request that ran.
+    /// Refusals that reported "not run" although the request or call was executed.
     pub not_run_but_ran: u64,
-    /// Calls that ended with neither, or with an answer that is cut or another call's.
+    /// Calls without a response or with an incomplete response or one to another call.
     pub lost: u64,
-    /// Calls that may run once and ran more often.
+    /// At-most-once calls that ran more than once.
     pub doubled: u64,
     /// Calls with more than one billing record.
     pub billed_twice: u64,
-    /// Executions on a version that the customer does not allow.
+    /// Executions on a version that the customer does not allow, or of an unknown call.
     pub disallowed: u64,
-    /// Seconds from the acceptance of a withdrawal to the version's last start.
+    /// Seconds from the acceptance of a withdrawal to the last start of an execution on the
+    /// version; 0 without a withdrawal or a later start.
     pub withdrawn_after_s: f64,
-    /// The median of the answered calls' times.
+    /// The median duration of the answered calls in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile of the answered calls' times.
+    /// The 99th percentile of the durations in milliseconds.
     pub p99_ms: f64,
 }
 
 impl Tally {
-    /// Counts a run.
+    /// Computes the figures of a run.
     #[must_use]
     pub fn count(calls: &[Call], evidence: &Evidence) -> Self {
         let ran = Ran::new(evidence);
@@ -72,7 +72,7 @@
     }
 }
 
-/// What ran, by the caller's name for the call and by the hosts' for the request.
+/// Index of the executions by the caller's name of the call and by the host's id of the request.
 struct Ran<'a> {
     by_call: BTreeMap<&'a str, u64>,
     requests: BTreeSet<&'a str>,
@@ -98,8 +98,8 @@
     }
 }
 
-/// Refusals of this call that said "not run" and were wrong: the request is on
-/// an endpoint's record, or every try was refused so and the call is on one.
+/// Returns the number of refusals of this call that reported "not run" wrongly: an endpoint
+/// executed the refused request, or all tries got such a refusal and an endpoint executed the call.
 fn not_run_but_ran(call: &Call, ran: &Ran<'_>) -> u64 {
     let claims: Vec<_> = call
         .tries
@@ -118,7 +118,7 @@
     named.max(u64::from(all_claimed && on_record))
 }
 
-/// Whether the answer is one attempt's, whole, and to this very call.
+/// Returns whether the response is the complete output of one attempt of this call.
 pub(crate) fn is_own(call: &Call, answer: &Answer) -> bool {
     match call.kind.route() {
         Route::Plain { .. } => answer.text == call.name,
@@ -171,10 +171,10 @@
     Duration::from_millis(last.unwrap_or(0)).as_secs_f64()
 }
 
-/// The median and the 99th percentile in milliseconds.
+/// Returns the median and the 99th percentile in milliseconds.
 pub(crate) fn percentiles(times: &[Duration]) -> (f64, f64) {
     let mut histogram = Histogram::<u64>::new_with_bounds(1, LONGEST_US, DIGITS)
-        .expect("the bounds and digits are within what the library allows");
+        .expect("the bounds and digits are valid");
     for time in times {
         histogram.saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
     }
--- a/xtask/src/site.rs
+++ b/xtask/src/site.rs
@@ -1,5 +1,5 @@
-//! A trial site on this machine: the stand-ins and some hosts, as plain processes
-//! on loopback addresses, in a directory that goes with them.
+//! A trial site on this machine: stand-ins and hosts as processes on loopback addresses, with
+//! their files in a temporary directory.
 
 mod binaries;
 mod certificates;
@@ -30,22 +30,22 @@
 pub use process::Process;
 pub use stand_ins::{Row, StandIns, TableRecords};
 
-/// How long a host may take until it is ready.
-const READY_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout for a host to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval between two checks whether a host is ready.
 const READY_POLL: Duration = Duration::from_millis(50);
 
-/// The site. Its processes end when it is dropped, whatever happened before.
+/// A running trial site. Dropping it kills its processes and deletes its directory.
 pub struct Site {
-    /// The clock of the chore.
+    /// The clock of the task.
     pub clock: Arc<dyn Clock>,
-    /// The client of the chore.
+    /// The HTTP client of the task.
     pub client: Client,
-    /// The stand-ins.
+    /// The stand-ins for the platform, engines and services.
     pub stand_ins: StandIns,
     /// The entry hosts, in the order in which they were started.
     pub entries: Vec<Entry>,
-    /// Sections of the settings that the hosts started from now on have in place
-    /// of the usual ones.
+    /// Sections that replace the default ones in the settings of hosts started from now on.
     pub settings: Table,
     binaries: Binaries,
     authority: Authority,
@@ -54,10 +54,10 @@
 }
 
 impl Site {
-    /// Starts the stand-ins.
+    /// Starts a site that has only the stand-ins.
     ///
     /// # Errors
-    /// When a file can't be written or the stand-ins don't start.
+    /// If a file can't be written or the stand-ins don't start.
     pub fn start(binaries: Binaries, settings: &fakes::Settings) -> Result<Self, Report<Error>> {
         let dir = TempDir::new().change_context(Error::Site)?;
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
@@ -88,10 +88,11 @@
         })
     }
 
-    /// Starts an entry host and enters it into the host list.
+    /// Starts an entry host and adds it to the host list.
     ///
     /// # Errors
-    /// When it can't be started; see [`Self::ready`] for the rest.
+    /// If the host can't be started or the host list refuses it. Use [`Self::ready`] to wait until
+    /// the host is ready.
     pub async fn add(&mut self, name: &str, data_centre: &str) -> Result<(), Report<Error>> {
         let entry = Entry::start(self, name, data_centre)?;
         self.stand_ins.register(&entry.host()).await?;
@@ -99,10 +100,10 @@
         Ok(())
     }
 
-    /// Waits until every host answers that it is ready.
+    /// Waits until every host reports that it is ready.
     ///
     /// # Errors
-    /// When one is not in time, with the end of its log.
+    /// [`Error::NotReady`] with the end of the log if a host exceeds the timeout.
     pub async fn ready(&self) -> Result<(), Report<Error>> {
         for entry in &self.entries {
             self.wait_for(entry, "/readyz").await?;
@@ -110,10 +111,10 @@
         Ok(())
     }
 
-    /// Waits until every host answers at all.
+    /// Waits until the process of every host responds.
     ///
     /// # Errors
-    /// When one is not in time, with the end of its log.
+    /// [`Error::NotReady`] with the end of the log if a host exceeds the timeout.
     pub async fn alive(&self) -> Result<(), Report<Error>> {
         for entry in &self.entries {
             self.wait_for(entry, "/healthz").await?;
@@ -121,26 +122,26 @@
         Ok(())
     }
 
-    /// An operator's tool that speaks to the first host.
+    /// Returns a client for the operators' API of the hosts.
     #[must_use]
     pub fn operator(&self) -> Operator {
         let addresses = self.entries.iter().map(|it| it.operators).collect();
         Operator::new(self.client.clone(), addresses, self.operator_key.clone())
     }
 
-    /// Where callers reach the hosts.
+    /// Returns the addresses of the hosts for callers.
     #[must_use]
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|it| it.callers).collect()
     }
 
-    /// The file that holds the operators' key.
+    /// Returns the path of the file with the operators' key.
     #[must_use]
     pub fn operator_key_file(&self) -> PathBuf {
         self.dir.path().join("operator.key")
     }
 
-    /// The end of a host's log, for people.
+    /// Returns the last lines of a host's log.
     #[must_use]
     pub fn log(&self, name: &str, lines: usize) -> String {
         let text = fs::read_to_string(log_path(self.dir.path(), name)).unwrap_or_default();
@@ -149,7 +150,7 @@
     }
 
     async fn wait_for(&self, entry: &Entry, path: &str) -> Result<(), Report<Error>> {
-        let deadline = Instant::now() + READY_LIMIT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         let options = Options::default();
         while Instant::now() < deadline {
             let res = self
@@ -179,14 +180,14 @@
     File::create(log_path(dir, name)).change_context(Error::Site)
 }
 
-/// A loopback address whose port is free for TCP now.
+/// Returns a loopback address with a TCP port that is currently free.
 fn free_tcp() -> Result<SocketAddr, Report<Error>> {
     TcpListener::bind("127.0.0.1:0")
         .and_then(|it| it.local_addr())
         .change_context(Error::Site)
 }
 
-/// A loopback address whose port is free for UDP now.
+/// Returns a loopback address with a UDP port that is currently free.
 fn free_udp() -> Result<SocketAddr, Report<Error>> {
     UdpSocket::bind("127.0.0.1:0")
         .and_then(|it| it.local_addr())
--- a/xtask/src/site/binaries.rs
+++ b/xtask/src/site/binaries.rs
@@ -9,16 +9,16 @@
 
 use crate::error::Error;
 
-/// Which of Cargo's profiles to build.
+/// The Cargo profile of a build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// Quick to build.
+    /// The development profile, which builds faster.
     Dev,
-    /// As it ships.
+    /// The release profile.
     Release,
 }
 
-/// Where the built programs are.
+/// The paths of the built programs.
 #[derive(Clone, Debug)]
 pub struct Binaries {
     /// `barleypin-fakes`.
@@ -28,10 +28,10 @@
 }
 
 impl Binaries {
-    /// Builds the programs; what Cargo says goes to the standard error stream.
+    /// Builds the programs. Cargo's diagnostics go to the standard error stream.
     ///
     /// # Errors
-    /// When the build fails.
+    /// [`Error::Build`] if the build fails.
     pub fn build(profile: Profile) -> Result<Self, Report<Error>> {
         let cargo = env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
         let mut command = Command::new(cargo);
@@ -52,7 +52,7 @@
     }
 }
 
-/// The path of a program, from Cargo's messages.
+/// Finds the path of a program in Cargo's JSON messages.
 fn executable(said: &str, name: &str) -> Result<PathBuf, Report<Error>> {
     said.lines()
         .filter_map(|it| serde_json::from_str::<Value>(it).ok())
--- a/xtask/src/site/certificates.rs
+++ b/xtask/src/site/certificates.rs
@@ -1,4 +1,4 @@
-//! The fleet's certificates of a trial site.
+//! Certificates of the hosts of a trial site.
 
 use std::path::Path;
 
@@ -11,13 +11,13 @@
 use crate::error::Error;
 use crate::site::write;
 
-/// The authority that vouches for the site's hosts.
+/// The certificate authority of the site.
 pub(crate) struct Authority {
     issuer: CertifiedIssuer<'static, KeyPair>,
 }
 
 impl Authority {
-    /// Makes an authority and writes its certificate.
+    /// Creates an authority and writes its certificate to `ca.pem`.
     pub(crate) fn new(dir: &Path) -> Result<Self, Report<Error>> {
         let mut params = CertificateParams::default();
         params
@@ -31,7 +31,7 @@
         Ok(Self { issuer })
     }
 
-    /// Writes a certificate and a key for a host.
+    /// Issues a certificate for a host and writes it and its key.
     pub(crate) fn issue(&self, dir: &Path, name: &str) -> Result<(), Report<Error>> {
         let mut params =
             CertificateParams::new(vec![name.to_owned()]).change_context(Error::Site)?;
--- a/xtask/src/site/entry.rs
+++ b/xtask/src/site/entry.rs
@@ -1,4 +1,4 @@
-//! An entry host of the site.
+//! Entry hosts of the site.
 
 use std::net::SocketAddr;
 
@@ -13,17 +13,17 @@
 
 /// A running `barleypind`.
 pub struct Entry {
-    /// Its name.
+    /// The name of the host.
     pub name: String,
-    /// Its data centre.
+    /// The data centre of the host.
     pub data_centre: String,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where operators reach it.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// Where the other hosts reach it.
+    /// The UDP address for other hosts.
     pub fleet: SocketAddr,
-    /// Its process.
+    /// The process of the host.
     pub process: Process,
 }
 
@@ -51,7 +51,7 @@
         })
     }
 
-    /// The host as it stands in the host list.
+    /// Returns the host's entry in the host list.
     #[must_use]
     pub fn host(&self) -> fakes::Host {
         fakes::Host {
--- a/xtask/src/site/operator.rs
+++ b/xtask/src/site/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's changes, over the operators' protocol.
+//! Client for the operators' API.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,19 +12,21 @@
 
 use crate::error::Error;
 
-const TRIES: u32 = 20;
-const PAUSE: Duration = Duration::from_millis(200);
+/// Maximum number of tries of a change.
+const MAX_TRIES: u32 = 20;
+/// Delay between two tries.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 const BODY_LIMIT: usize = 16 << 20;
 
-/// An operator who repeats a change after a lost answer, at any host.
+/// A client for the operators' API that retries changes at the other hosts.
 pub struct Operator {
     client: Client,
     hosts: Vec<SocketAddr>,
     key: String,
 }
 
-/// Every change of this process has a number of its own, whichever operator makes
-/// it: a host takes the same name for a repeat and answers without a change.
+/// Number of the next change in this process, shared by all operators. The change id must be
+/// unique, because a host treats a change with a known id as a retry and does not apply it.
 static CHANGES: AtomicU64 = AtomicU64::new(0);
 
 impl Operator {
@@ -32,11 +34,11 @@
         Self { client, hosts, key }
     }
 
-    /// Puts an entry, `kind/name`, that was read at a revision; 0 for a new one.
-    /// Gives the revision that the change made.
+    /// Writes the entry `kind/name` that was read at revision `read_at`, 0 for a new entry.
+    /// Returns the revision of the change.
     ///
     /// # Errors
-    /// When the change is refused for good, or no host takes it in time.
+    /// [`Error::Operator`] if the change is refused or no host accepts it in any try.
     pub async fn put<T: Serialize>(
         &self,
         entry: &str,
@@ -46,7 +48,7 @@
         let number = CHANGES.fetch_add(1, Ordering::Relaxed);
         let change = format!("chore-{}-{number}", std::process::id());
         let mut last = String::new();
-        for host in self.hosts.iter().cycle().take(TRIES as usize) {
+        for host in self.hosts.iter().cycle().take(MAX_TRIES as usize) {
             let request = Request::new(Method::Put, format!("/operator/v1/{entry}"))
                 .json(body)
                 .header("if-match", read_at.to_string())
@@ -63,15 +65,16 @@
                 Ok((_, body)) => last = body.to_string(),
                 Err(err) => last = err.to_string(),
             }
-            task::sleep(PAUSE).await;
+            task::sleep(RETRY_DELAY).await;
         }
         Err(Report::new(Error::Operator).attach(format!("{entry}: {last}")))
     }
 
-    /// Reads from a host.
+    /// Reads a resource from a host. An error status is not an error; a body that is not JSON
+    /// becomes `null`.
     ///
     /// # Errors
-    /// When the host does not answer as agreed.
+    /// [`Error::Operator`] if the host does not respond.
     pub async fn get(&self, host: SocketAddr, path: &str) -> Result<Value, Report<Error>> {
         let request = Request::get(format!("/operator/v1/{path}"));
         let (_, body) = self
@@ -84,7 +87,7 @@
     /// Asks a host to drain.
     ///
     /// # Errors
-    /// When no host takes the order.
+    /// [`Error::Operator`] if the host does not respond or refuses.
     pub async fn drain(&self, host: SocketAddr, name: &str) -> Result<(), Report<Error>> {
         let path = format!("/operator/v1/hosts/{name}/drain");
         let (status, body) = self
--- a/xtask/src/site/process.rs
+++ b/xtask/src/site/process.rs
@@ -1,4 +1,4 @@
-//! A process of a chore.
+//! Child processes of a task.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -11,19 +11,20 @@
 
 use crate::error::Error;
 
-const END_POLL: Duration = Duration::from_millis(20);
+/// Interval between two checks whether a process has exited.
+const EXIT_POLL: Duration = Duration::from_millis(20);
 
-/// A process that ends with this value, by its own handle.
+/// A child process that is killed when this value is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Starts a program on a settings file; what it says goes to its log.
+    /// Starts a program with a settings file. Its standard error stream goes to `log`.
     ///
     /// # Errors
-    /// When it can't be started.
+    /// [`Error::Start`] if the program can't be started.
     pub fn start(program: &Path, settings: &Path, log: File) -> Result<Self, Report<Error>> {
         let mut command = Command::new(program);
         let child = command
@@ -38,17 +39,16 @@
         Ok(Self { child })
     }
 
-    /// The process's id.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits for the line with which the process says that it is ready, and
-    /// gives what follows the word.
+    /// Waits for a line that starts with `ready ` and returns the rest of the line.
     ///
     /// # Errors
-    /// When the process ends before.
+    /// [`Error::NotReady`] if the process exits or closes its output before.
     pub fn ready_line(&mut self) -> Result<String, Report<Error>> {
         let stdout = self.child.stdout.as_mut().ok_or(Error::NotReady)?;
         for line in BufReader::new(stdout).lines() {
@@ -60,14 +60,14 @@
         Err(Report::new(Error::NotReady))
     }
 
-    /// Kills the process at once, as a host that loses its power.
+    /// Kills the process without a shutdown, as in a power failure, and waits for its exit.
     pub fn kill(&mut self) {
-        // It fails only when the process has ended, which is what is wanted.
+        // Fails only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits for the process to exit. Returns whether it did so before the timeout.
     #[must_use]
     pub fn ends_within(&mut self, limit: Duration) -> bool {
         let deadline = Instant::now() + limit;
@@ -75,12 +75,12 @@
             if Instant::now() >= deadline {
                 return false;
             }
-            thread::sleep(END_POLL);
+            thread::sleep(EXIT_POLL);
         }
         true
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process runs.
     #[must_use]
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
--- a/xtask/src/site/stand_ins.rs
+++ b/xtask/src/site/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' process and its controls.
+//! The process of the stand-ins and its control API.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,13 +14,14 @@
 use crate::reconcile::Bill;
 use crate::site::{Process, log_file, write};
 
+/// Maximum size of a response body in bytes.
 const RECORDS_LIMIT: usize = 256 << 20;
 
 /// The running stand-ins.
 pub struct StandIns {
-    /// Where each listens, by its name.
+    /// The address of each stand-in by name.
     pub addresses: BTreeMap<String, SocketAddr>,
-    /// Their process.
+    /// The process of all stand-ins.
     pub process: Process,
     client: Client,
     engines: Vec<String>,
@@ -37,12 +38,12 @@
     runs: Vec<Run>,
 }
 
-/// The table's counts and rows.
+/// The rows of the table service and its numbers of operations.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TableRecords {
-    /// How many reads there were.
+    /// Number of reads.
     pub reads: u64,
-    /// How many writes there were.
+    /// Number of writes.
     pub writes: u64,
     /// All rows.
     pub rows: Vec<Row>,
@@ -51,9 +52,9 @@
 /// A row of the table.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Row {
-    /// Its key.
+    /// The key of the row.
     pub key: String,
-    /// Its value.
+    /// The value of the row.
     pub value: Value,
 }
 
@@ -78,46 +79,46 @@
         })
     }
 
-    /// The address of a stand-in.
+    /// Returns the address of a stand-in.
     ///
     /// # Panics
-    /// When the settings name no such stand-in.
+    /// If the settings contain no stand-in of this name.
     #[must_use]
     pub fn address(&self, name: &str) -> SocketAddr {
         self.addresses[name]
     }
 
-    /// Switches faults of a stand-in.
+    /// Sets the injected faults of a stand-in.
     ///
     /// # Errors
-    /// When the stand-in knows no such fault.
+    /// [`Error::StandIn`] if the stand-in can't be reached or refuses the faults.
     pub async fn fault(&self, name: &str, faults: &Value) -> Result<(), Report<Error>> {
         let request = Request::post("/control/faults", faults);
         self.send(name, request).await.map(drop)
     }
 
-    /// Enters an entry host into the host list.
+    /// Adds an entry host to the host list.
     ///
     /// # Errors
-    /// When the host list does not take it.
+    /// [`Error::StandIn`] if the host list can't be reached or refuses the change.
     pub async fn register(&self, host: &Host) -> Result<(), Report<Error>> {
         let request = Request::post("/control/hosts", &json!({"hosts": [host]}));
         self.send("hosts", request).await.map(drop)
     }
 
-    /// Takes a host off the host list.
+    /// Removes a host from the host list.
     ///
     /// # Errors
-    /// When the host list does not take it.
+    /// [`Error::StandIn`] if the host list can't be reached or refuses the change.
     pub async fn unregister(&self, name: &str) -> Result<(), Report<Error>> {
         let request = Request::post("/control/hosts", &json!({"remove": [name]}));
         self.send("hosts", request).await.map(drop)
     }
 
-    /// What all engines executed.
+    /// Returns the executions of all engines.
     ///
     /// # Errors
-    /// When an engine does not give its record.
+    /// [`Error::StandIn`] if the records of an engine can't be read.
     pub async fn executions(&self) -> Result<Vec<Execution>, Report<Error>> {
         let mut executions = Vec::new();
         for name in &self.engines {
@@ -127,10 +128,10 @@
         Ok(executions)
     }
 
-    /// What all plain services executed.
+    /// Returns the executions of all plain services.
     ///
     /// # Errors
-    /// When a service does not give its record.
+    /// [`Error::StandIn`] if the records of a service can't be read.
     pub async fn runs(&self) -> Result<Vec<Run>, Report<Error>> {
         let mut runs = Vec::new();
         for name in &self.services {
@@ -140,18 +141,18 @@
         Ok(runs)
     }
 
-    /// The table's counts and rows.
+    /// Returns the rows and operation counts of the table service.
     ///
     /// # Errors
-    /// When the table does not give its record.
+    /// [`Error::StandIn`] if the records of the table can't be read.
     pub async fn table(&self) -> Result<TableRecords, Report<Error>> {
         self.records("table").await
     }
 
-    /// The billing records in the table.
+    /// Returns the billing records in the table.
     ///
     /// # Errors
-    /// When the table does not give its record.
+    /// [`Error::StandIn`] if the records of the table can't be read.
     pub async fn bills(&self) -> Result<Vec<Bill>, Report<Error>> {
         let table = self.table().await?;
         let is_bill = |it: &&Row| it.key.starts_with("bill/");
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask soak`: troubles drawn by a seed over real processes, and every
-//! promise set against the stand-ins' records.
+//! `cargo xtask soak`: injects failures drawn from a seed into real processes and checks the
+//! guarantees to callers against the stand-ins' records.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -10,38 +10,39 @@
 use crate::error::Error;
 use crate::site::{Binaries, Profile};
 
-/// The sub-command.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("soak")
-        .about("Draws kills, freezes, outages, faults, drains and changes, and checks what callers were told")
+        .about("Injects kills, freezes, outages, faults, drains and changes, and checks the responses to callers")
         .arg(
             Arg::new("seed")
                 .long("seed")
-                .help("What the first round is drawn by; each round takes the next seed")
+                .help("Seed of the first round; each further round uses the next seed")
                 .value_parser(value_parser!(u64))
                 .default_value("1"),
         )
         .arg(
             Arg::new("for")
                 .long("for")
-                .help("Seconds of trouble in a round")
+                .help("Seconds of failure injection in a round")
                 .value_parser(value_parser!(u64).range(2..=3600))
                 .default_value("30"),
         )
         .arg(
             Arg::new("rounds")
                 .long("rounds")
-                .help("How many rounds")
+                .help("Number of rounds")
                 .value_parser(value_parser!(u64).range(1..=1000))
                 .default_value("1"),
         )
 }
 
-/// Runs the rounds; a broken promise ends them with its seed and script.
+/// Runs the rounds. After a round with a violated guarantee it prints the command that
+/// reproduces the round and stops.
 ///
 /// # Errors
-/// When the daemon can't be built.
+/// [`Error::Build`] if the daemon can't be built.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Dev)?;
     let first = value(matches, "seed");
@@ -51,7 +52,7 @@
         print!("{report}");
         if !report.faults.is_empty() {
             println!(
-                "\nTo repeat: cargo xtask soak --seed {seed} --for {}",
+                "\nTo reproduce: cargo xtask soak --seed {seed} --for {}",
                 length.as_secs()
             );
             return Ok(ExitCode::FAILURE);
@@ -61,7 +62,5 @@
 }
 
 fn value(matches: &ArgMatches, name: &str) -> u64 {
-    *matches
-        .get_one(name)
-        .expect("clap fills in the default value")
+    *matches.get_one(name).expect("clap sets the default value")
 }
--- a/xtask/src/try_out.rs
+++ b/xtask/src/try_out.rs
@@ -1,5 +1,4 @@
-//! `cargo xtask site`: the demo's stand-ins and hosts, configured and idle, for
-//! trying the tools by hand.
+//! `cargo xtask site`: starts the demo's stand-ins and hosts without load, for manual tests.
 
 use std::io;
 use std::process::ExitCode;
@@ -12,17 +11,17 @@
 use crate::error::Error;
 use crate::site::{Binaries, Profile, Site};
 
-/// The sub-command.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("site")
         .about("Starts the demo's stand-ins and hosts and keeps them until Enter is pressed")
 }
 
-/// Keeps a site until a line or the end comes on the standard input.
+/// Starts a site and stops it after a line or the end of the standard input.
 ///
 /// # Errors
-/// When the site can't be brought up.
+/// If the programs can't be built, the site doesn't start or the standard input can't be read.
 pub fn run(_matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Dev)?;
     let site = task::block_on(start(binaries))?;
@@ -62,5 +61,5 @@
             organisations::key(organisations::CUSTOMERS[0])
         );
     }
-    println!("Enter ends it all.");
+    println!("Press Enter to stop all processes.");
 }
--- a/xtask/src/workload.rs
+++ b/xtask/src/workload.rs
@@ -1,4 +1,4 @@
-//! The mixed work of both organisations, drawn from a seed.
+//! A mixed workload of both organisations of the demo, generated from a seed.
 
 mod item;
 mod kind;
--- a/xtask/src/workload/item.rs
+++ b/xtask/src/workload/item.rs
@@ -1,4 +1,4 @@
-//! What comes when.
+//! The schedule of a workload.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 
 use crate::workload::Kind;
 
-/// One piece of work: a call, or a conversation of several.
+/// A work item: one call, or a conversation of several calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// Its number, which also tells apart what is written in its prompts.
+    /// The number of the item, which is part of its prompts.
     pub number: u32,
-    /// When its first call is due, from the start of the workload.
+    /// The start of the first call, counted from the start of the workload.
     pub at: Duration,
-    /// What it is.
+    /// The kind of work.
     pub kind: Kind,
 }
 
-/// All items, in the order in which they come.
+/// The items of a workload, ordered by start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The items.
@@ -26,13 +26,13 @@
 }
 
 impl Item {
-    /// The customer on whose account it runs.
+    /// Returns the customer who is billed.
     #[must_use]
     pub fn customer(&self) -> &'static str {
         self.kind.customer(self.number)
     }
 
-    /// The name of one of its calls, which is its idempotency key as well.
+    /// Returns the name of the call of a turn, also its idempotency key.
     #[must_use]
     pub fn call(&self, turn: usize) -> String {
         format!("c{}.{turn}", self.number)
@@ -40,7 +40,7 @@
 }
 
 impl Plan {
-    /// Draws items at a mean rate, at random times as independent callers have them.
+    /// Generates items with Poisson arrivals at a mean rate of `per_second`.
     #[must_use]
     pub fn draw(seed: u64, per_second: f64, length: Duration) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -67,5 +67,5 @@
         }
         left -= kind.weight();
     }
-    unreachable!("the draw is below the sum of the weights")
+    unreachable!("the drawn number is below the sum of the weights")
 }
--- a/xtask/src/workload/kind.rs
+++ b/xtask/src/workload/kind.rs
@@ -1,46 +1,46 @@
-//! The kinds of work.
+//! The kinds of work in the workload.
 
 use derive_more::Display;
 
 /// One kind of work of the two organisations.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// The era of a clip, the smallest of Kivuli's requests.
+    /// Classification of a clip by era.
     #[display("era tag")]
     EraTag,
-    /// A draft for the catalogue, which may be written once.
+    /// A draft of a catalogue entry, at most once.
     #[display("catalogue entry")]
     CatalogueEntry,
-    /// A conversation over a reel's inspection log.
+    /// A conversation about the inspection log of a reel.
     #[display("dossier")]
     Dossier,
     /// A scan thumbnail of the bench portal.
     #[display("thumbnail")]
     Thumbnail,
-    /// A job ticket of the bench portal.
+    /// Creation of a job ticket in the bench portal.
     #[display("job ticket")]
     JobTicket,
-    /// A visitor's chat, in Spanish or English.
+    /// A chat with a visitor, in Spanish or English.
     #[display("visitor chat")]
     VisitorChat,
-    /// Guide notes, summarised overnight.
+    /// A summary of guide notes, with batch priority.
     #[display("guide notes")]
     GuideNotes,
-    /// A scan at a gate, with a visitor before it.
+    /// A ticket scan at a gate, with urgent priority.
     #[display("gate scan")]
     GateScan,
-    /// A seat hold, which can't wait and may be made once.
+    /// A seat hold, with urgent priority and at most once.
     #[display("seat hold")]
     SeatHold,
-    /// A booking, which charges a family and may be made once.
+    /// A booking, at most once because it charges the visitor.
     #[display("booking")]
     Booking,
 }
 
-/// What a kind of work calls.
+/// The destination of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// A chat under a profile.
+    /// A chat completion under a profile.
     Chat {
         /// The profile.
         profile: &'static str,
@@ -51,22 +51,22 @@
     Plain {
         /// The HTTP method.
         method: &'static str,
-        /// The path, from the service's name on.
+        /// The path, starting with the service's name.
         path: &'static str,
     },
 }
 
-/// Whether a call may run a second time.
+/// The retry policy of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may.
+    /// The call may run several times.
     Idempotent,
-    /// It runs once or not at all.
+    /// The call runs once or not at all.
     AtMostOnce,
 }
 
 impl Kind {
-    /// Every kind, in the order of the report.
+    /// All kinds, in the order of the report.
     pub const ALL: [Self; 10] = [
         Self::EraTag,
         Self::CatalogueEntry,
@@ -80,7 +80,7 @@
         Self::Booking,
     ];
 
-    /// How often it comes, against the others.
+    /// Returns the relative frequency in the workload.
     #[must_use]
     pub fn weight(self) -> u32 {
         match self {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// How many messages its conversation has.
+    /// Returns the number of the caller's messages in a conversation.
     #[must_use]
     pub fn turns(self) -> usize {
         match self {
@@ -105,11 +105,11 @@
         }
     }
 
-    /// The customer on whose account it runs, by the draw for this item.
+    /// Returns the customer who is billed for the item with this number.
     #[must_use]
-    pub fn customer(self, draw: u32) -> &'static str {
+    pub fn customer(self, item_number: u32) -> &'static str {
         match self {
-            Self::Dossier if draw.is_multiple_of(4) => "studio-baobab",
+            Self::Dossier if item_number.is_multiple_of(4) => "studio-baobab",
             Self::EraTag
             | Self::CatalogueEntry
             | Self::Dossier
@@ -120,7 +120,7 @@
         }
     }
 
-    /// What it calls.
+    /// Returns the destination of the calls.
     #[must_use]
     pub fn route(self) -> Route {
         let chat = |profile, class| Route::Chat { profile, class };
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Whether it may run a second time.
+    /// Returns the retry policy of the calls.
     #[must_use]
     pub fn repeat(self) -> Repeat {
         match self {
@@ -148,13 +148,13 @@
         }
     }
 
-    /// Whether its answer is streamed.
+    /// Returns whether the response is streamed.
     #[must_use]
     pub fn is_streamed(self) -> bool {
         matches!(self, Self::Dossier | Self::VisitorChat)
     }
 
-    /// The value of the priority header.
+    /// Returns the value of the priority header.
     #[must_use]
     pub fn priority(self) -> &'static str {
         match self {
--- a/xtask/src/workload/text.rs
+++ b/xtask/src/workload/text.rs
@@ -1,13 +1,14 @@
-//! What the callers write.
+//! The prompts of the workload.
 
 use std::fmt::Write;
 
 use crate::workload::{Item, Kind};
 
-/// Lines of the inspection log of one reel.
+/// Number of lines in the inspection log of a reel.
 const LOG_LINES: u32 = 200;
 
-/// The message of one turn, with the caller's name for the call in it.
+/// Returns the message of a turn. It contains the name of the call, which the stand-in of
+/// the engine copies into its response.
 #[must_use]
 pub fn prompt(item: &Item, turn: usize) -> String {
     let text = match item.kind {
@@ -34,7 +35,7 @@
             frame % 4,
             frame % 3
         )
-        .expect("writing to a string");
+        .expect("writing to a string does not fail");
     }
     text
 }
--- a/xtask/src/worth.rs
+++ b/xtask/src/worth.rs
@@ -1,7 +1,7 @@
-//! Where the worth of a day goes: credit that wasn't earned and prices, by cause.
+//! `cargo xtask worth`: breaks down the worth that a replayed day lost by cause: credit not
+//! earned, and prices paid.
 //!
-//! Reads entries of the journal that the users' bench writes; what it means is in
-//! `docs/design/deciding.md`.
+//! Reads journal entries of the users' bench. See `docs/design/deciding.md` for the terms.
 
 use std::fs::File;
 use std::path::PathBuf;
@@ -14,51 +14,51 @@
 
 use crate::error::Error;
 
-/// Causes that take less than this of what is asked are put together.
+/// Causes below this share of the demand in every day are summed up in one row.
 const SMALL: f64 = 0.002;
 
-/// A run, as far as it is read.
+/// A journal entry of a run; other fields are ignored.
 #[derive(Debug, Deserialize)]
 pub struct Entry {
     /// The deployment.
     pub site: String,
-    /// The days that were played.
+    /// The days that were replayed.
     pub days: Vec<Day>,
 }
 
-/// A day that was played.
+/// A replayed day.
 #[derive(Debug, Deserialize)]
 pub struct Day {
-    /// Its name.
+    /// The name of the day.
     pub name: String,
-    /// What it is worth, in parts of what is asked.
+    /// The worth as a fraction of the demand.
     #[serde(rename = "G")]
     pub worth: f64,
     parts: Vec<Part>,
     prices: Vec<Price>,
 }
 
-/// A part of the credit: its name, its weight, and what was earned of it.
+/// A part of the credit: its name, its weight and the fraction that was earned.
 #[derive(Debug, Deserialize)]
 struct Part(String, f64, f64);
 
-/// A price: what is paid for, how much of it, and the price in parts of what is asked.
+/// A price: its name, the quantity, and the price as a fraction of the demand.
 #[derive(Debug, Deserialize)]
 struct Price(
     String,
-    #[expect(dead_code, reason = "the file has it")] f64,
+    #[expect(dead_code, reason = "part of the file format")] f64,
     f64,
 );
 
-/// The command line.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("worth")
-        .about("Prints where the worth of played days went, from entries of the journal")
+        .about("Prints by cause how much worth the days of journal entries lost")
         .arg(
             Arg::new("entry")
                 .value_name("FILE")
-                .help("Entries of the journal")
+                .help("Journal entries of the users' bench")
                 .value_parser(value_parser!(PathBuf))
                 .action(ArgAction::Append)
                 .num_args(1..)
@@ -69,7 +69,7 @@
 /// Prints a table of causes for each entry.
 ///
 /// # Errors
-/// [`Error::Measure`] when an entry can't be read.
+/// [`Error::Measure`] if an entry can't be read.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     for path in matches.get_many::<PathBuf>("entry").unwrap_or_default() {
         let file = File::open(path).change_context(Error::Measure)?;
@@ -79,8 +79,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// A line a cause, the largest on the first day first. Each column adds up to what
-/// the day's worth is short of 1.
+/// Returns a table with a row per cause, in decreasing order of the first day's loss, and a
+/// column per day. The last row is the difference between 1 and the worth of the day.
 #[must_use]
 pub fn table(entry: &Entry) -> String {
     let days: Vec<Vec<(String, f64)>> = entry.days.iter().map(Day::causes).collect();
--- a/xtask/tests/capacity.rs
+++ b/xtask/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The fit behind the capacity page, on points whose growth is known.
+//! Tests of the least-squares fit on points with known growth.
 
 use expect_test::{Expect, expect};
 use xtask::capacity::Fit;
--- a/xtask/tests/load.rs
+++ b/xtask/tests/load.rs
@@ -1,4 +1,4 @@
-//! The parts of the load chore that need no processes.
+//! Tests of the parts of the load task that need no processes.
 
 use std::time::Duration;
 
--- a/xtask/tests/pages.rs
+++ b/xtask/tests/pages.rs
@@ -1,4 +1,4 @@
-//! What the pages say of runs of the bench.
+//! Checks references to bench runs in the documentation.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
     }
 }
 
-/// The ids of runs in a text: `20261203T084440-73bce9e5`.
+/// Returns the run ids in a text, such as `20261203T084440-73bce9e5`.
 fn runs(text: &str) -> Vec<&str> {
     let is_run = |it: &&str| {
         let Some((at, id)) = it.split_once('-') else {
@@ -33,16 +33,16 @@
     words.filter(is_run).collect()
 }
 
-/// Why a run shows nothing, if it doesn't.
+/// Returns why a run must not be cited, or `None` if it finished successfully.
 fn fault(run: &str) -> Option<String> {
     let path = root().join("journal").join(format!("{run}.json"));
     let Ok(text) = fs::read_to_string(&path) else {
-        return Some("it isn't in the journal".to_owned());
+        return Some("the journal has no entry of the run".to_owned());
     };
     let entry: Value = serde_json::from_str(&text).unwrap();
     let end = entry["at"][1].as_str().unwrap_or_default();
     let is_whole = !end.is_empty() && entry["ok"] == true;
-    (!is_whole).then(|| format!("it didn't finish: {}", entry["error"]))
+    (!is_whole).then(|| format!("the run did not finish successfully: {}", entry["error"]))
 }
 
 #[test]
@@ -54,7 +54,7 @@
     );
 }
 
-/// A page gives the figures of a run that was ended by hand.
+/// Guards against pages that cite figures of an aborted or failed run.
 #[test]
 fn each_run_that_a_page_names_has_finished() {
     let mut found = Vec::new();
--- a/xtask/tests/reconcile.rs
+++ b/xtask/tests/reconcile.rs
@@ -1,4 +1,4 @@
-//! What the callers were told, set against the stand-ins' records.
+//! Tests of the comparison of responses to callers with the stand-ins' records.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use xtask::reconcile::{Allowed, Bill, Evidence, Sessions, Tally, Withdrawal};
 use xtask::workload::{Kind, Plan};
 
-/// Counts one call against the evidence; the checked field is the closure's.
+/// Checks the field of the tally of one call that `field` selects.
 fn check<T: PartialEq + std::fmt::Debug>(
     call: Call,
     evidence: &Evidence,
@@ -35,8 +35,8 @@
 
 #[test]
 fn a_spliced_answer_is_lost() {
-    // A restorer reads a plan that starts with one attempt's words and ends with
-    // another's: the host went on with a second attempt after the first was cut.
+    // A host that continues an interrupted response with a second attempt mixes the output of
+    // two attempts.
     let text = whole("c1.0").replace("[[end=7", "[[end=8");
     let call = call(Kind::EraTag, [answered(&text)]);
     check(call, &evidence(), |it| it.lost, &1);
@@ -63,8 +63,7 @@
 
 #[test]
 fn not_run_of_a_request_on_record_is_false() {
-    // A family is told that the booking was not made, books again, and pays twice:
-    // the host called a request "not run" that the ticketing application had run.
+    // A caller who gets "not run" for a booking that was executed books again and pays twice.
     let call = call(Kind::Booking, [refused("r1", problem::Run::NotRun)]);
     check(call.clone(), &ran(1), |it| it.not_run_but_ran, &1);
     check(call, &evidence(), |it| it.not_run_but_ran, &0);
--- a/xtask/tests/worth.rs
+++ b/xtask/tests/worth.rs
@@ -1,4 +1,4 @@
-//! Where the worth of played days went.
+//! Tests of the breakdown of lost worth.
 
 use expect_test::expect;
 use xtask::worth::{Entry, table};
