--- a/xtask/src/caller.rs
+++ b/xtask/src/caller.rs
@@ -19,16 +19,16 @@
 
 use crate::caller::hosts::Hosts;
 
-pub use events::read;
-pub use record::{Answer, Call, End, Refusal, Try};
-pub use request::Ask;
+pub use events::parse_stream;
+pub use record::{Call, CallResponse, Outcome, Refusal, Try};
+pub use request::PlannedCall;
 
 /// Maximum number of tries of one call.
 const MAX_TRIES: usize = 6;
 /// Delay before the next try where the refusal names none.
-const PAUSE: Duration = Duration::from_millis(150);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Maximum delay between two tries.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Maximum size of a response body in bytes.
 const BODY_LIMIT: usize = 4 << 20;
 
@@ -42,12 +42,12 @@
 }
 
 impl Caller {
-    /// Creates a caller that asks the hosts at `start` for the list of hosts.
+    /// Creates a caller that asks the hosts at `initial_hosts` for the list of hosts.
     #[must_use]
     pub fn new(
         clock: Arc<dyn Clock>,
         client: Client,
-        start: Vec<SocketAddr>,
+        initial_hosts: Vec<SocketAddr>,
         data_centre: &str,
         key: String,
     ) -> Self {
@@ -57,7 +57,7 @@
             total: Duration::from_secs(12),
             retry_policy: RetryPolicy::Never,
         };
-        let hosts = Hosts::new(Arc::clone(&clock), start, data_centre);
+        let hosts = Hosts::new(Arc::clone(&clock), initial_hosts, data_centre);
         Self {
             clock,
             client,
@@ -68,7 +68,7 @@
     }
 
     /// Makes one call, with retries.
-    pub async fn call(&self, ask: &Ask) -> Call {
+    pub async fn call(&self, planned: &PlannedCall) -> Call {
         let started = self.clock.now();
         let mut tries: Vec<Try> = Vec::new();
         let mut ticket = None;
@@ -76,53 +76,58 @@
             let avoid: Vec<_> = tries.iter().map(|it| it.host).collect();
             let Some(target) = self
                 .hosts
-                .choose(&self.client, &self.key, ask, &avoid)
+                .choose(&self.client, &self.key, planned, &avoid)
                 .await
             else {
-                task::sleep(PAUSE).await;
-                tries.push(Try::nowhere());
+                task::sleep(DEFAULT_RETRY_DELAY).await;
+                tries.push(Try::without_host());
                 continue;
             };
             let ticket = ticket.get_or_insert(target.ticket);
-            let request = ask.request(&self.key, ticket);
+            let request = planned.request(&self.key, ticket);
             let res = self
                 .client
                 .send(target.address, request, &self.options)
                 .await;
-            let end = match res {
-                Ok(res) => outcome(ask, res).await,
-                Err(err) => End::Failed(err.to_string()),
+            let outcome = match res {
+                Ok(res) => read_response(planned, res).await,
+                Err(err) => Outcome::Failed(err.to_string()),
             };
-            if matches!(end, End::Failed(_)) {
-                self.hosts.forget(target.address);
+            if matches!(outcome, Outcome::Failed(_)) {
+                self.hosts.invalidate(target.address);
             }
-            let pause = pause(&end);
+            let delay = retry_delay(&outcome);
             tries.push(Try {
                 host: target.address,
-                end,
+                outcome,
             });
-            match pause {
-                Some(pause) => task::sleep(pause).await,
+            match delay {
+                Some(delay) => task::sleep(delay).await,
                 None => break,
             }
         }
         Call {
-            name: ask.name.clone(),
-            kind: ask.kind,
-            customer: ask.customer,
+            name: planned.name.clone(),
+            kind: planned.kind,
+            customer: planned.customer,
             tries,
-            took: self.clock.now().saturating_sub(started),
+            duration: self.clock.now().saturating_sub(started),
         }
     }
 }
 
 /// Returns the delay before the next try, or `None` if the call is not retried.
-fn pause(end: &End) -> Option<Duration> {
-    match end {
-        End::Answered(_) => None,
-        End::Failed(_) => Some(PAUSE),
-        End::Refused(refusal) if is_final(refusal.reason) => None,
-        End::Refused(refusal) => Some(refusal.retry_after.unwrap_or(PAUSE).min(LONGEST_PAUSE)),
+fn retry_delay(outcome: &Outcome) -> Option<Duration> {
+    match outcome {
+        Outcome::Completed(_) => None,
+        Outcome::Failed(_) => Some(DEFAULT_RETRY_DELAY),
+        Outcome::Refused(refusal) if is_final(refusal.reason) => None,
+        Outcome::Refused(refusal) => Some(
+            refusal
+                .retry_after
+                .unwrap_or(DEFAULT_RETRY_DELAY)
+                .min(MAX_RETRY_DELAY),
+        ),
     }
 }
 
@@ -141,9 +146,9 @@
     )
 }
 
-async fn outcome(ask: &Ask, res: Response) -> End {
+async fn read_response(planned: &PlannedCall, res: Response) -> Outcome {
     let header = |name: &str| res.headers.get(name).unwrap_or_default().to_owned();
-    let answer = Answer {
+    let response = CallResponse {
         request: header("barleypin-request"),
         version: header("barleypin-version"),
         cost_microcents: header("barleypin-cost-microcents").parse().ok(),
@@ -155,20 +160,20 @@
     let streamed = header("content-type").starts_with("text/event-stream");
     let body = match res.body.collect(BODY_LIMIT).await {
         Ok(it) => it,
-        Err(err) => return End::Failed(err.to_string()),
+        Err(err) => return Outcome::Failed(err.to_string()),
     };
     if !status.is_success() {
-        return refusal(&body);
+        return parse_refusal(&body);
     }
     if streamed {
-        return events::read(&body, answer);
+        return events::parse_stream(&body, response);
     }
-    ask.read(&body, answer)
+    planned.parse_response(&body, response)
 }
 
-fn refusal(body: &[u8]) -> End {
+fn parse_refusal(body: &[u8]) -> Outcome {
     match serde_json::from_slice::<Problem>(body) {
-        Ok(it) => End::Refused(Refusal {
+        Ok(it) => Outcome::Refused(Refusal {
             request: it.request,
             reason: it.reason,
             run: it.run,
@@ -176,7 +181,7 @@
         }),
         // An error response of the service itself, relayed by the host. The service may
         // have executed the call.
-        Err(_) => End::Refused(Refusal {
+        Err(_) => Outcome::Refused(Refusal {
             request: String::new(),
             reason: Reason::UpstreamFailed,
             run: Run::Unknown,
--- a/xtask/src/caller/hosts.rs
+++ b/xtask/src/caller/hosts.rs
@@ -7,8 +7,8 @@
 use http::{Client, Options, Request};
 use kernel::Clock;
 
-use crate::caller::Ask;
-use crate::workload::Repeat;
+use crate::caller::PlannedCall;
+use crate::workload::CallRetryPolicy;
 
 const BODY_LIMIT: usize = 1 << 20;
 
@@ -16,8 +16,8 @@
 pub(crate) struct Hosts {
     clock: Arc<dyn Clock>,
     data_centre: String,
-    start: Vec<SocketAddr>,
-    kept: Mutex<Option<Kept>>,
+    bootstrap: Vec<SocketAddr>,
+    cached: Mutex<Option<CachedHosts>>,
 }
 
 /// The host and the ticket of a try.
@@ -28,21 +28,25 @@
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
-    until: Duration,
+struct CachedHosts {
+    expires_at: Duration,
     hosts: Vec<SocketAddr>,
     /// The host that issued the ticket. Only this host may run an at-most-once call with it.
-    minted_by: SocketAddr,
+    issuer: SocketAddr,
     ticket: String,
 }
 
 impl Hosts {
-    pub(crate) fn new(clock: Arc<dyn Clock>, start: Vec<SocketAddr>, data_centre: &str) -> Self {
+    pub(crate) fn new(
+        clock: Arc<dyn Clock>,
+        bootstrap: Vec<SocketAddr>,
+        data_centre: &str,
+    ) -> Self {
         Self {
             clock,
             data_centre: data_centre.to_owned(),
-            start,
-            kept: Mutex::new(None),
+            bootstrap,
+            cached: Mutex::new(None),
         }
     }
 
@@ -53,54 +57,54 @@
         &self,
         client: &Client,
         key: &str,
-        ask: &Ask,
+        planned: &PlannedCall,
         avoid: &[SocketAddr],
     ) -> Option<Target> {
-        let kept = self.kept_or_asked(client, key, avoid).await?;
-        let first = match ask.kind.repeat() {
-            Repeat::AtMostOnce if avoid.is_empty() => Some(kept.minted_by),
-            _ => kept.hosts.iter().find(|it| !avoid.contains(it)).copied(),
+        let cached = self.cached_or_fetched(client, key, avoid).await?;
+        let first = match planned.kind.retry_policy() {
+            CallRetryPolicy::AtMostOnce if avoid.is_empty() => Some(cached.issuer),
+            _ => cached.hosts.iter().find(|it| !avoid.contains(it)).copied(),
         };
         Some(Target {
-            address: first.or(kept.hosts.first().copied())?,
-            ticket: kept.ticket,
+            address: first.or(cached.hosts.first().copied())?,
+            ticket: cached.ticket,
         })
     }
 
     /// Drops the cached response if it names or came from the failed host `address`.
-    pub(crate) fn forget(&self, address: SocketAddr) {
-        let mut kept = self.lock();
-        if kept
+    pub(crate) fn invalidate(&self, address: SocketAddr) {
+        let mut cached = self.lock();
+        if cached
             .as_ref()
-            .is_some_and(|it| it.hosts.contains(&address) || it.minted_by == address)
+            .is_some_and(|it| it.hosts.contains(&address) || it.issuer == address)
         {
-            *kept = None;
+            *cached = None;
         }
     }
 
-    async fn kept_or_asked(
+    async fn cached_or_fetched(
         &self,
         client: &Client,
         key: &str,
         avoid: &[SocketAddr],
-    ) -> Option<Kept> {
+    ) -> Option<CachedHosts> {
         let now = self.clock.now();
         let known = self.lock().clone();
-        if let Some(kept) = known.filter(|it| it.until > now) {
-            return Some(kept);
+        if let Some(cached) = known.filter(|it| it.expires_at > now) {
+            return Some(cached);
         }
         let (tried, fresh): (Vec<SocketAddr>, Vec<SocketAddr>) =
-            self.start.iter().partition(|it| avoid.contains(it));
+            self.bootstrap.iter().partition(|it| avoid.contains(it));
         for host in fresh.into_iter().chain(tried) {
-            if let Some(kept) = self.ask(client, key, host).await {
-                *self.lock() = Some(kept.clone());
-                return Some(kept);
+            if let Some(cached) = self.fetch(client, key, host).await {
+                *self.lock() = Some(cached.clone());
+                return Some(cached);
             }
         }
         None
     }
 
-    async fn ask(&self, client: &Client, key: &str, host: SocketAddr) -> Option<Kept> {
+    async fn fetch(&self, client: &Client, key: &str, host: SocketAddr) -> Option<CachedHosts> {
         let request = Request::get(format!("/v1/hosts?data_centre={}", self.data_centre))
             .header("authorization", format!("Bearer {key}"));
         let options = Options {
@@ -113,21 +117,21 @@
         if !res.status.is_success() {
             return None;
         }
-        let answer: gate::hosts::Answer = res.body.parse(BODY_LIMIT).await.ok()?;
-        let hosts: Vec<_> = answer
+        let response: gate::hosts::Answer = res.body.parse(BODY_LIMIT).await.ok()?;
+        let hosts: Vec<_> = response
             .hosts
             .iter()
             .filter_map(|it| it.address.parse().ok())
             .collect();
-        (!hosts.is_empty()).then_some(Kept {
-            until: self.clock.now() + Duration::from_millis(answer.keep_ms),
+        (!hosts.is_empty()).then_some(CachedHosts {
+            expires_at: self.clock.now() + Duration::from_millis(response.keep_ms),
             hosts,
-            minted_by: host,
-            ticket: answer.ticket,
+            issuer: host,
+            ticket: response.ticket,
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<Kept>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Option<CachedHosts>> {
+        self.cached.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/xtask/src/caller/record.rs
+++ b/xtask/src/caller/record.rs
@@ -19,7 +19,7 @@
     /// The tries in order, at least one.
     pub tries: Vec<Try>,
     /// The time from the start of the first try to the end of the last one.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 /// One try of a call at a host. The host may make several attempts at endpoints for it.
@@ -28,14 +28,14 @@
     /// The host's address; unspecified if no host was known.
     pub host: SocketAddr,
     /// The result.
-    pub end: End,
+    pub outcome: Outcome,
 }
 
 /// The result of a try.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// The host sent a success response.
-    Answered(Answer),
+    Completed(CallResponse),
     /// The host or the service sent an error.
     Refused(Refusal),
     /// No complete response came, for this reason.
@@ -44,7 +44,7 @@
 
 /// A success response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct CallResponse {
     /// The host's id of the request.
     pub request: String,
     /// The version that served the request, according to the host.
@@ -75,18 +75,22 @@
 impl Call {
     /// Returns the result of the last try.
     #[must_use]
-    pub fn end(&self) -> &End {
-        &self.tries.last().expect("a call has at least one try").end
+    pub fn outcome(&self) -> &Outcome {
+        &self
+            .tries
+            .last()
+            .expect("a call has at least one try")
+            .outcome
     }
 }
 
 impl Try {
     /// Returns a failed try for which no host was known.
     #[must_use]
-    pub(crate) fn nowhere() -> Self {
+    pub(crate) fn without_host() -> Self {
         Self {
             host: (Ipv4Addr::UNSPECIFIED, 0).into(),
-            end: End::Failed("no host responded with a list of hosts".to_owned()),
+            outcome: Outcome::Failed("no host responded with a list of hosts".to_owned()),
         }
     }
 }
--- a/xtask/src/caller/request.rs
+++ b/xtask/src/caller/request.rs
@@ -3,12 +3,12 @@
 use http::{Body, Method, Request};
 use serde_json::{Value, json};
 
-use crate::caller::{Answer, End};
+use crate::caller::{CallResponse, Outcome};
 use crate::workload::{Kind, Route};
 
 /// A call to be made.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PlannedCall {
     /// The caller's name for the call, also its idempotency key.
     pub name: String,
     /// The kind of work.
@@ -21,14 +21,14 @@
     pub session: Option<String>,
 }
 
-impl Ask {
+impl PlannedCall {
     /// Returns the HTTP request, which is the same for every try.
     pub(crate) fn request(&self, key: &str, ticket: &str) -> Request {
         let request = match self.kind.route() {
             Route::Chat { profile, class } => {
-                Request::post("/v1/chat/completions", &self.chat(profile, class))
+                Request::post("/v1/chat/completions", &self.chat_body(profile, class))
             }
-            Route::Plain { method, path } => self.plain(method, path),
+            Route::Plain { method, path } => self.plain_request(method, path),
         };
         let request = request
             .header("authorization", format!("Bearer {key}"))
@@ -42,19 +42,19 @@
     }
 
     /// Parses a response that is not streamed.
-    pub(crate) fn read(&self, body: &[u8], answer: Answer) -> End {
+    pub(crate) fn parse_response(&self, body: &[u8], response: CallResponse) -> Outcome {
         let Ok(body) = serde_json::from_slice::<Value>(body) else {
-            return End::Failed("the response is not JSON".to_owned());
+            return Outcome::Failed("the response is not JSON".to_owned());
         };
         let text = match self.kind.route() {
             Route::Chat { .. } => &body["choices"][0]["message"]["content"],
             Route::Plain { .. } => &body["call"],
         };
         let text = text.as_str().unwrap_or_default().to_owned();
-        End::Answered(Answer { text, ..answer })
+        Outcome::Completed(CallResponse { text, ..response })
     }
 
-    fn chat(&self, profile: &str, class: &str) -> Value {
+    fn chat_body(&self, profile: &str, class: &str) -> Value {
         let messages: Vec<_> = self
             .messages
             .iter()
@@ -69,7 +69,7 @@
         })
     }
 
-    fn plain(&self, method: &str, path: &str) -> Request {
+    fn plain_request(&self, method: &str, path: &str) -> Request {
         let target = format!("/services/{path}");
         if method == "GET" {
             return Request::get(format!("{target}?call={}", self.name));
--- a/xtask/src/capacity/decisions.rs
+++ b/xtask/src/capacity/decisions.rs
@@ -22,7 +22,7 @@
 const RUNS: usize = 5;
 const WARM_UP: u32 = 5_000;
 const REQUESTS: u32 = 5_000;
-const ALLOWED: usize = 4;
+const ALLOWED_VERSIONS: usize = 4;
 
 #[derive(Clone, Copy)]
 struct Sizes {
@@ -80,17 +80,23 @@
     let mut now = Duration::from_mins(1);
     for number in 0..WARM_UP {
         now += Duration::from_millis(1);
-        play(&mut core, now, number, sizes, &mut actions);
+        run_request(&mut core, now, number, sizes, &mut actions);
     }
     let start = Instant::now();
     for number in WARM_UP..WARM_UP + REQUESTS {
         now += Duration::from_millis(1);
-        play(&mut core, now, number, sizes, &mut actions);
+        run_request(&mut core, now, number, sizes, &mut actions);
     }
     start.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
 }
 
-fn play(core: &mut Decider, now: Duration, number: u32, sizes: Sizes, actions: &mut Vec<Action>) {
+fn run_request(
+    core: &mut Decider,
+    now: Duration,
+    number: u32,
+    sizes: Sizes,
+    actions: &mut Vec<Action>,
+) {
     actions.clear();
     core.handle(now, Event::Arrive(arrival(number, sizes)), actions);
     // Each dispatched attempt responds at once. Its response may add further actions.
@@ -138,7 +144,7 @@
 
 fn policy(sizes: Sizes) -> Policy {
     let versions: Vec<_> = (0..sizes.versions).map(version).collect();
-    let allowed: Vec<_> = (0..ALLOWED).map(key::Version::at).collect();
+    let allowed: Vec<_> = (0..ALLOWED_VERSIONS).map(key::Version::at).collect();
     let customers: Vec<_> = (0..sizes.customers).map(customer).collect();
     let allowances = (0..customers.len()).map(|it| Allowance {
         customer: key::Customer::at(it),
--- a/xtask/src/capacity/document.rs
+++ b/xtask/src/capacity/document.rs
@@ -50,7 +50,7 @@
 }
 
 fn text(profiles: u32) -> String {
-    let versions = named(
+    let versions = object(
         VERSIONS,
         |it| format!("model-{}@{}", it / 4, it % 4),
         |_| {
@@ -61,13 +61,13 @@
             })
         },
     );
-    let customers = named(
+    let customers = object(
         CUSTOMERS,
         |it| format!("customer-{it}"),
         |it| json!({"key_blake3": format!("{it:064x}"), "rate_per_s": 100, "burst": 100}),
     );
-    let grants = named(CUSTOMERS, |it| format!("customer-{it}"), |_| json!({}));
-    let profiles = named(
+    let grants = object(CUSTOMERS, |it| format!("customer-{it}"), |_| json!({}));
+    let profiles = object(
         profiles,
         |it| format!("profile-{it}"),
         |_| {
@@ -89,7 +89,7 @@
     serde_json::to_string(&document).expect("a document can be serialized to JSON")
 }
 
-fn named(count: u32, name: impl Fn(u32) -> String, value: impl Fn(u32) -> Value) -> Value {
+fn object(count: u32, name: impl Fn(u32) -> String, value: impl Fn(u32) -> Value) -> Value {
     let entries = (0..count).map(|it| (name(it), value(it)));
     Value::Object(entries.collect())
 }
--- a/xtask/src/capacity/fit.rs
+++ b/xtask/src/capacity/fit.rs
@@ -39,18 +39,22 @@
     /// Fits `(size, value)` points, of which at least two have different sizes.
     #[must_use]
     pub fn of(points: &[(f64, f64)]) -> Self {
-        let (base, slope) = line(points);
+        let (base, slope) = least_squares(points);
         let mean = mean(points.iter().map(|it| it.1));
         let total: f64 = points.iter().map(|it| (it.1 - mean).powi(2)).sum();
-        let rest = points.iter().map(|it| (it.1 - base - slope * it.0).powi(2));
-        let rest: f64 = rest.sum();
+        let residual = points.iter().map(|it| (it.1 - base - slope * it.0).powi(2));
+        let residual: f64 = residual.sum();
         let positive = points.iter().all(|it| it.0 > 0.0 && it.1 > 0.0);
         let logs: Vec<_> = points.iter().map(|it| (it.0.ln(), it.1.ln())).collect();
         Self {
             base,
             slope,
-            r_squared: if total > 0.0 { 1.0 - rest / total } else { 1.0 },
-            power: positive.then(|| line(&logs).1),
+            r_squared: if total > 0.0 {
+                1.0 - residual / total
+            } else {
+                1.0
+            },
+            power: positive.then(|| least_squares(&logs).1),
         }
     }
 
@@ -73,7 +77,7 @@
 }
 
 /// Returns the intercept and slope of the least-squares line.
-fn line(points: &[(f64, f64)]) -> (f64, f64) {
+fn least_squares(points: &[(f64, f64)]) -> (f64, f64) {
     let mean_x = mean(points.iter().map(|it| it.0));
     let mean_y = mean(points.iter().map(|it| it.1));
     let products = points.iter().map(|it| (it.0 - mean_x) * (it.1 - mean_y));
--- a/xtask/src/capacity/processes.rs
+++ b/xtask/src/capacity/processes.rs
@@ -19,7 +19,7 @@
 const WATCH_TIME: Duration = Duration::from_secs(8);
 const CHANGES: u64 = 5;
 const POLL: Duration = Duration::from_millis(5);
-const CHANGE_LIMIT: Duration = Duration::from_secs(20);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The measurements at one fleet size.
 struct Figures {
@@ -34,7 +34,7 @@
     let binaries = Binaries::build(Profile::Release)?;
     let mut all = Vec::new();
     for size in SIZES {
-        all.push(watch(&binaries, size).await?);
+        all.push(measure_fleet(&binaries, size).await?);
     }
     let series = |name: &str, unit, value: fn(&Figures) -> Vec<f64>| {
         let samples = all.iter().map(|it| Sample::of(it.size, value(it)));
@@ -56,22 +56,23 @@
     ])
 }
 
-async fn watch(binaries: &Binaries, hosts: u32) -> Result<Figures, Report<Error>> {
+async fn measure_fleet(binaries: &Binaries, hosts: u32) -> Result<Figures, Report<Error>> {
     let mut site = Site::start(binaries.clone(), &stand_ins())?;
     for number in 0..hosts {
         let data_centre = DATA_CENTRES[usize::try_from(number).unwrap_or(0) % DATA_CENTRES.len()];
-        site.add(&format!("entry-{number}"), data_centre).await?;
+        site.add_host(&format!("entry-{number}"), data_centre)
+            .await?;
     }
-    site.alive().await?;
+    site.wait_until_alive().await?;
     let version = json!({
         "prompt_microcents_per_million": 1, "completion_microcents_per_million": 1,
     });
     let mut revision = site.operator().put("versions/some@1", 0, &version).await?;
-    site.ready().await?;
+    site.wait_until_ready().await?;
     // Leaves the hosts time to discover each other, which is not measured.
     task::sleep(WATCH_TIME / 2).await;
     let usage = |site: &Site| -> Result<Vec<Usage>, Report<Error>> {
-        site.entries
+        site.entry_hosts
             .iter()
             .map(|it| Usage::of(it.process.id()))
             .collect()
@@ -86,7 +87,7 @@
             .operator()
             .put("versions/some@1", revision, &version)
             .await?;
-        everywhere(&site, revision).await?;
+        wait_for_revision(&site, revision).await?;
         in_force_s.push(start.elapsed().as_secs_f64());
     }
     let spent = after
@@ -109,10 +110,10 @@
 }
 
 /// Waits until every host has the revision or a newer one.
-async fn everywhere(site: &Site, revision: u64) -> Result<(), Report<Error>> {
+async fn wait_for_revision(site: &Site, revision: u64) -> Result<(), Report<Error>> {
     let operator = site.operator();
-    let end = Instant::now() + CHANGE_LIMIT;
-    for entry in &site.entries {
+    let end = Instant::now() + CHANGE_TIMEOUT;
+    for entry in &site.entry_hosts {
         loop {
             let document = operator.get(entry.operators, "document").await?;
             if document["revision"]
@@ -122,7 +123,7 @@
                 break;
             }
             if Instant::now() > end {
-                return Err(Report::new(Error::Measure)
+                return Err(Report::new(Error::Measurement)
                     .attach(format!("{} did not reach revision {revision}", entry.name)));
             }
             task::sleep(POLL).await;
--- a/xtask/src/days.rs
+++ b/xtask/src/days.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask days`: replays the recorded days under `deploy/days/`. Each day has one kind
-//! of failure or a pair of them.
+//! `cargo xtask days`: replays the days under `deploy/days/`. Each day has one kind of
+//! failure or a pair of them.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 use crate::error::Error;
 
 /// Folder of the days, relative to the root of the repository.
-const FOLDER: &str = "deploy/days";
+const DAYS_DIR: &str = "deploy/days";
 
 /// Returns the definition of the subcommand.
 #[must_use]
@@ -50,7 +50,7 @@
 /// The exit code is a failure if a day broke a rule or was not replayed.
 ///
 /// # Errors
-/// [`Error::Measure`] if the folder of the days can't be read.
+/// [`Error::Measurement`] if the folder of the days can't be read.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let bench = matches.get_one::<PathBuf>("bench");
     let Some(bench) = bench.filter(|it| it.exists()) else {
@@ -58,11 +58,11 @@
         return Ok(ExitCode::SUCCESS);
     };
     let jobs = *matches.get_one::<usize>("jobs").unwrap_or(&1);
-    let mut plays = Vec::new();
+    let mut replays = Vec::new();
     for site in matches.get_many::<PathBuf>("site").unwrap_or_default() {
-        plays.extend(days()?.into_iter().map(|day| (site.clone(), day)));
+        replays.extend(days()?.into_iter().map(|day| (site.clone(), day)));
     }
-    let queue = Mutex::new(plays.into_iter());
+    let queue = Mutex::new(replays.into_iter());
     let broken = Mutex::new(0);
     thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
@@ -70,7 +70,7 @@
                 loop {
                     let next = queue.lock().expect("no thread panics with it").next();
                     let Some((site, day)) = next else { break };
-                    let line = play(bench, &site, &day);
+                    let line = replay(bench, &site, &day);
                     if line.contains("BROKEN") || line.contains("not played") {
                         *broken.lock().expect("no thread panics with it") += 1;
                     }
@@ -89,23 +89,23 @@
 }
 
 fn days() -> Result<Vec<PathBuf>, Report<Error>> {
-    let entries = fs::read_dir(FOLDER).change_context(Error::Measure)?;
+    let entries = fs::read_dir(DAYS_DIR).change_context(Error::Measurement)?;
     let mut days: Vec<PathBuf> = entries.flatten().map(|it| it.path()).collect();
     days.sort();
     Ok(days)
 }
 
 /// Replays a day and returns a line with the site, the day, and its worth or the broken rules.
-fn play(bench: &Path, site: &Path, day: &Path) -> String {
+fn replay(bench: &Path, site: &Path, day: &Path) -> String {
     let name = |it: &Path| it.file_stem().unwrap_or_default().display().to_string();
     let title = format!("{} {}", name(site), name(day));
-    let played = Process::new(bench)
+    let result = Process::new(bench)
         .arg("run")
         .args([site, day])
         .args(["--no-cpu", "--why", "a day of our own, replayed"])
         .stdin(Stdio::null())
         .output();
-    let Ok(output) = played else {
+    let Ok(output) = result else {
         return format!("{title}: not played");
     };
     let text = String::from_utf8_lossy(&output.stdout);
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -14,17 +14,17 @@
 use error_stack::Report;
 
 use crate::error::Error;
-use crate::reconcile::{Evidence, Tally};
-use crate::site::{Binaries, Entry, Profile, Site};
+use crate::reconcile::{SiteRecords, Tally};
+use crate::site::{Binaries, EntryHost, Profile, Site};
 
 /// Timeout for a drained host to hand over its records and exit.
-const DRAIN_LIMIT: Duration = Duration::from_secs(12);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("demo")
-        .about("Starts stand-ins and three hosts, runs a mixed workload and checks the responses against the records")
+        .about("Runs a mixed workload on stand-ins and three hosts and checks the responses")
         .arg(
             Arg::new("seconds")
                 .long("seconds")
@@ -62,34 +62,34 @@
 /// but shows in the figures and in the exit code.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Dev)?;
-    task::block_on(play(binaries, matches))
+    task::block_on(run_demo(binaries, matches))
 }
 
-async fn play(binaries: Binaries, matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
+async fn run_demo(binaries: Binaries, matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let seed = value::<u64>(matches, "seed");
     let length = Duration::from_secs(value(matches, "seconds"));
     let rate = f64::from(value::<u32>(matches, "rate"));
     let mut site = Site::start(binaries, &organisations::stand_ins(seed))?;
     site.settings = organisations::settings();
     for (name, data_centre) in organisations::HOSTS {
-        site.add(name, data_centre).await?;
+        site.add_host(name, data_centre).await?;
     }
-    site.alive().await?;
+    site.wait_until_alive().await?;
     let setup = organisations::configure(&site.operator()).await?;
-    site.ready().await?;
+    site.wait_until_ready().await?;
     let driver = driver::start(&site, seed, rate, length);
-    let withdrawal = script::play(&mut site, &setup, length).await?;
+    let withdrawal = script::run(&mut site, &setup, length).await?;
     let calls = driver.await;
-    let ended = drain(&mut site).await;
-    let evidence = Evidence {
+    let exits = drain(&mut site).await;
+    let site_records = SiteRecords {
         executions: site.stand_ins.executions().await?,
         runs: site.stand_ins.runs().await?,
-        bills: site.stand_ins.bills().await?,
+        billing_records: site.stand_ins.billing_records().await?,
         allowed: setup.allowed,
         withdrawal: Some(withdrawal),
     };
     let table = site.stand_ins.table().await?;
-    let tally = Tally::count(&calls, &evidence);
+    let tally = Tally::count(&calls, &site_records);
     for (name, _) in organisations::HOSTS {
         let log = site.log(name, value(matches, "logs"));
         if !log.is_empty() {
@@ -97,9 +97,9 @@
         }
     }
     drop(site);
-    report::print(&calls, &evidence, &table, &ended, &tally);
-    let held = report::is_whole(&tally);
-    Ok(if held {
+    report::print(&calls, &site_records, &table, &exits, &tally);
+    let passed = report::guarantees_hold(&tally);
+    Ok(if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -109,20 +109,20 @@
 /// Drains the hosts that still run and returns for each host whether its process exited.
 async fn drain(site: &mut Site) -> Vec<String> {
     let operator = site.operator();
-    for entry in &mut site.entries {
+    for entry in &mut site.entry_hosts {
         if entry.process.is_running() {
             // A refused drain shows below: the process does not exit.
             let _ = operator.drain(entry.operators, &entry.name).await;
         }
     }
-    let deadline = Instant::now() + DRAIN_LIMIT;
-    let ended = |entry: &mut Entry| {
+    let deadline = Instant::now() + DRAIN_TIMEOUT;
+    let exit_state = |entry: &mut EntryHost| {
         let left = deadline.saturating_duration_since(Instant::now());
-        let ended = entry.process.ends_within(left);
-        let how = if ended { "ended" } else { "did not end" };
-        format!("{} {how}", entry.name)
+        let exited = entry.process.exits_within(left);
+        let state = if exited { "ended" } else { "did not end" };
+        format!("{} {state}", entry.name)
     };
-    site.entries.iter_mut().map(ended).collect()
+    site.entry_hosts.iter_mut().map(exit_state).collect()
 }
 
 fn value<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> T {
--- a/xtask/src/demo/driver.rs
+++ b/xtask/src/demo/driver.rs
@@ -8,10 +8,10 @@
 use async_std::task;
 use futures::future::join_all;
 
-use crate::caller::{Ask, Call, Caller, End};
+use crate::caller::{Call, Caller, Outcome, PlannedCall};
 use crate::demo::organisations;
 use crate::site::Site;
-use crate::workload::{Item, Plan, prompt};
+use crate::workload::{Item, Schedule, prompt};
 
 /// Pause between a response and the next message of a conversation. It lets conversations
 /// span the changes of the script.
@@ -27,7 +27,7 @@
     length: Duration,
 ) -> impl Future<Output = Vec<Call>> + use<> {
     let mut callers = Callers::new();
-    let items = Plan::draw(seed, rate, length).items;
+    let items = Schedule::generate(seed, rate, length).items;
     let tasks: Vec<_> = items
         .into_iter()
         .map(|item| {
@@ -44,20 +44,20 @@
 /// Returns the caller of an item. Each customer has one caller per entry host, in the data
 /// centre of that host.
 fn caller(site: &Site, callers: &mut Callers, item: &Item) -> Arc<Caller> {
-    let place = item.number as usize % site.entries.len();
+    let host_index = item.number as usize % site.entry_hosts.len();
     let customer = item.customer();
     let make = || {
         let mut start = site.callers();
-        start.rotate_left(place);
+        start.rotate_left(host_index);
         Arc::new(Caller::new(
             Arc::clone(&site.clock),
             site.client.clone(),
             start,
-            &site.entries[place].data_centre,
+            &site.entry_hosts[host_index].data_centre,
             organisations::key(customer),
         ))
     };
-    Arc::clone(callers.entry((customer, place)).or_insert_with(make))
+    Arc::clone(callers.entry((customer, host_index)).or_insert_with(make))
 }
 
 /// Makes the calls of one item in turn, each with the messages before it. Stops after a call
@@ -71,22 +71,22 @@
             task::sleep(THINK_TIME).await;
         }
         messages.push(("user", prompt(item, turn)));
-        let ask = Ask {
+        let planned = PlannedCall {
             name: item.call(turn),
             kind: item.kind,
             customer: item.customer(),
             messages: messages.clone(),
             session: session.clone(),
         };
-        let call = caller.call(&ask).await;
-        let answer = match call.end() {
-            End::Answered(answer) => Some(answer.clone()),
+        let call = caller.call(&planned).await;
+        let response = match call.outcome() {
+            Outcome::Completed(response) => Some(response.clone()),
             _ => None,
         };
         calls.push(call);
-        let Some(answer) = answer else { break };
-        messages.push(("assistant", answer.text));
-        session = answer.session.or(session);
+        let Some(response) = response else { break };
+        messages.push(("assistant", response.text));
+        session = response.session.or(session);
     }
     calls
 }
--- a/xtask/src/demo/organisations.rs
+++ b/xtask/src/demo/organisations.rs
@@ -11,7 +11,7 @@
 use toml::{Table, toml};
 
 use crate::error::Error;
-use crate::reconcile::Allowed;
+use crate::reconcile::AllowedVersions;
 use crate::site::Operator;
 
 /// The entry hosts and their data centres.
@@ -22,11 +22,11 @@
 ];
 
 /// The version that is rolled out.
-pub(crate) const NEW: &str = "small@2";
+pub(crate) const NEW_VERSION: &str = "small@2";
 /// The version that the new one replaces.
-pub(crate) const OLD: &str = "small@1";
+pub(crate) const OLD_VERSION: &str = "small@1";
 /// The version whose responses turn bad and which is withdrawn.
-pub(crate) const BAD: &str = "mid@1";
+pub(crate) const BAD_VERSION: &str = "mid@1";
 
 /// The customers.
 pub(crate) const CUSTOMERS: [&str; 4] =
@@ -50,7 +50,7 @@
 
 /// The result of the configuration.
 pub(crate) struct Setup {
-    pub(crate) allowed: Allowed,
+    pub(crate) allowed: AllowedVersions,
     /// The revision at which each version was created.
     pub(crate) versions: BTreeMap<&'static str, u64>,
 }
@@ -132,7 +132,7 @@
     for (name, body) in services() {
         operator.put(&format!("services/{name}"), 0, &body).await?;
     }
-    let mut allowed = Allowed::default();
+    let mut allowed = AllowedVersions::default();
     for (name, body) in profiles() {
         operator.put(&format!("profiles/{name}"), 0, &body).await?;
         allow(&mut allowed, name, &body);
@@ -255,7 +255,7 @@
 }
 
 /// Adds the versions that a profile allows to each of its customers.
-fn allow(allowed: &mut Allowed, name: &str, profile: &Value) {
+fn allow(allowed: &mut AllowedVersions, name: &str, profile: &Value) {
     let customers = profile["customers"].as_object().into_iter().flatten();
     for (customer, grant) in customers {
         let own = &grant["allow"];
--- a/xtask/src/demo/report.rs
+++ b/xtask/src/demo/report.rs
@@ -5,7 +5,7 @@
 use comfy_table::Table;
 
 use crate::caller::Call;
-use crate::reconcile::{Evidence, Line, Sessions, Tally, lines};
+use crate::reconcile::{Line, Sessions, SiteRecords, Tally, lines};
 use crate::site::TableRecords;
 use crate::workload::Route;
 
@@ -14,9 +14,9 @@
 /// Prints tables and, as the last line, the figures as JSON.
 pub(crate) fn print(
     calls: &[Call],
-    evidence: &Evidence,
+    site_records: &SiteRecords,
     table: &TableRecords,
-    ended: &[String],
+    exits: &[String],
     tally: &Tally,
 ) {
     let mut rows = Table::new();
@@ -24,31 +24,31 @@
         "work", "calls", "answered", "good", "repeated", "cost c", "billed c", "unbilled",
         "p50 ms", "p99 ms", "refused", "lost",
     ]);
-    for line in lines(calls, evidence) {
+    for line in lines(calls, site_records) {
         rows.add_row(row(&line));
     }
     println!("{rows}");
-    println!("hosts: {}", ended.join(", "));
-    println!("executions by version: {}", versions(evidence));
+    println!("hosts: {}", exits.join(", "));
+    println!("executions by version: {}", versions(site_records));
     let sessions = Sessions::count(calls);
     println!(
         "conversations: {}, moved to another version and told so: {}, not told: {}",
-        sessions.conversations, sessions.moved, sessions.switched
+        sessions.conversations, sessions.reported_moves, sessions.unreported_moves
     );
     println!(
         "table: {} reads, {} writes; executions: {} on engines, {} on services; {} billing records",
         table.reads,
         table.writes,
-        evidence.executions.len(),
-        evidence.runs.len(),
-        evidence.bills.len()
+        site_records.executions.len(),
+        site_records.runs.len(),
+        site_records.billing_records.len()
     );
     let json = serde_json::to_string(tally).expect("the figures can be serialized to JSON");
     println!("{json}");
 }
 
 /// Returns whether calls were answered and no guarantee without exceptions was violated.
-pub(crate) fn is_whole(tally: &Tally) -> bool {
+pub(crate) fn guarantees_hold(tally: &Tally) -> bool {
     let broken = [
         tally.not_run_but_ran,
         tally.lost,
@@ -65,7 +65,7 @@
         line.calls.to_string(),
         line.answered.to_string(),
         good(line),
-        line.repeated.to_string(),
+        line.retried.to_string(),
         cents(line.microcents),
         cents(line.billed),
         line.unbilled.to_string(),
@@ -76,9 +76,9 @@
     ]
 }
 
-fn versions(evidence: &Evidence) -> String {
+fn versions(site_records: &SiteRecords) -> String {
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
-    for execution in &evidence.executions {
+    for execution in &site_records.executions {
         *counts.entry(&execution.version).or_default() += 1;
     }
     let list: Vec<_> = counts.iter().map(|(id, it)| format!("{id} {it}")).collect();
--- a/xtask/src/error.rs
+++ b/xtask/src/error.rs
@@ -25,5 +25,5 @@
     Operator,
     /// A measurement failed or its input is invalid.
     #[display("the measurement failed or its input is invalid")]
-    Measure,
+    Measurement,
 }
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -55,7 +55,7 @@
 /// Runs the experiment. A debug build runs the release build of this task instead.
 ///
 /// # Errors
-/// [`Error::Measure`] if the experiment does not accept the options, [`Error::Start`] if the
+/// [`Error::Measurement`] if the experiment does not accept the options, [`Error::Start`] if the
 /// release build can't be started.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     if cfg!(debug_assertions) {
@@ -65,16 +65,16 @@
         .get_one::<String>("workload")
         .map(|it| Workload::named(it))
         .transpose()
-        .change_context(Error::Measure)?;
+        .change_context(Error::Measurement)?;
     let options = Options {
         seeds: seeds(matches),
         scenario: matches.get_one::<String>("scenario").cloned(),
         workload,
         quick: matches.get_flag("quick"),
     };
-    let report = experiment::run(&options).change_context(Error::Measure)?;
+    let report = experiment::run(&options).change_context(Error::Measurement)?;
     if matches.get_flag("json") {
-        let json = serde_json::to_string_pretty(&report).change_context(Error::Measure)?;
+        let json = serde_json::to_string_pretty(&report).change_context(Error::Measurement)?;
         println!("{json}");
     } else {
         print!("{}", report.table());
--- a/xtask/src/load.rs
+++ b/xtask/src/load.rs
@@ -5,8 +5,8 @@
 //! responses, and its latency counts from there. This avoids coordinated omission: a slow response
 //! doesn't hide the delay of the requests after it.
 
-mod measure;
-mod pace;
+mod constant_rate;
+mod measurement;
 mod report;
 mod setup;
 mod target;
@@ -20,19 +20,20 @@
 use error_stack::Report;
 
 use crate::error::Error;
-use crate::load::measure::Measure;
+use crate::load::measurement::Measurement;
 use crate::load::report::Figures;
-use crate::load::target::{Target, Work};
+use crate::load::target::{LoadKind, Target};
 use crate::site::{Binaries, Profile, Site};
 
-pub use pace::Pace;
+pub use constant_rate::ConstantRate;
 pub(crate) use setup::stand_ins;
 pub use usage::Usage;
 
 /// Number of rounds in which the stand-in and the host are measured in turn, so that other
 /// load of the machine affects both.
 const ROUNDS: u32 = 4;
-/// Duration of the load before the measurement, which fills pools and caches.
+/// Duration of the load on each target before the measurement, without the ramp-up. It fills
+/// pools and caches.
 const WARM_UP: Duration = Duration::from_secs(1);
 /// Time for the hosts to discover each other.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
@@ -77,7 +78,7 @@
 /// If the site doesn't start or the usage of a process can't be read.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Release)?;
-    let figures = task::block_on(play(binaries, matches))?;
+    let figures = task::block_on(run_load(binaries, matches))?;
     if matches.get_flag("json") {
         println!("{}", figures.json());
     } else {
@@ -86,57 +87,64 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn play(binaries: Binaries, matches: &ArgMatches) -> Result<Figures, Report<Error>> {
+async fn run_load(binaries: Binaries, matches: &ArgMatches) -> Result<Figures, Report<Error>> {
     let rate = value::<u32>(matches, "rate");
     let tokens = value::<u32>(matches, "tokens");
-    let turn = Duration::from_secs(value(matches, "seconds")) / ROUNDS;
+    let duration = Duration::from_secs(value(matches, "seconds")) / ROUNDS;
     let mut site = Site::start(binaries, &setup::stand_ins())?;
     // The second host gets no load. It holds copies of the billing records, as a host in
     // another data centre does for every host in production.
-    site.add("entry-1", "dar-1").await?;
-    site.add("entry-2", "dar-2").await?;
-    site.alive().await?;
+    site.add_host("entry-1", "dar-1").await?;
+    site.add_host("entry-2", "dar-2").await?;
+    site.wait_until_alive().await?;
     setup::configure(&site.operator()).await?;
-    site.ready().await?;
+    site.wait_until_ready().await?;
     task::sleep(SETTLE_TIME).await;
     let direct = Target::direct(&site);
     let host = Target::host(&site);
     for target in [&direct, &host] {
-        for work in [Work::Whole, Work::Stream] {
-            let mut warm_up = Measure::default();
-            target.run(work, 50, WARM_UP / 2, &mut warm_up).await;
+        for load_kind in [LoadKind::Unary, LoadKind::Streaming] {
+            let mut warm_up = Measurement::default();
+            target.run(load_kind, 50, WARM_UP / 2, &mut warm_up).await;
         }
     }
     let mut figures = Figures::new(rate, tokens);
-    let streams = tokens / setup::WORDS;
-    let usage = |idx: usize| Usage::of(site.entries[idx].process.id());
+    let streams = tokens / setup::STREAM_WORDS;
+    let usage = |idx: usize| Usage::of(site.entry_hosts[idx].process.id());
     for _ in 0..ROUNDS {
-        target_turn(&direct, &mut figures.direct, rate, streams, turn).await;
+        measure_direct(&direct, &mut figures.direct, rate, streams, duration).await;
         let (before, partner) = (usage(0)?, usage(1)?);
-        host.run(Work::Whole, rate, turn, &mut figures.host.whole)
+        host.run(LoadKind::Unary, rate, duration, &mut figures.host.unary)
             .await;
         let between = usage(0)?;
-        host.run(Work::Stream, streams, turn, &mut figures.host.stream)
-            .await;
+        host.run(
+            LoadKind::Streaming,
+            streams,
+            duration,
+            &mut figures.host.streaming,
+        )
+        .await;
         let after = usage(0)?;
-        figures.cpu_whole += between.since(&before);
-        figures.cpu_stream += after.since(&between);
+        figures.cpu_unary += between.since(&before);
+        figures.cpu_streaming += after.since(&between);
         figures.partner_cpu += usage(1)?.since(&partner);
         figures.peak_kib = after.peak_kib;
     }
     Ok(figures)
 }
 
-async fn target_turn(
+async fn measure_direct(
     target: &Target,
     pair: &mut report::Pair,
     rate: u32,
     streams: u32,
-    turn: Duration,
+    duration: Duration,
 ) {
-    target.run(Work::Whole, rate, turn, &mut pair.whole).await;
     target
-        .run(Work::Stream, streams, turn, &mut pair.stream)
+        .run(LoadKind::Unary, rate, duration, &mut pair.unary)
+        .await;
+    target
+        .run(LoadKind::Streaming, streams, duration, &mut pair.streaming)
         .await;
 }
 
--- a/xtask/src/load/pace.rs
+++ b/xtask/src/load/constant_rate.rs
@@ -4,13 +4,13 @@
 
 /// Iterator over the starts of requests at a constant rate.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct ConstantRate {
     per_second: u32,
     count: u32,
     next: u32,
 }
 
-impl Pace {
+impl ConstantRate {
     /// Schedules `per_second` requests per second for `length`.
     #[must_use]
     pub fn new(per_second: u32, length: Duration) -> Self {
@@ -23,7 +23,7 @@
     }
 }
 
-impl Iterator for Pace {
+impl Iterator for ConstantRate {
     type Item = Duration;
 
     /// Returns the start of the next request, counted from the start of the load.
--- a/xtask/src/load/measure.rs
+++ b/xtask/src/load/measurement.rs
@@ -5,37 +5,37 @@
 
 use hdrhistogram::Histogram;
 
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 /// Upper bound of the histogram, one hour. Longer times are recorded as this value.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_DURATION_US: u64 = 3_600_000_000;
 
 /// Latencies from the scheduled starts, and counts.
 #[derive(Clone, Debug)]
-pub(crate) struct Measure {
+pub(crate) struct Measurement {
     latency: Histogram<u64>,
     /// Number of complete responses.
-    pub(crate) answered: u64,
+    pub(crate) responses: u64,
     /// Number of requests without a complete response, by reason.
     pub(crate) failures: BTreeMap<String, u64>,
     /// Number of tokens received in the steady state.
     pub(crate) tokens: u64,
     /// Duration of the steady state, in which as many streams end as start.
-    pub(crate) steady: Duration,
+    pub(crate) steady_time: Duration,
     /// Time from the first scheduled start to the last response.
-    pub(crate) length: Duration,
+    pub(crate) elapsed: Duration,
 }
 
-impl Measure {
+impl Measurement {
     /// Records a complete response.
-    pub(crate) fn answer(&mut self, latency: Duration) {
+    pub(crate) fn record_response(&mut self, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         self.latency.saturating_record(micros);
-        self.answered += 1;
+        self.responses += 1;
     }
 
     /// Records a request without a complete response.
-    pub(crate) fn fail(&mut self, why: String) {
-        *self.failures.entry(why).or_default() += 1;
+    pub(crate) fn record_failure(&mut self, reason: String) {
+        *self.failures.entry(reason).or_default() += 1;
     }
 
     /// Returns a quantile of the latency.
@@ -44,13 +44,13 @@
     }
 
     /// Returns the complete responses per second.
-    pub(crate) fn answers_per_second(&self) -> f64 {
-        per_second(self.answered, self.length)
+    pub(crate) fn responses_per_second(&self) -> f64 {
+        per_second(self.responses, self.elapsed)
     }
 
     /// Returns the tokens per second in the steady state.
     pub(crate) fn tokens_per_second(&self) -> f64 {
-        per_second(self.tokens, self.steady)
+        per_second(self.tokens, self.steady_time)
     }
 }
 
@@ -59,16 +59,16 @@
     f64::from(count) / time.as_secs_f64().max(f64::EPSILON)
 }
 
-impl Default for Measure {
+impl Default for Measurement {
     fn default() -> Self {
         Self {
-            latency: Histogram::new_with_bounds(1, LONGEST_US, DIGITS)
+            latency: Histogram::new_with_bounds(1, MAX_DURATION_US, SIGNIFICANT_DIGITS)
                 .expect("the bounds and digits are valid"),
-            answered: 0,
+            responses: 0,
             failures: BTreeMap::new(),
             tokens: 0,
-            steady: Duration::ZERO,
-            length: Duration::ZERO,
+            steady_time: Duration::ZERO,
+            elapsed: Duration::ZERO,
         }
     }
 }
--- a/xtask/src/load/report.rs
+++ b/xtask/src/load/report.rs
@@ -5,8 +5,8 @@
 use comfy_table::Table;
 use serde_json::{Value, json};
 
-use crate::load::measure::Measure;
-use crate::load::setup::WORDS;
+use crate::load::measurement::Measurement;
+use crate::load::setup::STREAM_WORDS;
 
 /// The figures of both targets.
 #[derive(Debug)]
@@ -16,9 +16,9 @@
     pub(crate) direct: Pair,
     pub(crate) host: Pair,
     /// The host's processor time under the load without streaming.
-    pub(crate) cpu_whole: Duration,
+    pub(crate) cpu_unary: Duration,
     /// The host's processor time under the streaming load.
-    pub(crate) cpu_stream: Duration,
+    pub(crate) cpu_streaming: Duration,
     /// The processor time of the host that holds copies of the billing records.
     pub(crate) partner_cpu: Duration,
     /// The host's peak resident memory in KiB.
@@ -28,8 +28,8 @@
 /// The measurements of both kinds of load on one target.
 #[derive(Debug, Default)]
 pub(crate) struct Pair {
-    pub(crate) whole: Measure,
-    pub(crate) stream: Measure,
+    pub(crate) unary: Measurement,
+    pub(crate) streaming: Measurement,
 }
 
 impl Figures {
@@ -39,8 +39,8 @@
             offered_tokens,
             direct: Pair::default(),
             host: Pair::default(),
-            cpu_whole: Duration::ZERO,
-            cpu_stream: Duration::ZERO,
+            cpu_unary: Duration::ZERO,
+            cpu_streaming: Duration::ZERO,
             partner_cpu: Duration::ZERO,
             peak_kib: 0,
         }
@@ -54,10 +54,10 @@
             "added_p99_ms": self.added(0.99),
             "direct": target(&self.direct),
             "host": target(&self.host),
-            "cpu_us_per_request": per(self.cpu_whole, self.host.whole.answered),
-            "cpu_us_per_token": per(self.cpu_stream, self.streamed()),
-            "partner_cpu_us_per_request": per(self.partner_cpu, self.host.whole.answered + self.host.stream.answered),
-            "cpu_ms_total": millis(self.cpu_whole + self.cpu_stream),
+            "cpu_us_per_request": micros_per(self.cpu_unary, self.host.unary.responses),
+            "cpu_us_per_token": micros_per(self.cpu_streaming, self.streamed()),
+            "partner_cpu_us_per_request": micros_per(self.partner_cpu, self.host.unary.responses + self.host.streaming.responses),
+            "cpu_ms_total": millis(self.cpu_unary + self.cpu_streaming),
             "peak_memory_kib": self.peak_kib,
         })
     }
@@ -68,10 +68,10 @@
         for (name, pair) in [("stand-in", &self.direct), ("host", &self.host)] {
             rows.add_row([
                 name.to_owned(),
-                format!("{:.3}", millis(pair.whole.quantile(0.5))),
-                format!("{:.3}", millis(pair.whole.quantile(0.99))),
-                format!("{:.0}", pair.whole.answers_per_second()),
-                format!("{:.0}", pair.stream.tokens_per_second()),
+                format!("{:.3}", millis(pair.unary.quantile(0.5))),
+                format!("{:.3}", millis(pair.unary.quantile(0.99))),
+                format!("{:.0}", pair.unary.responses_per_second()),
+                format!("{:.0}", pair.streaming.tokens_per_second()),
                 failures(pair),
             ]);
         }
@@ -80,45 +80,47 @@
             "added by the host: p50 {:.3} ms, p99 {:.3} ms; processor {:.1} us a request, {:.2} us a token; peak memory {} KiB",
             self.added(0.5),
             self.added(0.99),
-            per(self.cpu_whole, self.host.whole.answered),
-            per(self.cpu_stream, self.streamed()),
+            micros_per(self.cpu_unary, self.host.unary.responses),
+            micros_per(self.cpu_streaming, self.streamed()),
             self.peak_kib,
         );
     }
 
     /// Returns the number of tokens that the host relayed, including the ramp-up.
     fn streamed(&self) -> u64 {
-        self.host.stream.answered * u64::from(WORDS)
+        self.host.streaming.responses * u64::from(STREAM_WORDS)
     }
 
     /// Returns the latency in milliseconds that the host adds at a quantile. It is negative if
     /// the noise of the machine exceeds it.
     fn added(&self, quantile: f64) -> f64 {
-        millis(self.host.whole.quantile(quantile)) - millis(self.direct.whole.quantile(quantile))
+        millis(self.host.unary.quantile(quantile)) - millis(self.direct.unary.quantile(quantile))
     }
 }
 
 fn failures(pair: &Pair) -> String {
-    let all = pair.whole.failures.iter().chain(&pair.stream.failures);
-    let list: Vec<_> = all.map(|(why, count)| format!("{count} {why}")).collect();
+    let all = pair.unary.failures.iter().chain(&pair.streaming.failures);
+    let list: Vec<_> = all
+        .map(|(reason, count)| format!("{count} {reason}"))
+        .collect();
     list.join("\n")
 }
 
 fn target(pair: &Pair) -> Value {
     json!({
-        "p50_ms": millis(pair.whole.quantile(0.5)),
-        "p99_ms": millis(pair.whole.quantile(0.99)),
-        "requests_per_s": pair.whole.answers_per_second(),
-        "requests_failed": pair.whole.failures,
-        "stream_p50_ms": millis(pair.stream.quantile(0.5)),
-        "stream_p99_ms": millis(pair.stream.quantile(0.99)),
-        "tokens_per_s": pair.stream.tokens_per_second(),
-        "streams_failed": pair.stream.failures,
+        "p50_ms": millis(pair.unary.quantile(0.5)),
+        "p99_ms": millis(pair.unary.quantile(0.99)),
+        "requests_per_s": pair.unary.responses_per_second(),
+        "requests_failed": pair.unary.failures,
+        "stream_p50_ms": millis(pair.streaming.quantile(0.5)),
+        "stream_p99_ms": millis(pair.streaming.quantile(0.99)),
+        "tokens_per_s": pair.streaming.tokens_per_second(),
+        "streams_failed": pair.streaming.failures,
     })
 }
 
 /// Returns `time` divided by `count` in microseconds.
-fn per(time: Duration, count: u64) -> f64 {
+fn micros_per(time: Duration, count: u64) -> f64 {
     let count = u32::try_from(count.max(1)).unwrap_or(u32::MAX);
     time.as_secs_f64() * 1e6 / f64::from(count)
 }
--- a/xtask/src/load/setup.rs
+++ b/xtask/src/load/setup.rs
@@ -11,20 +11,20 @@
 use crate::site::Operator;
 
 /// The version that responds at once, without streaming.
-pub(crate) const WHOLE: &str = "whole@1";
+pub(crate) const UNARY_VERSION: &str = "whole@1";
 /// The version whose responses are streamed.
-pub(crate) const STREAM: &str = "stream@1";
+pub(crate) const STREAMING_VERSION: &str = "stream@1";
 /// The customer's bearer key.
 pub(crate) const KEY: &str = "key-of-load";
 /// The engine's name.
 pub(crate) const ENGINE: &str = "engine";
 /// Number of words in a streamed response.
-pub(crate) const WORDS: u32 = 100;
+pub(crate) const STREAM_WORDS: u32 = 100;
 
 /// Microseconds between two tokens of a stream.
 const TOKEN_US: u64 = 10_000;
 /// Duration of a streamed response.
-pub(crate) const STREAM_TIME: Duration = Duration::from_secs(1);
+pub(crate) const STREAM_DURATION: Duration = Duration::from_secs(1);
 const MILLION: u64 = 1_000_000;
 const ANY: &str = "127.0.0.1:0";
 
@@ -44,8 +44,11 @@
     Settings {
         seed: 1,
         versions: [
-            (WHOLE.to_owned(), truth(8, 0)),
-            (STREAM.to_owned(), truth(u64::from(WORDS), TOKEN_US)),
+            (UNARY_VERSION.to_owned(), truth(8, 0)),
+            (
+                STREAMING_VERSION.to_owned(),
+                truth(u64::from(STREAM_WORDS), TOKEN_US),
+            ),
         ]
         .into(),
         table: vec![store("table")],
@@ -63,7 +66,7 @@
             incarnation: 1,
             slots: 20_000,
             queue: 20_000,
-            versions: vec![WHOLE.to_owned(), STREAM.to_owned()],
+            versions: vec![UNARY_VERSION.to_owned(), STREAMING_VERSION.to_owned()],
             fences: true,
             load_ms: 0,
             load_lag_ms: 100,
@@ -90,7 +93,7 @@
         "rate_per_s": 100_000, "burst": 100_000, "concurrency": 50_000,
     });
     operator.put("customers/load", 0, &customer).await?;
-    for id in [WHOLE, STREAM] {
+    for id in [UNARY_VERSION, STREAMING_VERSION] {
         operator.put(&format!("versions/{id}"), 0, &version).await?;
         let profile = json!({
             "allow": [id], "quality": 0.5, "cost_cap_microcents": 100 * MILLION,
--- a/xtask/src/load/target.rs
+++ b/xtask/src/load/target.rs
@@ -11,30 +11,32 @@
 use http::{Body, Client, Options, Request, RetryPolicy};
 use serde_json::json;
 
-use crate::load::measure::Measure;
-use crate::load::pace::Pace;
-use crate::load::setup::{ENGINE, KEY, STREAM, STREAM_TIME, WHOLE, profile_of};
+use crate::load::constant_rate::ConstantRate;
+use crate::load::measurement::Measurement;
+use crate::load::setup::{
+    ENGINE, KEY, STREAM_DURATION, STREAMING_VERSION, UNARY_VERSION, profile_of,
+};
 use crate::site::Site;
 
 const BODY_LIMIT: usize = 1 << 20;
 /// Prefix of a server-sent event. All but the last two events of a stream carry a token.
-const EVENT: &[u8; 6] = b"data: ";
+const EVENT_PREFIX: &[u8; 6] = b"data: ";
 
 /// The kind of load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Work {
+pub(crate) enum LoadKind {
     /// Short responses without streaming.
-    Whole,
+    Unary,
     /// Streamed responses.
-    Stream,
+    Streaming,
 }
 
-impl Work {
+impl LoadKind {
     /// Returns the duration of the ramp-up, after which as many requests end as start.
     fn ramp(self) -> Duration {
         match self {
-            Self::Whole => Duration::ZERO,
-            Self::Stream => STREAM_TIME,
+            Self::Unary => Duration::ZERO,
+            Self::Streaming => STREAM_DURATION,
         }
     }
 }
@@ -56,7 +58,7 @@
 }
 
 /// The latency of a complete response, or the reason why there is none.
-type Answered = Result<Duration, String>;
+type LatencyResult = Result<Duration, String>;
 
 impl Target {
     /// Returns the engine's stand-in as the target.
@@ -66,7 +68,7 @@
 
     /// Returns the first host as the target.
     pub(crate) fn host(site: &Site) -> Self {
-        Self::new(site, site.entries[0].callers, Path::Host)
+        Self::new(site, site.entry_hosts[0].callers, Path::Host)
     }
 
     fn new(site: &Site, address: SocketAddr, path: Path) -> Self {
@@ -79,19 +81,19 @@
         }
     }
 
-    /// Runs a load and adds its results to `measure`. Tokens count only after the ramp-up.
+    /// Runs a load and adds its results to `measurement`. Tokens count only after the ramp-up.
     pub(crate) async fn run(
         &self,
-        work: Work,
+        load_kind: LoadKind,
         per_second: u32,
         length: Duration,
-        measure: &mut Measure,
+        measurement: &mut Measurement,
     ) {
-        let ramp = work.ramp();
+        let ramp = load_kind.ramp();
         let start = Instant::now();
         let mut tokens_before = None;
         let mut tasks = Vec::new();
-        for due in Pace::new(per_second, ramp + length) {
+        for due in ConstantRate::new(per_second, ramp + length) {
             let now = self.tokens.load(Ordering::Relaxed);
             if due >= ramp && tokens_before.is_none() {
                 tokens_before = Some((now, Instant::now()));
@@ -102,40 +104,42 @@
                 task::sleep(wait).await;
             }
             let target = self.clone();
-            tasks.push(task::spawn(async move { target.ask(work, due).await }));
+            tasks.push(task::spawn(async move {
+                target.send_request(load_kind, due).await
+            }));
         }
         if let Some((before, since)) = tokens_before {
-            measure.tokens += self.tokens.load(Ordering::Relaxed) - before;
-            measure.steady += since.elapsed();
+            measurement.tokens += self.tokens.load(Ordering::Relaxed) - before;
+            measurement.steady_time += since.elapsed();
         }
-        for answered in join_all(tasks).await {
-            match answered {
-                Ok(latency) => measure.answer(latency),
-                Err(why) => measure.fail(why),
+        for result in join_all(tasks).await {
+            match result {
+                Ok(latency) => measurement.record_response(latency),
+                Err(reason) => measurement.record_failure(reason),
             }
         }
-        measure.length += start.elapsed();
+        measurement.elapsed += start.elapsed();
     }
 
-    async fn ask(&self, work: Work, due: Instant) -> Answered {
+    async fn send_request(&self, load_kind: LoadKind, due: Instant) -> LatencyResult {
         let options = Options {
             retry_policy: RetryPolicy::Idempotent,
             ..Options::default()
         };
-        let request = self.request(work);
+        let request = self.request(load_kind);
         let res = self.client.send(self.address, request, &options).await;
         let res = res.map_err(|err| err.to_string())?;
         if !res.status.is_success() {
             return Err(refusal(res.body).await);
         }
-        match work {
-            Work::Whole => drop(
+        match load_kind {
+            LoadKind::Unary => drop(
                 res.body
                     .collect(BODY_LIMIT)
                     .await
                     .map_err(|err| err.to_string())?,
             ),
-            Work::Stream => self.read(res.body).await?,
+            LoadKind::Streaming => self.read(res.body).await?,
         }
         Ok(due.elapsed())
     }
@@ -144,7 +148,10 @@
     async fn read(&self, mut body: Body) -> Result<(), String> {
         let mut end = Vec::new();
         while let Some(piece) = body.piece().await.map_err(|err| err.to_string())? {
-            let events = piece.windows(EVENT.len()).filter(|it| it == EVENT).count();
+            let events = piece
+                .windows(EVENT_PREFIX.len())
+                .filter(|it| it == EVENT_PREFIX)
+                .count();
             self.tokens.fetch_add(events as u64, Ordering::Relaxed);
             end = piece;
         }
@@ -155,10 +162,10 @@
         }
     }
 
-    fn request(&self, work: Work) -> Request {
-        let version = match work {
-            Work::Whole => WHOLE,
-            Work::Stream => STREAM,
+    fn request(&self, load_kind: LoadKind) -> Request {
+        let version = match load_kind {
+            LoadKind::Unary => UNARY_VERSION,
+            LoadKind::Streaming => STREAMING_VERSION,
         };
         let model = match self.path {
             Path::Direct => version.to_owned(),
@@ -170,7 +177,7 @@
             &json!({
                 "model": model,
                 "messages": [{"role": "user", "content": "Era of this clip? One word."}],
-                "stream": work == Work::Stream,
+                "stream": load_kind == LoadKind::Streaming,
                 "max_tokens": 256,
             }),
         );
--- a/xtask/src/load/usage.rs
+++ b/xtask/src/load/usage.rs
@@ -27,9 +27,9 @@
     /// Reads the usage of a process from `/proc`.
     pub(crate) fn of(process: u32) -> Result<Self, Report<Error>> {
         let read = |name: &str| fs::read_to_string(format!("/proc/{process}/{name}"));
-        let stat = read("stat").change_context(Error::Measure)?;
-        let status = read("status").change_context(Error::Measure)?;
-        Self::parse(&stat, &status).ok_or_else(|| Report::new(Error::Measure))
+        let stat = read("stat").change_context(Error::Measurement)?;
+        let status = read("status").change_context(Error::Measurement)?;
+        Self::parse(&stat, &status).ok_or_else(|| Report::new(Error::Measurement))
     }
 
     /// Parses the contents of `stat` and `status`.
--- a/xtask/src/reconcile.rs
+++ b/xtask/src/reconcile.rs
@@ -3,16 +3,16 @@
 //! It doesn't rely on reports of the hosts: executions are those that the endpoints recorded, and
 //! a response counts if its text is the complete output of one attempt of the caller's own call.
 
-mod allowed;
-mod bill;
-mod evidence;
+mod allowed_versions;
+mod billing_record;
 mod line;
 mod sessions;
+mod site_records;
 mod tally;
 
-pub use allowed::Allowed;
-pub use bill::Bill;
-pub use evidence::{Evidence, Withdrawal};
+pub use allowed_versions::AllowedVersions;
+pub use billing_record::BillingRecord;
 pub use line::{Line, lines};
 pub use sessions::Sessions;
+pub use site_records::{SiteRecords, Withdrawal};
 pub use tally::Tally;
--- a/xtask/src/reconcile/allowed.rs
+++ b/xtask/src/reconcile/allowed_versions.rs
@@ -4,11 +4,11 @@
 
 /// The allowed versions by customer and profile.
 #[derive(Clone, Debug, Default)]
-pub struct Allowed {
+pub struct AllowedVersions {
     versions: BTreeMap<(String, String), BTreeSet<String>>,
 }
 
-impl Allowed {
+impl AllowedVersions {
     /// Allows these versions to serve a customer under a profile.
     pub fn insert(&mut self, customer: &str, profile: &str, versions: &[&str]) {
         let key = (customer.to_owned(), profile.to_owned());
--- a/xtask/src/reconcile/bill.rs
+++ b/xtask/src/reconcile/billing_record.rs
@@ -4,7 +4,7 @@
 
 /// One billing record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Bill {
+pub struct BillingRecord {
     /// The customer who is billed.
     pub customer: String,
     /// The caller's idempotency key, or the request's id if it sent none. The suffix after `~`, by
@@ -14,25 +14,24 @@
     pub microcents: u64,
 }
 
-impl Bill {
+impl BillingRecord {
     /// Returns the records at any depth of a table row. A record is an object with a request's
     /// `key` and `charge`.
     #[must_use]
-    pub fn within(row: &Value) -> Vec<Self> {
+    pub fn find_in(row: &Value) -> Vec<Self> {
         match row {
-            Value::Object(fields) => Self::read(row).map_or_else(
-                || fields.values().flat_map(Self::within).collect(),
+            Value::Object(fields) => Self::parse(row).map_or_else(
+                || fields.values().flat_map(Self::find_in).collect(),
                 |it| vec![it],
             ),
-            Value::Array(items) => items.iter().flat_map(Self::within).collect(),
-            Value::String(text) => {
-                serde_json::from_str(text).map_or_else(|_| Vec::new(), |it: Value| nested(&it))
-            }
+            Value::Array(items) => items.iter().flat_map(Self::find_in).collect(),
+            Value::String(text) => serde_json::from_str(text)
+                .map_or_else(|_| Vec::new(), |it: Value| find_in_json_text(&it)),
             _ => Vec::new(),
         }
     }
 
-    fn read(record: &Value) -> Option<Self> {
+    fn parse(record: &Value) -> Option<Self> {
         let key = record.get("key")?;
         let name = key.get("key")?.as_str()?;
         let name = name.split_once('~').map_or(name, |(name, _)| name);
@@ -45,9 +44,9 @@
 }
 
 /// Returns the records in JSON that a row contains as text. Scalars contain none.
-fn nested(value: &Value) -> Vec<Bill> {
+fn find_in_json_text(value: &Value) -> Vec<BillingRecord> {
     if value.is_object() || value.is_array() {
-        Bill::within(value)
+        BillingRecord::find_in(value)
     } else {
         Vec::new()
     }
--- a/xtask/src/reconcile/line.rs
+++ b/xtask/src/reconcile/line.rs
@@ -4,9 +4,9 @@
 
 use fakes::Mark;
 
-use crate::caller::{Answer, Call, End};
-use crate::reconcile::Evidence;
-use crate::reconcile::tally::{is_own, percentiles};
+use crate::caller::{Call, CallResponse, Outcome};
+use crate::reconcile::SiteRecords;
+use crate::reconcile::tally::{is_complete_response, percentiles};
 use crate::workload::Kind;
 
 /// The figures of one kind of work.
@@ -21,7 +21,7 @@
     /// Number of these responses that the engines marked as good.
     pub good: u64,
     /// Number of calls with more than one try.
-    pub repeated: u64,
+    pub retried: u64,
     /// The cost of the executions in microcents, according to the engines.
     pub microcents: u64,
     /// The billed amount in microcents.
@@ -40,76 +40,78 @@
 
 /// Returns the lines of all kinds.
 #[must_use]
-pub fn lines(calls: &[Call], evidence: &Evidence) -> Vec<Line> {
+pub fn lines(calls: &[Call], site_records: &SiteRecords) -> Vec<Line> {
     Kind::ALL
         .iter()
-        .map(|kind| line(*kind, calls, evidence))
+        .map(|kind| line(*kind, calls, site_records))
         .collect()
 }
 
-fn line(kind: Kind, calls: &[Call], evidence: &Evidence) -> Line {
+fn line(kind: Kind, calls: &[Call], site_records: &SiteRecords) -> Line {
     let calls: BTreeMap<_, _> = calls
         .iter()
         .filter(|it| it.kind == kind)
         .map(|it| (it.name.as_str(), it))
         .collect();
-    let answers: Vec<_> = calls.values().filter_map(|it| own(it)).collect();
-    let times: Vec<_> = answers.iter().map(|(call, _)| call.took).collect();
-    let (p50_ms, p99_ms) = percentiles(&times);
-    let is_good = |answer: &Answer| Mark::parse(&answer.text).is_some_and(|it| it.good);
+    let responses: Vec<_> = calls.values().filter_map(|it| completed(it)).collect();
+    let durations: Vec<_> = responses.iter().map(|(call, _)| call.duration).collect();
+    let (p50_ms, p99_ms) = percentiles(&durations);
+    let is_good = |response: &CallResponse| Mark::parse(&response.text).is_some_and(|it| it.good);
     let mut line = Line {
         kind,
         calls: calls.len() as u64,
-        answered: answers.len() as u64,
-        good: answers.iter().filter(|(_, it)| is_good(it)).count() as u64,
-        repeated: calls.values().filter(|it| it.tries.len() > 1).count() as u64,
-        microcents: evidence
+        answered: responses.len() as u64,
+        good: responses.iter().filter(|(_, it)| is_good(it)).count() as u64,
+        retried: calls.values().filter(|it| it.tries.len() > 1).count() as u64,
+        microcents: site_records
             .executions
             .iter()
             .filter(|it| calls.contains_key(it.call.as_str()))
             .map(|it| it.cost_microcents)
             .sum(),
-        billed: evidence
-            .bills
+        billed: site_records
+            .billing_records
             .iter()
             .filter(|it| calls.contains_key(it.key.as_str()))
             .map(|it| it.microcents)
             .sum(),
-        unbilled: unbilled(&answers, evidence),
+        unbilled: unbilled(&responses, site_records),
         p50_ms,
         p99_ms,
         refusals: BTreeMap::new(),
         losses: BTreeMap::new(),
     };
     for call in calls.values() {
-        match call.end() {
-            End::Refused(it) => {
+        match call.outcome() {
+            Outcome::Refused(it) => {
                 *line.refusals.entry(it.reason.to_string()).or_default() += 1;
             }
-            End::Failed(why) => *line.losses.entry(why.clone()).or_default() += 1,
-            End::Answered(answer) if !is_own(call, answer) => {
-                let why = "incomplete response or response to another call".to_owned();
-                *line.losses.entry(why).or_default() += 1;
+            Outcome::Failed(reason) => *line.losses.entry(reason.clone()).or_default() += 1,
+            Outcome::Completed(response) if !is_complete_response(call, response) => {
+                let reason = "incomplete response or response to another call".to_owned();
+                *line.losses.entry(reason).or_default() += 1;
             }
-            End::Answered(_) => {}
+            Outcome::Completed(_) => {}
         }
     }
     line
 }
 
-fn unbilled(answers: &[(&Call, &Answer)], evidence: &Evidence) -> u64 {
-    let billed: BTreeSet<_> = evidence
-        .bills
+fn unbilled(responses: &[(&Call, &CallResponse)], site_records: &SiteRecords) -> u64 {
+    let billed: BTreeSet<_> = site_records
+        .billing_records
         .iter()
         .map(|it| (it.customer.as_str(), it.key.as_str()))
         .collect();
     let is_unbilled = |call: &Call| !billed.contains(&(call.customer, call.name.as_str()));
-    answers.iter().filter(|(it, _)| is_unbilled(it)).count() as u64
+    responses.iter().filter(|(it, _)| is_unbilled(it)).count() as u64
 }
 
-fn own(call: &Call) -> Option<(&Call, &Answer)> {
-    match call.end() {
-        End::Answered(answer) if is_own(call, answer) => Some((call, answer)),
+fn completed(call: &Call) -> Option<(&Call, &CallResponse)> {
+    match call.outcome() {
+        Outcome::Completed(response) if is_complete_response(call, response) => {
+            Some((call, response))
+        }
         _ => None,
     }
 }
--- a/xtask/src/reconcile/sessions.rs
+++ b/xtask/src/reconcile/sessions.rs
@@ -4,7 +4,7 @@
 
 use fakes::Mark;
 
-use crate::caller::{Answer, Call, End};
+use crate::caller::{Call, CallResponse, Outcome};
 
 /// The number of conversations of a run and their changes of version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -12,9 +12,9 @@
     /// Conversations with more than one response.
     pub conversations: u64,
     /// Changes of version that the host reported to the caller.
-    pub moved: u64,
+    pub reported_moves: u64,
     /// Changes of version that the host did not report.
-    pub switched: u64,
+    pub unreported_moves: u64,
 }
 
 impl Sessions {
@@ -35,28 +35,31 @@
     }
 
     fn add(&mut self, turns: &[&Call]) {
-        let answers: Vec<_> = turns.iter().filter_map(|it| answer(it)).collect();
-        self.conversations += u64::from(answers.len() > 1);
-        for pair in answers.windows(2) {
-            let [(before, _), (after, answer)] = pair else {
+        let responses: Vec<_> = turns
+            .iter()
+            .filter_map(|it| version_and_response(it))
+            .collect();
+        self.conversations += u64::from(responses.len() > 1);
+        for pair in responses.windows(2) {
+            let [(before, _), (after, response)] = pair else {
                 continue;
             };
             if before == after {
                 continue;
             }
-            if answer.moved {
-                self.moved += 1;
+            if response.moved {
+                self.reported_moves += 1;
             } else {
-                self.switched += 1;
+                self.unreported_moves += 1;
             }
         }
     }
 }
 
 /// Returns the version that generated the response, and the response.
-fn answer(call: &Call) -> Option<(String, &Answer)> {
-    match call.end() {
-        End::Answered(answer) => Some((Mark::parse(&answer.text)?.version, answer)),
+fn version_and_response(call: &Call) -> Option<(String, &CallResponse)> {
+    match call.outcome() {
+        Outcome::Completed(response) => Some((Mark::parse(&response.text)?.version, response)),
         _ => None,
     }
 }
--- a/xtask/src/reconcile/evidence.rs
+++ b/xtask/src/reconcile/site_records.rs
@@ -2,19 +2,19 @@
 
 use fakes::{Execution, Run};
 
-use crate::reconcile::{Allowed, Bill};
+use crate::reconcile::{AllowedVersions, BillingRecord};
 
 /// The stand-ins' records of one run and the configuration of the site.
 #[derive(Clone, Debug, Default)]
-pub struct Evidence {
+pub struct SiteRecords {
     /// The executions of the engines.
     pub executions: Vec<Execution>,
     /// The executions of the plain services.
     pub runs: Vec<Run>,
     /// The billing records in the table.
-    pub bills: Vec<Bill>,
+    pub billing_records: Vec<BillingRecord>,
     /// The versions that may serve each customer.
-    pub allowed: Allowed,
+    pub allowed: AllowedVersions,
     /// The withdrawal of a version in the run, if any.
     pub withdrawal: Option<Withdrawal>,
 }
--- a/xtask/src/reconcile/tally.rs
+++ b/xtask/src/reconcile/tally.rs
@@ -8,13 +8,13 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::caller::{Answer, Call, End};
-use crate::reconcile::Evidence;
-use crate::workload::{Repeat, Route};
+use crate::caller::{Call, CallResponse, Outcome};
+use crate::reconcile::SiteRecords;
+use crate::workload::{CallRetryPolicy, Route};
 
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 /// Upper bound of the histogram, one hour. Longer times are recorded as this value.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_DURATION_US: u64 = 3_600_000_000;
 
 /// The figures, which are serialized as the report's last line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -45,100 +45,110 @@
 impl Tally {
     /// Computes the figures of a run.
     #[must_use]
-    pub fn count(calls: &[Call], evidence: &Evidence) -> Self {
-        let ran = Ran::new(evidence);
+    pub fn count(calls: &[Call], site_records: &SiteRecords) -> Self {
+        let index = ExecutionIndex::new(site_records);
         let mut tally = Self {
-            billed_twice: billed_twice(calls, evidence),
-            disallowed: disallowed(calls, evidence),
-            withdrawn_after_s: withdrawn_after(evidence),
+            billed_twice: billed_twice(calls, site_records),
+            disallowed: disallowed(calls, site_records),
+            withdrawn_after_s: withdrawn_after(site_records),
             ..Self::default()
         };
-        let mut times = Vec::new();
+        let mut durations = Vec::new();
         for call in calls {
-            match call.end() {
-                End::Answered(answer) if is_own(call, answer) => {
+            match call.outcome() {
+                Outcome::Completed(response) if is_complete_response(call, response) => {
                     tally.answered += 1;
-                    times.push(call.took);
+                    durations.push(call.duration);
                 }
-                End::Answered(_) | End::Failed(_) => tally.lost += 1,
-                End::Refused(_) => tally.refused += 1,
+                Outcome::Completed(_) | Outcome::Failed(_) => tally.lost += 1,
+                Outcome::Refused(_) => tally.refused += 1,
             }
-            tally.not_run_but_ran += not_run_but_ran(call, &ran);
-            let once = call.kind.repeat() == Repeat::AtMostOnce;
-            tally.doubled += u64::from(once && ran.times(&call.name) > 1);
+            tally.not_run_but_ran += not_run_but_ran(call, &index);
+            let at_most_once = call.kind.retry_policy() == CallRetryPolicy::AtMostOnce;
+            tally.doubled += u64::from(at_most_once && index.executions_of(&call.name) > 1);
         }
-        (tally.p50_ms, tally.p99_ms) = percentiles(&times);
+        (tally.p50_ms, tally.p99_ms) = percentiles(&durations);
         tally
     }
 }
 
 /// Index of the executions by the caller's name of the call and by the host's id of the request.
-struct Ran<'a> {
-    by_call: BTreeMap<&'a str, u64>,
+struct ExecutionIndex<'a> {
+    executions_by_call: BTreeMap<&'a str, u64>,
     requests: BTreeSet<&'a str>,
 }
 
-impl<'a> Ran<'a> {
-    fn new(evidence: &'a Evidence) -> Self {
-        let chats = evidence.executions.iter().map(|it| (&it.call, &it.request));
-        let plain = evidence.runs.iter().map(|it| (&it.call, &it.request));
-        let mut ran = Self {
-            by_call: BTreeMap::new(),
+impl<'a> ExecutionIndex<'a> {
+    fn new(site_records: &'a SiteRecords) -> Self {
+        let chats = site_records
+            .executions
+            .iter()
+            .map(|it| (&it.call, &it.request));
+        let plain = site_records.runs.iter().map(|it| (&it.call, &it.request));
+        let mut index = Self {
+            executions_by_call: BTreeMap::new(),
             requests: BTreeSet::new(),
         };
         for (call, request) in chats.chain(plain) {
-            *ran.by_call.entry(call).or_default() += 1;
-            ran.requests.insert(request);
+            *index.executions_by_call.entry(call).or_default() += 1;
+            index.requests.insert(request);
         }
-        ran
+        index
     }
 
-    fn times(&self, call: &str) -> u64 {
-        self.by_call.get(call).copied().unwrap_or(0)
+    fn executions_of(&self, call: &str) -> u64 {
+        self.executions_by_call.get(call).copied().unwrap_or(0)
     }
 }
 
 /// Returns the number of refusals of this call that reported "not run" wrongly: an endpoint
 /// executed the refused request, or all tries got such a refusal and an endpoint executed the call.
-fn not_run_but_ran(call: &Call, ran: &Ran<'_>) -> u64 {
+fn not_run_but_ran(call: &Call, index: &ExecutionIndex<'_>) -> u64 {
     let claims: Vec<_> = call
         .tries
         .iter()
-        .filter_map(|it| match &it.end {
-            End::Refused(refusal) if refusal.run == problem::Run::NotRun => Some(refusal),
+        .filter_map(|it| match &it.outcome {
+            Outcome::Refused(refusal) if refusal.run == problem::Run::NotRun => Some(refusal),
             _ => None,
         })
         .collect();
     let named = claims
         .iter()
-        .filter(|it| !it.request.is_empty() && ran.requests.contains(it.request.as_str()))
+        .filter(|it| !it.request.is_empty() && index.requests.contains(it.request.as_str()))
         .count() as u64;
     let all_claimed = claims.len() == call.tries.len();
-    let on_record = ran.times(&call.name) > 0;
+    let on_record = index.executions_of(&call.name) > 0;
     named.max(u64::from(all_claimed && on_record))
 }
 
 /// Returns whether the response is the complete output of one attempt of this call.
-pub(crate) fn is_own(call: &Call, answer: &Answer) -> bool {
+pub(crate) fn is_complete_response(call: &Call, response: &CallResponse) -> bool {
     match call.kind.route() {
-        Route::Plain { .. } => answer.text == call.name,
+        Route::Plain { .. } => response.text == call.name,
         Route::Chat { .. } => {
-            let own = Mark::parse(&answer.text).is_some_and(|it| it.call == call.name);
-            own && Mark::is_whole(&answer.text)
+            let is_own_mark = Mark::parse(&response.text).is_some_and(|it| it.call == call.name);
+            is_own_mark && Mark::is_whole(&response.text)
         }
     }
 }
 
-fn billed_twice(calls: &[Call], evidence: &Evidence) -> u64 {
-    let mut bills: BTreeMap<(&str, &str), u64> = BTreeMap::new();
-    for bill in &evidence.bills {
-        *bills.entry((&bill.customer, &bill.key)).or_default() += 1;
+fn billed_twice(calls: &[Call], site_records: &SiteRecords) -> u64 {
+    let mut billing_records: BTreeMap<(&str, &str), u64> = BTreeMap::new();
+    for billing_record in &site_records.billing_records {
+        *billing_records
+            .entry((&billing_record.customer, &billing_record.key))
+            .or_default() += 1;
     }
-    let twice = |it: &&Call| bills.get(&(it.customer, it.name.as_str())).copied() > Some(1);
-    calls.iter().filter(twice).count() as u64
+    let is_billed_twice = |it: &&Call| {
+        billing_records
+            .get(&(it.customer, it.name.as_str()))
+            .copied()
+            > Some(1)
+    };
+    calls.iter().filter(is_billed_twice).count() as u64
 }
 
-fn disallowed(calls: &[Call], evidence: &Evidence) -> u64 {
+fn disallowed(calls: &[Call], site_records: &SiteRecords) -> u64 {
     let by_name: BTreeMap<_, _> = calls.iter().map(|it| (it.name.as_str(), it)).collect();
     let is_disallowed = |version: &str, call: &str| {
         let Some(call) = by_name.get(call) else {
@@ -147,22 +157,24 @@
         match call.kind.route() {
             Route::Plain { .. } => true,
             Route::Chat { profile, .. } => {
-                !evidence.allowed.contains(call.customer, profile, version)
+                !site_records
+                    .allowed
+                    .contains(call.customer, profile, version)
             }
         }
     };
-    evidence
+    site_records
         .executions
         .iter()
         .filter(|it| is_disallowed(&it.version, &it.call))
         .count() as u64
 }
 
-fn withdrawn_after(evidence: &Evidence) -> f64 {
-    let Some(withdrawal) = &evidence.withdrawal else {
+fn withdrawn_after(site_records: &SiteRecords) -> f64 {
+    let Some(withdrawal) = &site_records.withdrawal else {
         return 0.0;
     };
-    let last = evidence
+    let last = site_records
         .executions
         .iter()
         .filter(|it| it.version == withdrawal.version)
@@ -172,11 +184,11 @@
 }
 
 /// Returns the median and the 99th percentile in milliseconds.
-pub(crate) fn percentiles(times: &[Duration]) -> (f64, f64) {
-    let mut histogram = Histogram::<u64>::new_with_bounds(1, LONGEST_US, DIGITS)
+pub(crate) fn percentiles(durations: &[Duration]) -> (f64, f64) {
+    let mut histogram = Histogram::<u64>::new_with_bounds(1, MAX_DURATION_US, SIGNIFICANT_DIGITS)
         .expect("the bounds and digits are valid");
-    for time in times {
-        histogram.saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
+    for duration in durations {
+        histogram.saturating_record(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX));
     }
     let millis = |quantile| {
         Duration::from_micros(histogram.value_at_quantile(quantile)).as_secs_f64() * 1000.0
--- a/xtask/src/site.rs
+++ b/xtask/src/site.rs
@@ -3,7 +3,7 @@
 
 mod binaries;
 mod certificates;
-mod entry;
+mod entry_host;
 mod operator;
 mod process;
 mod stand_ins;
@@ -25,7 +25,7 @@
 use crate::site::certificates::Authority;
 
 pub use binaries::{Binaries, Profile};
-pub use entry::Entry;
+pub use entry_host::EntryHost;
 pub use operator::Operator;
 pub use process::Process;
 pub use stand_ins::{Row, StandIns, TableRecords};
@@ -44,7 +44,7 @@
     /// The stand-ins for the platform, engines and services.
     pub stand_ins: StandIns,
     /// The entry hosts, in the order in which they were started.
-    pub entries: Vec<Entry>,
+    pub entry_hosts: Vec<EntryHost>,
     /// Sections that replace the default ones in the settings of hosts started from now on.
     pub settings: Table,
     binaries: Binaries,
@@ -79,7 +79,7 @@
             clock,
             client,
             stand_ins,
-            entries: Vec::new(),
+            entry_hosts: Vec::new(),
             settings: Table::new(),
             binaries,
             authority,
@@ -91,12 +91,13 @@
     /// Starts an entry host and adds it to the host list.
     ///
     /// # Errors
-    /// If the host can't be started or the host list refuses it. Use [`Self::ready`] to wait until
-    /// the host is ready.
-    pub async fn add(&mut self, name: &str, data_centre: &str) -> Result<(), Report<Error>> {
-        let entry = Entry::start(self, name, data_centre)?;
+    /// If the host can't be started or the host list refuses it.
+    ///
+    /// Use [`Self::wait_until_ready`] to wait until the host is ready.
+    pub async fn add_host(&mut self, name: &str, data_centre: &str) -> Result<(), Report<Error>> {
+        let entry = EntryHost::start(self, name, data_centre)?;
         self.stand_ins.register(&entry.host()).await?;
-        self.entries.push(entry);
+        self.entry_hosts.push(entry);
         Ok(())
     }
 
@@ -104,8 +105,8 @@
     ///
     /// # Errors
     /// [`Error::NotReady`] with the end of the log if a host exceeds the timeout.
-    pub async fn ready(&self) -> Result<(), Report<Error>> {
-        for entry in &self.entries {
+    pub async fn wait_until_ready(&self) -> Result<(), Report<Error>> {
+        for entry in &self.entry_hosts {
             self.wait_for(entry, "/readyz").await?;
         }
         Ok(())
@@ -115,8 +116,8 @@
     ///
     /// # Errors
     /// [`Error::NotReady`] with the end of the log if a host exceeds the timeout.
-    pub async fn alive(&self) -> Result<(), Report<Error>> {
-        for entry in &self.entries {
+    pub async fn wait_until_alive(&self) -> Result<(), Report<Error>> {
+        for entry in &self.entry_hosts {
             self.wait_for(entry, "/healthz").await?;
         }
         Ok(())
@@ -125,14 +126,14 @@
     /// Returns a client for the operators' API of the hosts.
     #[must_use]
     pub fn operator(&self) -> Operator {
-        let addresses = self.entries.iter().map(|it| it.operators).collect();
+        let addresses = self.entry_hosts.iter().map(|it| it.operators).collect();
         Operator::new(self.client.clone(), addresses, self.operator_key.clone())
     }
 
     /// Returns the addresses of the hosts for callers.
     #[must_use]
     pub fn callers(&self) -> Vec<SocketAddr> {
-        self.entries.iter().map(|it| it.callers).collect()
+        self.entry_hosts.iter().map(|it| it.callers).collect()
     }
 
     /// Returns the path of the file with the operators' key.
@@ -149,7 +150,7 @@
         text.lines().skip(from).collect::<Vec<_>>().join("\n")
     }
 
-    async fn wait_for(&self, entry: &Entry, path: &str) -> Result<(), Report<Error>> {
+    async fn wait_for(&self, entry: &EntryHost, path: &str) -> Result<(), Report<Error>> {
         let deadline = Instant::now() + READY_TIMEOUT;
         let options = Options::default();
         while Instant::now() < deadline {
--- a/xtask/src/site/binaries.rs
+++ b/xtask/src/site/binaries.rs
@@ -44,17 +44,18 @@
         }
         let output = command.output().change_context(Error::Build)?;
         ensure!(output.status.success(), Error::Build);
-        let said = String::from_utf8_lossy(&output.stdout);
+        let messages = String::from_utf8_lossy(&output.stdout);
         Ok(Self {
-            fakes: executable(&said, "barleypin-fakes")?,
-            daemon: executable(&said, "barleypind")?,
+            fakes: executable(&messages, "barleypin-fakes")?,
+            daemon: executable(&messages, "barleypind")?,
         })
     }
 }
 
 /// Finds the path of a program in Cargo's JSON messages.
-fn executable(said: &str, name: &str) -> Result<PathBuf, Report<Error>> {
-    said.lines()
+fn executable(messages: &str, name: &str) -> Result<PathBuf, Report<Error>> {
+    messages
+        .lines()
         .filter_map(|it| serde_json::from_str::<Value>(it).ok())
         .filter(|it| it["target"]["name"] == name)
         .find_map(|it| it["executable"].as_str().map(PathBuf::from))
--- a/xtask/src/site/entry.rs
+++ b/xtask/src/site/entry_host.rs
@@ -12,7 +12,7 @@
 const REGION: &str = "local";
 
 /// A running `barleypind`.
-pub struct Entry {
+pub struct EntryHost {
     /// The name of the host.
     pub name: String,
     /// The data centre of the host.
@@ -27,7 +27,7 @@
     pub process: Process,
 }
 
-impl Entry {
+impl EntryHost {
     pub(crate) fn start(site: &Site, name: &str, data_centre: &str) -> Result<Self, Report<Error>> {
         let dir = site.dir.path();
         let (callers, operators, fleet) = (free_tcp()?, free_tcp()?, free_udp()?);
--- a/xtask/src/site/operator.rs
+++ b/xtask/src/site/operator.rs
@@ -27,7 +27,7 @@
 
 /// Number of the next change in this process, shared by all operators. The change id must be
 /// unique, because a host treats a change with a known id as a retry and does not apply it.
-static CHANGES: AtomicU64 = AtomicU64::new(0);
+static NEXT_CHANGE: AtomicU64 = AtomicU64::new(0);
 
 impl Operator {
     pub(crate) fn new(client: Client, hosts: Vec<SocketAddr>, key: String) -> Self {
@@ -45,9 +45,9 @@
         read_at: u64,
         body: &T,
     ) -> Result<u64, Report<Error>> {
-        let number = CHANGES.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CHANGE.fetch_add(1, Ordering::Relaxed);
         let change = format!("chore-{}-{number}", std::process::id());
-        let mut last = String::new();
+        let mut last_failure = String::new();
         for host in self.hosts.iter().cycle().take(MAX_TRIES as usize) {
             let request = Request::new(Method::Put, format!("/operator/v1/{entry}"))
                 .json(body)
@@ -62,12 +62,12 @@
                 Ok((status, body)) if status.is_client_error() => {
                     return Err(refused(entry, &body));
                 }
-                Ok((_, body)) => last = body.to_string(),
-                Err(err) => last = err.to_string(),
+                Ok((_, body)) => last_failure = body.to_string(),
+                Err(err) => last_failure = err.to_string(),
             }
             task::sleep(RETRY_DELAY).await;
         }
-        Err(Report::new(Error::Operator).attach(format!("{entry}: {last}")))
+        Err(Report::new(Error::Operator).attach(format!("{entry}: {last_failure}")))
     }
 
     /// Reads a resource from a host. An error status is not an error; a body that is not JSON
--- a/xtask/src/site/process.rs
+++ b/xtask/src/site/process.rs
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     /// [`Error::NotReady`] if the process exits or closes its output before.
-    pub fn ready_line(&mut self) -> Result<String, Report<Error>> {
+    pub fn wait_for_ready_line(&mut self) -> Result<String, Report<Error>> {
         let stdout = self.child.stdout.as_mut().ok_or(Error::NotReady)?;
         for line in BufReader::new(stdout).lines() {
             let line = line.change_context(Error::NotReady)?;
@@ -69,7 +69,7 @@
 
     /// Waits for the process to exit. Returns whether it did so before the timeout.
     #[must_use]
-    pub fn ends_within(&mut self, limit: Duration) -> bool {
+    pub fn exits_within(&mut self, limit: Duration) -> bool {
         let deadline = Instant::now() + limit;
         while self.is_running() {
             if Instant::now() >= deadline {
--- a/xtask/src/site/stand_ins.rs
+++ b/xtask/src/site/stand_ins.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 use crate::error::Error;
-use crate::reconcile::Bill;
+use crate::reconcile::BillingRecord;
 use crate::site::{Process, log_file, write};
 
 /// Maximum size of a response body in bytes.
@@ -68,7 +68,7 @@
         let text = toml::to_string(settings).change_context(Error::Site)?;
         let path = write(dir, "fakes.toml", &text)?;
         let mut process = Process::start(program, &path, log_file(dir, "fakes")?)?;
-        let ready = process.ready_line()?;
+        let ready = process.wait_for_ready_line()?;
         let addresses = serde_json::from_str(&ready).change_context(Error::StandIn)?;
         Ok(Self {
             addresses,
@@ -153,11 +153,13 @@
     ///
     /// # Errors
     /// [`Error::StandIn`] if the records of the table can't be read.
-    pub async fn bills(&self) -> Result<Vec<Bill>, Report<Error>> {
+    pub async fn billing_records(&self) -> Result<Vec<BillingRecord>, Report<Error>> {
         let table = self.table().await?;
-        let is_bill = |it: &&Row| it.key.starts_with("bill/");
-        let rows = table.rows.iter().filter(is_bill);
-        Ok(rows.flat_map(|it| Bill::within(&it.value)).collect())
+        let is_billing_record = |it: &&Row| it.key.starts_with("bill/");
+        let rows = table.rows.iter().filter(is_billing_record);
+        Ok(rows
+            .flat_map(|it| BillingRecord::find_in(&it.value))
+            .collect())
     }
 
     async fn records<T: for<'de> Deserialize<'de>>(&self, name: &str) -> Result<T, Report<Error>> {
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -14,7 +14,7 @@
 #[must_use]
 pub fn command() -> Command {
     Command::new("soak")
-        .about("Injects kills, freezes, outages, faults, drains and changes, and checks the responses to callers")
+        .about("Injects random failures and changes into real processes and checks the responses")
         .arg(
             Arg::new("seed")
                 .long("seed")
--- a/xtask/src/try_out.rs
+++ b/xtask/src/try_out.rs
@@ -36,17 +36,17 @@
 async fn start(binaries: Binaries) -> Result<Site, Report<Error>> {
     let mut site = Site::start(binaries, &organisations::stand_ins(1))?;
     for (name, data_centre) in organisations::HOSTS {
-        site.add(name, data_centre).await?;
+        site.add_host(name, data_centre).await?;
     }
-    site.alive().await?;
+    site.wait_until_alive().await?;
     organisations::configure(&site.operator()).await?;
-    site.ready().await?;
+    site.wait_until_ready().await?;
     Ok(site)
 }
 
 fn print(site: &Site) {
     let hosts = site
-        .entries
+        .entry_hosts
         .iter()
         .map(|it| format!("--host {}", it.operators));
     let hosts = hosts.collect::<Vec<_>>().join(" ");
@@ -54,7 +54,7 @@
         "Operators, in another terminal:\n\n  alias barleyctl='cargo run -q -p barleyctl -- {hosts} --key-file {}'\n",
         site.operator_key_file().display()
     );
-    if let Some(host) = site.entries.first() {
+    if let Some(host) = site.entry_hosts.first() {
         println!(
             "Callers, at any of the hosts:\n\n  curl http://{}/v1/chat/completions -H 'authorization: Bearer {}' \\\n    -d '{{\"model\": \"kivuli-era\", \"messages\": [{{\"role\": \"user\", \"content\": \"A tram with a horse. Which era?\"}}]}}'\n",
             host.callers,
--- a/xtask/src/workload.rs
+++ b/xtask/src/workload.rs
@@ -4,6 +4,6 @@
 mod kind;
 mod text;
 
-pub use item::{Item, Plan};
-pub use kind::{Kind, Repeat, Route};
+pub use item::{Item, Schedule};
+pub use kind::{CallRetryPolicy, Kind, Route};
 pub use text::prompt;
--- a/xtask/src/workload/item.rs
+++ b/xtask/src/workload/item.rs
@@ -20,7 +20,7 @@
 
 /// The items of a workload, ordered by start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct Schedule {
     /// The items.
     pub items: Vec<Item>,
 }
@@ -39,10 +39,10 @@
     }
 }
 
-impl Plan {
+impl Schedule {
     /// Generates items with Poisson arrivals at a mean rate of `per_second`.
     #[must_use]
-    pub fn draw(seed: u64, per_second: f64, length: Duration) -> Self {
+    pub fn generate(seed: u64, per_second: f64, length: Duration) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut items = Vec::new();
         let mut at = Duration::ZERO;
@@ -51,14 +51,14 @@
             if at >= length {
                 break;
             }
-            let kind = draw_kind(&mut rng);
+            let kind = random_kind(&mut rng);
             items.push(Item { number, at, kind });
         }
         Self { items }
     }
 }
 
-fn draw_kind(rng: &mut Pcg64Mcg) -> Kind {
+fn random_kind(rng: &mut Pcg64Mcg) -> Kind {
     let total = Kind::ALL.iter().map(|it| it.weight()).sum();
     let mut left = rng.random_range(0..total);
     for kind in Kind::ALL {
--- a/xtask/src/workload/kind.rs
+++ b/xtask/src/workload/kind.rs
@@ -58,7 +58,7 @@
 
 /// The retry policy of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum CallRetryPolicy {
     /// The call may run several times.
     Idempotent,
     /// The call runs once or not at all.
@@ -141,10 +141,10 @@
 
     /// Returns the retry policy of the calls.
     #[must_use]
-    pub fn repeat(self) -> Repeat {
+    pub fn retry_policy(self) -> CallRetryPolicy {
         match self {
-            Self::CatalogueEntry | Self::SeatHold | Self::Booking => Repeat::AtMostOnce,
-            _ => Repeat::Idempotent,
+            Self::CatalogueEntry | Self::SeatHold | Self::Booking => CallRetryPolicy::AtMostOnce,
+            _ => CallRetryPolicy::Idempotent,
         }
     }
 
--- a/xtask/src/worth.rs
+++ b/xtask/src/worth.rs
@@ -15,7 +15,7 @@
 use crate::error::Error;
 
 /// Causes below this share of the demand in every day are summed up in one row.
-const SMALL: f64 = 0.002;
+const MIN_SHOWN_LOSS: f64 = 0.002;
 
 /// A journal entry of a run; other fields are ignored.
 #[derive(Debug, Deserialize)]
@@ -69,11 +69,11 @@
 /// Prints a table of causes for each entry.
 ///
 /// # Errors
-/// [`Error::Measure`] if an entry can't be read.
+/// [`Error::Measurement`] if an entry can't be read.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     for path in matches.get_many::<PathBuf>("entry").unwrap_or_default() {
-        let file = File::open(path).change_context(Error::Measure)?;
-        let entry: Entry = serde_json::from_reader(file).change_context(Error::Measure)?;
+        let file = File::open(path).change_context(Error::Measurement)?;
+        let entry: Entry = serde_json::from_reader(file).change_context(Error::Measurement)?;
         println!("{}\n{}", entry.site, table(&entry));
     }
     Ok(ExitCode::SUCCESS)
@@ -90,12 +90,17 @@
             names.push(name);
         }
     }
-    let of = |day: &[(String, f64)], name: &String| -> f64 {
+    let loss = |day: &[(String, f64)], name: &String| -> f64 {
         day.iter().filter(|it| it.0 == *name).map(|it| it.1).sum()
     };
     let mut lines: Vec<(&str, Vec<f64>)> = names
         .into_iter()
-        .map(|name| (name.as_str(), days.iter().map(|it| of(it, name)).collect()))
+        .map(|name| {
+            (
+                name.as_str(),
+                days.iter().map(|it| loss(it, name)).collect(),
+            )
+        })
         .collect();
     let first = |it: &Vec<f64>| it.first().copied().unwrap_or_default();
     lines.sort_by(|a, b| first(&b.1).total_cmp(&first(&a.1)));
@@ -109,7 +114,7 @@
     };
     let mut rest = vec![0.0; days.len()];
     for (name, values) in &lines {
-        if values.iter().any(|it| it.abs() >= SMALL) {
+        if values.iter().any(|it| it.abs() >= MIN_SHOWN_LOSS) {
             row(name, values);
         } else {
             rest.iter_mut().zip(values).for_each(|(sum, it)| *sum += it);
--- a/xtask/tests/capacity.rs
+++ b/xtask/tests/capacity.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn zeros_have_no_power() {
+fn zero_values_have_no_exponent() {
     check(
         &[(1.0, 0.0), (2.0, 0.0)],
         &expect!["0.00 + 0.00 x, R2 1.000, unknown"],
--- a/xtask/tests/reconcile.rs
+++ b/xtask/tests/reconcile.rs
@@ -2,166 +2,194 @@
 
 use std::time::Duration;
 
-use fakes::{End as Ended, Execution, Run};
+use fakes::{End as ExecutionEnd, Execution, Run};
 use gate::problem::{self, Reason};
 use googletest::prelude::*;
 use serde_json::json;
-use xtask::caller::{Answer, Call, End, Refusal, Try, read};
-use xtask::reconcile::{Allowed, Bill, Evidence, Sessions, Tally, Withdrawal};
-use xtask::workload::{Kind, Plan};
+use xtask::caller::{Call, CallResponse, Outcome, Refusal, Try, parse_stream};
+use xtask::reconcile::{AllowedVersions, BillingRecord, Sessions, SiteRecords, Tally, Withdrawal};
+use xtask::workload::{Kind, Schedule};
 
 /// Checks the field of the tally of one call that `field` selects.
 fn check<T: PartialEq + std::fmt::Debug>(
     call: Call,
-    evidence: &Evidence,
+    site_records: &SiteRecords,
     field: impl Fn(&Tally) -> T,
     expect: &T,
 ) {
-    let tally = Tally::count(&[call], evidence);
+    let tally = Tally::count(&[call], site_records);
     assert_that!(field(&tally), eq(expect));
 }
 
 #[test]
-fn a_whole_own_answer_is_answered() {
+fn a_complete_response_to_the_call_counts_as_answered() {
     let call = call(Kind::EraTag, [answered(&whole("c1.0"))]);
-    check(call, &evidence(), |it| (it.answered, it.lost), &(1, 0));
+    check(
+        call,
+        &without_executions(),
+        |it| (it.answered, it.lost),
+        &(1, 0),
+    );
 }
 
 #[test]
-fn anothers_answer_is_lost() {
+fn a_response_to_another_call_counts_as_lost() {
     let call = call(Kind::EraTag, [answered(&whole("c2.0"))]);
-    check(call, &evidence(), |it| (it.answered, it.lost), &(0, 1));
+    check(
+        call,
+        &without_executions(),
+        |it| (it.answered, it.lost),
+        &(0, 1),
+    );
 }
 
 #[test]
-fn a_spliced_answer_is_lost() {
+fn a_response_mixed_from_two_attempts_counts_as_lost() {
     // A host that continues an interrupted response with a second attempt mixes the output of
     // two attempts.
     let text = whole("c1.0").replace("[[end=7", "[[end=8");
     let call = call(Kind::EraTag, [answered(&text)]);
-    check(call, &evidence(), |it| it.lost, &1);
+    check(call, &without_executions(), |it| it.lost, &1);
 }
 
 #[test]
-fn an_answer_with_a_missing_word_is_lost() {
+fn a_response_with_a_missing_word_counts_as_lost() {
     let call = call(Kind::EraTag, [answered(&whole("c1.0").replace(" w1", ""))]);
-    check(call, &evidence(), |it| it.lost, &1);
+    check(call, &without_executions(), |it| it.lost, &1);
 }
 
 #[test]
-fn a_failure_is_repaired_by_the_answer_to_a_repeat() {
-    let tries = [End::Failed("closed".to_owned()), answered(&whole("c1.0"))];
+fn a_call_that_succeeds_in_a_retry_counts_as_answered() {
+    let tries = [
+        Outcome::Failed("closed".to_owned()),
+        answered(&whole("c1.0")),
+    ];
     let call = call(Kind::EraTag, tries);
-    check(call, &evidence(), |it| (it.answered, it.lost), &(1, 0));
+    check(
+        call,
+        &without_executions(),
+        |it| (it.answered, it.lost),
+        &(1, 0),
+    );
 }
 
 #[test]
-fn a_failure_at_the_end_is_lost() {
-    let call = call(Kind::EraTag, [End::Failed("closed".to_owned())]);
-    check(call, &evidence(), |it| it.lost, &1);
+fn a_call_whose_last_try_failed_counts_as_lost() {
+    let call = call(Kind::EraTag, [Outcome::Failed("closed".to_owned())]);
+    check(call, &without_executions(), |it| it.lost, &1);
 }
 
 #[test]
-fn not_run_of_a_request_on_record_is_false() {
+fn not_run_is_wrong_for_an_executed_request() {
     // A caller who gets "not run" for a booking that was executed books again and pays twice.
     let call = call(Kind::Booking, [refused("r1", problem::Run::NotRun)]);
-    check(call.clone(), &ran(1), |it| it.not_run_but_ran, &1);
-    check(call, &evidence(), |it| it.not_run_but_ran, &0);
+    check(
+        call.clone(),
+        &with_service_runs(1),
+        |it| it.not_run_but_ran,
+        &1,
+    );
+    check(call, &without_executions(), |it| it.not_run_but_ran, &0);
 }
 
 #[test]
-fn not_run_without_a_request_is_false_when_the_call_is_on_record() {
+fn not_run_without_a_request_id_is_wrong_for_an_executed_call() {
     let call = call(Kind::Booking, [refused("", problem::Run::NotRun)]);
-    check(call, &ran(1), |it| it.not_run_but_ran, &1);
+    check(call, &with_service_runs(1), |it| it.not_run_but_ran, &1);
 }
 
 #[test]
-fn not_run_is_true_when_another_try_ran() {
+fn not_run_is_right_when_only_another_try_was_executed() {
     let tries = [refused("r0", problem::Run::NotRun), answered("c1.0")];
     let call = call(Kind::Booking, tries);
-    check(call, &ran(1), |it| it.not_run_but_ran, &0);
+    check(call, &with_service_runs(1), |it| it.not_run_but_ran, &0);
 }
 
 #[test]
-fn unknown_is_never_false() {
+fn unknown_is_never_wrong() {
     let call = call(Kind::Booking, [refused("r1", problem::Run::Unknown)]);
-    check(call, &ran(1), |it| it.not_run_but_ran, &0);
+    check(call, &with_service_runs(1), |it| it.not_run_but_ran, &0);
 }
 
 #[test]
-fn two_runs_double_only_what_runs_once() {
+fn two_executions_count_as_doubled_only_for_at_most_once_calls() {
     let tries = [answered("c1.0")];
     check(
         call(Kind::Booking, tries.clone()),
-        &ran(2),
+        &with_service_runs(2),
         |it| it.doubled,
         &1,
     );
-    check(call(Kind::GateScan, tries), &ran(2), |it| it.doubled, &0);
+    check(
+        call(Kind::GateScan, tries),
+        &with_service_runs(2),
+        |it| it.doubled,
+        &0,
+    );
 }
 
 #[test]
-fn a_catalogue_entry_counts_executions_of_engines() {
+fn executions_of_engines_count_as_doubled() {
     let call = call(Kind::CatalogueEntry, [answered(&whole("c1.0"))]);
-    let twice = executed(&["small@1", "small@1"]);
+    let twice = with_executions(&["small@1", "small@1"]);
     check(call, &twice, |it| it.doubled, &1);
 }
 
 #[test]
-fn two_records_bill_twice() {
+fn two_billing_records_of_a_call_count_as_billed_twice() {
     let call = call(Kind::EraTag, [answered(&whole("c1.0"))]);
     let row = json!({"records": [
         {"key": {"customer": "kivuli-bench", "home": 1, "key": "c1.0"}, "charge": {"money": 3}},
         {"key": {"customer": "kivuli-bench", "home": 1, "key": "c1.0~ab"}, "charge": {"money": 3}},
         {"key": {"customer": "kivuli-bench", "home": 1, "key": "c2.0"}, "charge": {"money": 3}},
     ]});
-    let mut evidence = evidence();
-    evidence.bills = Bill::within(&row);
-    check(call, &evidence, |it| it.billed_twice, &1);
+    let mut site_records = without_executions();
+    site_records.billing_records = BillingRecord::find_in(&row);
+    check(call, &site_records, |it| it.billed_twice, &1);
 }
 
 #[test]
-fn records_are_found_in_a_row_whose_value_is_text() {
+fn billing_records_are_found_in_a_row_whose_value_is_text() {
     let record = json!({"key": {"customer": "a", "key": "k"}, "charge": {"money": 4}});
     let row = json!(json!([record]).to_string());
-    let expect = Bill {
+    let expect = BillingRecord {
         customer: "a".to_owned(),
         key: "k".to_owned(),
         microcents: 4,
     };
-    assert_that!(Bill::within(&row), elements_are![eq(&expect)]);
+    assert_that!(BillingRecord::find_in(&row), elements_are![eq(&expect)]);
 }
 
 #[test]
 fn a_version_outside_the_profile_is_disallowed() {
     let call = call(Kind::EraTag, [answered(&whole("c1.0"))]);
-    let evidence = executed(&["small@1", "strong@1"]);
-    check(call, &evidence, |it| it.disallowed, &1);
+    let site_records = with_executions(&["small@1", "strong@1"]);
+    check(call, &site_records, |it| it.disallowed, &1);
 }
 
 #[test]
-fn a_withdrawn_versions_last_start_counts() {
+fn the_last_start_on_a_withdrawn_version_is_measured() {
     let call = call(Kind::EraTag, [answered(&whole("c1.0"))]);
-    let mut evidence = executed(&["small@1", "small@1"]);
-    evidence.executions[0].started_ms = 900;
-    evidence.executions[1].started_ms = 2500;
-    evidence.withdrawal = Some(Withdrawal {
+    let mut site_records = with_executions(&["small@1", "small@1"]);
+    site_records.executions[0].started_ms = 900;
+    site_records.executions[1].started_ms = 2500;
+    site_records.withdrawal = Some(Withdrawal {
         version: "small@1".to_owned(),
         accepted_ms: 1000,
     });
-    check(call, &evidence, |it| it.withdrawn_after_s, &1.5);
+    check(call, &site_records, |it| it.withdrawn_after_s, &1.5);
 }
 
 #[test]
-fn a_conversation_that_changes_version_was_told_so_or_not() {
+fn reported_and_unreported_changes_of_version_are_counted() {
     let turn = |turn: u32, version: &str, moved: bool| {
         let text = whole(&format!("c1.{turn}")).replace("small@1", version);
-        let answer = Answer {
+        let response = CallResponse {
             text,
             moved,
-            ..Answer::default()
+            ..CallResponse::default()
         };
-        let call = call(Kind::VisitorChat, [End::Answered(answer)]);
+        let call = call(Kind::VisitorChat, [Outcome::Completed(response)]);
         Call {
             name: format!("c1.{turn}"),
             ..call
@@ -175,73 +203,79 @@
     ];
     let expect = Sessions {
         conversations: 1,
-        moved: 1,
-        switched: 1,
+        reported_moves: 1,
+        unreported_moves: 1,
     };
     assert_that!(Sessions::count(&calls), eq(expect));
 }
 
 #[test]
-fn times_are_those_of_the_answered_calls() {
+fn percentiles_cover_the_answered_calls() {
     let call = call(Kind::EraTag, [answered(&whole("c1.0"))]);
     check(
         call,
-        &evidence(),
+        &without_executions(),
         |it| (it.p50_ms.round(), it.p99_ms.round()),
         &(5.0, 5.0),
     );
 }
 
 #[test]
-fn a_stream_is_answered_only_by_its_end_mark() {
+fn a_stream_is_complete_only_with_its_end_mark() {
     let chunk = r#"data: {"choices":[{"delta":{"content":"a"}}]}"#;
     let last =
         r#"data: {"choices":[{"delta":{}}],"barleypin":{"version":"v@1","cost_microcents":5}}"#;
     let stream = format!("{chunk}\n\n{last}\n\n");
-    let cut = read(stream.as_bytes(), Answer::default());
-    assert_that!(cut, matches_pattern!(End::Failed(anything())));
-    let whole = read(
+    let cut = parse_stream(stream.as_bytes(), CallResponse::default());
+    assert_that!(cut, matches_pattern!(Outcome::Failed(anything())));
+    let whole = parse_stream(
         format!("{stream}data: [DONE]\n\n").as_bytes(),
-        Answer::default(),
+        CallResponse::default(),
     );
-    let expect = Answer {
+    let expect = CallResponse {
         version: "v@1".to_owned(),
         cost_microcents: Some(5),
         text: "a".to_owned(),
-        ..Answer::default()
+        ..CallResponse::default()
     };
-    assert_that!(whole, eq(&End::Answered(expect)));
+    assert_that!(whole, eq(&Outcome::Completed(expect)));
 }
 
 #[test]
-fn a_plan_is_the_same_for_its_seed_and_has_every_kind() {
-    let plan = Plan::draw(7, 50.0, Duration::from_secs(20));
-    assert_that!(plan, eq(&Plan::draw(7, 50.0, Duration::from_secs(20))));
+fn a_schedule_is_deterministic_and_has_every_kind() {
+    let schedule = Schedule::generate(7, 50.0, Duration::from_secs(20));
+    assert_that!(
+        schedule,
+        eq(&Schedule::generate(7, 50.0, Duration::from_secs(20)))
+    );
     for kind in Kind::ALL {
-        assert_that!(plan.items.iter().any(|it| it.kind == kind), eq(true));
+        assert_that!(schedule.items.iter().any(|it| it.kind == kind), eq(true));
     }
 }
 
-fn call<const N: usize>(kind: Kind, ends: [End; N]) -> Call {
+fn call<const N: usize>(kind: Kind, outcomes: [Outcome; N]) -> Call {
     let host = ([127, 0, 0, 1], 1).into();
     Call {
         name: "c1.0".to_owned(),
         kind,
         customer: "kivuli-bench",
-        tries: ends.into_iter().map(|end| Try { host, end }).collect(),
-        took: Duration::from_millis(5),
+        tries: outcomes
+            .into_iter()
+            .map(|outcome| Try { host, outcome })
+            .collect(),
+        duration: Duration::from_millis(5),
     }
 }
 
-fn answered(text: &str) -> End {
-    End::Answered(Answer {
+fn answered(text: &str) -> Outcome {
+    Outcome::Completed(CallResponse {
         text: text.to_owned(),
-        ..Answer::default()
+        ..CallResponse::default()
     })
 }
 
-fn refused(request: &str, run: problem::Run) -> End {
-    End::Refused(Refusal {
+fn refused(request: &str, run: problem::Run) -> Outcome {
+    Outcome::Refused(Refusal {
         request: request.to_owned(),
         reason: Reason::Overloaded,
         run,
@@ -253,17 +287,17 @@
     format!("[[request=r1 attempt=7 version=small@1 call={call} good=1]] w1 w2 [[end=7 words=2]]")
 }
 
-fn evidence() -> Evidence {
-    let mut allowed = Allowed::default();
+fn without_executions() -> SiteRecords {
+    let mut allowed = AllowedVersions::default();
     allowed.insert("kivuli-bench", "kivuli-era", &["small@1"]);
     allowed.insert("kivuli-bench", "kivuli-catalogue", &["small@1"]);
-    Evidence {
+    SiteRecords {
         allowed,
-        ..Evidence::default()
+        ..SiteRecords::default()
     }
 }
 
-fn ran(times: usize) -> Evidence {
+fn with_service_runs(times: usize) -> SiteRecords {
     let run = Run {
         request: "r1".to_owned(),
         attempt: "7".to_owned(),
@@ -273,13 +307,13 @@
         started_ms: 0,
         answered: true,
     };
-    Evidence {
+    SiteRecords {
         runs: vec![run; times],
-        ..evidence()
+        ..without_executions()
     }
 }
 
-fn executed(versions: &[&str]) -> Evidence {
+fn with_executions(versions: &[&str]) -> SiteRecords {
     let execution = |version: &&str| Execution {
         request: "r1".to_owned(),
         attempt: "7".to_owned(),
@@ -292,10 +326,10 @@
         cached_tokens: 0,
         completion_tokens: 1,
         cost_microcents: 1,
-        end: Ended::Complete,
+        end: ExecutionEnd::Complete,
     };
-    Evidence {
+    SiteRecords {
         executions: versions.iter().map(execution).collect(),
-        ..evidence()
+        ..without_executions()
     }
 }
--- a/xtask/tests/worth.rs
+++ b/xtask/tests/worth.rs
@@ -4,7 +4,7 @@
 use xtask::worth::{Entry, table};
 
 #[test]
-fn causes_add_up_to_what_is_missing() {
+fn causes_add_up_to_the_lost_worth() {
     let text = r#"{"site": "small", "score": 0.8, "days": [
         {"name": "quiet", "G": 0.84, "parts": [["whole day", 0.8, 0.95], ["worst class", 0.2, 0.9]],
          "prices": [["models", 500, 0.07], ["hosts", 9, 0.029], ["loads", 1, 0.001]]},
