--- a/xtask/src/caller.rs
+++ b/xtask/src/caller.rs
@@ -1,5 +1,7 @@
-//! A caller as a good one behaves: it asks which hosts to use, keeps the answer,
-//! repeats elsewhere under the same key and ticket, and heeds what it is told.
+//! A client that follows the caller protocol.
+//!
+//! It caches the list of hosts, retries at other hosts with the same idempotency key
+//! and ticket, and respects the retry delay in a refusal, up to a limit.
 
 mod events;
 mod hosts;
@@ -17,20 +19,20 @@
 
 use crate::caller::hosts::Hosts;
 
-pub use events::read;
-pub use record::{Answer, Call, End, Refusal, Try};
-pub use request::Ask;
+pub use events::parse_stream;
+pub use record::{Call, CallResponse, Outcome, Refusal, Try};
+pub use request::PlannedCall;
 
-/// How often a caller asks for one answer.
-const TRIES: usize = 6;
-/// How long a caller waits when it isn't told how long.
-const PAUSE: Duration = Duration::from_millis(150);
-/// No caller waits longer than this between two tries.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// An answer larger than this is a fault.
+/// Maximum number of tries of one call.
+const MAX_TRIES: usize = 6;
+/// Delay before the next try where the refusal names none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Maximum delay between two tries.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum size of a response body in bytes.
 const BODY_LIMIT: usize = 4 << 20;
 
-/// One caller's view of the hosts, shared by its calls.
+/// A client of one customer. Its calls share a cached list of hosts.
 pub struct Caller {
     clock: Arc<dyn Clock>,
     client: Client,
@@ -40,12 +42,12 @@
 }
 
 impl Caller {
-    /// A caller of one customer, which knows some hosts to start with.
+    /// Creates a caller that asks the hosts at `initial_hosts` for the list of hosts.
     #[must_use]
     pub fn new(
         clock: Arc<dyn Clock>,
         client: Client,
-        start: Vec<SocketAddr>,
+        initial_hosts: Vec<SocketAddr>,
         data_centre: &str,
         key: String,
     ) -> Self {
@@ -55,7 +57,7 @@
             total: Duration::from_secs(12),
             retry_policy: RetryPolicy::Never,
         };
-        let hosts = Hosts::new(Arc::clone(&clock), start, data_centre);
+        let hosts = Hosts::new(Arc::clone(&clock), initial_hosts, data_centre);
         Self {
             clock,
             client,
@@ -65,66 +67,71 @@
         }
     }
 
-    /// Makes one call, with its repeats.
-    pub async fn call(&self, ask: &Ask) -> Call {
+    /// Makes one call, with retries.
+    pub async fn call(&self, planned: &PlannedCall) -> Call {
         let started = self.clock.now();
         let mut tries: Vec<Try> = Vec::new();
         let mut ticket = None;
-        while tries.len() < TRIES {
+        while tries.len() < MAX_TRIES {
             let avoid: Vec<_> = tries.iter().map(|it| it.host).collect();
             let Some(target) = self
                 .hosts
-                .choose(&self.client, &self.key, ask, &avoid)
+                .choose(&self.client, &self.key, planned, &avoid)
                 .await
             else {
-                task::sleep(PAUSE).await;
-                tries.push(Try::nowhere());
+                task::sleep(DEFAULT_RETRY_DELAY).await;
+                tries.push(Try::without_host());
                 continue;
             };
             let ticket = ticket.get_or_insert(target.ticket);
-            let request = ask.request(&self.key, ticket);
+            let request = planned.request(&self.key, ticket);
             let res = self
                 .client
                 .send(target.address, request, &self.options)
                 .await;
-            let end = match res {
-                Ok(res) => outcome(ask, res).await,
-                Err(err) => End::Failed(err.to_string()),
+            let outcome = match res {
+                Ok(res) => read_response(planned, res).await,
+                Err(err) => Outcome::Failed(err.to_string()),
             };
-            if matches!(end, End::Failed(_)) {
-                self.hosts.forget(target.address);
+            if matches!(outcome, Outcome::Failed(_)) {
+                self.hosts.invalidate(target.address);
             }
-            let pause = pause(&end);
+            let delay = retry_delay(&outcome);
             tries.push(Try {
                 host: target.address,
-                end,
+                outcome,
             });
-            match pause {
-                Some(pause) => task::sleep(pause).await,
+            match delay {
+                Some(delay) => task::sleep(delay).await,
                 None => break,
             }
         }
         Call {
-            name: ask.name.clone(),
-            kind: ask.kind,
-            customer: ask.customer,
+            name: planned.name.clone(),
+            kind: planned.kind,
+            customer: planned.customer,
             tries,
-            took: self.clock.now().saturating_sub(started),
+            duration: self.clock.now().saturating_sub(started),
         }
     }
 }
 
-/// How long to wait before the next try; none when there is to be none.
-fn pause(end: &End) -> Option<Duration> {
-    match end {
-        End::Answered(_) => None,
-        End::Failed(_) => Some(PAUSE),
-        End::Refused(refusal) if is_final(refusal.reason) => None,
-        End::Refused(refusal) => Some(refusal.retry_after.unwrap_or(PAUSE).min(LONGEST_PAUSE)),
+/// Returns the delay before the next try, or `None` if the call is not retried.
+fn retry_delay(outcome: &Outcome) -> Option<Duration> {
+    match outcome {
+        Outcome::Completed(_) => None,
+        Outcome::Failed(_) => Some(DEFAULT_RETRY_DELAY),
+        Outcome::Refused(refusal) if is_final(refusal.reason) => None,
+        Outcome::Refused(refusal) => Some(
+            refusal
+                .retry_after
+                .unwrap_or(DEFAULT_RETRY_DELAY)
+                .min(MAX_RETRY_DELAY),
+        ),
     }
 }
 
-/// Whether a repeat can't go better.
+/// Returns whether a retry after a refusal for this reason can't succeed.
 fn is_final(reason: Reason) -> bool {
     matches!(
         reason,
@@ -139,9 +146,9 @@
     )
 }
 
-async fn outcome(ask: &Ask, res: Response) -> End {
+async fn read_response(planned: &PlannedCall, res: Response) -> Outcome {
     let header = |name: &str| res.headers.get(name).unwrap_or_default().to_owned();
-    let answer = Answer {
+    let response = CallResponse {
         request: header("barleypin-request"),
         version: header("barleypin-version"),
         cost_microcents: header("barleypin-cost-microcents").parse().ok(),
@@ -153,27 +160,28 @@
     let streamed = header("content-type").starts_with("text/event-stream");
     let body = match res.body.collect(BODY_LIMIT).await {
         Ok(it) => it,
-        Err(err) => return End::Failed(err.to_string()),
+        Err(err) => return Outcome::Failed(err.to_string()),
     };
     if !status.is_success() {
-        return refusal(&body);
+        return parse_refusal(&body);
     }
     if streamed {
-        return events::read(&body, answer);
+        return events::parse_stream(&body, response);
     }
-    ask.read(&body, answer)
+    planned.parse_response(&body, response)
 }
 
-fn refusal(body: &[u8]) -> End {
+fn parse_refusal(body: &[u8]) -> Outcome {
     match serde_json::from_slice::<Problem>(body) {
-        Ok(it) => End::Refused(Refusal {
+        Ok(it) => Outcome::Refused(Refusal {
             request: it.request,
             reason: it.reason,
             run: it.run,
             retry_after: it.retry_after_ms.map(Duration::from_millis),
         }),
-        // The service's own answer, relayed: the call ran and failed there.
-        Err(_) => End::Refused(Refusal {
+        // An error response of the service itself, relayed by the host. The service may
+        // have executed the call.
+        Err(_) => Outcome::Refused(Refusal {
             request: String::new(),
             reason: Reason::UpstreamFailed,
             run: Run::Unknown,
--- a/xtask/src/caller/hosts.rs
+++ b/xtask/src/caller/hosts.rs
@@ -1,4 +1,4 @@
-//! Which host to use.
+//! Choice of the host for a try.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,20 +7,20 @@
 use http::{Client, Options, Request};
 use kernel::Clock;
 
-use crate::caller::Ask;
-use crate::workload::Repeat;
+use crate::caller::PlannedCall;
+use crate::workload::CallRetryPolicy;
 
 const BODY_LIMIT: usize = 1 << 20;
 
-/// The hosts that a caller knows, and the answer that it keeps.
+/// The hosts that a caller knows, with a cached response to `GET /v1/hosts`.
 pub(crate) struct Hosts {
     clock: Arc<dyn Clock>,
     data_centre: String,
-    start: Vec<SocketAddr>,
-    kept: Mutex<Option<Kept>>,
+    bootstrap: Vec<SocketAddr>,
+    cached: Mutex<Option<CachedHosts>>,
 }
 
-/// Where to make the next try.
+/// The host and the ticket of a try.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
@@ -28,77 +28,83 @@
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
-    until: Duration,
+struct CachedHosts {
+    expires_at: Duration,
     hosts: Vec<SocketAddr>,
-    /// Only the host that minted the ticket may run what runs at most once.
-    minted_by: SocketAddr,
+    /// The host that issued the ticket. Only this host may run an at-most-once call with it.
+    issuer: SocketAddr,
     ticket: String,
 }
 
 impl Hosts {
-    pub(crate) fn new(clock: Arc<dyn Clock>, start: Vec<SocketAddr>, data_centre: &str) -> Self {
+    pub(crate) fn new(
+        clock: Arc<dyn Clock>,
+        bootstrap: Vec<SocketAddr>,
+        data_centre: &str,
+    ) -> Self {
         Self {
             clock,
             data_centre: data_centre.to_owned(),
-            start,
-            kept: Mutex::new(None),
+            bootstrap,
+            cached: Mutex::new(None),
         }
     }
 
-    /// The best host that was not tried yet, or the best of all.
+    /// Returns the preferred host that is not in `avoid`, or the preferred host if all are.
+    ///
+    /// The first try of an at-most-once call goes to the host that issued the ticket.
     pub(crate) async fn choose(
         &self,
         client: &Client,
         key: &str,
-        ask: &Ask,
+        planned: &PlannedCall,
         avoid: &[SocketAddr],
     ) -> Option<Target> {
-        let kept = self.kept_or_asked(client, key, avoid).await?;
-        let first = match ask.kind.repeat() {
-            Repeat::AtMostOnce if avoid.is_empty() => Some(kept.minted_by),
-            _ => kept.hosts.iter().find(|it| !avoid.contains(it)).copied(),
+        let cached = self.cached_or_fetched(client, key, avoid).await?;
+        let first = match planned.kind.retry_policy() {
+            CallRetryPolicy::AtMostOnce if avoid.is_empty() => Some(cached.issuer),
+            _ => cached.hosts.iter().find(|it| !avoid.contains(it)).copied(),
         };
         Some(Target {
-            address: first.or(kept.hosts.first().copied())?,
-            ticket: kept.ticket,
+            address: first.or(cached.hosts.first().copied())?,
+            ticket: cached.ticket,
         })
     }
 
-    /// Forgets the kept answer when it names a host that doesn't answer.
-    pub(crate) fn forget(&self, address: SocketAddr) {
-        let mut kept = self.lock();
-        if kept
+    /// Drops the cached response if it names or came from the failed host `address`.
+    pub(crate) fn invalidate(&self, address: SocketAddr) {
+        let mut cached = self.lock();
+        if cached
             .as_ref()
-            .is_some_and(|it| it.hosts.contains(&address) || it.minted_by == address)
+            .is_some_and(|it| it.hosts.contains(&address) || it.issuer == address)
         {
-            *kept = None;
+            *cached = None;
         }
     }
 
-    async fn kept_or_asked(
+    async fn cached_or_fetched(
         &self,
         client: &Client,
         key: &str,
         avoid: &[SocketAddr],
-    ) -> Option<Kept> {
+    ) -> Option<CachedHosts> {
         let now = self.clock.now();
         let known = self.lock().clone();
-        if let Some(kept) = known.filter(|it| it.until > now) {
-            return Some(kept);
+        if let Some(cached) = known.filter(|it| it.expires_at > now) {
+            return Some(cached);
         }
         let (tried, fresh): (Vec<SocketAddr>, Vec<SocketAddr>) =
-            self.start.iter().partition(|it| avoid.contains(it));
+            self.bootstrap.iter().partition(|it| avoid.contains(it));
         for host in fresh.into_iter().chain(tried) {
-            if let Some(kept) = self.ask(client, key, host).await {
-                *self.lock() = Some(kept.clone());
-                return Some(kept);
+            if let Some(cached) = self.fetch(client, key, host).await {
+                *self.lock() = Some(cached.clone());
+                return Some(cached);
             }
         }
         None
     }
 
-    async fn ask(&self, client: &Client, key: &str, host: SocketAddr) -> Option<Kept> {
+    async fn fetch(&self, client: &Client, key: &str, host: SocketAddr) -> Option<CachedHosts> {
         let request = Request::get(format!("/v1/hosts?data_centre={}", self.data_centre))
             .header("authorization", format!("Bearer {key}"));
         let options = Options {
@@ -111,21 +117,21 @@
         if !res.status.is_success() {
             return None;
         }
-        let answer: gate::hosts::Answer = res.body.parse(BODY_LIMIT).await.ok()?;
-        let hosts: Vec<_> = answer
+        let response: gate::hosts::Answer = res.body.parse(BODY_LIMIT).await.ok()?;
+        let hosts: Vec<_> = response
             .hosts
             .iter()
             .filter_map(|it| it.address.parse().ok())
             .collect();
-        (!hosts.is_empty()).then_some(Kept {
-            until: self.clock.now() + Duration::from_millis(answer.keep_ms),
+        (!hosts.is_empty()).then_some(CachedHosts {
+            expires_at: self.clock.now() + Duration::from_millis(response.keep_ms),
             hosts,
-            minted_by: host,
-            ticket: answer.ticket,
+            issuer: host,
+            ticket: response.ticket,
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<Kept>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Option<CachedHosts>> {
+        self.cached.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/xtask/src/caller/request.rs
+++ b/xtask/src/caller/request.rs
@@ -1,34 +1,34 @@
-//! What a caller asks for.
+//! The requests of a caller.
 
 use http::{Body, Method, Request};
 use serde_json::{Value, json};
 
-use crate::caller::{Answer, End};
+use crate::caller::{CallResponse, Outcome};
 use crate::workload::{Kind, Route};
 
-/// One call to be made.
+/// A call to be made.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// The caller's name for it, its idempotency key as well.
+pub struct PlannedCall {
+    /// The caller's name for the call, also its idempotency key.
     pub name: String,
-    /// What it is.
+    /// The kind of work.
     pub kind: Kind,
-    /// The customer on whose account it runs.
+    /// The customer who is billed.
     pub customer: &'static str,
-    /// The conversation so far, its newest message last: role and text.
+    /// The messages of the conversation as role and text, the newest last.
     pub messages: Vec<(&'static str, String)>,
-    /// The session token of the answer before.
+    /// The session token of the previous response.
     pub session: Option<String>,
 }
 
-impl Ask {
-    /// The request, the same at every try.
+impl PlannedCall {
+    /// Returns the HTTP request, which is the same for every try.
     pub(crate) fn request(&self, key: &str, ticket: &str) -> Request {
         let request = match self.kind.route() {
             Route::Chat { profile, class } => {
-                Request::post("/v1/chat/completions", &self.chat(profile, class))
+                Request::post("/v1/chat/completions", &self.chat_body(profile, class))
             }
-            Route::Plain { method, path } => self.plain(method, path),
+            Route::Plain { method, path } => self.plain_request(method, path),
         };
         let request = request
             .header("authorization", format!("Bearer {key}"))
@@ -41,20 +41,20 @@
         }
     }
 
-    /// Reads an answer that was not streamed.
-    pub(crate) fn read(&self, body: &[u8], answer: Answer) -> End {
+    /// Parses a response that is not streamed.
+    pub(crate) fn parse_response(&self, body: &[u8], response: CallResponse) -> Outcome {
         let Ok(body) = serde_json::from_slice::<Value>(body) else {
-            return End::Failed("the answer isn't JSON".to_owned());
+            return Outcome::Failed("the response is not JSON".to_owned());
         };
         let text = match self.kind.route() {
             Route::Chat { .. } => &body["choices"][0]["message"]["content"],
             Route::Plain { .. } => &body["call"],
         };
         let text = text.as_str().unwrap_or_default().to_owned();
-        End::Answered(Answer { text, ..answer })
+        Outcome::Completed(CallResponse { text, ..response })
     }
 
-    fn chat(&self, profile: &str, class: &str) -> Value {
+    fn chat_body(&self, profile: &str, class: &str) -> Value {
         let messages: Vec<_> = self
             .messages
             .iter()
@@ -69,7 +69,7 @@
         })
     }
 
-    fn plain(&self, method: &str, path: &str) -> Request {
+    fn plain_request(&self, method: &str, path: &str) -> Request {
         let target = format!("/services/{path}");
         if method == "GET" {
             return Request::get(format!("{target}?call={}", self.name));
--- a/xtask/src/capacity/document.rs
+++ b/xtask/src/capacity/document.rs
@@ -1,4 +1,4 @@
-//! The configuration's document, by the number of profiles.
+//! Size and parse time of the configuration document by number of profiles.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 const CUSTOMERS: u32 = 10;
 const RUNS: usize = 5;
 const PARSES: u32 = 50;
-/// The target names no number of profiles; one a service of every customer is assumed.
+/// Assumed number of profiles; the target deployment specifies none.
 const TARGET: f64 = 100.0;
 
 pub(super) fn measure() -> Vec<Series> {
@@ -38,18 +38,19 @@
     ]
 }
 
-/// Microseconds to read the document.
+/// Returns the microseconds to parse the document.
 fn parse(text: &str) -> f64 {
     let start = Instant::now();
     for _ in 0..PARSES {
-        let document: Document = serde_json::from_str(text).expect("the document is ours");
+        let document: Document =
+            serde_json::from_str(text).expect("the generated document is valid");
         black_box(document);
     }
     start.elapsed().as_secs_f64() * 1e6 / f64::from(PARSES)
 }
 
 fn text(profiles: u32) -> String {
-    let versions = named(
+    let versions = object(
         VERSIONS,
         |it| format!("model-{}@{}", it / 4, it % 4),
         |_| {
@@ -60,13 +61,13 @@
             })
         },
     );
-    let customers = named(
+    let customers = object(
         CUSTOMERS,
         |it| format!("customer-{it}"),
         |it| json!({"key_blake3": format!("{it:064x}"), "rate_per_s": 100, "burst": 100}),
     );
-    let grants = named(CUSTOMERS, |it| format!("customer-{it}"), |_| json!({}));
-    let profiles = named(
+    let grants = object(CUSTOMERS, |it| format!("customer-{it}"), |_| json!({}));
+    let profiles = object(
         profiles,
         |it| format!("profile-{it}"),
         |_| {
@@ -83,11 +84,12 @@
         "revision": 1, "versions": versions, "customers": customers,
         "profiles": profiles, "services": {}, "rollouts": {},
     });
-    let document: Document = serde_json::from_value(document).expect("the document is ours");
-    serde_json::to_string(&document).expect("a document has a JSON form")
+    let document: Document =
+        serde_json::from_value(document).expect("the generated document is valid");
+    serde_json::to_string(&document).expect("a document can be serialized to JSON")
 }
 
-fn named(count: u32, name: impl Fn(u32) -> String, value: impl Fn(u32) -> Value) -> Value {
+fn object(count: u32, name: impl Fn(u32) -> String, value: impl Fn(u32) -> Value) -> Value {
     let entries = (0..count).map(|it| (name(it), value(it)));
     Value::Object(entries.collect())
 }
--- a/xtask/src/days.rs
+++ b/xtask/src/days.rs
@@ -1,4 +1,5 @@
-//! Replays the days under `deploy/days/`: each kind of trouble alone, and pairs.
+//! `cargo xtask days`: replays the days under `deploy/days/`. Each day has one kind of
+//! failure or a pair of them.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -11,44 +12,45 @@
 
 use crate::error::Error;
 
-/// Where the days are, from the repository's root.
-const FOLDER: &str = "deploy/days";
+/// Folder of the days, relative to the root of the repository.
+const DAYS_DIR: &str = "deploy/days";
 
-/// The command line.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("days")
-        .about("Replays the days under deploy/days/ with the users' bench, where it is there")
+        .about("Replays the days under deploy/days/ with the users' bench, if it is installed")
         .arg(
             Arg::new("bench")
                 .long("bench")
                 .value_name("PROGRAM")
-                .help("The users' bench; without it nothing is replayed")
+                .help("Program of the users' bench; without it nothing is replayed")
                 .value_parser(value_parser!(PathBuf)),
         )
         .arg(
             Arg::new("jobs")
                 .long("jobs")
                 .value_name("N")
-                .help("Days at a time")
+                .help("Number of days replayed in parallel")
                 .value_parser(value_parser!(usize))
                 .default_value("4"),
         )
         .arg(
             Arg::new("site")
                 .value_name("SITE")
-                .help("Site files")
+                .help("Site files on which the days are replayed")
                 .value_parser(value_parser!(PathBuf))
                 .action(ArgAction::Append)
                 .num_args(0..),
         )
 }
 
-/// Replays each day on each site, prints its worth and the rules it broke, and
-/// fails if any did.
+/// Replays each day on each site and prints its worth or the rules that it broke.
+///
+/// The exit code is a failure if a day broke a rule or was not replayed.
 ///
 /// # Errors
-/// [`Error::Measure`] when the days can't be read.
+/// [`Error::Measurement`] if the folder of the days can't be read.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let bench = matches.get_one::<PathBuf>("bench");
     let Some(bench) = bench.filter(|it| it.exists()) else {
@@ -56,11 +58,11 @@
         return Ok(ExitCode::SUCCESS);
     };
     let jobs = *matches.get_one::<usize>("jobs").unwrap_or(&1);
-    let mut plays = Vec::new();
+    let mut replays = Vec::new();
     for site in matches.get_many::<PathBuf>("site").unwrap_or_default() {
-        plays.extend(days()?.into_iter().map(|day| (site.clone(), day)));
+        replays.extend(days()?.into_iter().map(|day| (site.clone(), day)));
     }
-    let queue = Mutex::new(plays.into_iter());
+    let queue = Mutex::new(replays.into_iter());
     let broken = Mutex::new(0);
     thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
@@ -68,7 +70,7 @@
                 loop {
                     let next = queue.lock().expect("no thread panics with it").next();
                     let Some((site, day)) = next else { break };
-                    let line = play(bench, &site, &day);
+                    let line = replay(bench, &site, &day);
                     if line.contains("BROKEN") || line.contains("not played") {
                         *broken.lock().expect("no thread panics with it") += 1;
                     }
@@ -87,23 +89,23 @@
 }
 
 fn days() -> Result<Vec<PathBuf>, Report<Error>> {
-    let entries = fs::read_dir(FOLDER).change_context(Error::Measure)?;
+    let entries = fs::read_dir(DAYS_DIR).change_context(Error::Measurement)?;
     let mut days: Vec<PathBuf> = entries.flatten().map(|it| it.path()).collect();
     days.sort();
     Ok(days)
 }
 
-/// One line: the site, the day, and its worth or the rules it broke.
-fn play(bench: &Path, site: &Path, day: &Path) -> String {
+/// Replays a day and returns a line with the site, the day, and its worth or the broken rules.
+fn replay(bench: &Path, site: &Path, day: &Path) -> String {
     let name = |it: &Path| it.file_stem().unwrap_or_default().display().to_string();
     let title = format!("{} {}", name(site), name(day));
-    let played = Process::new(bench)
+    let result = Process::new(bench)
         .arg("run")
         .args([site, day])
         .args(["--no-cpu", "--why", "a day of our own, replayed"])
         .stdin(Stdio::null())
         .output();
-    let Ok(output) = played else {
+    let Ok(output) = result else {
         return format!("{title}: not played");
     };
     let text = String::from_utf8_lossy(&output.stdout);
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -1,6 +1,5 @@
-//! `cargo xtask demo`: the whole path as processes, under a mixed workload of
-//! both organisations, while a version is rolled out, another withdrawn and a
-//! host killed.
+//! `cargo xtask demo`: runs stand-ins and hosts under a mixed workload of two organisations while
+//! a version is rolled out, another one is withdrawn and a host is killed.
 
 mod driver;
 pub(crate) mod organisations;
@@ -15,42 +14,42 @@
 use error_stack::Report;
 
 use crate::error::Error;
-use crate::reconcile::{Evidence, Tally};
-use crate::site::{Binaries, Entry, Profile, Site};
+use crate::reconcile::{SiteRecords, Tally};
+use crate::site::{Binaries, EntryHost, Profile, Site};
 
-/// How long a drained host may take to hand over its records and end.
-const DRAIN_LIMIT: Duration = Duration::from_secs(12);
+/// Timeout for a drained host to hand over its records and exit.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// The sub-command.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("demo")
-        .about("Starts stand-ins and three hosts, drives a mixed workload and sets the records against it")
+        .about("Runs a mixed workload on stand-ins and three hosts and checks the responses")
         .arg(
             Arg::new("seconds")
                 .long("seconds")
-                .help("How long the workload runs")
+                .help("Duration of the workload")
                 .value_parser(value_parser!(u64).range(8..=40))
                 .default_value("20"),
         )
         .arg(
             Arg::new("rate")
                 .long("rate")
-                .help("Pieces of work a second")
+                .help("Work items per second")
                 .value_parser(value_parser!(u32).range(1..=500))
                 .default_value("60"),
         )
         .arg(
             Arg::new("seed")
                 .long("seed")
-                .help("What the random numbers come from")
+                .help("Seed of the random numbers")
                 .value_parser(value_parser!(u64))
                 .default_value("1"),
         )
         .arg(
             Arg::new("logs")
                 .long("logs")
-                .help("Prints the last lines of each host's log at the end")
+                .help("Print so many of the last lines of each host's log at the end")
                 .value_parser(value_parser!(usize))
                 .default_value("0"),
         )
@@ -59,38 +58,38 @@
 /// Runs the demo.
 ///
 /// # Errors
-/// When the site can't be brought up or a stand-in doesn't answer; a promise that
-/// did not hold is no error but shows in the figures and in the exit code.
+/// If the site doesn't start or a stand-in doesn't respond. A violated guarantee is not an error
+/// but shows in the figures and in the exit code.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Dev)?;
-    task::block_on(play(binaries, matches))
+    task::block_on(run_demo(binaries, matches))
 }
 
-async fn play(binaries: Binaries, matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
+async fn run_demo(binaries: Binaries, matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let seed = value::<u64>(matches, "seed");
     let length = Duration::from_secs(value(matches, "seconds"));
     let rate = f64::from(value::<u32>(matches, "rate"));
     let mut site = Site::start(binaries, &organisations::stand_ins(seed))?;
     site.settings = organisations::settings();
     for (name, data_centre) in organisations::HOSTS {
-        site.add(name, data_centre).await?;
+        site.add_host(name, data_centre).await?;
     }
-    site.alive().await?;
+    site.wait_until_alive().await?;
     let setup = organisations::configure(&site.operator()).await?;
-    site.ready().await?;
+    site.wait_until_ready().await?;
     let driver = driver::start(&site, seed, rate, length);
-    let withdrawal = script::play(&mut site, &setup, length).await?;
+    let withdrawal = script::run(&mut site, &setup, length).await?;
     let calls = driver.await;
-    let ended = drain(&mut site).await;
-    let evidence = Evidence {
+    let exits = drain(&mut site).await;
+    let site_records = SiteRecords {
         executions: site.stand_ins.executions().await?,
         runs: site.stand_ins.runs().await?,
-        bills: site.stand_ins.bills().await?,
+        billing_records: site.stand_ins.billing_records().await?,
         allowed: setup.allowed,
         withdrawal: Some(withdrawal),
     };
     let table = site.stand_ins.table().await?;
-    let tally = Tally::count(&calls, &evidence);
+    let tally = Tally::count(&calls, &site_records);
     for (name, _) in organisations::HOSTS {
         let log = site.log(name, value(matches, "logs"));
         if !log.is_empty() {
@@ -98,37 +97,37 @@
         }
     }
     drop(site);
-    report::print(&calls, &evidence, &table, &ended, &tally);
-    let held = report::is_whole(&tally);
-    Ok(if held {
+    report::print(&calls, &site_records, &table, &exits, &tally);
+    let passed = report::guarantees_hold(&tally);
+    Ok(if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     })
 }
 
-/// Drains the hosts that still run and says of each how it ended.
+/// Drains the hosts that still run and returns for each host whether its process exited.
 async fn drain(site: &mut Site) -> Vec<String> {
     let operator = site.operator();
-    for entry in &mut site.entries {
+    for entry in &mut site.entry_hosts {
         if entry.process.is_running() {
-            // A refused drain shows below: the process does not end.
+            // A refused drain shows below: the process does not exit.
             let _ = operator.drain(entry.operators, &entry.name).await;
         }
     }
-    let deadline = Instant::now() + DRAIN_LIMIT;
-    let ended = |entry: &mut Entry| {
+    let deadline = Instant::now() + DRAIN_TIMEOUT;
+    let exit_state = |entry: &mut EntryHost| {
         let left = deadline.saturating_duration_since(Instant::now());
-        let ended = entry.process.ends_within(left);
-        let how = if ended { "ended" } else { "did not end" };
-        format!("{} {how}", entry.name)
+        let exited = entry.process.exits_within(left);
+        let state = if exited { "ended" } else { "did not end" };
+        format!("{} {state}", entry.name)
     };
-    site.entries.iter_mut().map(ended).collect()
+    site.entry_hosts.iter_mut().map(exit_state).collect()
 }
 
 fn value<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> T {
     matches
         .get_one::<T>(name)
         .cloned()
-        .expect("each argument has a default value")
+        .expect("the argument has a default value")
 }
--- a/xtask/src/load.rs
+++ b/xtask/src/load.rs
@@ -1,12 +1,12 @@
-//! `cargo xtask load`: what one host adds to an engine's own latency, what it
-//! sustains and what it costs.
+//! `cargo xtask load`: measures the latency that a host adds to an engine, its throughput and its
+//! resource usage.
 //!
-//! The load is open: each request starts at its time, whatever became of those
-//! before, and its latency counts from that time. A slow answer therefore can't
-//! hide the requests that had to wait behind it.
+//! The load is open-loop: each request has a scheduled start that doesn't depend on earlier
+//! responses, and its latency counts from there. This avoids coordinated omission: a slow response
+//! doesn't hide the delay of the requests after it.
 
-mod measure;
-mod pace;
+mod constant_rate;
+mod measurement;
 mod report;
 mod setup;
 mod target;
@@ -20,52 +20,53 @@
 use error_stack::Report;
 
 use crate::error::Error;
-use crate::load::measure::Measure;
+use crate::load::measurement::Measurement;
 use crate::load::report::Figures;
-use crate::load::target::{Target, Work};
+use crate::load::target::{LoadKind, Target};
 use crate::site::{Binaries, Profile, Site};
 
-pub use pace::Pace;
+pub use constant_rate::ConstantRate;
 pub(crate) use setup::stand_ins;
 pub use usage::Usage;
 
-/// The direct path and the host take turns so often, so that what else the
-/// machine does hits both.
-const TURNS: u32 = 4;
-/// What is sent before anything is measured, to fill pools and caches.
+/// Number of rounds in which the stand-in and the host are measured in turn, so that other
+/// load of the machine affects both.
+const ROUNDS: u32 = 4;
+/// Duration of the load on each target before the measurement, without the ramp-up. It fills
+/// pools and caches.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// How long hosts may take to find each other.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Time for the hosts to discover each other.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// The sub-command.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("load")
-        .about("Measures what one host adds to a stand-in's own latency under open-loop load")
+        .about("Measures the latency that a host adds to a stand-in's under open-loop load")
         .arg(
             Arg::new("json")
                 .long("json")
-                .help("Prints the figures as JSON only")
+                .help("Print the figures as JSON only")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("rate")
                 .long("rate")
-                .help("Requests a second")
+                .help("Requests per second")
                 .value_parser(value_parser!(u32).range(1..=50_000))
                 .default_value("1000"),
         )
         .arg(
             Arg::new("tokens")
                 .long("tokens")
-                .help("Tokens a second over all streams")
+                .help("Tokens per second over all streams")
                 .value_parser(value_parser!(u32).range(100..=1_000_000))
                 .default_value("100000"),
         )
         .arg(
             Arg::new("seconds")
                 .long("seconds")
-                .help("How long each kind of load runs on each target")
+                .help("Duration of each kind of load on each target")
                 .value_parser(value_parser!(u64).range(1..=600))
                 .default_value("8"),
         )
@@ -74,10 +75,10 @@
 /// Runs the measurement.
 ///
 /// # Errors
-/// When the site can't be brought up or nothing is answered.
+/// If the site doesn't start or the usage of a process can't be read.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Release)?;
-    let figures = task::block_on(play(binaries, matches))?;
+    let figures = task::block_on(run_load(binaries, matches))?;
     if matches.get_flag("json") {
         println!("{}", figures.json());
     } else {
@@ -86,57 +87,64 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn play(binaries: Binaries, matches: &ArgMatches) -> Result<Figures, Report<Error>> {
+async fn run_load(binaries: Binaries, matches: &ArgMatches) -> Result<Figures, Report<Error>> {
     let rate = value::<u32>(matches, "rate");
     let tokens = value::<u32>(matches, "tokens");
-    let turn = Duration::from_secs(value(matches, "seconds")) / TURNS;
+    let duration = Duration::from_secs(value(matches, "seconds")) / ROUNDS;
     let mut site = Site::start(binaries, &setup::stand_ins())?;
-    // The second host gets no load: it holds copies of the billing records, as
-    // a host in another data centre does for each host at work.
-    site.add("entry-1", "dar-1").await?;
-    site.add("entry-2", "dar-2").await?;
-    site.alive().await?;
+    // The second host gets no load. It holds copies of the billing records, as a host in
+    // another data centre does for every host in production.
+    site.add_host("entry-1", "dar-1").await?;
+    site.add_host("entry-2", "dar-2").await?;
+    site.wait_until_alive().await?;
     setup::configure(&site.operator()).await?;
-    site.ready().await?;
-    task::sleep(SETTLE).await;
+    site.wait_until_ready().await?;
+    task::sleep(SETTLE_TIME).await;
     let direct = Target::direct(&site);
     let host = Target::host(&site);
     for target in [&direct, &host] {
-        for work in [Work::Whole, Work::Stream] {
-            let mut warm_up = Measure::default();
-            target.run(work, 50, WARM_UP / 2, &mut warm_up).await;
+        for load_kind in [LoadKind::Unary, LoadKind::Streaming] {
+            let mut warm_up = Measurement::default();
+            target.run(load_kind, 50, WARM_UP / 2, &mut warm_up).await;
         }
     }
     let mut figures = Figures::new(rate, tokens);
-    let streams = tokens / setup::WORDS;
-    let usage = |idx: usize| Usage::of(site.entries[idx].process.id());
-    for _ in 0..TURNS {
-        target_turn(&direct, &mut figures.direct, rate, streams, turn).await;
+    let streams = tokens / setup::STREAM_WORDS;
+    let usage = |idx: usize| Usage::of(site.entry_hosts[idx].process.id());
+    for _ in 0..ROUNDS {
+        measure_direct(&direct, &mut figures.direct, rate, streams, duration).await;
         let (before, partner) = (usage(0)?, usage(1)?);
-        host.run(Work::Whole, rate, turn, &mut figures.host.whole)
+        host.run(LoadKind::Unary, rate, duration, &mut figures.host.unary)
             .await;
         let between = usage(0)?;
-        host.run(Work::Stream, streams, turn, &mut figures.host.stream)
-            .await;
+        host.run(
+            LoadKind::Streaming,
+            streams,
+            duration,
+            &mut figures.host.streaming,
+        )
+        .await;
         let after = usage(0)?;
-        figures.cpu_whole += between.since(&before);
-        figures.cpu_stream += after.since(&between);
+        figures.cpu_unary += between.since(&before);
+        figures.cpu_streaming += after.since(&between);
         figures.partner_cpu += usage(1)?.since(&partner);
         figures.peak_kib = after.peak_kib;
     }
     Ok(figures)
 }
 
-async fn target_turn(
+async fn measure_direct(
     target: &Target,
     pair: &mut report::Pair,
     rate: u32,
     streams: u32,
-    turn: Duration,
+    duration: Duration,
 ) {
-    target.run(Work::Whole, rate, turn, &mut pair.whole).await;
     target
-        .run(Work::Stream, streams, turn, &mut pair.stream)
+        .run(LoadKind::Unary, rate, duration, &mut pair.unary)
+        .await;
+    target
+        .run(LoadKind::Streaming, streams, duration, &mut pair.streaming)
         .await;
 }
 
@@ -144,5 +152,5 @@
     matches
         .get_one::<T>(name)
         .cloned()
-        .expect("each argument has a default value")
+        .expect("the argument has a default value")
 }
--- a/xtask/src/load/pace.rs
+++ b/xtask/src/load/constant_rate.rs
@@ -1,17 +1,17 @@
-//! When each request of an open-loop load is due.
+//! Scheduled starts of the requests of an open-loop load.
 
 use std::time::Duration;
 
-/// Requests at even distances.
+/// Iterator over the starts of requests at a constant rate.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct ConstantRate {
     per_second: u32,
     count: u32,
     next: u32,
 }
 
-impl Pace {
-    /// So many a second, for so long.
+impl ConstantRate {
+    /// Schedules `per_second` requests per second for `length`.
     #[must_use]
     pub fn new(per_second: u32, length: Duration) -> Self {
         let count = u128::from(per_second) * length.as_millis() / 1000;
@@ -23,10 +23,10 @@
     }
 }
 
-impl Iterator for Pace {
+impl Iterator for ConstantRate {
     type Item = Duration;
 
-    /// When the next request is due, from the start.
+    /// Returns the start of the next request, counted from the start of the load.
     fn next(&mut self) -> Option<Duration> {
         (self.next < self.count).then(|| {
             let due = Duration::from_secs(1) * self.next / self.per_second;
--- a/xtask/src/load/setup.rs
+++ b/xtask/src/load/setup.rs
@@ -1,4 +1,4 @@
-//! The site under load: one engine with room for everything, one host.
+//! Stand-ins and configuration of the site under load: one engine with ample slots.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use crate::error::Error;
 use crate::site::Operator;
 
-/// The version that answers whole, at once.
-pub(crate) const WHOLE: &str = "whole@1";
-/// The version that streams.
-pub(crate) const STREAM: &str = "stream@1";
+/// The version that responds at once, without streaming.
+pub(crate) const UNARY_VERSION: &str = "whole@1";
+/// The version whose responses are streamed.
+pub(crate) const STREAMING_VERSION: &str = "stream@1";
 /// The customer's bearer key.
 pub(crate) const KEY: &str = "key-of-load";
 /// The engine's name.
 pub(crate) const ENGINE: &str = "engine";
-/// Words in a streamed answer.
-pub(crate) const WORDS: u32 = 100;
+/// Number of words in a streamed response.
+pub(crate) const STREAM_WORDS: u32 = 100;
 
-/// The time between two tokens of a stream.
+/// Microseconds between two tokens of a stream.
 const TOKEN_US: u64 = 10_000;
-/// The time that a streamed answer takes.
-pub(crate) const STREAM_TIME: Duration = Duration::from_secs(1);
+/// Duration of a streamed response.
+pub(crate) const STREAM_DURATION: Duration = Duration::from_secs(1);
 const MILLION: u64 = 1_000_000;
 const ANY: &str = "127.0.0.1:0";
 
@@ -44,8 +44,11 @@
     Settings {
         seed: 1,
         versions: [
-            (WHOLE.to_owned(), truth(8, 0)),
-            (STREAM.to_owned(), truth(u64::from(WORDS), TOKEN_US)),
+            (UNARY_VERSION.to_owned(), truth(8, 0)),
+            (
+                STREAMING_VERSION.to_owned(),
+                truth(u64::from(STREAM_WORDS), TOKEN_US),
+            ),
         ]
         .into(),
         table: vec![store("table")],
@@ -63,7 +66,7 @@
             incarnation: 1,
             slots: 20_000,
             queue: 20_000,
-            versions: vec![WHOLE.to_owned(), STREAM.to_owned()],
+            versions: vec![UNARY_VERSION.to_owned(), STREAMING_VERSION.to_owned()],
             fences: true,
             load_ms: 0,
             load_lag_ms: 100,
@@ -90,7 +93,7 @@
         "rate_per_s": 100_000, "burst": 100_000, "concurrency": 50_000,
     });
     operator.put("customers/load", 0, &customer).await?;
-    for id in [WHOLE, STREAM] {
+    for id in [UNARY_VERSION, STREAMING_VERSION] {
         operator.put(&format!("versions/{id}"), 0, &version).await?;
         let profile = json!({
             "allow": [id], "quality": 0.5, "cost_cap_microcents": 100 * MILLION,
@@ -103,7 +106,7 @@
     Ok(())
 }
 
-/// The profile that allows only this version.
+/// Returns the name of the profile that allows only this version.
 pub(crate) fn profile_of(version: &str) -> String {
     version.replace('@', "-")
 }
--- /dev/null
+++ b/xtask/src/reconcile/site_records.rs
@@ -0,0 +1,29 @@
+//! The records that a run is checked against.
+
+use fakes::{Execution, Run};
+
+use crate::reconcile::{AllowedVersions, BillingRecord};
+
+/// The stand-ins' records of one run and the configuration of the site.
+#[derive(Clone, Debug, Default)]
+pub struct SiteRecords {
+    /// The executions of the engines.
+    pub executions: Vec<Execution>,
+    /// The executions of the plain services.
+    pub runs: Vec<Run>,
+    /// The billing records in the table.
+    pub billing_records: Vec<BillingRecord>,
+    /// The versions that may serve each customer.
+    pub allowed: AllowedVersions,
+    /// The withdrawal of a version in the run, if any.
+    pub withdrawal: Option<Withdrawal>,
+}
+
+/// The withdrawal of a version.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Withdrawal {
+    /// The version.
+    pub version: String,
+    /// Time at which the change was accepted, in milliseconds since the Unix epoch.
+    pub accepted_ms: u64,
+}
--- a/xtask/src/site/binaries.rs
+++ b/xtask/src/site/binaries.rs
@@ -9,16 +9,16 @@
 
 use crate::error::Error;
 
-/// Which of Cargo's profiles to build.
+/// The Cargo profile of a build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// Quick to build.
+    /// The development profile, which builds faster.
     Dev,
-    /// As it ships.
+    /// The release profile.
     Release,
 }
 
-/// Where the built programs are.
+/// The paths of the built programs.
 #[derive(Clone, Debug)]
 pub struct Binaries {
     /// `barleypin-fakes`.
@@ -28,10 +28,10 @@
 }
 
 impl Binaries {
-    /// Builds the programs; what Cargo says goes to the standard error stream.
+    /// Builds the programs. Cargo's diagnostics go to the standard error stream.
     ///
     /// # Errors
-    /// When the build fails.
+    /// [`Error::Build`] if the build fails.
     pub fn build(profile: Profile) -> Result<Self, Report<Error>> {
         let cargo = env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
         let mut command = Command::new(cargo);
@@ -44,17 +44,18 @@
         }
         let output = command.output().change_context(Error::Build)?;
         ensure!(output.status.success(), Error::Build);
-        let said = String::from_utf8_lossy(&output.stdout);
+        let messages = String::from_utf8_lossy(&output.stdout);
         Ok(Self {
-            fakes: executable(&said, "barleypin-fakes")?,
-            daemon: executable(&said, "barleypind")?,
+            fakes: executable(&messages, "barleypin-fakes")?,
+            daemon: executable(&messages, "barleypind")?,
         })
     }
 }
 
-/// The path of a program, from Cargo's messages.
-fn executable(said: &str, name: &str) -> Result<PathBuf, Report<Error>> {
-    said.lines()
+/// Finds the path of a program in Cargo's JSON messages.
+fn executable(messages: &str, name: &str) -> Result<PathBuf, Report<Error>> {
+    messages
+        .lines()
         .filter_map(|it| serde_json::from_str::<Value>(it).ok())
         .filter(|it| it["target"]["name"] == name)
         .find_map(|it| it["executable"].as_str().map(PathBuf::from))
--- a/xtask/src/site/stand_ins.rs
+++ b/xtask/src/site/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' process and its controls.
+//! The process of the stand-ins and its control API.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,16 +11,17 @@
 use serde_json::{Value, json};
 
 use crate::error::Error;
-use crate::reconcile::Bill;
+use crate::reconcile::BillingRecord;
 use crate::site::{Process, log_file, write};
 
+/// Maximum size of a response body in bytes.
 const RECORDS_LIMIT: usize = 256 << 20;
 
 /// The running stand-ins.
 pub struct StandIns {
-    /// Where each listens, by its name.
+    /// The address of each stand-in by name.
     pub addresses: BTreeMap<String, SocketAddr>,
-    /// Their process.
+    /// The process of all stand-ins.
     pub process: Process,
     client: Client,
     engines: Vec<String>,
@@ -37,12 +38,12 @@
     runs: Vec<Run>,
 }
 
-/// The table's counts and rows.
+/// The rows of the table service and its numbers of operations.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TableRecords {
-    /// How many reads there were.
+    /// Number of reads.
     pub reads: u64,
-    /// How many writes there were.
+    /// Number of writes.
     pub writes: u64,
     /// All rows.
     pub rows: Vec<Row>,
@@ -51,9 +52,9 @@
 /// A row of the table.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Row {
-    /// Its key.
+    /// The key of the row.
     pub key: String,
-    /// Its value.
+    /// The value of the row.
     pub value: Value,
 }
 
@@ -67,7 +68,7 @@
         let text = toml::to_string(settings).change_context(Error::Site)?;
         let path = write(dir, "fakes.toml", &text)?;
         let mut process = Process::start(program, &path, log_file(dir, "fakes")?)?;
-        let ready = process.ready_line()?;
+        let ready = process.wait_for_ready_line()?;
         let addresses = serde_json::from_str(&ready).change_context(Error::StandIn)?;
         Ok(Self {
             addresses,
@@ -78,46 +79,46 @@
         })
     }
 
-    /// The address of a stand-in.
+    /// Returns the address of a stand-in.
     ///
     /// # Panics
-    /// When the settings name no such stand-in.
+    /// If the settings contain no stand-in of this name.
     #[must_use]
     pub fn address(&self, name: &str) -> SocketAddr {
         self.addresses[name]
     }
 
-    /// Switches faults of a stand-in.
+    /// Sets the injected faults of a stand-in.
     ///
     /// # Errors
-    /// When the stand-in knows no such fault.
+    /// [`Error::StandIn`] if the stand-in can't be reached or refuses the faults.
     pub async fn fault(&self, name: &str, faults: &Value) -> Result<(), Report<Error>> {
         let request = Request::post("/control/faults", faults);
         self.send(name, request).await.map(drop)
     }
 
-    /// Enters an entry host into the host list.
+    /// Adds an entry host to the host list.
     ///
     /// # Errors
-    /// When the host list does not take it.
+    /// [`Error::StandIn`] if the host list can't be reached or refuses the change.
     pub async fn register(&self, host: &Host) -> Result<(), Report<Error>> {
         let request = Request::post("/control/hosts", &json!({"hosts": [host]}));
         self.send("hosts", request).await.map(drop)
     }
 
-    /// Takes a host off the host list.
+    /// Removes a host from the host list.
     ///
     /// # Errors
-    /// When the host list does not take it.
+    /// [`Error::StandIn`] if the host list can't be reached or refuses the change.
     pub async fn unregister(&self, name: &str) -> Result<(), Report<Error>> {
         let request = Request::post("/control/hosts", &json!({"remove": [name]}));
         self.send("hosts", request).await.map(drop)
     }
 
-    /// What all engines executed.
+    /// Returns the executions of all engines.
     ///
     /// # Errors
-    /// When an engine does not give its record.
+    /// [`Error::StandIn`] if the records of an engine can't be read.
     pub async fn executions(&self) -> Result<Vec<Execution>, Report<Error>> {
         let mut executions = Vec::new();
         for name in &self.engines {
@@ -127,10 +128,10 @@
         Ok(executions)
     }
 
-    /// What all plain services executed.
+    /// Returns the executions of all plain services.
     ///
     /// # Errors
-    /// When a service does not give its record.
+    /// [`Error::StandIn`] if the records of a service can't be read.
     pub async fn runs(&self) -> Result<Vec<Run>, Report<Error>> {
         let mut runs = Vec::new();
         for name in &self.services {
@@ -140,23 +141,25 @@
         Ok(runs)
     }
 
-    /// The table's counts and rows.
+    /// Returns the rows and operation counts of the table service.
     ///
     /// # Errors
-    /// When the table does not give its record.
+    /// [`Error::StandIn`] if the records of the table can't be read.
     pub async fn table(&self) -> Result<TableRecords, Report<Error>> {
         self.records("table").await
     }
 
-    /// The billing records in the table.
+    /// Returns the billing records in the table.
     ///
     /// # Errors
-    /// When the table does not give its record.
-    pub async fn bills(&self) -> Result<Vec<Bill>, Report<Error>> {
+    /// [`Error::StandIn`] if the records of the table can't be read.
+    pub async fn billing_records(&self) -> Result<Vec<BillingRecord>, Report<Error>> {
         let table = self.table().await?;
-        let is_bill = |it: &&Row| it.key.starts_with("bill/");
-        let rows = table.rows.iter().filter(is_bill);
-        Ok(rows.flat_map(|it| Bill::within(&it.value)).collect())
+        let is_billing_record = |it: &&Row| it.key.starts_with("bill/");
+        let rows = table.rows.iter().filter(is_billing_record);
+        Ok(rows
+            .flat_map(|it| BillingRecord::find_in(&it.value))
+            .collect())
     }
 
     async fn records<T: for<'de> Deserialize<'de>>(&self, name: &str) -> Result<T, Report<Error>> {
--- a/xtask/src/try_out.rs
+++ b/xtask/src/try_out.rs
@@ -1,5 +1,4 @@
-//! `cargo xtask site`: the demo's stand-ins and hosts, configured and idle, for
-//! trying the tools by hand.
+//! `cargo xtask site`: starts the demo's stand-ins and hosts without load, for manual tests.
 
 use std::io;
 use std::process::ExitCode;
@@ -12,17 +11,17 @@
 use crate::error::Error;
 use crate::site::{Binaries, Profile, Site};
 
-/// The sub-command.
+/// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("site")
         .about("Starts the demo's stand-ins and hosts and keeps them until Enter is pressed")
 }
 
-/// Keeps a site until a line or the end comes on the standard input.
+/// Starts a site and stops it after a line or the end of the standard input.
 ///
 /// # Errors
-/// When the site can't be brought up.
+/// If the programs can't be built, the site doesn't start or the standard input can't be read.
 pub fn run(_matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Dev)?;
     let site = task::block_on(start(binaries))?;
@@ -37,17 +36,17 @@
 async fn start(binaries: Binaries) -> Result<Site, Report<Error>> {
     let mut site = Site::start(binaries, &organisations::stand_ins(1))?;
     for (name, data_centre) in organisations::HOSTS {
-        site.add(name, data_centre).await?;
+        site.add_host(name, data_centre).await?;
     }
-    site.alive().await?;
+    site.wait_until_alive().await?;
     organisations::configure(&site.operator()).await?;
-    site.ready().await?;
+    site.wait_until_ready().await?;
     Ok(site)
 }
 
 fn print(site: &Site) {
     let hosts = site
-        .entries
+        .entry_hosts
         .iter()
         .map(|it| format!("--host {}", it.operators));
     let hosts = hosts.collect::<Vec<_>>().join(" ");
@@ -55,12 +54,12 @@
         "Operators, in another terminal:\n\n  alias barleyctl='cargo run -q -p barleyctl -- {hosts} --key-file {}'\n",
         site.operator_key_file().display()
     );
-    if let Some(host) = site.entries.first() {
+    if let Some(host) = site.entry_hosts.first() {
         println!(
             "Callers, at any of the hosts:\n\n  curl http://{}/v1/chat/completions -H 'authorization: Bearer {}' \\\n    -d '{{\"model\": \"kivuli-era\", \"messages\": [{{\"role\": \"user\", \"content\": \"A tram with a horse. Which era?\"}}]}}'\n",
             host.callers,
             organisations::key(organisations::CUSTOMERS[0])
         );
     }
-    println!("Enter ends it all.");
+    println!("Press Enter to stop all processes.");
 }
--- a/xtask/src/workload.rs
+++ b/xtask/src/workload.rs
@@ -1,9 +1,9 @@
-//! The mixed work of both organisations, drawn from a seed.
+//! A mixed workload of both organisations of the demo, generated from a seed.
 
 mod item;
 mod kind;
 mod text;
 
-pub use item::{Item, Plan};
-pub use kind::{Kind, Repeat, Route};
+pub use item::{Item, Schedule};
+pub use kind::{CallRetryPolicy, Kind, Route};
 pub use text::prompt;
