--- a/crates/experiment/examples/run.rs
+++ b/crates/experiment/examples/run.rs
@@ -1,4 +1,7 @@
-//! Runs the experiment: `cargo run --release -p experiment --example run -- [workload] [scenario] [tuned|reported|N] [quick] [json]`.
+//! Runs the experiment and prints the report as tables or JSON.
+//!
+//! Usage: `cargo run --release -p experiment --example run -- [workload] [scenario]
+//! [tuned|reported|SEED] [quick] [json]`.
 
 use experiment::{Error, Options, Scenario, Seeds, Workload, run};
 
--- a/crates/experiment/src/arrival.rs
+++ b/crates/experiment/src/arrival.rs
@@ -9,26 +9,26 @@
     workload::{Call, Class, ClassIdx, Range, World},
 };
 
-/// One request of a caller.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) idx: usize,
     pub(crate) at: Duration,
     pub(crate) customer: usize,
     pub(crate) class: ClassIdx,
-    /// All requests of a session prefer one version.
+    /// The session; all its requests prefer the same version.
     pub(crate) session: Option<usize>,
     pub(crate) hard: bool,
     pub(crate) prompt: u32,
     pub(crate) completion: u32,
-    /// The time that a plain service takes.
+    /// The service time at a plain service; zero for model requests.
     pub(crate) service: Duration,
 }
 
-/// All requests of a scenario, in order of arrival; every router gets the same.
+/// Generates all requests of a scenario, in the order of arrival.
 ///
-/// The turns of a session come at fixed times, however long the answers take,
-/// so that the arrivals don't depend on the router.
+/// The turns of a session arrive at times that don't depend on the responses, so that all routers
+/// get the same arrivals.
 pub(crate) fn arrivals(world: &World, scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut all = Vec::new();
     let mut sessions = 0;
@@ -57,13 +57,13 @@
     }
 }
 
-/// The requests of one customer and class.
+/// Generates the requests of one customer and class.
 struct Stream<'a> {
     rng: Pcg64Mcg,
     customer: usize,
     idx: ClassIdx,
     class: &'a Class,
-    /// Starts a second.
+    /// New requests or sessions per second, without faults.
     rate: f64,
     now: Duration,
 }
@@ -88,7 +88,7 @@
         (self.now < scenario.duration).then_some(self.now)
     }
 
-    /// How many times the usual traffic comes now.
+    /// Returns the factor by which active faults multiply the traffic.
     fn factor(&self, scenario: &Scenario) -> f64 {
         scenario
             .active(self.now)
--- a/crates/experiment/src/attempt.rs
+++ b/crates/experiment/src/attempt.rs
@@ -5,40 +5,40 @@
     workload::Priority,
 };
 
-/// An attempt, as the entry host that made it numbers it.
+/// Identifies an attempt among those of all entry hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     pub(crate) host: usize,
-    /// Which process it was at this host, so that a late end of a lost one's attempt
-    /// isn't taken for one of its successor's.
+    /// The incarnation of the host's process. Numbers start anew in each process, so without it
+    /// the late end of a previous process's attempt could be taken for one of its successor's.
     pub(crate) life: u64,
     pub(crate) number: u64,
 }
 
-/// What the fakes know of an attempt under way.
+/// The simulated state of an attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) request: usize,
     pub(crate) endpoint: usize,
-    /// None at a plain service.
+    /// `None` at a plain service.
     pub(crate) version: Option<VersionIdx>,
     pub(crate) priority: Priority,
     pub(crate) relay: Relay,
     pub(crate) state: State,
-    /// The answer goes to the rating service once it is whole.
+    /// Whether the response is sent to the rating service once it is complete.
     pub(crate) sample: bool,
 }
 
-/// When the caller sees an attempt's answer.
+/// The time at which the caller sees an attempt's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Relay {
-    /// As it comes.
+    /// The response is streamed to the caller.
     Now,
-    /// Once it is whole and chosen.
+    /// The response is sent once it is complete and selected.
     AfterCheck,
 }
 
-/// How far an attempt is; plain services give no [`Answer`].
+/// The progress of an attempt. Attempts at plain services have no [`Answer`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum State {
     Waiting,
@@ -47,7 +47,7 @@
         first: Duration,
         answer: Option<Answer>,
     },
-    /// It ended whole; kept so that it can be delivered.
+    /// The response is complete and kept until it is delivered.
     Done {
         answer: Option<Answer>,
     },
--- a/crates/experiment/src/coin.rs
+++ b/crates/experiment/src/coin.rs
@@ -1,14 +1,14 @@
-/// Random numbers that belong to a request and a version, not to a moment.
+/// A stateless random number generator, keyed by purpose, request and another index such as the
+/// version.
 ///
-/// Every router under comparison sees the same coin for the same request and
-/// version, whatever it asked before, so that differences between routers are
-/// not noise.
+/// Every router gets the same number for the same request and version, whatever it did before, so
+/// random draws don't add noise to the comparison (common random numbers).
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Coin {
     seed: u64,
 }
 
-/// What a coin decides; each purpose has its own sequence.
+/// The use of a random number. Each purpose has its own independent sequence.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Purpose {
     Good = 1,
@@ -29,7 +29,7 @@
         Self { seed }
     }
 
-    /// A number in `0.0..1.0`.
+    /// Returns a number in `0.0..1.0`.
     pub(crate) fn toss(self, purpose: Purpose, request: usize, other: usize) -> f64 {
         let request = u64::try_from(request).unwrap_or(u64::MAX);
         let other = u64::try_from(other).unwrap_or(u64::MAX);
@@ -40,7 +40,7 @@
     }
 }
 
-/// The finaliser of `SplitMix64`, which spreads each input bit over the output.
+/// The finalizer of `SplitMix64`.
 fn mix(mut bits: u64) -> u64 {
     bits = bits.wrapping_add(0x9E37_79B9_7F4A_7C15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/experiment/src/configuration.rs
+++ b/crates/experiment/src/configuration.rs
@@ -2,29 +2,29 @@
 
 use crate::{truth::VersionIdx, workload::World};
 
-/// What operators have configured of the versions, which changes in a scenario.
+/// The operators' configuration of the versions, which changes during a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Configuration {
     pub(crate) revision: Revision,
-    /// By [`VersionIdx`].
+    /// Indexed by [`VersionIdx`].
     pub(crate) states: [State; 4],
-    /// The version that is rolled out and the one that it replaces.
+    /// The version that is being rolled out and the one that it replaces.
     pub(crate) rollout: Option<(VersionIdx, VersionIdx)>,
 }
 
-/// Whether a version takes new work.
+/// The state of a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum State {
-    /// No profile lists it yet.
+    /// No profile allows the version yet.
     Unlisted,
     Active,
-    /// It takes this share of the work that it could take.
+    /// The version gets this share of its eligible requests.
     Trial(f64),
     Withdrawn,
 }
 
 impl Configuration {
-    /// The share that a roll-out starts with.
+    /// Initial share of a roll-out.
     const FIRST_SHARE: f64 = 0.02;
 
     pub(crate) fn new() -> Self {
@@ -53,7 +53,8 @@
         self.rollout = Some((version, replaces));
     }
 
-    /// Takes a step of the roll-out if it was decided on this revision.
+    /// Sets the share of the version that is being rolled out, unless the configuration has changed
+    /// since `revision`. Returns whether the step was applied.
     pub(crate) fn step(&mut self, version: VersionIdx, to: f64, revision: Revision) -> bool {
         let current = self.rollout.is_some_and(|(it, _)| it == version);
         if !current || revision != self.revision {
@@ -69,7 +70,7 @@
         true
     }
 
-    /// Whether new work may go to a version at all.
+    /// Returns whether new requests may go to a version.
     pub(crate) fn takes_work(&self, version: VersionIdx) -> bool {
         matches!(self.states[version.idx()], State::Active | State::Trial(_))
     }
--- a/crates/experiment/src/endpoint.rs
+++ b/crates/experiment/src/endpoint.rs
@@ -5,14 +5,14 @@
     workload::{Pool, Priority},
 };
 
-/// The number of sessions whose prompt a replica keeps.
+/// Maximum sessions whose prompt prefix a replica caches.
 const PREFIXES: usize = 64;
 
-/// The fake of a model replica or a plain service's replica.
+/// A simulated replica of a model or plain service.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     slots: usize,
-    /// Rises with each replacement.
+    /// Increases with each restart.
     pub(crate) incarnation: u64,
     pub(crate) up: bool,
     room: usize,
@@ -22,16 +22,16 @@
     prefixes: VecDeque<usize>,
 }
 
-/// What an endpoint does with a new attempt.
+/// The result of offering an attempt to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
     Runs,
     Waits,
-    /// Nothing has run.
+    /// The attempt was refused and didn't run.
     Refused,
 }
 
-/// What an endpoint says of itself.
+/// A load report of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Load {
     pub(crate) running: usize,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes an attempt into a slot or the queue.
+    /// Adds an attempt to a slot or the queue, or refuses it.
     pub(crate) fn admit(&mut self, attempt: AttemptKey, priority: Priority) -> Admission {
         if !self.up {
             return Admission::Refused;
@@ -69,7 +69,8 @@
         Admission::Waits
     }
 
-    /// Forgets an attempt that ended or was cancelled and names the one that takes its slot.
+    /// Removes an attempt that ended or was cancelled. Returns the waiting attempt that takes its
+    /// slot, if any.
     pub(crate) fn release(&mut self, attempt: AttemptKey) -> Option<AttemptKey> {
         self.waiting.retain(|_, it| *it != attempt);
         let place = self.running.iter().position(|it| *it == attempt)?;
@@ -79,7 +80,7 @@
         Some(next)
     }
 
-    /// Loses everything; returns the attempts that are cut.
+    /// Takes the endpoint down. Returns its running and waiting attempts, which are aborted.
     pub(crate) fn stop(&mut self) -> Vec<AttemptKey> {
         self.up = false;
         self.prefixes.clear();
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Whether the prompt of a session is cached here; it is from now on.
+    /// Caches the prompt prefix of a session. Returns whether it was cached before.
     pub(crate) fn cached(&mut self, session: usize) -> bool {
         let place = self.prefixes.iter().position(|it| *it == session);
         if let Some(place) = place {
--- a/crates/experiment/src/error.rs
+++ b/crates/experiment/src/error.rs
@@ -1,19 +1,19 @@
 use std::fmt;
 
-/// Why an experiment could not be run.
+/// An error in the options of an experiment or in a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// No scenario has this name; the second field lists the ones that exist.
+    /// No scenario has this name. The second field lists the existing names.
     UnknownScenario(String, Vec<String>),
     /// No workload has this name.
     UnknownWorkload(String),
-    /// A line of a scenario isn't understood.
+    /// A line of a scenario is invalid.
     Scenario {
         /// The scenario's name.
         name: String,
-        /// Its line, counted from one.
+        /// The line number, counted from one.
         line: usize,
-        /// What is wrong and what is accepted.
+        /// A description of the error, with the accepted syntax.
         detail: String,
     },
 }
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decision core measured against small fakes and baselines on a virtual clock.
+//! Simulates the decision core and baseline routers on a virtual clock.
 //!
-//! See `docs/design/experiment.md` for what is measured and how, and
-//! `docs/scenarios.md` for the language of the scenarios.
+//! The callers, endpoints and rating service are simulated as well. See
+//! `docs/design/experiment.md` for the figures and the method, and `docs/scenarios.md` for the
+//! scenario language.
 
 mod arrival;
 mod attempt;
--- a/crates/experiment/src/options.rs
+++ b/crates/experiment/src/options.rs
@@ -1,18 +1,18 @@
 use crate::Workload;
 
-/// The seeds that rules and constants may be tuned on.
+/// The seeds for tuning rules and constants.
 pub const TUNED: [u64; 4] = [11, 12, 13, 14];
 
-/// The seeds that are only ever reported, so that a figure is not one that
-/// was tuned for.
+/// The seeds for reported figures. They aren't used for tuning, so that the figures aren't
+/// overfitted.
 pub const REPORTED: [u64; 3] = [101, 102, 103];
 
-/// Which seeds a run uses.
+/// The seeds of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Seeds {
-    /// [`TUNED`].
+    /// The seeds of [`TUNED`].
     Tuned,
-    /// [`REPORTED`].
+    /// The seeds of [`REPORTED`].
     #[default]
     Reported,
     /// A single seed.
@@ -29,15 +29,15 @@
     }
 }
 
-/// What to run; the default is every scenario of both workloads on the reported seeds.
+/// Options of a run. The default is every scenario of both workloads with the reported seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The seeds; figures are means over them.
+    /// The seeds, over all of which the figures are taken.
     pub seeds: Seeds,
-    /// Only the scenario of this name.
+    /// If given, runs only the scenario with this name.
     pub scenario: Option<String>,
-    /// Only this workload.
+    /// If given, runs only this workload.
     pub workload: Option<Workload>,
-    /// Few minutes, one seed and three hosts, for tests.
+    /// Shortens the scenarios and uses three hosts, for tests.
     pub quick: bool,
 }
--- a/crates/experiment/src/plan/node.rs
+++ b/crates/experiment/src/plan/node.rs
@@ -1,8 +1,8 @@
-/// What a plan does next.
+/// A node of a plan's decision tree.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Node {
-    /// Delivers the answer of the choice asked in this place, counted from zero.
+    /// Delivers the response of the choice tried at this position, counted from zero.
     Deliver(usize),
-    /// Asks a choice and goes on by the step of its confidence.
+    /// Tries a choice and continues at the node for the bin of its confidence.
     Ask { choice: usize, then: Vec<Node> },
 }
--- a/crates/experiment/src/plan/problem.rs
+++ b/crates/experiment/src/plan/problem.rs
@@ -1,33 +1,33 @@
 use super::{BINS, upper};
 use crate::truth::{Confidence, Skill};
 
-/// The versions among which a plan chooses, for one class.
+/// The input of the solver: the versions among which a plan chooses, for one class.
 #[derive(Clone, Debug)]
 pub struct Problem {
     /// The share of requests that are hard.
     pub hard: f64,
-    /// The most versions asked for one request.
+    /// Maximum versions tried for a request. At least one.
     pub depth: usize,
-    /// The mean number of turns that follow and are answered by the version of
-    /// the first answer, without any check.
+    /// The mean number of turns that follow in the session. They go to the version whose response
+    /// was delivered, and their responses are always delivered.
     pub follow: f64,
-    /// What may be asked.
+    /// The versions that may be tried. At least one.
     pub choices: Vec<Choice>,
 }
 
-/// A version as the plan sees it.
+/// A version that a plan may try.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// The mean cost of an answer.
+    /// The mean cost of a response.
     pub cost: f64,
-    /// The chance of a good answer, to easy and to hard requests.
+    /// The probability of a good response to easy and to hard requests.
     pub good: [f64; 2],
-    /// The chance of each confidence step, for bad and for good answers.
+    /// The probability of each confidence bin, for bad and for good responses.
     pub(crate) steps: Vec<[f64; 2]>,
 }
 
 impl Problem {
-    /// The chance of a good answer where nothing is known of the request.
+    /// Returns the probability of a good response over easy and hard requests.
     pub(crate) fn quality(&self, choice: usize) -> f64 {
         let [easy, hard] = self.choices[choice].good;
         easy * (1.0 - self.hard) + hard * self.hard
@@ -35,13 +35,13 @@
 }
 
 impl Choice {
-    /// A version whose confidence has this sharpness; see `docs/design/experiment.md`.
+    /// Creates a choice whose confidence has this sharpness; see `docs/design/experiment.md`.
     #[must_use]
     pub fn new(cost: f64, good: [f64; 2], sharpness: f64) -> Self {
         Self::mixed(cost, good, Confidence { sharpness }, 0.0)
     }
 
-    /// A version of which a share of the bad answers looks like good ones.
+    /// Creates a choice for which a share of the bad responses has the confidence of good ones.
     pub(crate) fn mixed(cost: f64, good: [f64; 2], confidence: Confidence, disguised: f64) -> Self {
         let steps = (0..BINS)
             .map(|bin| {
--- a/crates/experiment/src/plan/search.rs
+++ b/crates/experiment/src/plan/search.rs
@@ -1,24 +1,25 @@
 use super::{Choice, Node, Problem};
 
-/// The most steps of the search for the price of a good answer.
+/// Number of bisection steps in the search for the price of a good response.
 const STEPS: u32 = 24;
 
-/// The most versions that one plan asks.
+/// Maximum versions that a plan tries for a request.
 const MOST_CHOICES: usize = 4;
 
-/// A plan, or two of which the second is used for a share of the requests.
+/// A mixture of two plans, of which the second is used for a share of the requests.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub(crate) nodes: [Node; 2],
-    /// The share of requests that follow the second.
+    /// The share of requests that follow the second plan.
     pub(crate) mix: f64,
     /// The expected cost of a request.
     pub cost: f64,
-    /// The expected share of good answers.
+    /// The expected share of good responses.
     pub good: f64,
 }
 
-/// What a plan is expected to do, and how.
+/// A subtree of a plan with its expected cost and good responses, weighted by the probability of
+/// reaching it.
 #[derive(Clone, Debug)]
 struct Outcome {
     cost: f64,
@@ -26,29 +27,29 @@
     node: Node,
 }
 
-/// What is known about a request halfway.
+/// The belief about a request after some versions have been tried.
 #[derive(Clone, Copy, Debug)]
 struct Belief {
-    /// The chance of what was seen, jointly with an easy and a hard request.
+    /// The joint probability of the observations with an easy and with a hard request.
     weight: [f64; 2],
-    /// For each answer, the chance that it is good, for easy and hard requests.
+    /// For each response, the probability that it is good, for easy and hard requests.
     answers: [[f64; 2]; MOST_CHOICES],
-    /// The choice that each answer is of.
+    /// The choice that returned each response.
     asked: [usize; MOST_CHOICES],
-    /// How many of both there are.
+    /// The number of responses.
     len: usize,
 }
 
 impl Plan {
-    /// The least cost at which the expected share of good answers is `target`;
-    /// where that is out of reach, the most good answers.
+    /// Returns the plan of least cost whose expected share of good responses is at least `target`,
+    /// or the plan with the highest share if the target can't be reached.
     #[must_use]
     pub fn solve(problem: &Problem, target: f64) -> Self {
         let turns = 1.0 + problem.follow;
         Self::solve_turns(problem, target * turns).a_turn(turns)
     }
 
-    /// The same where cost and good answers are of all turns together.
+    /// Like [`Self::solve`], with the target, cost and good responses summed over all turns.
     fn solve_turns(problem: &Problem, target: f64) -> Self {
         let dearest = problem.choices.iter().map(|it| it.cost).fold(0.0, f64::max);
         let mut low = (0.0, best(problem, 0.0));
@@ -104,7 +105,7 @@
     }
 }
 
-/// The middle of two prices; on a logarithmic scale once both are above zero.
+/// Returns a price between two prices: their geometric mean if both are positive.
 fn between(low: f64, high: f64, dearest: f64) -> f64 {
     if low > 0.0 {
         (low * high).sqrt()
@@ -123,11 +124,11 @@
     step(problem, price, &start)
 }
 
-/// The best outcome from a belief on, weighed by the chance of the belief.
+/// Returns the best outcome from a belief on, weighted by the probability of the belief.
 fn step(problem: &Problem, price: f64, belief: &Belief) -> Outcome {
     let mut best = deliver(problem, price, belief);
     if belief.len == problem.depth.min(MOST_CHOICES) {
-        return best.expect("depth is at least one, so that something was asked");
+        return best.expect("depth is at least one, so there is a response");
     }
     let weight = belief.weight[0] + belief.weight[1];
     for idx in 0..problem.choices.len() {
@@ -146,8 +147,8 @@
     best.expect("a problem has at least one choice")
 }
 
-/// At best, asking costs the choice alone and all answers, of this turn and
-/// those that follow, are good.
+/// Returns whether trying the choice can't improve on `best`, even if it costs only the choice
+/// itself and all responses of this turn and the following ones are good.
 fn cannot_win(problem: &Problem, best: &Outcome, idx: usize, weight: f64, price: f64) -> bool {
     let gain = price * (1.0 + problem.follow);
     (problem.choices[idx].cost - gain) * weight >= value(best, price)
@@ -157,7 +158,8 @@
     outcome.cost - price * outcome.good
 }
 
-/// Delivers the answer that is worth most, its version's later turns included.
+/// Returns the best outcome of delivering one of the responses so far, including the following
+/// turns; `None` before the first response.
 fn deliver(problem: &Problem, price: f64, belief: &Belief) -> Option<Outcome> {
     let weight = belief.weight[0] + belief.weight[1];
     let outcomes = (0..belief.len).map(|place| {
@@ -192,7 +194,7 @@
 }
 
 impl Belief {
-    /// The belief once the choice's confidence is seen to lie in a step.
+    /// Returns the belief after the choice's confidence was observed to be in a bin.
     fn after(&self, idx: usize, choice: &Choice, [bad, good]: [f64; 2]) -> Self {
         let mut next = *self;
         let mut answer = [0.0; 2];
--- a/crates/experiment/src/queue.rs
+++ b/crates/experiment/src/queue.rs
@@ -1,6 +1,6 @@
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
-/// What happens when; events of the same moment come in the order in which they were added.
+/// A priority queue of events by time. Events with the same time keep their insertion order.
 #[derive(Debug)]
 pub(crate) struct Queue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
--- a/crates/experiment/src/ratings.rs
+++ b/crates/experiment/src/ratings.rs
@@ -7,23 +7,22 @@
     truth::VersionIdx,
 };
 
-/// The share of all answers that the rating service can rate.
+/// The share of all responses that the rating service can rate.
 const CAPACITY: f64 = 0.05;
 
-/// The most answers that it takes at once.
+/// Maximum responses that the rating service accepts in a burst.
 const BURST: f64 = 10.0;
 
-/// The share of answers taken that are never rated.
+/// The share of accepted responses that are never rated.
 const LOST: f64 = 0.10;
 
-/// The least and the most share of ratings that are wrong; each seed has its own,
-/// so that no constant can be tuned to it.
+/// The bounds of the share of ratings that are wrong. The share depends on the seed.
 const FLIPPED: [f64; 2] = [0.05, 0.10];
 
-/// The least and the most seconds until a rating comes.
+/// The bounds of a rating's delay, in seconds.
 const DELAY: [f64; 2] = [60.0, 300.0];
 
-/// The fake of the rating service: few ratings, late, noisy and sometimes out.
+/// The simulated rating service, whose ratings are few, late and partly wrong.
 #[derive(Debug)]
 pub(crate) struct Ratings {
     coin: Coin,
@@ -31,7 +30,7 @@
     tokens: f64,
 }
 
-/// A rating on its way to the host that asked.
+/// A rating for the host that sent the response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rating {
     pub(crate) host: usize,
@@ -50,12 +49,13 @@
         }
     }
 
-    /// Another answer was made, of which the service can rate a part.
+    /// Adds the capacity that another response earns.
     pub(crate) fn earn(&mut self) {
         self.tokens = (self.tokens + CAPACITY).min(BURST);
     }
 
-    /// When the rating of an answer comes; none when the service doesn't give one.
+    /// Returns the rating of a response and the time at which the host receives it; `None` if the
+    /// service doesn't rate the response.
     pub(crate) fn rate(
         &mut self,
         now: Duration,
--- a/crates/experiment/src/record.rs
+++ b/crates/experiment/src/record.rs
@@ -2,52 +2,52 @@
 
 use crate::truth::{Answer, VersionIdx};
 
-/// What became of a request.
+/// The record of a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Record {
     pub(crate) host: usize,
     pub(crate) fate: Fate,
-    /// When the caller saw the first token.
+    /// The time at which the caller saw the first token.
     pub(crate) first: Option<Duration>,
     pub(crate) end: Duration,
     /// In millionths of a cent.
     pub(crate) cost: u64,
     pub(crate) dispatches: u32,
-    /// The versions asked, each once.
+    /// The distinct versions tried, in order.
     pub(crate) asked: Vec<VersionIdx>,
-    /// A fault spoilt an answer that was made for it, delivered or not.
+    /// Whether a response, delivered or not, was bad or failed because of a fault.
     pub(crate) touched: bool,
-    /// An attempt went to a version whose withdrawal all hosts knew of.
+    /// Whether an attempt went to a withdrawn version after all hosts had been informed.
     pub(crate) withdrawn: bool,
-    /// Attempts that began to run.
+    /// The number of attempts that started to run.
     pub(crate) runs: u32,
     pub(crate) turn: Turn,
 }
 
-/// What a request was to its session.
+/// The relation of a request to its session's version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Turn {
-    /// It had no session, or no version yet.
+    /// The request had no session, or its session had no version yet.
     #[default]
     First,
-    /// It came with the session's version.
+    /// The session had a version when the request arrived.
     Pinned,
-    /// It came with a version that still took work, and got another.
+    /// Another version responded, although the session's version still accepted requests.
     Moved,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum Fate {
     #[default]
     Pending,
-    /// With an answer; none at a plain service.
+    /// A response was delivered; `None` at a plain service.
     Delivered(Option<(VersionIdx, Answer)>),
     Refused(&'static str),
 }
 
 impl Record {
-    /// The answer of a model that the caller got.
+    /// Returns the model response that was delivered to the caller.
     pub(crate) fn answer(&self) -> Option<(VersionIdx, Answer)> {
         match self.fate {
             Fate::Delivered(answer) => answer,
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -1,4 +1,4 @@
-//! What is printed.
+//! The report of an experiment.
 
 mod aim;
 mod case;
@@ -16,13 +16,13 @@
 /// The figures of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The seeds over which the figures are taken.
+    /// The seeds that were run.
     pub seeds: Vec<u64>,
-    /// Scenarios were shortened; the figures are good for tests only.
+    /// Whether the scenarios were shortened. Such figures are for tests only.
     pub quick: bool,
-    /// The aims that the scenarios that were run can tell of.
+    /// The aims that the scenarios of this run measure.
     pub aims: Vec<Aim>,
-    /// One for each workload and scenario.
+    /// The results for each workload and scenario.
     pub cases: Vec<Case>,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The report as people read it.
+    /// Returns the report as text tables.
     #[must_use]
     pub fn table(&self) -> String {
         table::report(self)
--- a/crates/experiment/src/report/aim.rs
+++ b/crates/experiment/src/report/aim.rs
@@ -3,22 +3,22 @@
 use super::{Case, ClassFigures, Figures};
 use crate::{Workload, router::Kind};
 
-/// What is wanted, and what was measured.
+/// A required bound of a figure, and the measured value.
 #[derive(Clone, Debug, Serialize)]
 pub struct Aim {
     /// The workload.
     pub workload: Workload,
-    /// What is measured.
+    /// The figure's description.
     pub what: &'static str,
-    /// The bound.
+    /// The required bound.
     pub wanted: String,
-    /// The figure.
+    /// The measured value.
     pub measured: String,
-    /// Whether the figure keeps the bound.
+    /// Whether the measured value is within the bound.
     pub met: bool,
 }
 
-/// The aims that the cases can tell of.
+/// Returns the aims that the given cases measure.
 pub(super) fn aims(cases: &[Case]) -> Vec<Aim> {
     let of = |workload| cases.iter().filter(move |it| it.workload == workload);
     let mut aims = Vec::new();
@@ -90,7 +90,7 @@
     aims
 }
 
-/// Below the target by less than this is noise of a run's length.
+/// Tolerance below a quality target, for sampling noise.
 const MARGIN: f64 = 0.005;
 
 fn overload_aims(aim: &Maker, core: &Figures, calm: Option<&Case>) -> Vec<Aim> {
@@ -108,7 +108,7 @@
     aims
 }
 
-/// The least share that a customer beside the flooding one got.
+/// Returns the lowest delivered share of the customers other than the flooding one.
 fn least_share(core: &Figures) -> f64 {
     core.customers
         .iter()
@@ -118,7 +118,7 @@
         .fold(1.0, f64::min)
 }
 
-/// The customer that the shipped scenario lets flood.
+/// The flooding customer of the shipped `flood` scenario.
 const FLOODING: usize = 4;
 
 struct Maker {
--- a/crates/experiment/src/report/case.rs
+++ b/crates/experiment/src/report/case.rs
@@ -3,16 +3,16 @@
 use super::Figures;
 use crate::{Scenario, Workload, router::Kind};
 
-/// One scenario of one workload under every router.
+/// The results of one scenario of one workload under every router.
 #[derive(Clone, Debug, Serialize)]
 pub struct Case {
     /// The workload.
     pub workload: Workload,
     /// The scenario's name.
     pub scenario: String,
-    /// What the scenario is about.
+    /// The scenario's description.
     pub about: String,
-    /// The figures, the core's first.
+    /// The figures by router, the core's first.
     pub figures: Vec<Figures>,
 }
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The figures of one router.
+    /// Returns the figures of one router.
     #[must_use]
     pub fn of(&self, router: Kind) -> Option<&Figures> {
         self.figures.iter().find(|it| it.router == router)
--- a/crates/experiment/src/report/figures.rs
+++ b/crates/experiment/src/report/figures.rs
@@ -5,80 +5,80 @@
 
 use crate::{router::Kind, tally::float};
 
-/// The figures of one router in one scenario, over all seeds. Costs are in
-/// millionths of a cent.
+/// The figures of one router in one scenario, over all seeds. Costs are in millionths of a cent.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
-    /// Who decided.
+    /// The router.
     pub router: Kind,
-    /// Requests that arrived, to models and plain services.
+    /// Requests that arrived, for models and plain services.
     pub requests: u64,
-    /// Requests that got a whole answer.
+    /// Requests that got a complete response.
     pub delivered: u64,
-    /// The mean cost of an answered model request, all its attempts included.
+    /// The cost of all model requests, with all their attempts, per delivered model request.
     pub mean_cost: f64,
-    /// The cost of the requests that both answered, over the oracle's that knows
-    /// the distributions.
+    /// The cost of the model requests that this router and the oracle both delivered, relative to
+    /// the oracle's.
     pub cost_to_oracle: f64,
-    /// The same for the first, second, third and last quarter of the time that counts.
+    /// The same by quarter of the measurement window in which the request arrived.
     pub cost_to_oracle_by_quarter: [f64; 4],
-    /// The cost over the lower bound that knows each coin.
+    /// The cost relative to a lower bound that knows every response in advance.
     pub cost_to_clairvoyant: f64,
-    /// The share of delivered model answers that were good.
+    /// The share of delivered model responses that were good.
     pub good: f64,
-    /// Requests per seed that got an answer which a fault had spoilt.
+    /// Requests per seed that got a response which was bad because of a fault.
     pub harmed: f64,
-    /// Those of them that came with their session's version, which is kept.
+    /// The subset of those in sessions that were already pinned to a version.
     pub harmed_pinned: f64,
-    /// Requests per seed for which a fault spoilt an answer, delivered or not.
+    /// Requests per seed with at least one response, delivered or not, that was bad or failed
+    /// because of a fault.
     pub touched: f64,
     /// Verdicts on versions.
     pub quarantine: Quarantine,
-    /// By pool, the part of the slots that was in use, over the whole scenario;
-    /// the last pool is the plain service's.
+    /// The utilization of each pool over the whole scenario. The last pool is the plain service's.
     pub use_of_pools: Vec<f64>,
-    /// Attempts per step of a cascade: above one by retries and hedges only.
+    /// Attempts per step of a plan. Exceeds one only through retries and hedges.
     pub tries: f64,
-    /// Attempts per request that was sent at all.
+    /// Attempts per request, over the requests with at least one attempt.
     pub dispatches: f64,
-    /// Turns of sessions that left a version that still took work.
+    /// Session turns that moved away from a version that still accepted requests.
     pub moved_sessions: u64,
-    /// Requests that may run once only and ran twice; must be none.
+    /// Requests that aren't idempotent but ran more than once. Must be zero.
     pub reruns: u64,
-    /// Requests sent to a withdrawn version after all hosts knew; must be none.
+    /// Requests with an attempt at a withdrawn version after all hosts had been informed. Must be
+    /// zero.
     pub sent_to_withdrawn: u64,
-    /// Requests without an end when the run ended.
+    /// Requests that were still pending at the end of the run. Must be zero.
     pub unfinished: u64,
-    /// Requests that got no answer, by reason.
+    /// Requests that got no complete response, by reason.
     pub refusals: BTreeMap<&'static str, u64>,
-    /// How each customer's model requests fared.
+    /// Figures of each customer's model requests.
     pub customers: Vec<Served>,
-    /// By request class.
+    /// Figures of each request class.
     pub classes: Vec<ClassFigures>,
 }
 
 /// The figures of a request class.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassFigures {
-    /// The class.
+    /// The class's name.
     pub class: String,
     /// Requests that arrived.
     pub offered: u64,
-    /// Requests that got a whole answer.
+    /// Requests that got a complete response.
     pub delivered: u64,
     /// The quality target.
     pub target: f64,
-    /// The share of delivered answers that were good.
+    /// The share of delivered responses that were good.
     pub good: f64,
-    /// The mean cost of an answer.
+    /// The cost of all requests per delivered request.
     pub mean_cost: f64,
     /// As in [`Figures::cost_to_oracle`].
     pub cost_to_oracle: f64,
-    /// The mean number of versions asked.
+    /// The mean number of versions tried for a delivered request.
     pub versions_asked: f64,
-    /// From the arrival to the whole answer.
+    /// The time from the arrival to the complete response.
     pub latency: Latency,
-    /// From the arrival to the first token that the caller sees.
+    /// The time from the arrival to the first token that the caller sees.
     pub first_token: Latency,
 }
 
@@ -91,29 +91,29 @@
     pub p99: f64,
 }
 
-/// What hosts said of versions.
+/// Counts of the hosts' verdicts on versions.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Quarantine {
-    /// Hosts' verdicts against a version that a fault had spoilt.
+    /// Quarantines of a version that a fault affected.
     pub right: u64,
-    /// Hosts' verdicts against a version that nothing was wrong with.
+    /// Quarantines of a version that no fault affected.
     pub wrong: u64,
-    /// The wrong ones by version and cause.
+    /// The wrong quarantines by version and cause.
     pub wrong_causes: BTreeMap<String, u64>,
-    /// Verdicts that were lifted.
+    /// Quarantines that were lifted.
     pub lifted: u64,
-    /// By seed, seconds from the fault to the first right verdict.
+    /// Seconds from the start of the window to the first right quarantine, for each seed with one.
     pub first_after_s: Vec<f64>,
 }
 
-/// How a customer's model requests fared.
+/// The figures of a customer's model requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct Served {
-    /// The customer.
+    /// The customer's name.
     pub customer: String,
     /// Requests that arrived.
     pub offered: u64,
-    /// The share that was answered.
+    /// The share of requests that got a complete response.
     pub share: f64,
 }
 
--- a/crates/experiment/src/router.rs
+++ b/crates/experiment/src/router.rs
@@ -1,4 +1,4 @@
-//! What is compared: the decision core and the baselines, behind one set of messages.
+//! The routers under comparison: the decision core and the baselines, behind one interface.
 
 mod baseline;
 mod core;
@@ -27,23 +27,24 @@
     workload::{ClassIdx, Priority},
 };
 
-/// Who decides.
+/// The kinds of routers.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// The decision core, one decider a host.
+    /// The decision core, with one decider for each host.
     #[display("core")]
     Core,
-    /// The plan of least cost of who knows each distribution.
+    /// Follows the plan of least cost, computed from the true distributions.
     #[display("oracle")]
     Oracle,
-    /// The strongest allowed version for everything.
+    /// Sends every request to the strongest allowed version.
     #[display("strongest")]
     Strongest,
-    /// Cheapest first, the next where the confidence is below a fixed threshold.
+    /// Starts at the cheapest version and goes on to the next if the confidence is below a fixed
+    /// threshold.
     #[display("static-cascade")]
     StaticCascade,
-    /// Any allowed version.
+    /// Sends each request to a random allowed version.
     #[display("random")]
     Random,
 }
@@ -58,15 +59,15 @@
     ];
 }
 
-/// What a router is told at an entry host.
+/// An input of a router at an entry host.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Input<'a> {
-    /// A caller asks; `pin` is the version of the session's last answer.
+    /// A request arrived. `pin` is the version of the session's last response.
     Arrive {
         arrival: &'a Arrival,
         pin: Option<VersionIdx>,
     },
-    /// The first token came.
+    /// The first token of a response was received.
     Started {
         attempt: AttemptKey,
     },
@@ -74,7 +75,7 @@
         attempt: AttemptKey,
         end: End,
     },
-    /// The caller gave up.
+    /// The caller stopped waiting.
     Cancelled {
         request: usize,
     },
@@ -83,22 +84,22 @@
         load: Load,
         age: Duration,
     },
-    /// An endpoint left or came, with this incarnation.
+    /// An endpoint, with this incarnation, went up or down.
     Endpoint {
         endpoint: usize,
         incarnation: u64,
         up: bool,
     },
-    /// The rating service's word on an answer.
+    /// The rating service rated a response.
     Rated {
         request: usize,
         version: VersionIdx,
         class: ClassIdx,
         good: bool,
     },
-    /// Another host's news.
+    /// Another host's gossip update.
     News(&'a News),
-    /// Operators' changes came into force.
+    /// A new configuration came into force.
     Configured(&'a Configuration),
     /// The number of live hosts changed.
     Hosts {
@@ -107,31 +108,31 @@
     Tick,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum End {
-    /// A whole answer of a model.
+    /// A model returned a complete response.
     Answered {
-        /// As the engine reports it.
+        /// The confidence that the engine reported.
         confidence: f64,
         prompt: u32,
         completion: u32,
     },
-    /// A whole answer of a plain service.
+    /// A plain service returned a complete response.
     Served,
-    /// The endpoint refused; nothing ran.
+    /// The endpoint refused the request without running it.
     Refused,
-    /// There was no connection; nothing ran.
+    /// The connection failed; the request didn't run.
     Unreachable,
-    /// The engine failed; something may have run.
+    /// The engine failed. The request may have run.
     Failed,
-    /// The endpoint went away; something may have run.
+    /// The endpoint went down after the first token.
     Cut,
-    /// It took longer than the router allowed.
+    /// The attempt exceeded the router's timeout.
     TimedOut,
 }
 
-/// What a router wants done.
+/// An action that a router requests.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Output {
     Dispatch {
@@ -154,7 +155,7 @@
     Cancel {
         attempt: AttemptKey,
     },
-    /// Asks the rating service about an answer.
+    /// Sends a response to the rating service.
     Sample {
         attempt: AttemptKey,
     },
@@ -163,9 +164,10 @@
         version: VersionIdx,
         verdict: Verdict,
     },
-    /// Tells the other hosts.
+    /// Sends a gossip update to the other hosts.
     Broadcast(Arc<News>),
-    /// Asks the operators' table to give a version this share of the work.
+    /// Requests that the configuration give a version this share of the requests. Applied only if
+    /// the configuration still has this revision.
     Step {
         version: VersionIdx,
         to: f64,
@@ -173,14 +175,14 @@
     },
 }
 
-/// Decides at every entry host.
+/// A router, with its state at all entry hosts.
 pub(crate) enum Router<'a> {
     Core(Box<Core>),
     Baseline(Box<Baseline<'a>>),
 }
 
 impl Router<'_> {
-    /// Takes an input at `host` and appends what to do.
+    /// Handles an input at `host` and appends the resulting actions.
     pub(crate) fn handle(
         &mut self,
         now: Duration,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Loses all that a host knew.
+    /// Replaces a host by one without state.
     pub(crate) fn replace(&mut self, now: Duration, host: usize) {
         match self {
             Self::Core(it) => it.replace(now, host),
@@ -202,7 +204,7 @@
         }
     }
 
-    /// How often the router wants to be told that time passed.
+    /// Returns the interval of the router's timer; `None` if it needs none.
     pub(crate) fn tick(&self) -> Option<Duration> {
         match self {
             Self::Core(_) => Some(Core::tick()),
--- a/crates/experiment/src/router/baseline.rs
+++ b/crates/experiment/src/router/baseline.rs
@@ -14,13 +14,13 @@
     workload::World,
 };
 
-/// The confidence below which the static cascade asks the next version.
+/// The confidence below which the static cascade tries the next version.
 const THRESHOLD: f64 = 0.6;
 
-/// The most attempts at one version before a request is refused.
+/// Maximum attempts at one version, after which the request is refused.
 const MOST_TRIES: u32 = 3;
 
-/// A router that chooses versions by a fixed rule and endpoints by their load.
+/// A router that chooses versions by a fixed rule or by the oracle's plan, and endpoints by load.
 pub(crate) struct Baseline<'a> {
     kind: Kind,
     world: &'a World,
@@ -117,7 +117,7 @@
         self.go_on(now, arrival.idx, outputs);
     }
 
-    /// Asks the next version or delivers.
+    /// Dispatches the request to the next version or delivers a response.
     fn go_on(&mut self, now: Duration, idx: usize, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&idx) else {
             return;
@@ -169,7 +169,7 @@
     fn first(&self, request: &Request, active: &[VersionIdx]) -> VersionIdx {
         let once = !self.world.class(request.arrival.class).idempotent;
         let idx = match self.kind {
-            // What may run once only can't be asked again where it falls short.
+            // A request that isn't idempotent can't be sent to a second version.
             Kind::StaticCascade if once => active.len() - 1,
             Kind::StaticCascade => 0,
             Kind::Random => place(
--- a/crates/experiment/src/router/core.rs
+++ b/crates/experiment/src/router/core.rs
@@ -1,4 +1,4 @@
-//! The decision core, one decider an entry host, behind the routers' messages.
+//! Adapts the decision core, with one decider for each entry host, to the routers' interface.
 
 mod host;
 mod names;
@@ -21,7 +21,7 @@
     workload::World,
 };
 
-/// All entry hosts of a fleet.
+/// The deciders of all entry hosts.
 pub(crate) struct Core {
     world: World,
     names: Names,
@@ -31,7 +31,7 @@
     actions: Vec<Action>,
 }
 
-/// What one host tells the others.
+/// An update that a host sends to the others.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum News {
     Evidence(decide::Evidence),
@@ -62,7 +62,7 @@
         Tuning::default().tick
     }
 
-    /// An empty decider takes a host's place and is handed what another has learned.
+    /// Replaces a host's decider by a new one, which gets a digest from another host.
     pub(crate) fn replace(&mut self, now: Duration, host: usize) {
         self.hosts[host].replace(&self.names, self.seed, host);
         self.introduce(now, host);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Tells a new host what every host knows.
+    /// Sends the configuration, the number of hosts and the endpoints to a new decider.
     fn introduce(&mut self, now: Duration, host: usize) {
         let live = u32::try_from(self.world.hosts).unwrap_or(1);
         let mut events = vec![self.configure(), Event::Hosts { live }];
--- a/crates/experiment/src/router/core/host.rs
+++ b/crates/experiment/src/router/core/host.rs
@@ -10,14 +10,14 @@
 use super::names::Names;
 use crate::{attempt::AttemptKey, endpoint::Load, router::End};
 
-/// One entry host.
+/// An entry host.
 pub(super) struct Host {
     pub(super) decider: Decider,
     pub(super) endpoints: Vec<Known>,
     life: u64,
 }
 
-/// What changes about an endpoint.
+/// The state of an endpoint as last reported to a host.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Known {
     incarnation: u64,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// An empty decider, which learns of the endpoints anew.
+    /// Replaces the decider by a new one and forgets the load reports.
     pub(super) fn replace(&mut self, names: &Names, seed: u64, host: usize) {
         self.life += 1;
         self.decider = decider(names, seed, host, self.life);
@@ -56,7 +56,7 @@
         };
     }
 
-    /// What the decider is told of an endpoint.
+    /// Returns the decider's event for an endpoint.
     pub(super) fn update(&self, names: &Names, host: usize, endpoint: usize) -> Event {
         let fixed = &names.endpoints[endpoint];
         let known = &self.endpoints[endpoint];
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The decider's own number of an attempt; none when an earlier one made it.
+    /// Returns the decider's ID of an attempt; `None` if an earlier incarnation dispatched it.
     pub(super) fn number(&self, attempt: AttemptKey) -> Option<AttemptId> {
         (attempt.life == self.life).then_some(AttemptId(attempt.number))
     }
--- a/crates/experiment/src/router/core/names.rs
+++ b/crates/experiment/src/router/core/names.rs
@@ -6,7 +6,7 @@
     workload::{ClassIdx, Priority, World},
 };
 
-/// The names under which the core knows what the experiment counts.
+/// Maps the indices of the simulation to the names and keys of the core.
 #[derive(Clone, Debug)]
 pub(super) struct Names {
     pub(super) hosts: Vec<HostName>,
@@ -16,7 +16,7 @@
     classes: Vec<key::Class>,
 }
 
-/// What doesn't change about an endpoint.
+/// The constant properties of an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     pub(super) name: HostName,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The profile of a class; none for a plain service's.
+    /// Returns the profile of a class; `None` for calls of the plain service.
     pub(super) fn profile(&self, class: ClassIdx) -> Option<key::Profile> {
         self.profiles[class.idx()]
     }
@@ -58,7 +58,7 @@
         self.classes[class.idx()]
     }
 
-    /// The endpoint that the core knows by this identity.
+    /// Returns the endpoint with this ID, in any incarnation.
     pub(super) fn endpoint(&self, id: endpoint::Id) -> Option<usize> {
         self.endpoints
             .iter()
@@ -66,7 +66,7 @@
     }
 }
 
-/// The policy lists the versions in the same order.
+/// Returns the version of a key. The policy lists the versions in the order of [`VersionIdx`].
 pub(super) fn version(key: key::Version) -> VersionIdx {
     VersionIdx::ALL[key.index()]
 }
@@ -87,7 +87,7 @@
     }
 }
 
-/// The reason as callers read it.
+/// Returns the name of a reason, as in responses to callers.
 pub(super) fn reason(reason: Reason) -> &'static str {
     match reason {
         Reason::UnknownProfile => "unknown_profile",
--- a/crates/experiment/src/router/core/policy.rs
+++ b/crates/experiment/src/router/core/policy.rs
@@ -14,21 +14,21 @@
     workload::{Call, Class, Priority, World},
 };
 
-/// A customer's limit on its rate, as a multiple of its usual one: loose, so that
-/// fair sharing and not the limit is what a flood meets.
+/// A customer's rate limit as a multiple of its usual rate; high enough that a flood is limited by
+/// fair sharing instead.
 const RATE_HEADROOM: f64 = 40.0;
 
-/// Seconds of a customer's limit that may come at once.
+/// A customer's burst, in seconds of its rate limit.
 const BURST_SECONDS: f64 = 5.0;
 
-/// A customer's limit of requests in flight for each request a second of its usual
-/// rate; as loose, since summaries that wait in the night count as well.
+/// A customer's concurrency limit, in seconds of its usual rate; high because batch requests that
+/// wait for a long time count as well.
 const CONCURRENCY_SECONDS: f64 = 2_000.0;
 
-/// Calls of the plain service that one host may have in flight.
+/// Maximum calls of the plain service in flight from one host.
 const SERVICE_CONCURRENCY: u32 = 64;
 
-/// Compiles the configuration as the daemon does.
+/// Compiles the configuration to a policy.
 pub(super) fn compile(world: &World, configuration: &Configuration) -> Policy {
     Policy {
         revision: configuration.revision,
@@ -127,7 +127,7 @@
     }
 }
 
-/// The number of whole units.
+/// Rounds down to an integer.
 fn whole(amount: f64) -> u32 {
     std::time::Duration::from_secs_f64(amount)
         .as_secs()
--- a/crates/experiment/src/router/oracle.rs
+++ b/crates/experiment/src/router/oracle.rs
@@ -10,38 +10,39 @@
     workload::{Call, ClassIdx},
 };
 
-/// A share of bad answers is taken in steps of this size.
+/// Number of equal steps into which the share of bad responses is quantized.
 const DAMAGE_STEPS: u32 = 25;
 
-/// The most versions that the oracle asks for one request.
+/// Maximum versions that the oracle tries for a request.
 const DEPTH: usize = 3;
 
-/// The plans of who knows every distribution, worked out once for each state of the world.
+/// Computes plans from the true distributions and caches them.
 pub(crate) struct Oracle<'a> {
     truth: Truth<'a>,
     plans: BTreeMap<Circumstance, Rc<Guide>>,
 }
 
-/// What a plan depends on.
+/// The cache key of a plan: all that the plan depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Circumstance {
     class: ClassIdx,
-    /// By version: the part of bad answers in steps, whether they show, whether it is in full use.
+    /// Indexed by version: the share of bad responses in steps, whether they have the confidence of
+    /// good responses, and whether the version is active.
     versions: [(u32, bool, bool); 4],
 }
 
-/// A plan and the versions that its choices stand for.
+/// A plan with the versions of its choices.
 #[derive(Debug)]
 pub(crate) struct Guide {
     plan: Plan,
     versions: Vec<VersionIdx>,
 }
 
-/// What a request does next.
+/// The next step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Next {
     Ask(VersionIdx),
-    /// Delivers the answer asked in this place.
+    /// Delivers the response at this position, in the order of trying.
     Deliver(usize),
 }
 
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The plan for a request that comes now.
+    /// Returns the plan for a request that arrives at `now`.
     pub(crate) fn guide(
         &mut self,
         now: Duration,
@@ -96,7 +97,7 @@
             ..
         } = &class.call
         else {
-            unreachable!("plain calls have no plan");
+            unreachable!("only model classes have plans");
         };
         let versions = VersionIdx::ALL
             .into_iter()
@@ -121,7 +122,7 @@
                 )
             })
             .collect();
-        // What may run once only can't be asked again.
+        // A request that isn't idempotent can't be sent to a second version.
         let problem = Problem {
             hard: *hard,
             depth: if class.idempotent { DEPTH } else { 1 },
@@ -136,9 +137,9 @@
 }
 
 impl Guide {
-    /// What follows on the confidences so far, in the order of asking.
+    /// Returns the next step, given the confidences of the responses so far.
     pub(crate) fn next(&self, coin: Coin, arrival: &Arrival, seen: &[f64]) -> Next {
-        // All turns of a session follow one of the two plans.
+        // All turns of a session follow the same one of the two plans.
         let whose = arrival.session.unwrap_or(arrival.idx);
         let second = coin.toss(Purpose::Plan, whose, 0) < self.plan.mix;
         let mut node = &self.plan.nodes[usize::from(second)];
--- a/crates/experiment/src/router/view.rs
+++ b/crates/experiment/src/router/view.rs
@@ -7,7 +7,7 @@
     workload::World,
 };
 
-/// What one entry host of a baseline knows of the endpoints.
+/// The endpoints as known to one entry host of a baseline.
 #[derive(Clone, Debug)]
 pub(crate) struct View {
     endpoints: Vec<Known>,
@@ -19,7 +19,7 @@
     slots: usize,
     up: bool,
     reported: usize,
-    /// Sent since the newest report.
+    /// Attempts sent since the last report.
     sent: usize,
 }
 
@@ -51,7 +51,7 @@
         self.endpoints[endpoint].up = up;
     }
 
-    /// The less loaded of two random endpoints that serve the version.
+    /// Returns the less loaded of two random endpoints that serve the version; `None` if none does.
     pub(crate) fn pick(
         &mut self,
         coin: Coin,
@@ -92,7 +92,7 @@
     }
 }
 
-/// The place in a list of `len` that a number of `0.0..1.0` falls on.
+/// Maps a number in `0.0..1.0` to an index of a list with `len` elements.
 pub(crate) fn place(toss: f64, len: usize) -> usize {
     (1..len).take_while(|it| scale(*it, len) <= toss).count()
 }
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -9,16 +9,17 @@
     truth::Truth,
 };
 
-/// How many times as fast scenarios run in quick mode.
+/// The divisor of scenario times in quick mode.
 const QUICK: u32 = 20;
 
 /// The number of hosts in quick mode.
 const QUICK_HOSTS: usize = 3;
 
-/// Runs the scenarios that the options name under every router.
+/// Runs the selected scenarios under every router.
 ///
 /// # Errors
-/// No scenario has the name in the options, or a scenario isn't understood.
+///
+/// Returns an error if no scenario has the name in the options, or if a scenario is invalid.
 pub fn run(options: &Options) -> Result<Report, Error> {
     let scenarios = match &options.scenario {
         Some(name) => vec![Scenario::shipped(name)?],
@@ -38,7 +39,7 @@
     Ok(Report::new(options, cases))
 }
 
-/// Runs one scenario, also one that doesn't ship, under every router.
+/// Runs one scenario, which needn't be a shipped one, under every router.
 #[must_use]
 pub fn case(options: &Options, workload: Workload, scenario: &Scenario) -> Case {
     let mut world = workload.world();
--- a/crates/experiment/src/scenario.rs
+++ b/crates/experiment/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Faults as dated events, read from a small language; see `docs/scenarios.md`.
+//! Scenarios: timed faults, parsed from the language described in `docs/scenarios.md`.
 
 mod fault;
 mod parse;
@@ -9,7 +9,7 @@
 
 use crate::Error;
 
-/// The scenarios that ship with the experiment, by name and text.
+/// The names and texts of the scenarios that ship with the experiment.
 const SHIPPED: [(&str, &str); 16] = [
     ("calm", include_str!("../scenarios/calm.txt")),
     ("settled", include_str!("../scenarios/settled.txt")),
@@ -38,18 +38,18 @@
     ("withdrawn", include_str!("../scenarios/withdrawn.txt")),
 ];
 
-/// A course of dated faults.
+/// A sequence of timed faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name.
+    /// The scenario's name.
     pub name: String,
-    /// What it is about, in a sentence.
+    /// The description, in one sentence.
     pub about: String,
     pub(crate) duration: Duration,
     pub(crate) events: Vec<Event>,
 }
 
-/// One dated fault.
+/// A fault with its start and end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Event {
     pub(crate) at: Duration,
@@ -58,23 +58,25 @@
 }
 
 impl Scenario {
-    /// Reads a scenario's text.
+    /// Parses a scenario.
     ///
     /// # Errors
-    /// Names the line that isn't understood and what is accepted there.
+    ///
+    /// Returns an error with the number of the first invalid line and the accepted syntax.
     pub fn parse(name: &str, text: &str) -> Result<Self, Error> {
         parse::scenario(name, text)
     }
 
-    /// The names of the shipped scenarios, in the order in which they are run.
+    /// Returns the names of the shipped scenarios, in the order in which they are run.
     pub fn names() -> impl Iterator<Item = &'static str> {
         SHIPPED.iter().map(|(name, _)| *name)
     }
 
-    /// The shipped scenario of this name.
+    /// Returns the shipped scenario with this name.
     ///
     /// # Errors
-    /// No scenario has the name, or its text isn't understood.
+    ///
+    /// Returns an error if no scenario has the name, or if its text is invalid.
     pub fn shipped(name: &str) -> Result<Self, Error> {
         let found = SHIPPED.iter().find(|(known, _)| *known == name);
         let Some((name, text)) = found else {
@@ -84,7 +86,7 @@
         Self::parse(name, text)
     }
 
-    /// The same scenario on a clock that runs `by` times as fast, for tests.
+    /// Returns the scenario with all times divided by `by`, for tests.
     pub(crate) fn shortened(mut self, by: u32) -> Self {
         self.duration /= by;
         for it in &mut self.events {
@@ -94,7 +96,7 @@
         self
     }
 
-    /// The faults in force at `now`.
+    /// Returns the events whose faults are active at `now`.
     pub(crate) fn active(&self, now: Duration) -> impl Iterator<Item = &Event> {
         self.events
             .iter()
--- a/crates/experiment/src/scenario/fault.rs
+++ b/crates/experiment/src/scenario/fault.rs
@@ -2,49 +2,49 @@
 
 use crate::truth::VersionIdx;
 
-/// What goes wrong.
+/// A fault, or another change of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
-    /// A share of a version's answers is bad.
+    /// This share of a version's responses is bad.
     Bad {
         version: VersionIdx,
         share: f64,
         manner: Manner,
     },
-    /// A version loses this share of its good answers, evenly over the event's length.
+    /// A version loses this share of its good responses, linearly over the event's duration.
     Drift { version: VersionIdx, loss: f64 },
     /// Operators withdraw a version.
     Withdrawn { version: VersionIdx },
-    /// Operators start the roll-out of a version in place of another.
+    /// Operators start to roll out a version that replaces another.
     Rollout {
         version: VersionIdx,
         replaces: VersionIdx,
     },
-    /// Only this share of the model replicas is left.
+    /// Only this share of each pool's model replicas stays up.
     Capacity { share: f64 },
-    /// Ratings come this much later.
+    /// Ratings are delayed by this additional time.
     RatingsLate { by: Duration },
-    /// No ratings come.
+    /// The rating service accepts no responses.
     RatingsOut,
-    /// Load reports are this much older.
+    /// Load reports are delayed by this additional time.
     LoadStale { by: Duration },
-    /// One customer sends this many times its usual traffic.
+    /// One customer's model traffic is multiplied by this factor.
     Flood { customer: usize, times: f64 },
-    /// All model traffic is this many times the usual.
+    /// All model traffic is multiplied by this factor.
     Surge { times: f64 },
-    /// An entry host is gone.
+    /// An entry host is lost for the rest of the scenario.
     HostLost { host: usize },
-    /// An entry host is replaced by an empty one.
+    /// An entry host is replaced by one without state.
     HostReplaced { host: usize },
 }
 
-/// How a bad answer looks to the system.
+/// The visible effect of a bad response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Manner {
-    /// Its confidence is drawn as for any bad answer.
+    /// The confidence is that of other bad responses.
     Plain,
-    /// Its confidence is drawn as for a good answer: only ratings tell.
+    /// The confidence is that of good responses, so that only ratings reveal the fault.
     Confident,
-    /// It isn't an answer: the engine fails.
+    /// The engine fails instead of responding.
     Error,
 }
--- a/crates/experiment/src/scenario/parse.rs
+++ b/crates/experiment/src/scenario/parse.rs
@@ -8,7 +8,7 @@
     `ratings out`, `load stale T`, `customer N demand xF`, `models demand xF`, `host N lost`, \
     `host N replaced`";
 
-/// Reads the lines between `scenario` and `----`.
+/// Parses the lines up to `----`, of which a line `scenario` may be the first.
 pub(super) fn scenario(name: &str, text: &str) -> Result<Scenario, Error> {
     let mut scenario = Scenario {
         name: name.to_owned(),
@@ -159,7 +159,7 @@
         .map_err(|_| format!("{text:?} is not a number from 0"))
 }
 
-/// An event without an end lasts as long as the scenario.
+/// Limits the end of each event to the end of the scenario.
 fn close_open_events(scenario: &mut Scenario) {
     for it in &mut scenario.events {
         it.until = it.until.min(scenario.duration);
--- a/crates/experiment/src/sim.rs
+++ b/crates/experiment/src/sim.rs
@@ -1,4 +1,4 @@
-//! One scenario under one router, on a virtual clock.
+//! Simulates one scenario under one router on a virtual clock.
 
 mod caller;
 mod event;
@@ -23,39 +23,41 @@
     truth::{Truth, VersionIdx},
 };
 
-/// One way between an entry host and an endpoint.
+/// One-way network latency between an entry host and an endpoint.
 const NETWORK: Duration = Duration::from_millis(1);
 
-/// Until one host's news is at the others.
+/// Delay until a gossip update reaches the other hosts.
 const NEWS: Duration = Duration::from_millis(100);
 
-/// Until a change of configuration or of the host list is at all hosts.
+/// Delay until a change of the configuration or of an endpoint's state reaches all hosts.
 const PROPAGATION: Duration = Duration::from_secs(1);
 
-/// How often an endpoint reports its load, and how old the report is when it is read.
+/// Interval between the load reports of an endpoint to a host.
 const REPORT: Duration = Duration::from_secs(1);
+
+/// Age of a load report when the host reads it.
 const REPORT_LAG: Duration = Duration::from_millis(500);
 
-/// How long after the scenario requests may still end.
+/// Maximum time after the end of the scenario during which requests may still end.
 const DRAIN: Duration = Duration::from_mins(15);
 
-/// What a run leaves behind.
+/// The results of a run.
 #[derive(Debug)]
 pub(crate) struct Log {
-    /// By arrival.
+    /// Indexed by arrival.
     pub(crate) records: Vec<Record>,
     pub(crate) verdicts: Vec<VerdictNote>,
-    /// By pool, the part of its slots that was in use.
+    /// Indexed by pool.
     pub(crate) use_of_pools: Vec<f64>,
 }
 
-/// A verdict of one host on a version.
+/// A verdict of a host on a version.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VerdictNote {
     pub(crate) at: Duration,
     pub(crate) version: VersionIdx,
     pub(crate) verdict: Verdict,
-    /// The share of bad answers that a fault caused when the verdict was given.
+    /// The share of the version's responses that a fault made bad at the time of the verdict.
     pub(crate) damage: f64,
 }
 
@@ -66,14 +68,14 @@
     router: Router<'a>,
     queue: Queue<Event>,
     endpoints: Vec<Endpoint>,
-    /// By endpoint, the time that slots were taken by attempts that ended.
+    /// Indexed by endpoint, the slot time used by finished attempts.
     busy: Vec<Duration>,
     attempts: BTreeMap<AttemptKey, Attempt>,
     records: Vec<Record>,
-    /// By session.
+    /// Indexed by session.
     pins: Vec<Option<VersionIdx>>,
     configuration: Configuration,
-    /// By [`VersionIdx`].
+    /// Indexed by [`VersionIdx`].
     withdrawn_at: [Option<Duration>; 4],
     ratings: Ratings,
     hosts_up: Vec<bool>,
@@ -82,7 +84,7 @@
 }
 
 impl<'a> Sim<'a> {
-    /// Runs all arrivals to their end under one router.
+    /// Runs all arrivals under one router until each has ended, or until the drain time is over.
     pub(crate) fn run(kind: Kind, truth: Truth<'a>, arrivals: &'a [Arrival], seed: u64) -> Log {
         let mut sim = Self::new(kind, truth, arrivals, seed);
         sim.schedule();
@@ -219,9 +221,10 @@
         }
     }
 
-    /// The part of a period at which a host's periodic events come. Were all
-    /// hosts to read a report at once, the first would take each free slot and
-    /// the last would always find it taken.
+    /// Returns the phase of a host's periodic events, as a fraction of their period.
+    ///
+    /// If all hosts read load reports at the same time, the first host would always take the free
+    /// slots before the others.
     fn phase(&self, host: usize) -> f64 {
         let [host, hosts] = [host, self.hosts_up.len()].map(|it| u32::try_from(it).unwrap_or(1));
         f64::from(host) / f64::from(hosts)
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Every endpoint reports its load to a host, which reads it late.
+    /// Schedules the delivery of every live endpoint's load report to a host.
     fn report(&mut self, host: usize) {
         let stale = self.truth.scenario.active(self.now).find_map(|it| {
             if let Fault::LoadStale { by } = it.fault {
@@ -316,7 +319,7 @@
         }
     }
 
-    /// The configuration goes to all hosts.
+    /// Schedules the delivery of the current configuration to all hosts.
     fn publish(&mut self) {
         let event = Event::Configured(Arc::new(self.configuration.clone()));
         self.queue.push(self.now + PROPAGATION, event);
--- a/crates/experiment/src/sim/caller.rs
+++ b/crates/experiment/src/sim/caller.rs
@@ -1,4 +1,4 @@
-//! What callers do: ask, wait, get an answer or give up.
+//! Simulates callers: arrivals, caller timeouts and delivered responses.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
     router::{Input, place},
 };
 
-/// Each customer has this many callers, which choose entry hosts on their own.
+/// Number of callers of each customer. Each chooses its entry host independently.
 const CALLERS: usize = 8;
 
-/// How long a caller keeps an entry host's address.
+/// Time after which a caller chooses an entry host anew.
 const KEEP: Duration = Duration::from_mins(1);
 
 impl Sim<'_> {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Ends a request; the first end counts.
+    /// Ends a request, unless it has already ended.
     pub(super) fn close(&mut self, idx: usize, fate: Fate) {
         let record = &mut self.records[idx];
         if record.fate != Fate::Pending {
@@ -76,7 +76,7 @@
             .retain(|_, it| it.request != idx || !matches!(it.state, State::Done { .. }));
     }
 
-    /// The entry host whose address the caller keeps just now.
+    /// Returns the entry host that the caller uses at this time; `None` if all hosts are down.
     fn host(&self, arrival: &Arrival) -> Option<usize> {
         let caller = arrival.customer * CALLERS + arrival.idx % CALLERS;
         let period = usize::try_from(self.now.as_secs() / KEEP.as_secs()).unwrap_or(0);
--- a/crates/experiment/src/sim/event.rs
+++ b/crates/experiment/src/sim/event.rs
@@ -8,7 +8,7 @@
     router::{End, News},
 };
 
-/// What the virtual clock brings.
+/// An event on the virtual clock.
 #[derive(Debug)]
 pub(super) enum Event {
     Arrive(usize),
@@ -16,14 +16,14 @@
     GiveUp(usize),
     /// An attempt reaches its endpoint.
     Submit(AttemptKey),
-    /// The endpoint sends the first token.
+    /// The host receives the first token.
     FirstToken(AttemptKey),
-    /// The endpoint is done with an attempt.
+    /// The endpoint finishes an attempt.
     Finish(AttemptKey),
-    /// The host learns how an attempt ended.
+    /// The host learns the outcome of an attempt.
     Ended(AttemptKey, End),
     Timeout(AttemptKey),
-    /// All endpoints report their load to one host.
+    /// All live endpoints report their load to one host.
     Report {
         host: usize,
     },
--- a/crates/experiment/src/sim/fault.rs
+++ b/crates/experiment/src/sim/fault.rs
@@ -1,4 +1,4 @@
-//! What faults do to hosts, endpoints and the configuration.
+//! Applies faults to hosts, endpoints and the configuration.
 
 use super::{Event, PROPAGATION, Sim};
 use crate::{record::Fate, router::Input, scenario::Fault};
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The model replicas of each pool beyond a share of them.
+    /// Returns the replicas of each model pool that exceed this share of the pool.
     fn beyond(&self, share: f64) -> Vec<usize> {
         let mut beyond = Vec::new();
         let mut first = 0;
@@ -84,7 +84,7 @@
         self.queue.push(self.now + PROPAGATION, event);
     }
 
-    /// All that a host had under way is gone with it.
+    /// Fails a host's pending requests, cancels its attempts and resets its router state.
     fn lose_host(&mut self, host: usize) {
         for idx in 0..self.records.len() {
             let record = &self.records[idx];
--- a/crates/experiment/src/sim/replica.rs
+++ b/crates/experiment/src/sim/replica.rs
@@ -1,4 +1,4 @@
-//! What endpoints do with attempts.
+//! Simulates the attempts at endpoints.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     router::{End, Input},
 };
 
-/// The part of the prefill that is left when the prompt's start is cached.
+/// The remaining share of the prefill time if the prompt prefix is cached.
 const CACHED_PREFILL: f64 = 0.2;
 
 impl Sim<'_> {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// An attempt has got a slot.
+    /// Starts to run an attempt that got a slot.
     fn run_attempt(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Asks for a rating, now or once the answer is whole.
+    /// Sends the response to the rating service, or marks the attempt to do so once it is complete.
     pub(super) fn sample(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
@@ -198,7 +198,7 @@
         }
     }
 
-    /// An attempt is cut by the loss of its endpoint.
+    /// Ends an attempt because its endpoint went down.
     pub(super) fn cut(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
@@ -221,7 +221,7 @@
         self.queue.push(self.now + NETWORK, Event::Ended(key, end));
     }
 
-    /// What a cancelled attempt has used is paid for.
+    /// Charges the tokens that a cancelled attempt has used.
     fn charge_part(&mut self, attempt: &Attempt) {
         let (State::Running { since, first, .. }, Some(version)) = (attempt.state, attempt.version)
         else {
--- a/crates/experiment/src/tally.rs
+++ b/crates/experiment/src/tally.rs
@@ -1,4 +1,4 @@
-//! From what happened to figures.
+//! Aggregates the records of runs into figures.
 
 mod bound;
 mod class;
@@ -22,8 +22,7 @@
 
 /// The counts of one router over all seeds.
 ///
-/// Only requests that are under way while a fault is in force are counted; where
-/// none is, all are.
+/// Counts only requests that overlap the measurement window, see [`window`].
 pub(crate) struct Tally<'a> {
     kind: Kind,
     world: &'a World,
@@ -32,7 +31,8 @@
     customers: Vec<[u64; 2]>,
     refusals: BTreeMap<&'static str, u64>,
     harmed: [u64; 2],
-    /// Paired costs, as by class, by quarter of the window.
+    /// By quarter of the window, the cost of the requests that this router and the oracle both
+    /// delivered: this router's and the oracle's.
     quarters: [[u64; 2]; 4],
     touched: u64,
     moved: u64,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Counts a run; `oracle` is the oracle's over the same arrivals.
+    /// Adds a run. `oracle` is the oracle's run over the same arrivals.
     pub(crate) fn add(&mut self, arrivals: &[Arrival], log: &Log, oracle: &Log, bound: f64) {
         self.seeds += 1;
         self.bound += bound;
@@ -202,10 +202,11 @@
     }
 }
 
-/// From when to when requests count.
+/// Returns the start and end of the measurement window: the time of the scenario's faults, or the
+/// whole scenario if it has none.
 fn window(scenario: &Scenario) -> [Duration; 2] {
     let events = &scenario.events;
-    // Beside a flood, the traffic before it only sets the scene.
+    // Other faults of a flood scenario only prepare the load that the flood meets.
     let flood = events
         .iter()
         .find(|it| matches!(it.fault, Fault::Flood { .. }));
@@ -227,7 +228,7 @@
     float(part) / float(whole)
 }
 
-/// Exact below 2^53, which no count of an experiment reaches.
+/// Converts a count to a float; exact below 2^53.
 pub(crate) fn float(number: u64) -> f64 {
     let high = u32::try_from(number >> 32).unwrap_or(u32::MAX);
     let low = u32::try_from(number & u64::from(u32::MAX)).unwrap_or(u32::MAX);
--- a/crates/experiment/src/tally/bound.rs
+++ b/crates/experiment/src/tally/bound.rs
@@ -5,11 +5,12 @@
     workload::{ClassIdx, World},
 };
 
-/// The least cost at which each class meets its target for who knows each coin
-/// before it falls: the cheapest version that will answer well, and a bad answer
-/// of the cheapest where that saves most.
+/// Returns a lower bound of the cost at which each class meets its target, given knowledge of
+/// every response in advance.
 ///
-/// No router can reach it; it ignores capacity, sessions and the window of the tally.
+/// Each request goes to the cheapest version whose response is good, except that as many as the
+/// target allows, the most expensive ones first, take the cheapest version's bad response. Ignores
+/// capacity, sessions and the measurement window.
 pub(crate) fn clairvoyant(truth: &Truth<'_>, arrivals: &[Arrival]) -> f64 {
     let models = truth.world.classes().filter(|(_, it)| it.is_model());
     models
--- a/crates/experiment/src/tally/class.rs
+++ b/crates/experiment/src/tally/class.rs
@@ -16,7 +16,8 @@
     pub(super) delivered: u64,
     pub(super) good: u64,
     pub(super) cost: u64,
-    /// Cost of the requests that this router and the oracle both answered: its and the oracle's.
+    /// The cost of the requests that this router and the oracle both delivered: this router's and
+    /// the oracle's.
     pub(super) paired: [u64; 2],
     asked: u64,
     latency: Histogram<u64>,
@@ -74,7 +75,7 @@
     }
 }
 
-/// Microseconds up to two hours, to three digits.
+/// Returns a histogram of microseconds, up to two hours with three significant digits.
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_max(7_200_000_000, 3).expect("the bounds are constant and valid")
 }
--- a/crates/experiment/src/truth.rs
+++ b/crates/experiment/src/truth.rs
@@ -1,4 +1,4 @@
-//! What the routers can't see: how good each version really is.
+//! The ground truth about each version's quality, which routers can't see.
 
 mod answer;
 mod confidence;
@@ -19,7 +19,7 @@
     workload::World,
 };
 
-/// The truth over the course of a scenario.
+/// The quality of each version over the course of a scenario.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Truth<'a> {
     pub(crate) world: &'a World,
@@ -27,16 +27,16 @@
     pub(crate) coin: Coin,
 }
 
-/// What faults do to a version at a moment.
+/// The effect of the active faults on a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Damage {
-    /// The share of answers that is bad because of the fault.
+    /// The share of responses that are bad because of the fault.
     pub(crate) share: f64,
     pub(crate) manner: Manner,
 }
 
 impl Truth<'_> {
-    /// The answer that `version` gives to a request that it begins at `now`.
+    /// Returns the response of `version` to a request that starts to run at `now`.
     pub(crate) fn answer(&self, arrival: &Arrival, version: VersionIdx, now: Duration) -> Answer {
         let (request, other) = (arrival.idx, version.idx());
         let damage = self.damage(version, now);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What faults do to `version` at `now`.
+    /// Returns the effect of the faults that are active at `now` on `version`.
     pub(crate) fn damage(&self, version: VersionIdx, now: Duration) -> Damage {
         let mut damage = Damage {
             share: 0.0,
--- a/crates/experiment/src/truth/answer.rs
+++ b/crates/experiment/src/truth/answer.rs
@@ -1,11 +1,11 @@
-/// What a version makes of a request.
+/// A version's response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Answer {
     pub(crate) good: bool,
-    /// What the engine reports, `0.0..=1.0`; all that a router sees at once.
+    /// The confidence that the engine reports, `0.0..=1.0`.
     pub(crate) confidence: f64,
-    /// The answer is bad only because of a fault of the scenario.
+    /// Whether the response is bad only because of a fault of the scenario.
     pub(crate) harmed: bool,
-    /// There is no answer: the engine fails.
+    /// Whether the engine fails instead of responding.
     pub(crate) error: bool,
 }
--- a/crates/experiment/src/truth/confidence.rs
+++ b/crates/experiment/src/truth/confidence.rs
@@ -1,15 +1,15 @@
-/// How well a version's confidence tells good answers from bad ones.
+/// The distribution of a version's confidence, for good and for bad responses.
 ///
-/// For a good answer the distribution function is `c^k`, for a bad one
-/// `1 - (1-c)^k`, where `k` is the sharpness. With `k = 2` a good answer has the
-/// higher confidence of a random pair in 83 of 100, with `k = 3` in 95.
+/// The cumulative distribution is `c^k` for good responses and `1 - (1-c)^k` for bad ones, where
+/// `k` is the sharpness. With `k = 1` both are the same; the higher `k`, the better the confidence
+/// separates good responses from bad ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Confidence {
     pub(crate) sharpness: f64,
 }
 
 impl Confidence {
-    /// The confidence at quantile `draw` of the good or the bad answers.
+    /// Returns the confidence at the quantile `draw` of the good or the bad responses.
     pub(crate) fn quantile(self, good: bool, draw: f64) -> f64 {
         let power = 1.0 / self.sharpness;
         if good {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The chance that the confidence is at most `c`.
+    /// Returns the probability that the confidence is at most `c`.
     pub(crate) fn cumulative(self, good: bool, c: f64) -> f64 {
         if good {
             c.powf(self.sharpness)
--- a/crates/experiment/src/truth/skill.rs
+++ b/crates/experiment/src/truth/skill.rs
@@ -1,7 +1,7 @@
-/// The chance of a good answer to easy and to hard requests of a class.
+/// The probability of a good response to easy and to hard requests of a class.
 ///
-/// How hard a request is is the same for each version, so that a strong
-/// version's answer to what a weak one failed at is no fresh draw.
+/// A request is equally hard for each version, so the versions' results for a request are
+/// correlated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Skill {
     pub(crate) easy: f64,
@@ -17,7 +17,7 @@
         if hard { self.hard } else { self.easy }
     }
 
-    /// The skill that is left when a share of the answers is bad by a fault.
+    /// Returns the accuracy when a fault makes this share of the responses bad.
     pub(crate) fn damaged(self, share: f64) -> Self {
         Self {
             easy: self.easy * (1.0 - share),
--- a/crates/experiment/src/truth/version.rs
+++ b/crates/experiment/src/truth/version.rs
@@ -5,7 +5,7 @@
 use super::{Confidence, Skill};
 use crate::workload::ClassIdx;
 
-/// One of the versions that both workloads have.
+/// The index of a version. Both workloads have the same versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct VersionIdx(u8);
 
@@ -29,19 +29,19 @@
     }
 }
 
-/// A version's prices, speed and quality.
+/// The prices, speed and quality of a version.
 #[derive(Clone, Debug)]
 pub(crate) struct VersionTruth {
-    /// For a million prompt tokens.
+    /// The price of a million prompt tokens.
     pub(crate) prompt_price: Money,
-    /// For a million completion tokens.
+    /// The price of a million completion tokens.
     pub(crate) completion_price: Money,
-    /// Time to read a thousand prompt tokens.
+    /// The prefill time of a thousand prompt tokens.
     pub(crate) prefill: Duration,
-    /// Time between two tokens of an answer.
+    /// The time between two tokens of a response.
     pub(crate) token: Duration,
     pub(crate) confidence: Confidence,
-    /// By class.
+    /// Indexed by class. Only models have entries; their classes come first.
     pub(crate) skills: Vec<Skill>,
 }
 
@@ -50,7 +50,7 @@
         self.skills[class.idx()]
     }
 
-    /// What an answer costs.
+    /// Returns the cost of a response.
     pub(crate) fn cost(&self, prompt: u32, completion: u32) -> Money {
         self.prompt_price.per_million(u64::from(prompt))
             + self.completion_price.per_million(u64::from(completion))
--- a/crates/experiment/src/workload.rs
+++ b/crates/experiment/src/workload.rs
@@ -1,4 +1,4 @@
-//! The users' two workloads: who asks what, how often, and what answers it.
+//! The two simulated workloads: customers, request classes, versions and replica pools.
 
 mod association;
 mod class;
@@ -17,26 +17,27 @@
 
 use crate::Error;
 
-/// One of the users' two workloads.
+/// A simulated workload.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Workload {
-    /// Film restorers: era tags, catalogue entries, long dossiers, the bench portal.
+    /// Film restoration: era tags, catalogue entries, long dossiers and the bench portal.
     #[display("kivuli")]
     Kivuli,
-    /// Salt mine tours: itineraries, visitors' chats, summaries, gates and seats.
+    /// Salt mine tours: itineraries, visitors' chats, summaries, gate scans and seat holds.
     #[display("association")]
     Association,
 }
 
 impl Workload {
-    /// Both workloads.
+    /// All workloads, in the order in which they are run.
     pub const ALL: [Self; 2] = [Self::Kivuli, Self::Association];
 
-    /// The workload of this name.
+    /// Returns the workload with this name.
     ///
     /// # Errors
-    /// No workload has the name.
+    ///
+    /// Returns an error if no workload has the name.
     pub fn named(name: &str) -> Result<Self, Error> {
         Self::ALL
             .into_iter()
--- a/crates/experiment/src/workload/class.rs
+++ b/crates/experiment/src/workload/class.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// A request class of a workload.
+/// The index of a request class in its workload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ClassIdx(pub(crate) u8);
 
@@ -10,46 +10,46 @@
     }
 }
 
-/// What kind of requests a class has.
+/// A request class.
 #[derive(Clone, Debug)]
 pub(crate) struct Class {
     pub(crate) name: &'static str,
     pub(crate) call: Call,
     pub(crate) priority: Priority,
-    /// A request that may run twice without harm.
+    /// Whether a request may safely run more than once.
     pub(crate) idempotent: bool,
-    /// New requests or sessions a second, over all customers.
+    /// New requests or sessions per second, over all customers.
     pub(crate) rate: f64,
-    /// From the arrival.
+    /// Counted from the arrival.
     pub(crate) deadline: Duration,
 }
 
-/// Where a class goes.
+/// The destination of a class's requests, and their sizes.
 #[derive(Clone, Debug)]
 pub(crate) enum Call {
-    /// To the model pool, under a profile of the class's name.
+    /// Model requests, under a profile with the class's name.
     Model {
-        /// The share of answers that must be good.
+        /// The share of responses that must be good.
         target: f64,
         /// The share of requests that are hard.
         hard: f64,
         prompt: Range,
         completion: Range,
-        /// The number of turns of a session, all of which prefer one version.
+        /// The number of turns of a session. All turns prefer the same version.
         turns: Range,
     },
-    /// To the plain service.
+    /// Calls of the plain service, with their service time.
     Plain { millis: Range },
 }
 
-/// Inclusive bounds of an even draw.
+/// The inclusive bounds of a uniform distribution.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Range {
     pub(crate) low: u32,
     pub(crate) high: u32,
 }
 
-/// Who goes first at an endpoint.
+/// The priority of a request in an endpoint's queue, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Priority {
     Urgent,
@@ -58,14 +58,14 @@
 }
 
 impl Class {
-    /// Seconds between two turns of a session.
+    /// The time between two turns of a session, in seconds.
     pub(crate) const TURN_GAP: Range = Range { low: 60, high: 120 };
 
     pub(crate) fn is_model(&self) -> bool {
         matches!(self.call, Call::Model { .. })
     }
 
-    /// The quality target; plain services have none.
+    /// Returns the quality target; zero for plain services.
     pub(crate) fn target(&self) -> f64 {
         match self.call {
             Call::Model { target, .. } => target,
@@ -79,7 +79,7 @@
         Self { low, high }
     }
 
-    /// The value at `draw` of `0.0..1.0`, in equal parts.
+    /// Maps a random number to a value in the range.
     pub(crate) fn pick(self, draw: u32) -> u32 {
         self.low + draw % (self.high - self.low + 1)
     }
--- a/crates/experiment/src/workload/customer.rs
+++ b/crates/experiment/src/workload/customer.rs
@@ -2,7 +2,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Customer {
     pub(crate) name: &'static str,
-    /// Its part of the traffic, relative to the others, and of a full pool.
+    /// The customer's relative share of the traffic, and its weight in fair sharing.
     pub(crate) weight: u32,
 }
 
--- a/crates/experiment/src/workload/kivuli.rs
+++ b/crates/experiment/src/workload/kivuli.rs
@@ -115,7 +115,7 @@
     ]
 }
 
-/// Skills in the order of the classes; the plain ones have none.
+/// The versions, in the order of their indices. Accuracies are in the order of the classes.
 fn versions() -> Vec<VersionTruth> {
     vec![
         VersionTruth {
--- a/crates/experiment/src/workload/pool.rs
+++ b/crates/experiment/src/workload/pool.rs
@@ -1,14 +1,14 @@
 use crate::truth::VersionIdx;
 
-/// Replicas of one kind.
+/// A group of equal replicas.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     pub(crate) name: &'static str,
     pub(crate) replicas: usize,
-    /// Requests that a replica runs at once.
+    /// Maximum requests that a replica runs at once.
     pub(crate) slots: usize,
-    /// Requests that wait at a replica before it refuses more.
+    /// Maximum requests that wait at a replica; further ones are refused.
     pub(crate) waiting: usize,
-    /// What it serves; none for a plain service.
+    /// The versions that the replicas serve; empty for a plain service.
     pub(crate) versions: Vec<VersionIdx>,
 }
--- a/crates/experiment/src/workload/world.rs
+++ b/crates/experiment/src/workload/world.rs
@@ -1,12 +1,12 @@
 use super::{Class, ClassIdx, Customer, Pool};
 use crate::truth::{VersionIdx, VersionTruth};
 
-/// A workload's customers, classes, versions and pools.
+/// The customers, classes, versions, pools and hosts of a workload.
 #[derive(Clone, Debug)]
 pub(crate) struct World {
     pub(crate) customers: Vec<Customer>,
     pub(crate) classes: Vec<Class>,
-    /// By [`VersionIdx`].
+    /// Indexed by [`VersionIdx`].
     pub(crate) versions: Vec<VersionTruth>,
     pub(crate) pools: Vec<Pool>,
     pub(crate) service: &'static str,
@@ -15,7 +15,7 @@
 }
 
 impl World {
-    /// The versions that profiles list before any roll-out.
+    /// The versions that are active before any roll-out, from the cheapest to the strongest.
     pub(crate) const ACTIVE: [VersionIdx; 3] =
         [VersionIdx::SMALL, VersionIdx::MEDIUM, VersionIdx::LARGE];
 
@@ -27,12 +27,12 @@
         &self.classes[class.idx()]
     }
 
-    /// Each class with its index.
+    /// Returns each class with its index.
     pub(crate) fn classes(&self) -> impl Iterator<Item = (ClassIdx, &Class)> {
         (0u8..).map(ClassIdx).zip(&self.classes)
     }
 
-    /// A customer's part of the whole traffic.
+    /// Returns the customer's share of the total traffic, `0.0..=1.0`.
     pub(crate) fn share(&self, customer: usize) -> f64 {
         let whole = self.customers.iter().map(|it| it.weight).sum::<u32>();
         f64::from(self.customers[customer].weight) / f64::from(whole)
--- a/crates/experiment/tests/core.rs
+++ b/crates/experiment/tests/core.rs
@@ -1,10 +1,11 @@
-//! What must hold for every request under the decision core, whatever it decides.
+//! Invariants of every request under the decision core.
 
 use experiment::{Kind, Options, Scenario, Seeds, Workload, case};
 use googletest::prelude::*;
 
-/// Runs a quick scenario of both workloads and checks that each request ends,
-/// that none runs twice that may not, and that a withdrawn version gets no work.
+/// Runs a scenario in quick mode with both workloads. Checks that each request ends, that no
+/// request runs more than once unless it is idempotent, and that a withdrawn version gets no
+/// requests.
 fn check(scenario: &str) {
     let scenario = Scenario::shipped(scenario).expect("a shipped scenario");
     let options = Options {
@@ -14,7 +15,7 @@
     };
     for workload in Workload::ALL {
         let case = case(&options, workload, &scenario);
-        let core = case.of(Kind::Core).expect("the core is always run");
+        let core = case.of(Kind::Core).expect("every router is run");
         expect_that!(core.unfinished, eq(0), "{workload}");
         expect_that!(core.reruns, eq(0), "{workload}");
         expect_that!(core.sent_to_withdrawn, eq(0), "{workload}");
@@ -23,36 +24,36 @@
     }
 }
 
-/// A caller waits for ever: the end of its attempt never reached the decider,
-/// since the driver had changed the attempt's number on the way.
+/// Guards against a request that never ends because the decider doesn't recognize the ID of the
+/// attempt that ended.
 #[gtest]
 fn every_request_ends_in_calm() {
     check("calm");
 }
 
-/// A restorer's entry is written twice: its engine fails after it may have run
-/// it, and the entry is sent again.
+/// Guards against retrying a request that isn't idempotent after its engine failed and may have
+/// run it.
 #[gtest]
 fn nothing_runs_twice_that_may_not_when_a_version_fails() {
     check("errors");
 }
 
-/// Callers get answers of a version that operators have withdrawn: it was
-/// chosen before, and a retry or a waiting request still goes there.
+/// Guards against sending a retry or a waiting request to a version that was withdrawn after it
+/// was chosen.
 #[gtest]
 fn a_withdrawn_version_gets_no_work() {
     check("withdrawn");
 }
 
-/// Requests hang when half of the replicas go: their attempts are cut while
-/// more come than the rest can take.
+/// Guards against requests that never end when half of the replicas go down, which aborts their
+/// attempts, and demand exceeds the remaining capacity.
 #[gtest]
 fn every_request_ends_when_the_pool_runs_out() {
     check("pool_runs_out");
 }
 
-/// A replaced host hears of attempts of the process before it, whose numbers
-/// are the same as its own.
+/// Guards against a replaced host mistaking attempts of its previous incarnation for its own ones
+/// with the same numbers.
 #[gtest]
 fn every_request_ends_when_hosts_are_lost() {
     check("host_lost");
--- a/crates/experiment/tests/determinism.rs
+++ b/crates/experiment/tests/determinism.rs
@@ -1,4 +1,4 @@
-//! The same seed gives the same report, to the byte.
+//! The same seed gives the same report, byte for byte.
 
 use experiment::{Options, Seeds, Workload, run};
 use googletest::prelude::*;
@@ -11,7 +11,7 @@
         quick: true,
     };
     let report = run(&options).expect("a shipped scenario");
-    report.table() + &serde_json::to_string(&report).expect("a report is plain data")
+    report.table() + &serde_json::to_string(&report).expect("a report can be serialized")
 }
 
 #[gtest]
--- a/crates/experiment/tests/golden.rs
+++ b/crates/experiment/tests/golden.rs
@@ -1,6 +1,7 @@
-//! Golden output of whole quick scenarios under the baselines. The decision core
-//! isn't in it, so that its rules can change without this changing; record anew
-//! with `REWRITE=1 cargo test -p experiment --test golden`.
+//! Compares the figures of scenarios under the baselines with golden output.
+//!
+//! The decision core is excluded, so that its rules can change without changing the golden output.
+//! Update it with `REWRITE=1 cargo test -p experiment --test golden`.
 
 use std::fmt::Write;
 
--- a/crates/experiment/tests/plan.rs
+++ b/crates/experiment/tests/plan.rs
@@ -1,12 +1,13 @@
-//! The plan's solver on cases that can be worked out by hand.
+//! Tests the plan solver on cases that can be computed by hand.
 
 use experiment::{Choice, Plan, Problem};
 use googletest::prelude::*;
 
-/// Confidence so sharp that it tells all but about one answer in a million.
+/// A sharpness that separates good responses from bad ones almost perfectly.
 const SURE: f64 = 400.0;
 
-/// Confidence that tells nothing: good and bad answers have the same distribution.
+/// The sharpness of an uninformative confidence, with the same distribution for good and bad
+/// responses.
 const BLIND: f64 = 1.0;
 
 fn check(depth: usize, choices: &[(f64, f64, f64)], target: f64, cost: f64, good: f64) {
@@ -37,19 +38,20 @@
 
 #[gtest]
 fn without_a_cascade_two_versions_are_mixed_to_the_target() {
-    // Half of the requests at 1 and 0.8, half at 10 and 1.0 are good in 0.9.
+    // Half of the requests have cost 1 and quality 0.8, half cost 10 and quality 1.0: the mean
+    // quality is 0.9.
     check(1, &[(1.0, 0.8, BLIND), (10.0, 1.0, BLIND)], 0.9, 5.5, 0.9);
 }
 
 #[gtest]
 fn a_sure_confidence_pays_the_dear_version_for_the_failures_only() {
-    // All at 1, and half of the 0.2 that fail at 10 more.
+    // All requests cost 1. Half of the 0.2 that fail cost 10 more.
     check(2, &[(1.0, 0.8, SURE), (10.0, 1.0, SURE)], 0.9, 2.0, 0.9);
 }
 
 #[gtest]
 fn the_cheap_step_is_left_out_where_it_does_not_pay() {
-    // Asking first costs 9 and saves 10 in one of ten only.
+    // Trying the first version costs 9 and saves 10 for only one request in ten.
     check(2, &[(9.0, 0.1, SURE), (10.0, 1.0, SURE)], 1.0, 10.0, 1.0);
 }
 
@@ -60,7 +62,7 @@
 
 #[gtest]
 fn what_a_version_fails_at_may_be_hard_for_the_next() {
-    // Both versions answer easy requests and no hard one: a second is no help.
+    // Both versions fail at all hard requests, so a second version doesn't help.
     let same = |cost| Choice::new(cost, [1.0, 0.0], SURE);
     let problem = Problem {
         hard: 0.2,
@@ -74,9 +76,10 @@
 
 #[gtest]
 fn a_session_pays_the_first_answers_version_for_the_turns_that_follow() {
-    // Asked first, the cheap version passes in half of the sessions. These cost
-    // 1 a turn and the others 1 + 10 and then 10, over three turns. In the
-    // first turn all are good, in the two that follow half and all by version.
+    // The cheap version is tried first and its response is good in half of the sessions. These cost
+    // 1 per turn, the others 1 + 10 in the first turn and 10 in the two following ones. In the
+    // first turn all responses are good; in the following turns half of the cheap version's and
+    // all of the expensive one's.
     let choices = vec![
         Choice::new(1.0, [0.5, 0.5], SURE),
         Choice::new(10.0, [1.0, 1.0], SURE),
--- a/crates/experiment/tests/scenario.rs
+++ b/crates/experiment/tests/scenario.rs
@@ -1,11 +1,11 @@
-//! The language of the scenarios.
+//! Tests the scenario language.
 
 use experiment::{Error, Scenario};
 use googletest::prelude::*;
 
 fn check(line: &str, detail: &str) {
     let text = format!("scenario\nduration 1m\n{line}\n----\n");
-    let error = Scenario::parse("test", &text).expect_err("the line is wrong");
+    let error = Scenario::parse("test", &text).expect_err("the line is invalid");
     expect_that!(
         error,
         matches_pattern!(Error::Scenario { line: eq(&3), .. })
@@ -40,7 +40,7 @@
 
 #[gtest]
 fn an_unknown_scenario_is_answered_with_the_known_ones() {
-    let error = Scenario::shipped("calmer").expect_err("there is none");
+    let error = Scenario::shipped("calmer").expect_err("no scenario has this name");
     expect_that!(
         error.to_string(),
         contains_substring("calm, settled, turns_bad")
