--- a/crates/experiment/src/arrival.rs
+++ b/crates/experiment/src/arrival.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
-    coin::{Coin, Purpose},
+    keyed_rng::{KeyedRng, Purpose},
     scenario::{Fault, Scenario},
     workload::{Call, Class, ClassIdx, Range, World},
 };
@@ -42,10 +42,10 @@
     }
     all.retain(|it| it.at < scenario.duration);
     all.sort_by_key(|it| (it.at, it.customer, it.class));
-    let coin = Coin::new(seed);
+    let keyed_rng = KeyedRng::new(seed);
     for (idx, it) in all.iter_mut().enumerate() {
         it.idx = idx;
-        it.hard = coin.toss(Purpose::Difficulty, idx, 0) < hard_share(world.class(it.class));
+        it.hard = keyed_rng.draw(Purpose::Difficulty, idx, 0) < hard_share(world.class(it.class));
     }
     all
 }
@@ -70,9 +70,9 @@
 
 impl<'a> Stream<'a> {
     fn new(world: &World, seed: u64, customer: usize, idx: ClassIdx, class: &'a Class) -> Self {
-        let own = (u64::try_from(customer).unwrap_or(0) << 8) | u64::from(idx.0);
+        let stream_id = (u64::try_from(customer).unwrap_or(0) << 8) | u64::from(idx.0);
         Self {
-            rng: Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9E37_79B9).wrapping_add(own)),
+            rng: Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9E37_79B9).wrapping_add(stream_id)),
             customer,
             idx,
             class,
@@ -109,15 +109,15 @@
             Call::Model { turns, .. } => self.pick(turns),
             Call::Plain { .. } => 1,
         };
-        let talks = matches!(&self.class.call, Call::Model { turns, .. } if turns.high > 1);
+        let has_session = matches!(&self.class.call, Call::Model { turns, .. } if turns.high > 1);
         let mut at = start;
         for _ in 0..turns {
-            let session = talks.then_some(*sessions);
+            let session = has_session.then_some(*sessions);
             let arrival = self.request(at, session);
             all.push(arrival);
             at += Duration::from_secs(u64::from(self.pick(Class::TURN_GAP)));
         }
-        *sessions += usize::from(talks);
+        *sessions += usize::from(has_session);
     }
 
     fn request(&mut self, at: Duration, session: Option<usize>) -> Arrival {
--- a/crates/experiment/src/attempt.rs
+++ b/crates/experiment/src/attempt.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use crate::{
-    truth::{Answer, VersionIdx},
+    ground_truth::{Response, VersionIdx},
     workload::Priority,
 };
 
@@ -11,7 +11,7 @@
     pub(crate) host: usize,
     /// The incarnation of the host's process. Numbers start anew in each process, so without it
     /// the late end of a previous process's attempt could be taken for one of its successor's.
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) number: u64,
 }
 
@@ -26,7 +26,7 @@
     pub(crate) relay: Relay,
     pub(crate) state: State,
     /// Whether the response is sent to the rating service once it is complete.
-    pub(crate) sample: bool,
+    pub(crate) sample_on_completion: bool,
 }
 
 /// The time at which the caller sees an attempt's response.
@@ -38,18 +38,18 @@
     AfterCheck,
 }
 
-/// The progress of an attempt. Attempts at plain services have no [`Answer`].
+/// The progress of an attempt. Attempts at plain services have no [`Response`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum State {
     Waiting,
     Running {
-        since: Duration,
-        first: Duration,
-        answer: Option<Answer>,
+        started: Duration,
+        first_token: Duration,
+        response: Option<Response>,
     },
     /// The response is complete and kept until it is delivered.
     Done {
-        answer: Option<Answer>,
+        response: Option<Response>,
     },
 }
 
@@ -68,7 +68,7 @@
             priority,
             relay,
             state: State::Waiting,
-            sample: false,
+            sample_on_completion: false,
         }
     }
 }
--- a/crates/experiment/src/configuration.rs
+++ b/crates/experiment/src/configuration.rs
@@ -1,6 +1,6 @@
 use kernel::Revision;
 
-use crate::{truth::VersionIdx, workload::World};
+use crate::{ground_truth::VersionIdx, workload::World};
 
 /// The operators' configuration of the versions, which changes during a scenario.
 #[derive(Clone, Debug, PartialEq)]
@@ -55,7 +55,12 @@
 
     /// Sets the share of the version that is being rolled out, unless the configuration has changed
     /// since `revision`. Returns whether the step was applied.
-    pub(crate) fn step(&mut self, version: VersionIdx, to: f64, revision: Revision) -> bool {
+    pub(crate) fn apply_rollout_step(
+        &mut self,
+        version: VersionIdx,
+        to: f64,
+        revision: Revision,
+    ) -> bool {
         let current = self.rollout.is_some_and(|(it, _)| it == version);
         if !current || revision != self.revision {
             return false;
--- a/crates/experiment/src/endpoint.rs
+++ b/crates/experiment/src/endpoint.rs
@@ -6,7 +6,7 @@
 };
 
 /// Maximum sessions whose prompt prefix a replica caches.
-const PREFIXES: usize = 64;
+const MAX_CACHED_PREFIXES: usize = 64;
 
 /// A simulated replica of a model or plain service.
 #[derive(Debug)]
@@ -15,10 +15,10 @@
     /// Increases with each restart.
     pub(crate) incarnation: u64,
     pub(crate) up: bool,
-    room: usize,
+    max_waiting: usize,
     running: Vec<AttemptKey>,
     waiting: BTreeMap<(Priority, u64), AttemptKey>,
-    queued: u64,
+    last_queue_number: u64,
     prefixes: VecDeque<usize>,
 }
 
@@ -44,10 +44,10 @@
             slots: it.slots,
             incarnation: 1,
             up: true,
-            room: it.waiting,
+            max_waiting: it.max_waiting,
             running: Vec::new(),
             waiting: BTreeMap::new(),
-            queued: 0,
+            last_queue_number: 0,
             prefixes: VecDeque::new(),
         }
     }
@@ -61,11 +61,12 @@
             self.running.push(attempt);
             return Admission::Runs;
         }
-        if self.waiting.len() >= self.room {
+        if self.waiting.len() >= self.max_waiting {
             return Admission::Refused;
         }
-        self.queued += 1;
-        self.waiting.insert((priority, self.queued), attempt);
+        self.last_queue_number += 1;
+        self.waiting
+            .insert((priority, self.last_queue_number), attempt);
         Admission::Waits
     }
 
@@ -73,8 +74,8 @@
     /// slot, if any.
     pub(crate) fn release(&mut self, attempt: AttemptKey) -> Option<AttemptKey> {
         self.waiting.retain(|_, it| *it != attempt);
-        let place = self.running.iter().position(|it| *it == attempt)?;
-        self.running.swap_remove(place);
+        let position = self.running.iter().position(|it| *it == attempt)?;
+        self.running.swap_remove(position);
         let (_, next) = self.waiting.pop_first()?;
         self.running.push(next);
         Some(next)
@@ -84,9 +85,9 @@
     pub(crate) fn stop(&mut self) -> Vec<AttemptKey> {
         self.up = false;
         self.prefixes.clear();
-        let mut cut = std::mem::take(&mut self.running);
-        cut.extend(std::mem::take(&mut self.waiting).into_values());
-        cut
+        let mut aborted = std::mem::take(&mut self.running);
+        aborted.extend(std::mem::take(&mut self.waiting).into_values());
+        aborted
     }
 
     pub(crate) fn start(&mut self) {
@@ -102,15 +103,15 @@
     }
 
     /// Caches the prompt prefix of a session. Returns whether it was cached before.
-    pub(crate) fn cached(&mut self, session: usize) -> bool {
-        let place = self.prefixes.iter().position(|it| *it == session);
-        if let Some(place) = place {
-            self.prefixes.remove(place);
+    pub(crate) fn cache_prefix(&mut self, session: usize) -> bool {
+        let position = self.prefixes.iter().position(|it| *it == session);
+        if let Some(position) = position {
+            self.prefixes.remove(position);
         }
         self.prefixes.push_back(session);
-        if self.prefixes.len() > PREFIXES {
+        if self.prefixes.len() > MAX_CACHED_PREFIXES {
             self.prefixes.pop_front();
         }
-        place.is_some()
+        position.is_some()
     }
 }
--- a/crates/experiment/src/truth/skill.rs
+++ b/crates/experiment/src/ground_truth/accuracy.rs
@@ -3,12 +3,12 @@
 /// A request is equally hard for each version, so the versions' results for a request are
 /// correlated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Skill {
+pub(crate) struct Accuracy {
     pub(crate) easy: f64,
     pub(crate) hard: f64,
 }
 
-impl Skill {
+impl Accuracy {
     pub(crate) const fn new(easy: f64, hard: f64) -> Self {
         Self { easy, hard }
     }
@@ -18,7 +18,7 @@
     }
 
     /// Returns the accuracy when a fault makes this share of the responses bad.
-    pub(crate) fn damaged(self, share: f64) -> Self {
+    pub(crate) fn degraded(self, share: f64) -> Self {
         Self {
             easy: self.easy * (1.0 - share),
             hard: self.hard * (1.0 - share),
--- a/crates/experiment/src/truth/confidence.rs
+++ b/crates/experiment/src/ground_truth/confidence.rs
@@ -4,11 +4,11 @@
 /// `k` is the sharpness. With `k = 1` both are the same; the higher `k`, the better the confidence
 /// separates good responses from bad ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Confidence {
+pub(crate) struct ConfidenceDistribution {
     pub(crate) sharpness: f64,
 }
 
-impl Confidence {
+impl ConfidenceDistribution {
     /// Returns the confidence at the quantile `draw` of the good or the bad responses.
     pub(crate) fn quantile(self, good: bool, draw: f64) -> f64 {
         let power = 1.0 / self.sharpness;
--- a/crates/experiment/src/truth/answer.rs
+++ b/crates/experiment/src/ground_truth/response.rs
@@ -1,6 +1,6 @@
 /// A version's response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) good: bool,
     /// The confidence that the engine reports, `0.0..=1.0`.
     pub(crate) confidence: f64,
--- a/crates/experiment/src/truth/version.rs
+++ b/crates/experiment/src/ground_truth/version.rs
@@ -2,7 +2,7 @@
 
 use kernel::Money;
 
-use super::{Confidence, Skill};
+use super::{Accuracy, ConfidenceDistribution};
 use crate::workload::ClassIdx;
 
 /// The index of a version. Both workloads have the same versions.
@@ -31,7 +31,7 @@
 
 /// The prices, speed and quality of a version.
 #[derive(Clone, Debug)]
-pub(crate) struct VersionTruth {
+pub(crate) struct VersionSpec {
     /// The price of a million prompt tokens.
     pub(crate) prompt_price: Money,
     /// The price of a million completion tokens.
@@ -40,14 +40,14 @@
     pub(crate) prefill: Duration,
     /// The time between two tokens of a response.
     pub(crate) token: Duration,
-    pub(crate) confidence: Confidence,
+    pub(crate) confidence: ConfidenceDistribution,
     /// Indexed by class. Only models have entries; their classes come first.
-    pub(crate) skills: Vec<Skill>,
+    pub(crate) accuracies: Vec<Accuracy>,
 }
 
-impl VersionTruth {
-    pub(crate) fn skill(&self, class: ClassIdx) -> Skill {
-        self.skills[class.idx()]
+impl VersionSpec {
+    pub(crate) fn accuracy(&self, class: ClassIdx) -> Accuracy {
+        self.accuracies[class.idx()]
     }
 
     /// Returns the cost of a response.
--- a/crates/experiment/src/coin.rs
+++ b/crates/experiment/src/keyed_rng.rs
@@ -4,7 +4,7 @@
 /// Every router gets the same number for the same request and version, whatever it did before, so
 /// random draws don't add noise to the comparison (common random numbers).
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Coin {
+pub(crate) struct KeyedRng {
     seed: u64,
 }
 
@@ -24,13 +24,13 @@
     Noise,
 }
 
-impl Coin {
+impl KeyedRng {
     pub(crate) fn new(seed: u64) -> Self {
         Self { seed }
     }
 
     /// Returns a number in `0.0..1.0`.
-    pub(crate) fn toss(self, purpose: Purpose, request: usize, other: usize) -> f64 {
+    pub(crate) fn draw(self, purpose: Purpose, request: usize, other: usize) -> f64 {
         let request = u64::try_from(request).unwrap_or(u64::MAX);
         let other = u64::try_from(other).unwrap_or(u64::MAX);
         let mut bits = mix(self.seed ^ mix(purpose as u64));
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -6,14 +6,15 @@
 
 mod arrival;
 mod attempt;
-mod coin;
 mod configuration;
 mod endpoint;
 mod error;
+mod ground_truth;
+mod keyed_rng;
 mod options;
 mod plan;
 mod queue;
-mod ratings;
+mod rating_service;
 mod record;
 mod report;
 mod router;
@@ -21,14 +22,13 @@
 mod scenario;
 mod sim;
 mod tally;
-mod truth;
 mod workload;
 
 pub use error::Error;
 pub use options::{Options, REPORTED, Seeds, TUNED};
 pub use plan::{Choice, Plan, Problem};
-pub use report::{Aim, Case, ClassFigures, Figures, Latency, Quarantine, Report, Served};
-pub use router::Kind;
+pub use report::{Aim, Case, ClassFigures, CustomerFigures, Figures, Latency, Quarantine, Report};
+pub use router::RouterKind;
 pub use run::{case, run};
 pub use scenario::Scenario;
 pub use workload::Workload;
--- a/crates/experiment/src/plan/node.rs
+++ b/crates/experiment/src/plan/node.rs
@@ -4,5 +4,5 @@
     /// Delivers the response of the choice tried at this position, counted from zero.
     Deliver(usize),
     /// Tries a choice and continues at the node for the bin of its confidence.
-    Ask { choice: usize, then: Vec<Node> },
+    Try { choice: usize, by_bin: Vec<Node> },
 }
--- a/crates/experiment/src/plan/problem.rs
+++ b/crates/experiment/src/plan/problem.rs
@@ -1,5 +1,5 @@
 use super::{BINS, upper};
-use crate::truth::{Confidence, Skill};
+use crate::ground_truth::{Accuracy, ConfidenceDistribution};
 
 /// The input of the solver: the versions among which a plan chooses, for one class.
 #[derive(Clone, Debug)]
@@ -10,7 +10,7 @@
     pub depth: usize,
     /// The mean number of turns that follow in the session. They go to the version whose response
     /// was delivered, and their responses are always delivered.
-    pub follow: f64,
+    pub following_turns: f64,
     /// The versions that may be tried. At least one.
     pub choices: Vec<Choice>,
 }
@@ -23,7 +23,7 @@
     /// The probability of a good response to easy and to hard requests.
     pub good: [f64; 2],
     /// The probability of each confidence bin, for bad and for good responses.
-    pub(crate) steps: Vec<[f64; 2]>,
+    pub(crate) bins: Vec<[f64; 2]>,
 }
 
 impl Problem {
@@ -38,12 +38,17 @@
     /// Creates a choice whose confidence has this sharpness; see `docs/design/experiment.md`.
     #[must_use]
     pub fn new(cost: f64, good: [f64; 2], sharpness: f64) -> Self {
-        Self::mixed(cost, good, Confidence { sharpness }, 0.0)
+        Self::mixed(cost, good, ConfidenceDistribution { sharpness }, 0.0)
     }
 
     /// Creates a choice for which a share of the bad responses has the confidence of good ones.
-    pub(crate) fn mixed(cost: f64, good: [f64; 2], confidence: Confidence, disguised: f64) -> Self {
-        let steps = (0..BINS)
+    pub(crate) fn mixed(
+        cost: f64,
+        good: [f64; 2],
+        confidence: ConfidenceDistribution,
+        disguised: f64,
+    ) -> Self {
+        let bins = (0..BINS)
             .map(|bin| {
                 let low = f64::from(bin) / f64::from(BINS);
                 let [bad, good] = [false, true].map(|it| {
@@ -52,15 +57,15 @@
                 [bad * (1.0 - disguised) + good * disguised, good]
             })
             .collect();
-        Self { cost, good, steps }
+        Self { cost, good, bins }
     }
 
-    pub(crate) fn from_skill(
+    pub(crate) fn from_accuracy(
         cost: f64,
-        skill: Skill,
-        confidence: Confidence,
+        accuracy: Accuracy,
+        confidence: ConfidenceDistribution,
         disguised: f64,
     ) -> Self {
-        Self::mixed(cost, [skill.easy, skill.hard], confidence, disguised)
+        Self::mixed(cost, [accuracy.easy, accuracy.hard], confidence, disguised)
     }
 }
--- a/crates/experiment/src/plan/search.rs
+++ b/crates/experiment/src/plan/search.rs
@@ -1,10 +1,10 @@
 use super::{Choice, Node, Problem};
 
 /// Number of bisection steps in the search for the price of a good response.
-const STEPS: u32 = 24;
+const SEARCH_STEPS: u32 = 24;
 
 /// Maximum versions that a plan tries for a request.
-const MOST_CHOICES: usize = 4;
+const MAX_CHOICES: usize = 4;
 
 /// A mixture of two plans, of which the second is used for a share of the requests.
 #[derive(Clone, Debug)]
@@ -33,9 +33,9 @@
     /// The joint probability of the observations with an easy and with a hard request.
     weight: [f64; 2],
     /// For each response, the probability that it is good, for easy and hard requests.
-    answers: [[f64; 2]; MOST_CHOICES],
+    responses: [[f64; 2]; MAX_CHOICES],
     /// The choice that returned each response.
-    asked: [usize; MOST_CHOICES],
+    tried: [usize; MAX_CHOICES],
     /// The number of responses.
     len: usize,
 }
@@ -45,25 +45,25 @@
     /// or the plan with the highest share if the target can't be reached.
     #[must_use]
     pub fn solve(problem: &Problem, target: f64) -> Self {
-        let turns = 1.0 + problem.follow;
-        Self::solve_turns(problem, target * turns).a_turn(turns)
+        let turns = 1.0 + problem.following_turns;
+        Self::solve_turns(problem, target * turns).per_turn(turns)
     }
 
     /// Like [`Self::solve`], with the target, cost and good responses summed over all turns.
     fn solve_turns(problem: &Problem, target: f64) -> Self {
-        let dearest = problem.choices.iter().map(|it| it.cost).fold(0.0, f64::max);
-        let mut low = (0.0, best(problem, 0.0));
+        let max_cost = problem.choices.iter().map(|it| it.cost).fold(0.0, f64::max);
+        let mut low = (0.0, optimize(problem, 0.0));
         if low.1.good >= target {
-            return Self::pure(low.1);
+            return Self::single(low.1);
         }
-        let price = dearest * 1.0e4;
-        let mut high = (price, best(problem, price));
+        let price = max_cost * 1.0e4;
+        let mut high = (price, optimize(problem, price));
         if high.1.good <= target {
-            return Self::pure(high.1);
+            return Self::single(high.1);
         }
-        for _ in 0..STEPS {
-            let price = between(low.0, high.0, dearest);
-            let outcome = best(problem, price);
+        for _ in 0..SEARCH_STEPS {
+            let price = price_between(low.0, high.0, max_cost);
+            let outcome = optimize(problem, price);
             if outcome.good < target {
                 low = (price, outcome);
             } else {
@@ -73,7 +73,7 @@
         Self::mixed(low.1, high.1, target)
     }
 
-    fn a_turn(self, turns: f64) -> Self {
+    fn per_turn(self, turns: f64) -> Self {
         Self {
             cost: self.cost / turns,
             good: self.good / turns,
@@ -81,7 +81,7 @@
         }
     }
 
-    fn pure(outcome: Outcome) -> Self {
+    fn single(outcome: Outcome) -> Self {
         Self {
             nodes: [outcome.node.clone(), outcome.node],
             mix: 0.0,
@@ -93,7 +93,7 @@
     fn mixed(low: Outcome, high: Outcome, target: f64) -> Self {
         let gap = high.good - low.good;
         if gap < 1.0e-9 {
-            return Self::pure(high);
+            return Self::single(high);
         }
         let mix = (target - low.good) / gap;
         Self {
@@ -106,40 +106,40 @@
 }
 
 /// Returns a price between two prices: their geometric mean if both are positive.
-fn between(low: f64, high: f64, dearest: f64) -> f64 {
+fn price_between(low: f64, high: f64, max_cost: f64) -> f64 {
     if low > 0.0 {
         (low * high).sqrt()
     } else {
-        (dearest * 1.0e-3).min(high / 2.0)
+        (max_cost * 1.0e-3).min(high / 2.0)
     }
 }
 
-fn best(problem: &Problem, price: f64) -> Outcome {
+fn optimize(problem: &Problem, price: f64) -> Outcome {
     let start = Belief {
         weight: [1.0 - problem.hard, problem.hard],
-        answers: [[0.0; 2]; MOST_CHOICES],
-        asked: [0; MOST_CHOICES],
+        responses: [[0.0; 2]; MAX_CHOICES],
+        tried: [0; MAX_CHOICES],
         len: 0,
     };
-    step(problem, price, &start)
+    best_outcome(problem, price, &start)
 }
 
 /// Returns the best outcome from a belief on, weighted by the probability of the belief.
-fn step(problem: &Problem, price: f64, belief: &Belief) -> Outcome {
+fn best_outcome(problem: &Problem, price: f64, belief: &Belief) -> Outcome {
     let mut best = deliver(problem, price, belief);
-    if belief.len == problem.depth.min(MOST_CHOICES) {
+    if belief.len == problem.depth.min(MAX_CHOICES) {
         return best.expect("depth is at least one, so there is a response");
     }
     let weight = belief.weight[0] + belief.weight[1];
     for idx in 0..problem.choices.len() {
-        let hopeless = |it: &Outcome| cannot_win(problem, it, idx, weight, price);
-        if belief.asked[..belief.len].contains(&idx) || best.as_ref().is_some_and(hopeless) {
+        let pruned = |it: &Outcome| cannot_improve(problem, it, idx, weight, price);
+        if belief.tried[..belief.len].contains(&idx) || best.as_ref().is_some_and(pruned) {
             continue;
         }
-        let outcome = ask(problem, price, belief, idx);
+        let outcome = try_choice(problem, price, belief, idx);
         if best
             .as_ref()
-            .is_none_or(|it| value(&outcome, price) < value(it, price))
+            .is_none_or(|it| objective(&outcome, price) < objective(it, price))
         {
             best = Some(outcome);
         }
@@ -149,12 +149,12 @@
 
 /// Returns whether trying the choice can't improve on `best`, even if it costs only the choice
 /// itself and all responses of this turn and the following ones are good.
-fn cannot_win(problem: &Problem, best: &Outcome, idx: usize, weight: f64, price: f64) -> bool {
-    let gain = price * (1.0 + problem.follow);
-    (problem.choices[idx].cost - gain) * weight >= value(best, price)
+fn cannot_improve(problem: &Problem, best: &Outcome, idx: usize, weight: f64, price: f64) -> bool {
+    let gain = price * (1.0 + problem.following_turns);
+    (problem.choices[idx].cost - gain) * weight >= objective(best, price)
 }
 
-fn value(outcome: &Outcome, price: f64) -> f64 {
+fn objective(outcome: &Outcome, price: f64) -> f64 {
     outcome.cost - price * outcome.good
 }
 
@@ -162,34 +162,37 @@
 /// turns; `None` before the first response.
 fn deliver(problem: &Problem, price: f64, belief: &Belief) -> Option<Outcome> {
     let weight = belief.weight[0] + belief.weight[1];
-    let outcomes = (0..belief.len).map(|place| {
-        let answer = belief.answers[place];
-        let choice = belief.asked[place];
-        let good = answer[0] * belief.weight[0] + answer[1] * belief.weight[1];
+    let outcomes = (0..belief.len).map(|position| {
+        let response = belief.responses[position];
+        let choice = belief.tried[position];
+        let good = response[0] * belief.weight[0] + response[1] * belief.weight[1];
         Outcome {
-            cost: weight * problem.follow * problem.choices[choice].cost,
-            good: good + weight * problem.follow * problem.quality(choice),
-            node: Node::Deliver(place),
+            cost: weight * problem.following_turns * problem.choices[choice].cost,
+            good: good + weight * problem.following_turns * problem.quality(choice),
+            node: Node::Deliver(position),
         }
     });
-    outcomes.min_by(|a, b| value(a, price).total_cmp(&value(b, price)))
+    outcomes.min_by(|a, b| objective(a, price).total_cmp(&objective(b, price)))
 }
 
-fn ask(problem: &Problem, price: f64, belief: &Belief, idx: usize) -> Outcome {
+fn try_choice(problem: &Problem, price: f64, belief: &Belief, idx: usize) -> Outcome {
     let choice = &problem.choices[idx];
     let mut total = Outcome {
         cost: choice.cost * (belief.weight[0] + belief.weight[1]),
         good: 0.0,
         node: Node::Deliver(0),
     };
-    let mut then = Vec::with_capacity(choice.steps.len());
-    for steps in &choice.steps {
-        let next = step(problem, price, &belief.after(idx, choice, *steps));
+    let mut by_bin = Vec::with_capacity(choice.bins.len());
+    for bin in &choice.bins {
+        let next = best_outcome(problem, price, &belief.after(idx, choice, *bin));
         total.cost += next.cost;
         total.good += next.good;
-        then.push(next.node);
+        by_bin.push(next.node);
     }
-    total.node = Node::Ask { choice: idx, then };
+    total.node = Node::Try {
+        choice: idx,
+        by_bin,
+    };
     total
 }
 
@@ -197,18 +200,18 @@
     /// Returns the belief after the choice's confidence was observed to be in a bin.
     fn after(&self, idx: usize, choice: &Choice, [bad, good]: [f64; 2]) -> Self {
         let mut next = *self;
-        let mut answer = [0.0; 2];
+        let mut response = [0.0; 2];
         for (level, chance) in choice.good.into_iter().enumerate() {
             let seen = chance * good + (1.0 - chance) * bad;
-            answer[level] = if seen > 0.0 {
+            response[level] = if seen > 0.0 {
                 chance * good / seen
             } else {
                 0.0
             };
             next.weight[level] *= seen;
         }
-        next.answers[self.len] = answer;
-        next.asked[self.len] = idx;
+        next.responses[self.len] = response;
+        next.tried[self.len] = idx;
         next.len += 1;
         next
     }
--- a/crates/experiment/src/queue.rs
+++ b/crates/experiment/src/queue.rs
@@ -4,13 +4,13 @@
 #[derive(Debug)]
 pub(crate) struct Queue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
-    added: u64,
+    last_sequence: u64,
 }
 
 #[derive(Debug)]
 struct Entry<T> {
     at: Duration,
-    number: u64,
+    sequence: u64,
     event: T,
 }
 
@@ -18,15 +18,15 @@
     pub(crate) fn new() -> Self {
         Self {
             heap: BinaryHeap::new(),
-            added: 0,
+            last_sequence: 0,
         }
     }
 
     pub(crate) fn push(&mut self, at: Duration, event: T) {
-        self.added += 1;
+        self.last_sequence += 1;
         self.heap.push(Reverse(Entry {
             at,
-            number: self.added,
+            sequence: self.last_sequence,
             event,
         }));
     }
@@ -52,6 +52,6 @@
 
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
--- a/crates/experiment/src/ratings.rs
+++ b/crates/experiment/src/rating_service.rs
@@ -2,30 +2,30 @@
 
 use crate::{
     attempt::AttemptKey,
-    coin::{Coin, Purpose},
+    ground_truth::VersionIdx,
+    keyed_rng::{KeyedRng, Purpose},
     scenario::{Fault, Scenario},
-    truth::VersionIdx,
 };
 
 /// The share of all responses that the rating service can rate.
-const CAPACITY: f64 = 0.05;
+const RATED_SHARE: f64 = 0.05;
 
 /// Maximum responses that the rating service accepts in a burst.
-const BURST: f64 = 10.0;
+const MAX_BURST: f64 = 10.0;
 
 /// The share of accepted responses that are never rated.
-const LOST: f64 = 0.10;
+const LOST_SHARE: f64 = 0.10;
 
 /// The bounds of the share of ratings that are wrong. The share depends on the seed.
-const FLIPPED: [f64; 2] = [0.05, 0.10];
+const FLIPPED_SHARE_BOUNDS: [f64; 2] = [0.05, 0.10];
 
 /// The bounds of a rating's delay, in seconds.
-const DELAY: [f64; 2] = [60.0, 300.0];
+const DELAY_SECONDS_BOUNDS: [f64; 2] = [60.0, 300.0];
 
 /// The simulated rating service, whose ratings are few, late and partly wrong.
 #[derive(Debug)]
-pub(crate) struct Ratings {
-    coin: Coin,
+pub(crate) struct RatingService {
+    keyed_rng: KeyedRng,
     flipped: f64,
     tokens: f64,
 }
@@ -39,19 +39,20 @@
     pub(crate) good: bool,
 }
 
-impl Ratings {
-    pub(crate) fn new(coin: Coin) -> Self {
-        let part = coin.toss(Purpose::Noise, 0, 0);
+impl RatingService {
+    pub(crate) fn new(keyed_rng: KeyedRng) -> Self {
+        let part = keyed_rng.draw(Purpose::Noise, 0, 0);
         Self {
-            coin,
-            flipped: FLIPPED[0] + (FLIPPED[1] - FLIPPED[0]) * part,
+            keyed_rng,
+            flipped: FLIPPED_SHARE_BOUNDS[0]
+                + (FLIPPED_SHARE_BOUNDS[1] - FLIPPED_SHARE_BOUNDS[0]) * part,
             tokens: 1.0,
         }
     }
 
     /// Adds the capacity that another response earns.
-    pub(crate) fn earn(&mut self) {
-        self.tokens = (self.tokens + CAPACITY).min(BURST);
+    pub(crate) fn add_capacity(&mut self) {
+        self.tokens = (self.tokens + RATED_SHARE).min(MAX_BURST);
     }
 
     /// Returns the rating of a response and the time at which the host receives it; `None` if the
@@ -68,13 +69,14 @@
             return None;
         }
         self.tokens -= 1.0;
-        let own = usize::try_from(attempt.number).unwrap_or(0);
-        let toss = |purpose| self.coin.toss(purpose, rating.request, own);
-        if toss(Purpose::Rating) < LOST {
+        let attempt_number = usize::try_from(attempt.number).unwrap_or(0);
+        let draw = |purpose| self.keyed_rng.draw(purpose, rating.request, attempt_number);
+        if draw(Purpose::Rating) < LOST_SHARE {
             return None;
         }
-        let delay = DELAY[0] + (DELAY[1] - DELAY[0]) * toss(Purpose::Delay);
-        let flipped = toss(Purpose::Flip) < self.flipped;
+        let delay = DELAY_SECONDS_BOUNDS[0]
+            + (DELAY_SECONDS_BOUNDS[1] - DELAY_SECONDS_BOUNDS[0]) * draw(Purpose::Delay);
+        let flipped = draw(Purpose::Flip) < self.flipped;
         rating.good ^= flipped;
         let late = scenario.active(now).find_map(|it| match it.fault {
             Fault::RatingsLate { by } => Some(by),
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -9,7 +9,7 @@
 
 pub use aim::Aim;
 pub use case::Case;
-pub use figures::{ClassFigures, Figures, Latency, Quarantine, Served};
+pub use figures::{ClassFigures, CustomerFigures, Figures, Latency, Quarantine};
 
 use crate::Options;
 
--- a/crates/experiment/src/report/case.rs
+++ b/crates/experiment/src/report/case.rs
@@ -1,7 +1,7 @@
 use serde::Serialize;
 
 use super::Figures;
-use crate::{Scenario, Workload, router::Kind};
+use crate::{Scenario, Workload, router::RouterKind};
 
 /// The results of one scenario of one workload under every router.
 #[derive(Clone, Debug, Serialize)]
@@ -28,7 +28,7 @@
 
     /// Returns the figures of one router.
     #[must_use]
-    pub fn of(&self, router: Kind) -> Option<&Figures> {
+    pub fn figures_for(&self, router: RouterKind) -> Option<&Figures> {
         self.figures.iter().find(|it| it.router == router)
     }
 }
--- a/crates/experiment/src/report/figures.rs
+++ b/crates/experiment/src/report/figures.rs
@@ -3,13 +3,13 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::{router::Kind, tally::float};
+use crate::{router::RouterKind, tally::float};
 
 /// The figures of one router in one scenario, over all seeds. Costs are in millionths of a cent.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
     /// The router.
-    pub router: Kind,
+    pub router: RouterKind,
     /// Requests that arrived, for models and plain services.
     pub requests: u64,
     /// Requests that got a complete response.
@@ -31,13 +31,16 @@
     pub harmed_pinned: f64,
     /// Requests per seed with at least one response, delivered or not, that was bad or failed
     /// because of a fault.
-    pub touched: f64,
+    #[serde(rename = "touched")]
+    pub affected: f64,
     /// Verdicts on versions.
     pub quarantine: Quarantine,
     /// The utilization of each pool over the whole scenario. The last pool is the plain service's.
-    pub use_of_pools: Vec<f64>,
+    #[serde(rename = "use_of_pools")]
+    pub pool_utilization: Vec<f64>,
     /// Attempts per step of a plan. Exceeds one only through retries and hedges.
-    pub tries: f64,
+    #[serde(rename = "tries")]
+    pub attempts_per_step: f64,
     /// Attempts per request, over the requests with at least one attempt.
     pub dispatches: f64,
     /// Session turns that moved away from a version that still accepted requests.
@@ -52,7 +55,7 @@
     /// Requests that got no complete response, by reason.
     pub refusals: BTreeMap<&'static str, u64>,
     /// Figures of each customer's model requests.
-    pub customers: Vec<Served>,
+    pub customers: Vec<CustomerFigures>,
     /// Figures of each request class.
     pub classes: Vec<ClassFigures>,
 }
@@ -75,7 +78,8 @@
     /// As in [`Figures::cost_to_oracle`].
     pub cost_to_oracle: f64,
     /// The mean number of versions tried for a delivered request.
-    pub versions_asked: f64,
+    #[serde(rename = "versions_asked")]
+    pub versions_tried: f64,
     /// The time from the arrival to the complete response.
     pub latency: Latency,
     /// The time from the arrival to the first token that the caller sees.
@@ -108,7 +112,7 @@
 
 /// The figures of a customer's model requests.
 #[derive(Clone, Debug, Serialize)]
-pub struct Served {
+pub struct CustomerFigures {
     /// The customer's name.
     pub customer: String,
     /// Requests that arrived.
@@ -118,7 +122,7 @@
 }
 
 impl Latency {
-    pub(crate) fn of(histogram: &Histogram<u64>) -> Self {
+    pub(crate) fn from_histogram(histogram: &Histogram<u64>) -> Self {
         let millis = |quantile| float(histogram.value_at_quantile(quantile)) / 1_000.0;
         Self {
             p50: millis(0.5),
--- a/crates/experiment/src/report/table.rs
+++ b/crates/experiment/src/report/table.rs
@@ -3,12 +3,12 @@
 use comfy_table::{CellAlignment, Table, presets};
 
 use super::{Aim, Case, Figures, Report};
-use crate::router::Kind;
+use crate::router::RouterKind;
 
 pub(super) fn report(report: &Report) -> String {
     let mut text = String::new();
     for case in &report.cases {
-        text += &one_case(case);
+        text += &case_section(case);
     }
     if !report.aims.is_empty() {
         text += "\naims\n";
@@ -28,12 +28,12 @@
     }
 }
 
-fn one_case(case: &Case) -> String {
+fn case_section(case: &Case) -> String {
     let mut text = format!("\n{} / {}: {}\n", case.workload, case.scenario, case.about);
     text += &routers(case);
-    if let Some(core) = case.of(Kind::Core) {
+    if let Some(core) = case.figures_for(RouterKind::Core) {
         text += &classes(case, core);
-        text += &served(core);
+        text += &core_summary(core);
     }
     text
 }
@@ -71,20 +71,20 @@
             format!("{:.4}", it.good),
             format!("{:.1}", it.harmed),
             format!("{:.1}", it.harmed_pinned),
-            format!("{:.1}", it.touched),
+            format!("{:.1}", it.affected),
             it.quarantine.right.to_string(),
             it.quarantine.wrong.to_string(),
-            format!("{:.3}", it.tries),
+            format!("{:.3}", it.attempts_per_step),
             format!("{:.3}", it.dispatches),
             it.moved_sessions.to_string(),
-            used(&it.use_of_pools),
+            utilization(&it.pool_utilization),
             refusals.collect::<Vec<_>>().join(", "),
         ]);
     }
     finish(&table)
 }
 
-fn used(pools: &[f64]) -> String {
+fn utilization(pools: &[f64]) -> String {
     let each = pools.iter().map(|it| format!("{it:.2}"));
     each.collect::<Vec<_>>().join(" ")
 }
@@ -114,7 +114,7 @@
                 format!("{:.4}", it.good),
                 format!("{:.0}", it.mean_cost),
                 format!("{:.3}", it.cost_to_oracle),
-                format!("{:.2}", it.versions_asked),
+                format!("{:.2}", it.versions_tried),
                 format!("{:.1}", it.latency.p50),
                 format!("{:.1}", it.latency.p99),
                 format!("{:.1}", it.first_token.p50),
@@ -126,7 +126,7 @@
     finish(&table)
 }
 
-fn served(core: &Figures) -> String {
+fn core_summary(core: &Figures) -> String {
     let each = core
         .customers
         .iter()
--- a/crates/experiment/src/router.rs
+++ b/crates/experiment/src/router.rs
@@ -2,8 +2,8 @@
 
 mod baseline;
 mod core;
+mod load_view;
 mod oracle;
-mod view;
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,8 +14,8 @@
 
 pub(crate) use self::{
     baseline::Baseline,
-    core::{Core, News},
-    view::place,
+    core::{Core, GossipUpdate},
+    load_view::pick_index,
 };
 
 use crate::{
@@ -23,14 +23,14 @@
     attempt::{AttemptKey, Relay},
     configuration::Configuration,
     endpoint::Load,
-    truth::VersionIdx,
+    ground_truth::VersionIdx,
     workload::{ClassIdx, Priority},
 };
 
 /// The kinds of routers.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum RouterKind {
     /// The decision core, with one decider for each host.
     #[display("core")]
     Core,
@@ -49,7 +49,7 @@
     Random,
 }
 
-impl Kind {
+impl RouterKind {
     pub(crate) const ALL: [Self; 5] = [
         Self::Core,
         Self::Oracle,
@@ -73,7 +73,7 @@
     },
     Ended {
         attempt: AttemptKey,
-        end: End,
+        outcome: AttemptOutcome,
     },
     /// The caller stopped waiting.
     Cancelled {
@@ -98,7 +98,7 @@
         good: bool,
     },
     /// Another host's gossip update.
-    News(&'a News),
+    Gossip(&'a GossipUpdate),
     /// A new configuration came into force.
     Configured(&'a Configuration),
     /// The number of live hosts changed.
@@ -110,7 +110,7 @@
 
 /// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum End {
+pub(crate) enum AttemptOutcome {
     /// A model returned a complete response.
     Answered {
         /// The confidence that the engine reported.
@@ -165,10 +165,10 @@
         verdict: Verdict,
     },
     /// Sends a gossip update to the other hosts.
-    Broadcast(Arc<News>),
+    Broadcast(Arc<GossipUpdate>),
     /// Requests that the configuration give a version this share of the requests. Applied only if
     /// the configuration still has this revision.
-    Step {
+    RolloutStep {
         version: VersionIdx,
         to: f64,
         revision: Revision,
--- a/crates/experiment/src/router/baseline.rs
+++ b/crates/experiment/src/router/baseline.rs
@@ -1,36 +1,36 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use super::{
-    End, Input, Kind, Output,
-    oracle::{Guide, Next, Oracle},
-    view::{View, place},
+    AttemptOutcome, Input, Output, RouterKind,
+    load_view::{LoadView, pick_index},
+    oracle::{NextStep, Oracle, VersionPlan},
 };
 use crate::{
     arrival::Arrival,
     attempt::{AttemptKey, Relay},
-    coin::{Coin, Purpose},
     configuration::Configuration,
-    truth::{Truth, VersionIdx},
+    ground_truth::{GroundTruth, VersionIdx},
+    keyed_rng::{KeyedRng, Purpose},
     workload::World,
 };
 
 /// The confidence below which the static cascade tries the next version.
-const THRESHOLD: f64 = 0.6;
+const CONFIDENCE_THRESHOLD: f64 = 0.6;
 
 /// Maximum attempts at one version, after which the request is refused.
-const MOST_TRIES: u32 = 3;
+const MAX_ATTEMPTS_PER_VERSION: u32 = 3;
 
 /// A router that chooses versions by a fixed rule or by the oracle's plan, and endpoints by load.
 pub(crate) struct Baseline<'a> {
-    kind: Kind,
+    kind: RouterKind,
     world: &'a World,
-    coin: Coin,
+    keyed_rng: KeyedRng,
     oracle: Oracle<'a>,
     configuration: Configuration,
-    views: Vec<View>,
+    views: Vec<LoadView>,
     requests: BTreeMap<usize, Request>,
     attempts: BTreeMap<AttemptKey, usize>,
-    numbers: u64,
+    last_number: u64,
 }
 
 #[derive(Debug)]
@@ -38,38 +38,38 @@
     host: usize,
     arrival: Arrival,
     pin: Option<VersionIdx>,
-    guide: Option<Rc<Guide>>,
-    asked: Vec<Asked>,
+    version_plan: Option<Rc<VersionPlan>>,
+    tried: Vec<TriedVersion>,
     current: Option<VersionIdx>,
-    tries: u32,
+    attempt_count: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct TriedVersion {
     version: VersionIdx,
     attempt: AttemptKey,
     confidence: f64,
 }
 
 impl<'a> Baseline<'a> {
-    pub(crate) fn new(kind: Kind, truth: Truth<'a>) -> Self {
+    pub(crate) fn new(kind: RouterKind, truth: GroundTruth<'a>) -> Self {
         Self {
             kind,
             world: truth.world,
-            coin: truth.coin,
+            keyed_rng: truth.keyed_rng,
             oracle: Oracle::new(truth),
             configuration: Configuration::new(),
-            views: vec![View::new(truth.world); truth.world.hosts],
+            views: vec![LoadView::new(truth.world); truth.world.hosts],
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            numbers: 0,
+            last_number: 0,
         }
     }
 
     pub(crate) fn replace(&mut self, host: usize) {
         self.requests.retain(|_, it| it.host != host);
         self.attempts.retain(|it, _| it.host != host);
-        self.views[host] = View::new(self.world);
+        self.views[host] = LoadView::new(self.world);
     }
 
     pub(crate) fn handle(
@@ -81,14 +81,14 @@
     ) {
         match input {
             Input::Arrive { arrival, pin } => self.arrive(now, host, arrival, *pin, outputs),
-            Input::Ended { attempt, end } => self.end(now, *attempt, *end, outputs),
+            Input::Ended { attempt, outcome } => self.ended(now, *attempt, *outcome, outputs),
             Input::Cancelled { request } => self.cancel(*request, outputs),
             Input::Load { endpoint, load, .. } => self.views[host].report(*endpoint, *load),
             Input::Endpoint { endpoint, up, .. } => self.views[host].set_up(*endpoint, *up),
             Input::Configured(configuration) => self.configuration = (*configuration).clone(),
             Input::Started { .. }
             | Input::Rated { .. }
-            | Input::News(_)
+            | Input::Gossip(_)
             | Input::Hosts { .. }
             | Input::Tick => {}
         }
@@ -102,23 +102,25 @@
         pin: Option<VersionIdx>,
         outputs: &mut Vec<Output>,
     ) {
-        let plans = self.kind == Kind::Oracle && self.world.class(arrival.class).is_model();
-        let guide = plans.then(|| self.oracle.guide(now, arrival, &self.configuration));
+        let uses_plan =
+            self.kind == RouterKind::Oracle && self.world.class(arrival.class).is_model();
+        let version_plan =
+            uses_plan.then(|| self.oracle.version_plan(now, arrival, &self.configuration));
         let request = Request {
             host,
             arrival: arrival.clone(),
             pin: pin.filter(|it| self.configuration.takes_work(*it)),
-            guide,
-            asked: Vec::new(),
+            version_plan,
+            tried: Vec::new(),
             current: None,
-            tries: 0,
+            attempt_count: 0,
         };
         self.requests.insert(arrival.idx, request);
-        self.go_on(now, arrival.idx, outputs);
+        self.advance(now, arrival.idx, outputs);
     }
 
     /// Dispatches the request to the next version or delivers a response.
-    fn go_on(&mut self, now: Duration, idx: usize, outputs: &mut Vec<Output>) {
+    fn advance(&mut self, now: Duration, idx: usize, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&idx) else {
             return;
         };
@@ -127,9 +129,9 @@
             return;
         }
         match self.next(request) {
-            Next::Ask(version) => self.dispatch(now, idx, Some(version), outputs),
-            Next::Deliver(place) => {
-                let attempt = request.asked[place].attempt;
+            NextStep::Try(version) => self.dispatch(now, idx, Some(version), outputs),
+            NextStep::Deliver(position) => {
+                let attempt = request.tried[position].attempt;
                 self.requests.remove(&idx);
                 outputs.push(Output::Deliver {
                     request: idx,
@@ -139,44 +141,44 @@
         }
     }
 
-    fn next(&self, request: &Request) -> Next {
-        if let (Some(pin), []) = (request.pin, request.asked.as_slice()) {
-            return Next::Ask(pin);
+    fn next(&self, request: &Request) -> NextStep {
+        if let (Some(pin), []) = (request.pin, request.tried.as_slice()) {
+            return NextStep::Try(pin);
         }
-        if let (Some(guide), None) = (&request.guide, request.pin) {
-            let seen = request.asked.iter().map(|it| it.confidence);
-            return guide.next(self.coin, &request.arrival, &seen.collect::<Vec<_>>());
+        if let (Some(version_plan), None) = (&request.version_plan, request.pin) {
+            let seen = request.tried.iter().map(|it| it.confidence);
+            return version_plan.next(self.keyed_rng, &request.arrival, &seen.collect::<Vec<_>>());
         }
         let active = World::ACTIVE.map(|it| self.configuration.takes_work(it).then_some(it));
         let active = active.into_iter().flatten().collect::<Vec<_>>();
-        let place = request.asked.len();
-        let Some(last) = request.asked.last() else {
-            return Next::Ask(self.first(request, &active));
+        let position = request.tried.len();
+        let Some(last) = request.tried.last() else {
+            return NextStep::Try(self.first_version(request, &active));
         };
         let higher = active.iter().find(|it| **it > last.version);
         match higher {
             Some(next)
-                if self.kind == Kind::StaticCascade
+                if self.kind == RouterKind::StaticCascade
                     && request.pin.is_none()
-                    && last.confidence < THRESHOLD =>
+                    && last.confidence < CONFIDENCE_THRESHOLD =>
             {
-                Next::Ask(*next)
+                NextStep::Try(*next)
             }
-            _ => Next::Deliver(place - 1),
+            _ => NextStep::Deliver(position - 1),
         }
     }
 
-    fn first(&self, request: &Request, active: &[VersionIdx]) -> VersionIdx {
-        let once = !self.world.class(request.arrival.class).idempotent;
+    fn first_version(&self, request: &Request, active: &[VersionIdx]) -> VersionIdx {
+        let at_most_once = !self.world.class(request.arrival.class).idempotent;
         let idx = match self.kind {
             // A request that isn't idempotent can't be sent to a second version.
-            Kind::StaticCascade if once => active.len() - 1,
-            Kind::StaticCascade => 0,
-            Kind::Random => place(
-                self.coin.toss(Purpose::Choice, request.arrival.idx, 0),
+            RouterKind::StaticCascade if at_most_once => active.len() - 1,
+            RouterKind::StaticCascade => 0,
+            RouterKind::Random => pick_index(
+                self.keyed_rng.draw(Purpose::Choice, request.arrival.idx, 0),
                 active.len(),
             ),
-            Kind::Strongest | Kind::Oracle | Kind::Core => active.len() - 1,
+            RouterKind::Strongest | RouterKind::Oracle | RouterKind::Core => active.len() - 1,
         };
         active[idx]
     }
@@ -191,24 +193,26 @@
         let Some(request) = self.requests.get_mut(&idx) else {
             return;
         };
-        request.tries += 1;
+        request.attempt_count += 1;
         request.current = version;
         let host = request.host;
-        let Some(endpoint) = self.views[host].pick(self.coin, now, idx, version) else {
+        let Some(endpoint) = self.views[host].pick(self.keyed_rng, now, idx, version) else {
             return self.refuse(idx, "no_endpoint", outputs);
         };
         let class = self.world.class(request.arrival.class);
-        let last = match self.kind {
+        let is_final = match self.kind {
             _ if !class.idempotent => true,
-            Kind::Strongest | Kind::Random => true,
-            Kind::StaticCascade => request.pin.is_some() || version == Some(VersionIdx::LARGE),
-            Kind::Oracle | Kind::Core => request.pin.is_some(),
+            RouterKind::Strongest | RouterKind::Random => true,
+            RouterKind::StaticCascade => {
+                request.pin.is_some() || version == Some(VersionIdx::LARGE)
+            }
+            RouterKind::Oracle | RouterKind::Core => request.pin.is_some(),
         };
-        self.numbers += 1;
+        self.last_number += 1;
         let attempt = AttemptKey {
             host,
-            life: 0,
-            number: self.numbers,
+            incarnation: 0,
+            number: self.last_number,
         };
         self.attempts.insert(attempt, idx);
         outputs.push(Output::Dispatch {
@@ -217,12 +221,22 @@
             endpoint,
             version,
             priority: class.priority,
-            relay: if last { Relay::Now } else { Relay::AfterCheck },
+            relay: if is_final {
+                Relay::Now
+            } else {
+                Relay::AfterCheck
+            },
             timeout: None,
         });
     }
 
-    fn end(&mut self, now: Duration, attempt: AttemptKey, end: End, outputs: &mut Vec<Output>) {
+    fn ended(
+        &mut self,
+        now: Duration,
+        attempt: AttemptKey,
+        outcome: AttemptOutcome,
+        outputs: &mut Vec<Output>,
+    ) {
         let Some(idx) = self.attempts.remove(&attempt) else {
             return;
         };
@@ -230,28 +244,32 @@
             return;
         };
         let idempotent = self.world.class(request.arrival.class).idempotent;
-        match (end, request.current) {
-            (End::Answered { confidence, .. }, Some(version)) => {
-                request.tries = 0;
-                request.asked.push(Asked {
+        match (outcome, request.current) {
+            (AttemptOutcome::Answered { confidence, .. }, Some(version)) => {
+                request.attempt_count = 0;
+                request.tried.push(TriedVersion {
                     version,
                     attempt,
                     confidence,
                 });
-                self.go_on(now, idx, outputs);
+                self.advance(now, idx, outputs);
             }
-            (End::Served | End::Answered { .. }, _) => {
+            (AttemptOutcome::Served | AttemptOutcome::Answered { .. }, _) => {
                 self.requests.remove(&idx);
                 outputs.push(Output::Deliver {
                     request: idx,
                     attempt,
                 });
             }
-            (End::Refused | End::Unreachable, version) if request.tries < MOST_TRIES => {
+            (AttemptOutcome::Refused | AttemptOutcome::Unreachable, version)
+                if request.attempt_count < MAX_ATTEMPTS_PER_VERSION =>
+            {
                 self.dispatch(now, idx, version, outputs);
             }
-            (End::Refused | End::Unreachable, _) => self.refuse(idx, "overloaded", outputs),
-            (_, version) if idempotent && request.tries < MOST_TRIES => {
+            (AttemptOutcome::Refused | AttemptOutcome::Unreachable, _) => {
+                self.refuse(idx, "overloaded", outputs);
+            }
+            (_, version) if idempotent && request.attempt_count < MAX_ATTEMPTS_PER_VERSION => {
                 self.dispatch(now, idx, version, outputs);
             }
             _ => self.refuse(idx, "upstream_failed", outputs),
@@ -259,8 +277,8 @@
     }
 
     fn cancel(&mut self, idx: usize, outputs: &mut Vec<Output>) {
-        let mine = self.attempts.extract_if(.., |_, it| *it == idx);
-        outputs.extend(mine.map(|(attempt, _)| Output::Cancel { attempt }));
+        let attempts = self.attempts.extract_if(.., |_, it| *it == idx);
+        outputs.extend(attempts.map(|(attempt, _)| Output::Cancel { attempt }));
         self.requests.remove(&idx);
     }
 
--- a/crates/experiment/src/router/core/names.rs
+++ b/crates/experiment/src/router/core/id_map.rs
@@ -2,15 +2,15 @@
 use kernel::{HostName, Incarnation, ServiceName, VersionId};
 
 use crate::{
-    truth::VersionIdx,
+    ground_truth::VersionIdx,
     workload::{ClassIdx, Priority, World},
 };
 
 /// Maps the indices of the simulation to the names and keys of the core.
 #[derive(Clone, Debug)]
-pub(super) struct Names {
+pub(super) struct IdMap {
     pub(super) hosts: Vec<HostName>,
-    pub(super) endpoints: Vec<Endpoint>,
+    pub(super) endpoints: Vec<EndpointSpec>,
     pub(super) data_centres: usize,
     profiles: Vec<Option<key::Profile>>,
     classes: Vec<key::Class>,
@@ -18,14 +18,14 @@
 
 /// The constant properties of an endpoint.
 #[derive(Clone, Debug)]
-pub(super) struct Endpoint {
+pub(super) struct EndpointSpec {
     pub(super) name: HostName,
     pub(super) role: endpoint::Role,
     pub(super) data_centre: usize,
     pub(super) slots: usize,
 }
 
-impl Names {
+impl IdMap {
     pub(super) fn new(world: &World) -> Self {
         let mut models = 0;
         let profiles = world.classes.iter().map(|it| {
@@ -106,12 +106,12 @@
     }
 }
 
-fn endpoints(world: &World) -> Vec<Endpoint> {
+fn endpoints(world: &World) -> Vec<EndpointSpec> {
     let pools = world.pools.iter();
     pools
         .flat_map(|it| (0..it.replicas).map(move |replica| (it, replica)))
         .enumerate()
-        .map(|(idx, (it, replica))| Endpoint {
+        .map(|(idx, (it, replica))| EndpointSpec {
             name: HostName::from(format!("{}-{replica}", it.name)),
             role: role(world, &it.versions),
             data_centre: idx % world.data_centres,
--- a/crates/experiment/src/router/core/policy.rs
+++ b/crates/experiment/src/router/core/policy.rs
@@ -7,10 +7,10 @@
 };
 use kernel::{ProfileName, ServiceName};
 
-use super::names;
+use super::id_map;
 use crate::{
     configuration::{Configuration, State},
-    truth::VersionIdx,
+    ground_truth::VersionIdx,
     workload::{Call, Class, Priority, World},
 };
 
@@ -56,7 +56,7 @@
     }
 }
 
-pub(super) fn repeat(class: &Class) -> Repeat {
+pub(super) fn retry_policy(class: &Class) -> Repeat {
     if class.idempotent {
         Repeat::Idempotent
     } else {
@@ -68,7 +68,7 @@
     VersionIdx::ALL
         .into_iter()
         .map(|it| Version {
-            id: names::version_id(it),
+            id: id_map::version_id(it),
             state: match configuration.states[it.idx()] {
                 State::Active => CoreState::Active,
                 State::Trial(share) => CoreState::Trial(share),
@@ -84,7 +84,7 @@
     let allowed = VersionIdx::ALL
         .into_iter()
         .filter(|it| configuration.states[it.idx()] != State::Unlisted)
-        .map(names::version_key)
+        .map(id_map::version_key)
         .collect::<Vec<_>>();
     let models = world.classes.iter().filter(|it| it.is_model());
     models
@@ -98,7 +98,7 @@
                 .collect(),
             target: class.target(),
             cap: None,
-            repeat: repeat(class),
+            repeat: retry_policy(class),
             priority: priority(class.priority),
             deadline: class.deadline,
         })
@@ -115,7 +115,7 @@
         name: world.customers[customer].name.into(),
         rate: usual * RATE_HEADROOM,
         burst: usual * RATE_HEADROOM * BURST_SECONDS,
-        concurrency: whole(usual * CONCURRENCY_SECONDS) + 20,
+        concurrency: floor_to_u32(usual * CONCURRENCY_SECONDS) + 20,
         weight: f64::from(world.customers[customer].weight),
     }
 }
@@ -128,7 +128,7 @@
 }
 
 /// Rounds down to an integer.
-fn whole(amount: f64) -> u32 {
+fn floor_to_u32(amount: f64) -> u32 {
     std::time::Duration::from_secs_f64(amount)
         .as_secs()
         .try_into()
@@ -138,8 +138,8 @@
 fn rollouts(configuration: &Configuration) -> Vec<Rollout> {
     let rollout = configuration.rollout.map(|(version, replaces)| Rollout {
         id: version.name().into(),
-        version: names::version_key(version),
-        replaces: Some(names::version_key(replaces)),
+        version: id_map::version_key(version),
+        replaces: Some(id_map::version_key(replaces)),
         mode: RolloutMode::Running,
     });
     rollout.into_iter().collect()
--- a/crates/experiment/src/router/view.rs
+++ b/crates/experiment/src/router/load_view.rs
@@ -1,20 +1,20 @@
 use std::time::Duration;
 
 use crate::{
-    coin::{Coin, Purpose},
     endpoint::Load,
-    truth::VersionIdx,
+    ground_truth::VersionIdx,
+    keyed_rng::{KeyedRng, Purpose},
     workload::World,
 };
 
 /// The endpoints as known to one entry host of a baseline.
 #[derive(Clone, Debug)]
-pub(crate) struct View {
-    endpoints: Vec<Known>,
+pub(crate) struct LoadView {
+    endpoints: Vec<EndpointView>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct EndpointView {
     versions: Vec<VersionIdx>,
     slots: usize,
     up: bool,
@@ -23,13 +23,13 @@
     sent: usize,
 }
 
-impl View {
+impl LoadView {
     pub(crate) fn new(world: &World) -> Self {
         let endpoints = world
             .pools
             .iter()
             .flat_map(|pool| {
-                (0..pool.replicas).map(|_| Known {
+                (0..pool.replicas).map(|_| EndpointView {
                     versions: pool.versions.clone(),
                     slots: pool.slots,
                     up: true,
@@ -42,9 +42,9 @@
     }
 
     pub(crate) fn report(&mut self, endpoint: usize, load: Load) {
-        let known = &mut self.endpoints[endpoint];
-        known.reported = load.running + load.waiting;
-        known.sent = 0;
+        let view = &mut self.endpoints[endpoint];
+        view.reported = load.running + load.waiting;
+        view.sent = 0;
     }
 
     pub(crate) fn set_up(&mut self, endpoint: usize, up: bool) {
@@ -54,7 +54,7 @@
     /// Returns the less loaded of two random endpoints that serve the version; `None` if none does.
     pub(crate) fn pick(
         &mut self,
-        coin: Coin,
+        keyed_rng: KeyedRng,
         now: Duration,
         request: usize,
         version: Option<VersionIdx>,
@@ -63,11 +63,11 @@
             .filter(|it| self.endpoints[*it].serves(version))
             .collect::<Vec<_>>();
         let moment = usize::try_from(now.as_micros()).unwrap_or(0);
-        let draw = |number: usize| {
-            let toss = coin.toss(Purpose::Choice, request, moment * 2 + number);
-            serving.get(place(toss, serving.len())).copied()
+        let candidate = |number: usize| {
+            let draw = keyed_rng.draw(Purpose::Choice, request, moment * 2 + number);
+            serving.get(pick_index(draw, serving.len())).copied()
         };
-        let [one, other] = [draw(0)?, draw(1)?];
+        let [one, other] = [candidate(0)?, candidate(1)?];
         let chosen = if self.endpoints[other].load() < self.endpoints[one].load() {
             other
         } else {
@@ -78,13 +78,13 @@
     }
 }
 
-impl Known {
+impl EndpointView {
     fn serves(&self, version: Option<VersionIdx>) -> bool {
-        let right = match version {
+        let serves_version = match version {
             Some(version) => self.versions.contains(&version),
             None => self.versions.is_empty(),
         };
-        self.up && right
+        self.up && serves_version
     }
 
     fn load(&self) -> usize {
@@ -93,8 +93,8 @@
 }
 
 /// Maps a number in `0.0..1.0` to an index of a list with `len` elements.
-pub(crate) fn place(toss: f64, len: usize) -> usize {
-    (1..len).take_while(|it| scale(*it, len) <= toss).count()
+pub(crate) fn pick_index(draw: f64, len: usize) -> usize {
+    (1..len).take_while(|it| scale(*it, len) <= draw).count()
 }
 
 fn scale(part: usize, whole: usize) -> f64 {
--- a/crates/experiment/src/router/oracle.rs
+++ b/crates/experiment/src/router/oracle.rs
@@ -2,29 +2,29 @@
 
 use crate::{
     arrival::Arrival,
-    coin::{Coin, Purpose},
     configuration::{Configuration, State},
+    ground_truth::{GroundTruth, VersionIdx},
+    keyed_rng::{KeyedRng, Purpose},
     plan::{Choice, Node, Plan, Problem, bin},
-    scenario::Manner,
-    truth::{Truth, VersionIdx},
+    scenario::FailureMode,
     workload::{Call, ClassIdx},
 };
 
 /// Number of equal steps into which the share of bad responses is quantized.
-const DAMAGE_STEPS: u32 = 25;
+const DEGRADATION_STEPS: u32 = 25;
 
 /// Maximum versions that the oracle tries for a request.
-const DEPTH: usize = 3;
+const MAX_DEPTH: usize = 3;
 
 /// Computes plans from the true distributions and caches them.
 pub(crate) struct Oracle<'a> {
-    truth: Truth<'a>,
-    plans: BTreeMap<Circumstance, Rc<Guide>>,
+    truth: GroundTruth<'a>,
+    plans: BTreeMap<PlanKey, Rc<VersionPlan>>,
 }
 
 /// The cache key of a plan: all that the plan depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Circumstance {
+struct PlanKey {
     class: ClassIdx,
     /// Indexed by version: the share of bad responses in steps, whether they have the confidence of
     /// good responses, and whether the version is active.
@@ -33,21 +33,21 @@
 
 /// A plan with the versions of its choices.
 #[derive(Debug)]
-pub(crate) struct Guide {
+pub(crate) struct VersionPlan {
     plan: Plan,
     versions: Vec<VersionIdx>,
 }
 
 /// The next step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Next {
-    Ask(VersionIdx),
+pub(crate) enum NextStep {
+    Try(VersionIdx),
     /// Delivers the response at this position, in the order of trying.
     Deliver(usize),
 }
 
 impl<'a> Oracle<'a> {
-    pub(crate) fn new(truth: Truth<'a>) -> Self {
+    pub(crate) fn new(truth: GroundTruth<'a>) -> Self {
         Self {
             truth,
             plans: BTreeMap::new(),
@@ -55,24 +55,24 @@
     }
 
     /// Returns the plan for a request that arrives at `now`.
-    pub(crate) fn guide(
+    pub(crate) fn version_plan(
         &mut self,
         now: Duration,
         arrival: &Arrival,
         configuration: &Configuration,
-    ) -> Rc<Guide> {
+    ) -> Rc<VersionPlan> {
         let versions = VersionIdx::ALL.map(|it| {
-            let damage = self.truth.damage(it, now);
-            let steps = (0..DAMAGE_STEPS)
-                .take_while(|it| f64::from(*it) / f64::from(DAMAGE_STEPS) < damage.share)
+            let degradation = self.truth.degradation(it, now);
+            let steps = (0..DEGRADATION_STEPS)
+                .take_while(|it| f64::from(*it) / f64::from(DEGRADATION_STEPS) < degradation.share)
                 .count();
             (
                 u32::try_from(steps).unwrap_or(0),
-                damage.manner == Manner::Confident,
+                degradation.failure_mode == FailureMode::Confident,
                 configuration.states[it.idx()] == State::Active,
             )
         });
-        let key = Circumstance {
+        let key = PlanKey {
             class: arrival.class,
             versions,
         };
@@ -85,8 +85,8 @@
     }
 }
 
-impl Circumstance {
-    fn solve(&self, truth: &Truth<'_>) -> Guide {
+impl PlanKey {
+    fn solve(&self, truth: &GroundTruth<'_>) -> VersionPlan {
         let class = truth.world.class(self.class);
         let Call::Model {
             target,
@@ -108,50 +108,55 @@
             .map(|it| {
                 let version = truth.world.version(*it);
                 let (steps, disguised, _) = self.versions[it.idx()];
-                let share = f64::from(steps) / f64::from(DAMAGE_STEPS);
-                let skill = version.skill(self.class);
-                let bad = 1.0 - mean(skill.damaged(share).easy, skill.damaged(share).hard, *hard);
-                let by_fault = share * mean(skill.easy, skill.hard, *hard);
-                let hidden = if disguised { by_fault / bad } else { 0.0 };
+                let share = f64::from(steps) / f64::from(DEGRADATION_STEPS);
+                let accuracy = version.accuracy(self.class);
+                let bad = 1.0
+                    - mean(
+                        accuracy.degraded(share).easy,
+                        accuracy.degraded(share).hard,
+                        *hard,
+                    );
+                let by_fault = share * mean(accuracy.easy, accuracy.hard, *hard);
+                let disguised_share = if disguised { by_fault / bad } else { 0.0 };
                 let cost = version.cost(prompt.mean(), completion.mean()).0;
-                Choice::from_skill(
+                Choice::from_accuracy(
                     money(cost),
-                    skill.damaged(share),
+                    accuracy.degraded(share),
                     version.confidence,
-                    hidden,
+                    disguised_share,
                 )
             })
             .collect();
         // A request that isn't idempotent can't be sent to a second version.
         let problem = Problem {
             hard: *hard,
-            depth: if class.idempotent { DEPTH } else { 1 },
-            follow: f64::from(turns.low + turns.high) / 2.0 - 1.0,
+            depth: if class.idempotent { MAX_DEPTH } else { 1 },
+            following_turns: f64::from(turns.low + turns.high) / 2.0 - 1.0,
             choices,
         };
-        Guide {
+        VersionPlan {
             plan: Plan::solve(&problem, *target),
             versions,
         }
     }
 }
 
-impl Guide {
+impl VersionPlan {
     /// Returns the next step, given the confidences of the responses so far.
-    pub(crate) fn next(&self, coin: Coin, arrival: &Arrival, seen: &[f64]) -> Next {
+    pub(crate) fn next(&self, keyed_rng: KeyedRng, arrival: &Arrival, seen: &[f64]) -> NextStep {
         // All turns of a session follow the same one of the two plans.
-        let whose = arrival.session.unwrap_or(arrival.idx);
-        let second = coin.toss(Purpose::Plan, whose, 0) < self.plan.mix;
+        let draw_key = arrival.session.unwrap_or(arrival.idx);
+        let second = keyed_rng.draw(Purpose::Plan, draw_key, 0) < self.plan.mix;
         let mut node = &self.plan.nodes[usize::from(second)];
         for confidence in seen {
             match node {
-                Node::Deliver(place) => return Next::Deliver(*place),
-                Node::Ask { then, .. } => node = &then[bin(*confidence)],
+                Node::Deliver(position) => return NextStep::Deliver(*position),
+                Node::Try { by_bin, .. } => node = &by_bin[bin(*confidence)],
             }
         }
         match node {
-            Node::Deliver(place) => Next::Deliver(*place),
-            Node::Ask { choice, .. } => Next::Ask(self.versions[*choice]),
+            Node::Deliver(position) => NextStep::Deliver(*position),
+            Node::Try { choice, .. } => NextStep::Try(self.versions[*choice]),
         }
     }
 }
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -1,16 +1,16 @@
 use crate::{
     Error, Options, Report, Scenario, Workload,
     arrival::arrivals,
-    coin::Coin,
+    ground_truth::GroundTruth,
+    keyed_rng::KeyedRng,
     report::Case,
-    router::Kind,
+    router::RouterKind,
     sim::Sim,
-    tally::{Tally, clairvoyant},
-    truth::Truth,
+    tally::{Tally, clairvoyant_cost},
 };
 
 /// The divisor of scenario times in quick mode.
-const QUICK: u32 = 20;
+const QUICK_DIVISOR: u32 = 20;
 
 /// The number of hosts in quick mode.
 const QUICK_HOSTS: usize = 3;
@@ -46,19 +46,21 @@
     let mut scenario = scenario.clone();
     if options.quick {
         world.hosts = QUICK_HOSTS;
-        scenario = scenario.shortened(QUICK);
+        scenario = scenario.shortened(QUICK_DIVISOR);
     }
-    let mut tallies = Kind::ALL.map(|kind| Tally::new(kind, &world, &scenario));
+    let mut tallies = RouterKind::ALL.map(|kind| Tally::new(kind, &world, &scenario));
     for seed in options.seeds.list() {
         let arrivals = arrivals(&world, &scenario, seed);
-        let truth = Truth {
+        let truth = GroundTruth {
             world: &world,
             scenario: &scenario,
-            coin: Coin::new(seed),
+            keyed_rng: KeyedRng::new(seed),
         };
-        let logs = Kind::ALL.map(|kind| Sim::run(kind, truth, &arrivals, seed));
-        let bound = clairvoyant(&truth, &arrivals);
-        let oracle = Kind::ALL.iter().position(|it| *it == Kind::Oracle);
+        let logs = RouterKind::ALL.map(|kind| Sim::run(kind, truth, &arrivals, seed));
+        let bound = clairvoyant_cost(&truth, &arrivals);
+        let oracle = RouterKind::ALL
+            .iter()
+            .position(|it| *it == RouterKind::Oracle);
         let oracle = &logs[oracle.unwrap_or(0)];
         for (tally, log) in tallies.iter_mut().zip(&logs) {
             tally.add(&arrivals, log, oracle, bound);
--- a/crates/experiment/src/scenario.rs
+++ b/crates/experiment/src/scenario.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-pub(crate) use fault::{Fault, Manner};
+pub(crate) use fault::{FailureMode, Fault};
 
 use crate::Error;
 
--- a/crates/experiment/src/scenario/fault.rs
+++ b/crates/experiment/src/scenario/fault.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use crate::truth::VersionIdx;
+use crate::ground_truth::VersionIdx;
 
 /// A fault, or another change of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -9,7 +9,7 @@
     Bad {
         version: VersionIdx,
         share: f64,
-        manner: Manner,
+        failure_mode: FailureMode,
     },
     /// A version loses this share of its good responses, linearly over the event's duration.
     Drift { version: VersionIdx, loss: f64 },
@@ -40,7 +40,7 @@
 
 /// The visible effect of a bad response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Manner {
+pub(crate) enum FailureMode {
     /// The confidence is that of other bad responses.
     Plain,
     /// The confidence is that of good responses, so that only ratings reveal the fault.
--- a/crates/experiment/src/scenario/parse.rs
+++ b/crates/experiment/src/scenario/parse.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
-use super::{Event, Fault, Manner, Scenario};
-use crate::{Error, truth::VersionIdx};
+use super::{Event, FailureMode, Fault, Scenario};
+use crate::{Error, ground_truth::VersionIdx};
 
 const SUBJECTS: &str = "`version V bad P% [confident|errors]`, `version V drift P%`, \
     `version V withdrawn`, `rollout V replaces W`, `pool capacity P%`, `ratings late T`, \
@@ -63,9 +63,9 @@
 
 fn fault(words: &[&str]) -> Result<Fault, String> {
     let fault = match words {
-        ["version", name, "bad", share] => bad(name, share, Manner::Plain)?,
-        ["version", name, "bad", share, "confident"] => bad(name, share, Manner::Confident)?,
-        ["version", name, "bad", share, "errors"] => bad(name, share, Manner::Error)?,
+        ["version", name, "bad", share] => bad(name, share, FailureMode::Plain)?,
+        ["version", name, "bad", share, "confident"] => bad(name, share, FailureMode::Confident)?,
+        ["version", name, "bad", share, "errors"] => bad(name, share, FailureMode::Error)?,
         ["version", name, "drift", loss] => Fault::Drift {
             version: version(name)?,
             loss: percent(loss)?,
@@ -103,11 +103,11 @@
     Ok(fault)
 }
 
-fn bad(name: &str, share: &str, manner: Manner) -> Result<Fault, String> {
+fn bad(name: &str, share: &str, failure_mode: FailureMode) -> Result<Fault, String> {
     Ok(Fault::Bad {
         version: version(name)?,
         share: percent(share)?,
-        manner,
+        failure_mode,
     })
 }
 
--- a/crates/experiment/src/sim.rs
+++ b/crates/experiment/src/sim.rs
@@ -15,40 +15,40 @@
     attempt::{Attempt, AttemptKey},
     configuration::Configuration,
     endpoint::Endpoint,
+    ground_truth::{GroundTruth, VersionIdx},
     queue::Queue,
-    ratings::Ratings,
-    record::{Fate, Record},
-    router::{Baseline, Core, Input, Kind, Output, Router},
+    rating_service::RatingService,
+    record::{Record, RequestStatus},
+    router::{Baseline, Core, Input, Output, Router, RouterKind},
     scenario::Fault,
-    truth::{Truth, VersionIdx},
 };
 
 /// One-way network latency between an entry host and an endpoint.
-const NETWORK: Duration = Duration::from_millis(1);
+const NETWORK_LATENCY: Duration = Duration::from_millis(1);
 
 /// Delay until a gossip update reaches the other hosts.
-const NEWS: Duration = Duration::from_millis(100);
+const GOSSIP_DELAY: Duration = Duration::from_millis(100);
 
 /// Delay until a change of the configuration or of an endpoint's state reaches all hosts.
-const PROPAGATION: Duration = Duration::from_secs(1);
+const PROPAGATION_DELAY: Duration = Duration::from_secs(1);
 
 /// Interval between the load reports of an endpoint to a host.
-const REPORT: Duration = Duration::from_secs(1);
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Age of a load report when the host reads it.
-const REPORT_LAG: Duration = Duration::from_millis(500);
+const LOAD_REPORT_AGE: Duration = Duration::from_millis(500);
 
 /// Maximum time after the end of the scenario during which requests may still end.
-const DRAIN: Duration = Duration::from_mins(15);
+const DRAIN_TIMEOUT: Duration = Duration::from_mins(15);
 
 /// The results of a run.
 #[derive(Debug)]
-pub(crate) struct Log {
+pub(crate) struct RunLog {
     /// Indexed by arrival.
     pub(crate) records: Vec<Record>,
     pub(crate) verdicts: Vec<VerdictNote>,
     /// Indexed by pool.
-    pub(crate) use_of_pools: Vec<f64>,
+    pub(crate) pool_utilization: Vec<f64>,
 }
 
 /// A verdict of a host on a version.
@@ -58,12 +58,12 @@
     pub(crate) version: VersionIdx,
     pub(crate) verdict: Verdict,
     /// The share of the version's responses that a fault made bad at the time of the verdict.
-    pub(crate) damage: f64,
+    pub(crate) degradation: f64,
 }
 
 pub(crate) struct Sim<'a> {
     now: Duration,
-    truth: Truth<'a>,
+    truth: GroundTruth<'a>,
     arrivals: &'a [Arrival],
     router: Router<'a>,
     queue: Queue<Event>,
@@ -77,7 +77,7 @@
     configuration: Configuration,
     /// Indexed by [`VersionIdx`].
     withdrawn_at: [Option<Duration>; 4],
-    ratings: Ratings,
+    rating_service: RatingService,
     hosts_up: Vec<bool>,
     verdicts: Vec<VerdictNote>,
     pending: usize,
@@ -85,27 +85,32 @@
 
 impl<'a> Sim<'a> {
     /// Runs all arrivals under one router until each has ended, or until the drain time is over.
-    pub(crate) fn run(kind: Kind, truth: Truth<'a>, arrivals: &'a [Arrival], seed: u64) -> Log {
+    pub(crate) fn run(
+        kind: RouterKind,
+        truth: GroundTruth<'a>,
+        arrivals: &'a [Arrival],
+        seed: u64,
+    ) -> RunLog {
         let mut sim = Self::new(kind, truth, arrivals, seed);
         sim.schedule();
         while let Some((at, event)) = sim.queue.pop() {
-            if sim.pending == 0 || at > truth.scenario.duration + DRAIN {
+            if sim.pending == 0 || at > truth.scenario.duration + DRAIN_TIMEOUT {
                 break;
             }
             sim.now = at;
             sim.handle(event);
         }
-        Log {
-            use_of_pools: sim.use_of_pools(),
+        RunLog {
+            pool_utilization: sim.pool_utilization(),
             records: sim.records,
             verdicts: sim.verdicts,
         }
     }
 
-    fn new(kind: Kind, truth: Truth<'a>, arrivals: &'a [Arrival], seed: u64) -> Self {
+    fn new(kind: RouterKind, truth: GroundTruth<'a>, arrivals: &'a [Arrival], seed: u64) -> Self {
         let world = truth.world;
         let router = match kind {
-            Kind::Core => Router::Core(Box::new(Core::new(world, seed))),
+            RouterKind::Core => Router::Core(Box::new(Core::new(world, seed))),
             other => Router::Baseline(Box::new(Baseline::new(other, truth))),
         };
         let pools = world.pools.iter();
@@ -125,7 +130,7 @@
             pins: vec![None; sessions],
             configuration: Configuration::new(),
             withdrawn_at: [None; 4],
-            ratings: Ratings::new(truth.coin),
+            rating_service: RatingService::new(truth.keyed_rng),
             hosts_up: vec![true; world.hosts],
             verdicts: Vec::new(),
             pending: arrivals.len(),
@@ -140,19 +145,20 @@
         for it in self.arrivals {
             let deadline = self.truth.world.class(it.class).deadline;
             self.queue.push(it.at, Event::Arrive(it.idx));
-            self.queue.push(it.at + deadline, Event::GiveUp(it.idx));
+            self.queue
+                .push(it.at + deadline, Event::CallerTimeout(it.idx));
         }
         for host in 0..self.hosts_up.len() {
             let phase = self.phase(host);
             self.queue
-                .push(REPORT.mul_f64(phase), Event::Report { host });
+                .push(LOAD_REPORT_INTERVAL.mul_f64(phase), Event::Report { host });
             if let Some(tick) = self.router.tick() {
                 self.queue.push(tick.mul_f64(phase), Event::Tick { host });
             }
         }
     }
 
-    fn use_of_pools(&self) -> Vec<f64> {
+    fn pool_utilization(&self) -> Vec<f64> {
         let length = self.truth.scenario.duration.as_secs_f64();
         let mut first = 0;
         let mut parts = Vec::new();
@@ -170,11 +176,11 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(idx) => self.arrive(idx),
-            Event::GiveUp(idx) => self.give_up(idx),
+            Event::CallerTimeout(idx) => self.caller_timeout(idx),
             Event::Submit(attempt) => self.submit(attempt),
             Event::FirstToken(attempt) => self.first_token(attempt),
             Event::Finish(attempt) => self.finish(attempt),
-            Event::Ended(attempt, end) => self.ended(attempt, end),
+            Event::Ended(attempt, outcome) => self.ended(attempt, outcome),
             Event::Timeout(attempt) => self.time_out(attempt),
             Event::Report { host } => self.report(host),
             Event::Load {
@@ -188,13 +194,13 @@
                     load,
                     age,
                 };
-                self.tell(host, &input);
+                self.handle_input(host, &input);
             }
             Event::Endpoint {
                 endpoint,
                 incarnation,
                 up,
-            } => self.tell_all(&Input::Endpoint {
+            } => self.handle_input_at_all_hosts(&Input::Endpoint {
                 endpoint,
                 incarnation,
                 up,
@@ -207,14 +213,14 @@
                     class,
                     good: it.good,
                 };
-                self.tell(it.host, &input);
+                self.handle_input(it.host, &input);
             }
-            Event::News { from, news } => {
+            Event::Gossip { from, update } => {
                 for host in (0..self.hosts_up.len()).filter(|it| *it != from) {
-                    self.tell(host, &Input::News(&news));
+                    self.handle_input(host, &Input::Gossip(&update));
                 }
             }
-            Event::Configured(it) => self.tell_all(&Input::Configured(&it)),
+            Event::Configured(it) => self.handle_input_at_all_hosts(&Input::Configured(&it)),
             Event::FaultBegins(idx) => self.fault_begins(idx),
             Event::FaultEnds(idx) => self.fault_ends(idx),
             Event::Tick { host } => self.tick(host),
@@ -231,7 +237,7 @@
     }
 
     fn tick(&mut self, host: usize) {
-        self.tell(host, &Input::Tick);
+        self.handle_input(host, &Input::Tick);
         if let Some(tick) = self.router.tick() {
             self.queue.push(self.now + tick, Event::Tick { host });
         }
@@ -246,7 +252,7 @@
                 None
             }
         });
-        let age = REPORT_LAG + stale.unwrap_or_default();
+        let age = LOAD_REPORT_AGE + stale.unwrap_or_default();
         for endpoint in 0..self.endpoints.len() {
             if self.endpoints[endpoint].up {
                 let load = self.endpoints[endpoint].load();
@@ -259,27 +265,28 @@
                 self.queue.push(self.now + age, event);
             }
         }
-        self.queue.push(self.now + REPORT, Event::Report { host });
+        self.queue
+            .push(self.now + LOAD_REPORT_INTERVAL, Event::Report { host });
     }
 
-    fn tell_all(&mut self, input: &Input<'_>) {
+    fn handle_input_at_all_hosts(&mut self, input: &Input<'_>) {
         for host in 0..self.hosts_up.len() {
-            self.tell(host, input);
+            self.handle_input(host, input);
         }
     }
 
-    fn tell(&mut self, host: usize, input: &Input<'_>) {
+    fn handle_input(&mut self, host: usize, input: &Input<'_>) {
         if !self.hosts_up[host] {
             return;
         }
         let mut outputs = Vec::new();
         self.router.handle(self.now, host, input, &mut outputs);
         for output in outputs {
-            self.carry_out(host, output);
+            self.apply_output(host, output);
         }
     }
 
-    fn carry_out(&mut self, host: usize, output: Output) {
+    fn apply_output(&mut self, host: usize, output: Output) {
         match output {
             Output::Dispatch {
                 attempt,
@@ -294,25 +301,27 @@
                 self.dispatch(attempt, it, timeout);
             }
             Output::Deliver { request, attempt } => self.deliver(request, attempt),
-            Output::Refuse { request, reason } => self.close(request, Fate::Refused(reason)),
+            Output::Refuse { request, reason } => {
+                self.close(request, RequestStatus::Refused(reason));
+            }
             Output::Cancel { attempt } => self.cancel(attempt),
             Output::Sample { attempt } => self.sample(attempt),
             Output::Verdict { version, verdict } => self.verdicts.push(VerdictNote {
                 at: self.now,
                 version,
                 verdict,
-                damage: self.truth.damage(version, self.now).share,
+                degradation: self.truth.degradation(version, self.now).share,
             }),
-            Output::Broadcast(news) => {
-                let event = Event::News { from: host, news };
-                self.queue.push(self.now + NEWS, event);
+            Output::Broadcast(update) => {
+                let event = Event::Gossip { from: host, update };
+                self.queue.push(self.now + GOSSIP_DELAY, event);
             }
-            Output::Step {
+            Output::RolloutStep {
                 version,
                 to,
                 revision,
             } => {
-                if self.configuration.step(version, to, revision) {
+                if self.configuration.apply_rollout_step(version, to, revision) {
                     self.publish();
                 }
             }
@@ -322,6 +331,6 @@
     /// Schedules the delivery of the current configuration to all hosts.
     fn publish(&mut self) {
         let event = Event::Configured(Arc::new(self.configuration.clone()));
-        self.queue.push(self.now + PROPAGATION, event);
+        self.queue.push(self.now + PROPAGATION_DELAY, event);
     }
 }
--- a/crates/experiment/src/sim/event.rs
+++ b/crates/experiment/src/sim/event.rs
@@ -4,8 +4,8 @@
     attempt::AttemptKey,
     configuration::Configuration,
     endpoint::Load,
-    ratings::Rating,
-    router::{End, News},
+    rating_service::Rating,
+    router::{AttemptOutcome, GossipUpdate},
 };
 
 /// An event on the virtual clock.
@@ -13,7 +13,7 @@
 pub(super) enum Event {
     Arrive(usize),
     /// The caller stops waiting.
-    GiveUp(usize),
+    CallerTimeout(usize),
     /// An attempt reaches its endpoint.
     Submit(AttemptKey),
     /// The host receives the first token.
@@ -21,7 +21,7 @@
     /// The endpoint finishes an attempt.
     Finish(AttemptKey),
     /// The host learns the outcome of an attempt.
-    Ended(AttemptKey, End),
+    Ended(AttemptKey, AttemptOutcome),
     Timeout(AttemptKey),
     /// All live endpoints report their load to one host.
     Report {
@@ -40,9 +40,9 @@
         up: bool,
     },
     Rated(Rating),
-    News {
+    Gossip {
         from: usize,
-        news: Arc<News>,
+        update: Arc<GossipUpdate>,
     },
     Configured(Arc<Configuration>),
     FaultBegins(usize),
--- a/crates/experiment/src/sim/replica.rs
+++ b/crates/experiment/src/sim/replica.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use super::{Event, NETWORK, PROPAGATION, Sim};
+use super::{Event, NETWORK_LATENCY, PROPAGATION_DELAY, Sim};
 use crate::{
     attempt::{Attempt, AttemptKey, State},
     endpoint::Admission,
-    ratings::Rating,
-    record::Fate,
-    router::{End, Input},
+    rating_service::Rating,
+    record::RequestStatus,
+    router::{AttemptOutcome, Input},
 };
 
 /// The remaining share of the prefill time if the prompt prefix is cached.
@@ -24,14 +24,15 @@
         let record = &mut self.records[attempt.request];
         record.dispatches += 1;
         if let Some(version) = attempt.version {
-            let since = self.withdrawn_at[version.idx()];
-            record.withdrawn |= since.is_some_and(|it| self.now > it + PROPAGATION);
-            if !record.asked.contains(&version) {
-                record.asked.push(version);
+            let withdrawn_at = self.withdrawn_at[version.idx()];
+            record.withdrawn |= withdrawn_at.is_some_and(|it| self.now > it + PROPAGATION_DELAY);
+            if !record.tried.contains(&version) {
+                record.tried.push(version);
             }
         }
         self.attempts.insert(key, attempt);
-        self.queue.push(self.now + NETWORK, Event::Submit(key));
+        self.queue
+            .push(self.now + NETWORK_LATENCY, Event::Submit(key));
         if let Some(timeout) = timeout {
             self.queue.push(self.now + timeout, Event::Timeout(key));
         }
@@ -43,12 +44,12 @@
         };
         let endpoint = &mut self.endpoints[attempt.endpoint];
         if !endpoint.up {
-            return self.tell_end(key, End::Unreachable);
+            return self.schedule_outcome(key, AttemptOutcome::Unreachable);
         }
         match endpoint.admit(key, attempt.priority) {
             Admission::Runs => self.run_attempt(key),
             Admission::Waits => {}
-            Admission::Refused => self.tell_end(key, End::Refused),
+            Admission::Refused => self.schedule_outcome(key, AttemptOutcome::Refused),
         }
     }
 
@@ -61,9 +62,9 @@
         self.records[attempt.request].runs += 1;
         let Some(version) = attempt.version else {
             attempt.state = State::Running {
-                since: self.now,
-                first: self.now,
-                answer: None,
+                started: self.now,
+                first_token: self.now,
+                response: None,
             };
             let end = self.now + arrival.service;
             return self.queue.push(end, Event::Finish(key));
@@ -71,23 +72,28 @@
         let it = self.truth.world.version(version);
         let cached = arrival
             .session
-            .is_some_and(|it| self.endpoints[attempt.endpoint].cached(it));
-        let part = if cached { CACHED_PREFILL } else { 1.0 };
+            .is_some_and(|it| self.endpoints[attempt.endpoint].cache_prefix(it));
+        let prefill_share = if cached { CACHED_PREFILL } else { 1.0 };
         let prefill = it
             .prefill
-            .mul_f64(f64::from(arrival.prompt) / 1_000.0 * part);
-        let first = self.now + prefill + it.token;
-        let answer = self.truth.answer(arrival, version, self.now);
-        let tokens = if answer.error { 1 } else { arrival.completion };
+            .mul_f64(f64::from(arrival.prompt) / 1_000.0 * prefill_share);
+        let first_token = self.now + prefill + it.token;
+        let response = self.truth.response(arrival, version, self.now);
+        let tokens = if response.error {
+            1
+        } else {
+            arrival.completion
+        };
         let end = self.now + prefill + it.token * tokens;
         attempt.state = State::Running {
-            since: self.now,
-            first,
-            answer: Some(answer),
+            started: self.now,
+            first_token,
+            response: Some(response),
         };
-        self.records[arrival.idx].touched |= answer.harmed || answer.error;
-        if !answer.error {
-            self.queue.push(first + NETWORK, Event::FirstToken(key));
+        self.records[arrival.idx].affected |= response.harmed || response.error;
+        if !response.error {
+            self.queue
+                .push(first_token + NETWORK_LATENCY, Event::FirstToken(key));
         }
         self.queue.push(end, Event::Finish(key));
     }
@@ -98,55 +104,68 @@
         };
         if attempt.relay == crate::attempt::Relay::Now {
             let record = &mut self.records[attempt.request];
-            if record.fate == Fate::Pending {
-                record.first.get_or_insert(self.now);
+            if record.status == RequestStatus::Pending {
+                record.first_token.get_or_insert(self.now);
             }
         }
-        self.tell(key.host, &Input::Started { attempt: key });
+        self.handle_input(key.host, &Input::Started { attempt: key });
     }
 
     pub(super) fn finish(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
-        let State::Running { since, answer, .. } = attempt.state else {
+        let State::Running {
+            started, response, ..
+        } = attempt.state
+        else {
             return;
         };
         let arrival = &self.arrivals[attempt.request];
         let (endpoint, version) = (attempt.endpoint, attempt.version);
-        let end = match answer {
-            Some(it) if it.error => End::Failed,
-            Some(it) => End::Answered {
+        let outcome = match response {
+            Some(it) if it.error => AttemptOutcome::Failed,
+            Some(it) => AttemptOutcome::Answered {
                 confidence: it.confidence,
                 prompt: arrival.prompt,
                 completion: arrival.completion,
             },
-            None => End::Served,
+            None => AttemptOutcome::Served,
         };
-        self.busy[endpoint] += self.now.saturating_sub(since);
-        attempt.state = State::Done { answer };
-        if let (Some(version), End::Answered { .. }) = (version, end) {
+        self.busy[endpoint] += self.now.saturating_sub(started);
+        attempt.state = State::Done { response };
+        if let (Some(version), AttemptOutcome::Answered { .. }) = (version, outcome) {
             let it = self.truth.world.version(version);
             self.records[arrival.idx].cost += it.cost(arrival.prompt, arrival.completion).0;
-            self.ratings.earn();
+            self.rating_service.add_capacity();
         }
         self.release(endpoint, key);
-        self.queue.push(self.now + NETWORK, Event::Ended(key, end));
+        self.queue
+            .push(self.now + NETWORK_LATENCY, Event::Ended(key, outcome));
     }
 
-    pub(super) fn ended(&mut self, key: AttemptKey, end: End) {
+    pub(super) fn ended(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(&key) else {
             return;
         };
         let request = attempt.request;
-        if attempt.sample {
+        if attempt.sample_on_completion {
             self.sample(key);
         }
-        let whole = matches!(end, End::Answered { .. } | End::Served);
-        if !whole || self.records[request].fate != Fate::Pending {
+        let complete = matches!(
+            outcome,
+            AttemptOutcome::Answered { .. } | AttemptOutcome::Served
+        );
+        if !complete || self.records[request].status != RequestStatus::Pending {
             self.attempts.remove(&key);
         }
-        self.tell(key.host, &Input::Ended { attempt: key, end });
+        self.handle_input(
+            key.host,
+            &Input::Ended {
+                attempt: key,
+                outcome,
+            },
+        );
     }
 
     pub(super) fn time_out(&mut self, key: AttemptKey) {
@@ -156,14 +175,20 @@
             .is_some_and(|it| !matches!(it.state, State::Done { .. }));
         if waits {
             self.cancel(key);
-            let end = End::TimedOut;
-            self.tell(key.host, &Input::Ended { attempt: key, end });
+            let outcome = AttemptOutcome::TimedOut;
+            self.handle_input(
+                key.host,
+                &Input::Ended {
+                    attempt: key,
+                    outcome,
+                },
+            );
         }
     }
 
     pub(super) fn cancel(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.attempts.remove(&key) {
-            self.charge_part(&attempt);
+            self.charge_partial(&attempt);
             self.release(attempt.endpoint, key);
         }
     }
@@ -175,23 +200,23 @@
         };
         let (
             State::Done {
-                answer: Some(answer),
+                response: Some(response),
             },
             Some(version),
         ) = (attempt.state, attempt.version)
         else {
-            attempt.sample = true;
+            attempt.sample_on_completion = true;
             return;
         };
-        attempt.sample = false;
+        attempt.sample_on_completion = false;
         let rating = Rating {
             host: key.host,
             request: attempt.request,
             version,
-            good: answer.good,
+            good: response.good,
         };
         let rated = self
-            .ratings
+            .rating_service
             .rate(self.now, self.truth.scenario, key, rating);
         if let Some((at, rating)) = rated {
             self.queue.push(at, Event::Rated(rating));
@@ -199,16 +224,23 @@
     }
 
     /// Ends an attempt because its endpoint went down.
-    pub(super) fn cut(&mut self, key: AttemptKey) {
+    pub(super) fn abort_attempt(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
-        let begun = match attempt.state {
-            State::Running { first, .. } => first + NETWORK <= self.now,
+        let first_token_received = match attempt.state {
+            State::Running { first_token, .. } => first_token + NETWORK_LATENCY <= self.now,
             State::Waiting | State::Done { .. } => false,
         };
         attempt.state = State::Waiting;
-        self.tell_end(key, if begun { End::Cut } else { End::Failed });
+        self.schedule_outcome(
+            key,
+            if first_token_received {
+                AttemptOutcome::Cut
+            } else {
+                AttemptOutcome::Failed
+            },
+        );
     }
 
     fn release(&mut self, endpoint: usize, key: AttemptKey) {
@@ -217,25 +249,33 @@
         }
     }
 
-    fn tell_end(&mut self, key: AttemptKey, end: End) {
-        self.queue.push(self.now + NETWORK, Event::Ended(key, end));
+    fn schedule_outcome(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
+        self.queue
+            .push(self.now + NETWORK_LATENCY, Event::Ended(key, outcome));
     }
 
     /// Charges the tokens that a cancelled attempt has used.
-    fn charge_part(&mut self, attempt: &Attempt) {
-        let (State::Running { since, first, .. }, Some(version)) = (attempt.state, attempt.version)
+    fn charge_partial(&mut self, attempt: &Attempt) {
+        let (
+            State::Running {
+                started,
+                first_token,
+                ..
+            },
+            Some(version),
+        ) = (attempt.state, attempt.version)
         else {
             return;
         };
-        if since == self.now {
+        if started == self.now {
             return;
         }
         let it = self.truth.world.version(version);
         let arrival = &self.arrivals[attempt.request];
-        let made = self.now.saturating_sub(first).as_micros() / it.token.as_micros();
-        let made = u32::try_from(made)
+        let completion = self.now.saturating_sub(first_token).as_micros() / it.token.as_micros();
+        let completion = u32::try_from(completion)
             .unwrap_or(u32::MAX)
             .min(arrival.completion);
-        self.records[attempt.request].cost += it.cost(arrival.prompt, made).0;
+        self.records[attempt.request].cost += it.cost(arrival.prompt, completion).0;
     }
 }
--- a/crates/experiment/src/tally.rs
+++ b/crates/experiment/src/tally.rs
@@ -7,16 +7,16 @@
 
 use decide::action::Verdict;
 
-pub(crate) use bound::clairvoyant;
+pub(crate) use bound::clairvoyant_cost;
 
 use self::class::ClassTally;
 use crate::{
     arrival::Arrival,
-    record::{Fate, Record, Turn},
-    report::{Figures, Quarantine, Served},
-    router::Kind,
+    record::{PinStatus, Record, RequestStatus},
+    report::{CustomerFigures, Figures, Quarantine},
+    router::RouterKind,
     scenario::{Fault, Scenario},
-    sim::{Log, VerdictNote},
+    sim::{RunLog, VerdictNote},
     workload::World,
 };
 
@@ -24,7 +24,7 @@
 ///
 /// Counts only requests that overlap the measurement window, see [`window`].
 pub(crate) struct Tally<'a> {
-    kind: Kind,
+    kind: RouterKind,
     world: &'a World,
     window: [Duration; 2],
     classes: Vec<ClassTally>,
@@ -34,7 +34,7 @@
     /// By quarter of the window, the cost of the requests that this router and the oracle both
     /// delivered: this router's and the oracle's.
     quarters: [[u64; 2]; 4],
-    touched: u64,
+    affected: u64,
     moved: u64,
     reruns: u64,
     sent_to_withdrawn: u64,
@@ -44,12 +44,12 @@
     steps: u64,
     bound: f64,
     seeds: u32,
-    use_of_pools: Vec<f64>,
+    pool_utilization: Vec<f64>,
     quarantine: Quarantine,
 }
 
 impl<'a> Tally<'a> {
-    pub(crate) fn new(kind: Kind, world: &'a World, scenario: &Scenario) -> Self {
+    pub(crate) fn new(kind: RouterKind, world: &'a World, scenario: &Scenario) -> Self {
         Self {
             kind,
             world,
@@ -59,7 +59,7 @@
             refusals: BTreeMap::new(),
             harmed: [0; 2],
             quarters: [[0; 2]; 4],
-            touched: 0,
+            affected: 0,
             moved: 0,
             reruns: 0,
             sent_to_withdrawn: 0,
@@ -69,23 +69,24 @@
             steps: 0,
             bound: 0.0,
             seeds: 0,
-            use_of_pools: vec![0.0; world.pools.len()],
+            pool_utilization: vec![0.0; world.pools.len()],
             quarantine: Quarantine::default(),
         }
     }
 
     /// Adds a run. `oracle` is the oracle's run over the same arrivals.
-    pub(crate) fn add(&mut self, arrivals: &[Arrival], log: &Log, oracle: &Log, bound: f64) {
+    pub(crate) fn add(&mut self, arrivals: &[Arrival], log: &RunLog, oracle: &RunLog, bound: f64) {
         self.seeds += 1;
         self.bound += bound;
         for (arrival, record) in arrivals.iter().zip(&log.records) {
-            let over = record.fate != Fate::Pending && record.end < self.window[0];
-            if !over && arrival.at < self.window[1] {
+            let ended_before_window =
+                record.status != RequestStatus::Pending && record.ended_at < self.window[0];
+            if !ended_before_window && arrival.at < self.window[1] {
                 self.add_request(arrival, record, &oracle.records[arrival.idx]);
             }
         }
         self.add_verdicts(&log.verdicts);
-        for (sum, part) in self.use_of_pools.iter_mut().zip(&log.use_of_pools) {
+        for (sum, part) in self.pool_utilization.iter_mut().zip(&log.pool_utilization) {
             *sum += part;
         }
     }
@@ -97,27 +98,27 @@
             *offered += 1;
             *served += u64::from(record.delivered());
         }
-        match record.fate {
-            Fate::Refused(reason) => *self.refusals.entry(reason).or_default() += 1,
-            Fate::Pending => self.unfinished += 1,
-            Fate::Delivered(_) => {}
+        match record.status {
+            RequestStatus::Refused(reason) => *self.refusals.entry(reason).or_default() += 1,
+            RequestStatus::Pending => self.unfinished += 1,
+            RequestStatus::Delivered(_) => {}
         }
-        let harmed = record.answer().is_some_and(|(_, it)| it.harmed);
-        self.harmed[usize::from(record.turn != Turn::First)] += u64::from(harmed);
+        let harmed = record.response().is_some_and(|(_, it)| it.harmed);
+        self.harmed[usize::from(record.pin_status != PinStatus::Unpinned)] += u64::from(harmed);
         if record.delivered() && oracle.delivered() {
-            let [mine, its] = &mut self.quarters[self.quarter(arrival.at)];
-            *mine += record.cost;
-            *its += oracle.cost;
+            let [own_cost, oracle_cost] = &mut self.quarters[self.quarter(arrival.at)];
+            *own_cost += record.cost;
+            *oracle_cost += oracle.cost;
         }
-        self.touched += u64::from(record.touched);
-        self.moved += u64::from(record.turn == Turn::Moved);
-        let once = !self.world.class(arrival.class).idempotent;
-        self.reruns += u64::from(once && record.runs > 1);
+        self.affected += u64::from(record.affected);
+        self.moved += u64::from(record.pin_status == PinStatus::Moved);
+        let at_most_once = !self.world.class(arrival.class).idempotent;
+        self.reruns += u64::from(at_most_once && record.runs > 1);
         self.sent_to_withdrawn += u64::from(record.withdrawn);
         if record.dispatches > 0 {
             self.dispatched += 1;
             self.dispatches += u64::from(record.dispatches);
-            self.steps += u64::try_from(record.asked.len().max(1)).unwrap_or(1);
+            self.steps += u64::try_from(record.tried.len().max(1)).unwrap_or(1);
         }
     }
 
@@ -132,7 +133,7 @@
         for it in verdicts {
             match it.verdict {
                 Verdict::Healthy => self.quarantine.lifted += 1,
-                Verdict::Quarantined(_) if it.damage > 0.0 => {
+                Verdict::Quarantined(_) if it.degradation > 0.0 => {
                     self.quarantine.right += 1;
                     first = first.or(Some(it.at));
                 }
@@ -161,26 +162,28 @@
             let all = self.classes.iter().zip(&self.world.classes);
             all.filter(|(_, class)| class.is_model()).map(|(it, _)| it)
         };
-        let answers = models().map(|it| it.delivered).sum::<u64>();
+        let delivered_models = models().map(|it| it.delivered).sum::<u64>();
         let seeds = f64::from(self.seeds.max(1));
         Figures {
             router: self.kind,
             requests: sum(|it| it.offered),
             delivered: sum(|it| it.delivered),
-            mean_cost: ratio(models().map(|it| it.cost).sum(), answers),
+            mean_cost: ratio(models().map(|it| it.cost).sum(), delivered_models),
             cost_to_oracle: ratio(
                 models().map(|it| it.paired[0]).sum(),
                 models().map(|it| it.paired[1]).sum(),
             ),
             cost_to_clairvoyant: float(models().map(|it| it.cost).sum()) / self.bound,
-            good: ratio(models().map(|it| it.good).sum(), answers),
-            cost_to_oracle_by_quarter: self.quarters.map(|[mine, its]| ratio(mine, its)),
+            good: ratio(models().map(|it| it.good).sum(), delivered_models),
+            cost_to_oracle_by_quarter: self
+                .quarters
+                .map(|[own_cost, oracle_cost]| ratio(own_cost, oracle_cost)),
             harmed: float(self.harmed.iter().sum()) / seeds,
             harmed_pinned: float(self.harmed[1]) / seeds,
-            touched: float(self.touched) / seeds,
+            affected: float(self.affected) / seeds,
             quarantine: self.quarantine,
-            use_of_pools: self.use_of_pools.iter().map(|it| it / seeds).collect(),
-            tries: 1.0 + ratio(self.dispatches - self.steps, self.dispatched),
+            pool_utilization: self.pool_utilization.iter().map(|it| it / seeds).collect(),
+            attempts_per_step: 1.0 + ratio(self.dispatches - self.steps, self.dispatched),
             dispatches: ratio(self.dispatches, self.dispatched),
             moved_sessions: self.moved,
             reruns: self.reruns,
@@ -191,7 +194,7 @@
                 .customers
                 .iter()
                 .zip(&self.world.customers)
-                .map(|([offered, served], it)| Served {
+                .map(|([offered, served], it)| CustomerFigures {
                     customer: it.name.to_owned(),
                     offered: *offered,
                     share: ratio(*served, *offered),
--- a/crates/experiment/src/tally/bound.rs
+++ b/crates/experiment/src/tally/bound.rs
@@ -1,7 +1,7 @@
 use super::float;
 use crate::{
     arrival::Arrival,
-    truth::Truth,
+    ground_truth::GroundTruth,
     workload::{ClassIdx, World},
 };
 
@@ -11,14 +11,14 @@
 /// Each request goes to the cheapest version whose response is good, except that as many as the
 /// target allows, the most expensive ones first, take the cheapest version's bad response. Ignores
 /// capacity, sessions and the measurement window.
-pub(crate) fn clairvoyant(truth: &Truth<'_>, arrivals: &[Arrival]) -> f64 {
+pub(crate) fn clairvoyant_cost(truth: &GroundTruth<'_>, arrivals: &[Arrival]) -> f64 {
     let models = truth.world.classes().filter(|(_, it)| it.is_model());
     models
         .map(|(idx, class)| class_bound(truth, arrivals, idx, class.target()))
         .sum()
 }
 
-fn class_bound(truth: &Truth<'_>, arrivals: &[Arrival], class: ClassIdx, target: f64) -> f64 {
+fn class_bound(truth: &GroundTruth<'_>, arrivals: &[Arrival], class: ClassIdx, target: f64) -> f64 {
     let mut extras = Vec::new();
     let mut total = 0;
     let mut missed = 0;
@@ -33,7 +33,7 @@
         let cheapest = World::ACTIVE.map(cost).into_iter().min().unwrap_or(0);
         let good = World::ACTIVE
             .into_iter()
-            .filter(|it| truth.answer(arrival, *it, arrival.at).good)
+            .filter(|it| truth.response(arrival, *it, arrival.at).good)
             .map(cost)
             .min();
         total += cheapest;
--- a/crates/experiment/src/tally/class.rs
+++ b/crates/experiment/src/tally/class.rs
@@ -19,9 +19,9 @@
     /// The cost of the requests that this router and the oracle both delivered: this router's and
     /// the oracle's.
     pub(super) paired: [u64; 2],
-    asked: u64,
+    tried: u64,
     latency: Histogram<u64>,
-    first: Histogram<u64>,
+    first_token: Histogram<u64>,
 }
 
 impl ClassTally {
@@ -32,9 +32,9 @@
             good: 0,
             cost: 0,
             paired: [0; 2],
-            asked: 0,
+            tried: 0,
             latency: histogram(),
-            first: histogram(),
+            first_token: histogram(),
         }
     }
 
@@ -45,17 +45,17 @@
             return;
         }
         self.delivered += 1;
-        self.good += u64::from(record.answer().is_some_and(|(_, it)| it.good));
-        self.asked += u64::try_from(record.asked.len()).unwrap_or(0);
+        self.good += u64::from(record.response().is_some_and(|(_, it)| it.good));
+        self.tried += u64::try_from(record.tried.len()).unwrap_or(0);
         if oracle.delivered() {
             self.paired[0] += record.cost;
             self.paired[1] += oracle.cost;
         }
         self.latency
-            .saturating_record(micros(record.end.saturating_sub(arrival.at)));
-        if let Some(first) = record.first {
-            self.first
-                .saturating_record(micros(first.saturating_sub(arrival.at)));
+            .saturating_record(micros(record.ended_at.saturating_sub(arrival.at)));
+        if let Some(first_token) = record.first_token {
+            self.first_token
+                .saturating_record(micros(first_token.saturating_sub(arrival.at)));
         }
     }
 
@@ -68,9 +68,9 @@
             good: ratio(self.good, self.delivered),
             mean_cost: ratio(self.cost, self.delivered),
             cost_to_oracle: ratio(self.paired[0], self.paired[1]),
-            versions_asked: ratio(self.asked, self.delivered),
-            latency: Latency::of(&self.latency),
-            first_token: Latency::of(&self.first),
+            versions_tried: ratio(self.tried, self.delivered),
+            latency: Latency::from_histogram(&self.latency),
+            first_token: Latency::from_histogram(&self.first_token),
         }
     }
 }
--- a/crates/experiment/src/workload/association.rs
+++ b/crates/experiment/src/workload/association.rs
@@ -3,7 +3,7 @@
 use kernel::Money;
 
 use super::{Call, Class, Customer, Pool, Priority, Range, World};
-use crate::truth::{Confidence, Skill, VersionIdx, VersionTruth};
+use crate::ground_truth::{Accuracy, ConfidenceDistribution, VersionIdx, VersionSpec};
 
 pub(super) fn world() -> World {
     World {
@@ -130,62 +130,62 @@
 }
 
 /// The versions, in the order of their indices. Accuracies are in the order of the classes.
-fn versions() -> Vec<VersionTruth> {
+fn versions() -> Vec<VersionSpec> {
     vec![
-        VersionTruth {
+        VersionSpec {
             prompt_price: Money(10_000_000),
             completion_price: Money(40_000_000),
             prefill: Duration::from_millis(20),
             token: Duration::from_millis(8),
-            confidence: Confidence { sharpness: 2.5 },
-            skills: vec![
-                Skill::new(0.7, 0.25),
-                Skill::new(0.96, 0.6),
-                Skill::new(0.9, 0.45),
-                Skill::new(0.95, 0.6),
-                Skill::new(0.85, 0.45),
+            confidence: ConfidenceDistribution { sharpness: 2.5 },
+            accuracies: vec![
+                Accuracy::new(0.7, 0.25),
+                Accuracy::new(0.96, 0.6),
+                Accuracy::new(0.9, 0.45),
+                Accuracy::new(0.95, 0.6),
+                Accuracy::new(0.85, 0.45),
             ],
         },
-        VersionTruth {
+        VersionSpec {
             prompt_price: Money(60_000_000),
             completion_price: Money(240_000_000),
             prefill: Duration::from_millis(50),
             token: Duration::from_millis(16),
-            confidence: Confidence { sharpness: 2.5 },
-            skills: vec![
-                Skill::new(0.95, 0.65),
-                Skill::new(0.985, 0.85),
-                Skill::new(0.965, 0.8),
-                Skill::new(0.975, 0.8),
-                Skill::new(0.96, 0.8),
+            confidence: ConfidenceDistribution { sharpness: 2.5 },
+            accuracies: vec![
+                Accuracy::new(0.95, 0.65),
+                Accuracy::new(0.985, 0.85),
+                Accuracy::new(0.965, 0.8),
+                Accuracy::new(0.975, 0.8),
+                Accuracy::new(0.96, 0.8),
             ],
         },
-        VersionTruth {
+        VersionSpec {
             prompt_price: Money(55_000_000),
             completion_price: Money(220_000_000),
             prefill: Duration::from_millis(50),
             token: Duration::from_millis(15),
-            confidence: Confidence { sharpness: 2.5 },
-            skills: vec![
-                Skill::new(0.95, 0.7),
-                Skill::new(0.985, 0.87),
-                Skill::new(0.97, 0.82),
-                Skill::new(0.975, 0.82),
-                Skill::new(0.96, 0.82),
+            confidence: ConfidenceDistribution { sharpness: 2.5 },
+            accuracies: vec![
+                Accuracy::new(0.95, 0.7),
+                Accuracy::new(0.985, 0.87),
+                Accuracy::new(0.97, 0.82),
+                Accuracy::new(0.975, 0.82),
+                Accuracy::new(0.96, 0.82),
             ],
         },
-        VersionTruth {
+        VersionSpec {
             prompt_price: Money(300_000_000),
             completion_price: Money(1_500_000_000),
             prefill: Duration::from_millis(120),
             token: Duration::from_millis(28),
-            confidence: Confidence { sharpness: 2.5 },
-            skills: vec![
-                Skill::new(0.98, 0.9),
-                Skill::new(0.99, 0.94),
-                Skill::new(0.985, 0.92),
-                Skill::new(0.985, 0.92),
-                Skill::new(0.98, 0.92),
+            confidence: ConfidenceDistribution { sharpness: 2.5 },
+            accuracies: vec![
+                Accuracy::new(0.98, 0.9),
+                Accuracy::new(0.99, 0.94),
+                Accuracy::new(0.985, 0.92),
+                Accuracy::new(0.985, 0.92),
+                Accuracy::new(0.98, 0.92),
             ],
         },
     ]
@@ -197,28 +197,28 @@
             name: "small",
             replicas: 5,
             slots: 4,
-            waiting: 8,
+            max_waiting: 8,
             versions: vec![VersionIdx::SMALL],
         },
         Pool {
             name: "medium",
             replicas: 8,
             slots: 3,
-            waiting: 6,
+            max_waiting: 6,
             versions: vec![VersionIdx::MEDIUM, VersionIdx::MEDIUM_NEXT],
         },
         Pool {
             name: "large",
             replicas: 7,
             slots: 6,
-            waiting: 8,
+            max_waiting: 8,
             versions: vec![VersionIdx::LARGE],
         },
         Pool {
             name: "ticketing",
             replicas: 4,
             slots: 4,
-            waiting: 64,
+            max_waiting: 64,
             versions: Vec::new(),
         },
     ]
--- a/crates/experiment/src/workload/kivuli.rs
+++ b/crates/experiment/src/workload/kivuli.rs
@@ -3,7 +3,7 @@
 use kernel::Money;
 
 use super::{Call, Class, Customer, Pool, Priority, Range, World};
-use crate::truth::{Confidence, Skill, VersionIdx, VersionTruth};
+use crate::ground_truth::{Accuracy, ConfidenceDistribution, VersionIdx, VersionSpec};
 
 pub(super) fn world() -> World {
     World {
@@ -116,58 +116,58 @@
 }
 
 /// The versions, in the order of their indices. Accuracies are in the order of the classes.
-fn versions() -> Vec<VersionTruth> {
+fn versions() -> Vec<VersionSpec> {
     vec![
-        VersionTruth {
+        VersionSpec {
             prompt_price: Money(10_000_000),
             completion_price: Money(40_000_000),
             prefill: Duration::from_millis(20),
             token: Duration::from_millis(8),
-            confidence: Confidence { sharpness: 2.5 },
-            skills: vec![
-                Skill::new(0.97, 0.55),
-                Skill::new(0.85, 0.30),
-                Skill::new(0.45, 0.10),
-                Skill::new(0.50, 0.15),
+            confidence: ConfidenceDistribution { sharpness: 2.5 },
+            accuracies: vec![
+                Accuracy::new(0.97, 0.55),
+                Accuracy::new(0.85, 0.30),
+                Accuracy::new(0.45, 0.10),
+                Accuracy::new(0.50, 0.15),
             ],
         },
-        VersionTruth {
+        VersionSpec {
             prompt_price: Money(60_000_000),
             completion_price: Money(240_000_000),
             prefill: Duration::from_millis(50),
             token: Duration::from_millis(16),
-            confidence: Confidence { sharpness: 2.5 },
-            skills: vec![
-                Skill::new(0.985, 0.80),
-                Skill::new(0.96, 0.70),
-                Skill::new(0.92, 0.55),
-                Skill::new(0.93, 0.60),
+            confidence: ConfidenceDistribution { sharpness: 2.5 },
+            accuracies: vec![
+                Accuracy::new(0.985, 0.80),
+                Accuracy::new(0.96, 0.70),
+                Accuracy::new(0.92, 0.55),
+                Accuracy::new(0.93, 0.60),
             ],
         },
-        VersionTruth {
+        VersionSpec {
             prompt_price: Money(55_000_000),
             completion_price: Money(220_000_000),
             prefill: Duration::from_millis(50),
             token: Duration::from_millis(15),
-            confidence: Confidence { sharpness: 2.5 },
-            skills: vec![
-                Skill::new(0.985, 0.82),
-                Skill::new(0.96, 0.74),
-                Skill::new(0.93, 0.60),
-                Skill::new(0.94, 0.65),
+            confidence: ConfidenceDistribution { sharpness: 2.5 },
+            accuracies: vec![
+                Accuracy::new(0.985, 0.82),
+                Accuracy::new(0.96, 0.74),
+                Accuracy::new(0.93, 0.60),
+                Accuracy::new(0.94, 0.65),
             ],
         },
-        VersionTruth {
+        VersionSpec {
             prompt_price: Money(300_000_000),
             completion_price: Money(1_500_000_000),
             prefill: Duration::from_millis(120),
             token: Duration::from_millis(28),
-            confidence: Confidence { sharpness: 2.5 },
-            skills: vec![
-                Skill::new(0.99, 0.92),
-                Skill::new(0.985, 0.90),
-                Skill::new(0.97, 0.90),
-                Skill::new(0.97, 0.90),
+            confidence: ConfidenceDistribution { sharpness: 2.5 },
+            accuracies: vec![
+                Accuracy::new(0.99, 0.92),
+                Accuracy::new(0.985, 0.90),
+                Accuracy::new(0.97, 0.90),
+                Accuracy::new(0.97, 0.90),
             ],
         },
     ]
@@ -179,28 +179,28 @@
             name: "small",
             replicas: 5,
             slots: 4,
-            waiting: 8,
+            max_waiting: 8,
             versions: vec![VersionIdx::SMALL],
         },
         Pool {
             name: "medium",
             replicas: 8,
             slots: 3,
-            waiting: 6,
+            max_waiting: 6,
             versions: vec![VersionIdx::MEDIUM, VersionIdx::MEDIUM_NEXT],
         },
         Pool {
             name: "large",
             replicas: 7,
             slots: 4,
-            waiting: 8,
+            max_waiting: 8,
             versions: vec![VersionIdx::LARGE],
         },
         Pool {
             name: "bench",
             replicas: 4,
             slots: 4,
-            waiting: 64,
+            max_waiting: 64,
             versions: Vec::new(),
         },
     ]
--- a/crates/experiment/src/workload/pool.rs
+++ b/crates/experiment/src/workload/pool.rs
@@ -1,4 +1,4 @@
-use crate::truth::VersionIdx;
+use crate::ground_truth::VersionIdx;
 
 /// A group of equal replicas.
 #[derive(Clone, Debug)]
@@ -8,7 +8,7 @@
     /// Maximum requests that a replica runs at once.
     pub(crate) slots: usize,
     /// Maximum requests that wait at a replica; further ones are refused.
-    pub(crate) waiting: usize,
+    pub(crate) max_waiting: usize,
     /// The versions that the replicas serve; empty for a plain service.
     pub(crate) versions: Vec<VersionIdx>,
 }
--- a/crates/experiment/src/workload/world.rs
+++ b/crates/experiment/src/workload/world.rs
@@ -1,5 +1,5 @@
 use super::{Class, ClassIdx, Customer, Pool};
-use crate::truth::{VersionIdx, VersionTruth};
+use crate::ground_truth::{VersionIdx, VersionSpec};
 
 /// The customers, classes, versions, pools and hosts of a workload.
 #[derive(Clone, Debug)]
@@ -7,7 +7,7 @@
     pub(crate) customers: Vec<Customer>,
     pub(crate) classes: Vec<Class>,
     /// Indexed by [`VersionIdx`].
-    pub(crate) versions: Vec<VersionTruth>,
+    pub(crate) versions: Vec<VersionSpec>,
     pub(crate) pools: Vec<Pool>,
     pub(crate) service: &'static str,
     pub(crate) hosts: usize,
@@ -19,7 +19,7 @@
     pub(crate) const ACTIVE: [VersionIdx; 3] =
         [VersionIdx::SMALL, VersionIdx::MEDIUM, VersionIdx::LARGE];
 
-    pub(crate) fn version(&self, version: VersionIdx) -> &VersionTruth {
+    pub(crate) fn version(&self, version: VersionIdx) -> &VersionSpec {
         &self.versions[version.idx()]
     }
 
--- a/crates/experiment/tests/core.rs
+++ b/crates/experiment/tests/core.rs
@@ -1,6 +1,6 @@
 //! Invariants of every request under the decision core.
 
-use experiment::{Kind, Options, Scenario, Seeds, Workload, case};
+use experiment::{Options, RouterKind, Scenario, Seeds, Workload, case};
 use googletest::prelude::*;
 
 /// Runs a scenario in quick mode with both workloads. Checks that each request ends, that no
@@ -15,7 +15,9 @@
     };
     for workload in Workload::ALL {
         let case = case(&options, workload, &scenario);
-        let core = case.of(Kind::Core).expect("every router is run");
+        let core = case
+            .figures_for(RouterKind::Core)
+            .expect("every router is run");
         expect_that!(core.unfinished, eq(0), "{workload}");
         expect_that!(core.reruns, eq(0), "{workload}");
         expect_that!(core.sent_to_withdrawn, eq(0), "{workload}");
@@ -27,34 +29,34 @@
 /// Guards against a request that never ends because the decider doesn't recognize the ID of the
 /// attempt that ended.
 #[gtest]
-fn every_request_ends_in_calm() {
+fn every_request_ends_without_faults() {
     check("calm");
 }
 
 /// Guards against retrying a request that isn't idempotent after its engine failed and may have
 /// run it.
 #[gtest]
-fn nothing_runs_twice_that_may_not_when_a_version_fails() {
+fn requests_that_are_not_idempotent_run_once_when_a_version_fails() {
     check("errors");
 }
 
 /// Guards against sending a retry or a waiting request to a version that was withdrawn after it
 /// was chosen.
 #[gtest]
-fn a_withdrawn_version_gets_no_work() {
+fn a_withdrawn_version_gets_no_requests() {
     check("withdrawn");
 }
 
 /// Guards against requests that never end when half of the replicas go down, which aborts their
 /// attempts, and demand exceeds the remaining capacity.
 #[gtest]
-fn every_request_ends_when_the_pool_runs_out() {
+fn every_request_ends_when_half_of_the_replicas_are_down() {
     check("pool_runs_out");
 }
 
 /// Guards against a replaced host mistaking attempts of its previous incarnation for its own ones
 /// with the same numbers.
 #[gtest]
-fn every_request_ends_when_hosts_are_lost() {
+fn every_request_ends_when_hosts_are_lost_or_replaced() {
     check("host_lost");
 }
--- a/crates/experiment/tests/determinism.rs
+++ b/crates/experiment/tests/determinism.rs
@@ -3,7 +3,7 @@
 use experiment::{Options, Seeds, Workload, run};
 use googletest::prelude::*;
 
-fn quick(seed: u64, scenario: &str) -> String {
+fn quick_report(seed: u64, scenario: &str) -> String {
     let options = Options {
         seeds: Seeds::One(seed),
         scenario: Some(scenario.to_owned()),
@@ -15,13 +15,13 @@
 }
 
 #[gtest]
-fn twice_the_same_seed_gives_the_same_bytes() {
-    let first = quick(7, "turns_bad");
-    let second = quick(7, "turns_bad");
+fn the_same_seed_gives_the_same_report() {
+    let first = quick_report(7, "turns_bad");
+    let second = quick_report(7, "turns_bad");
     expect_true!(first == second);
 }
 
 #[gtest]
-fn another_seed_gives_another_report() {
-    expect_true!(quick(7, "calm") != quick(8, "calm"));
+fn different_seeds_give_different_reports() {
+    expect_true!(quick_report(7, "calm") != quick_report(8, "calm"));
 }
--- a/crates/experiment/tests/golden.rs
+++ b/crates/experiment/tests/golden.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 
 use datadriven::{TestCase, walk};
-use experiment::{Case, Kind, Options, Scenario, Seeds, Workload, case};
+use experiment::{Case, Options, RouterKind, Scenario, Seeds, Workload, case};
 
 #[test]
 fn scenarios_under_the_baselines() {
@@ -29,7 +29,11 @@
 
 fn print(case: &Case) -> String {
     let mut text = String::new();
-    for it in case.figures.iter().filter(|it| it.router != Kind::Core) {
+    for it in case
+        .figures
+        .iter()
+        .filter(|it| it.router != RouterKind::Core)
+    {
         let _ = writeln!(
             text,
             "{}: answered {} of {}, good {:.3}, cost {:.0}, harmed {}, tries {:.2}, refusals {:?}",
@@ -39,7 +43,7 @@
             it.good,
             it.mean_cost,
             it.harmed,
-            it.tries,
+            it.attempts_per_step,
             it.refusals,
         );
     }
--- a/crates/experiment/tests/scenario.rs
+++ b/crates/experiment/tests/scenario.rs
@@ -14,7 +14,7 @@
 }
 
 #[gtest]
-fn a_fault_in_the_text_names_the_line_and_what_is_accepted() {
+fn an_invalid_line_is_reported_with_the_accepted_syntax() {
     check("on 5m ratings out", "`about`, `duration`, `at`");
     check(
         "at 5 ratings out",
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn each_shipped_scenario_is_understood() {
+fn every_shipped_scenario_parses() {
     for name in Scenario::names() {
         let scenario = Scenario::shipped(name);
         expect_that!(scenario, ok(anything()), "{name}");
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn an_unknown_scenario_is_answered_with_the_known_ones() {
+fn an_unknown_scenario_name_lists_the_known_ones() {
     let error = Scenario::shipped("calmer").expect_err("no scenario has this name");
     expect_that!(
         error.to_string(),
