--- a/crates/experiment/src/arrival.rs
+++ b/crates/experiment/src/arrival.rs
@@ -4,31 +4,31 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
-    coin::{Coin, Purpose},
+    keyed_rng::{KeyedRng, Purpose},
     scenario::{Fault, Scenario},
     workload::{Call, Class, ClassIdx, Range, World},
 };
 
-/// One request of a caller.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) idx: usize,
     pub(crate) at: Duration,
     pub(crate) customer: usize,
     pub(crate) class: ClassIdx,
-    /// All requests of a session prefer one version.
+    /// The session; all its requests prefer the same version.
     pub(crate) session: Option<usize>,
     pub(crate) hard: bool,
     pub(crate) prompt: u32,
     pub(crate) completion: u32,
-    /// The time that a plain service takes.
+    /// The service time at a plain service; zero for model requests.
     pub(crate) service: Duration,
 }
 
-/// All requests of a scenario, in order of arrival; every router gets the same.
+/// Generates all requests of a scenario, in the order of arrival.
 ///
-/// The turns of a session come at fixed times, however long the answers take,
-/// so that the arrivals don't depend on the router.
+/// The turns of a session arrive at times that don't depend on the responses, so that all routers
+/// get the same arrivals.
 pub(crate) fn arrivals(world: &World, scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut all = Vec::new();
     let mut sessions = 0;
@@ -42,10 +42,10 @@
     }
     all.retain(|it| it.at < scenario.duration);
     all.sort_by_key(|it| (it.at, it.customer, it.class));
-    let coin = Coin::new(seed);
+    let keyed_rng = KeyedRng::new(seed);
     for (idx, it) in all.iter_mut().enumerate() {
         it.idx = idx;
-        it.hard = coin.toss(Purpose::Difficulty, idx, 0) < hard_share(world.class(it.class));
+        it.hard = keyed_rng.draw(Purpose::Difficulty, idx, 0) < hard_share(world.class(it.class));
     }
     all
 }
@@ -57,22 +57,22 @@
     }
 }
 
-/// The requests of one customer and class.
+/// Generates the requests of one customer and class.
 struct Stream<'a> {
     rng: Pcg64Mcg,
     customer: usize,
     idx: ClassIdx,
     class: &'a Class,
-    /// Starts a second.
+    /// New requests or sessions per second, without faults.
     rate: f64,
     now: Duration,
 }
 
 impl<'a> Stream<'a> {
     fn new(world: &World, seed: u64, customer: usize, idx: ClassIdx, class: &'a Class) -> Self {
-        let own = (u64::try_from(customer).unwrap_or(0) << 8) | u64::from(idx.0);
+        let stream_id = (u64::try_from(customer).unwrap_or(0) << 8) | u64::from(idx.0);
         Self {
-            rng: Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9E37_79B9).wrapping_add(own)),
+            rng: Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9E37_79B9).wrapping_add(stream_id)),
             customer,
             idx,
             class,
@@ -88,7 +88,7 @@
         (self.now < scenario.duration).then_some(self.now)
     }
 
-    /// How many times the usual traffic comes now.
+    /// Returns the factor by which active faults multiply the traffic.
     fn factor(&self, scenario: &Scenario) -> f64 {
         scenario
             .active(self.now)
@@ -109,15 +109,15 @@
             Call::Model { turns, .. } => self.pick(turns),
             Call::Plain { .. } => 1,
         };
-        let talks = matches!(&self.class.call, Call::Model { turns, .. } if turns.high > 1);
+        let has_session = matches!(&self.class.call, Call::Model { turns, .. } if turns.high > 1);
         let mut at = start;
         for _ in 0..turns {
-            let session = talks.then_some(*sessions);
+            let session = has_session.then_some(*sessions);
             let arrival = self.request(at, session);
             all.push(arrival);
             at += Duration::from_secs(u64::from(self.pick(Class::TURN_GAP)));
         }
-        *sessions += usize::from(talks);
+        *sessions += usize::from(has_session);
     }
 
     fn request(&mut self, at: Duration, session: Option<usize>) -> Arrival {
--- a/crates/experiment/src/endpoint.rs
+++ b/crates/experiment/src/endpoint.rs
@@ -5,33 +5,33 @@
     workload::{Pool, Priority},
 };
 
-/// The number of sessions whose prompt a replica keeps.
-const PREFIXES: usize = 64;
+/// Maximum sessions whose prompt prefix a replica caches.
+const MAX_CACHED_PREFIXES: usize = 64;
 
-/// The fake of a model replica or a plain service's replica.
+/// A simulated replica of a model or plain service.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     slots: usize,
-    /// Rises with each replacement.
+    /// Increases with each restart.
     pub(crate) incarnation: u64,
     pub(crate) up: bool,
-    room: usize,
+    max_waiting: usize,
     running: Vec<AttemptKey>,
     waiting: BTreeMap<(Priority, u64), AttemptKey>,
-    queued: u64,
+    last_queue_number: u64,
     prefixes: VecDeque<usize>,
 }
 
-/// What an endpoint does with a new attempt.
+/// The result of offering an attempt to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
     Runs,
     Waits,
-    /// Nothing has run.
+    /// The attempt was refused and didn't run.
     Refused,
 }
 
-/// What an endpoint says of itself.
+/// A load report of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Load {
     pub(crate) running: usize,
@@ -44,15 +44,15 @@
             slots: it.slots,
             incarnation: 1,
             up: true,
-            room: it.waiting,
+            max_waiting: it.max_waiting,
             running: Vec::new(),
             waiting: BTreeMap::new(),
-            queued: 0,
+            last_queue_number: 0,
             prefixes: VecDeque::new(),
         }
     }
 
-    /// Takes an attempt into a slot or the queue.
+    /// Adds an attempt to a slot or the queue, or refuses it.
     pub(crate) fn admit(&mut self, attempt: AttemptKey, priority: Priority) -> Admission {
         if !self.up {
             return Admission::Refused;
@@ -61,31 +61,33 @@
             self.running.push(attempt);
             return Admission::Runs;
         }
-        if self.waiting.len() >= self.room {
+        if self.waiting.len() >= self.max_waiting {
             return Admission::Refused;
         }
-        self.queued += 1;
-        self.waiting.insert((priority, self.queued), attempt);
+        self.last_queue_number += 1;
+        self.waiting
+            .insert((priority, self.last_queue_number), attempt);
         Admission::Waits
     }
 
-    /// Forgets an attempt that ended or was cancelled and names the one that takes its slot.
+    /// Removes an attempt that ended or was cancelled. Returns the waiting attempt that takes its
+    /// slot, if any.
     pub(crate) fn release(&mut self, attempt: AttemptKey) -> Option<AttemptKey> {
         self.waiting.retain(|_, it| *it != attempt);
-        let place = self.running.iter().position(|it| *it == attempt)?;
-        self.running.swap_remove(place);
+        let position = self.running.iter().position(|it| *it == attempt)?;
+        self.running.swap_remove(position);
         let (_, next) = self.waiting.pop_first()?;
         self.running.push(next);
         Some(next)
     }
 
-    /// Loses everything; returns the attempts that are cut.
+    /// Takes the endpoint down. Returns its running and waiting attempts, which are aborted.
     pub(crate) fn stop(&mut self) -> Vec<AttemptKey> {
         self.up = false;
         self.prefixes.clear();
-        let mut cut = std::mem::take(&mut self.running);
-        cut.extend(std::mem::take(&mut self.waiting).into_values());
-        cut
+        let mut aborted = std::mem::take(&mut self.running);
+        aborted.extend(std::mem::take(&mut self.waiting).into_values());
+        aborted
     }
 
     pub(crate) fn start(&mut self) {
@@ -100,16 +102,16 @@
         }
     }
 
-    /// Whether the prompt of a session is cached here; it is from now on.
-    pub(crate) fn cached(&mut self, session: usize) -> bool {
-        let place = self.prefixes.iter().position(|it| *it == session);
-        if let Some(place) = place {
-            self.prefixes.remove(place);
+    /// Caches the prompt prefix of a session. Returns whether it was cached before.
+    pub(crate) fn cache_prefix(&mut self, session: usize) -> bool {
+        let position = self.prefixes.iter().position(|it| *it == session);
+        if let Some(position) = position {
+            self.prefixes.remove(position);
         }
         self.prefixes.push_back(session);
-        if self.prefixes.len() > PREFIXES {
+        if self.prefixes.len() > MAX_CACHED_PREFIXES {
             self.prefixes.pop_front();
         }
-        place.is_some()
+        position.is_some()
     }
 }
--- a/crates/experiment/src/truth/version.rs
+++ b/crates/experiment/src/ground_truth/version.rs
@@ -2,10 +2,10 @@
 
 use kernel::Money;
 
-use super::{Confidence, Skill};
+use super::{Accuracy, ConfidenceDistribution};
 use crate::workload::ClassIdx;
 
-/// One of the versions that both workloads have.
+/// The index of a version. Both workloads have the same versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct VersionIdx(u8);
 
@@ -29,28 +29,28 @@
     }
 }
 
-/// A version's prices, speed and quality.
+/// The prices, speed and quality of a version.
 #[derive(Clone, Debug)]
-pub(crate) struct VersionTruth {
-    /// For a million prompt tokens.
+pub(crate) struct VersionSpec {
+    /// The price of a million prompt tokens.
     pub(crate) prompt_price: Money,
-    /// For a million completion tokens.
+    /// The price of a million completion tokens.
     pub(crate) completion_price: Money,
-    /// Time to read a thousand prompt tokens.
+    /// The prefill time of a thousand prompt tokens.
     pub(crate) prefill: Duration,
-    /// Time between two tokens of an answer.
+    /// The time between two tokens of a response.
     pub(crate) token: Duration,
-    pub(crate) confidence: Confidence,
-    /// By class.
-    pub(crate) skills: Vec<Skill>,
+    pub(crate) confidence: ConfidenceDistribution,
+    /// Indexed by class. Only models have entries; their classes come first.
+    pub(crate) accuracies: Vec<Accuracy>,
 }
 
-impl VersionTruth {
-    pub(crate) fn skill(&self, class: ClassIdx) -> Skill {
-        self.skills[class.idx()]
+impl VersionSpec {
+    pub(crate) fn accuracy(&self, class: ClassIdx) -> Accuracy {
+        self.accuracies[class.idx()]
     }
 
-    /// What an answer costs.
+    /// Returns the cost of a response.
     pub(crate) fn cost(&self, prompt: u32, completion: u32) -> Money {
         self.prompt_price.per_million(u64::from(prompt))
             + self.completion_price.per_million(u64::from(completion))
--- a/crates/experiment/src/record.rs
+++ b/crates/experiment/src/record.rs
@@ -1,61 +1,61 @@
 use std::time::Duration;
 
-use crate::truth::{Answer, VersionIdx};
+use crate::ground_truth::{Response, VersionIdx};
 
-/// What became of a request.
+/// The record of a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Record {
     pub(crate) host: usize,
-    pub(crate) fate: Fate,
-    /// When the caller saw the first token.
-    pub(crate) first: Option<Duration>,
-    pub(crate) end: Duration,
+    pub(crate) status: RequestStatus,
+    /// The time at which the caller saw the first token.
+    pub(crate) first_token: Option<Duration>,
+    pub(crate) ended_at: Duration,
     /// In millionths of a cent.
     pub(crate) cost: u64,
     pub(crate) dispatches: u32,
-    /// The versions asked, each once.
-    pub(crate) asked: Vec<VersionIdx>,
-    /// A fault spoilt an answer that was made for it, delivered or not.
-    pub(crate) touched: bool,
-    /// An attempt went to a version whose withdrawal all hosts knew of.
+    /// The distinct versions tried, in order.
+    pub(crate) tried: Vec<VersionIdx>,
+    /// Whether a response, delivered or not, was bad or failed because of a fault.
+    pub(crate) affected: bool,
+    /// Whether an attempt went to a withdrawn version after all hosts had been informed.
     pub(crate) withdrawn: bool,
-    /// Attempts that began to run.
+    /// The number of attempts that started to run.
     pub(crate) runs: u32,
-    pub(crate) turn: Turn,
+    pub(crate) pin_status: PinStatus,
 }
 
-/// What a request was to its session.
+/// The relation of a request to its session's version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Turn {
-    /// It had no session, or no version yet.
+pub(crate) enum PinStatus {
+    /// The request had no session, or its session had no version yet.
     #[default]
-    First,
-    /// It came with the session's version.
+    Unpinned,
+    /// The session had a version when the request arrived.
     Pinned,
-    /// It came with a version that still took work, and got another.
+    /// Another version responded, although the session's version still accepted requests.
     Moved,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) enum Fate {
+pub(crate) enum RequestStatus {
     #[default]
     Pending,
-    /// With an answer; none at a plain service.
-    Delivered(Option<(VersionIdx, Answer)>),
+    /// A response was delivered; `None` at a plain service.
+    Delivered(Option<(VersionIdx, Response)>),
     Refused(&'static str),
 }
 
 impl Record {
-    /// The answer of a model that the caller got.
-    pub(crate) fn answer(&self) -> Option<(VersionIdx, Answer)> {
-        match self.fate {
-            Fate::Delivered(answer) => answer,
-            Fate::Pending | Fate::Refused(_) => None,
+    /// Returns the model response that was delivered to the caller.
+    pub(crate) fn response(&self) -> Option<(VersionIdx, Response)> {
+        match self.status {
+            RequestStatus::Delivered(response) => response,
+            RequestStatus::Pending | RequestStatus::Refused(_) => None,
         }
     }
 
     pub(crate) fn delivered(&self) -> bool {
-        matches!(self.fate, Fate::Delivered(_))
+        matches!(self.status, RequestStatus::Delivered(_))
     }
 }
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -1,24 +1,25 @@
 use crate::{
     Error, Options, Report, Scenario, Workload,
     arrival::arrivals,
-    coin::Coin,
+    ground_truth::GroundTruth,
+    keyed_rng::KeyedRng,
     report::Case,
-    router::Kind,
+    router::RouterKind,
     sim::Sim,
-    tally::{Tally, clairvoyant},
-    truth::Truth,
+    tally::{Tally, clairvoyant_cost},
 };
 
-/// How many times as fast scenarios run in quick mode.
-const QUICK: u32 = 20;
+/// The divisor of scenario times in quick mode.
+const QUICK_DIVISOR: u32 = 20;
 
 /// The number of hosts in quick mode.
 const QUICK_HOSTS: usize = 3;
 
-/// Runs the scenarios that the options name under every router.
+/// Runs the selected scenarios under every router.
 ///
 /// # Errors
-/// No scenario has the name in the options, or a scenario isn't understood.
+///
+/// Returns an error if no scenario has the name in the options, or if a scenario is invalid.
 pub fn run(options: &Options) -> Result<Report, Error> {
     let scenarios = match &options.scenario {
         Some(name) => vec![Scenario::shipped(name)?],
@@ -38,26 +39,28 @@
     Ok(Report::new(options, cases))
 }
 
-/// Runs one scenario, also one that doesn't ship, under every router.
+/// Runs one scenario, which needn't be a shipped one, under every router.
 #[must_use]
 pub fn case(options: &Options, workload: Workload, scenario: &Scenario) -> Case {
     let mut world = workload.world();
     let mut scenario = scenario.clone();
     if options.quick {
         world.hosts = QUICK_HOSTS;
-        scenario = scenario.shortened(QUICK);
+        scenario = scenario.shortened(QUICK_DIVISOR);
     }
-    let mut tallies = Kind::ALL.map(|kind| Tally::new(kind, &world, &scenario));
+    let mut tallies = RouterKind::ALL.map(|kind| Tally::new(kind, &world, &scenario));
     for seed in options.seeds.list() {
         let arrivals = arrivals(&world, &scenario, seed);
-        let truth = Truth {
+        let truth = GroundTruth {
             world: &world,
             scenario: &scenario,
-            coin: Coin::new(seed),
+            keyed_rng: KeyedRng::new(seed),
         };
-        let logs = Kind::ALL.map(|kind| Sim::run(kind, truth, &arrivals, seed));
-        let bound = clairvoyant(&truth, &arrivals);
-        let oracle = Kind::ALL.iter().position(|it| *it == Kind::Oracle);
+        let logs = RouterKind::ALL.map(|kind| Sim::run(kind, truth, &arrivals, seed));
+        let bound = clairvoyant_cost(&truth, &arrivals);
+        let oracle = RouterKind::ALL
+            .iter()
+            .position(|it| *it == RouterKind::Oracle);
         let oracle = &logs[oracle.unwrap_or(0)];
         for (tally, log) in tallies.iter_mut().zip(&logs) {
             tally.add(&arrivals, log, oracle, bound);
--- a/crates/experiment/src/sim/event.rs
+++ b/crates/experiment/src/sim/event.rs
@@ -4,26 +4,26 @@
     attempt::AttemptKey,
     configuration::Configuration,
     endpoint::Load,
-    ratings::Rating,
-    router::{End, News},
+    rating_service::Rating,
+    router::{AttemptOutcome, GossipUpdate},
 };
 
-/// What the virtual clock brings.
+/// An event on the virtual clock.
 #[derive(Debug)]
 pub(super) enum Event {
     Arrive(usize),
     /// The caller stops waiting.
-    GiveUp(usize),
+    CallerTimeout(usize),
     /// An attempt reaches its endpoint.
     Submit(AttemptKey),
-    /// The endpoint sends the first token.
+    /// The host receives the first token.
     FirstToken(AttemptKey),
-    /// The endpoint is done with an attempt.
+    /// The endpoint finishes an attempt.
     Finish(AttemptKey),
-    /// The host learns how an attempt ended.
-    Ended(AttemptKey, End),
+    /// The host learns the outcome of an attempt.
+    Ended(AttemptKey, AttemptOutcome),
     Timeout(AttemptKey),
-    /// All endpoints report their load to one host.
+    /// All live endpoints report their load to one host.
     Report {
         host: usize,
     },
@@ -40,9 +40,9 @@
         up: bool,
     },
     Rated(Rating),
-    News {
+    Gossip {
         from: usize,
-        news: Arc<News>,
+        update: Arc<GossipUpdate>,
     },
     Configured(Arc<Configuration>),
     FaultBegins(usize),
--- a/crates/experiment/tests/golden.rs
+++ b/crates/experiment/tests/golden.rs
@@ -1,11 +1,12 @@
-//! Golden output of whole quick scenarios under the baselines. The decision core
-//! isn't in it, so that its rules can change without this changing; record anew
-//! with `REWRITE=1 cargo test -p experiment --test golden`.
+//! Compares the figures of scenarios under the baselines with golden output.
+//!
+//! The decision core is excluded, so that its rules can change without changing the golden output.
+//! Update it with `REWRITE=1 cargo test -p experiment --test golden`.
 
 use std::fmt::Write;
 
 use datadriven::{TestCase, walk};
-use experiment::{Case, Kind, Options, Scenario, Seeds, Workload, case};
+use experiment::{Case, Options, RouterKind, Scenario, Seeds, Workload, case};
 
 #[test]
 fn scenarios_under_the_baselines() {
@@ -28,7 +29,11 @@
 
 fn print(case: &Case) -> String {
     let mut text = String::new();
-    for it in case.figures.iter().filter(|it| it.router != Kind::Core) {
+    for it in case
+        .figures
+        .iter()
+        .filter(|it| it.router != RouterKind::Core)
+    {
         let _ = writeln!(
             text,
             "{}: answered {} of {}, good {:.3}, cost {:.0}, harmed {}, tries {:.2}, refusals {:?}",
@@ -38,7 +43,7 @@
             it.good,
             it.mean_cost,
             it.harmed,
-            it.tries,
+            it.attempts_per_step,
             it.refusals,
         );
     }
--- a/crates/experiment/tests/scenario.rs
+++ b/crates/experiment/tests/scenario.rs
@@ -1,11 +1,11 @@
-//! The language of the scenarios.
+//! Tests the scenario language.
 
 use experiment::{Error, Scenario};
 use googletest::prelude::*;
 
 fn check(line: &str, detail: &str) {
     let text = format!("scenario\nduration 1m\n{line}\n----\n");
-    let error = Scenario::parse("test", &text).expect_err("the line is wrong");
+    let error = Scenario::parse("test", &text).expect_err("the line is invalid");
     expect_that!(
         error,
         matches_pattern!(Error::Scenario { line: eq(&3), .. })
@@ -14,7 +14,7 @@
 }
 
 #[gtest]
-fn a_fault_in_the_text_names_the_line_and_what_is_accepted() {
+fn an_invalid_line_is_reported_with_the_accepted_syntax() {
     check("on 5m ratings out", "`about`, `duration`, `at`");
     check(
         "at 5 ratings out",
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn each_shipped_scenario_is_understood() {
+fn every_shipped_scenario_parses() {
     for name in Scenario::names() {
         let scenario = Scenario::shipped(name);
         expect_that!(scenario, ok(anything()), "{name}");
@@ -39,8 +39,8 @@
 }
 
 #[gtest]
-fn an_unknown_scenario_is_answered_with_the_known_ones() {
-    let error = Scenario::shipped("calmer").expect_err("there is none");
+fn an_unknown_scenario_name_lists_the_known_ones() {
+    let error = Scenario::shipped("calmer").expect_err("no scenario has this name");
     expect_that!(
         error.to_string(),
         contains_substring("calm, settled, turns_bad")
