--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -15,7 +15,7 @@
 use crate::tuning::PinnedSessions;
 use crate::{Action, key, request};
 
-/// How far the expected quality of a version may be below the target if it replaces a version
+/// Maximum shortfall of a version's expected quality below the target if it replaces a version
 /// without capacity.
 const MAX_SPILL_QUALITY_LOSS: f64 = 0.02;
 
--- a/crates/decide/src/digest.rs
+++ b/crates/decide/src/digest.rs
@@ -9,8 +9,8 @@
 
 /// The [`Knowledge::revision`] from which a host ignores digests.
 const DIGEST_REVISION_LIMIT: u64 = 200;
-/// How many times the means of a digest item are recorded, that is, their weight
-/// in responses.
+/// The weight of the means of a digest item, in responses: the number of times that
+/// they are recorded.
 const MEAN_WEIGHT: u32 = 10;
 
 impl Knowledge {
--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -421,7 +421,7 @@
     /// The expected fraction of bad ratings.
     pub(crate) normal: f64,
     pub(crate) scope: FaultScope,
-    /// When the responses were received, if known.
+    /// The time at which the responses were received, if known.
     pub(crate) answered: Option<Duration>,
 }
 
--- a/crates/decide/src/peer_demand.rs
+++ b/crates/decide/src/peer_demand.rs
@@ -8,7 +8,7 @@
 use crate::demand::Flow;
 use crate::{Demand, Policy, key};
 
-/// How long a host's report is used.
+/// The age at which another host's report expires.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 
 /// The last demand report of each other host, and the totals by customer.
--- a/crates/decide/src/replica.rs
+++ b/crates/decide/src/replica.rs
@@ -14,18 +14,19 @@
 
 /// The number of slots assumed of an endpoint without a load report.
 const DEFAULT_SLOTS: u32 = 4;
-/// How long a new endpoint gets reduced load while its caches fill.
+/// Duration of the slow start, in which a new endpoint gets reduced load while its
+/// caches fill.
 const SLOW_START_TIME: Duration = Duration::from_secs(10);
 /// The fraction of its slots that a new endpoint starts with.
 const SLOW_START_FRACTION: f64 = 0.2;
-/// How long an endpoint is paused after it reports overload.
+/// Duration of the pause of requests to an endpoint after it reports overload.
 const OVERLOAD_PAUSE: Duration = Duration::from_millis(200);
-/// How old a load report may be, and how long ago an overload pause may have ended,
-/// for [`Replica::may_be_full`].
+/// The age above which [`Replica::may_be_full`] counts a load report as stale, and the
+/// time after an overload pause in which it counts the overload as recent.
 const RECENT_LOAD_TIME: Duration = Duration::from_secs(5);
 /// The number of consecutive failures that ejects an endpoint.
 const EJECT_AFTER_FAILURES: u32 = 3;
-/// How long an endpoint stays ejected.
+/// Duration of an endpoint's ejection.
 const EJECTION_TIME: Duration = Duration::from_secs(5);
 
 /// The state of one endpoint as this host knows it.
@@ -40,7 +41,7 @@
     pub(crate) service: Option<key::Service>,
     added_at: Duration,
     load: Option<Load>,
-    /// When the last load report was made.
+    /// The time at which the last load report was made.
     reported_at: Duration,
     /// The limit on this host's new requests between load reports, so that hosts don't
     /// overload the endpoint together: twice an equal share of the slots that were
--- a/crates/decide/src/rollout_controller.rs
+++ b/crates/decide/src/rollout_controller.rs
@@ -37,8 +37,8 @@
 const MIN_STAGE_TIME: Duration = Duration::from_secs(30);
 /// Interval at which a step is requested again until it is taken.
 const REQUEST_INTERVAL: Duration = Duration::from_secs(5);
-/// How far a version's share of good responses may be below that of the version
-/// that it replaces.
+/// Maximum shortfall of a version's share of good responses below that of the version
+/// that it replaces. Comparisons with it allow for the standard error.
 const MAX_QUALITY_LOSS: f64 = 0.02;
 
 /// The evidence required at a share before the next one.
--- a/crates/decide/src/samples.rs
+++ b/crates/decide/src/samples.rs
@@ -23,7 +23,7 @@
 pub(crate) struct Sample {
     pub(crate) bucket: Bucket,
     pub(crate) position: StepPosition,
-    /// When the response was received; unknown for those of other hosts.
+    /// The time at which the response was received; `None` for those of other hosts.
     pub(crate) at: Option<Duration>,
 }
 
--- a/crates/fleet/src/measure/figures.rs
+++ b/crates/fleet/src/measure/figures.rs
@@ -57,10 +57,11 @@
     /// Longest time from a kill until a host considers the killed one unreachable or dead.
     /// Zero if no host did.
     pub detection_max: Duration,
-    /// How often a live host was suspected. Suspicions by several hosts at the
-    /// same time count once.
+    /// The number of times that a live host was suspected. Suspicions of a host
+    /// that fall into the same interval of 50 ms count once.
     pub false_suspicions: usize,
-    /// How often a live host was declared unreachable or dead, counted likewise.
+    /// The number of times that a live host was declared unreachable or dead, counted
+    /// likewise.
     pub false_deaths: usize,
     /// Reads of the table per second by all hosts together.
     pub table_reads: f64,
--- a/crates/fleet/src/measure/incident.rs
+++ b/crates/fleet/src/measure/incident.rs
@@ -13,7 +13,8 @@
 
 const CUT_DURATION: Duration = Duration::from_mins(5);
 
-/// How long the fleet is observed after the failure, or after its end.
+/// Duration of the observation after the failure, or after the replacement or
+/// reconnection that ends it.
 const OBSERVATION_TIME: Duration = Duration::from_mins(5);
 
 /// A kind of failure.
--- a/crates/fleet/src/tuning.rs
+++ b/crates/fleet/src/tuning.rs
@@ -22,8 +22,8 @@
     pub isolated_after: Duration,
     /// The interval between comparisons of views with a random member.
     pub compare_every: Duration,
-    /// How long a neighbour's view may differ before it is compared. Updates in
-    /// flight make views differ briefly.
+    /// The time for which another host's view must differ before the two are compared
+    /// in full. Updates in flight make views differ briefly.
     pub compare_after_differing: Duration,
     /// The interval between attempts to contact an unreachable member or an unknown
     /// listed host, multiplied by the fleet's size divided by 16, rounded up.
@@ -73,8 +73,8 @@
     /// The interval of housekeeping: declaring members dead that were unreachable for
     /// long, and removing expired state.
     pub housekeeping_every: Duration,
-    /// How long an endpoint update is part of view comparisons; after that the host
-    /// list covers it.
+    /// The time for which an endpoint update is part of view comparisons; after that
+    /// the host list covers it.
     pub endpoint_compared_for: Duration,
     /// The time after which an unreachable incarnation is declared dead, and a dead
     /// one removed. A host that was frozen for longer deposes itself.
--- a/crates/gate/src/chat.rs
+++ b/crates/gate/src/chat.rs
@@ -70,7 +70,7 @@
     pub content: String,
 }
 
-/// How the response is sent.
+/// The form in which the response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// As server-sent events.
@@ -86,7 +86,7 @@
     pub profile: ProfileName,
     /// The conversation, at least one message.
     pub messages: Vec<Message>,
-    /// How the response is sent.
+    /// The form in which the response is sent.
     pub mode: Mode,
     /// Maximum number of tokens in the response.
     pub max_tokens: Option<u32>,
