--- a/crates/barleypind/src/call/run.rs
+++ b/crates/barleypind/src/call/run.rs
@@ -10,7 +10,7 @@
 use decide::action::{Relay, Session};
 use decide::endpoint::State;
 use decide::outcome::Denial;
-use decide::policy::Repeat;
+use decide::policy::RetryPolicy;
 use engine::Attempt;
 use futures::channel::mpsc::UnboundedReceiver;
 use futures::{FutureExt, StreamExt, pin_mut, select_biased};
@@ -91,7 +91,7 @@
         // A call that must not run twice continues if its caller disconnects: it may have run
         // already, and a retry with the same key has to find its outcome.
         let outlives_caller =
-            self.work.retry_policy() == Repeat::AtMostOnce && self.call.headers.key.is_some();
+            self.work.retry_policy() == RetryPolicy::AtMostOnce && self.call.headers.key.is_some();
         let disconnected = async {
             if outlives_caller {
                 futures::future::pending::<()>().await;
--- a/crates/barleypind/src/call/start.rs
+++ b/crates/barleypind/src/call/start.rs
@@ -4,7 +4,7 @@
 
 use async_std::task;
 use config::WhenStale;
-use decide::policy::{Policy, Repeat};
+use decide::policy::{Policy, RetryPolicy};
 use decide::{Arrival, arrival, key};
 use futures::channel::oneshot;
 use futures::future::{Either, select};
@@ -73,7 +73,7 @@
     };
     let path = target.split('?').next().unwrap_or_default();
     let route = known.route(method.as_ref(), path);
-    let retry_policy = route.map_or(Repeat::AtMostOnce, |it| {
+    let retry_policy = route.map_or(RetryPolicy::AtMostOnce, |it| {
         crate::policy::retry_policy(it.retry_policy)
     });
     let mut call = call;
@@ -297,8 +297,8 @@
         ticket,
         fingerprint: fingerprint(original, body),
         retry_policy: match work.retry_policy() {
-            Repeat::Idempotent => ledger::RetryPolicy::Idempotent,
-            Repeat::AtMostOnce => ledger::RetryPolicy::AtMostOnce,
+            RetryPolicy::Idempotent => ledger::RetryPolicy::Idempotent,
+            RetryPolicy::AtMostOnce => ledger::RetryPolicy::AtMostOnce,
         },
         via: original.via(host),
     })
@@ -331,7 +331,7 @@
                     "the service is not configured any more",
                 )
             })?,
-            repeat: Some(plain.retry_policy),
+            retry_policy: Some(plain.retry_policy),
         }),
     };
     Ok(Arrival {
--- a/crates/barleypind/src/call/work.rs
+++ b/crates/barleypind/src/call/work.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use decide::policy::Repeat;
+use decide::policy::RetryPolicy;
 use engine::Attempt;
 use futures::stream::BoxStream;
 use gate::chat::Mode;
@@ -46,7 +46,7 @@
     pub(crate) prompt: Arc<str>,
     pub(crate) max_tokens: u32,
     pub(crate) class: Arc<str>,
-    pub(crate) retry_policy: Repeat,
+    pub(crate) retry_policy: RetryPolicy,
     pub(crate) pin: Option<VersionId>,
 }
 
@@ -58,11 +58,11 @@
     pub(crate) target: String,
     pub(crate) headers: Headers,
     pub(crate) body: Arc<[u8]>,
-    pub(crate) retry_policy: Repeat,
+    pub(crate) retry_policy: RetryPolicy,
 }
 
 impl Work {
-    pub(crate) fn retry_policy(&self) -> Repeat {
+    pub(crate) fn retry_policy(&self) -> RetryPolicy {
         match self {
             Self::Chat(chat) => chat.retry_policy,
             Self::Plain(plain) => plain.retry_policy,
--- a/crates/barleypind/src/policy.rs
+++ b/crates/barleypind/src/policy.rs
@@ -6,8 +6,8 @@
 use config::{Document, RolloutState, VersionState};
 use decide::key;
 use decide::policy::{
-    Allowance, Customer, Policy, Priority, Profile, Repeat, Rollout, RolloutMode, Service, State,
-    Version,
+    Allowance, Customer, Policy, Priority, Profile, RetryPolicy, Rollout, RolloutMode, Service,
+    State, Version,
 };
 use kernel::VersionId;
 
@@ -40,7 +40,7 @@
                 allowed: allowances(it, &customers, &versions),
                 target: it.quality,
                 cap: Some(it.cost_cap),
-                repeat: retry_policy(it.retry_policy),
+                retry_policy: retry_policy(it.retry_policy),
                 priority: priority(it.priority),
                 deadline: it.deadline,
             })
@@ -61,7 +61,7 @@
             .iter()
             .map(|(name, it)| Service {
                 name: name.clone(),
-                repeat: Repeat::AtMostOnce,
+                retry_policy: RetryPolicy::AtMostOnce,
                 priority: Priority::Interactive,
                 deadline: it.total,
                 concurrency: SERVICE_CONCURRENCY,
@@ -77,10 +77,10 @@
 
 /// Converts a retry policy into the decider's form.
 #[must_use]
-pub(crate) fn retry_policy(policy: config::RetryPolicy) -> Repeat {
+pub(crate) fn retry_policy(policy: config::RetryPolicy) -> RetryPolicy {
     match policy {
-        config::RetryPolicy::Idempotent => Repeat::Idempotent,
-        config::RetryPolicy::AtMostOnce => Repeat::AtMostOnce,
+        config::RetryPolicy::Idempotent => RetryPolicy::Idempotent,
+        config::RetryPolicy::AtMostOnce => RetryPolicy::AtMostOnce,
     }
 }
 
--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -8,7 +8,7 @@
 use decide::arrival::{Chat, Work};
 use decide::endpoint::{Distance, Id, Load, Role, State as EndpointState, Update};
 use decide::outcome::Answer;
-use decide::policy::{Allowance, Customer, Priority, Profile, Repeat, State, Version};
+use decide::policy::{Allowance, Customer, Priority, Profile, RetryPolicy, State, Version};
 use decide::{Action, Arrival, Decider, Event, Outcome, Policy, Tuning, key};
 use kernel::{HostName, Incarnation, Money, Revision, VersionId};
 
@@ -142,7 +142,7 @@
             allowed: allowed.collect(),
             target: 0.9,
             cap: Some(Money(1_000_000_000)),
-            repeat: Repeat::Idempotent,
+            retry_policy: RetryPolicy::Idempotent,
             priority: Priority::Interactive,
             deadline: Duration::from_secs(30),
         }],
--- a/crates/decide/src/arrival.rs
+++ b/crates/decide/src/arrival.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::key;
-use crate::policy::{Priority, Repeat};
+use crate::policy::{Priority, RetryPolicy};
 
 /// A request that has been authenticated and parsed.
 #[derive(Clone, Debug)]
@@ -62,6 +62,6 @@
 pub struct Call {
     /// The service.
     pub service: key::Service,
-    /// The route's retry setting, which overrides that of the service.
-    pub repeat: Option<Repeat>,
+    /// The route's retry policy, which overrides that of the service.
+    pub retry_policy: Option<RetryPolicy>,
 }
--- a/crates/decide/src/decider/arrive.rs
+++ b/crates/decide/src/decider/arrive.rs
@@ -10,14 +10,14 @@
 use crate::arrival::{Call, Chat, Work};
 use crate::knowledge::ClassIndex;
 use crate::plan::Plan;
-use crate::policy::{Priority, Repeat};
+use crate::policy::{Priority, RetryPolicy};
 use crate::refusal::{Reason, Refusal, Run};
 use crate::request::{self, Request};
 use crate::{Action, Arrival, key};
 
 /// The policy's settings for a request.
 struct RequestSettings {
-    repeat: Repeat,
+    retry_policy: RetryPolicy,
     priority: Priority,
     deadline: Duration,
 }
@@ -64,7 +64,7 @@
             work: arrival.work,
             class,
             priority: arrival.priority.unwrap_or(settings.priority),
-            repeat: settings.repeat,
+            retry_policy: settings.retry_policy,
             deadline,
             plan: Plan::default(),
             step: 0,
@@ -103,7 +103,7 @@
             return Err(Reason::NotAllowed);
         }
         Ok(RequestSettings {
-            repeat: profile.repeat,
+            retry_policy: profile.retry_policy,
             priority: profile.priority,
             deadline: profile.deadline,
         })
@@ -113,7 +113,7 @@
         let service = self.policy.services.get(call.service.index());
         let service = service.ok_or(Reason::UnknownService)?;
         Ok(RequestSettings {
-            repeat: call.repeat.unwrap_or(service.repeat),
+            retry_policy: call.retry_policy.unwrap_or(service.retry_policy),
             priority: service.priority,
             deadline: service.deadline,
         })
--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -9,7 +9,7 @@
 use crate::directory::Target;
 use crate::knowledge::{ClassIndex, Knowledge};
 use crate::plan::{Plan, STEPS, Step};
-use crate::policy::{Priority, Repeat};
+use crate::policy::{Priority, RetryPolicy};
 use crate::refusal::Reason;
 use crate::request::Request;
 use crate::tuning::PinnedSessions;
@@ -249,7 +249,8 @@
         request: &Request,
         chat: &Chat,
     ) -> Self {
-        let single = request.repeat == Repeat::AtMostOnce || request.priority == Priority::Urgent;
+        let single =
+            request.retry_policy == RetryPolicy::AtMostOnce || request.priority == Priority::Urgent;
         Self {
             profile: chat.profile,
             customer: request.customer,
--- a/crates/decide/src/decider/end.rs
+++ b/crates/decide/src/decider/end.rs
@@ -8,7 +8,7 @@
 use crate::directory::Target;
 use crate::histogram::Bucket;
 use crate::outcome::{Answer, Denial, Outcome};
-use crate::policy::Repeat;
+use crate::policy::RetryPolicy;
 use crate::refusal::{Reason, Run};
 use crate::request::{self, Fallback};
 use crate::{Action, key};
@@ -163,10 +163,10 @@
         if attempt.step.is_probe() {
             return self.escalate(now, key, actions);
         }
-        let may_repeat = outcome.not_run() || request.repeat == Repeat::Idempotent;
+        let is_safe_to_retry = outcome.not_run() || request.retry_policy == RetryPolicy::Idempotent;
         let late = now >= request.deadline;
         let may_retry = request.attempts < self.tuning.max_attempts && !late;
-        if !may_repeat || !may_retry || !self.retries.take(retry_cost(outcome)) {
+        if !is_safe_to_retry || !may_retry || !self.retries.take(retry_cost(outcome)) {
             let retry_after = self.overload_retry_after(attempt, outcome);
             let reason = reason(outcome, late);
             return self.give_up(now, key, reason, retry_after, actions);
--- a/crates/decide/src/decider/place.rs
+++ b/crates/decide/src/decider/place.rs
@@ -8,7 +8,7 @@
 use crate::attempt::{Attempt, Occupancy, Progress};
 use crate::directory::{SelectionCriteria, Target};
 use crate::plan::{Plan, Step};
-use crate::policy::{Priority, Repeat};
+use crate::policy::{Priority, RetryPolicy};
 use crate::refusal::{Reason, Refusal};
 use crate::{Action, attempt, replica, request};
 
@@ -195,7 +195,7 @@
             number: request.attempts,
             priority: request.priority,
         }));
-        if request.priority == Priority::Urgent && request.repeat == Repeat::Idempotent {
+        if request.priority == Priority::Urgent && request.retry_policy == RetryPolicy::Idempotent {
             self.hedgeable.push(attempt);
         }
         let prefix = request.prefix();
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -10,7 +10,7 @@
 use crate::directory::Target;
 use crate::number::{count, floor};
 use crate::plan::Step;
-use crate::policy::{Priority, Repeat};
+use crate::policy::{Priority, RetryPolicy};
 use crate::queue::Entry;
 use crate::refusal::Reason;
 use crate::{key, pool, request};
@@ -120,7 +120,7 @@
         if next.step.threshold == 0 && matches!(next.target, Target::Version(_)) {
             return left;
         }
-        if request.repeat == Repeat::AtMostOnce {
+        if request.retry_policy == RetryPolicy::AtMostOnce {
             return left;
         }
         let usual = self.expected_latency(key, next.target);
--- a/crates/decide/src/policy.rs
+++ b/crates/decide/src/policy.rs
@@ -11,7 +11,7 @@
 use crate::key;
 
 pub use customer::Customer;
-pub use profile::{Allowance, Priority, Profile, Repeat};
+pub use profile::{Allowance, Priority, Profile, RetryPolicy};
 pub use rollout::{Rollout, RolloutMode};
 pub use service::Service;
 pub use version::{State, Version};
--- a/crates/decide/src/policy/profile.rs
+++ b/crates/decide/src/policy/profile.rs
@@ -20,7 +20,7 @@
     /// attempt, an upper estimate of its cost is added to the cost so far.
     pub cap: Option<Money>,
     /// Whether requests may run more than once.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// The priority of requests that do not specify one.
     pub priority: Priority,
     /// The time limit from arrival if the caller sets no deadline.
@@ -38,7 +38,7 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// Running it more than once is harmless.
     #[default]
     Idempotent,
--- a/crates/decide/src/policy/service.rs
+++ b/crates/decide/src/policy/service.rs
@@ -4,7 +4,7 @@
 
 use kernel::ServiceName;
 
-use crate::policy::{Priority, Repeat};
+use crate::policy::{Priority, RetryPolicy};
 
 /// A service other than a model engine. It has its own endpoints and queue, so
 /// that overloaded engines do not delay it.
@@ -13,7 +13,7 @@
     /// The name, which identifies it across revisions.
     pub name: ServiceName,
     /// Whether calls may run more than once, unless the route overrides it.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// The priority of calls that do not specify one.
     pub priority: Priority,
     /// The time limit if the caller sets no deadline.
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -9,7 +9,7 @@
 use crate::directory::Target;
 use crate::knowledge::ClassIndex;
 use crate::plan::Plan;
-use crate::policy::{Priority, Repeat};
+use crate::policy::{Priority, RetryPolicy};
 use crate::refusal::Run;
 use crate::{attempt, key, replica};
 
@@ -26,7 +26,7 @@
     pub(crate) work: Work,
     pub(crate) class: ClassIndex,
     pub(crate) priority: Priority,
-    pub(crate) repeat: Repeat,
+    pub(crate) retry_policy: RetryPolicy,
     pub(crate) deadline: Duration,
     pub(crate) plan: Plan,
     /// The index of the plan's current step.
--- a/crates/decide/tests/decide/properties.rs
+++ b/crates/decide/tests/decide/properties.rs
@@ -10,7 +10,8 @@
 use decide::event::{Quality, Rating};
 use decide::outcome::{Answer, Denial};
 use decide::policy::{
-    Allowance, Customer, Priority, Profile, Repeat, Rollout, RolloutMode, Service, State, Version,
+    Allowance, Customer, Priority, Profile, RetryPolicy, Rollout, RolloutMode, Service, State,
+    Version,
 };
 use decide::refusal::Run;
 use decide::{Arrival, Decider, Event, Outcome, Policy, Tuning, key};
@@ -190,7 +191,7 @@
                 let service = key::Service(u16::from(*once));
                 let work = Work::Call(Call {
                     service,
-                    repeat: None,
+                    retry_policy: None,
                 });
                 self.arrive(work, *once, 0, None);
             }
@@ -444,12 +445,12 @@
         customer: key::Customer(customer),
         versions: (0..last).map(key::Version).collect(),
     };
-    let profile = |name: &str, repeat| Profile {
+    let profile = |name: &str, retry_policy| Profile {
         name: name.into(),
         allowed: vec![allowance(0, 4), allowance(1, 2)],
         target: 0.9,
         cap: None,
-        repeat,
+        retry_policy,
         priority: Priority::Interactive,
         deadline: Duration::from_secs(30),
     };
@@ -460,9 +461,9 @@
         concurrency: 1000,
         weight: 1.0,
     };
-    let service = |name: &str, repeat| Service {
+    let service = |name: &str, retry_policy| Service {
         name: name.into(),
-        repeat,
+        retry_policy,
         priority: Priority::Urgent,
         deadline: Duration::from_secs(3),
         concurrency: 4,
@@ -471,13 +472,13 @@
         revision: Revision(1),
         versions: versions.collect(),
         profiles: vec![
-            profile("often", Repeat::Idempotent),
-            profile("once", Repeat::AtMostOnce),
+            profile("often", RetryPolicy::Idempotent),
+            profile("once", RetryPolicy::AtMostOnce),
         ],
         customers: vec![customer("a"), customer("b")],
         services: vec![
-            service("scans", Repeat::Idempotent),
-            service("holds", Repeat::AtMostOnce),
+            service("scans", RetryPolicy::Idempotent),
+            service("holds", RetryPolicy::AtMostOnce),
         ],
         rollouts: vec![Rollout {
             id: "next".into(),
--- a/crates/decide/tests/decide/script.rs
+++ b/crates/decide/tests/decide/script.rs
@@ -8,7 +8,7 @@
 use decide::event::{Quality, Rating};
 use decide::outcome::{Answer, Denial};
 use decide::policy::{
-    self, Allowance, Priority, Profile, Repeat, Rollout, RolloutMode, Service, State,
+    self, Allowance, Priority, Profile, RetryPolicy, Rollout, RolloutMode, Service, State,
 };
 use decide::{Action, Arrival, Decider, Demand, Event, Flow, Outcome, Policy, Rate, Tuning, key};
 use kernel::{AttemptId, HostName, Incarnation, Money, Revision, VersionId};
@@ -203,7 +203,7 @@
             let service = self.policy.service(&words[3].into());
             Work::Call(Call {
                 service: service.unwrap_or(key::Service(99)),
-                repeat: None,
+                retry_policy: None,
             })
         };
         Event::Arrive(Arrival {
@@ -297,10 +297,10 @@
 fn entry(policy: &mut Policy, words: &[&str]) {
     let option = |prefix: &str| words.iter().find_map(|it| it.strip_prefix(prefix));
     let number = |prefix, default: f64| option(prefix).map_or(default, |it| it.parse().unwrap());
-    let repeat = if words.contains(&"once") {
-        Repeat::AtMostOnce
+    let retry_policy = if words.contains(&"once") {
+        RetryPolicy::AtMostOnce
     } else {
-        Repeat::Idempotent
+        RetryPolicy::Idempotent
     };
     let priority_or_default = priority(option("priority=").unwrap_or(""));
     let deadline = span(option("deadline=").unwrap_or("30s"));
@@ -342,14 +342,14 @@
                 allowed: allowed.collect(),
                 target: number("target=", 0.9),
                 cap: option("cap=").map(|it| Money(it.parse().unwrap())),
-                repeat,
+                retry_policy,
                 priority: priority_or_default,
                 deadline,
             });
         }
         "service" => policy.services.push(Service {
             name: words[1].into(),
-            repeat,
+            retry_policy,
             priority: priority_or_default,
             deadline,
             concurrency: option("concurrency=").map_or(1000, |it| it.parse().unwrap()),
--- a/crates/experiment/src/router/core.rs
+++ b/crates/experiment/src/router/core.rs
@@ -178,7 +178,7 @@
             }),
             None => Work::Call(Call {
                 service: key::Service::at(0),
-                repeat: Some(policy::repeat(class)),
+                retry_policy: Some(policy::repeat(class)),
             }),
         };
         Request {
--- a/crates/experiment/src/router/core/policy.rs
+++ b/crates/experiment/src/router/core/policy.rs
@@ -1,7 +1,7 @@
 use decide::{
     Policy, key,
     policy::{
-        Allowance, Customer, Priority as CorePriority, Profile, Repeat, Rollout, RolloutMode,
+        Allowance, Customer, Priority as CorePriority, Profile, RetryPolicy, Rollout, RolloutMode,
         Service, State as CoreState, Version,
     },
 };
@@ -39,7 +39,7 @@
             .collect(),
         services: vec![Service {
             name: ServiceName::from(world.service),
-            repeat: Repeat::AtMostOnce,
+            retry_policy: RetryPolicy::AtMostOnce,
             priority: CorePriority::Interactive,
             deadline: std::time::Duration::from_secs(5),
             concurrency: SERVICE_CONCURRENCY,
@@ -56,11 +56,11 @@
     }
 }
 
-pub(super) fn repeat(class: &Class) -> Repeat {
+pub(super) fn repeat(class: &Class) -> RetryPolicy {
     if class.idempotent {
-        Repeat::Idempotent
+        RetryPolicy::Idempotent
     } else {
-        Repeat::AtMostOnce
+        RetryPolicy::AtMostOnce
     }
 }
 
@@ -98,7 +98,7 @@
                 .collect(),
             target: class.target(),
             cap: None,
-            repeat: repeat(class),
+            retry_policy: repeat(class),
             priority: priority(class.priority),
             deadline: class.deadline,
         })
--- a/xtask/src/capacity/decisions.rs
+++ b/xtask/src/capacity/decisions.rs
@@ -7,7 +7,7 @@
 use decide::arrival::{Chat, Work};
 use decide::endpoint::{Distance, Id, Load, Role, State, Update};
 use decide::outcome::Answer;
-use decide::policy::{Allowance, Customer, Priority, Profile, Repeat, Version};
+use decide::policy::{Allowance, Customer, Priority, Profile, RetryPolicy, Version};
 use decide::{Action, Arrival, Decider, Event, Outcome, Policy, Tuning, key};
 use kernel::{HostName, Incarnation, Money, ProfileName, VersionId};
 
@@ -149,7 +149,7 @@
         allowed: allowances.collect(),
         target: 0.9,
         cap: None,
-        repeat: Repeat::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         priority: Priority::Interactive,
         deadline: Duration::from_secs(30),
     };
