--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -9,13 +9,13 @@
 use crate::directory::Target;
 use crate::knowledge::{ClassIndex, Knowledge};
 use crate::plan::{Plan, STEPS, Step};
-use crate::policy::{Priority, Repeat};
+use crate::policy::{Priority, RetryPolicy};
 use crate::refusal::Reason;
 use crate::request::Request;
 use crate::tuning::PinnedSessions;
 use crate::{Action, key, request};
 
-/// How far the expected quality of a version may be below the target if it replaces a version
+/// Maximum shortfall of a version's expected quality below the target if it replaces a version
 /// without capacity.
 const MAX_SPILL_QUALITY_LOSS: f64 = 0.02;
 
@@ -249,7 +249,8 @@
         request: &Request,
         chat: &Chat,
     ) -> Self {
-        let single = request.repeat == Repeat::AtMostOnce || request.priority == Priority::Urgent;
+        let single =
+            request.retry_policy == RetryPolicy::AtMostOnce || request.priority == Priority::Urgent;
         Self {
             profile: chat.profile,
             customer: request.customer,
--- a/crates/experiment/src/router/core.rs
+++ b/crates/experiment/src/router/core.rs
@@ -184,7 +184,7 @@
             }),
             None => Work::Call(Call {
                 service: key::Service::at(0),
-                repeat: Some(policy::retry_policy(class)),
+                retry_policy: Some(policy::retry_policy(class)),
             }),
         };
         Request {
