--- a/crates/fakes/src/answer.rs
+++ b/crates/fakes/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a stand-in answers.
+//! Responses of the stand-ins.
 
 use std::io;
 
@@ -8,10 +8,10 @@
 use serde::Serialize;
 use serde_json::json;
 
-/// The outcome of one call.
+/// The response of a stand-in to one call.
 #[derive(Debug)]
 pub enum Answer {
-    /// A whole body.
+    /// A complete JSON body.
     Json {
         /// The HTTP status.
         status: u16,
@@ -20,18 +20,18 @@
     },
     /// Server-sent events; an error in the stream cuts the connection.
     Events(mpsc::Receiver<io::Result<Vec<u8>>>),
-    /// The connection closes without an answer, as when a host dies after its work.
+    /// The connection is closed without a response, as when a host crashes after it did the work.
     Lost,
 }
 
 impl Answer {
-    /// A JSON body with status 200.
+    /// Creates a response with status 200 and a JSON body.
     #[must_use]
     pub fn ok<T: Serialize>(value: &T) -> Self {
         Self::json(200, value)
     }
 
-    /// A JSON body with its status.
+    /// Creates a response with a JSON body, or with status 500 when `value` can't be serialized.
     #[must_use]
     pub fn json<T: Serialize>(status: u16, value: &T) -> Self {
         match serde_json::to_vec(value) {
@@ -40,14 +40,14 @@
         }
     }
 
-    /// An error with a code, in the shape of `docs/PROTOCOLS.md`.
+    /// Creates an error response with a code, in the format of `docs/PROTOCOLS.md`.
     #[must_use]
     pub fn error(status: u16, code: &str) -> Self {
         let body = json!({"error": {"code": code}}).to_string().into_bytes();
         Self::Json { status, body }
     }
 
-    /// Reads the answer to its end as status and text, for tests.
+    /// Reads the response to its end and returns status and body as text, for tests.
     pub async fn text(self) -> String {
         match self {
             Self::Json { status, body } => {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The HTTP response; none when the connection is to close without one.
+    /// Converts this to an HTTP response; `None` when the connection is to close without one.
     pub(crate) fn response(self) -> Option<Response> {
         match self {
             Self::Json { status, body } => {
--- a/crates/fakes/src/call.rs
+++ b/crates/fakes/src/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP request, read whole and parsed at the edge.
+//! An HTTP request, completely read and parsed.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,18 @@
 
 use crate::answer::Answer;
 
-/// A request as the stand-ins see it.
+/// A request to a stand-in.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The HTTP method.
     pub method: Method,
-    /// The path's segments, percent-decoded.
+    /// The segments of the path, percent-decoded.
     pub path: Vec<String>,
-    /// The query's pairs, decoded.
+    /// The query parameters, decoded.
     pub query: BTreeMap<String, String>,
     /// The headers, with lower-case names.
     pub headers: BTreeMap<String, String>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// When the body can't be read to its end.
+    /// Returns an error when the body can't be read to its end.
     pub async fn read(mut req: Request) -> http_types::Result<Self> {
         let body = req.body_bytes().await?;
         let path = req
@@ -54,29 +54,29 @@
         })
     }
 
-    /// The path's segments as text, to match on.
+    /// Returns the segments of the path as string slices, for slice patterns.
     #[must_use]
     pub fn segments(&self) -> Vec<&str> {
         self.path.iter().map(String::as_str).collect()
     }
 
-    /// A header's value, empty when it is missing.
+    /// Returns the value of a header, or the empty string when it is missing.
     #[must_use]
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// A query value as a number.
+    /// Returns a query parameter as a number; `None` when it is missing or not a number.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         self.query.get(name)?.parse().ok()
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// An answer with status 400 that says what is wrong with the body.
+    /// Returns a response with status 400 and the parser's message when the body is invalid.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Answer> {
         serde_json::from_slice(&self.body).map_err(|err| Answer::error(400, &err.to_string()))
     }
--- a/crates/fakes/src/control.rs
+++ b/crates/fakes/src/control.rs
@@ -1,4 +1,4 @@
-//! Switching faults: a JSON object that names only what is to change.
+//! Partial updates of a stand-in's faults over its control interface.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -7,8 +7,8 @@
 use crate::answer::Answer;
 use crate::call::Call;
 
-/// Changes the faults that the call's body names and leaves the others, so that
-/// several tests of one stand-in don't have to know each other's faults.
+/// Sets the faults that the call's body names and keeps the others. Responds with the resulting
+/// faults, or with status 400 and no change when a name or value is invalid.
 pub(crate) fn switch<F>(faults: &mut F, call: &Call) -> Answer
 where
     F: Serialize + DeserializeOwned,
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine that writes marked answers at a set pace.
+//! A stand-in of a model engine, which generates marked responses at a configured rate.
 
 mod cache;
 mod execution;
@@ -32,10 +32,10 @@
 
 pub use execution::{End, Execution};
 
-/// How many events may wait for a slow reader before generation waits as well.
+/// Maximum number of buffered events of a stream; generation waits while the buffer is full.
 const STREAM_BUFFER: usize = 64;
 
-/// A model engine; a copy is the same engine.
+/// A model engine. Clones share their state.
 #[derive(Clone)]
 pub struct Engine {
     shared: Arc<Shared>,
@@ -68,7 +68,7 @@
 }
 
 impl Engine {
-    /// Starts an engine with its settings' versions loaded.
+    /// Creates an engine with the versions of its settings loaded.
     #[must_use]
     pub fn new(
         clock: Arc<dyn Clock>,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Answers one call.
+    /// Handles one call.
     pub async fn answer(&self, call: &Call) -> Answer {
         let now = self.shared.clock.now();
         match (call.method, call.segments().as_slice()) {
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Asks the attempt's generation to stop before its next token.
+    /// Marks a running attempt as cancelled; its generation then stops before the next chunk.
     fn cancel(&mut self, attempt: &str) -> Answer {
         self.cancels.push(attempt.to_owned());
         for it in &mut self.executions {
--- a/crates/fakes/src/engine/cache.rs
+++ b/crates/fakes/src/engine/cache.rs
@@ -1,11 +1,11 @@
-//! Cached prompt prefixes in limited memory.
+//! A cache of prompt prefixes with a limited number of entries.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use crate::engine::prompt::Prompt;
 
-/// The prefixes last used, the newest at the back.
+/// Digests of the most recently used prefixes, the newest last.
 #[derive(Debug)]
 pub(crate) struct Cache {
     limit: usize,
@@ -26,7 +26,7 @@
         self.hits
     }
 
-    /// Remembers a prompt and says how many of its tokens were cached.
+    /// Adds the prefixes of a prompt and returns how many of its tokens were cached.
     pub(crate) fn remember(&mut self, prompt: &Prompt) -> u64 {
         if self.limit == 0 {
             return 0;
--- a/crates/fakes/src/engine/execution.rs
+++ b/crates/fakes/src/engine/execution.rs
@@ -1,50 +1,50 @@
-//! The engine's own record of one attempt.
+//! The engine's record of an attempt.
 
 use serde::{Deserialize, Serialize};
 
-/// One attempt that an engine began to run.
+/// An attempt that an engine started to execute.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Execution {
-    /// The request, as the entry host named it.
+    /// The request's id, as assigned by the entry host.
     pub request: String,
-    /// The attempt, as the entry host named it.
+    /// The attempt's id, as assigned by the entry host.
     pub attempt: String,
-    /// The caller's own name for its call.
+    /// The caller's name for its call.
     pub call: String,
-    /// The version that ran.
+    /// The version that generated the response.
     pub version: String,
     /// The request class.
     pub class: String,
-    /// Whether the answer is good.
+    /// Whether the response is good.
     pub good: bool,
-    /// When it began, in milliseconds since the Unix epoch.
+    /// Start time in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// Prompt tokens charged.
+    /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Prompt tokens found in the cache.
     pub cached_tokens: u64,
     /// Tokens generated.
     pub completion_tokens: u64,
-    /// What it cost by the version's true price.
+    /// Cost at the version's actual price.
     pub cost_microcents: u64,
-    /// How it ended.
+    /// The state of the execution.
     pub end: End,
 }
 
-/// How an execution ended.
+/// The state of an execution: running, or the way in which it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// It still runs.
+    /// The execution has not ended.
     Running,
-    /// The whole answer was handed over.
+    /// The complete response was generated.
     Complete,
     /// The entry host cancelled it.
     Cancelled,
-    /// The reader went away.
+    /// The reader closed the connection.
     Disconnected,
-    /// A fault cut the answer short.
+    /// A fault closed the connection before the end of the response.
     Cut,
-    /// A fault answered with an error after the work.
+    /// A fault made the attempt fail.
     Failed,
 }
--- a/crates/fakes/src/engine/faults.rs
+++ b/crates/fakes/src/engine/faults.rs
@@ -1,32 +1,35 @@
-//! What can go wrong with an engine, switched over `POST /control/faults`.
+//! The faults of an engine, set with `POST /control/faults`.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// All shares are between 0 and 1 and drawn for each attempt.
+/// The faults of an engine. All shares are between 0 and 1 and drawn for each attempt.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Faults {
-    /// Each answer begins so much later.
+    /// Additional delay before each response begins.
     pub(crate) delay_ms: u64,
-    /// This share fails with status 500 after the work was done.
+    /// The share of attempts that fail: with status 500 after the work, or, when streaming, by
+    /// closing the connection before the first chunk.
     pub(crate) errors: f64,
-    /// This share is cut after `cut_after` chunks.
+    /// The share of responses whose connection is closed: after `cut_after` chunks when streaming,
+    /// without a response otherwise.
     pub(crate) cut: f64,
-    /// How many chunks come before a cut.
+    /// Number of chunks that are sent before a cut.
     pub(crate) cut_after: u64,
-    /// This share sends its second chunk twice.
+    /// The share of streams that send their second chunk twice.
     pub(crate) duplicate: f64,
-    /// This share sends its second and third chunk in the wrong order.
+    /// The share of streams that send their second and third chunk in the wrong order.
     pub(crate) reorder: f64,
-    /// Work is refused with this code.
+    /// Refuses requests with this code.
     pub(crate) refuse: Option<String>,
-    /// For each version the share of answers that turn bad whatever its truth.
+    /// The share of responses that are bad in addition to the version's configured quality, by
+    /// version.
     pub(crate) bad: BTreeMap<String, f64>,
-    /// Work is refused, and the load report says so.
+    /// Refuses requests and reports the state `leaving` in the load report.
     pub(crate) leaving: bool,
-    /// The engine's life; work meant for another is refused.
+    /// The engine's incarnation; requests that name another one are refused.
     pub(crate) incarnation: u64,
 }
 
--- a/crates/fakes/src/engine/generation.rs
+++ b/crates/fakes/src/engine/generation.rs
@@ -1,4 +1,4 @@
-//! One attempt: its truth is drawn, its tokens are written at the version's pace.
+//! Generation of the response to one attempt, at the version's speed.
 
 use std::io;
 use std::time::Duration;
@@ -21,12 +21,12 @@
 
 type Events = mpsc::Sender<io::Result<Vec<u8>>>;
 
-/// The version's confidence in an answer lies around these, as far as it knows.
+/// The confidence that a version with fully informative confidence reports, before noise.
 const SURE: f64 = 0.9;
 const UNSURE: f64 = 0.2;
 const SPREAD: f64 = 0.2;
 
-/// An attempt that holds a slot.
+/// A running attempt, which holds a slot.
 pub(crate) struct Generation {
     engine: Engine,
     slot: Option<Slot>,
@@ -50,7 +50,7 @@
 }
 
 impl Generation {
-    /// Draws the attempt's truth and enters it into the engine's record.
+    /// Draws the attempt's quality and faults and adds it to the engine's records.
     pub(crate) fn new(engine: Engine, slot: Slot, call: &Call, prompt: &Prompt) -> Self {
         let shared = &engine.shared;
         let truth = shared.truth.get(&prompt.model).cloned().unwrap_or_default();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Writes the answer as server-sent events.
+    /// Writes the response as server-sent events.
     pub(crate) async fn stream(mut self, mut events: Events) {
         task::sleep(self.first_after).await;
         if self.plan.fails {
@@ -139,13 +139,13 @@
         let tokens = self.texts.len();
         let last = event(&self.last_chunk());
         let done = b"data: [DONE]\n\n".to_vec();
-        // The record is closed before the reader can know that the answer is whole.
+        // The record is complete before the reader can see the end of the response.
         self.end(tokens, End::Complete);
         let _ = events.send(Ok(last)).await;
         let _ = events.send(Ok(done)).await;
     }
 
-    /// Writes the answer as one object.
+    /// Returns the response as one JSON object.
     pub(crate) async fn whole(mut self) -> Answer {
         task::sleep(self.first_after).await;
         let tokens = self.texts.len();
@@ -173,7 +173,8 @@
         Answer::ok(&body)
     }
 
-    /// The chunks' numbers as they are sent, with the faults drawn for this attempt.
+    /// Returns the indices of the chunks in the order of sending, with the faults drawn for this
+    /// attempt.
     fn order(&self) -> Vec<usize> {
         let mut order: Vec<_> = (0..self.texts.len()).collect();
         if self.plan.reorder && order.len() > 2 {
@@ -249,5 +250,8 @@
 }
 
 fn cut() -> io::Error {
-    io::Error::new(io::ErrorKind::ConnectionReset, "cut by a fault")
+    io::Error::new(
+        io::ErrorKind::ConnectionReset,
+        "closed by an injected fault",
+    )
 }
--- a/crates/fakes/src/engine/loads.rs
+++ b/crates/fakes/src/engine/loads.rs
@@ -1,4 +1,4 @@
-//! Which versions an engine has loaded, and the orders that change it.
+//! The versions that an engine has loaded, and the orders that load and unload them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::plain::millis;
 use crate::settings::EngineSettings;
 
-/// The versions and when each is or was ready.
+/// The versions of an engine, each with the time at which it is ready.
 #[derive(Debug)]
 pub(crate) struct Loads {
     fences: bool,
@@ -18,7 +18,7 @@
     changes: Vec<Change>,
 }
 
-/// The state that an order wants.
+/// The state that an order asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Wanted {
@@ -33,7 +33,7 @@
     state: &'static str,
 }
 
-/// An order that was accepted, with the fencing number it carried.
+/// An order that was applied, with its fencing number.
 #[derive(Debug, Serialize)]
 pub(crate) struct Change {
     at_ms: u64,
@@ -59,8 +59,8 @@
         self.ready.get(version).is_some_and(|ready| *ready <= now)
     }
 
-    /// Applies an order; a stale one is refused with the highest number seen,
-    /// where the engine checks.
+    /// Applies an order. An engine that checks fencing numbers refuses a stale order and returns
+    /// the highest number seen as the error.
     pub(crate) fn order(
         &mut self,
         now: Duration,
--- a/crates/fakes/src/engine/prompt.rs
+++ b/crates/fakes/src/engine/prompt.rs
@@ -1,11 +1,11 @@
-//! The body of a chat call to an engine.
+//! The body of a chat request to an engine.
 
 use serde::Deserialize;
 use serde_json::Value;
 
 use crate::mark::Mark;
 
-/// A text of so many characters is counted as one token.
+/// Bytes of text that are counted as one token.
 const CHARS_PER_TOKEN: usize = 4;
 
 #[derive(Debug, Deserialize)]
@@ -28,7 +28,7 @@
 }
 
 impl Prompt {
-    /// The caller's own name for its call; the newest message that has one counts.
+    /// Returns the caller's name for its call, from the newest message that has one.
     pub(crate) fn call(&self) -> String {
         let named = |it: &Message| it.content.as_str().and_then(Mark::call).map(str::to_owned);
         self.messages
@@ -42,8 +42,7 @@
         self.messages.iter().map(Message::tokens).sum()
     }
 
-    /// Every beginning of the conversation, the longest last: how many tokens
-    /// it has and its text.
+    /// Returns the token count and text of every prefix of the conversation, the longest last.
     pub(crate) fn prefixes(&self) -> Vec<(u64, String)> {
         let mut tokens = 0;
         let mut text = self.model.clone();
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The lagging host list.
+//! A stand-in of the host list, whose readers see changes after a lag.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,13 +15,13 @@
 use crate::control;
 use crate::lagged::Lagged;
 
-/// Shows callers which hosts there were some time ago.
+/// The host list. `GET /v1/hosts` returns its state as of the configured lag ago.
 pub struct Hosts {
     clock: Arc<dyn Clock>,
     inner: Mutex<Inner>,
 }
 
-/// One entry of the list; see `docs/PROTOCOLS.md` for its fields.
+/// An entry of the host list; see `docs/PROTOCOLS.md` for its fields.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
@@ -29,26 +29,26 @@
     pub name: String,
     /// `entry`, `engine` or `service`.
     pub kind: String,
-    /// Which life of the host this is.
+    /// The incarnation of the host.
     pub incarnation: u64,
-    /// Where callers or entry hosts connect to.
+    /// The address that callers or entry hosts connect to.
     pub address: String,
-    /// Where other entry hosts connect to.
+    /// The address that other entry hosts connect to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fleet_address: Option<String>,
-    /// The data centre it stands in.
+    /// The data centre of the host.
     pub data_centre: String,
-    /// The region of that data centre.
+    /// The region of the data centre.
     pub region: String,
     /// `live` or `leaving`.
     pub state: String,
-    /// The plain service it serves.
+    /// The plain service that the host serves.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
-    /// The versions it was started with.
+    /// The versions that the host was started with.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub versions: Vec<String>,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether the host refuses orders that carry an old fencing number.
     #[serde(default)]
     pub fences: bool,
 }
@@ -77,7 +77,7 @@
 }
 
 impl Hosts {
-    /// Starts with hosts that are seen at once.
+    /// Creates a list whose initial hosts are visible at once.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, lag: Duration, hosts: Vec<Host>) -> Self {
         let hosts = hosts.into_iter().map(|it| (it.name.clone(), it)).collect();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Answers one call.
+    /// Handles one call.
     pub async fn answer(&self, call: &Call) -> Answer {
         if call.path.first().is_some_and(|it| it == "v1") {
             let delay = self.with(|it| it.faults.delay_ms);
--- a/crates/fakes/src/lagged.rs
+++ b/crates/fakes/src/lagged.rs
@@ -1,9 +1,9 @@
-//! A value of which callers see the past.
+//! A value whose readers see changes after a lag.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A value whose changes are seen only after a lag.
+/// A value whose changes become visible after a lag.
 #[derive(Debug)]
 pub(crate) struct Lagged<T> {
     lag: Duration,
@@ -11,7 +11,7 @@
 }
 
 impl<T> Lagged<T> {
-    /// Starts with a value that is seen at once.
+    /// Creates a value that is visible at once.
     pub(crate) fn new(lag: Duration, value: T) -> Self {
         Self {
             lag,
@@ -24,24 +24,24 @@
         self.past.push_back((now, value));
     }
 
-    /// Changes the lag of what has been set and of what will be.
+    /// Sets the lag, also for values that are not visible yet.
     pub(crate) fn set_lag(&mut self, lag: Duration) {
         self.lag = lag;
     }
 
     pub(crate) fn newest(&self) -> &T {
-        let (_, value) = self.past.back().expect("the past never gets empty");
+        let (_, value) = self.past.back().expect("the history is never empty");
         value
     }
 
-    /// What a caller sees now.
+    /// Returns the value that is visible at `now`.
     pub(crate) fn seen(&mut self, now: Duration) -> &T {
         self.forget(now);
-        let (_, value) = self.past.front().expect("the past never gets empty");
+        let (_, value) = self.past.front().expect("the history is never empty");
         value
     }
 
-    /// Forgets what lies behind the newest value old enough to be seen.
+    /// Removes the values that are older than the visible one.
     fn forget(&mut self, now: Duration) {
         let visible = now.saturating_sub(self.lag);
         while self.past.get(1).is_some_and(|(set, _)| *set <= visible) {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for the platform, the engines and the plain services, so that the
-//! whole path can be run, broken and measured on one machine.
+//! Stand-ins of the platform, of model engines and of plain services, for tests, demos and
+//! measurements on one host.
 //!
-//! Each stand-in keeps its own record of what really ran; tests and chores set
-//! that record against what callers were told. The protocols are those of
-//! `docs/PROTOCOLS.md`; settings and faults are in `docs/operate/stand-ins.md`.
+//! Each stand-in records the work it executed; tests and tools compare these records with the
+//! responses that callers got. The protocols are those of `docs/PROTOCOLS.md`; settings and
+//! faults are in `docs/operate/stand-ins.md`.
 
 mod answer;
 mod call;
--- a/crates/fakes/src/main.rs
+++ b/crates/fakes/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins in one small process, never shipped.
+//! Runs the stand-ins of a settings file in one process, for tests and demos.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,11 +12,11 @@
 
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 enum Error {
-    #[display("the settings can't be read")]
+    #[display("cannot read the settings file")]
     Read,
-    #[display("the settings are wrong")]
+    #[display("invalid settings")]
     Settings,
-    #[display("an address can't be bound")]
+    #[display("cannot bind the address of a stand-in")]
     Bind,
 }
 
@@ -54,7 +54,7 @@
         .await
         .change_context(Error::Bind)?;
     let addresses =
-        serde_json::to_string(&started.addresses()).expect("names and addresses are plain text");
+        serde_json::to_string(&started.addresses()).expect("names and addresses serialize");
     println!("ready {addresses}");
     future::pending::<()>().await;
     Ok(())
--- a/crates/fakes/src/mark.rs
+++ b/crates/fakes/src/mark.rs
@@ -1,27 +1,27 @@
-//! The mark that an engine stand-in writes into its answers, so that the rating
-//! service and the callers can tell what they were given.
+//! The mark that the engine stand-in writes into its responses. The rating service and the
+//! callers read from it which attempt, version and call a response belongs to.
 
-/// What comes before the attempt in the text that closes an answer.
+/// Prefix of the text that closes a response; the attempt follows.
 const END: &str = " [[end=";
 
-/// The readable mark at the head of an answer:
+/// The mark at the start of a response:
 /// `[[request=… attempt=… version=… call=… good=1]]`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Mark {
-    /// The request, as the entry host named it.
+    /// The request's id, as assigned by the entry host.
     pub request: String,
-    /// The attempt, as the entry host named it.
+    /// The attempt's id, as assigned by the entry host.
     pub attempt: String,
-    /// The version that wrote the answer.
+    /// The version that generated the response.
     pub version: String,
-    /// The caller's own name for its call, taken from `[[call=…]]` in the prompt.
+    /// The caller's name for its call, from `[[call=…]]` in the prompt.
     pub call: String,
-    /// Whether the answer is good, which only the stand-ins know.
+    /// Whether the response is good.
     pub good: bool,
 }
 
 impl Mark {
-    /// The mark as it stands in an answer.
+    /// Formats the mark for a response.
     #[must_use]
     pub fn text(&self) -> String {
         format!(
@@ -34,7 +34,7 @@
         )
     }
 
-    /// Reads the mark at the head of an answer.
+    /// Parses the mark at the start of a response.
     #[must_use]
     pub fn parse(answer: &str) -> Option<Self> {
         let inner = answer.strip_prefix("[[")?.split_once("]]")?.0;
@@ -52,7 +52,8 @@
         Some(mark)
     }
 
-    /// Whether an answer is one attempt's, from its mark to its end.
+    /// Returns whether a response is the complete output of a single attempt: a mark, all words in
+    /// order, and the closing text of the same attempt.
     #[must_use]
     pub fn is_whole(answer: &str) -> bool {
         let Some(mark) = Self::parse(answer) else {
@@ -71,12 +72,12 @@
             && answer.ends_with(&Self::end(&mark.attempt, words.len()))
     }
 
-    /// The text that closes an answer of so many words.
+    /// Formats the text that closes a response of `words` words.
     pub(crate) fn end(attempt: &str, words: usize) -> String {
         format!("{END}{attempt} words={words}]]")
     }
 
-    /// The caller's name for its call, from a prompt.
+    /// Returns the caller's name for its call from a prompt.
     pub(crate) fn call(prompt: &str) -> Option<&str> {
         let (_, rest) = prompt.rsplit_once("[[call=")?;
         rest.split_once("]]").map(|(call, _)| call)
--- a/crates/fakes/src/objects.rs
+++ b/crates/fakes/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object store.
+//! A stand-in of the object store.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
@@ -13,7 +13,7 @@
 use crate::call::Call;
 use crate::control;
 
-/// Whole objects under a name.
+/// An object store, which maps names to bytes.
 #[derive(Debug, Default)]
 pub struct Objects {
     inner: Mutex<Inner>,
@@ -36,7 +36,7 @@
 }
 
 impl Objects {
-    /// Answers one call.
+    /// Handles one call.
     pub async fn answer(&self, call: &Call) -> Answer {
         if call.path.first().is_some_and(|it| it == "v1") {
             let delay = self.with(|it| it.faults.delay_ms);
--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service, which counts what it executes.
+//! A stand-in of a plain service's endpoint, which counts the calls that it executes.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -28,23 +28,23 @@
     inner: Mutex<Inner>,
 }
 
-/// One execution of a call.
+/// An execution of a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
-    /// The request, as the entry host named it.
+    /// The request's id, as assigned by the entry host.
     pub request: String,
-    /// The attempt, as the entry host named it.
+    /// The attempt's id, as assigned by the entry host.
     pub attempt: String,
-    /// The caller's own name for its call: the body's field `call`, or the
-    /// query's, or its idempotency key.
+    /// The caller's name for its call: the field `call` of the body, else the query parameter
+    /// `call`, else the idempotency key.
     pub call: String,
     /// The HTTP method.
     pub method: String,
-    /// The path below the service.
+    /// The path within the service.
     pub path: String,
-    /// When it ran, in milliseconds since the Unix epoch.
+    /// Start time in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// Whether an answer was given for it.
+    /// Whether the endpoint gave a successful response.
     pub answered: bool,
 }
 
@@ -60,22 +60,22 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Faults {
-    /// Each call takes so much longer.
+    /// Additional duration of each call.
     delay_ms: u64,
-    /// This share of calls is answered 500 after it has been executed.
+    /// The share of calls that get status 500 after they were executed.
     errors: f64,
-    /// So many calls are executed while the connection closes without an answer.
+    /// The number of next calls that are executed but get no response: the connection is closed.
     lose_answers: u64,
-    /// Calls are refused with this code and not executed.
+    /// Refuses calls with this code, without executing them.
     refuse: Option<String>,
-    /// Work is refused, and the load report says so.
+    /// Refuses calls and reports the state `leaving` in the load report.
     leaving: bool,
-    /// The endpoint's life; calls meant for another are refused.
+    /// The endpoint's incarnation; calls that name another one are refused.
     incarnation: u64,
 }
 
 impl Plain {
-    /// Starts an endpoint without records.
+    /// Creates an endpoint with no records.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, settings: PlainSettings, seed: u64) -> Self {
         let faults = Faults {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Answers one call.
+    /// Handles one call.
     pub async fn answer(&self, call: &Call) -> Answer {
         match (call.method, call.segments().as_slice()) {
             (Method::Post, ["control", "faults"]) => {
--- a/crates/fakes/src/rating.rs
+++ b/crates/fakes/src/rating.rs
@@ -1,4 +1,4 @@
-//! The rating service: late, noisy, and often silent.
+//! A stand-in of the rating service, whose ratings can be delayed, wrong or missing.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,7 +19,7 @@
 
 const PAGE: usize = 500;
 
-/// Rates answers by the mark that the engine stand-ins write into them.
+/// Rates responses by the mark that the engine stand-ins write into them.
 pub struct Rating {
     clock: Arc<dyn Clock>,
     seed: u64,
@@ -38,11 +38,11 @@
 #[serde(deny_unknown_fields)]
 struct Faults {
     outage: bool,
-    /// How long a rating takes to come.
+    /// The delay of each rating.
     late_ms: u64,
-    /// The share of ratings that say the opposite of the truth.
+    /// The share of ratings that are inverted.
     noise: f64,
-    /// The share of ratings that never come.
+    /// The share of ratings that are never delivered.
     never: f64,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Rating {
-    /// Starts with no answer rated.
+    /// Creates a service with no ratings.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, settings: &RatingSettings, seed: u64) -> Self {
         let faults = Faults {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Answers one call.
+    /// Handles one call.
     pub fn answer(&self, call: &Call) -> Answer {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -152,8 +152,9 @@
         Answer::ok(&json!({ "ratings": ratings }))
     }
 
-    /// Numbers what has come due. The numbers are given here and not on asking,
-    /// so that a rating that comes late never hides behind a reader's cursor.
+    /// Publishes the ratings that are due. Sequence numbers are assigned here and not on request:
+    /// otherwise a rating that becomes due late could get a number below a reader's cursor and
+    /// would never be read.
     fn ripen(&mut self, now: Duration) {
         for Pending { ask, good, .. } in self.pending.extract_if(.., |it| it.due <= now) {
             let ready = self.ready.entry(ask.reply_to).or_default();
--- a/crates/fakes/src/rng.rs
+++ b/crates/fakes/src/rng.rs
@@ -1,12 +1,12 @@
-//! Random numbers that depend only on the seed and on what they are drawn for,
-//! so that the order in which requests happen to arrive changes nothing.
+//! Random number generators derived from the seed and a key, so that the draws for a request
+//! don't depend on the order in which requests arrive.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// The generator for one draw.
+/// Creates the generator for a key.
 pub(crate) fn drawn_for<T: Hash>(seed: u64, what: &T) -> Pcg64Mcg {
     let mut hasher = DefaultHasher::new();
     seed.hash(&mut hasher);
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -1,4 +1,4 @@
-//! The accept loop of one stand-in.
+//! The HTTP server of one stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::call::Call;
 use crate::stand_in::StandIn;
 
-/// A stand-in that listens on an address until it is dropped.
+/// A stand-in that listens on an address. Dropping it stops the accept loop.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
@@ -44,18 +44,16 @@
 }
 
 async fn serve(io: TcpStream, stand_in: Arc<StandIn>) {
-    // Without this each small event would wait for the answer to the one before.
+    // With Nagle's algorithm, each small event would wait for the acknowledgement of the last.
     let _ = io.set_nodelay(true);
-    // An error here is a caller that went away or an answer that is to be lost;
-    // both end in a closed connection, which is what the caller is to see.
+    // An error here is a caller that disconnected or a response that a fault drops; either way
+    // the connection is closed, as intended.
     let _ = async_h1::accept(io, |req| respond(Arc::clone(&stand_in), req)).await;
 }
 
 async fn respond(stand_in: Arc<StandIn>, req: Request) -> http_types::Result<Response> {
     let call = Call::read(req).await?;
-    stand_in
-        .answer(&call)
-        .await
-        .response()
-        .ok_or_else(|| http_types::Error::from_str(StatusCode::ServiceUnavailable, "lost answer"))
+    stand_in.answer(&call).await.response().ok_or_else(|| {
+        http_types::Error::from_str(StatusCode::ServiceUnavailable, "dropped response")
+    })
 }
--- a/crates/fakes/src/settings.rs
+++ b/crates/fakes/src/settings.rs
@@ -1,17 +1,17 @@
-//! Which stand-ins to run, as one TOML file; see `docs/operate/stand-ins.md`.
+//! The TOML settings file of the stand-ins; see `docs/operate/stand-ins.md`.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The whole file.
+/// The contents of a settings file.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Every random number comes from this.
+    /// The seed of all random numbers.
     #[serde(default)]
     pub seed: u64,
-    /// What the versions really do, which the system under test never sees.
+    /// The actual quality, price and speed of each version, hidden from the router under test.
     #[serde(default)]
     pub versions: BTreeMap<String, Truth>,
     /// Table services.
@@ -34,24 +34,25 @@
     pub rating: Vec<RatingSettings>,
 }
 
-/// What is true of a version.
+/// The actual quality, price and speed of a version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Truth {
-    /// For each request class the probability that an answer is good; the class
-    /// `default` stands for all others.
+    /// The probability that a response is good, by request class; the class `default` stands for
+    /// all others.
     pub good: BTreeMap<String, f64>,
-    /// How much the reported confidence tells: 0 nothing, 1 everything.
+    /// How strongly the reported confidence depends on whether the response is good: from 0 (not
+    /// at all) to 1 (fully).
     pub confidence: f64,
-    /// Microcents for a million prompt tokens.
+    /// Price of a million prompt tokens in microcents.
     pub price_prompt: u64,
-    /// Microcents for a million completion tokens.
+    /// Price of a million completion tokens in microcents.
     pub price_completion: u64,
-    /// Words in an answer.
+    /// Words in a response.
     pub words: u64,
-    /// Microseconds for one prompt token that is not cached.
+    /// Processing time of a prompt token that is not cached, in microseconds.
     pub prompt_us: u64,
-    /// Microseconds for one generated token.
+    /// Generation time of a token, in microseconds.
     pub token_us: u64,
 }
 
@@ -61,7 +62,7 @@
 pub struct StoreSettings {
     /// The stand-in's name.
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 takes a free port.
     #[serde(default = "any_port")]
     pub address: String,
 }
@@ -72,10 +73,10 @@
 pub struct HostsSettings {
     /// The stand-in's name.
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 takes a free port.
     #[serde(default = "any_port")]
     pub address: String,
-    /// How long a change takes to be seen.
+    /// The lag after which a change becomes visible.
     #[serde(default)]
     pub lag_ms: u64,
 }
@@ -86,34 +87,34 @@
 pub struct EngineSettings {
     /// The stand-in's name, also in the host list.
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 takes a free port.
     #[serde(default = "any_port")]
     pub address: String,
-    /// The data centre it stands in.
+    /// The data centre of the endpoint.
     pub data_centre: String,
-    /// The region of that data centre.
+    /// The region of the data centre.
     #[serde(default = "one_region")]
     pub region: String,
-    /// Which life of the host this is.
+    /// The incarnation of the endpoint.
     #[serde(default = "first")]
     pub incarnation: u64,
-    /// How many requests run at once.
+    /// Maximum number of requests that run at the same time.
     pub slots: usize,
-    /// How many wait before more are refused as overloaded.
+    /// Maximum queue length; further requests are refused as overloaded.
     #[serde(default)]
     pub queue: usize,
-    /// The versions that are loaded at the start.
+    /// The versions that are loaded initially.
     pub versions: Vec<String>,
-    /// Whether an order that carries an old fencing number is refused.
+    /// Whether orders that carry an old fencing number are refused.
     #[serde(default)]
     pub fences: bool,
-    /// How long it takes to load a version.
+    /// Time to load a version.
     #[serde(default)]
     pub load_ms: u64,
     /// The age of the load report.
     #[serde(default)]
     pub load_lag_ms: u64,
-    /// How many prompt prefixes are cached.
+    /// Capacity of the prefix cache; 0 disables it.
     #[serde(default)]
     pub prefixes: usize,
 }
@@ -124,25 +125,25 @@
 pub struct PlainSettings {
     /// The stand-in's name, also in the host list.
     pub name: String,
-    /// The service it serves.
+    /// The service that the endpoint serves.
     pub service: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 takes a free port.
     #[serde(default = "any_port")]
     pub address: String,
-    /// The data centre it stands in.
+    /// The data centre of the endpoint.
     pub data_centre: String,
-    /// The region of that data centre.
+    /// The region of the data centre.
     #[serde(default = "one_region")]
     pub region: String,
-    /// Which life of the host this is.
+    /// The incarnation of the endpoint.
     #[serde(default = "first")]
     pub incarnation: u64,
-    /// How many calls run at once.
+    /// Maximum number of calls that run at the same time.
     pub slots: usize,
-    /// How many wait before more are refused as overloaded.
+    /// Maximum queue length; further requests are refused as overloaded.
     #[serde(default)]
     pub queue: usize,
-    /// How long a call takes.
+    /// Duration of a call.
     #[serde(default)]
     pub work_ms: u64,
     /// The age of the load report.
@@ -156,33 +157,33 @@
 pub struct RatingSettings {
     /// The stand-in's name.
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 takes a free port.
     #[serde(default = "any_port")]
     pub address: String,
-    /// How long a rating takes to come.
+    /// The delay of each rating.
     #[serde(default)]
     pub late_ms: u64,
-    /// The share of ratings that say the opposite of the truth.
+    /// The share of ratings that are inverted.
     #[serde(default)]
     pub noise: f64,
-    /// The share of ratings that never come.
+    /// The share of ratings that are never delivered.
     #[serde(default)]
     pub never: f64,
 }
 
 impl Settings {
-    /// Reads the file's text.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
     ///
-    /// With line, key and what is accepted.
+    /// Returns the parser's error, which names the line and the key.
     pub fn parse(text: &str) -> Result<Self, toml::de::Error> {
         toml::from_str(text)
     }
 }
 
 impl Truth {
-    /// The probability that an answer to a class is good.
+    /// Returns the probability that a response to a request of `class` is good.
     #[must_use]
     pub fn good(&self, class: &str) -> f64 {
         let default = || self.good.get("default");
--- a/crates/fakes/src/slots.rs
+++ b/crates/fakes/src/slots.rs
@@ -1,17 +1,17 @@
-//! Places to run and a queue by priority before them.
+//! Concurrency slots of an endpoint, with a priority queue.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use futures::channel::oneshot;
 
-/// The places of one endpoint.
+/// The slots of an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Slots {
     inner: Arc<Mutex<Inner>>,
 }
 
-/// A place that is given back when it is dropped.
+/// An acquired slot, which is released on drop.
 #[derive(Debug)]
 pub(crate) struct Slot {
     slots: Slots,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Waits for a place; none when the queue is full.
+    /// Waits for a slot; returns `None` at once when the queue is full.
     pub(crate) async fn enter(&self, priority: &str) -> Option<Slot> {
         let entry = self.lock().enter(rank(priority))?;
         if let Entry::Wait(turn) = entry {
@@ -90,7 +90,7 @@
         Some(Entry::Wait(turn))
     }
 
-    /// Hands the place to the first that still waits for it.
+    /// Passes the slot to the first request in the queue that still waits for it, or frees it.
     fn leave(&mut self) {
         while let Some((_, next)) = self.waiting.pop_first() {
             if next.send(()).is_ok() {
--- a/crates/fakes/src/stand_in.rs
+++ b/crates/fakes/src/stand_in.rs
@@ -1,4 +1,4 @@
-//! The closed set of stand-ins.
+//! The enumeration of all kinds of stand-ins.
 
 use crate::answer::Answer;
 use crate::call::Call;
@@ -9,7 +9,7 @@
 use crate::rating::Rating;
 use crate::table::Table;
 
-/// One stand-in of any kind.
+/// A stand-in of any kind.
 #[derive(derive_more::From)]
 pub enum StandIn {
     /// The table service.
@@ -27,7 +27,7 @@
 }
 
 impl StandIn {
-    /// Answers one call.
+    /// Handles one call.
     pub async fn answer(&self, call: &Call) -> Answer {
         match self {
             Self::Table(it) => it.answer(call).await,
--- a/crates/fakes/src/started.rs
+++ b/crates/fakes/src/started.rs
@@ -1,4 +1,4 @@
-//! All stand-ins of one settings file, listening.
+//! The running stand-ins of a settings file.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,19 +19,19 @@
 use crate::stand_in::StandIn;
 use crate::table::Table;
 
-/// Running stand-ins; dropping this stops them from accepting.
+/// Running stand-ins. Dropping this stops their accept loops.
 #[derive(Debug, Default)]
 pub struct Started {
     servers: BTreeMap<String, Server>,
 }
 
 impl Started {
-    /// Starts all stand-ins. Engines and services enter every host list by
-    /// themselves; entry hosts are added over `POST /control/hosts`.
+    /// Starts all stand-ins. Engines and services are listed in every host list; entry hosts are
+    /// added with `POST /control/hosts`.
     ///
     /// # Errors
     ///
-    /// When an address can't be bound.
+    /// Returns an error when an address can't be bound.
     pub async fn start(clock: Arc<dyn Clock>, settings: Settings) -> io::Result<Self> {
         let mut started = Self::default();
         let mut hosts = Vec::new();
@@ -66,7 +66,7 @@
         Ok(started)
     }
 
-    /// Where each stand-in listens, by its name.
+    /// Returns the listening address of each stand-in by its name.
     #[must_use]
     pub fn addresses(&self) -> BTreeMap<&str, SocketAddr> {
         self.servers
--- a/crates/fakes/src/table.rs
+++ b/crates/fakes/src/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table service.
+//! A stand-in of the transactional table service.
 
 mod rows;
 
@@ -17,7 +17,7 @@
 
 const SCAN_LIMIT: usize = 1000;
 
-/// Rows behind atomic transactions, with the outages and lost answers of a real one.
+/// A table with atomic transactions, which can simulate outages, delays and lost responses.
 #[derive(Debug, Default)]
 pub struct Table {
     inner: Mutex<Inner>,
@@ -35,16 +35,17 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Faults {
-    /// Every call is answered 503 and has no effect.
+    /// Every call gets status 503 and has no effect.
     outage: bool,
-    /// Each call takes so much longer.
+    /// Additional duration of each call.
     delay_ms: u64,
-    /// So many writes take effect while the connection closes without an answer.
+    /// The number of next transactions that are executed but get no response: the connection is
+    /// closed.
     lose_answers: u64,
 }
 
 impl Table {
-    /// Answers one call.
+    /// Handles one call.
     pub async fn answer(&self, call: &Call) -> Answer {
         if call.path.first().is_some_and(|it| it == "v1") {
             let delay = self.with(|it| it.faults.delay_ms);
--- a/crates/fakes/src/table/rows.rs
+++ b/crates/fakes/src/table/rows.rs
@@ -1,4 +1,4 @@
-//! The table's rows and its transactions, without time or faults.
+//! The rows of the table and its transactions.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// All rows, and the counter their versions come from.
+/// All rows, and the counter from which their versions are assigned.
 #[derive(Debug, Default)]
 pub(crate) struct Rows {
     rows: BTreeMap<String, Stored>,
     last: u64,
 }
 
-/// Conditions that must all hold for the writes to take effect.
+/// Writes that are applied when all conditions hold.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Transaction {
@@ -25,7 +25,7 @@
     deletes: Vec<String>,
 }
 
-/// A row as callers see it.
+/// A row in a response.
 #[derive(Debug, Serialize)]
 pub(crate) struct Row<'a> {
     key: &'a str,
@@ -33,7 +33,7 @@
     value: &'a Value,
 }
 
-/// A condition that did not hold, with the row's real version.
+/// A condition that did not hold, with the row's actual version.
 #[derive(Debug, Serialize)]
 pub(crate) struct Failed {
     key: String,
@@ -46,8 +46,8 @@
     value: Value,
 }
 
-/// A condition that says neither is a fault of the caller and not one that the
-/// row be absent.
+/// A condition on a row: its exact version, or its absence. Any other condition is rejected, so
+/// that a condition without a version isn't taken for one that the row is absent.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Condition {
@@ -55,7 +55,7 @@
     Absent { key: String, absent: True },
 }
 
-/// Only `true` says something about a row.
+/// A boolean that must be `true`: `absent: false` is not a condition on a row.
 #[derive(Debug, Deserialize)]
 #[serde(try_from = "bool")]
 struct True;
@@ -76,7 +76,8 @@
 }
 
 impl Rows {
-    /// Applies all writes, or none when a condition fails.
+    /// Applies all writes and returns the new versions, or applies none and returns the conditions
+    /// that failed.
     pub(crate) fn transact(
         &mut self,
         transaction: Transaction,
@@ -107,8 +108,8 @@
         Some(row(key, stored))
     }
 
-    /// Rows whose keys start with the prefix and sort behind `after`, and
-    /// whether there are more than the limit.
+    /// Returns up to `limit` rows whose keys start with `prefix` and sort after `after`, and
+    /// whether there are more.
     pub(crate) fn scan(&self, prefix: &str, after: &str, limit: usize) -> (Vec<Row<'_>>, bool) {
         let from = if after >= prefix && !after.is_empty() {
             Bound::Excluded(after)
--- a/crates/fakes/tests/scripts.rs
+++ b/crates/fakes/tests/scripts.rs
@@ -1,4 +1,4 @@
-//! Each stand-in's behaviour, as scripts of calls and their answers.
+//! Tests of each stand-in as scripts of calls and the expected responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,17 +25,22 @@
                 "ok\n".to_owned()
             }
             "call" => run(
-                stand_in.as_ref().expect("a script starts with `start`"),
+                stand_in.as_ref().expect("a script begins with `start`"),
                 &case.input,
             ),
-            other => panic!("no such directive: {other}"),
+            other => panic!("unknown directive: {other}"),
         });
     });
 }
 
 fn start(clock: &Arc<ManualClock>, case: &TestCase) -> (StandIn, String) {
-    let settings = Settings::parse(&case.input).expect("the script's settings");
-    let kind = case.args.keys().next().expect("a stand-in's kind").as_str();
+    let settings = Settings::parse(&case.input).expect("the settings in the script are valid");
+    let kind = case
+        .args
+        .keys()
+        .next()
+        .expect("`start` names a kind of stand-in")
+        .as_str();
     let seed = settings.seed;
     let stand_in = match kind {
         "table" => Table::default().into(),
@@ -50,13 +55,13 @@
         }
         "service" => Box::new(Plain::new(clock.clone(), settings.service[0].clone(), seed)).into(),
         "rating" => Rating::new(clock.clone(), &settings.rating[0], seed).into(),
-        other => panic!("no such stand-in: {other}"),
+        other => panic!("unknown kind of stand-in: {other}"),
     };
     (stand_in, "ok\n".to_owned())
 }
 
-/// Makes the calls in the input, which stand apart by empty lines: the method and
-/// path, then `header: value` lines, then the body.
+/// Makes the calls in the input, which are separated by empty lines. A call is a line with method
+/// and path, `header: value` lines and a body.
 fn run(stand_in: &StandIn, input: &str) -> String {
     let answers = input.split("\n\n").map(|text| {
         let call = parse(text);
@@ -72,9 +77,9 @@
     let (method, path) = lines
         .next()
         .and_then(|it| it.split_once(' '))
-        .expect("a call starts with its method and path");
-    let url = Url::parse(&format!("http://stand-in{path}")).expect("a path");
-    let mut req = Request::new(method.parse().expect("a method"), url);
+        .expect("a call begins with its method and path");
+    let url = Url::parse(&format!("http://stand-in{path}")).expect("the path is valid");
+    let mut req = Request::new(method.parse().expect("the method is valid"), url);
     let mut body = String::new();
     for line in lines {
         match line.split_once(": ") {
@@ -85,9 +90,11 @@
         }
     }
     req.set_body(body);
-    task::block_on(Call::read(req)).expect("a body in memory")
+    task::block_on(Call::read(req)).expect("a body in memory can be read")
 }
 
 fn arg(case: &TestCase, name: &str) -> u64 {
-    case.args[name][0].parse().expect("a number")
+    case.args[name][0]
+        .parse()
+        .expect("the argument is a number")
 }
--- a/crates/fakes/tests/sockets.rs
+++ b/crates/fakes/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The stand-ins over real connections, as the product's clients see them.
+//! Tests of the stand-ins over TCP connections with the router's HTTP client.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,8 +24,8 @@
 
 #[test]
 fn a_lost_answer_shows_as_maybe_sent() {
-    // An operator's change is in force although it seemed to fail: the table
-    // took it and the connection closed before the answer.
+    // Guards against a client that takes a lost response for a failed write: the table applied
+    // the write and the connection closed before the response.
     check(async |site| {
         site.post("table", "/control/faults", &json!({"lose_answers": 1}))
             .await
@@ -40,7 +40,8 @@
 
 #[test]
 fn a_cut_stream_shows_as_cut() {
-    // A restorer's plan stops in the middle: the engine's connection broke.
+    // Guards against a client that takes a stream for complete although its connection closed
+    // before the end.
     check(async |site| {
         let faults = json!({"cut": 1.0, "cut_after": 2});
         site.post("engine", "/control/faults", &faults)
--- a/crates/scenario/src/call.rs
+++ b/crates/scenario/src/call.rs
@@ -1,4 +1,4 @@
-//! One call by a caller, and what came of it in a line.
+//! A call by a caller and its outcome as a line of text.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::command::Arguments;
 use crate::defaults::{CUSTOMER, KEY_PREFIX};
 
-/// A call, ready to be made.
+/// A prepared call.
 pub(crate) struct Call {
     pub(crate) to: SocketAddr,
     pub(crate) limit: Duration,
@@ -19,13 +19,13 @@
     shape: Shape,
 }
 
-/// What came of a call.
+/// The outcome of a call.
 pub(crate) struct Outcome {
-    /// For the golden text.
+    /// The outcome as text, for the golden files.
     pub(crate) line: String,
-    /// The session token that came with the answer.
+    /// The session token of the response.
     pub(crate) session: Option<String>,
-    /// The caller's name for its call in the answer's mark.
+    /// The caller's name for its call, as it stands in the response.
     pub(crate) call: Option<String>,
 }
 
@@ -37,7 +37,8 @@
 }
 
 impl Call {
-    /// A call of the arguments: `profile=` asks for a chat, `path=` a plain service.
+    /// Prepares the call that the arguments describe: with `path=` to a plain service, else a chat
+    /// request with `profile=`.
     pub(crate) fn new(
         args: &Arguments<'_>,
         to: SocketAddr,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Makes the call.
+    /// Makes the call and waits for its outcome.
     pub(crate) async fn perform(self, client: Client) -> Outcome {
         match client.send(self.to, self.request, self.limit).await {
             Ok(answer) if answer.status.is_success() => answered(self.shape, &answer),
@@ -89,7 +90,7 @@
     }
 }
 
-/// The caller's own name for its call, by which the stand-ins record it.
+/// Returns the caller's name for its call, under which the stand-ins record it.
 fn name<'a>(args: &Arguments<'a>) -> &'a str {
     let named = args.maybe("called").or_else(|| args.maybe("key"));
     named.unwrap_or("unnamed")
@@ -156,7 +157,7 @@
     format!("200 version={version} whole={whole}{honest}{moved}")
 }
 
-/// The caller's own name for its call, as the engine marked the answer.
+/// Returns the caller's name for its call from the engine's mark.
 fn call_of(text: &str) -> Option<String> {
     Mark::parse(text).map(|it| it.call)
 }
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -1,4 +1,4 @@
-//! Plain calls to any process of a scenario.
+//! An HTTP client for all processes of a scenario.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,11 +8,11 @@
 use kernel::SystemClock;
 use serde_json::Value;
 
-/// More than any answer of a scenario.
+/// Maximum size of a response body in bytes.
 const BODY_LIMIT: usize = 16 << 20;
 
-/// A client that opens a connection of its own for each request, so that no
-/// scenario depends on what an earlier step left in a pool.
+/// A client that opens a new connection for each request, so that no step depends on connections
+/// that an earlier step left in the pool.
 #[derive(Clone)]
 pub(crate) struct Client {
     http: http::Client,
@@ -30,7 +30,9 @@
         }
     }
 
-    /// Sends and gives the answer with its whole body, or why there is none.
+    /// Sends a request and reads the complete response.
+    ///
+    /// Returns the error as text when there is no response within `limit`.
     pub(crate) async fn send(
         &self,
         to: SocketAddr,
@@ -54,7 +56,7 @@
         })
     }
 
-    /// The JSON that a `GET` gives, or nothing.
+    /// Sends a `GET` and returns the JSON body; `None` unless the status is a success.
     pub(crate) async fn get(&self, to: SocketAddr, target: &str, key: &str) -> Option<Value> {
         let request = Request::get(target).header("authorization", format!("Bearer {key}"));
         let answer = self.send(to, request, Duration::from_secs(2)).await.ok()?;
@@ -62,7 +64,7 @@
     }
 }
 
-/// An answer, read to its end.
+/// A completely read response.
 pub(crate) struct Answer {
     pub(crate) status: Status,
     pub(crate) headers: http::Headers,
@@ -70,7 +72,7 @@
 }
 
 impl Answer {
-    /// The body as JSON, or null.
+    /// Parses the body as JSON; returns null when it isn't valid.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
--- a/crates/scenario/src/command.rs
+++ b/crates/scenario/src/command.rs
@@ -1,13 +1,13 @@
-//! The arguments of a script's command.
+//! Arguments of a script's command.
 
 use std::collections::HashMap;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Arguments by their names, as `datadriven` reads them.
+/// Arguments by name, as parsed by `datadriven`.
 pub(crate) type Given = HashMap<String, Vec<String>>;
 
-/// A command's arguments: `name=value` or `name=(value, value)`.
+/// The arguments of a command: `name=value` or `name=(value, value)`.
 pub(crate) struct Arguments<'a> {
     given: &'a Given,
 }
@@ -17,54 +17,57 @@
         Self { given }
     }
 
-    /// The value of `name`; a script without it is wrong, which stops the test.
+    /// Returns the value of `name`; panics when it is missing.
     pub(crate) fn one(&self, name: &str) -> &'a str {
         self.maybe(name)
             .unwrap_or_else(|| panic!("the command needs `{name}=`"))
     }
 
-    /// The value of `name`, if it is given.
+    /// Returns the value of `name`, if it is given.
     pub(crate) fn maybe(&self, name: &str) -> Option<&'a str> {
         Some(self.given.get(name)?.first()?.as_str())
     }
 
-    /// The values of `name`, none when it is not given.
+    /// Returns the values of `name`; empty when it is not given.
     pub(crate) fn many(&self, name: &str) -> Vec<&'a str> {
         let values = self.given.get(name);
         values.map_or_else(Vec::new, |it| it.iter().map(String::as_str).collect())
     }
 
-    /// A name that may be a version's, whose `@` no argument can hold: `(big, 1)`.
+    /// Returns the values of `name` joined with `@`. A version's name is written as `(big, 1)`,
+    /// because `datadriven` doesn't accept `@` in an argument.
     pub(crate) fn joined(&self, name: &str) -> String {
         self.many(name).join("@")
     }
 
-    /// A path, whose `/` no argument can hold: `(hosts, a, drain)`.
+    /// Returns the values of `path` joined with `/`. A path is written as `(hosts, a, drain)`,
+    /// because `datadriven` doesn't accept `/` in an argument.
     pub(crate) fn path(&self) -> Option<String> {
         self.has("path").then(|| self.many("path").join("/"))
     }
 
-    /// Whether `name` stands there.
+    /// Returns whether `name` is given.
     pub(crate) fn has(&self, name: &str) -> bool {
         self.given.contains_key(name)
     }
 
-    /// A value of any type that can be parsed, or `default`.
+    /// Parses the value of `name`, or returns `default` when it is not given; panics when the value
+    /// is invalid.
     pub(crate) fn parsed<T: FromStr>(&self, name: &str, default: T) -> T {
         let parse = |it: &str| {
             it.parse()
-                .unwrap_or_else(|_| panic!("`{name}={it}` can't be read"))
+                .unwrap_or_else(|_| panic!("invalid argument `{name}={it}`"))
         };
         self.maybe(name).map_or(default, parse)
     }
 
-    /// The bound of a wait, five seconds unless the script says otherwise.
+    /// Returns the timeout of a wait, from `within_ms=`; five seconds by default.
     pub(crate) fn within(&self) -> Duration {
         Duration::from_millis(self.parsed("within_ms", 5_000))
     }
 }
 
-/// The arguments that stand in a line, without its command.
+/// Parses a line of arguments without a command.
 pub(crate) fn parse_line(line: &str) -> Given {
     let words = line.split_whitespace();
     words
--- a/crates/scenario/src/defaults.rs
+++ b/crates/scenario/src/defaults.rs
@@ -1,22 +1,22 @@
-//! The stand-ins and the configuration that every scenario begins with.
+//! The default stand-ins and configuration of a scenario.
 
 use serde_json::{Value, json};
 
-/// The customer of every call that names no other.
+/// The customer of calls without `customer=`.
 pub(crate) const CUSTOMER: &str = "kivuli";
-/// The bearer key of a customer is its name with this before it.
+/// Prefix of a customer's bearer key; the customer's name follows.
 pub(crate) const KEY_PREFIX: &str = "key-of-";
-/// The operators' bearer key.
+/// Bearer key of the operators.
 pub(crate) const OPERATOR_KEY: &str = "the operators' key of a scenario";
 
-/// One entry of the configuration.
+/// An entry of the configuration.
 pub(crate) struct Entry {
     pub(crate) kind: &'static str,
     pub(crate) name: &'static str,
     pub(crate) value: Value,
 }
 
-/// The configuration, in the order in which it can be accepted.
+/// Returns the entries of the default configuration. An entry comes after those that it refers to.
 pub(crate) fn entries() -> Vec<Entry> {
     vec![
         customer(CUSTOMER),
@@ -32,14 +32,19 @@
             kind: "services",
             name: "seats",
             value: json!({"routes": [
-                {"method": "POST", "prefix": "/holds", "repeat": "at_most_once", "priority": "urgent"},
+                {
+                    "method": "POST",
+                    "prefix": "/holds",
+                    "repeat": "at_most_once",
+                    "priority": "urgent",
+                },
                 {"method": "GET", "prefix": "/", "repeat": "idempotent", "priority": "urgent"},
             ]}),
         },
     ]
 }
 
-/// The settings of the stand-ins, without the engines.
+/// Settings of the stand-ins except the engines.
 pub(crate) const STAND_INS: &str = r#"
 seed = 7
 
@@ -97,14 +102,14 @@
 /// The engines of a scenario.
 pub(crate) struct Engines {
     pub(crate) count: usize,
-    /// Whether they refuse orders with an old fencing number.
+    /// Whether the engines refuse orders with an old fencing number.
     pub(crate) fences: bool,
-    /// How long they take to load a version.
+    /// Time to load a version.
     pub(crate) load_ms: u64,
 }
 
 impl Engines {
-    /// Their part of the stand-ins' settings.
+    /// Returns the engines' part of the stand-ins' settings.
     pub(crate) fn settings(&self) -> String {
         (0..self.count).map(|idx| self.engine(idx)).collect()
     }
@@ -136,7 +141,7 @@
     }
 }
 
-/// The value, with the hash of a customer's key where it says `key_of`.
+/// Replaces the field `key_of`, a customer's name, by `key_blake3`, the hash of its key.
 pub(crate) fn with_key(mut value: Value) -> Value {
     if let Some(name) = value.as_object_mut().and_then(|it| it.remove("key_of")) {
         value["key_blake3"] = json!(key_hash(name.as_str().unwrap_or_default()));
--- a/crates/scenario/src/host.rs
+++ b/crates/scenario/src/host.rs
@@ -1,4 +1,4 @@
-//! One entry host as a real process.
+//! An entry host as a child process.
 
 use std::fs::{self, File};
 use std::io;
@@ -16,7 +16,7 @@
 const OPERATORS_PORT: u16 = 7001;
 const FLEET_PORT: u16 = 7002;
 
-/// Where the platform's stand-ins listen.
+/// Addresses of the platform's stand-ins.
 #[derive(Clone, Copy)]
 pub(crate) struct Platform {
     pub(crate) table: SocketAddr,
@@ -25,14 +25,14 @@
     pub(crate) rating: SocketAddr,
 }
 
-/// Writes the files that all hosts share, once and before any of them reads them.
+/// Writes the key files that all hosts share. Called once, before the first host starts.
 pub(crate) fn write_shared_keys(dir: &Path, authority: &Authority) -> io::Result<()> {
     fs::write(dir.join("ca.pem"), &authority.certificate)?;
     fs::write(dir.join("operator.key"), OPERATOR_KEY)?;
     fs::write(dir.join("session.key"), "the session key of a scenario")
 }
 
-/// A running or ended `barleypind`.
+/// A `barleypind` process, running or exited.
 pub(crate) struct Host {
     pub(crate) name: String,
     pub(crate) data_centre: String,
@@ -41,7 +41,7 @@
 }
 
 impl Host {
-    /// Writes the host's files into `dir` and starts it.
+    /// Writes the host's keys and settings into `dir` and starts its process.
     pub(crate) fn start(
         binary: &Path,
         dir: &Path,
@@ -75,37 +75,37 @@
         })
     }
 
-    /// Where callers reach it.
+    /// Returns the address for callers.
     pub(crate) fn callers(&self) -> SocketAddr {
         (self.ip, CALLERS_PORT).into()
     }
 
-    /// Where operators reach it.
+    /// Returns the address for operators.
     pub(crate) fn operators(&self) -> SocketAddr {
         (self.ip, OPERATORS_PORT).into()
     }
 
-    /// Where other hosts reach it.
+    /// Returns the address for other hosts.
     pub(crate) fn fleet(&self) -> SocketAddr {
         (self.ip, FLEET_PORT).into()
     }
 
-    /// Sends a signal to this very process, by the handle that started it.
+    /// Sends a signal to the process.
     pub(crate) fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if let Some(id) = id {
-            // A process that has ended already is what the script sees next.
+            // Fails only when the process has exited; the script's next command shows that.
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Ends it at once and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub(crate) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Its exit status, once it has ended.
+    /// Returns the exit status if the process has exited.
     pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,9 +1,8 @@
-//! A small test language over real processes: a script starts entry hosts and
-//! stand-ins, brings about failures and prints what callers and stand-ins saw.
+//! A test language over real processes: a script starts entry hosts and stand-ins, causes
+//! failures and prints the outcomes that callers and stand-ins observed.
 //!
-//! `docs/scripts.md` teaches the language. This crate starts processes and
-//! so is for tests only; it judges nothing itself: the golden text beside each
-//! command does.
+//! `docs/scripts.md` describes the language. The output of each command is compared with the
+//! golden text in the script. This crate starts processes and is for tests only.
 
 mod call;
 mod client;
--- a/crates/scenario/src/limit.rs
+++ b/crates/scenario/src/limit.rs
@@ -1,14 +1,14 @@
-//! Waiting for a condition with a bound, in place of sleeping for a time.
+//! Waiting for a condition with a timeout.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
 
 use async_std::task;
 
-/// Time between two looks at a condition.
+/// Interval between two checks of a condition.
 const LOOK: Duration = Duration::from_millis(10);
 
-/// Looks at `condition` until it gives something or `bound` has passed.
+/// Polls `condition` until it returns a value or `bound` has passed. It is checked at least once.
 pub(crate) async fn until<T, F>(bound: Duration, mut condition: impl FnMut() -> F) -> Option<T>
 where
     F: Future<Output = Option<T>>,
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers that go on calling while a script does something else.
+//! Background load: callers that make calls while a script runs other commands.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 use crate::command::{Arguments, Given};
 use crate::defaults::{CUSTOMER, KEY_PREFIX};
 
-/// Callers at the same time.
+/// Number of concurrent callers.
 const CALLERS: usize = 8;
-/// Time between two calls of one caller.
+/// Pause between two calls of a caller.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// Callers that ask for addresses, keep them for as long as they are told,
-/// and call there without ever repeating a call.
+/// Running callers. Each one reads the host list, caches it for the time that the response
+/// states, calls the listed addresses and never retries a call.
 pub(crate) struct Load {
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<Counts>>,
 }
 
-/// What came of the calls.
+/// Outcomes of the calls.
 #[derive(Debug, Default)]
 struct Counts {
     answered: usize,
@@ -35,7 +35,7 @@
 }
 
 impl Load {
-    /// Starts the callers; `start` is the first address each of them knows.
+    /// Starts the callers; `start` is the first address that they call.
     pub(crate) fn start(client: &Client, given: &Given, start: SocketAddr) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let callers = (0..CALLERS)
@@ -52,7 +52,7 @@
         Self { stop, callers }
     }
 
-    /// Stops them and tells of every call that wasn't answered, by what it got.
+    /// Stops the callers. Returns whether any call succeeded, and the count of each other outcome.
     pub(crate) async fn stop(self) -> String {
         self.stop.store(true, Ordering::SeqCst);
         let all = future::join_all(self.callers).await;
@@ -97,7 +97,7 @@
     counts
 }
 
-/// The addresses that a caller keeps.
+/// A caller's cached addresses.
 struct Kept {
     addresses: Vec<SocketAddr>,
     until: Option<Instant>,
@@ -111,8 +111,8 @@
         }
     }
 
-    /// An address of the kept answer; when it has lapsed, another is asked
-    /// for, at a host that the last one named.
+    /// Returns a cached address. When the cache has expired, first refreshes it from the hosts that
+    /// it lists.
     async fn address(&mut self, client: &Client, idx: usize) -> SocketAddr {
         if self.until.is_none_or(|it| it <= Instant::now()) {
             self.ask(client, idx).await;
--- a/crates/scenario/src/records.rs
+++ b/crates/scenario/src/records.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins recorded, which is what a script's counts come from.
+//! Queries on the records of the stand-ins, for the counts in a script.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 
 use crate::world::World;
 
-/// Every execution over all endpoints.
+/// Returns all executions at all endpoints.
 pub(crate) async fn runs(world: &World) -> Vec<Value> {
     let is_endpoint = |it: &str| it.starts_with("seats") || it.starts_with("engine");
     let mut found = Vec::new();
@@ -22,13 +22,13 @@
     found
 }
 
-/// Executions of one caller's call over all endpoints.
+/// Returns the number of executions of a call at all endpoints.
 pub(crate) async fn executions(world: &World, call: &str) -> usize {
     let runs = runs(world).await;
     runs.iter().filter(|it| it["call"] == call).count()
 }
 
-/// Executions at one endpoint, of one call or of all.
+/// Returns the number of executions at an endpoint, of one call or of all.
 pub(crate) async fn at(world: &World, endpoint: &str, call: Option<&str>) -> usize {
     let records = read(world, world.stand_in(endpoint)).await;
     let plain = records["runs"].as_array();
@@ -38,7 +38,7 @@
         .count()
 }
 
-/// Calls that an endpoint refused by itself.
+/// Returns the number of calls that an endpoint refused.
 pub(crate) async fn refusals_at(world: &World, endpoint: &str) -> u64 {
     let records = read(world, world.stand_in(endpoint)).await;
     let by_code = records["refusals"].as_object().into_iter().flatten();
@@ -46,20 +46,20 @@
     engine + records["refused"].as_u64().unwrap_or_default()
 }
 
-/// Executions of a version over all engines.
+/// Returns the number of executions of a version at all engines.
 pub(crate) async fn of_version(world: &World, version: &str) -> usize {
     let all = all(world, |it| it.starts_with("engine")).await;
     let runs = all.iter().filter_map(|it| it["executions"].as_array());
     runs.flatten().filter(|it| it["version"] == version).count()
 }
 
-/// Billing records in the table whose request key ends with the caller's key.
+/// Returns the number of billing records for the caller's key.
 pub(crate) async fn bills(world: &World, key: &str) -> usize {
     billed(world).await.remove(key).unwrap_or(0)
 }
 
-/// Billing records in the table by the caller's key, to which the ledger adds
-/// the body's fingerprint when the call is idempotent.
+/// Returns the number of billing records in the table by the caller's key. The key of an idempotent
+/// request in the ledger has the body's fingerprint appended, which is ignored here.
 pub(crate) async fn billed(world: &World) -> BTreeMap<String, usize> {
     let table = world.stand_in("table");
     let mut found = BTreeMap::new();
@@ -88,10 +88,10 @@
 
 pub(crate) async fn read(world: &World, address: SocketAddr) -> Value {
     let records = world.client.get(address, "/control/records", "").await;
-    records.expect("the stand-ins answer for as long as the test runs")
+    records.expect("the stand-ins respond as long as the test runs")
 }
 
-/// Adds the records in a row's value.
+/// Counts the billing records in a row's value.
 fn count(value: &Value, found: &mut BTreeMap<String, usize>) {
     match value {
         Value::Object(fields) => {
@@ -103,7 +103,7 @@
             fields.values().for_each(|it| count(it, found));
         }
         Value::Array(items) => items.iter().for_each(|it| count(it, found)),
-        // A row may hold its records as a JSON text.
+        // A row's value can be a string of JSON.
         Value::String(text) if text.starts_with(['{', '[']) => {
             let value = serde_json::from_str(text).unwrap_or_default();
             count(&value, found);
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between one host and a stand-in, which a script can cut.
+//! A TCP proxy between a host and a stand-in, with which a script cuts the connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use futures::future::{self, Either};
 use futures::{AsyncWriteExt, StreamExt};
 
-/// Passes connections on until it is cut; then it closes them all and takes no more.
+/// A TCP proxy. Once cut, it closes all connections, and every new one at once.
 pub(crate) struct Relay {
     pub(crate) address: SocketAddr,
     cut: Arc<AtomicBool>,
@@ -23,7 +23,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let cut = Arc::new(AtomicBool::new(false));
-        // Nothing is ever sent: its closing tells the connections of the cut.
+        // No message is sent: closing the channel signals the cut to all connections.
         let (cuts, was_cut) = async_std::channel::bounded::<()>(1);
         let is_cut = Arc::clone(&cut);
         let accepting = task::spawn(async move {
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Closes every connection and each one that comes later.
+    /// Closes all connections, and from now on each new one.
     pub(crate) fn cut(&self) {
         self.cut.store(true, Ordering::SeqCst);
         self.cuts.close();
@@ -72,7 +72,7 @@
 }
 
 async fn copy(from: TcpStream, mut to: TcpStream) {
-    // How a connection ends is seen by its two ends; there is nobody else to tell.
+    // Both peers see the error themselves, as a closed connection.
     let _ = io::copy(&from, &mut to).await;
     let _ = to.close().await;
 }
--- a/crates/scenario/src/soak.rs
+++ b/crates/scenario/src/soak.rs
@@ -1,5 +1,5 @@
-//! Troubles drawn by a seed over real processes, then everything is healed and
-//! each promise is set against the stand-ins' records.
+//! Soak test: injects random faults, drawn from a seed, into real processes, then ends all faults
+//! and checks the responses against the stand-ins' records.
 
 mod caller;
 mod check;
@@ -23,25 +23,26 @@
 use check::Records;
 use plan::{Act, HOSTS, State, Step};
 
-/// How long the table may take to have every billing record.
+/// Timeout for the billing records to reach the table.
 const SETTLE: Duration = Duration::from_secs(30);
-/// How long a drained host may take to end.
+/// Timeout for a drained host to exit.
 const DRAIN: Duration = Duration::from_secs(14);
-/// The settings that differ from a script's: deaths settle within the run.
+/// Additional settings of the hosts: a short fence, so that requests of killed hosts are settled
+/// during the run.
 const EXTRA: &str = "[ledger]\nfence_after_ms = 1500\n";
 
-/// What a soak found.
+/// The result of a soak.
 #[derive(Debug)]
 pub struct Report {
-    /// The seed that it was drawn by.
+    /// The seed of the soak.
     pub seed: u64,
-    /// Calls made.
+    /// Number of calls.
     pub calls: usize,
-    /// Calls that were answered in the end.
+    /// Number of calls that got a response, perhaps after retries.
     pub answered: usize,
-    /// Kills, freezes, outages and the like.
+    /// Number of steps that are not calls: kills, freezes, faults, changes and their ends.
     pub troubles: usize,
-    /// The broken promises, in a line each.
+    /// The violations, one line each.
     pub faults: Vec<String>,
     script: String,
 }
@@ -71,11 +72,11 @@
     }
 }
 
-/// Draws a script by `seed`, runs it for `length` over hosts of the program
-/// `binary`, heals everything and tells which promises were broken.
+/// Draws a script from `seed`, runs it for `length` on hosts that run `binary`, ends all faults
+/// and reports the violations.
 ///
 /// # Panics
-/// When a host doesn't come up, or a stand-in doesn't answer.
+/// Panics when a host doesn't start or a stand-in doesn't respond.
 #[must_use]
 pub fn soak(seed: u64, length: Duration, binary: &Path) -> Report {
     task::block_on(run(seed, length, binary))
@@ -109,9 +110,9 @@
     began: Instant,
     addresses: Addresses,
     calls: Vec<JoinHandle<Story>>,
-    /// When a change was accepted.
+    /// The time, in milliseconds since the Unix epoch, and the new state of each change.
     changes: Vec<(u64, State)>,
-    /// The revision with which the changed version was read.
+    /// The revision that the next change is based on.
     read_at: u64,
     thaws: Vec<u64>,
     drained: Option<&'static str>,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Waits for a step's time; a step that took longer delays the next ones.
+    /// Waits until the time of a step. Returns at once when an earlier step took longer.
     async fn wait(&self, at: Duration) {
         task::sleep(at.saturating_sub(self.began.elapsed())).await;
     }
@@ -180,14 +181,14 @@
 
     async fn replace(&mut self, host: &'static str) {
         if self.drained.take().is_some() {
-            // It is waited for: to end it now would cut what it still serves.
+            // Waits for its exit: killing it now would cut the requests that it still serves.
             self.world.ended(host, DRAIN).await;
         }
         self.world.start_host(host).await;
         self.addresses.set(host, self.world.host(host).callers());
     }
 
-    /// An operator's change, repeated under its id at one host after the other.
+    /// Makes an operator's change, and retries it under the same id at the next host on failure.
     async fn change(&mut self, state: State) {
         let name = match state {
             State::Active => "active",
@@ -217,11 +218,11 @@
                 return;
             }
         }
-        // Whether it was taken isn't known, so nothing is expected from here on.
+        // It isn't known whether the change was accepted, so the check expects no withdrawal.
         self.changes.push((now_ms(), State::Active));
     }
 
-    /// Ends every trouble and waits until all hosts are ready.
+    /// Ends all faults and waits until all hosts are ready.
     async fn heal(&mut self) {
         let none = json!({"outage": false, "delay_ms": 0, "lose_answers": 0});
         self.world.fault("table", &none).await;
@@ -246,8 +247,8 @@
         }
     }
 
-    /// Reads the records once every answered call's bill is there, or can't be
-    /// expected any more.
+    /// Reads the stand-ins' records after waiting, up to a timeout, for the billing record of every
+    /// call that got a response.
     async fn records(&self, stories: &[Story]) -> Records {
         let world = &self.world;
         let answered = || stories.iter().filter(|it| it.is_answered());
--- a/crates/scenario/src/soak/caller.rs
+++ b/crates/scenario/src/soak/caller.rs
@@ -1,4 +1,4 @@
-//! A good caller: it repeats elsewhere, under the same key and ticket.
+//! A caller that retries at other hosts, with the same idempotency key and ticket.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 use crate::command::{Arguments, parse_line};
 use crate::defaults::{CUSTOMER, KEY_PREFIX};
 
-/// How often a call is made at most.
+/// Maximum number of attempts of a call.
 const TRIES: usize = 12;
-/// Time between two tries.
+/// Pause between two attempts.
 const PAUSE: Duration = Duration::from_millis(300);
 
-/// Where the hosts are now.
+/// The current addresses of the hosts.
 #[derive(Clone, Default)]
 pub(super) struct Addresses {
     by_name: Arc<Mutex<BTreeMap<String, SocketAddr>>>,
@@ -36,20 +36,20 @@
     }
 }
 
-/// What a caller was told, in order.
+/// A call and its outcomes in order.
 #[derive(Debug)]
 pub(super) struct Story {
     pub(super) job: Job,
     pub(super) told: Vec<Told>,
 }
 
-/// One answer or refusal.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub(super) struct Told {
     /// Milliseconds since the Unix epoch.
     pub(super) at_ms: u64,
     pub(super) line: String,
-    /// The caller's name in the answer's mark.
+    /// The caller's name for its call, as it stands in the response.
     pub(super) call: Option<String>,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Calls until it is answered, at one host after the other.
+/// Makes a call, and retries it at the next host until it succeeds or the attempts are used up.
 pub(super) async fn call(client: Client, addresses: Addresses, job: Job) -> Story {
     let mut told = Vec::new();
     let ticket = match job.ticket {
--- a/crates/scenario/src/soak/check.rs
+++ b/crates/scenario/src/soak/check.rs
@@ -1,33 +1,35 @@
-//! The promises, set against the stand-ins' records.
+//! Checks of callers' outcomes against the stand-ins' records.
 
 use std::collections::BTreeMap;
 
 use super::caller::Story;
 use super::plan::State;
 
-/// After a change is accepted, hosts may act by the old one for so long.
+/// Maximum time, in milliseconds, for which hosts act on the old configuration after a change was
+/// accepted.
 pub(super) const IN_FORCE_MS: u64 = 5_000;
 
-/// What the stand-ins recorded.
+/// The stand-ins' records.
 pub(super) struct Records {
-    /// When each execution began, by the caller's name for its call.
+    /// Start times of the executions in milliseconds since the Unix epoch, by the caller's name for
+    /// its call.
     pub(super) executions: BTreeMap<String, Vec<u64>>,
-    /// Billing records by key.
+    /// Number of billing records by key.
     pub(super) bills: BTreeMap<String, usize>,
-    /// When work on the version that is withdrawn and restored began.
+    /// Start times of the executions of the version that is withdrawn and restored.
     pub(super) withdrawn_version: Vec<u64>,
 }
 
-/// A time in which a version had to get no new work, milliseconds since the
-/// Unix epoch.
+/// A time span in which a version must not start an execution, in milliseconds since the Unix
+/// epoch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Span {
     pub(super) from: u64,
     pub(super) to: u64,
 }
 
-/// Accepted changes as spans of withdrawal; a host that wakes from a freeze has
-/// as long as after the change itself.
+/// Returns the spans in which the version was withdrawn on all hosts. A thawed host may act on the
+/// old configuration for as long after the thaw as after the change itself.
 pub(super) fn spans(changes: &[(u64, State)], thaws: &[u64], end: u64) -> Vec<Span> {
     let mut spans = Vec::new();
     for (idx, (at, state)) in changes.iter().enumerate() {
@@ -47,7 +49,7 @@
     spans
 }
 
-/// Every broken promise, in a line each.
+/// Returns the violations, one line each.
 pub(super) fn faults(stories: &[Story], records: &Records, spans: &[Span]) -> Vec<String> {
     let mut faults = Vec::new();
     for story in stories {
--- a/crates/scenario/src/soak/plan.rs
+++ b/crates/scenario/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What a soak does and when, drawn by its seed.
+//! The steps of a soak, drawn from its seed.
 
 use std::fmt::{self, Display};
 use std::time::Duration;
@@ -9,61 +9,61 @@
 
 /// The entry hosts of a soak.
 pub(super) const HOSTS: [&str; 3] = ["a", "b", "c"];
-/// Time between two calls.
+/// Interval between two calls.
 const CALL_EVERY: Duration = Duration::from_millis(40);
-/// Time between two troubles of the same sort, so that each has its turn.
+/// Pause between two faults of the same kind, as a range in milliseconds.
 const REST: (u64, u64) = (1_500, 4_000);
 
-/// A step and its time from the start.
+/// A step and its time since the start.
 #[derive(Clone, Debug)]
 pub(super) struct Step {
     pub(super) at: Duration,
     pub(super) act: Act,
 }
 
-/// What a step does.
+/// The action of a step.
 #[derive(Clone, Debug)]
 pub(super) enum Act {
-    /// A caller makes a call, and repeats it until it is answered.
+    /// A caller makes a call and retries it until it succeeds.
     Call(Job),
-    /// SIGKILL.
+    /// Sends SIGKILL to a host.
     Kill(&'static str),
-    /// SIGSTOP.
+    /// Sends SIGSTOP to a host.
     Freeze(&'static str),
-    /// SIGCONT.
+    /// Sends SIGCONT to a host.
     Thaw(&'static str),
-    /// SIGTERM.
+    /// Sends SIGTERM to a host.
     Drain(&'static str),
-    /// A killed or drained host is replaced.
+    /// Replaces a killed or drained host.
     Start(&'static str),
-    /// A fault of a stand-in is switched.
+    /// Sets faults of a stand-in.
     Fault {
         at: &'static str,
         json: &'static str,
     },
-    /// An operator withdraws or restores a version.
+    /// Withdraws or restores a version, as an operator.
     Change(State),
 }
 
-/// A version's state.
+/// The configured state of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
     Active,
     Withdrawn,
 }
 
-/// A call by a good caller: one key and one ticket, wherever it is repeated.
+/// A call, whose retries carry the same key and ticket.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) key: String,
     pub(super) kind: Kind,
-    /// Whether it asks for a ticket first.
+    /// Whether the caller takes a ticket first.
     pub(super) ticket: Ticket,
-    /// The host that it begins with.
+    /// Index of the host that is called first.
     pub(super) first: usize,
 }
 
-/// What a call asks for.
+/// The kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
     /// A seat hold; at most once.
@@ -86,7 +86,7 @@
 impl Kind {
     const ALL: [Self; 4] = [Self::Hold, Self::Entry, Self::Tag, Self::Dossier];
 
-    /// The arguments of the script's `call` for it.
+    /// Returns the arguments of the script command `call`.
     pub(super) fn arguments(self) -> &'static str {
         match self {
             Self::Hold => "path=holds",
@@ -101,8 +101,8 @@
     }
 }
 
-/// Draws the steps of a soak. At most one host is in trouble at a time: the
-/// loss of both holders of a record is stated, see `docs/design/ledger.md`.
+/// Draws the steps of a soak. At most one host is down at a time: a record is lost when both of its
+/// holders are, see `docs/design/ledger.md`.
 pub(super) fn draw(seed: u64, length: Duration) -> Vec<Step> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut steps = calls(&mut rng, length);
@@ -150,7 +150,7 @@
         steps.push(Step { at, act: begin });
         at += millis(rng, lasts);
         steps.push(Step { at, act: end });
-        // Copies are made anew before the next one.
+        // Leaves time to replicate records again before the next host fails.
         at += millis(rng, (4_000, 7_000));
     }
     steps
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -1,4 +1,4 @@
-//! A script's commands, one after the other.
+//! Execution of the commands of a script.
 
 mod counts;
 mod rollout;
@@ -21,7 +21,7 @@
 use crate::records;
 use crate::world::World;
 
-/// Runs the commands of one script.
+/// Runs the commands of a script.
 pub struct Stage {
     binary: PathBuf,
     world: Option<World>,
@@ -32,7 +32,7 @@
 }
 
 impl Stage {
-    /// A stage on which nothing runs yet; `binary` is the entry hosts' program.
+    /// Creates a stage without processes; `binary` is the program of the entry hosts.
     #[must_use]
     pub fn new(binary: &Path) -> Self {
         Self {
@@ -45,10 +45,10 @@
         }
     }
 
-    /// Runs one command and gives the text to set against the golden one.
+    /// Runs a command and returns its output, to be compared with the golden text.
     ///
     /// # Panics
-    /// When the script is wrong, or a host doesn't come up.
+    /// Panics when the script is invalid or a host doesn't start.
     pub fn run(&mut self, case: &TestCase) -> String {
         let mut text = task::block_on(self.dispatch(case));
         text.push('\n');
@@ -93,7 +93,7 @@
             "lease" => self.lease(&args).await,
             "orders" => self.orders(&args).await,
             "history" => self.history(&args).await,
-            other => panic!("there is no command {other}; docs/scripts.md lists them"),
+            other => panic!("unknown command {other}; docs/scripts.md lists the commands"),
         }
     }
 
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Asks a host for a ticket and keeps it under the host's name.
+    /// Takes a ticket from a host and stores it under `as=`, by default the host's name.
     async fn ticket(&mut self, args: &Arguments<'_>) -> String {
         let host = args.one("host");
         let answer = self.ask_hand_out(host).await;
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Waits until a host hands out just these hosts, in any order.
+    /// Waits until a host hands out exactly the given hosts, in any order.
     async fn hand_out(&mut self, args: &Arguments<'_>) -> String {
         let host = args.one("host");
         let mut wanted = args.many("hosts");
@@ -241,7 +241,7 @@
         format!("{line}, ran {ran} times")
     }
 
-    /// Calls at the same moment, a line each: `call` arguments as in a script.
+    /// Makes concurrent calls; each line of the input has the arguments of a `call`.
     async fn together(&self, input: &str) -> String {
         let lines = input.lines().filter(|it| !it.trim().is_empty());
         let given: Vec<_> = lines.map(parse_line).collect();
@@ -253,12 +253,13 @@
             .into_iter()
             .map(|it| it.line)
             .collect();
-        // Which of equal callers comes first is chance; what they are told together isn't.
+        // The order of concurrent calls is random; the sorted outcomes are deterministic.
         outcomes.sort();
         outcomes.join("\n")
     }
 
-    /// The same call many times, one after the other; tells each outcome once, with its number.
+    /// Makes the same call `count=` times in sequence; returns each distinct outcome with its
+    /// count.
     async fn calls(&mut self, args: &Arguments<'_>) -> String {
         let mut outcomes = BTreeMap::new();
         for _ in 0..args.parsed("count", 1) {
@@ -282,11 +283,11 @@
         let load = self
             .load
             .take()
-            .expect("`begin-load` comes before `end-load`");
+            .expect("`end-load` needs an earlier `begin-load`");
         load.stop().await
     }
 
-    /// Cuts a host off from the table service.
+    /// Cuts a host's connection to the table service.
     fn cut(&mut self, args: &Arguments<'_>) -> String {
         self.world().cut_from_table(args.one("host"));
         "cut".to_owned()
@@ -302,7 +303,7 @@
     async fn end(&mut self, args: &Arguments<'_>) -> String {
         let name = args.one("as");
         let begun = self.begun.remove(name);
-        let begun = begun.unwrap_or_else(|| panic!("nothing begun as {name}"));
+        let begun = begun.unwrap_or_else(|| panic!("no call was begun as {name}"));
         let outcome = begun.await;
         self.keep_session(args, outcome)
     }
@@ -312,13 +313,13 @@
         let ticket = args.maybe("ticket").map(|it| {
             let ticket = self.tickets.get(it);
             ticket
-                .unwrap_or_else(|| panic!("no ticket {it} is kept"))
+                .unwrap_or_else(|| panic!("no ticket is stored as {it}"))
                 .clone()
         });
         let session = args.maybe("session").map(|it| {
             let session = self.sessions.get(it);
             session
-                .unwrap_or_else(|| panic!("no session {it} is kept"))
+                .unwrap_or_else(|| panic!("no session is stored as {it}"))
                 .clone()
         });
         Call::new(args, to, ticket, session)
@@ -355,5 +356,5 @@
 }
 
 fn read_json(input: &str) -> Value {
-    serde_json::from_str(input).unwrap_or_else(|err| panic!("the script's JSON is wrong: {err}"))
+    serde_json::from_str(input).unwrap_or_else(|err| panic!("invalid JSON in the script: {err}"))
 }
--- a/crates/scenario/src/stage/counts.rs
+++ b/crates/scenario/src/stage/counts.rs
@@ -1,4 +1,4 @@
-//! Counts from the stand-ins' records.
+//! Commands that print counts from the stand-ins' records.
 
 use super::Stage;
 use crate::command::Arguments;
@@ -11,7 +11,7 @@
         count.to_string()
     }
 
-    /// Counts executions of a call; with `count=`, waits for so many.
+    /// Counts executions of a call; with `count=`, first waits for at least that many.
     pub(super) async fn executions(&self, args: &Arguments<'_>) -> String {
         let (world, call) = (self.world(), args.one("call"));
         let wanted = args.parsed("count", 0);
@@ -27,7 +27,7 @@
         let Some(wanted) = args.maybe("at_least") else {
             return records::of_version(world, version).await.to_string();
         };
-        let wanted = wanted.parse().expect("`at_least` is a number");
+        let wanted = wanted.parse().expect("`at_least` must be a number");
         let reached = until(args.within(), || async move {
             (records::of_version(world, version).await >= wanted).then_some(())
         });
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Counts billing records of a call; with `count=`, waits for so many.
+    /// Counts billing records of a call; with `count=`, first waits for at least that many.
     pub(super) async fn bills(&self, args: &Arguments<'_>) -> String {
         let (world, key) = (self.world(), args.one("call"));
         let wanted = args.parsed("count", 0);
@@ -48,7 +48,7 @@
         records::bills(world, key).await.to_string()
     }
 
-    /// Calls that an endpoint refused by itself.
+    /// Counts the calls that an endpoint refused.
     pub(super) async fn refusals_at(&self, args: &Arguments<'_>) -> String {
         let count = records::refusals_at(self.world(), args.one("endpoint")).await;
         count.to_string()
--- a/crates/scenario/src/stage/rollout.rs
+++ b/crates/scenario/src/stage/rollout.rs
@@ -1,4 +1,4 @@
-//! What a script sees of the host that orders engines and moves roll-outs on.
+//! Commands about the lease, engine orders and the configuration's history.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,17 +12,17 @@
 use crate::records;
 use crate::world::World;
 
-/// The lease's row in the table.
+/// Path of the lease's row in the table service.
 const LEASE: &str = "/v1/rows/lease%2Forders";
 
-/// Who may give orders, as the table has it.
+/// The holder of the lease, according to the table.
 struct Holder {
     host: String,
     fencing: u64,
 }
 
 impl Stage {
-    /// Waits until the lease is held by `held_by`, or by anyone.
+    /// Waits until the lease is held by `held_by=`, or by any host without it.
     pub(super) async fn lease(&self, args: &Arguments<'_>) -> String {
         let (world, wanted) = (self.world(), args.maybe("held_by"));
         let held = until(args.within(), || async move {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The orders that engines took, each once; waits for `count` different ones.
+    /// Lists the distinct orders that engines accepted; first waits for at least `count=`.
     pub(super) async fn orders(&self, args: &Arguments<'_>) -> String {
         let (world, wanted) = (self.world(), args.parsed("count", 0));
         until(args.within(), || async move {
@@ -49,7 +49,8 @@
         orders.into_iter().collect::<Vec<_>>().join("\n")
     }
 
-    /// The changes that are committed after `after=`, oldest first; waits for `count`.
+    /// Lists the changes with a revision above `after=`, oldest first; first waits for at least
+    /// `count=`.
     pub(super) async fn history(&self, args: &Arguments<'_>) -> String {
         let (world, host) = (self.world(), args.one("host"));
         let (after, wanted) = (args.parsed("after", 0), args.parsed("count", 0));
@@ -76,7 +77,7 @@
     })
 }
 
-/// The hosts' names by incarnation, from every host that answers.
+/// Returns the names of the hosts by incarnation, from the status of all hosts that respond.
 async fn names(world: &World) -> BTreeMap<u64, String> {
     let asked = world.hosts.values().map(|host| {
         let path = "/operator/v1/status";
--- a/crates/scenario/src/stage/stranger.rs
+++ b/crates/scenario/src/stage/stranger.rs
@@ -1,4 +1,4 @@
-//! Who has no key or keeps no rule: strangers, slow senders, broken bytes.
+//! Commands for unauthenticated peers, malformed requests and concurrent changes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 use crate::command::{Arguments, parse_line};
 use crate::limit::until;
 
-/// More than any head of an answer.
+/// Maximum number of bytes read from a response, about.
 const HEAD: usize = 16 * 1024;
 
 impl Stage {
-    /// Sends a frame to a host with a certificate that another authority signed.
+    /// Sends a frame to a host with a certificate of an unknown authority.
     pub(super) async fn stranger(&self, args: &Arguments<'_>) -> String {
         let host = args.one("host");
         let authority = Authority::generate("elsewhere").expect("a CA can be made");
@@ -41,7 +41,7 @@
         .to_owned()
     }
 
-    /// An operator's call with any bearer key.
+    /// Sends an operator's request with an arbitrary bearer key, or without one.
     pub(super) async fn operate(&self, args: &Arguments<'_>) -> String {
         let to = self.world().host(args.one("host")).operators();
         let target = format!("/operator/v1/{}", args.path().unwrap_or_default());
@@ -68,8 +68,9 @@
         format!("{status} {} {}", word("reason"), word("run"))
     }
 
-    /// Sends the input's bytes to the callers' address and reads until the host
-    /// closes; `body=N` adds so many bytes, `unfinished` leaves out the head's end.
+    /// Sends the input as raw bytes to the callers' address and reads until the host closes the
+    /// connection. `body=N` appends N bytes; `unfinished` leaves out the empty line after the
+    /// headers.
     pub(super) async fn raw(&self, args: &Arguments<'_>, input: &str) -> String {
         let to = self.world().host(args.one("host")).callers();
         let mut bytes = input.trim_end().replace('\n', "\r\n").into_bytes();
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Waits until a counter, summed over its labels, is at least `at_least`.
+    /// Waits until a metric, summed over its labels, is at least `at_least=`.
     pub(super) async fn metric(&self, args: &Arguments<'_>) -> String {
         let (host, name) = (args.one("host"), args.one("name"));
         let wanted = args.parsed("at_least", 1.0);
@@ -117,13 +118,12 @@
         )
     }
 
-    /// Operators' changes at the same moment: a line of `put` arguments each,
-    /// with the JSON at its end.
+    /// Makes concurrent operators' changes; each line has the arguments of a `put`, then the JSON.
     pub(super) async fn put_together(&self, input: &str) -> String {
         let world = self.world();
         let changes = input.lines().filter(|it| !it.trim().is_empty());
         let changes = changes.map(|line| async move {
-            let at = line.find('{').expect("a change has its JSON");
+            let at = line.find('{').expect("a change needs a JSON object");
             let (given, value) = (parse_line(&line[..at]), read_json(&line[at..]));
             let args = Arguments::new(&given);
             let target = format!("/operator/v1/{}/{}", args.one("kind"), args.one("name"));
@@ -132,13 +132,13 @@
             world.put(host, &target, read_at, change, &value).await
         });
         let mut outcomes: Vec<_> = future::join_all(changes).await;
-        // Who comes first is chance; what they are told together isn't.
+        // The order of concurrent changes is random; the sorted outcomes are deterministic.
         outcomes.sort();
         outcomes.join("\n")
     }
 
-    /// Enters hosts into the platform's list; `callers-of:a` stands for the
-    /// address of an entry host, which tells nobody anything while it is frozen.
+    /// Adds hosts to the platform's host list. `callers-of:a` is replaced by host a's address for
+    /// callers.
     pub(super) async fn list(&self, input: &str) -> String {
         let mut input = input.to_owned();
         for host in self.world().hosts.values() {
@@ -150,7 +150,7 @@
         let (to, limit) = (self.world().stand_in("hosts"), Duration::from_secs(5));
         let answer = self.world().client.send(to, request, limit).await;
         let done = answer.is_ok_and(|it| it.status.is_success());
-        assert!(done, "the list can't be changed: {hosts}");
+        assert!(done, "the host list refused the change: {hosts}");
         "listed".to_owned()
     }
 }
@@ -160,7 +160,7 @@
     stream.write_all(bytes).await?;
     let mut answer = Vec::new();
     let mut part = [0; 1024];
-    // A host that answers may close before all of a body is sent to it.
+    // A host may respond and close the connection before it has read the whole body.
     while answer.len() < HEAD {
         match stream.read(&mut part).await {
             Ok(0) | Err(_) => break,
@@ -170,7 +170,7 @@
     Ok(answer)
 }
 
-/// The status and, from a problem document, reason and run.
+/// Returns the status and, from a problem document, the fields `reason` and `run`.
 fn status_and_reason(answer: &[u8]) -> String {
     let text = String::from_utf8_lossy(answer);
     let Some(status) = text.split(' ').nth(1) else {
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/world.rs
@@ -1,4 +1,5 @@
-//! The processes of one scenario: stand-ins inside the test, entry hosts beside it.
+//! The environment of a scenario: stand-ins in the test's process and entry hosts as child
+//! processes.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -25,13 +26,13 @@
 use crate::limit::until;
 use crate::relay::Relay;
 
-/// How long a host may take to come up or to end.
+/// Timeout for a host to start and for the initial configuration to reach all hosts.
 const START: Duration = Duration::from_secs(15);
 
-/// Numbers the worlds of this process, so that no two share addresses.
+/// Counter of the environments in this process, from which each derives its own addresses.
 static WORLDS: AtomicU32 = AtomicU32::new(0);
 
-/// Everything that a scenario's script acts on.
+/// The stand-ins, hosts and connections of a scenario.
 pub(crate) struct World {
     pub(crate) client: Client,
     pub(crate) stand_ins: BTreeMap<String, SocketAddr>,
@@ -47,11 +48,12 @@
 }
 
 impl World {
-    /// Starts the stand-ins; `binary` is the entry hosts' program, `extra` ends their settings.
+    /// Starts the stand-ins; `binary` is the program of the entry hosts, `extra` is appended to
+    /// their settings.
     pub(crate) async fn start(binary: &Path, engines: &Engines, extra: &str) -> Self {
         let mut text = defaults::STAND_INS.to_owned();
         text.push_str(&engines.settings());
-        let settings = fakes::Settings::parse(&text).expect("the stand-ins' settings are ours");
+        let settings = fakes::Settings::parse(&text).expect("the stand-ins' settings are valid");
         let started = Started::start(Arc::new(SystemClock::new()), settings)
             .await
             .expect("loopback ports are free");
@@ -74,9 +76,9 @@
         }
     }
 
-    /// Enters a host into the platform's list and starts it, without waiting for it.
+    /// Starts a host and adds it to the platform's host list, without waiting until it is ready.
     ///
-    /// Each start takes an address of its own, as hosts that are replaced do.
+    /// Each start uses a new address, as a replaced host does.
     pub(crate) async fn start_host(&mut self, name: &str) {
         let [high, low] = self.net;
         let ip = Ipv4Addr::new(127, high, low, self.next_ip);
@@ -98,7 +100,7 @@
         self.hosts.insert(name.to_owned(), host);
     }
 
-    /// Whether the host says within the bound that it is ready.
+    /// Returns whether the host reports within the bound that it is ready.
     pub(crate) async fn is_ready(&self, name: &str, bound: Duration) -> bool {
         let address = self.host(name).callers();
         let ready = until(bound, || async move {
@@ -110,13 +112,14 @@
         ready.await.is_some()
     }
 
-    /// Waits for the host, and stops the test with its log when it doesn't come up.
+    /// Waits until the host is ready; panics with its log when it isn't in time.
     pub(crate) async fn await_ready(&self, name: &str) {
         let ready = self.is_ready(name, START).await;
         assert!(ready, "host {name} is not ready:\n{}", self.log(name));
     }
 
-    /// Writes the configuration at the first host and waits until all are ready with it.
+    /// Writes the default configuration at the first host and waits until all hosts are ready with
+    /// it and know each other.
     pub(crate) async fn configure_first(&self, hosts: &[&str]) {
         let first = hosts.first().expect("`start` needs `hosts=`");
         self.await_operable(first).await;
@@ -126,14 +129,17 @@
         }
         let revision = self.revision(first).await.unwrap_or_default();
         let laggards = self.laggards(hosts, revision, START).await;
-        assert!(laggards.is_empty(), "{laggards:?} don't take {revision}");
+        assert!(
+            laggards.is_empty(),
+            "revision {revision} is not in force on {laggards:?}"
+        );
         for host in hosts {
             self.await_acquaintance(host, hosts.len()).await;
         }
     }
 
-    /// Waits until a host hands out all hosts: one that doesn't know another
-    /// yet takes its tickets for those of a host that is gone.
+    /// Waits until a host hands out all hosts. A host that doesn't know another one yet takes its
+    /// tickets for those of a host that is gone.
     async fn await_acquaintance(&self, name: &str, count: usize) {
         let to = self.host(name).callers();
         let key = &format!("{KEY_PREFIX}{CUSTOMER}");
@@ -142,10 +148,15 @@
             (answer["hosts"].as_array()?.len() == count).then_some(())
         });
         let acquainted = acquainted.await.is_some();
-        assert!(acquainted, "host {name} knows too few:\n{}", self.log(name));
+        assert!(
+            acquainted,
+            "host {name} doesn't hand out all hosts:\n{}",
+            self.log(name)
+        );
     }
 
-    /// A first host has no configuration and so isn't ready, but takes changes.
+    /// Waits until a host responds to operators. The first host isn't ready without a
+    /// configuration, but accepts changes.
     async fn await_operable(&self, name: &str) {
         let to = self.host(name).operators();
         let up = until(START, || async move {
@@ -153,7 +164,11 @@
             status.await.map(|_| ())
         });
         let up = up.await.is_some();
-        assert!(up, "host {name} takes no operator:\n{}", self.log(name));
+        assert!(
+            up,
+            "host {name} doesn't respond to operators:\n{}",
+            self.log(name)
+        );
     }
 
     async fn configure(&self, host: &str) {
@@ -165,7 +180,7 @@
         }
     }
 
-    /// One change by an operator, and its answer in a line.
+    /// Makes an operator's change and returns the outcome as a line.
     pub(crate) async fn put(
         &self,
         host: &str,
@@ -207,7 +222,7 @@
         line
     }
 
-    /// The revision that a host has in force.
+    /// Returns the revision of the configuration that is in force on a host.
     pub(crate) async fn revision(&self, host: &str) -> Option<u64> {
         let to = self.host(host).operators();
         let document = self
@@ -217,7 +232,7 @@
         document["revision"].as_u64()
     }
 
-    /// The hosts that don't reach the revision within the bound.
+    /// Returns the hosts that don't reach the revision within the bound.
     pub(crate) async fn laggards(
         &self,
         hosts: &[&str],
@@ -237,25 +252,25 @@
             .collect()
     }
 
-    /// Changes a stand-in's faults; the script's own JSON says which.
+    /// Sets faults of a stand-in; panics when it refuses them.
     pub(crate) async fn fault(&self, stand_in: &str, faults: &Value) {
         let request = Request::post("/control/faults", faults);
         let to = self.stand_in(stand_in);
         let answer = self.client.send(to, request, Duration::from_secs(5)).await;
         let done = answer.is_ok_and(|it| it.status.is_success());
-        assert!(done, "{stand_in} knows no such fault: {faults}");
+        assert!(done, "{stand_in} refused the faults {faults}");
     }
 
-    /// Ends a host at once.
+    /// Kills a host.
     pub(crate) fn kill(&mut self, name: &str) {
         self.host_mut(name).kill();
     }
 
-    /// Cuts a host off from the table service, for good.
+    /// Cuts a host's connection to the table service until the host is started again.
     pub(crate) fn cut_from_table(&self, name: &str) {
         let relay = self.relays.get(name);
         relay
-            .unwrap_or_else(|| panic!("the script has started no host {name}"))
+            .unwrap_or_else(|| panic!("the script has not started host {name}"))
             .cut();
     }
 
@@ -264,7 +279,7 @@
         self.host(name).signal(signal);
     }
 
-    /// The exit status of a host that ends within the bound.
+    /// Returns the exit status of a host if it exits within the bound.
     pub(crate) async fn ended(&mut self, name: &str, bound: Duration) -> Option<ExitStatus> {
         let host = self.host_mut(name);
         let end = std::time::Instant::now() + bound;
@@ -282,17 +297,17 @@
     pub(crate) fn host(&self, name: &str) -> &Host {
         self.hosts
             .get(name)
-            .unwrap_or_else(|| panic!("the script has started no host {name}"))
+            .unwrap_or_else(|| panic!("the script has not started host {name}"))
     }
 
     pub(crate) fn stand_in(&self, name: &str) -> SocketAddr {
         *self
             .stand_ins
             .get(name)
-            .unwrap_or_else(|| panic!("there is no stand-in {name}"))
+            .unwrap_or_else(|| panic!("unknown stand-in {name}"))
     }
 
-    /// What a host has logged, for the message of a failed test.
+    /// Returns the log of a host, for the message of a failed test.
     pub(crate) fn log(&self, name: &str) -> String {
         fs::read_to_string(self.dir.path().join(format!("{name}.log"))).unwrap_or_default()
     }
@@ -328,12 +343,12 @@
     fn host_mut(&mut self, name: &str) -> &mut Host {
         self.hosts
             .get_mut(name)
-            .unwrap_or_else(|| panic!("the script has started no host {name}"))
+            .unwrap_or_else(|| panic!("the script has not started host {name}"))
     }
 }
 
-/// The middle of this world's loopback addresses. All of 127.0.0.0/8 is this
-/// machine, so that worlds which run side by side never meet at a port.
+/// Returns the second and third byte of this environment's loopback addresses. All of 127.0.0.0/8
+/// is local, so concurrent tests can use the same ports at different addresses.
 fn net() -> [u8; 2] {
     let world = WORLDS.fetch_add(1, Ordering::Relaxed);
     let number = std::process::id().wrapping_mul(31).wrapping_add(world);
