--- a/crates/fakes/src/call.rs
+++ b/crates/fakes/src/call.rs
@@ -6,7 +6,7 @@
 use percent_encoding::percent_decode_str;
 use serde::de::DeserializeOwned;
 
-use crate::answer::Answer;
+use crate::response::Response;
 
 /// A request to a stand-in.
 #[derive(Clone, Debug)]
@@ -77,8 +77,8 @@
     /// # Errors
     ///
     /// Returns a response with status 400 and the parser's message when the body is invalid.
-    pub fn json<T: DeserializeOwned>(&self) -> Result<T, Answer> {
-        serde_json::from_slice(&self.body).map_err(|err| Answer::error(400, &err.to_string()))
+    pub fn json<T: DeserializeOwned>(&self) -> Result<T, Response> {
+        serde_json::from_slice(&self.body).map_err(|err| Response::error(400, &err.to_string()))
     }
 }
 
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -4,8 +4,8 @@
 mod execution;
 mod faults;
 mod generation;
-mod loads;
 mod prompt;
+mod versions;
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,16 +17,16 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::answer::Answer;
 use crate::call::Call;
 use crate::control;
-use crate::engine::cache::Cache;
+use crate::engine::cache::PrefixCache;
 use crate::engine::faults::Faults;
 use crate::engine::generation::Generation;
-use crate::engine::loads::{Loads, Wanted};
 use crate::engine::prompt::Prompt;
+use crate::engine::versions::{LoadedVersions, TargetState};
 use crate::lagged::Lagged;
-use crate::plain::millis;
+use crate::plain_service::millis;
+use crate::response::Response;
 use crate::settings::{EngineSettings, Truth};
 use crate::slots::Slots;
 
@@ -54,9 +54,9 @@
     executions: Vec<Execution>,
     refusals: BTreeMap<String, u64>,
     cancels: Vec<String>,
-    loads: Loads,
+    versions: LoadedVersions,
     load: Lagged<(usize, usize)>,
-    cache: Cache,
+    cache: PrefixCache,
     faults: Faults,
 }
 
@@ -64,7 +64,7 @@
 struct Order {
     fencing: u64,
     version: String,
-    wanted: Wanted,
+    wanted: TargetState,
 }
 
 impl Engine {
@@ -80,9 +80,9 @@
             executions: Vec::new(),
             refusals: BTreeMap::new(),
             cancels: Vec::new(),
-            loads: Loads::new(&settings),
+            versions: LoadedVersions::new(&settings),
             load: Lagged::new(Duration::from_millis(settings.load_lag_ms), (0, 0)),
-            cache: Cache::new(settings.prefixes),
+            cache: PrefixCache::new(settings.prefixes),
             faults: Faults::new(settings.incarnation),
         };
         let shared = Shared {
@@ -99,68 +99,68 @@
     }
 
     /// Handles one call.
-    pub async fn answer(&self, call: &Call) -> Answer {
+    pub async fn handle(&self, call: &Call) -> Response {
         let now = self.shared.clock.now();
         match (call.method, call.segments().as_slice()) {
             (Method::Post, ["v1", "chat", "completions"]) => self.chat(call).await,
             (Method::Get, ["v1", "load"]) => self.load(now),
             (Method::Post, ["v1", "orders"]) => self.shared.with(|it| it.order(now, call)),
             (Method::Delete, ["v1", "attempts", id]) => self.shared.with(|it| it.cancel(id)),
-            (Method::Post, ["control", "faults"]) => {
-                self.shared.with(|it| control::switch(&mut it.faults, call))
-            }
+            (Method::Post, ["control", "faults"]) => self
+                .shared
+                .with(|it| control::update_faults(&mut it.faults, call)),
             (Method::Get, ["control", "records"]) => self.shared.with(|it| it.records()),
-            _ => Answer::error(404, "not_found"),
+            _ => Response::error(404, "not_found"),
         }
     }
 
-    async fn chat(&self, call: &Call) -> Answer {
+    async fn chat(&self, call: &Call) -> Response {
         let prompt: Prompt = match call.json() {
             Ok(it) => it,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         let now = self.shared.clock.now();
         if let Some(code) = self.shared.with(|it| it.refusal(now, call, &prompt)) {
             return self.refuse(&code);
         }
-        let Some(slot) = self.shared.slots.enter(call.header("x-priority")).await else {
+        let Some(slot) = self.shared.slots.acquire(call.header("x-priority")).await else {
             return self.refuse("overloaded");
         };
-        self.note_load();
+        self.record_load();
         let stream = prompt.stream;
         let generation = Generation::new(self.clone(), slot, call, &prompt);
         if stream {
             let (sender, events) = mpsc::channel(STREAM_BUFFER);
             async_std::task::spawn(generation.stream(sender));
-            return Answer::Events(events);
+            return Response::Events(events);
         }
-        generation.whole().await
+        generation.respond().await
     }
 
-    fn refuse(&self, code: &str) -> Answer {
+    fn refuse(&self, code: &str) -> Response {
         self.shared
             .with(|it| *it.refusals.entry(code.to_owned()).or_default() += 1);
-        Answer::error(503, code)
+        Response::error(503, code)
     }
 
-    fn load(&self, now: Duration) -> Answer {
+    fn load(&self, now: Duration) -> Response {
         let settings = &self.shared.settings;
         self.shared.with(|it| {
-            let (running, waiting) = *it.load.seen(now);
-            Answer::ok(&json!({
+            let (running, waiting) = *it.load.visible_at(now);
+            Response::ok(&json!({
                 "name": settings.name,
                 "incarnation": it.faults.incarnation,
                 "state": if it.faults.leaving { "leaving" } else { "live" },
                 "running": running,
                 "waiting": waiting,
                 "slots": settings.slots,
-                "versions": it.loads.report(now),
+                "versions": it.versions.report(now),
                 "age_ms": settings.load_lag_ms,
             }))
         })
     }
 
-    fn note_load(&self) {
+    fn record_load(&self) {
         let now = self.shared.clock.now();
         let load = (self.shared.slots.running(), self.shared.slots.waiting());
         self.shared.with(|it| it.load.set(now, load));
@@ -179,30 +179,32 @@
 
 impl Inner {
     fn refusal(&mut self, now: Duration, call: &Call, prompt: &Prompt) -> Option<String> {
-        let meant_for = call.header("x-incarnation");
+        let target_incarnation = call.header("x-incarnation");
         if let Some(code) = &self.faults.refuse {
             return Some(code.clone());
         }
-        if !meant_for.is_empty() && meant_for.parse() != Ok(self.faults.incarnation) {
+        if !target_incarnation.is_empty()
+            && target_incarnation.parse() != Ok(self.faults.incarnation)
+        {
             return Some("wrong_incarnation".to_owned());
         }
         if self.faults.leaving {
             return Some("leaving".to_owned());
         }
-        (!self.loads.is_loaded(now, &prompt.model)).then(|| "not_loaded".to_owned())
+        (!self.versions.is_loaded(now, &prompt.model)).then(|| "not_loaded".to_owned())
     }
 
-    fn order(&mut self, now: Duration, call: &Call) -> Answer {
+    fn order(&mut self, now: Duration, call: &Call) -> Response {
         let order: Order = match call.json() {
             Ok(it) => it,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         match self
-            .loads
+            .versions
             .order(now, order.fencing, &order.version, order.wanted)
         {
-            Ok(()) => Answer::ok(&json!({})),
-            Err(highest) => Answer::json(
+            Ok(()) => Response::ok(&json!({})),
+            Err(highest) => Response::json(
                 409,
                 &json!({"error": {"code": "stale_fencing", "highest": highest}}),
             ),
@@ -210,22 +212,22 @@
     }
 
     /// Marks a running attempt as cancelled; its generation then stops before the next chunk.
-    fn cancel(&mut self, attempt: &str) -> Answer {
+    fn cancel(&mut self, attempt: &str) -> Response {
         self.cancels.push(attempt.to_owned());
         for it in &mut self.executions {
             if it.attempt == attempt && it.end == End::Running {
                 it.end = End::Cancelled;
             }
         }
-        Answer::ok(&json!({}))
+        Response::ok(&json!({}))
     }
 
-    fn records(&self) -> Answer {
-        Answer::ok(&json!({
+    fn records(&self) -> Response {
+        Response::ok(&json!({
             "executions": self.executions,
             "refusals": self.refusals,
             "cancels": self.cancels,
-            "loads": self.loads.changes(),
+            "loads": self.versions.applied(),
             "cache_hits": self.cache.hits(),
         }))
     }
--- a/crates/fakes/src/engine/cache.rs
+++ b/crates/fakes/src/engine/cache.rs
@@ -7,13 +7,13 @@
 
 /// Digests of the most recently used prefixes, the newest last.
 #[derive(Debug)]
-pub(crate) struct Cache {
+pub(crate) struct PrefixCache {
     limit: usize,
     prefixes: VecDeque<u64>,
     hits: u64,
 }
 
-impl Cache {
+impl PrefixCache {
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -27,7 +27,7 @@
     }
 
     /// Adds the prefixes of a prompt and returns how many of its tokens were cached.
-    pub(crate) fn remember(&mut self, prompt: &Prompt) -> u64 {
+    pub(crate) fn insert(&mut self, prompt: &Prompt) -> u64 {
         if self.limit == 0 {
             return 0;
         }
--- a/crates/fakes/src/engine/generation.rs
+++ b/crates/fakes/src/engine/generation.rs
@@ -10,21 +10,23 @@
 use rand::RngExt;
 use serde_json::{Value, json};
 
-use crate::answer::Answer;
 use crate::call::Call;
 use crate::engine::prompt::Prompt;
 use crate::engine::{End, Engine, Execution};
 use crate::mark::Mark;
+use crate::response::Response;
 use crate::rng;
 use crate::settings::Truth;
 use crate::slots::Slot;
 
 type Events = mpsc::Sender<io::Result<Vec<u8>>>;
 
-/// The confidence that a version with fully informative confidence reports, before noise.
-const SURE: f64 = 0.9;
-const UNSURE: f64 = 0.2;
-const SPREAD: f64 = 0.2;
+/// Confidence in a good response, before noise, where confidence depends fully on quality.
+const CONFIDENCE_IF_GOOD: f64 = 0.9;
+/// Confidence in a bad response, before noise, where confidence depends fully on quality.
+const CONFIDENCE_IF_BAD: f64 = 0.2;
+/// Width of the range of noise added to a confidence.
+const CONFIDENCE_NOISE: f64 = 0.2;
 
 /// A running attempt, which holds a slot.
 pub(crate) struct Generation {
@@ -32,17 +34,17 @@
     slot: Option<Slot>,
     idx: usize,
     attempt: String,
-    texts: Vec<String>,
+    chunks: Vec<String>,
     truth: Truth,
     prompt_tokens: u64,
     confidence: f64,
-    first_after: Duration,
-    plan: Plan,
+    first_chunk_delay: Duration,
+    drawn: DrawnFaults,
 }
 
 /// The faults drawn for this attempt.
 #[derive(Clone, Copy, Debug)]
-struct Plan {
+struct DrawnFaults {
     fails: bool,
     cut_after: Option<usize>,
     duplicate: bool,
@@ -56,32 +58,36 @@
         let truth = shared.truth.get(&prompt.model).cloned().unwrap_or_default();
         let request = call.header("x-request-id").to_owned();
         let attempt = call.header("x-attempt-id").to_owned();
-        let mut rng = rng::drawn_for(shared.seed, &(&request, &attempt, &prompt.model));
-        let (faults, cached) = shared.with(|it| (it.faults.clone(), it.cache.remember(prompt)));
-        let spoilt = faults.bad.get(&prompt.model).copied().unwrap_or(0.0);
-        let is_good = rng.random::<f64>() < truth.good(&prompt.class);
-        let good = rng.random::<f64>() >= spoilt && is_good;
-        let plan = Plan {
+        let mut rng = rng::keyed(shared.seed, &(&request, &attempt, &prompt.model));
+        let (faults, cached) = shared.with(|it| (it.faults.clone(), it.cache.insert(prompt)));
+        let bad_share = faults.bad.get(&prompt.model).copied().unwrap_or(0.0);
+        let good_by_quality = rng.random::<f64>() < truth.good_probability(&prompt.class);
+        let good = rng.random::<f64>() >= bad_share && good_by_quality;
+        let drawn = DrawnFaults {
             fails: rng.random::<f64>() < faults.errors,
             cut_after: (rng.random::<f64>() < faults.cut)
                 .then(|| usize::try_from(faults.cut_after).unwrap_or(usize::MAX)),
             duplicate: rng.random::<f64>() < faults.duplicate,
             reorder: rng.random::<f64>() < faults.reorder,
         };
-        let known = if good { SURE } else { UNSURE };
-        let guess = truth.good(&prompt.class);
-        let noise = (rng.random::<f64>() - 0.5) * SPREAD;
-        let confidence = (guess + truth.confidence * (known - guess) + noise).clamp(0.0, 1.0);
+        let informed = if good {
+            CONFIDENCE_IF_GOOD
+        } else {
+            CONFIDENCE_IF_BAD
+        };
+        let prior = truth.good_probability(&prompt.class);
+        let noise = (rng.random::<f64>() - 0.5) * CONFIDENCE_NOISE;
+        let confidence = (prior + truth.confidence * (informed - prior) + noise).clamp(0.0, 1.0);
         let mark = Mark {
             request: request.clone(),
             attempt: attempt.clone(),
             version: prompt.model.clone(),
-            call: prompt.call(),
+            call: prompt.call_name(),
             good,
         };
         let prompt_tokens = prompt.tokens();
         let uncached = prompt_tokens - cached;
-        let first_after = Duration::from_millis(faults.delay_ms)
+        let first_chunk_delay = Duration::from_millis(faults.delay_ms)
             + Duration::from_micros(truth.prompt_us.saturating_mul(uncached));
         let execution = Execution {
             request,
@@ -103,90 +109,90 @@
         });
         let words = truth.words.min(prompt.max_tokens.unwrap_or(u64::MAX));
         Self {
-            texts: texts(&mark, words),
+            chunks: chunks(&mark, words),
             slot: Some(slot),
             idx,
             attempt,
             truth,
             prompt_tokens,
             confidence,
-            first_after,
-            plan,
+            first_chunk_delay,
+            drawn,
             engine,
         }
     }
 
     /// Writes the response as server-sent events.
     pub(crate) async fn stream(mut self, mut events: Events) {
-        task::sleep(self.first_after).await;
-        if self.plan.fails {
-            let _ = events.send(Err(cut())).await;
-            return self.end(0, End::Failed);
+        task::sleep(self.first_chunk_delay).await;
+        if self.drawn.fails {
+            let _ = events.send(Err(connection_reset())).await;
+            return self.finish(0, End::Failed);
         }
-        for idx in self.order() {
-            if self.plan.cut_after == Some(idx) {
-                let _ = events.send(Err(cut())).await;
-                return self.end(idx, End::Cut);
+        for idx in self.chunk_order() {
+            if self.drawn.cut_after == Some(idx) {
+                let _ = events.send(Err(connection_reset())).await;
+                return self.finish(idx, End::Cut);
             }
-            self.pace(idx).await;
+            self.delay_chunk(idx).await;
             if self.is_cancelled() {
-                return self.end(idx, End::Cancelled);
+                return self.finish(idx, End::Cancelled);
             }
             if events.send(Ok(event(&self.chunk(idx)))).await.is_err() {
-                return self.end(idx, End::Disconnected);
+                return self.finish(idx, End::Disconnected);
             }
         }
-        let tokens = self.texts.len();
+        let tokens = self.chunks.len();
         let last = event(&self.last_chunk());
         let done = b"data: [DONE]\n\n".to_vec();
         // The record is complete before the reader can see the end of the response.
-        self.end(tokens, End::Complete);
+        self.finish(tokens, End::Complete);
         let _ = events.send(Ok(last)).await;
         let _ = events.send(Ok(done)).await;
     }
 
     /// Returns the response as one JSON object.
-    pub(crate) async fn whole(mut self) -> Answer {
-        task::sleep(self.first_after).await;
-        let tokens = self.texts.len();
-        let pace = Duration::from_micros(self.truth.token_us);
-        task::sleep(pace * u32::try_from(tokens).unwrap_or(u32::MAX)).await;
+    pub(crate) async fn respond(mut self) -> Response {
+        task::sleep(self.first_chunk_delay).await;
+        let tokens = self.chunks.len();
+        let token_time = Duration::from_micros(self.truth.token_us);
+        task::sleep(token_time * u32::try_from(tokens).unwrap_or(u32::MAX)).await;
         if self.is_cancelled() {
-            self.end(tokens, End::Cancelled);
-            return Answer::Lost;
+            self.finish(tokens, End::Cancelled);
+            return Response::Lost;
         }
-        if self.plan.fails {
-            self.end(tokens, End::Failed);
-            return Answer::error(500, "failed");
+        if self.drawn.fails {
+            self.finish(tokens, End::Failed);
+            return Response::error(500, "failed");
         }
-        if self.plan.cut_after.is_some() {
-            self.end(tokens, End::Cut);
-            return Answer::Lost;
+        if self.drawn.cut_after.is_some() {
+            self.finish(tokens, End::Cut);
+            return Response::Lost;
         }
         let mut body = self.last_chunk();
         body["choices"] = json!([{
             "index": 0,
-            "message": {"role": "assistant", "content": self.texts.concat()},
+            "message": {"role": "assistant", "content": self.chunks.concat()},
             "finish_reason": "stop",
         }]);
-        self.end(tokens, End::Complete);
-        Answer::ok(&body)
+        self.finish(tokens, End::Complete);
+        Response::ok(&body)
     }
 
     /// Returns the indices of the chunks in the order of sending, with the faults drawn for this
     /// attempt.
-    fn order(&self) -> Vec<usize> {
-        let mut order: Vec<_> = (0..self.texts.len()).collect();
-        if self.plan.reorder && order.len() > 2 {
+    fn chunk_order(&self) -> Vec<usize> {
+        let mut order: Vec<_> = (0..self.chunks.len()).collect();
+        if self.drawn.reorder && order.len() > 2 {
             order.swap(1, 2);
         }
-        if self.plan.duplicate && order.len() > 1 {
+        if self.drawn.duplicate && order.len() > 1 {
             order.insert(2, order[1]);
         }
         order
     }
 
-    async fn pace(&self, idx: usize) {
+    async fn delay_chunk(&self, idx: usize) {
         if idx > 0 && self.truth.token_us > 0 {
             task::sleep(Duration::from_micros(self.truth.token_us)).await;
         }
@@ -197,7 +203,7 @@
             "id": self.attempt,
             "object": "chat.completion.chunk",
             "index": idx,
-            "choices": [{"index": 0, "delta": {"content": self.texts[idx]}}],
+            "choices": [{"index": 0, "delta": {"content": self.chunks[idx]}}],
         })
     }
 
@@ -205,12 +211,12 @@
         json!({
             "id": self.attempt,
             "object": "chat.completion.chunk",
-            "index": self.texts.len(),
+            "index": self.chunks.len(),
             "choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}],
             "finish_reason": "stop",
             "usage": {
                 "prompt_tokens": self.prompt_tokens,
-                "completion_tokens": self.texts.len(),
+                "completion_tokens": self.chunks.len(),
             },
             "confidence": self.confidence,
         })
@@ -222,7 +228,7 @@
             .with(|it| it.executions[self.idx].end == End::Cancelled)
     }
 
-    fn end(&mut self, tokens: usize, end: End) {
+    fn finish(&mut self, tokens: usize, end: End) {
         let completion_tokens = tokens as u64;
         let cost = Money(self.truth.price_prompt).per_million(self.prompt_tokens)
             + Money(self.truth.price_completion).per_million(completion_tokens);
@@ -233,23 +239,23 @@
             execution.end = end;
         });
         self.slot = None;
-        self.engine.note_load();
+        self.engine.record_load();
     }
 }
 
-fn texts(mark: &Mark, words: u64) -> Vec<String> {
-    let mut texts = vec![mark.text()];
-    texts.extend((1..=words).map(|it| format!(" w{it}")));
-    let words = texts.len() - 1;
-    texts.push(Mark::end(&mark.attempt, words));
-    texts
+fn chunks(mark: &Mark, words: u64) -> Vec<String> {
+    let mut chunks = vec![mark.text()];
+    chunks.extend((1..=words).map(|it| format!(" w{it}")));
+    let words = chunks.len() - 1;
+    chunks.push(Mark::end(&mark.attempt, words));
+    chunks
 }
 
 fn event(chunk: &Value) -> Vec<u8> {
     format!("data: {chunk}\n\n").into_bytes()
 }
 
-fn cut() -> io::Error {
+fn connection_reset() -> io::Error {
     io::Error::new(
         io::ErrorKind::ConnectionReset,
         "closed by an injected fault",
--- a/crates/fakes/src/engine/prompt.rs
+++ b/crates/fakes/src/engine/prompt.rs
@@ -17,7 +17,7 @@
     pub(crate) stream: bool,
     #[serde(default)]
     pub(crate) max_tokens: Option<u64>,
-    #[serde(default = "general")]
+    #[serde(default = "default_class")]
     pub(crate) class: String,
 }
 
@@ -29,8 +29,13 @@
 
 impl Prompt {
     /// Returns the caller's name for its call, from the newest message that has one.
-    pub(crate) fn call(&self) -> String {
-        let named = |it: &Message| it.content.as_str().and_then(Mark::call).map(str::to_owned);
+    pub(crate) fn call_name(&self) -> String {
+        let named = |it: &Message| {
+            it.content
+                .as_str()
+                .and_then(Mark::call_name)
+                .map(str::to_owned)
+        };
         self.messages
             .iter()
             .rev()
@@ -64,6 +69,6 @@
     }
 }
 
-fn general() -> String {
+fn default_class() -> String {
     "general".to_owned()
 }
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/host_list.rs
@@ -10,13 +10,13 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::answer::Answer;
 use crate::call::Call;
 use crate::control;
 use crate::lagged::Lagged;
+use crate::response::Response;
 
 /// The host list. `GET /v1/hosts` returns its state as of the configured lag ago.
-pub struct Hosts {
+pub struct HostList {
     clock: Arc<dyn Clock>,
     inner: Mutex<Inner>,
 }
@@ -76,7 +76,7 @@
     remove: Vec<String>,
 }
 
-impl Hosts {
+impl HostList {
     /// Creates a list whose initial hosts are visible at once.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, lag: Duration, hosts: Vec<Host>) -> Self {
@@ -97,13 +97,13 @@
     }
 
     /// Handles one call.
-    pub async fn answer(&self, call: &Call) -> Answer {
+    pub async fn handle(&self, call: &Call) -> Response {
         if call.path.first().is_some_and(|it| it == "v1") {
             let delay = self.with(|it| it.faults.delay_ms);
             task::sleep(Duration::from_millis(delay)).await;
         }
         let now = self.clock.now();
-        self.with(|it| it.answer(now, call))
+        self.with(|it| it.handle(now, call))
     }
 
     fn with<T>(&self, work: impl FnOnce(&mut Inner) -> T) -> T {
@@ -112,42 +112,42 @@
 }
 
 impl Inner {
-    fn answer(&mut self, now: Duration, call: &Call) -> Answer {
+    fn handle(&mut self, now: Duration, call: &Call) -> Response {
         match (call.method, call.segments().as_slice()) {
-            (Method::Post, ["control", "faults"]) => self.switch(call),
+            (Method::Post, ["control", "faults"]) => self.update_faults(call),
             (Method::Post, ["control", "hosts"]) => self.change(now, call),
-            (Method::Get, ["control", "records"]) => Answer::ok(&json!({
+            (Method::Get, ["control", "records"]) => Response::ok(&json!({
                 "reads": self.reads,
-                "hosts": self.hosts.newest().values().collect::<Vec<_>>(),
+                "hosts": self.hosts.latest().values().collect::<Vec<_>>(),
             })),
-            (_, ["v1", ..]) if self.faults.outage => Answer::error(503, "outage"),
+            (_, ["v1", ..]) if self.faults.outage => Response::error(503, "outage"),
             (Method::Get, ["v1", "hosts"]) => {
                 self.reads += 1;
-                let hosts = self.hosts.seen(now);
-                Answer::ok(&json!({ "hosts": hosts.values().collect::<Vec<_>>() }))
+                let hosts = self.hosts.visible_at(now);
+                Response::ok(&json!({ "hosts": hosts.values().collect::<Vec<_>>() }))
             }
-            _ => Answer::error(404, "not_found"),
+            _ => Response::error(404, "not_found"),
         }
     }
 
-    fn switch(&mut self, call: &Call) -> Answer {
-        let answer = control::switch(&mut self.faults, call);
+    fn update_faults(&mut self, call: &Call) -> Response {
+        let response = control::update_faults(&mut self.faults, call);
         self.hosts
             .set_lag(Duration::from_millis(self.faults.lag_ms));
-        answer
+        response
     }
 
-    fn change(&mut self, now: Duration, call: &Call) -> Answer {
+    fn change(&mut self, now: Duration, call: &Call) -> Response {
         let change: Change = match call.json() {
             Ok(it) => it,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
-        let mut hosts = self.hosts.newest().clone();
+        let mut hosts = self.hosts.latest().clone();
         for name in &change.remove {
             hosts.remove(name);
         }
         hosts.extend(change.hosts.into_iter().map(|it| (it.name.clone(), it)));
         self.hosts.set(now, hosts);
-        Answer::ok(&json!({}))
+        Response::ok(&json!({}))
     }
 }
--- a/crates/fakes/src/lagged.rs
+++ b/crates/fakes/src/lagged.rs
@@ -7,7 +7,7 @@
 #[derive(Debug)]
 pub(crate) struct Lagged<T> {
     lag: Duration,
-    past: VecDeque<(Duration, T)>,
+    history: VecDeque<(Duration, T)>,
 }
 
 impl<T> Lagged<T> {
@@ -15,13 +15,13 @@
     pub(crate) fn new(lag: Duration, value: T) -> Self {
         Self {
             lag,
-            past: VecDeque::from([(Duration::ZERO, value)]),
+            history: VecDeque::from([(Duration::ZERO, value)]),
         }
     }
 
     pub(crate) fn set(&mut self, now: Duration, value: T) {
-        self.forget(now);
-        self.past.push_back((now, value));
+        self.remove_superseded(now);
+        self.history.push_back((now, value));
     }
 
     /// Sets the lag, also for values that are not visible yet.
@@ -29,23 +29,23 @@
         self.lag = lag;
     }
 
-    pub(crate) fn newest(&self) -> &T {
-        let (_, value) = self.past.back().expect("the history is never empty");
+    pub(crate) fn latest(&self) -> &T {
+        let (_, value) = self.history.back().expect("the history is never empty");
         value
     }
 
     /// Returns the value that is visible at `now`.
-    pub(crate) fn seen(&mut self, now: Duration) -> &T {
-        self.forget(now);
-        let (_, value) = self.past.front().expect("the history is never empty");
+    pub(crate) fn visible_at(&mut self, now: Duration) -> &T {
+        self.remove_superseded(now);
+        let (_, value) = self.history.front().expect("the history is never empty");
         value
     }
 
     /// Removes the values that are older than the visible one.
-    fn forget(&mut self, now: Duration) {
+    fn remove_superseded(&mut self, now: Duration) {
         let visible = now.saturating_sub(self.lag);
-        while self.past.get(1).is_some_and(|(set, _)| *set <= visible) {
-            self.past.pop_front();
+        while self.history.get(1).is_some_and(|(set, _)| *set <= visible) {
+            self.history.pop_front();
         }
     }
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -5,16 +5,16 @@
 //! responses that callers got. The protocols are those of `docs/PROTOCOLS.md`; settings and
 //! faults are in `docs/operate/stand-ins.md`.
 
-mod answer;
 mod call;
 mod control;
 mod engine;
-mod hosts;
+mod host_list;
 mod lagged;
 mod mark;
 mod objects;
-mod plain;
+mod plain_service;
 mod rating;
+mod response;
 mod rng;
 mod server;
 mod settings;
@@ -23,14 +23,14 @@
 mod started;
 mod table;
 
-pub use answer::Answer;
 pub use call::Call;
 pub use engine::{End, Engine, Execution};
-pub use hosts::{Host, Hosts};
+pub use host_list::{Host, HostList};
 pub use mark::Mark;
 pub use objects::Objects;
-pub use plain::{Plain, Run};
+pub use plain_service::{PlainService, Run};
 pub use rating::Rating;
+pub use response::Response;
 pub use settings::{
     EngineSettings, HostsSettings, PlainSettings, RatingSettings, Settings, StoreSettings, Truth,
 };
--- a/crates/fakes/src/mark.rs
+++ b/crates/fakes/src/mark.rs
@@ -36,8 +36,8 @@
 
     /// Parses the mark at the start of a response.
     #[must_use]
-    pub fn parse(answer: &str) -> Option<Self> {
-        let inner = answer.strip_prefix("[[")?.split_once("]]")?.0;
+    pub fn parse(response: &str) -> Option<Self> {
+        let inner = response.strip_prefix("[[")?.split_once("]]")?.0;
         let mut mark = Self::default();
         for (field, value) in inner.split(' ').filter_map(|it| it.split_once('=')) {
             match field {
@@ -55,11 +55,11 @@
     /// Returns whether a response is the complete output of a single attempt: a mark, all words in
     /// order, and the closing text of the same attempt.
     #[must_use]
-    pub fn is_whole(answer: &str) -> bool {
-        let Some(mark) = Self::parse(answer) else {
+    pub fn is_whole(response: &str) -> bool {
+        let Some(mark) = Self::parse(response) else {
             return false;
         };
-        let Some((body, _)) = answer.rsplit_once(END) else {
+        let Some((body, _)) = response.rsplit_once(END) else {
             return false;
         };
         let words: Vec<_> = body
@@ -69,7 +69,7 @@
         let words = &words[1..];
         let is_next = |(idx, word): (usize, &&str)| **word == format!("w{}", idx + 1);
         words.iter().enumerate().all(is_next)
-            && answer.ends_with(&Self::end(&mark.attempt, words.len()))
+            && response.ends_with(&Self::end(&mark.attempt, words.len()))
     }
 
     /// Formats the text that closes a response of `words` words.
@@ -78,7 +78,7 @@
     }
 
     /// Returns the caller's name for its call from a prompt.
-    pub(crate) fn call(prompt: &str) -> Option<&str> {
+    pub(crate) fn call_name(prompt: &str) -> Option<&str> {
         let (_, rest) = prompt.rsplit_once("[[call=")?;
         rest.split_once("]]").map(|(call, _)| call)
     }
--- a/crates/fakes/src/objects.rs
+++ b/crates/fakes/src/objects.rs
@@ -9,9 +9,9 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::answer::Answer;
 use crate::call::Call;
 use crate::control;
+use crate::response::Response;
 
 /// An object store, which maps names to bytes.
 #[derive(Debug, Default)]
@@ -37,12 +37,12 @@
 
 impl Objects {
     /// Handles one call.
-    pub async fn answer(&self, call: &Call) -> Answer {
+    pub async fn handle(&self, call: &Call) -> Response {
         if call.path.first().is_some_and(|it| it == "v1") {
             let delay = self.with(|it| it.faults.delay_ms);
             task::sleep(Duration::from_millis(delay)).await;
         }
-        self.with(|it| it.answer(call))
+        self.with(|it| it.handle(call))
     }
 
     fn with<T>(&self, work: impl FnOnce(&mut Inner) -> T) -> T {
@@ -51,38 +51,38 @@
 }
 
 impl Inner {
-    fn answer(&mut self, call: &Call) -> Answer {
+    fn handle(&mut self, call: &Call) -> Response {
         match (call.method, call.segments().as_slice()) {
-            (Method::Post, ["control", "faults"]) => control::switch(&mut self.faults, call),
-            (Method::Get, ["control", "records"]) => Answer::ok(&json!({
+            (Method::Post, ["control", "faults"]) => control::update_faults(&mut self.faults, call),
+            (Method::Get, ["control", "records"]) => Response::ok(&json!({
                 "reads": self.reads, "writes": self.writes,
                 "objects": self.objects.keys().collect::<Vec<_>>(),
             })),
-            (_, ["v1", ..]) if self.faults.outage => Answer::error(503, "outage"),
+            (_, ["v1", ..]) if self.faults.outage => Response::error(503, "outage"),
             (Method::Put, ["v1", "objects", name]) => self.put(name, &call.body),
             (Method::Get, ["v1", "objects", name]) => self.get(name),
-            _ => Answer::error(404, "not_found"),
+            _ => Response::error(404, "not_found"),
         }
     }
 
-    fn put(&mut self, name: &str, body: &[u8]) -> Answer {
+    fn put(&mut self, name: &str, body: &[u8]) -> Response {
         self.writes += 1;
         self.objects.insert(name.to_owned(), body.to_vec());
         if self.faults.lose_answers > 0 {
             self.faults.lose_answers -= 1;
-            return Answer::Lost;
+            return Response::Lost;
         }
-        Answer::ok(&json!({}))
+        Response::ok(&json!({}))
     }
 
-    fn get(&mut self, name: &str) -> Answer {
+    fn get(&mut self, name: &str) -> Response {
         self.reads += 1;
         match self.objects.get(name) {
-            Some(body) => Answer::Json {
+            Some(body) => Response::Json {
                 status: 200,
                 body: body.clone(),
             },
-            None => Answer::error(404, "not_found"),
+            None => Response::error(404, "not_found"),
         }
     }
 }
--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain_service.rs
@@ -11,16 +11,16 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::answer::Answer;
 use crate::call::Call;
 use crate::control;
 use crate::lagged::Lagged;
+use crate::response::Response;
 use crate::rng;
 use crate::settings::PlainSettings;
 use crate::slots::Slots;
 
 /// An endpoint of a plain service.
-pub struct Plain {
+pub struct PlainService {
     clock: Arc<dyn Clock>,
     settings: PlainSettings,
     seed: u64,
@@ -74,7 +74,7 @@
     incarnation: u64,
 }
 
-impl Plain {
+impl PlainService {
     /// Creates an endpoint with no records.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, settings: PlainSettings, seed: u64) -> Self {
@@ -100,10 +100,10 @@
     }
 
     /// Handles one call.
-    pub async fn answer(&self, call: &Call) -> Answer {
+    pub async fn handle(&self, call: &Call) -> Response {
         match (call.method, call.segments().as_slice()) {
             (Method::Post, ["control", "faults"]) => {
-                self.with(|it| control::switch(&mut it.faults, call))
+                self.with(|it| control::update_faults(&mut it.faults, call))
             }
             (Method::Get, ["control", "records"]) => self.with(|it| it.records()),
             (Method::Get, ["v1", "load"]) => self.load(),
@@ -111,19 +111,19 @@
         }
     }
 
-    async fn execute(&self, call: &Call) -> Answer {
+    async fn execute(&self, call: &Call) -> Response {
         if let Some(code) = self.with(|it| it.refusal(call)) {
-            return Answer::error(503, &code);
+            return Response::error(503, &code);
         }
-        let Some(slot) = self.slots.enter(call.header("x-priority")).await else {
+        let Some(slot) = self.slots.acquire(call.header("x-priority")).await else {
             self.with(|it| it.refused += 1);
-            return Answer::error(503, "overloaded");
+            return Response::error(503, "overloaded");
         };
-        self.note_load();
+        self.record_load();
         let run = Run {
             request: call.header("x-request-id").to_owned(),
             attempt: call.header("x-attempt-id").to_owned(),
-            call: caller_name(call),
+            call: call_name(call),
             method: call.method.to_string(),
             path: format!("/{}", call.path.join("/")),
             started_ms: millis(self.clock.wall()),
@@ -134,20 +134,20 @@
         if delay > 0 {
             task::sleep(Duration::from_millis(delay)).await;
         }
-        let draw = rng::drawn_for(self.seed, &(&run.request, &run.attempt)).random::<f64>();
-        let answer = self.with(|it| it.finish(idx, draw));
+        let draw = rng::keyed(self.seed, &(&run.request, &run.attempt)).random::<f64>();
+        let response = self.with(|it| it.finish(idx, draw));
         drop(slot);
-        self.note_load();
-        answer
+        self.record_load();
+        response
     }
 
-    fn load(&self) -> Answer {
+    fn load(&self) -> Response {
         let now = self.clock.now();
         let (state, incarnation, (running, waiting)) = self.with(|it| {
             let state = if it.faults.leaving { "leaving" } else { "live" };
-            (state, it.faults.incarnation, *it.load.seen(now))
+            (state, it.faults.incarnation, *it.load.visible_at(now))
         });
-        Answer::ok(&json!({
+        Response::ok(&json!({
             "name": self.settings.name,
             "incarnation": incarnation,
             "state": state,
@@ -159,7 +159,7 @@
         }))
     }
 
-    fn note_load(&self) {
+    fn record_load(&self) {
         let now = self.clock.now();
         let load = (self.slots.running(), self.slots.waiting());
         self.with(|it| it.load.set(now, load));
@@ -172,12 +172,14 @@
 
 impl Inner {
     fn refusal(&mut self, call: &Call) -> Option<String> {
-        let meant_for = call.header("x-incarnation");
+        let target_incarnation = call.header("x-incarnation");
         let code = if let Some(code) = &self.faults.refuse {
             code.clone()
         } else if self.faults.leaving {
             "leaving".to_owned()
-        } else if !meant_for.is_empty() && meant_for.parse() != Ok(self.faults.incarnation) {
+        } else if !target_incarnation.is_empty()
+            && target_incarnation.parse() != Ok(self.faults.incarnation)
+        {
             "wrong_incarnation".to_owned()
         } else {
             return None;
@@ -193,17 +195,17 @@
         self.runs.len() - 1
     }
 
-    fn finish(&mut self, idx: usize, draw: f64) -> Answer {
+    fn finish(&mut self, idx: usize, draw: f64) -> Response {
         if self.faults.lose_answers > 0 {
             self.faults.lose_answers -= 1;
-            return Answer::Lost;
+            return Response::Lost;
         }
         if draw < self.faults.errors {
-            return Answer::error(500, "failed");
+            return Response::error(500, "failed");
         }
         let run = &mut self.runs[idx];
         run.answered = true;
-        Answer::ok(&json!({
+        Response::ok(&json!({
             "call": run.call,
             "path": run.path,
             "request": run.request,
@@ -212,8 +214,8 @@
         }))
     }
 
-    fn records(&self) -> Answer {
-        Answer::ok(&json!({
+    fn records(&self) -> Response {
+        Response::ok(&json!({
             "runs": self.runs,
             "by_call": self.by_call,
             "by_request": self.by_request,
@@ -226,7 +228,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn caller_name(call: &Call) -> String {
+fn call_name(call: &Call) -> String {
     let body: Value = serde_json::from_slice(&call.body).unwrap_or_default();
     if let Some(name) = body["call"].as_str() {
         return name.to_owned();
--- a/crates/fakes/src/rating.rs
+++ b/crates/fakes/src/rating.rs
@@ -10,14 +10,14 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::answer::Answer;
 use crate::call::Call;
 use crate::control;
 use crate::mark::Mark;
+use crate::response::Response;
 use crate::rng;
 use crate::settings::RatingSettings;
 
-const PAGE: usize = 500;
+const DEFAULT_PAGE_SIZE: usize = 500;
 
 /// Rates responses by the mark that the engine stand-ins write into them.
 pub struct Rating {
@@ -28,10 +28,10 @@
 
 struct Inner {
     faults: Faults,
-    asked: u64,
+    requested: u64,
     unmarked: u64,
-    pending: Vec<Pending>,
-    ready: BTreeMap<String, Vec<Rated>>,
+    pending: Vec<PendingRating>,
+    published: BTreeMap<String, Vec<PublishedRating>>,
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Ask {
+struct RatingRequest {
     request: String,
     version: String,
     class: String,
@@ -55,14 +55,14 @@
     answer: String,
 }
 
-struct Pending {
+struct PendingRating {
     due: Duration,
-    ask: Ask,
+    body: RatingRequest,
     good: bool,
 }
 
 #[derive(Debug, Serialize)]
-struct Rated {
+struct PublishedRating {
     seq: u64,
     request: String,
     version: String,
@@ -82,10 +82,10 @@
         };
         let inner = Inner {
             faults,
-            asked: 0,
+            requested: 0,
             unmarked: 0,
             pending: Vec::new(),
-            ready: BTreeMap::new(),
+            published: BTreeMap::new(),
         };
         Self {
             clock,
@@ -95,85 +95,87 @@
     }
 
     /// Handles one call.
-    pub fn answer(&self, call: &Call) -> Answer {
+    pub fn handle(&self, call: &Call) -> Response {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         match (call.method, call.segments().as_slice()) {
-            (Method::Post, ["control", "faults"]) => control::switch(&mut inner.faults, call),
+            (Method::Post, ["control", "faults"]) => {
+                control::update_faults(&mut inner.faults, call)
+            }
             (Method::Get, ["control", "records"]) => inner.records(),
-            (_, ["v1", ..]) if inner.faults.outage => Answer::error(503, "outage"),
-            (Method::Post, ["v1", "ratings"]) => inner.ask(self.seed, now, call),
-            (Method::Get, ["v1", "ratings"]) => inner.give(now, call),
-            _ => Answer::error(404, "not_found"),
+            (_, ["v1", ..]) if inner.faults.outage => Response::error(503, "outage"),
+            (Method::Post, ["v1", "ratings"]) => inner.submit(self.seed, now, call),
+            (Method::Get, ["v1", "ratings"]) => inner.list(now, call),
+            _ => Response::error(404, "not_found"),
         }
     }
 }
 
 impl Inner {
-    fn ask(&mut self, seed: u64, now: Duration, call: &Call) -> Answer {
-        let ask: Ask = match call.json() {
+    fn submit(&mut self, seed: u64, now: Duration, call: &Call) -> Response {
+        let body: RatingRequest = match call.json() {
             Ok(it) => it,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
-        self.asked += 1;
-        let Some(mark) = Mark::parse(&ask.answer) else {
+        self.requested += 1;
+        let Some(mark) = Mark::parse(&body.answer) else {
             self.unmarked += 1;
-            return Answer::json(202, &json!({}));
+            return Response::json(202, &json!({}));
         };
-        let mut rng = rng::drawn_for(seed, &(&ask.request, &ask.version));
-        let comes = rng.random::<f64>() >= self.faults.never;
-        let flipped = rng.random::<f64>() < self.faults.noise;
-        if comes {
-            self.pending.push(Pending {
+        let mut rng = rng::keyed(seed, &(&body.request, &body.version));
+        let delivered = rng.random::<f64>() >= self.faults.never;
+        let inverted = rng.random::<f64>() < self.faults.noise;
+        if delivered {
+            self.pending.push(PendingRating {
                 due: now + Duration::from_millis(self.faults.late_ms),
-                good: mark.good != flipped,
-                ask,
+                good: mark.good != inverted,
+                body,
             });
         }
-        Answer::json(202, &json!({}))
+        Response::json(202, &json!({}))
     }
 
-    fn give(&mut self, now: Duration, call: &Call) -> Answer {
-        self.ripen(now);
+    fn list(&mut self, now: Duration, call: &Call) -> Response {
+        self.publish_due(now);
         let host = call.query.get("for").map_or("", String::as_str);
         let after = call.number("after").unwrap_or(0);
         let limit = call
             .number("limit")
             .and_then(|it| usize::try_from(it).ok())
-            .unwrap_or(PAGE);
+            .unwrap_or(DEFAULT_PAGE_SIZE);
         let ratings: Vec<_> = self
-            .ready
+            .published
             .get(host)
             .into_iter()
             .flatten()
             .filter(|it| it.seq > after)
             .take(limit)
             .collect();
-        Answer::ok(&json!({ "ratings": ratings }))
+        Response::ok(&json!({ "ratings": ratings }))
     }
 
     /// Publishes the ratings that are due. Sequence numbers are assigned here and not on request:
     /// otherwise a rating that becomes due late could get a number below a reader's cursor and
     /// would never be read.
-    fn ripen(&mut self, now: Duration) {
-        for Pending { ask, good, .. } in self.pending.extract_if(.., |it| it.due <= now) {
-            let ready = self.ready.entry(ask.reply_to).or_default();
-            ready.push(Rated {
-                seq: ready.len() as u64 + 1,
-                request: ask.request,
-                version: ask.version,
-                class: ask.class,
+    fn publish_due(&mut self, now: Duration) {
+        for PendingRating { body, good, .. } in self.pending.extract_if(.., |it| it.due <= now) {
+            let published = self.published.entry(body.reply_to).or_default();
+            published.push(PublishedRating {
+                seq: published.len() as u64 + 1,
+                request: body.request,
+                version: body.version,
+                class: body.class,
                 good,
             });
         }
     }
 
-    fn records(&self) -> Answer {
-        Answer::ok(&json!({
-            "asked": self.asked,
+    fn records(&self) -> Response {
+        Response::ok(&json!({
+            "asked": self.requested,
             "unmarked": self.unmarked,
             "pending": self.pending.len(),
-            "ready": self.ready,
+            "ready": self.published,
         }))
     }
 }
--- a/crates/fakes/src/answer.rs
+++ b/crates/fakes/src/response.rs
@@ -4,13 +4,13 @@
 
 use futures::channel::mpsc;
 use futures::{StreamExt, TryStreamExt};
-use http_types::{Body, Response, StatusCode};
+use http_types::{Body, StatusCode};
 use serde::Serialize;
 use serde_json::json;
 
 /// The response of a stand-in to one call.
 #[derive(Debug)]
-pub enum Answer {
+pub enum Response {
     /// A complete JSON body.
     Json {
         /// The HTTP status.
@@ -24,7 +24,7 @@
     Lost,
 }
 
-impl Answer {
+impl Response {
     /// Creates a response with status 200 and a JSON body.
     #[must_use]
     pub fn ok<T: Serialize>(value: &T) -> Self {
@@ -69,17 +69,17 @@
     }
 
     /// Converts this to an HTTP response; `None` when the connection is to close without one.
-    pub(crate) fn response(self) -> Option<Response> {
+    pub(crate) fn into_http(self) -> Option<http_types::Response> {
         match self {
             Self::Json { status, body } => {
                 let status = StatusCode::try_from(status).unwrap_or(StatusCode::Ok);
-                let mut res = Response::new(status);
+                let mut res = http_types::Response::new(status);
                 res.set_body(body);
                 res.insert_header("content-type", "application/json");
                 Some(res)
             }
             Self::Events(events) => {
-                let mut res = Response::new(StatusCode::Ok);
+                let mut res = http_types::Response::new(StatusCode::Ok);
                 res.set_body(Body::from_reader(events.into_async_read(), None));
                 res.insert_header("content-type", "text/event-stream");
                 Some(res)
--- a/crates/fakes/src/rng.rs
+++ b/crates/fakes/src/rng.rs
@@ -7,9 +7,9 @@
 use rand_pcg::Pcg64Mcg;
 
 /// Creates the generator for a key.
-pub(crate) fn drawn_for<T: Hash>(seed: u64, what: &T) -> Pcg64Mcg {
+pub(crate) fn keyed<T: Hash>(seed: u64, key: &T) -> Pcg64Mcg {
     let mut hasher = DefaultHasher::new();
     seed.hash(&mut hasher);
-    what.hash(&mut hasher);
+    key.hash(&mut hasher);
     Pcg64Mcg::seed_from_u64(hasher.finish())
 }
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -6,7 +6,7 @@
 use async_std::net::{TcpListener, TcpStream};
 use async_std::stream::StreamExt;
 use async_std::task::{self, JoinHandle};
-use http_types::{Request, Response, StatusCode};
+use http_types::{Request, StatusCode};
 
 use crate::call::Call;
 use crate::stand_in::StandIn;
@@ -15,21 +15,24 @@
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
-    accepting: Option<JoinHandle<()>>,
+    accept_task: Option<JoinHandle<()>>,
 }
 
 impl Server {
     pub(crate) fn start(listener: TcpListener, stand_in: StandIn) -> std::io::Result<Self> {
         let address = listener.local_addr()?;
-        let accepting = Some(task::spawn(accept(listener, Arc::new(stand_in))));
-        Ok(Self { address, accepting })
+        let accept_task = Some(task::spawn(accept(listener, Arc::new(stand_in))));
+        Ok(Self {
+            address,
+            accept_task,
+        })
     }
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        if let Some(accepting) = self.accepting.take() {
-            task::spawn(accepting.cancel());
+        if let Some(accept_task) = self.accept_task.take() {
+            task::spawn(accept_task.cancel());
         }
     }
 }
@@ -51,9 +54,9 @@
     let _ = async_h1::accept(io, |req| respond(Arc::clone(&stand_in), req)).await;
 }
 
-async fn respond(stand_in: Arc<StandIn>, req: Request) -> http_types::Result<Response> {
+async fn respond(stand_in: Arc<StandIn>, req: Request) -> http_types::Result<http_types::Response> {
     let call = Call::read(req).await?;
-    stand_in.answer(&call).await.response().ok_or_else(|| {
+    stand_in.handle(&call).await.into_http().ok_or_else(|| {
         http_types::Error::from_str(StatusCode::ServiceUnavailable, "dropped response")
     })
 }
--- a/crates/fakes/src/settings.rs
+++ b/crates/fakes/src/settings.rs
@@ -63,7 +63,7 @@
     /// The stand-in's name.
     pub name: String,
     /// The address to listen on; port 0 takes a free port.
-    #[serde(default = "any_port")]
+    #[serde(default = "default_address")]
     pub address: String,
 }
 
@@ -74,7 +74,7 @@
     /// The stand-in's name.
     pub name: String,
     /// The address to listen on; port 0 takes a free port.
-    #[serde(default = "any_port")]
+    #[serde(default = "default_address")]
     pub address: String,
     /// The lag after which a change becomes visible.
     #[serde(default)]
@@ -88,15 +88,15 @@
     /// The stand-in's name, also in the host list.
     pub name: String,
     /// The address to listen on; port 0 takes a free port.
-    #[serde(default = "any_port")]
+    #[serde(default = "default_address")]
     pub address: String,
     /// The data centre of the endpoint.
     pub data_centre: String,
     /// The region of the data centre.
-    #[serde(default = "one_region")]
+    #[serde(default = "default_region")]
     pub region: String,
     /// The incarnation of the endpoint.
-    #[serde(default = "first")]
+    #[serde(default = "default_incarnation")]
     pub incarnation: u64,
     /// Maximum number of requests that run at the same time.
     pub slots: usize,
@@ -128,15 +128,15 @@
     /// The service that the endpoint serves.
     pub service: String,
     /// The address to listen on; port 0 takes a free port.
-    #[serde(default = "any_port")]
+    #[serde(default = "default_address")]
     pub address: String,
     /// The data centre of the endpoint.
     pub data_centre: String,
     /// The region of the data centre.
-    #[serde(default = "one_region")]
+    #[serde(default = "default_region")]
     pub region: String,
     /// The incarnation of the endpoint.
-    #[serde(default = "first")]
+    #[serde(default = "default_incarnation")]
     pub incarnation: u64,
     /// Maximum number of calls that run at the same time.
     pub slots: usize,
@@ -158,7 +158,7 @@
     /// The stand-in's name.
     pub name: String,
     /// The address to listen on; port 0 takes a free port.
-    #[serde(default = "any_port")]
+    #[serde(default = "default_address")]
     pub address: String,
     /// The delay of each rating.
     #[serde(default)]
@@ -185,7 +185,7 @@
 impl Truth {
     /// Returns the probability that a response to a request of `class` is good.
     #[must_use]
-    pub fn good(&self, class: &str) -> f64 {
+    pub fn good_probability(&self, class: &str) -> f64 {
         let default = || self.good.get("default");
         self.good
             .get(class)
@@ -209,14 +209,14 @@
     }
 }
 
-fn any_port() -> String {
+fn default_address() -> String {
     "127.0.0.1:0".to_owned()
 }
 
-fn one_region() -> String {
+fn default_region() -> String {
     "local".to_owned()
 }
 
-fn first() -> u64 {
+fn default_incarnation() -> u64 {
     1
 }
--- a/crates/fakes/src/slots.rs
+++ b/crates/fakes/src/slots.rs
@@ -19,23 +19,23 @@
 
 #[derive(Debug)]
 struct Inner {
-    total: usize,
-    queue: usize,
+    capacity: usize,
+    max_waiting: usize,
     running: usize,
     arrivals: u64,
     waiting: BTreeMap<(u8, u64), oneshot::Sender<()>>,
 }
 
-enum Entry {
+enum Admission {
     Run,
     Wait(oneshot::Receiver<()>),
 }
 
 impl Slots {
-    pub(crate) fn new(total: usize, queue: usize) -> Self {
+    pub(crate) fn new(capacity: usize, max_waiting: usize) -> Self {
         let inner = Inner {
-            total,
-            queue,
+            capacity,
+            max_waiting,
             running: 0,
             arrivals: 0,
             waiting: BTreeMap::new(),
@@ -46,10 +46,10 @@
     }
 
     /// Waits for a slot; returns `None` at once when the queue is full.
-    pub(crate) async fn enter(&self, priority: &str) -> Option<Slot> {
-        let entry = self.lock().enter(rank(priority))?;
-        if let Entry::Wait(turn) = entry {
-            turn.await.ok()?;
+    pub(crate) async fn acquire(&self, priority: &str) -> Option<Slot> {
+        let admission = self.lock().acquire(rank(priority))?;
+        if let Admission::Wait(granted) = admission {
+            granted.await.ok()?;
         }
         Some(Slot {
             slots: self.clone(),
@@ -71,27 +71,27 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.slots.lock().leave();
+        self.slots.lock().release();
     }
 }
 
 impl Inner {
-    fn enter(&mut self, rank: u8) -> Option<Entry> {
-        if self.running < self.total {
+    fn acquire(&mut self, rank: u8) -> Option<Admission> {
+        if self.running < self.capacity {
             self.running += 1;
-            return Some(Entry::Run);
+            return Some(Admission::Run);
         }
-        if self.waiting.len() >= self.queue {
+        if self.waiting.len() >= self.max_waiting {
             return None;
         }
-        let (sender, turn) = oneshot::channel();
+        let (sender, granted) = oneshot::channel();
         self.arrivals += 1;
         self.waiting.insert((rank, self.arrivals), sender);
-        Some(Entry::Wait(turn))
+        Some(Admission::Wait(granted))
     }
 
     /// Passes the slot to the first request in the queue that still waits for it, or frees it.
-    fn leave(&mut self) {
+    fn release(&mut self) {
         while let Some((_, next)) = self.waiting.pop_first() {
             if next.send(()).is_ok() {
                 return;
--- a/crates/fakes/src/stand_in.rs
+++ b/crates/fakes/src/stand_in.rs
@@ -1,12 +1,12 @@
 //! The enumeration of all kinds of stand-ins.
 
-use crate::answer::Answer;
 use crate::call::Call;
 use crate::engine::Engine;
-use crate::hosts::Hosts;
+use crate::host_list::HostList;
 use crate::objects::Objects;
-use crate::plain::Plain;
+use crate::plain_service::PlainService;
 use crate::rating::Rating;
+use crate::response::Response;
 use crate::table::Table;
 
 /// A stand-in of any kind.
@@ -17,25 +17,25 @@
     /// The object store.
     Objects(Objects),
     /// The host list.
-    Hosts(Hosts),
+    HostList(HostList),
     /// A model engine.
     Engine(Engine),
     /// An endpoint of a plain service.
-    Plain(Box<Plain>),
+    PlainService(Box<PlainService>),
     /// The rating service.
     Rating(Rating),
 }
 
 impl StandIn {
     /// Handles one call.
-    pub async fn answer(&self, call: &Call) -> Answer {
+    pub async fn handle(&self, call: &Call) -> Response {
         match self {
-            Self::Table(it) => it.answer(call).await,
-            Self::Objects(it) => it.answer(call).await,
-            Self::Hosts(it) => it.answer(call).await,
-            Self::Engine(it) => it.answer(call).await,
-            Self::Plain(it) => it.answer(call).await,
-            Self::Rating(it) => it.answer(call),
+            Self::Table(it) => it.handle(call).await,
+            Self::Objects(it) => it.handle(call).await,
+            Self::HostList(it) => it.handle(call).await,
+            Self::Engine(it) => it.handle(call).await,
+            Self::PlainService(it) => it.handle(call).await,
+            Self::Rating(it) => it.handle(call),
         }
     }
 }
--- a/crates/fakes/src/started.rs
+++ b/crates/fakes/src/started.rs
@@ -10,9 +10,9 @@
 use kernel::Clock;
 
 use crate::engine::Engine;
-use crate::hosts::{Host, Hosts};
+use crate::host_list::{Host, HostList};
 use crate::objects::Objects;
-use crate::plain::Plain;
+use crate::plain_service::PlainService;
 use crate::rating::Rating;
 use crate::server::Server;
 use crate::settings::{EngineSettings, PlainSettings, Settings};
@@ -54,13 +54,13 @@
             hosts.push(engine_host(it, address));
         }
         for it in settings.service {
-            let plain = Box::new(Plain::new(Arc::clone(&clock), it.clone(), seed));
+            let plain = Box::new(PlainService::new(Arc::clone(&clock), it.clone(), seed));
             let address = started.add(&it.name, &it.address, plain).await?;
             hosts.push(service_host(it, address));
         }
         for it in settings.hosts {
             let lag = Duration::from_millis(it.lag_ms);
-            let list = Hosts::new(Arc::clone(&clock), lag, hosts.clone());
+            let list = HostList::new(Arc::clone(&clock), lag, hosts.clone());
             started.add(&it.name, &it.address, list).await?;
         }
         Ok(started)
--- a/crates/fakes/src/table.rs
+++ b/crates/fakes/src/table.rs
@@ -10,12 +10,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::answer::Answer;
 use crate::call::Call;
 use crate::control;
+use crate::response::Response;
 use crate::table::rows::{Rows, Transaction};
 
-const SCAN_LIMIT: usize = 1000;
+const DEFAULT_SCAN_LIMIT: usize = 1000;
 
 /// A table with atomic transactions, which can simulate outages, delays and lost responses.
 #[derive(Debug, Default)]
@@ -46,14 +46,14 @@
 
 impl Table {
     /// Handles one call.
-    pub async fn answer(&self, call: &Call) -> Answer {
+    pub async fn handle(&self, call: &Call) -> Response {
         if call.path.first().is_some_and(|it| it == "v1") {
             let delay = self.with(|it| it.faults.delay_ms);
             if delay > 0 {
                 task::sleep(Duration::from_millis(delay)).await;
             }
         }
-        self.with(|it| it.answer(call))
+        self.with(|it| it.handle(call))
     }
 
     fn with<T>(&self, work: impl FnOnce(&mut Inner) -> T) -> T {
@@ -62,60 +62,60 @@
 }
 
 impl Inner {
-    fn answer(&mut self, call: &Call) -> Answer {
+    fn handle(&mut self, call: &Call) -> Response {
         match (call.method, call.segments().as_slice()) {
-            (Method::Post, ["control", "faults"]) => control::switch(&mut self.faults, call),
+            (Method::Post, ["control", "faults"]) => control::update_faults(&mut self.faults, call),
             (Method::Get, ["control", "records"]) => self.records(),
             (_, ["v1", ..]) if self.faults.outage => {
                 self.refused += 1;
-                Answer::error(503, "outage")
+                Response::error(503, "outage")
             }
             (Method::Post, ["v1", "transact"]) => self.transact(call),
             (Method::Get, ["v1", "rows"]) => self.scan(call),
             (Method::Get, ["v1", "rows", key]) => self.get(key),
-            _ => Answer::error(404, "not_found"),
+            _ => Response::error(404, "not_found"),
         }
     }
 
-    fn transact(&mut self, call: &Call) -> Answer {
+    fn transact(&mut self, call: &Call) -> Response {
         let transaction: Transaction = match call.json() {
             Ok(it) => it,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         self.writes += 1;
         let outcome = self.rows.transact(transaction);
         if self.faults.lose_answers > 0 {
             self.faults.lose_answers -= 1;
-            return Answer::Lost;
+            return Response::Lost;
         }
         match outcome {
-            Ok(versions) => Answer::ok(&json!({ "versions": versions })),
-            Err(failed) => Answer::json(409, &json!({ "failed": failed })),
+            Ok(versions) => Response::ok(&json!({ "versions": versions })),
+            Err(failed) => Response::json(409, &json!({ "failed": failed })),
         }
     }
 
-    fn get(&mut self, key: &str) -> Answer {
+    fn get(&mut self, key: &str) -> Response {
         self.reads += 1;
         match self.rows.get(key) {
-            Some(row) => Answer::ok(&row),
-            None => Answer::error(404, "not_found"),
+            Some(row) => Response::ok(&row),
+            None => Response::error(404, "not_found"),
         }
     }
 
-    fn scan(&mut self, call: &Call) -> Answer {
+    fn scan(&mut self, call: &Call) -> Response {
         self.reads += 1;
         let text = |name| call.query.get(name).map_or("", String::as_str);
         let limit = call
             .number("limit")
             .and_then(|it| usize::try_from(it).ok())
-            .unwrap_or(SCAN_LIMIT);
+            .unwrap_or(DEFAULT_SCAN_LIMIT);
         let (rows, more) = self.rows.scan(text("prefix"), text("after"), limit);
-        Answer::ok(&json!({ "rows": rows, "more": more }))
+        Response::ok(&json!({ "rows": rows, "more": more }))
     }
 
-    fn records(&self) -> Answer {
+    fn records(&self) -> Response {
         let (rows, _) = self.rows.scan("", "", usize::MAX);
-        Answer::ok(&json!({
+        Response::ok(&json!({
             "reads": self.reads,
             "writes": self.writes,
             "refused": self.refused,
--- a/crates/fakes/src/table/rows.rs
+++ b/crates/fakes/src/table/rows.rs
@@ -9,8 +9,8 @@
 /// All rows, and the counter from which their versions are assigned.
 #[derive(Debug, Default)]
 pub(crate) struct Rows {
-    rows: BTreeMap<String, Stored>,
-    last: u64,
+    rows: BTreeMap<String, StoredRow>,
+    last_version: u64,
 }
 
 /// Writes that are applied when all conditions hold.
@@ -35,13 +35,13 @@
 
 /// A condition that did not hold, with the row's actual version.
 #[derive(Debug, Serialize)]
-pub(crate) struct Failed {
+pub(crate) struct FailedCondition {
     key: String,
     version: Option<u64>,
 }
 
 #[derive(Debug)]
-struct Stored {
+struct StoredRow {
     version: u64,
     value: Value,
 }
@@ -81,11 +81,11 @@
     pub(crate) fn transact(
         &mut self,
         transaction: Transaction,
-    ) -> Result<BTreeMap<String, u64>, Vec<Failed>> {
+    ) -> Result<BTreeMap<String, u64>, Vec<FailedCondition>> {
         let failed: Vec<_> = transaction
             .conditions
             .into_iter()
-            .filter_map(|it| self.failed(it))
+            .filter_map(|it| self.check(it))
             .collect();
         if !failed.is_empty() {
             return Err(failed);
@@ -95,10 +95,10 @@
         }
         let mut versions = BTreeMap::new();
         for Put { key, value } in transaction.puts {
-            self.last += 1;
-            let version = self.last;
+            self.last_version += 1;
+            let version = self.last_version;
             versions.insert(key.clone(), version);
-            self.rows.insert(key, Stored { version, value });
+            self.rows.insert(key, StoredRow { version, value });
         }
         Ok(versions)
     }
@@ -128,17 +128,17 @@
         (rows, found.next().is_some())
     }
 
-    fn failed(&self, condition: Condition) -> Option<Failed> {
+    fn check(&self, condition: Condition) -> Option<FailedCondition> {
         let (key, wanted) = match condition {
             Condition::Version { key, version } => (key, Some(version)),
             Condition::Absent { key, absent: True } => (key, None),
         };
         let version = self.rows.get(&key).map(|it| it.version);
-        (version != wanted).then_some(Failed { key, version })
+        (version != wanted).then_some(FailedCondition { key, version })
     }
 }
 
-fn row<'a>(key: &'a str, stored: &'a Stored) -> Row<'a> {
+fn row<'a>(key: &'a str, stored: &'a StoredRow) -> Row<'a> {
     Row {
         key,
         version: stored.version,
--- a/crates/fakes/tests/scripts.rs
+++ b/crates/fakes/tests/scripts.rs
@@ -5,7 +5,9 @@
 
 use async_std::task;
 use datadriven::TestCase;
-use fakes::{Call, Engine, Host, Hosts, Objects, Plain, Rating, Settings, StandIn, Table};
+use fakes::{
+    Call, Engine, Host, HostList, Objects, PlainService, Rating, Settings, StandIn, Table,
+};
 use http_types::{Request, Url};
 use kernel::ManualClock;
 
@@ -16,15 +18,15 @@
         let mut stand_in = None;
         file.run(|case| match case.directive.as_str() {
             "start" => {
-                let (made, said) = start(&clock, case);
-                stand_in = Some(made);
-                said
+                let (started, output) = start(&clock, case);
+                stand_in = Some(started);
+                output
             }
             "advance" => {
                 clock.advance(Duration::from_millis(arg(case, "ms")));
                 "ok\n".to_owned()
             }
-            "call" => run(
+            "call" => make_calls(
                 stand_in.as_ref().expect("a script begins with `start`"),
                 &case.input,
             ),
@@ -47,13 +49,18 @@
         "objects" => Objects::default().into(),
         "hosts" => {
             let lag = Duration::from_millis(settings.hosts[0].lag_ms);
-            Hosts::new(clock.clone(), lag, Vec::<Host>::new()).into()
+            HostList::new(clock.clone(), lag, Vec::<Host>::new()).into()
         }
         "engine" => {
             let engine = settings.engine[0].clone();
             Engine::new(clock.clone(), engine, settings.versions, seed).into()
         }
-        "service" => Box::new(Plain::new(clock.clone(), settings.service[0].clone(), seed)).into(),
+        "service" => Box::new(PlainService::new(
+            clock.clone(),
+            settings.service[0].clone(),
+            seed,
+        ))
+        .into(),
         "rating" => Rating::new(clock.clone(), &settings.rating[0], seed).into(),
         other => panic!("unknown kind of stand-in: {other}"),
     };
@@ -62,13 +69,13 @@
 
 /// Makes the calls in the input, which are separated by empty lines. A call is a line with method
 /// and path, `header: value` lines and a body.
-fn run(stand_in: &StandIn, input: &str) -> String {
-    let answers = input.split("\n\n").map(|text| {
+fn make_calls(stand_in: &StandIn, input: &str) -> String {
+    let responses = input.split("\n\n").map(|text| {
         let call = parse(text);
-        task::block_on(async { stand_in.answer(&call).await.text().await })
+        task::block_on(async { stand_in.handle(&call).await.text().await })
     });
-    answers.fold(String::new(), |said, answer| {
-        said + answer.replace("\n\n", "\n").trim_end() + "\n"
+    responses.fold(String::new(), |output, response| {
+        output + response.replace("\n\n", "\n").trim_end() + "\n"
     })
 }
 
--- a/crates/fakes/tests/sockets.rs
+++ b/crates/fakes/tests/sockets.rs
@@ -23,10 +23,10 @@
 "#;
 
 #[test]
-fn a_lost_answer_shows_as_maybe_sent() {
+fn lost_response_returns_maybe_sent() {
     // Guards against a client that takes a lost response for a failed write: the table applied
     // the write and the connection closed before the response.
-    check(async |site| {
+    with_stand_ins(async |site| {
         site.post("table", "/control/faults", &json!({"lose_answers": 1}))
             .await
             .expect("a fault");
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn a_cut_stream_shows_as_cut() {
+fn cut_stream_returns_cut() {
     // Guards against a client that takes a stream for complete although its connection closed
     // before the end.
-    check(async |site| {
+    with_stand_ins(async |site| {
         let faults = json!({"cut": 1.0, "cut_after": 2});
         site.post("engine", "/control/faults", &faults)
             .await
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn engines_stand_in_the_host_list_with_their_addresses() {
-    check(async |site| {
+fn host_list_contains_engine_addresses() {
+    with_stand_ins(async |site| {
         let hosts = site.get("hosts", "/v1/hosts").await.expect("the list");
         let address = site.address("engine").to_string();
         assert_that!(hosts["hosts"][0]["address"], eq(&json!(address)));
@@ -96,7 +96,7 @@
     }
 }
 
-fn check(test: impl AsyncFnOnce(Site)) {
+fn with_stand_ins(test: impl AsyncFnOnce(Site)) {
     task::block_on(async {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
         let settings = Settings::parse(SETTINGS).expect("the settings");
