--- a/crates/scenario/src/call.rs
+++ b/crates/scenario/src/call.rs
@@ -7,16 +7,16 @@
 use http::{Method, Request};
 use serde_json::{Value, json};
 
-use crate::client::{Answer, Client};
+use crate::client::{Client, Response};
 use crate::command::Arguments;
 use crate::defaults::{CUSTOMER, KEY_PREFIX};
 
 /// A prepared call.
 pub(crate) struct Call {
     pub(crate) to: SocketAddr,
-    pub(crate) limit: Duration,
+    pub(crate) timeout: Duration,
     pub(crate) request: Request,
-    shape: Shape,
+    kind: CallKind,
 }
 
 /// The outcome of a call.
@@ -30,7 +30,7 @@
 }
 
 #[derive(Clone, Copy)]
-enum Shape {
+enum CallKind {
     Chat,
     Stream,
     Plain,
@@ -45,14 +45,14 @@
         ticket: Option<String>,
         session: Option<String>,
     ) -> Self {
-        let customer = args.maybe("customer").unwrap_or(CUSTOMER);
-        let (shape, request) = match args.path() {
-            Some(path) => (Shape::Plain, plain(args, &path)),
-            None if args.has("stream") => (Shape::Stream, chat(args, true)),
-            None => (Shape::Chat, chat(args, false)),
+        let customer = args.optional("customer").unwrap_or(CUSTOMER);
+        let (kind, request) = match args.path() {
+            Some(path) => (CallKind::Plain, plain(args, &path)),
+            None if args.has("stream") => (CallKind::Stream, chat(args, true)),
+            None => (CallKind::Chat, chat(args, false)),
         };
         let mut request = request.header("authorization", format!("Bearer {KEY_PREFIX}{customer}"));
-        if let Some(key) = args.maybe("key") {
+        if let Some(key) = args.optional("key") {
             request = request.header("idempotency-key", key);
         }
         if let Some(ticket) = ticket {
@@ -61,23 +61,23 @@
         if let Some(session) = session {
             request = request.header("barleypin-session", session);
         }
-        if let Some(deadline) = args.maybe("deadline_ms") {
+        if let Some(deadline) = args.optional("deadline_ms") {
             request = request.header("barleypin-deadline-ms", deadline);
         }
         Self {
             to,
-            limit: Duration::from_millis(args.parsed("patience_ms", 20_000)),
+            timeout: Duration::from_millis(args.parsed("patience_ms", 20_000)),
             request,
-            shape,
+            kind,
         }
     }
 
     /// Makes the call and waits for its outcome.
     pub(crate) async fn perform(self, client: Client) -> Outcome {
-        match client.send(self.to, self.request, self.limit).await {
-            Ok(answer) if answer.status.is_success() => answered(self.shape, &answer),
-            Ok(answer) => Outcome {
-                line: refused(u16::from(answer.status), &answer.json()),
+        match client.send(self.to, self.request, self.timeout).await {
+            Ok(response) if response.status.is_success() => success_outcome(self.kind, &response),
+            Ok(response) => Outcome {
+                line: refusal_line(u16::from(response.status), &response.json()),
                 session: None,
                 call: None,
             },
@@ -91,17 +91,17 @@
 }
 
 /// Returns the caller's name for its call, under which the stand-ins record it.
-fn name<'a>(args: &Arguments<'a>) -> &'a str {
-    let named = args.maybe("called").or_else(|| args.maybe("key"));
+fn call_name<'a>(args: &Arguments<'a>) -> &'a str {
+    let named = args.optional("called").or_else(|| args.optional("key"));
     named.unwrap_or("unnamed")
 }
 
 fn chat(args: &Arguments<'_>, stream: bool) -> Request {
-    let call = name(args);
+    let call = call_name(args);
     let prompt = "x".repeat(args.parsed("prompt_bytes", 5));
     let body = json!({
-        "model": args.one("profile"),
-        "class": args.maybe("class").unwrap_or("general"),
+        "model": args.required("profile"),
+        "class": args.optional("class").unwrap_or("general"),
         "stream": stream,
         "max_tokens": 64,
         "messages": [{"role": "user", "content": format!("[[call={call}]] {prompt}")}],
@@ -110,59 +110,59 @@
 }
 
 fn plain(args: &Arguments<'_>, path: &str) -> Request {
-    let call = name(args);
-    let service = args.maybe("service").unwrap_or("seats");
+    let call = call_name(args);
+    let service = args.optional("service").unwrap_or("seats");
     let target = format!("/services/{service}/{path}");
-    match args.maybe("method").unwrap_or("POST") {
+    match args.optional("method").unwrap_or("POST") {
         "GET" => Request::get(format!("{target}?call={call}")),
         _ => Request::new(Method::Post, target).json(&json!({"call": call, "seats": 2})),
     }
 }
 
-fn answered(shape: Shape, answer: &Answer) -> Outcome {
-    let header = |name| answer.headers.get(name).map(str::to_owned);
+fn success_outcome(kind: CallKind, response: &Response) -> Outcome {
+    let header = |name| response.headers.get(name).map(str::to_owned);
     let session = header("barleypin-session");
     let moved = header("barleypin-session-moved");
-    match shape {
-        Shape::Plain => Outcome {
-            line: format!("200 execution={}", answer.json()["execution"]),
+    match kind {
+        CallKind::Plain => Outcome {
+            line: format!("200 execution={}", response.json()["execution"]),
             session,
-            call: answer.json()["call"].as_str().map(str::to_owned),
+            call: response.json()["call"].as_str().map(str::to_owned),
         },
-        Shape::Chat => {
-            let body = answer.json();
+        CallKind::Chat => {
+            let body = response.json();
             let text = body["choices"][0]["message"]["content"].as_str();
             let version = header("barleypin-version").unwrap_or_default();
-            let line = told(&version, text.unwrap_or_default(), moved);
-            let call = call_of(text.unwrap_or_default());
+            let line = chat_line(&version, text.unwrap_or_default(), moved);
+            let call = marked_call(text.unwrap_or_default());
             Outcome {
                 line,
                 session,
                 call,
             }
         }
-        Shape::Stream => streamed(&answer.body, moved, session),
+        CallKind::Stream => stream_outcome(&response.body, moved, session),
     }
 }
 
-fn told(version: &str, text: &str, moved: Option<String>) -> String {
+fn chat_line(version: &str, text: &str, moved: Option<String>) -> String {
     let whole = if Mark::is_whole(text) { "yes" } else { "NO" };
-    let wrote = Mark::parse(text).map(|it| it.version).unwrap_or_default();
-    let honest = if wrote == version {
+    let marked_version = Mark::parse(text).map(|it| it.version).unwrap_or_default();
+    let mismatch = if marked_version == version {
         ""
     } else {
         " WRONG-VERSION"
     };
     let moved = moved.map(|it| format!(" moved={it}")).unwrap_or_default();
-    format!("200 version={version} whole={whole}{honest}{moved}")
+    format!("200 version={version} whole={whole}{mismatch}{moved}")
 }
 
 /// Returns the caller's name for its call from the engine's mark.
-fn call_of(text: &str) -> Option<String> {
+fn marked_call(text: &str) -> Option<String> {
     Mark::parse(text).map(|it| it.call)
 }
 
-fn streamed(body: &[u8], moved: Option<String>, session: Option<String>) -> Outcome {
+fn stream_outcome(body: &[u8], moved: Option<String>, session: Option<String>) -> Outcome {
     let body = String::from_utf8_lossy(body);
     let mut text = String::new();
     let mut version = String::new();
@@ -172,7 +172,7 @@
         let Some(data) = data else { continue };
         let chunk: Value = serde_json::from_str(data).unwrap_or_default();
         if event.lines().any(|it| it == "event: error") {
-            let line = format!("cut {}", refused(0, &chunk));
+            let line = format!("cut {}", refusal_line(0, &chunk));
             return Outcome {
                 line,
                 session,
@@ -181,9 +181,9 @@
         }
         if data == "[DONE]" {
             return Outcome {
-                line: told(&version, &text, moved),
+                line: chat_line(&version, &text, moved),
                 session,
-                call: call_of(&text),
+                call: marked_call(&text),
             };
         }
         if let Some(piece) = chunk["choices"][0]["delta"]["content"].as_str() {
@@ -203,9 +203,9 @@
     }
 }
 
-fn refused(status: u16, problem: &Value) -> String {
-    let word = |name: &str| problem[name].as_str().unwrap_or("?").to_owned();
-    let later = if problem["retry_after_ms"].is_null() {
+fn refusal_line(status: u16, problem: &Value) -> String {
+    let field = |name: &str| problem[name].as_str().unwrap_or("?").to_owned();
+    let retry = if problem["retry_after_ms"].is_null() {
         ""
     } else {
         " retry-later"
@@ -214,5 +214,9 @@
         0 => String::new(),
         status => format!(" {status}"),
     };
-    format!("refused{status} {} {}{later}", word("reason"), word("run"))
+    format!(
+        "refused{status} {} {}{retry}",
+        field("reason"),
+        field("run")
+    )
 }
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -37,19 +37,19 @@
         &self,
         to: SocketAddr,
         request: Request,
-        limit: Duration,
-    ) -> Result<Answer, String> {
+        timeout: Duration,
+    ) -> Result<Response, String> {
         let options = Options {
             connect: Duration::from_secs(2),
-            first_byte: limit,
-            total: limit,
+            first_byte: timeout,
+            total: timeout,
             retry_policy: RetryPolicy::Never,
         };
         let res = self.http.send(to, request, &options).await;
         let res = res.map_err(|err| err.to_string())?;
         let (status, headers) = (res.status, res.headers);
         let body = res.body.collect(BODY_LIMIT).await;
-        Ok(Answer {
+        Ok(Response {
             status,
             headers,
             body: body.map_err(|err| err.to_string())?,
@@ -59,19 +59,19 @@
     /// Sends a `GET` and returns the JSON body; `None` unless the status is a success.
     pub(crate) async fn get(&self, to: SocketAddr, target: &str, key: &str) -> Option<Value> {
         let request = Request::get(target).header("authorization", format!("Bearer {key}"));
-        let answer = self.send(to, request, Duration::from_secs(2)).await.ok()?;
-        answer.status.is_success().then(|| answer.json())
+        let response = self.send(to, request, Duration::from_secs(2)).await.ok()?;
+        response.status.is_success().then(|| response.json())
     }
 }
 
 /// A completely read response.
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: Status,
     pub(crate) headers: http::Headers,
     pub(crate) body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     /// Parses the body as JSON; returns null when it isn't valid.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
--- a/crates/scenario/src/command.rs
+++ b/crates/scenario/src/command.rs
@@ -5,31 +5,31 @@
 use std::time::Duration;
 
 /// Arguments by name, as parsed by `datadriven`.
-pub(crate) type Given = HashMap<String, Vec<String>>;
+pub(crate) type ArgumentMap = HashMap<String, Vec<String>>;
 
 /// The arguments of a command: `name=value` or `name=(value, value)`.
 pub(crate) struct Arguments<'a> {
-    given: &'a Given,
+    given: &'a ArgumentMap,
 }
 
 impl<'a> Arguments<'a> {
-    pub(crate) fn new(given: &'a Given) -> Self {
+    pub(crate) fn new(given: &'a ArgumentMap) -> Self {
         Self { given }
     }
 
     /// Returns the value of `name`; panics when it is missing.
-    pub(crate) fn one(&self, name: &str) -> &'a str {
-        self.maybe(name)
+    pub(crate) fn required(&self, name: &str) -> &'a str {
+        self.optional(name)
             .unwrap_or_else(|| panic!("the command needs `{name}=`"))
     }
 
     /// Returns the value of `name`, if it is given.
-    pub(crate) fn maybe(&self, name: &str) -> Option<&'a str> {
+    pub(crate) fn optional(&self, name: &str) -> Option<&'a str> {
         Some(self.given.get(name)?.first()?.as_str())
     }
 
     /// Returns the values of `name`; empty when it is not given.
-    pub(crate) fn many(&self, name: &str) -> Vec<&'a str> {
+    pub(crate) fn values(&self, name: &str) -> Vec<&'a str> {
         let values = self.given.get(name);
         values.map_or_else(Vec::new, |it| it.iter().map(String::as_str).collect())
     }
@@ -37,13 +37,13 @@
     /// Returns the values of `name` joined with `@`. A version's name is written as `(big, 1)`,
     /// because `datadriven` doesn't accept `@` in an argument.
     pub(crate) fn joined(&self, name: &str) -> String {
-        self.many(name).join("@")
+        self.values(name).join("@")
     }
 
     /// Returns the values of `path` joined with `/`. A path is written as `(hosts, a, drain)`,
     /// because `datadriven` doesn't accept `/` in an argument.
     pub(crate) fn path(&self) -> Option<String> {
-        self.has("path").then(|| self.many("path").join("/"))
+        self.has("path").then(|| self.values("path").join("/"))
     }
 
     /// Returns whether `name` is given.
@@ -58,17 +58,17 @@
             it.parse()
                 .unwrap_or_else(|_| panic!("invalid argument `{name}={it}`"))
         };
-        self.maybe(name).map_or(default, parse)
+        self.optional(name).map_or(default, parse)
     }
 
     /// Returns the timeout of a wait, from `within_ms=`; five seconds by default.
-    pub(crate) fn within(&self) -> Duration {
+    pub(crate) fn timeout(&self) -> Duration {
         Duration::from_millis(self.parsed("within_ms", 5_000))
     }
 }
 
 /// Parses a line of arguments without a command.
-pub(crate) fn parse_line(line: &str) -> Given {
+pub(crate) fn parse_line(line: &str) -> ArgumentMap {
     let words = line.split_whitespace();
     words
         .map(|word| match word.split_once('=') {
--- a/crates/scenario/src/defaults.rs
+++ b/crates/scenario/src/defaults.rs
@@ -10,14 +10,14 @@
 pub(crate) const OPERATOR_KEY: &str = "the operators' key of a scenario";
 
 /// An entry of the configuration.
-pub(crate) struct Entry {
+pub(crate) struct ConfigEntry {
     pub(crate) kind: &'static str,
     pub(crate) name: &'static str,
     pub(crate) value: Value,
 }
 
 /// Returns the entries of the default configuration. An entry comes after those that it refers to.
-pub(crate) fn entries() -> Vec<Entry> {
+pub(crate) fn entries() -> Vec<ConfigEntry> {
     vec![
         customer(CUSTOMER),
         customer("salt"),
@@ -28,7 +28,7 @@
         profile("dossier", &["big@1", "big@2"], "idempotent"),
         profile("chat", &["small@1", "big@1"], "idempotent"),
         profile("entry", &["big@1"], "at_most_once"),
-        Entry {
+        ConfigEntry {
             kind: "services",
             name: "seats",
             value: json!({"routes": [
@@ -45,7 +45,7 @@
 }
 
 /// Settings of the stand-ins except the engines.
-pub(crate) const STAND_INS: &str = r#"
+pub(crate) const STAND_IN_SETTINGS: &str = r#"
 seed = 7
 
 [versions."small@1"]
@@ -127,14 +127,14 @@
     }
 }
 
-fn customer(name: &'static str) -> Entry {
+fn customer(name: &'static str) -> ConfigEntry {
     let value = json!({
         "key_blake3": key_hash(name),
         "rate_per_s": 10_000,
         "burst": 10_000,
         "concurrency": 1_000,
     });
-    Entry {
+    ConfigEntry {
         kind: "customers",
         name,
         value,
@@ -154,20 +154,20 @@
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-fn version(name: &'static str, price: u64) -> Entry {
+fn version(name: &'static str, price: u64) -> ConfigEntry {
     let value = json!({
         "state": "active",
         "prompt_microcents_per_million": price,
         "completion_microcents_per_million": price,
     });
-    Entry {
+    ConfigEntry {
         kind: "versions",
         name,
         value,
     }
 }
 
-fn profile(name: &'static str, allow: &[&str], repeat: &str) -> Entry {
+fn profile(name: &'static str, allow: &[&str], repeat: &str) -> ConfigEntry {
     let value = json!({
         "allow": allow,
         "quality": 0.9,
@@ -176,7 +176,7 @@
         "when_stale": "serve",
         "customers": {CUSTOMER: {}, "salt": {}},
     });
-    Entry {
+    ConfigEntry {
         kind: "profiles",
         name,
         value,
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/environment.rs
@@ -22,36 +22,36 @@
 
 use crate::client::Client;
 use crate::defaults::{self, CUSTOMER, Engines, KEY_PREFIX, OPERATOR_KEY};
-use crate::host::{Host, Platform, write_shared_keys};
-use crate::limit::until;
-use crate::relay::Relay;
+use crate::host::{Host, PlatformAddresses, write_shared_keys};
+use crate::proxy::TcpProxy;
+use crate::wait::wait_until;
 
 /// Timeout for a host to start and for the initial configuration to reach all hosts.
-const START: Duration = Duration::from_secs(15);
+const START_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Counter of the environments in this process, from which each derives its own addresses.
-static WORLDS: AtomicU32 = AtomicU32::new(0);
+static NEXT_ENVIRONMENT: AtomicU32 = AtomicU32::new(0);
 
 /// The stand-ins, hosts and connections of a scenario.
-pub(crate) struct World {
+pub(crate) struct Environment {
     pub(crate) client: Client,
     pub(crate) stand_ins: BTreeMap<String, SocketAddr>,
     pub(crate) hosts: BTreeMap<String, Host>,
     binary: PathBuf,
     dir: TempDir,
     authority: Authority,
-    net: [u8; 2],
-    extra: String,
+    network: [u8; 2],
+    extra_settings: String,
     next_ip: u8,
-    relays: BTreeMap<String, Relay>,
+    proxies: BTreeMap<String, TcpProxy>,
     _started: Started,
 }
 
-impl World {
-    /// Starts the stand-ins; `binary` is the program of the entry hosts, `extra` is appended to
-    /// their settings.
-    pub(crate) async fn start(binary: &Path, engines: &Engines, extra: &str) -> Self {
-        let mut text = defaults::STAND_INS.to_owned();
+impl Environment {
+    /// Starts the stand-ins; `binary` is the program of the entry hosts, `extra_settings` is
+    /// appended to their settings.
+    pub(crate) async fn start(binary: &Path, engines: &Engines, extra_settings: &str) -> Self {
+        let mut text = defaults::STAND_IN_SETTINGS.to_owned();
         text.push_str(&engines.settings());
         let settings = fakes::Settings::parse(&text).expect("the stand-ins' settings are valid");
         let started = Started::start(Arc::new(SystemClock::new()), settings)
@@ -68,10 +68,10 @@
             binary: binary.to_owned(),
             dir,
             authority,
-            net: net(),
-            extra: extra.to_owned(),
+            network: network(),
+            extra_settings: extra_settings.to_owned(),
             next_ip: 1,
-            relays: BTreeMap::new(),
+            proxies: BTreeMap::new(),
             _started: started,
         }
     }
@@ -80,86 +80,86 @@
     ///
     /// Each start uses a new address, as a replaced host does.
     pub(crate) async fn start_host(&mut self, name: &str) {
-        let [high, low] = self.net;
+        let [high, low] = self.network;
         let ip = Ipv4Addr::new(127, high, low, self.next_ip);
         self.next_ip += 1;
-        let relay = Relay::start(self.stand_in("table")).await;
-        let relay = relay.expect("loopback ports are free");
+        let proxy = TcpProxy::start(self.stand_in("table")).await;
+        let proxy = proxy.expect("loopback ports are free");
         let host = Host::start(
             &self.binary,
             self.dir.path(),
             &self.authority,
-            self.platform(relay.address),
+            self.platform(proxy.address),
             name,
             ip,
-            &self.extra,
+            &self.extra_settings,
         );
         let host = host.expect("the host's program can be started");
-        self.list(&host).await;
-        self.relays.insert(name.to_owned(), relay);
+        self.add_to_host_list(&host).await;
+        self.proxies.insert(name.to_owned(), proxy);
         self.hosts.insert(name.to_owned(), host);
     }
 
-    /// Returns whether the host reports within the bound that it is ready.
-    pub(crate) async fn is_ready(&self, name: &str, bound: Duration) -> bool {
-        let address = self.host(name).callers();
-        let ready = until(bound, || async move {
+    /// Returns whether the host reports within the timeout that it is ready.
+    pub(crate) async fn is_ready(&self, name: &str, timeout: Duration) -> bool {
+        let address = self.host(name).callers_address();
+        let ready = wait_until(timeout, || async move {
             let request = Request::get("/readyz");
-            let answer = self.client.send(address, request, Duration::from_secs(1));
-            let answer = answer.await.ok()?;
-            answer.status.is_success().then_some(())
+            let response = self.client.send(address, request, Duration::from_secs(1));
+            let response = response.await.ok()?;
+            response.status.is_success().then_some(())
         });
         ready.await.is_some()
     }
 
     /// Waits until the host is ready; panics with its log when it isn't in time.
     pub(crate) async fn await_ready(&self, name: &str) {
-        let ready = self.is_ready(name, START).await;
-        assert!(ready, "host {name} is not ready:\n{}", self.log(name));
+        let ready = self.is_ready(name, START_TIMEOUT).await;
+        assert!(ready, "host {name} is not ready:\n{}", self.host_log(name));
     }
 
     /// Writes the default configuration at the first host and waits until all hosts are ready with
     /// it and know each other.
-    pub(crate) async fn configure_first(&self, hosts: &[&str]) {
+    pub(crate) async fn apply_default_configuration(&self, hosts: &[&str]) {
         let first = hosts.first().expect("`start` needs `hosts=`");
-        self.await_operable(first).await;
+        self.await_operator_api(first).await;
         self.configure(first).await;
         for host in hosts {
             self.await_ready(host).await;
         }
         let revision = self.revision(first).await.unwrap_or_default();
-        let laggards = self.laggards(hosts, revision, START).await;
+        let lagging_hosts = self.lagging_hosts(hosts, revision, START_TIMEOUT).await;
         assert!(
-            laggards.is_empty(),
-            "revision {revision} is not in force on {laggards:?}"
+            lagging_hosts.is_empty(),
+            "revision {revision} is not in force on {lagging_hosts:?}"
         );
         for host in hosts {
-            self.await_acquaintance(host, hosts.len()).await;
+            self.await_hosts_known(host, hosts.len()).await;
         }
     }
 
     /// Waits until a host hands out all hosts. A host that doesn't know another one yet takes its
     /// tickets for those of a host that is gone.
-    async fn await_acquaintance(&self, name: &str, count: usize) {
-        let to = self.host(name).callers();
+    async fn await_hosts_known(&self, name: &str, count: usize) {
+        let to = self.host(name).callers_address();
         let key = &format!("{KEY_PREFIX}{CUSTOMER}");
-        let acquainted = until(START, || async move {
-            let answer = self.client.get(to, "/v1/hosts", key).await?;
-            (answer["hosts"].as_array()?.len() == count).then_some(())
+        let all_known = wait_until(START_TIMEOUT, || async move {
+            let response = self.client.get(to, "/v1/hosts", key).await?;
+            (response["hosts"].as_array()?.len() == count).then_some(())
         });
-        let acquainted = acquainted.await.is_some();
+        let all_known = all_known.await.is_some();
         assert!(
-            acquainted,
+            all_known,
             "host {name} doesn't hand out all hosts:\n{}",
-            self.log(name)
+            self.host_log(name)
         );
     }
 
     /// Waits until a host responds to operators. The first host isn't ready without a
     /// configuration, but accepts changes.
-    async fn await_operable(&self, name: &str) {
-        let to = self.host(name).operators();
-        let up = until(START, || async move {
+    async fn await_operator_api(&self, name: &str) {
+        let to = self.host(name).operators_address();
+        let up = wait_until(START_TIMEOUT, || async move {
             let status = self.client.get(to, "/operator/v1/status", OPERATOR_KEY);
             status.await.map(|_| ())
         });
@@ -167,7 +167,7 @@
         assert!(
             up,
             "host {name} doesn't respond to operators:\n{}",
-            self.log(name)
+            self.host_log(name)
         );
     }
 
@@ -195,13 +195,13 @@
             .header("if-match", read_at.to_string())
             .header("barleypin-change", change)
             .header("barleypin-mode", "forced");
-        let to = self.host(host).operators();
-        let answer = self.client.send(to, request, Duration::from_secs(10)).await;
-        let Ok(answer) = answer else {
+        let to = self.host(host).operators_address();
+        let response = self.client.send(to, request, Duration::from_secs(10)).await;
+        let Ok(response) = response else {
             return "no answer".to_owned();
         };
-        let body = answer.json();
-        if answer.status.is_success() {
+        let body = response.json();
+        if response.status.is_success() {
             let repeated = if body["repeated"] == json!(true) {
                 " repeated"
             } else {
@@ -211,7 +211,7 @@
         }
         let mut line = format!(
             "refused {} {} {}",
-            u16::from(answer.status),
+            u16::from(response.status),
             body["reason"].as_str().unwrap_or("?"),
             body["run"].as_str().unwrap_or("?"),
         );
@@ -224,7 +224,7 @@
 
     /// Returns the revision of the configuration that is in force on a host.
     pub(crate) async fn revision(&self, host: &str) -> Option<u64> {
-        let to = self.host(host).operators();
+        let to = self.host(host).operators_address();
         let document = self
             .client
             .get(to, "/operator/v1/document", OPERATOR_KEY)
@@ -232,15 +232,15 @@
         document["revision"].as_u64()
     }
 
-    /// Returns the hosts that don't reach the revision within the bound.
-    pub(crate) async fn laggards(
+    /// Returns the hosts that don't reach the revision within the timeout.
+    pub(crate) async fn lagging_hosts(
         &self,
         hosts: &[&str],
         revision: u64,
-        bound: Duration,
+        timeout: Duration,
     ) -> Vec<String> {
         let waits = hosts.iter().map(|host| async move {
-            let reached = until(bound, || async move {
+            let reached = wait_until(timeout, || async move {
                 (self.revision(host).await? >= revision).then_some(())
             });
             reached.await.is_none().then(|| (*host).to_owned())
@@ -253,11 +253,11 @@
     }
 
     /// Sets faults of a stand-in; panics when it refuses them.
-    pub(crate) async fn fault(&self, stand_in: &str, faults: &Value) {
+    pub(crate) async fn set_faults(&self, stand_in: &str, faults: &Value) {
         let request = Request::post("/control/faults", faults);
         let to = self.stand_in(stand_in);
-        let answer = self.client.send(to, request, Duration::from_secs(5)).await;
-        let done = answer.is_ok_and(|it| it.status.is_success());
+        let response = self.client.send(to, request, Duration::from_secs(5)).await;
+        let done = response.is_ok_and(|it| it.status.is_success());
         assert!(done, "{stand_in} refused the faults {faults}");
     }
 
@@ -268,8 +268,8 @@
 
     /// Cuts a host's connection to the table service until the host is started again.
     pub(crate) fn cut_from_table(&self, name: &str) {
-        let relay = self.relays.get(name);
-        relay
+        let proxy = self.proxies.get(name);
+        proxy
             .unwrap_or_else(|| panic!("the script has not started host {name}"))
             .cut();
     }
@@ -279,15 +279,19 @@
         self.host(name).signal(signal);
     }
 
-    /// Returns the exit status of a host if it exits within the bound.
-    pub(crate) async fn ended(&mut self, name: &str, bound: Duration) -> Option<ExitStatus> {
+    /// Returns the exit status of a host if it exits within the timeout.
+    pub(crate) async fn exit_status(
+        &mut self,
+        name: &str,
+        timeout: Duration,
+    ) -> Option<ExitStatus> {
         let host = self.host_mut(name);
-        let end = std::time::Instant::now() + bound;
+        let deadline = std::time::Instant::now() + timeout;
         loop {
-            if let Some(status) = host.ended() {
+            if let Some(status) = host.exit_status() {
                 return Some(status);
             }
-            if std::time::Instant::now() >= end {
+            if std::time::Instant::now() >= deadline {
                 return None;
             }
             async_std::task::sleep(Duration::from_millis(10)).await;
@@ -308,17 +312,17 @@
     }
 
     /// Returns the log of a host, for the message of a failed test.
-    pub(crate) fn log(&self, name: &str) -> String {
+    pub(crate) fn host_log(&self, name: &str) -> String {
         fs::read_to_string(self.dir.path().join(format!("{name}.log"))).unwrap_or_default()
     }
 
-    async fn list(&self, host: &Host) {
+    async fn add_to_host_list(&self, host: &Host) {
         let entry = json!({
             "name": host.name,
             "kind": "entry",
             "incarnation": u64::from(self.next_ip),
-            "address": host.callers().to_string(),
-            "fleet_address": host.fleet().to_string(),
+            "address": host.callers_address().to_string(),
+            "fleet_address": host.fleet_address().to_string(),
             "data_centre": host.data_centre,
             "region": "local",
             "state": "live",
@@ -327,12 +331,12 @@
         });
         let request = Request::post("/control/hosts", &json!({"hosts": [entry]}));
         let to = self.stand_in("hosts");
-        let answer = self.client.send(to, request, Duration::from_secs(5)).await;
-        assert!(answer.is_ok_and(|it| it.status.is_success()));
+        let response = self.client.send(to, request, Duration::from_secs(5)).await;
+        assert!(response.is_ok_and(|it| it.status.is_success()));
     }
 
-    fn platform(&self, table: SocketAddr) -> Platform {
-        Platform {
+    fn platform(&self, table: SocketAddr) -> PlatformAddresses {
+        PlatformAddresses {
             table,
             objects: self.stand_in("objects"),
             hosts: self.stand_in("hosts"),
@@ -349,9 +353,9 @@
 
 /// Returns the second and third byte of this environment's loopback addresses. All of 127.0.0.0/8
 /// is local, so concurrent tests can use the same ports at different addresses.
-fn net() -> [u8; 2] {
-    let world = WORLDS.fetch_add(1, Ordering::Relaxed);
-    let number = std::process::id().wrapping_mul(31).wrapping_add(world);
+fn network() -> [u8; 2] {
+    let index = NEXT_ENVIRONMENT.fetch_add(1, Ordering::Relaxed);
+    let number = std::process::id().wrapping_mul(31).wrapping_add(index);
     let [.., high, low] = number.to_be_bytes();
     [high.max(1), low]
 }
--- a/crates/scenario/src/host.rs
+++ b/crates/scenario/src/host.rs
@@ -18,7 +18,7 @@
 
 /// Addresses of the platform's stand-ins.
 #[derive(Clone, Copy)]
-pub(crate) struct Platform {
+pub(crate) struct PlatformAddresses {
     pub(crate) table: SocketAddr,
     pub(crate) objects: SocketAddr,
     pub(crate) hosts: SocketAddr,
@@ -46,15 +46,15 @@
         binary: &Path,
         dir: &Path,
         authority: &Authority,
-        platform: Platform,
+        platform: PlatformAddresses,
         name: &str,
         ip: Ipv4Addr,
-        extra: &str,
+        extra_settings: &str,
     ) -> io::Result<Self> {
         let data_centre = format!("dc-{name}");
         write_keys(dir, authority, name)?;
         let settings = dir.join(format!("{name}.toml"));
-        let text = settings_text(dir, platform, name, &data_centre, ip, extra);
+        let text = settings_text(dir, platform, name, &data_centre, ip, extra_settings);
         fs::write(&settings, text)?;
         let log = File::options()
             .create(true)
@@ -76,17 +76,17 @@
     }
 
     /// Returns the address for callers.
-    pub(crate) fn callers(&self) -> SocketAddr {
+    pub(crate) fn callers_address(&self) -> SocketAddr {
         (self.ip, CALLERS_PORT).into()
     }
 
     /// Returns the address for operators.
-    pub(crate) fn operators(&self) -> SocketAddr {
+    pub(crate) fn operators_address(&self) -> SocketAddr {
         (self.ip, OPERATORS_PORT).into()
     }
 
     /// Returns the address for other hosts.
-    pub(crate) fn fleet(&self) -> SocketAddr {
+    pub(crate) fn fleet_address(&self) -> SocketAddr {
         (self.ip, FLEET_PORT).into()
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// Returns the exit status if the process has exited.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
@@ -127,14 +127,14 @@
 
 fn settings_text(
     dir: &Path,
-    platform: Platform,
+    platform: PlatformAddresses,
     name: &str,
     data_centre: &str,
     ip: Ipv4Addr,
-    extra: &str,
+    extra_settings: &str,
 ) -> String {
     let dir = dir.display();
-    let Platform {
+    let PlatformAddresses {
         table,
         objects,
         hosts,
@@ -172,7 +172,7 @@
 
 [limits]
 hosts_keep_ms = 1000
-{extra}
+{extra_settings}
 "#
     )
 }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -8,14 +8,14 @@
 mod client;
 mod command;
 mod defaults;
+mod environment;
 mod host;
-mod limit;
 mod load;
+mod proxy;
 mod records;
-mod relay;
 mod soak;
 mod stage;
-mod world;
+mod wait;
 
 pub use soak::{Report, soak};
 pub use stage::Stage;
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -12,13 +12,13 @@
 
 use crate::call::{Call, Outcome};
 use crate::client::Client;
-use crate::command::{Arguments, Given};
+use crate::command::{ArgumentMap, Arguments};
 use crate::defaults::{CUSTOMER, KEY_PREFIX};
 
 /// Number of concurrent callers.
 const CALLERS: usize = 8;
 /// Pause between two calls of a caller.
-const PAUSE: Duration = Duration::from_millis(20);
+const CALL_PAUSE: Duration = Duration::from_millis(20);
 
 /// Running callers. Each one reads the host list, caches it for the time that the response
 /// states, calls the listed addresses and never retries a call.
@@ -36,11 +36,11 @@
 
 impl Load {
     /// Starts the callers; `start` is the first address that they call.
-    pub(crate) fn start(client: &Client, given: &Given, start: SocketAddr) -> Self {
+    pub(crate) fn start(client: &Client, given: &ArgumentMap, start: SocketAddr) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let callers = (0..CALLERS)
             .map(|idx| {
-                task::spawn(call(
+                task::spawn(run_caller(
                     client.clone(),
                     given.clone(),
                     start,
@@ -68,21 +68,21 @@
     }
 }
 
-async fn call(
+async fn run_caller(
     client: Client,
-    given: Given,
+    given: ArgumentMap,
     start: SocketAddr,
     idx: usize,
     stop: Arc<AtomicBool>,
 ) -> Counts {
     let mut counts = Counts::default();
-    let mut kept = Kept::new(start);
+    let mut cache = AddressCache::new(start);
     let args = Arguments::new(&given);
     while !stop.load(Ordering::SeqCst) {
         let to = if args.has("stay") {
             start
         } else {
-            kept.address(&client, idx).await
+            cache.address(&client, idx).await
         };
         let Outcome { line, .. } = Call::new(&args, to, None, None)
             .perform(client.clone())
@@ -92,47 +92,47 @@
         } else {
             *counts.others.entry(line).or_insert(0) += 1;
         }
-        task::sleep(PAUSE).await;
+        task::sleep(CALL_PAUSE).await;
     }
     counts
 }
 
 /// A caller's cached addresses.
-struct Kept {
+struct AddressCache {
     addresses: Vec<SocketAddr>,
-    until: Option<Instant>,
+    expires_at: Option<Instant>,
 }
 
-impl Kept {
+impl AddressCache {
     fn new(start: SocketAddr) -> Self {
         Self {
             addresses: vec![start],
-            until: None,
+            expires_at: None,
         }
     }
 
     /// Returns a cached address. When the cache has expired, first refreshes it from the hosts that
     /// it lists.
     async fn address(&mut self, client: &Client, idx: usize) -> SocketAddr {
-        if self.until.is_none_or(|it| it <= Instant::now()) {
-            self.ask(client, idx).await;
+        if self.expires_at.is_none_or(|it| it <= Instant::now()) {
+            self.refresh(client, idx).await;
         }
         self.addresses[idx % self.addresses.len()]
     }
 
-    async fn ask(&mut self, client: &Client, idx: usize) {
+    async fn refresh(&mut self, client: &Client, idx: usize) {
         let key = format!("{KEY_PREFIX}{CUSTOMER}");
         for attempt in 0..self.addresses.len() {
             let at = self.addresses[(idx + attempt) % self.addresses.len()];
-            let Some(answer) = client.get(at, "/v1/hosts", &key).await else {
+            let Some(response) = client.get(at, "/v1/hosts", &key).await else {
                 continue;
             };
-            let hosts = answer["hosts"].as_array().into_iter().flatten();
+            let hosts = response["hosts"].as_array().into_iter().flatten();
             let addresses: Vec<_> = hosts.filter_map(address).collect();
             if !addresses.is_empty() {
                 self.addresses = addresses;
-                let keep = Duration::from_millis(answer["keep_ms"].as_u64().unwrap_or_default());
-                self.until = Some(Instant::now() + keep);
+                let keep = Duration::from_millis(response["keep_ms"].as_u64().unwrap_or_default());
+                self.expires_at = Some(Instant::now() + keep);
                 return;
             }
         }
--- a/crates/scenario/src/relay.rs
+++ b/crates/scenario/src/proxy.rs
@@ -11,62 +11,66 @@
 use futures::{AsyncWriteExt, StreamExt};
 
 /// A TCP proxy. Once cut, it closes all connections, and every new one at once.
-pub(crate) struct Relay {
+pub(crate) struct TcpProxy {
     pub(crate) address: SocketAddr,
     cut: Arc<AtomicBool>,
-    cuts: async_std::channel::Sender<()>,
-    accepting: Option<JoinHandle<()>>,
+    cut_sender: async_std::channel::Sender<()>,
+    accept_task: Option<JoinHandle<()>>,
 }
 
-impl Relay {
+impl TcpProxy {
     pub(crate) async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let cut = Arc::new(AtomicBool::new(false));
         // No message is sent: closing the channel signals the cut to all connections.
-        let (cuts, was_cut) = async_std::channel::bounded::<()>(1);
+        let (cut_sender, cut_receiver) = async_std::channel::bounded::<()>(1);
         let is_cut = Arc::clone(&cut);
-        let accepting = task::spawn(async move {
+        let accept_task = task::spawn(async move {
             let mut incoming = listener.incoming();
             while let Some(Ok(stream)) = incoming.next().await {
                 if !is_cut.load(Ordering::SeqCst) {
-                    task::spawn(pass(stream, target, was_cut.clone()));
+                    task::spawn(forward(stream, target, cut_receiver.clone()));
                 }
             }
         });
         Ok(Self {
             address,
             cut,
-            cuts,
-            accepting: Some(accepting),
+            cut_sender,
+            accept_task: Some(accept_task),
         })
     }
 
     /// Closes all connections, and from now on each new one.
     pub(crate) fn cut(&self) {
         self.cut.store(true, Ordering::SeqCst);
-        self.cuts.close();
+        self.cut_sender.close();
     }
 }
 
-impl Drop for Relay {
+impl Drop for TcpProxy {
     fn drop(&mut self) {
         self.cut();
-        if let Some(accepting) = self.accepting.take() {
-            task::spawn(accepting.cancel());
+        if let Some(accept_task) = self.accept_task.take() {
+            task::spawn(accept_task.cancel());
         }
     }
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, was_cut: async_std::channel::Receiver<()>) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn forward(
+    client: TcpStream,
+    target: SocketAddr,
+    cut_receiver: async_std::channel::Receiver<()>,
+) {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let to_far = copy(near.clone(), far.clone());
-    let to_near = copy(far, near);
-    let both = Box::pin(future::join(to_far, to_near));
-    match future::select(both, Box::pin(was_cut.recv())).await {
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let to_server = copy(client.clone(), server.clone());
+    let to_client = copy(server, client);
+    let both = Box::pin(future::join(to_server, to_client));
+    match future::select(both, Box::pin(cut_receiver.recv())).await {
         Either::Left(_) | Either::Right(_) => {}
     }
 }
--- a/crates/scenario/src/soak.rs
+++ b/crates/scenario/src/soak.rs
@@ -3,7 +3,7 @@
 
 mod caller;
 mod check;
-mod plan;
+mod steps;
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -16,20 +16,20 @@
 use serde_json::{Value, json};
 
 use crate::defaults::Engines;
-use crate::limit::until;
+use crate::environment::Environment;
 use crate::records;
-use crate::world::World;
-use caller::{Addresses, Story, now_ms};
+use crate::wait::wait_until;
+use caller::{Addresses, CallHistory, now_ms};
 use check::Records;
-use plan::{Act, HOSTS, State, Step};
+use steps::{Action, HOSTS, State, Step};
 
 /// Timeout for the billing records to reach the table.
-const SETTLE: Duration = Duration::from_secs(30);
+const BILLING_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout for a drained host to exit.
-const DRAIN: Duration = Duration::from_secs(14);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(14);
 /// Additional settings of the hosts: a short fence, so that requests of killed hosts are settled
 /// during the run.
-const EXTRA: &str = "[ledger]\nfence_after_ms = 1500\n";
+const EXTRA_SETTINGS: &str = "[ledger]\nfence_after_ms = 1500\n";
 
 /// The result of a soak.
 #[derive(Debug)]
@@ -83,33 +83,33 @@
 }
 
 async fn run(seed: u64, length: Duration, binary: &Path) -> Report {
-    let steps = plan::draw(seed, length);
+    let steps = steps::draw(seed, length);
     let script: Vec<_> = steps.iter().map(Step::to_string).collect();
     let mut soak = Soak::start(binary).await;
     for step in &steps {
         soak.wait(step.at).await;
-        soak.act(&step.act).await;
+        soak.perform(&step.action).await;
     }
-    soak.heal().await;
-    let stories = future::join_all(std::mem::take(&mut soak.calls)).await;
+    soak.end_faults().await;
+    let histories = future::join_all(std::mem::take(&mut soak.calls)).await;
     let end = now_ms();
-    let records = soak.records(&stories).await;
+    let records = soak.records(&histories).await;
     let spans = check::spans(&soak.changes, &soak.thaws, end);
     Report {
         seed,
-        calls: stories.len(),
-        answered: stories.iter().filter(|it| it.is_answered()).count(),
-        troubles: steps.len() - stories.len(),
-        faults: check::faults(&stories, &records, &spans),
+        calls: histories.len(),
+        answered: histories.iter().filter(|it| it.has_succeeded()).count(),
+        troubles: steps.len() - histories.len(),
+        faults: check::violations(&histories, &records, &spans),
         script: script.join("\n"),
     }
 }
 
 struct Soak {
-    world: World,
+    env: Environment,
     began: Instant,
     addresses: Addresses,
-    calls: Vec<JoinHandle<Story>>,
+    calls: Vec<JoinHandle<CallHistory>>,
     /// The time, in milliseconds since the Unix epoch, and the new state of each change.
     changes: Vec<(u64, State)>,
     /// The revision that the next change is based on.
@@ -125,17 +125,17 @@
             fences: true,
             load_ms: 0,
         };
-        let mut world = World::start(binary, &engines, EXTRA).await;
+        let mut env = Environment::start(binary, &engines, EXTRA_SETTINGS).await;
         for host in HOSTS {
-            world.start_host(host).await;
+            env.start_host(host).await;
         }
-        world.configure_first(&HOSTS).await;
+        env.apply_default_configuration(&HOSTS).await;
         let addresses = Addresses::default();
         for host in HOSTS {
-            addresses.set(host, world.host(host).callers());
+            addresses.set(host, env.host(host).callers_address());
         }
         Self {
-            world,
+            env,
             began: Instant::now(),
             addresses,
             calls: Vec::new(),
@@ -151,41 +151,42 @@
         task::sleep(at.saturating_sub(self.began.elapsed())).await;
     }
 
-    async fn act(&mut self, act: &Act) {
-        match act {
-            Act::Call(job) => {
-                let client = self.world.client.clone();
-                let call = caller::call(client, self.addresses.clone(), job.clone());
+    async fn perform(&mut self, action: &Action) {
+        match action {
+            Action::Call(spec) => {
+                let client = self.env.client.clone();
+                let call = caller::call(client, self.addresses.clone(), spec.clone());
                 self.calls.push(task::spawn(call));
             }
-            Act::Kill(host) => self.world.kill(host),
-            Act::Freeze(host) => self.world.signal(host, Signal::STOP),
-            Act::Thaw(host) => self.thaw(host),
-            Act::Drain(host) => {
-                self.world.signal(host, Signal::TERM);
+            Action::Kill(host) => self.env.kill(host),
+            Action::Freeze(host) => self.env.signal(host, Signal::STOP),
+            Action::Thaw(host) => self.thaw(host),
+            Action::Drain(host) => {
+                self.env.signal(host, Signal::TERM);
                 self.drained = Some(host);
             }
-            Act::Start(host) => self.replace(host).await,
-            Act::Fault { at, json } => {
+            Action::Start(host) => self.replace(host).await,
+            Action::Fault { at, json } => {
                 let faults = serde_json::from_str(json).unwrap_or_default();
-                self.world.fault(at, &faults).await;
+                self.env.set_faults(at, &faults).await;
             }
-            Act::Change(state) => self.change(*state).await,
+            Action::Change(state) => self.change(*state).await,
         }
     }
 
     fn thaw(&mut self, host: &str) {
-        self.world.signal(host, Signal::CONT);
+        self.env.signal(host, Signal::CONT);
         self.thaws.push(now_ms());
     }
 
     async fn replace(&mut self, host: &'static str) {
         if self.drained.take().is_some() {
             // Waits for its exit: killing it now would cut the requests that it still serves.
-            self.world.ended(host, DRAIN).await;
+            self.env.exit_status(host, DRAIN_TIMEOUT).await;
         }
-        self.world.start_host(host).await;
-        self.addresses.set(host, self.world.host(host).callers());
+        self.env.start_host(host).await;
+        self.addresses
+            .set(host, self.env.host(host).callers_address());
     }
 
     /// Makes an operator's change, and retries it under the same id at the next host on failure.
@@ -203,7 +204,7 @@
         for host in HOSTS {
             let sent = now_ms();
             let target = "/operator/v1/versions/big@2";
-            let put = self.world.put(host, target, self.read_at, &change, &value);
+            let put = self.env.put(host, target, self.read_at, &change, &value);
             let line = put.await;
             let revision = line
                 .strip_prefix("accepted revision=")
@@ -223,47 +224,47 @@
     }
 
     /// Ends all faults and waits until all hosts are ready.
-    async fn heal(&mut self) {
+    async fn end_faults(&mut self) {
         let none = json!({"outage": false, "delay_ms": 0, "lose_answers": 0});
-        self.world.fault("table", &none).await;
+        self.env.set_faults("table", &none).await;
         for engine in ["engine-1", "engine-2"] {
             let none =
                 json!({"cut": 0.0, "duplicate": 0.0, "errors": 0.0, "refuse": null, "delay_ms": 0});
-            self.world.fault(engine, &none).await;
+            self.env.set_faults(engine, &none).await;
         }
         for seats in ["seats-1", "seats-2"] {
             let none = json!({"lose_answers": 0, "refuse": null, "delay_ms": 0});
-            self.world.fault(seats, &none).await;
+            self.env.set_faults(seats, &none).await;
         }
         for host in HOSTS {
             self.thaw(host);
-            let ended = self.world.ended(host, Duration::ZERO).await.is_some();
-            if ended || self.drained == Some(host) {
+            let exited = self.env.exit_status(host, Duration::ZERO).await.is_some();
+            if exited || self.drained == Some(host) {
                 self.replace(host).await;
             }
         }
         for host in HOSTS {
-            self.world.await_ready(host).await;
+            self.env.await_ready(host).await;
         }
     }
 
     /// Reads the stand-ins' records after waiting, up to a timeout, for the billing record of every
     /// call that got a response.
-    async fn records(&self, stories: &[Story]) -> Records {
-        let world = &self.world;
-        let answered = || stories.iter().filter(|it| it.is_answered());
-        until(SETTLE, || async move {
-            let bills = records::billed(world).await;
+    async fn records(&self, histories: &[CallHistory]) -> Records {
+        let env = &self.env;
+        let answered = || histories.iter().filter(|it| it.has_succeeded());
+        wait_until(BILLING_TIMEOUT, || async move {
+            let bills = records::billing_records_by_key(env).await;
             answered()
-                .all(|it| bills.contains_key(&it.job.key))
+                .all(|it| bills.contains_key(&it.spec.key))
                 .then_some(())
         })
         .await;
-        let runs = records::runs(world).await;
+        let runs = records::all_executions(env).await;
         let started = |it: &Value| it["started_ms"].as_u64().unwrap_or_default();
         let mut found = Records {
             executions: BTreeMap::new(),
-            bills: records::billed(world).await,
+            bills: records::billing_records_by_key(env).await,
             withdrawn_version: Vec::new(),
         };
         for it in &runs {
--- a/crates/scenario/src/soak/caller.rs
+++ b/crates/scenario/src/soak/caller.rs
@@ -7,16 +7,16 @@
 
 use async_std::task;
 
-use super::plan::{HOSTS, Job, Ticket};
+use super::steps::{CallSpec, HOSTS, Ticket};
 use crate::call::Call;
 use crate::client::Client;
 use crate::command::{Arguments, parse_line};
 use crate::defaults::{CUSTOMER, KEY_PREFIX};
 
 /// Maximum number of attempts of a call.
-const TRIES: usize = 12;
+const MAX_ATTEMPTS: usize = 12;
 /// Pause between two attempts.
-const PAUSE: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// The current addresses of the hosts.
 #[derive(Clone, Default)]
@@ -38,14 +38,14 @@
 
 /// A call and its outcomes in order.
 #[derive(Debug)]
-pub(super) struct Story {
-    pub(super) job: Job,
-    pub(super) told: Vec<Told>,
+pub(super) struct CallHistory {
+    pub(super) spec: CallSpec,
+    pub(super) outcomes: Vec<AttemptOutcome>,
 }
 
 /// The outcome of an attempt.
 #[derive(Debug)]
-pub(super) struct Told {
+pub(super) struct AttemptOutcome {
     /// Milliseconds since the Unix epoch.
     pub(super) at_ms: u64,
     pub(super) line: String,
@@ -53,46 +53,46 @@
     pub(super) call: Option<String>,
 }
 
-impl Told {
-    pub(super) fn is_answer(&self) -> bool {
+impl AttemptOutcome {
+    pub(super) fn is_success(&self) -> bool {
         self.line.starts_with("200")
     }
 }
 
-impl Story {
-    pub(super) fn is_answered(&self) -> bool {
-        self.told.iter().any(Told::is_answer)
+impl CallHistory {
+    pub(super) fn has_succeeded(&self) -> bool {
+        self.outcomes.iter().any(AttemptOutcome::is_success)
     }
 }
 
 /// Makes a call, and retries it at the next host until it succeeds or the attempts are used up.
-pub(super) async fn call(client: Client, addresses: Addresses, job: Job) -> Story {
-    let mut told = Vec::new();
-    let ticket = match job.ticket {
-        Ticket::Taken => take_ticket(&client, &addresses, job.first).await,
+pub(super) async fn call(client: Client, addresses: Addresses, spec: CallSpec) -> CallHistory {
+    let mut outcomes = Vec::new();
+    let ticket = match spec.ticket {
+        Ticket::Taken => take_ticket(&client, &addresses, spec.first).await,
         Ticket::None => None,
     };
     let given = parse_line(&format!(
         "{} key={} patience_ms=4000",
-        job.kind.arguments(),
-        job.key
+        spec.kind.arguments(),
+        spec.key
     ));
-    for attempt in 0..TRIES {
-        if let Some(to) = addresses.get(job.first + attempt) {
+    for attempt in 0..MAX_ATTEMPTS {
+        if let Some(to) = addresses.get(spec.first + attempt) {
             let call = Call::new(&Arguments::new(&given), to, ticket.clone(), None);
             let outcome = call.perform(client.clone()).await;
-            told.push(Told {
+            outcomes.push(AttemptOutcome {
                 at_ms: now_ms(),
                 line: outcome.line,
                 call: outcome.call,
             });
-            if told.last().is_some_and(Told::is_answer) {
+            if outcomes.last().is_some_and(AttemptOutcome::is_success) {
                 break;
             }
         }
-        task::sleep(PAUSE).await;
+        task::sleep(RETRY_PAUSE).await;
     }
-    Story { job, told }
+    CallHistory { spec, outcomes }
 }
 
 async fn take_ticket(client: &Client, addresses: &Addresses, first: usize) -> Option<String> {
@@ -101,8 +101,8 @@
         let Some(to) = addresses.get(idx) else {
             continue;
         };
-        let answer = client.get(to, "/v1/hosts", &key).await;
-        if let Some(ticket) = answer.as_ref().and_then(|it| it["ticket"].as_str()) {
+        let response = client.get(to, "/v1/hosts", &key).await;
+        if let Some(ticket) = response.as_ref().and_then(|it| it["ticket"].as_str()) {
             return Some(ticket.to_owned());
         }
     }
--- a/crates/scenario/src/soak/check.rs
+++ b/crates/scenario/src/soak/check.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use super::caller::Story;
-use super::plan::State;
+use super::caller::CallHistory;
+use super::steps::State;
 
 /// Maximum time, in milliseconds, for which hosts act on the old configuration after a change was
 /// accepted.
-pub(super) const IN_FORCE_MS: u64 = 5_000;
+pub(super) const MAX_PROPAGATION_MS: u64 = 5_000;
 
 /// The stand-ins' records.
 pub(super) struct Records {
@@ -37,12 +37,12 @@
             continue;
         }
         let to = changes.get(idx + 1).map_or(end, |(at, _)| *at);
-        let mut from = at + IN_FORCE_MS;
+        let mut from = at + MAX_PROPAGATION_MS;
         for thaw in thaws.iter().filter(|it| (*at..to).contains(it)) {
             if *thaw > from {
                 spans.push(Span { from, to: *thaw });
             }
-            from = from.max(thaw + IN_FORCE_MS);
+            from = from.max(thaw + MAX_PROPAGATION_MS);
         }
         spans.push(Span { from, to });
     }
@@ -50,56 +50,81 @@
 }
 
 /// Returns the violations, one line each.
-pub(super) fn faults(stories: &[Story], records: &Records, spans: &[Span]) -> Vec<String> {
-    let mut faults = Vec::new();
-    for story in stories {
-        at_most_once(story, records, &mut faults);
-        billed_once(story, records, &mut faults);
-        not_run(story, records, &mut faults);
-        whole(story, &mut faults);
+pub(super) fn violations(
+    histories: &[CallHistory],
+    records: &Records,
+    spans: &[Span],
+) -> Vec<String> {
+    let mut violations = Vec::new();
+    for history in histories {
+        check_at_most_once(history, records, &mut violations);
+        check_billed_once(history, records, &mut violations);
+        check_not_run(history, records, &mut violations);
+        check_responses(history, &mut violations);
     }
     for at in &records.withdrawn_version {
         if spans.iter().any(|it| (it.from..it.to).contains(at)) {
-            faults.push(format!("big@2 got work at {at} while withdrawn"));
+            violations.push(format!("big@2 was executed at {at} while withdrawn"));
         }
     }
-    faults
+    violations
 }
 
-fn at_most_once(story: &Story, records: &Records, faults: &mut Vec<String>) {
-    let ran = records.executions.get(&story.job.key).map_or(0, Vec::len);
-    if story.job.kind.is_at_most_once() && ran > 1 {
-        faults.push(format!("{} ran {ran} times: {story:?}", story.job.key));
+fn check_at_most_once(history: &CallHistory, records: &Records, violations: &mut Vec<String>) {
+    let count = records
+        .executions
+        .get(&history.spec.key)
+        .map_or(0, Vec::len);
+    if history.spec.kind.is_at_most_once() && count > 1 {
+        violations.push(format!(
+            "{} ran {count} times: {history:?}",
+            history.spec.key
+        ));
     }
 }
 
-fn billed_once(story: &Story, records: &Records, faults: &mut Vec<String>) {
-    let bills = records.bills.get(&story.job.key).copied().unwrap_or(0);
-    let wrong = if story.is_answered() {
+fn check_billed_once(history: &CallHistory, records: &Records, violations: &mut Vec<String>) {
+    let bills = records.bills.get(&history.spec.key).copied().unwrap_or(0);
+    let wrong = if history.has_succeeded() {
         bills != 1
     } else {
         bills > 1
     };
     if wrong {
-        faults.push(format!("{} billed {bills} times: {story:?}", story.job.key));
+        violations.push(format!(
+            "{} billed {bills} times: {history:?}",
+            history.spec.key
+        ));
     }
 }
 
-fn not_run(story: &Story, records: &Records, faults: &mut Vec<String>) {
-    let started = records.executions.get(&story.job.key);
-    for told in story.told.iter().filter(|it| it.line.contains("not_run")) {
-        if started.into_iter().flatten().any(|it| *it < told.at_ms) {
-            let (key, line) = (&story.job.key, &told.line);
-            faults.push(format!("{key} had run, and was told `{line}`: {story:?}"));
+fn check_not_run(history: &CallHistory, records: &Records, violations: &mut Vec<String>) {
+    let started = records.executions.get(&history.spec.key);
+    for outcome in history
+        .outcomes
+        .iter()
+        .filter(|it| it.line.contains("not_run"))
+    {
+        if started.into_iter().flatten().any(|it| *it < outcome.at_ms) {
+            let (key, line) = (&history.spec.key, &outcome.line);
+            violations.push(format!(
+                "{key} was executed before the response `{line}`: {history:?}"
+            ));
         }
     }
 }
 
-fn whole(story: &Story, faults: &mut Vec<String>) {
-    for told in story.told.iter().filter(|it| it.is_answer()) {
-        let foreign = told.call.as_ref().is_some_and(|it| *it != story.job.key);
-        if told.line.contains("NO") || told.line.contains("WRONG") || foreign {
-            faults.push(format!("{} got another answer: {told:?}", story.job.key));
+fn check_responses(history: &CallHistory, violations: &mut Vec<String>) {
+    for outcome in history.outcomes.iter().filter(|it| it.is_success()) {
+        let is_foreign = outcome
+            .call
+            .as_ref()
+            .is_some_and(|it| *it != history.spec.key);
+        if outcome.line.contains("NO") || outcome.line.contains("WRONG") || is_foreign {
+            violations.push(format!(
+                "{} got a wrong or incomplete response: {outcome:?}",
+                history.spec.key
+            ));
         }
     }
 }
--- a/crates/scenario/src/soak/plan.rs
+++ b/crates/scenario/src/soak/steps.rs
@@ -10,22 +10,22 @@
 /// The entry hosts of a soak.
 pub(super) const HOSTS: [&str; 3] = ["a", "b", "c"];
 /// Interval between two calls.
-const CALL_EVERY: Duration = Duration::from_millis(40);
+const CALL_INTERVAL: Duration = Duration::from_millis(40);
 /// Pause between two faults of the same kind, as a range in milliseconds.
-const REST: (u64, u64) = (1_500, 4_000);
+const FAULT_PAUSE_MS: (u64, u64) = (1_500, 4_000);
 
 /// A step and its time since the start.
 #[derive(Clone, Debug)]
 pub(super) struct Step {
     pub(super) at: Duration,
-    pub(super) act: Act,
+    pub(super) action: Action,
 }
 
 /// The action of a step.
 #[derive(Clone, Debug)]
-pub(super) enum Act {
+pub(super) enum Action {
     /// A caller makes a call and retries it until it succeeds.
-    Call(Job),
+    Call(CallSpec),
     /// Sends SIGKILL to a host.
     Kill(&'static str),
     /// Sends SIGSTOP to a host.
@@ -54,7 +54,7 @@
 
 /// A call, whose retries carry the same key and ticket.
 #[derive(Clone, Debug)]
-pub(super) struct Job {
+pub(super) struct CallSpec {
     pub(super) key: String,
     pub(super) kind: Kind,
     /// Whether the caller takes a ticket first.
@@ -124,45 +124,45 @@
         } else {
             Ticket::None
         };
-        let job = Job {
+        let spec = CallSpec {
             key: format!("soak-{}", steps.len()),
             kind,
             ticket,
             first: rng.random_range(0..HOSTS.len()),
         };
-        let act = Act::Call(job);
-        steps.push(Step { at, act });
-        at += CALL_EVERY;
+        let action = Action::Call(spec);
+        steps.push(Step { at, action });
+        at += CALL_INTERVAL;
     }
     steps
 }
 
 fn hosts(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
     let mut steps = Vec::new();
-    let mut at = millis(rng, (300, 1_500));
+    let mut at = random_millis(rng, (300, 1_500));
     while at < length {
         let host = HOSTS[rng.random_range(0..HOSTS.len())];
-        let (begin, end, lasts) = match rng.random_range(0..3) {
-            0 => (Act::Kill(host), Act::Start(host), (300, 2_500)),
-            1 => (Act::Freeze(host), Act::Thaw(host), (300, 6_000)),
-            _ => (Act::Drain(host), Act::Start(host), (2_500, 4_000)),
+        let (begin, end, duration) = match rng.random_range(0..3) {
+            0 => (Action::Kill(host), Action::Start(host), (300, 2_500)),
+            1 => (Action::Freeze(host), Action::Thaw(host), (300, 6_000)),
+            _ => (Action::Drain(host), Action::Start(host), (2_500, 4_000)),
         };
-        steps.push(Step { at, act: begin });
-        at += millis(rng, lasts);
-        steps.push(Step { at, act: end });
+        steps.push(Step { at, action: begin });
+        at += random_millis(rng, duration);
+        steps.push(Step { at, action: end });
         // Leaves time to replicate records again before the next host fails.
-        at += millis(rng, (4_000, 7_000));
+        at += random_millis(rng, (4_000, 7_000));
     }
     steps
 }
 
 fn store(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
-    const TROUBLES: [(&str, &str); 3] = [
+    const TABLE_FAULTS: [(&str, &str); 3] = [
         (r#"{"outage": true}"#, r#"{"outage": false}"#),
         (r#"{"delay_ms": 400}"#, r#"{"delay_ms": 0}"#),
         (r#"{"lose_answers": 2}"#, r#"{"lose_answers": 0}"#),
     ];
-    troubles(rng, length, &["table"], &TROUBLES)
+    stand_in_faults(rng, length, &["table"], &TABLE_FAULTS)
 }
 
 fn endpoints(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
@@ -178,26 +178,31 @@
         (r#"{"refuse": "overloaded"}"#, r#"{"refuse": null}"#),
         (r#"{"delay_ms": 300}"#, r#"{"delay_ms": 0}"#),
     ];
-    let mut steps = troubles(rng, length, &["engine-1", "engine-2"], &ENGINE);
-    steps.extend(troubles(rng, length, &["seats-1", "seats-2"], &SERVICE));
+    let mut steps = stand_in_faults(rng, length, &["engine-1", "engine-2"], &ENGINE);
+    steps.extend(stand_in_faults(
+        rng,
+        length,
+        &["seats-1", "seats-2"],
+        &SERVICE,
+    ));
     steps
 }
 
-fn troubles(
+fn stand_in_faults(
     rng: &mut Pcg64Mcg,
     length: Duration,
-    places: &[&'static str],
+    stand_ins: &[&'static str],
     kinds: &[(&'static str, &'static str)],
 ) -> Vec<Step> {
     let mut steps = Vec::new();
-    let mut at = millis(rng, REST);
+    let mut at = random_millis(rng, FAULT_PAUSE_MS);
     while at < length {
-        let place = places[rng.random_range(0..places.len())];
+        let stand_in = stand_ins[rng.random_range(0..stand_ins.len())];
         let (begin, end) = kinds[rng.random_range(0..kinds.len())];
-        for (json, lasts) in [(begin, (300, 3_000)), (end, REST)] {
-            let act = Act::Fault { at: place, json };
-            steps.push(Step { at, act });
-            at += millis(rng, lasts);
+        for (json, duration) in [(begin, (300, 3_000)), (end, FAULT_PAUSE_MS)] {
+            let action = Action::Fault { at: stand_in, json };
+            steps.push(Step { at, action });
+            at += random_millis(rng, duration);
         }
     }
     steps
@@ -205,44 +210,44 @@
 
 fn operators(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
     let mut steps = Vec::new();
-    let mut at = millis(rng, REST);
+    let mut at = random_millis(rng, FAULT_PAUSE_MS);
     let mut next = State::Withdrawn;
     while at < length {
-        let act = Act::Change(next);
-        steps.push(Step { at, act });
+        let action = Action::Change(next);
+        steps.push(Step { at, action });
         next = match next {
             State::Active => State::Withdrawn,
             State::Withdrawn => State::Active,
         };
-        at += millis(rng, (6_000, 12_000));
+        at += random_millis(rng, (6_000, 12_000));
     }
     steps
 }
 
-fn millis(rng: &mut Pcg64Mcg, (least, most): (u64, u64)) -> Duration {
-    Duration::from_millis(rng.random_range(least..most))
+fn random_millis(rng: &mut Pcg64Mcg, (min, max): (u64, u64)) -> Duration {
+    Duration::from_millis(rng.random_range(min..max))
 }
 
 impl Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "# at {} ms", self.at.as_millis())?;
-        match &self.act {
-            Act::Call(job) => {
-                let (host, kind) = (HOSTS[job.first], job.kind.arguments());
-                let ticket = match job.ticket {
+        match &self.action {
+            Action::Call(spec) => {
+                let (host, kind) = (HOSTS[spec.first], spec.kind.arguments());
+                let ticket = match spec.ticket {
                     Ticket::Taken => format!(" ticket={host}"),
                     Ticket::None => String::new(),
                 };
-                write!(f, "call host={host} {kind} key={}{ticket}", job.key)
+                write!(f, "call host={host} {kind} key={}{ticket}", spec.key)
             }
-            Act::Kill(host) => write!(f, "kill host={host}"),
-            Act::Freeze(host) => write!(f, "freeze host={host}"),
-            Act::Thaw(host) => write!(f, "thaw host={host}"),
-            Act::Drain(host) => write!(f, "drain host={host}"),
-            Act::Start(host) => write!(f, "start-host host={host}"),
-            Act::Fault { at, json } => write!(f, "fault at=({at})\n{json}"),
-            Act::Change(State::Active) => write!(f, "# big@2 is made active"),
-            Act::Change(State::Withdrawn) => write!(f, "# big@2 is withdrawn"),
+            Action::Kill(host) => write!(f, "kill host={host}"),
+            Action::Freeze(host) => write!(f, "freeze host={host}"),
+            Action::Thaw(host) => write!(f, "thaw host={host}"),
+            Action::Drain(host) => write!(f, "drain host={host}"),
+            Action::Start(host) => write!(f, "start-host host={host}"),
+            Action::Fault { at, json } => write!(f, "fault at=({at})\n{json}"),
+            Action::Change(State::Active) => write!(f, "# big@2 is made active"),
+            Action::Change(State::Withdrawn) => write!(f, "# big@2 is withdrawn"),
         }
     }
 }
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -1,8 +1,8 @@
 //! Execution of the commands of a script.
 
 mod counts;
+mod misuse;
 mod rollout;
-mod stranger;
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -14,18 +14,18 @@
 use serde_json::Value;
 
 use crate::call::{Call, Outcome};
-use crate::command::{Arguments, Given, parse_line};
+use crate::command::{ArgumentMap, Arguments, parse_line};
 use crate::defaults::{self, CUSTOMER, Engines, KEY_PREFIX};
-use crate::limit::until;
+use crate::environment::Environment;
 use crate::load::Load;
 use crate::records;
-use crate::world::World;
+use crate::wait::wait_until;
 
 /// Runs the commands of a script.
 pub struct Stage {
     binary: PathBuf,
-    world: Option<World>,
-    begun: BTreeMap<String, JoinHandle<Outcome>>,
+    env: Option<Environment>,
+    pending_calls: BTreeMap<String, JoinHandle<Outcome>>,
     load: Option<Load>,
     tickets: BTreeMap<String, String>,
     sessions: BTreeMap<String, String>,
@@ -37,8 +37,8 @@
     pub fn new(binary: &Path) -> Self {
         Self {
             binary: binary.to_owned(),
-            world: None,
-            begun: BTreeMap::new(),
+            env: None,
+            pending_calls: BTreeMap::new(),
             load: None,
             tickets: BTreeMap::new(),
             sessions: BTreeMap::new(),
@@ -97,48 +97,48 @@
         }
     }
 
-    async fn start(&mut self, args: &Arguments<'_>, extra: &str) -> String {
+    async fn start(&mut self, args: &Arguments<'_>, extra_settings: &str) -> String {
         let engines = Engines {
             count: args.parsed("engines", 3),
             fences: args.parsed("fences", true),
             load_ms: args.parsed("load_ms", 0),
         };
-        let mut world = World::start(&self.binary, &engines, extra).await;
-        let hosts = args.many("hosts");
+        let mut env = Environment::start(&self.binary, &engines, extra_settings).await;
+        let hosts = args.values("hosts");
         for host in &hosts {
-            world.start_host(host).await;
+            env.start_host(host).await;
         }
-        world.configure_first(&hosts).await;
-        let revision = world.revision(hosts[0]).await;
-        self.world = Some(world);
+        env.apply_default_configuration(&hosts).await;
+        let revision = env.revision(hosts[0]).await;
+        self.env = Some(env);
         format!("ready at revision {}", revision.unwrap_or_default())
     }
 
     async fn start_host(&mut self, args: &Arguments<'_>) -> String {
-        let host = args.one("host");
-        let world = self.world_mut();
-        world.start_host(host).await;
+        let host = args.required("host");
+        let env = self.env_mut();
+        env.start_host(host).await;
         if args.has("unready") {
             return "started".to_owned();
         }
-        world.await_ready(host).await;
+        env.await_ready(host).await;
         "ready".to_owned()
     }
 
     fn kill(&mut self, args: &Arguments<'_>) -> String {
-        self.world_mut().kill(args.one("host"));
+        self.env_mut().kill(args.required("host"));
         "killed".to_owned()
     }
 
     fn signal(&mut self, args: &Arguments<'_>, signal: Signal) -> String {
-        self.world_mut().signal(args.one("host"), signal);
+        self.env_mut().signal(args.required("host"), signal);
         "sent".to_owned()
     }
 
     async fn ended(&mut self, args: &Arguments<'_>) -> String {
         let status = self
-            .world_mut()
-            .ended(args.one("host"), args.within())
+            .env_mut()
+            .exit_status(args.required("host"), args.timeout())
             .await;
         match status.map(|it| it.code()) {
             Some(Some(code)) => format!("ended with exit code {code}"),
@@ -148,44 +148,49 @@
     }
 
     async fn ready(&mut self, args: &Arguments<'_>) -> String {
-        let ready = self.world().is_ready(args.one("host"), args.within());
+        let ready = self.env().is_ready(args.required("host"), args.timeout());
         if ready.await { "ready" } else { "not ready" }.to_owned()
     }
 
     async fn fault(&mut self, args: &Arguments<'_>, input: &str) -> String {
         let faults = read_json(input);
-        for stand_in in args.many("at") {
-            self.world().fault(stand_in, &faults).await;
+        for stand_in in args.values("at") {
+            self.env().set_faults(stand_in, &faults).await;
         }
         "switched".to_owned()
     }
 
     async fn put(&mut self, args: &Arguments<'_>, input: &str) -> String {
-        let target = format!("/operator/v1/{}/{}", args.one("kind"), args.joined("name"));
+        let target = format!(
+            "/operator/v1/{}/{}",
+            args.required("kind"),
+            args.joined("name")
+        );
         let read_at = args.parsed("read_at", 0);
-        let (host, change) = (args.one("host"), args.one("change"));
+        let (host, change) = (args.required("host"), args.required("change"));
         let value = defaults::with_key(read_json(input));
-        self.world()
-            .put(host, &target, read_at, change, &value)
-            .await
+        self.env().put(host, &target, read_at, change, &value).await
     }
 
     async fn in_force(&mut self, args: &Arguments<'_>) -> String {
         let revision = args.parsed("revision", 0);
-        let hosts = args.many("hosts");
-        let laggards = self.world().laggards(&hosts, revision, args.within()).await;
-        match laggards.as_slice() {
+        let hosts = args.values("hosts");
+        let lagging_hosts = self
+            .env()
+            .lagging_hosts(&hosts, revision, args.timeout())
+            .await;
+        match lagging_hosts.as_slice() {
             [] => format!("in force on {}", hosts.join(" ")),
-            laggards => format!("not in force on {}", laggards.join(" ")),
+            lagging_hosts => format!("not in force on {}", lagging_hosts.join(" ")),
         }
     }
 
     /// Takes a ticket from a host and stores it under `as=`, by default the host's name.
     async fn ticket(&mut self, args: &Arguments<'_>) -> String {
-        let host = args.one("host");
-        let answer = self.ask_hand_out(host).await;
-        let ticket = answer["ticket"].as_str().map(str::to_owned);
-        let name = args.maybe("as").unwrap_or(host).to_owned();
+        let host = args.required("host");
+        let response = self.request_hand_out(host).await;
+        let ticket = response["ticket"].as_str().map(str::to_owned);
+        let name = args.optional("as").unwrap_or(host).to_owned();
         match ticket {
             Some(ticket) => {
                 self.tickets.insert(name, ticket);
@@ -197,36 +202,37 @@
 
     /// Waits until a host hands out exactly the given hosts, in any order.
     async fn hand_out(&mut self, args: &Arguments<'_>) -> String {
-        let host = args.one("host");
-        let mut wanted = args.many("hosts");
+        let host = args.required("host");
+        let mut wanted = args.values("hosts");
         wanted.sort_unstable();
         let this = &*self;
         let wanted = &wanted;
-        let reached = until(args.within(), || async move {
-            let answer = this.ask_hand_out(host).await;
-            (names(&answer) == *wanted).then_some(())
+        let reached = wait_until(args.timeout(), || async move {
+            let response = this.request_hand_out(host).await;
+            (names(&response) == *wanted).then_some(())
         });
         if reached.await.is_some() {
             return format!("hands out {}", wanted.join(" "));
         }
         format!(
             "hands out {}",
-            names(&self.ask_hand_out(host).await).join(" ")
+            names(&self.request_hand_out(host).await).join(" ")
         )
     }
 
     async fn call(&mut self, args: &Arguments<'_>) -> String {
-        let perform = || self.prepare(args).perform(self.world().client.clone());
+        let perform = || self.prepare(args).perform(self.env().client.clone());
         let outcome = if args.has("until_answered") {
-            let answer = || async { Some(perform().await).filter(|it| it.line.starts_with("200")) };
-            until(args.within(), answer).await
+            let succeed =
+                || async { Some(perform().await).filter(|it| it.line.starts_with("200")) };
+            wait_until(args.timeout(), succeed).await
         } else if args.has("until_refused") {
             let refuse =
                 || async { Some(perform().await).filter(|it| !it.line.starts_with("200")) };
-            until(args.within(), refuse).await
-        } else if let Some(word) = args.maybe("until") {
+            wait_until(args.timeout(), refuse).await
+        } else if let Some(word) = args.optional("until") {
             let say = || async { Some(perform().await).filter(|it| it.line.contains(word)) };
-            until(args.within(), say).await
+            wait_until(args.timeout(), say).await
         } else {
             Some(perform().await)
         };
@@ -234,10 +240,10 @@
             Some(it) => self.keep_session(args, it),
             None => "not so within the bound".to_owned(),
         };
-        let Some(call) = args.maybe("called") else {
+        let Some(call) = args.optional("called") else {
             return line;
         };
-        let ran = records::executions(self.world(), call).await;
+        let ran = records::executions(self.env(), call).await;
         format!("{line}, ran {ran} times")
     }
 
@@ -246,7 +252,7 @@
         let lines = input.lines().filter(|it| !it.trim().is_empty());
         let given: Vec<_> = lines.map(parse_line).collect();
         let calls = given.iter().map(|it| self.prepare(&Arguments::new(it)));
-        let client = &self.world().client;
+        let client = &self.env().client;
         let calls = calls.map(|it| it.perform(client.clone()));
         let mut outcomes: Vec<_> = future::join_all(calls)
             .await
@@ -263,7 +269,7 @@
     async fn calls(&mut self, args: &Arguments<'_>) -> String {
         let mut outcomes = BTreeMap::new();
         for _ in 0..args.parsed("count", 1) {
-            let call = self.prepare(args).perform(self.world().client.clone());
+            let call = self.prepare(args).perform(self.env().client.clone());
             *outcomes.entry(call.await.line).or_insert(0) += 1;
         }
         let lines = outcomes
@@ -272,10 +278,10 @@
         lines.collect::<Vec<_>>().join("\n")
     }
 
-    fn begin_load(&mut self, given: &Given) -> String {
-        let host = Arguments::new(given).one("host");
-        let start = self.world().host(host).callers();
-        self.load = Some(Load::start(&self.world().client, given, start));
+    fn begin_load(&mut self, given: &ArgumentMap) -> String {
+        let host = Arguments::new(given).required("host");
+        let start = self.env().host(host).callers_address();
+        self.load = Some(Load::start(&self.env().client, given, start));
         "begun".to_owned()
     }
 
@@ -289,34 +295,34 @@
 
     /// Cuts a host's connection to the table service.
     fn cut(&mut self, args: &Arguments<'_>) -> String {
-        self.world().cut_from_table(args.one("host"));
+        self.env().cut_from_table(args.required("host"));
         "cut".to_owned()
     }
 
     fn begin(&mut self, args: &Arguments<'_>) -> String {
-        let call = self.prepare(args).perform(self.world().client.clone());
-        let name = args.one("as").to_owned();
-        self.begun.insert(name, task::spawn(call));
+        let call = self.prepare(args).perform(self.env().client.clone());
+        let name = args.required("as").to_owned();
+        self.pending_calls.insert(name, task::spawn(call));
         "begun".to_owned()
     }
 
     async fn end(&mut self, args: &Arguments<'_>) -> String {
-        let name = args.one("as");
-        let begun = self.begun.remove(name);
-        let begun = begun.unwrap_or_else(|| panic!("no call was begun as {name}"));
-        let outcome = begun.await;
+        let name = args.required("as");
+        let call = self.pending_calls.remove(name);
+        let call = call.unwrap_or_else(|| panic!("no call was begun as {name}"));
+        let outcome = call.await;
         self.keep_session(args, outcome)
     }
 
     fn prepare(&self, args: &Arguments<'_>) -> Call {
-        let to = self.world().host(args.one("host")).callers();
-        let ticket = args.maybe("ticket").map(|it| {
+        let to = self.env().host(args.required("host")).callers_address();
+        let ticket = args.optional("ticket").map(|it| {
             let ticket = self.tickets.get(it);
             ticket
                 .unwrap_or_else(|| panic!("no ticket is stored as {it}"))
                 .clone()
         });
-        let session = args.maybe("session").map(|it| {
+        let session = args.optional("session").map(|it| {
             let session = self.sessions.get(it);
             session
                 .unwrap_or_else(|| panic!("no session is stored as {it}"))
@@ -326,25 +332,25 @@
     }
 
     fn keep_session(&mut self, args: &Arguments<'_>, outcome: Outcome) -> String {
-        if let (Some(name), Some(session)) = (args.maybe("keep_session"), outcome.session) {
+        if let (Some(name), Some(session)) = (args.optional("keep_session"), outcome.session) {
             self.sessions.insert(name.to_owned(), session);
         }
         outcome.line
     }
 
-    async fn ask_hand_out(&self, host: &str) -> Value {
+    async fn request_hand_out(&self, host: &str) -> Value {
         let key = format!("{KEY_PREFIX}{CUSTOMER}");
-        let to = self.world().host(host).callers();
-        let answer = self.world().client.get(to, "/v1/hosts", &key).await;
-        answer.unwrap_or_default()
+        let to = self.env().host(host).callers_address();
+        let response = self.env().client.get(to, "/v1/hosts", &key).await;
+        response.unwrap_or_default()
     }
 
-    fn world(&self) -> &World {
-        self.world.as_ref().expect("a script begins with `start`")
+    fn env(&self) -> &Environment {
+        self.env.as_ref().expect("a script begins with `start`")
     }
 
-    fn world_mut(&mut self) -> &mut World {
-        self.world.as_mut().expect("a script begins with `start`")
+    fn env_mut(&mut self) -> &mut Environment {
+        self.env.as_mut().expect("a script begins with `start`")
     }
 }
 
--- a/crates/scenario/src/stage/stranger.rs
+++ b/crates/scenario/src/stage/misuse.rs
@@ -14,15 +14,15 @@
 
 use super::{Stage, read_json};
 use crate::command::{Arguments, parse_line};
-use crate::limit::until;
+use crate::wait::wait_until;
 
 /// Maximum number of bytes read from a response, about.
-const HEAD: usize = 16 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
 impl Stage {
     /// Sends a frame to a host with a certificate of an unknown authority.
     pub(super) async fn stranger(&self, args: &Arguments<'_>) -> String {
-        let host = args.one("host");
+        let host = args.required("host");
         let authority = Authority::generate("elsewhere").expect("a CA can be made");
         let keys = authority.issue(&HostName::from("stranger"));
         let keys = keys.expect("a certificate can be made");
@@ -30,9 +30,11 @@
         let (link, _inbox) = Link::bind(&Settings::new(local, keys)).expect("ports are free");
         let peer = Peer {
             host: HostName::from(host),
-            address: self.world().host(host).fleet(),
+            address: self.env().host(host).fleet_address(),
         };
-        let asked = link.request(&peer, &wire::Frame::Done, args.within()).await;
+        let asked = link
+            .request(&peer, &wire::Frame::Done, args.timeout())
+            .await;
         link.close().await;
         match asked {
             Ok(_) => "answered",
@@ -43,9 +45,9 @@
 
     /// Sends an operator's request with an arbitrary bearer key, or without one.
     pub(super) async fn operate(&self, args: &Arguments<'_>) -> String {
-        let to = self.world().host(args.one("host")).operators();
+        let to = self.env().host(args.required("host")).operators_address();
         let target = format!("/operator/v1/{}", args.path().unwrap_or_default());
-        let method = match args.maybe("method").unwrap_or("GET") {
+        let method = match args.optional("method").unwrap_or("GET") {
             "PUT" => http::Method::Put,
             "POST" => http::Method::Post,
             "DELETE" => http::Method::Delete,
@@ -55,31 +57,31 @@
             .json(&json!({}))
             .header("if-match", "0")
             .header("barleypin-change", "stranger");
-        if let Some(key) = args.maybe("bearer") {
+        if let Some(key) = args.optional("bearer") {
             request = request.header("authorization", format!("Bearer {key}"));
         }
-        let answer = self.world().client.send(to, request, args.within()).await;
-        let Ok(answer) = answer else {
+        let response = self.env().client.send(to, request, args.timeout()).await;
+        let Ok(response) = response else {
             return "no answer".to_owned();
         };
-        let problem = answer.json();
-        let word = |name: &str| problem[name].as_str().unwrap_or("-").to_owned();
-        let status = u16::from(answer.status);
-        format!("{status} {} {}", word("reason"), word("run"))
+        let problem = response.json();
+        let field = |name: &str| problem[name].as_str().unwrap_or("-").to_owned();
+        let status = u16::from(response.status);
+        format!("{status} {} {}", field("reason"), field("run"))
     }
 
     /// Sends the input as raw bytes to the callers' address and reads until the host closes the
     /// connection. `body=N` appends N bytes; `unfinished` leaves out the empty line after the
     /// headers.
     pub(super) async fn raw(&self, args: &Arguments<'_>, input: &str) -> String {
-        let to = self.world().host(args.one("host")).callers();
+        let to = self.env().host(args.required("host")).callers_address();
         let mut bytes = input.trim_end().replace('\n', "\r\n").into_bytes();
         if !args.has("unfinished") {
             bytes.extend_from_slice(b"\r\n\r\n");
         }
         bytes.extend(std::iter::repeat_n(b'x', args.parsed("body", 0)));
-        match timeout(args.within(), exchange(to, &bytes)).await {
-            Ok(Ok(answer)) => status_and_reason(&answer),
+        match timeout(args.timeout(), exchange(to, &bytes)).await {
+            Ok(Ok(response)) => status_and_reason(&response),
             Ok(Err(_)) => "closed".to_owned(),
             Err(_) => "still open".to_owned(),
         }
@@ -87,9 +89,9 @@
 
     /// Waits until a metric, summed over its labels, is at least `at_least=`.
     pub(super) async fn metric(&self, args: &Arguments<'_>) -> String {
-        let (host, name) = (args.one("host"), args.one("name"));
+        let (host, name) = (args.required("host"), args.required("name"));
         let wanted = args.parsed("at_least", 1.0);
-        let reached = until(args.within(), || async move {
+        let reached = wait_until(args.timeout(), || async move {
             (self.read_metric(host, name).await? >= wanted).then_some(())
         });
         match reached.await {
@@ -99,14 +101,11 @@
     }
 
     async fn read_metric(&self, host: &str, name: &str) -> Option<f64> {
-        let to = self.world().host(host).callers();
+        let to = self.env().host(host).callers_address();
         let request = http::Request::get("/metrics");
-        let answer = self
-            .world()
-            .client
-            .send(to, request, Duration::from_secs(2));
-        let answer = answer.await.ok()?;
-        let text = String::from_utf8_lossy(&answer.body);
+        let response = self.env().client.send(to, request, Duration::from_secs(2));
+        let response = response.await.ok()?;
+        let text = String::from_utf8_lossy(&response.body);
         let lines = text.lines().filter(|it| {
             let rest = it.strip_prefix(name);
             rest.is_some_and(|it| it.starts_with([' ', '{']))
@@ -120,16 +119,20 @@
 
     /// Makes concurrent operators' changes; each line has the arguments of a `put`, then the JSON.
     pub(super) async fn put_together(&self, input: &str) -> String {
-        let world = self.world();
+        let env = self.env();
         let changes = input.lines().filter(|it| !it.trim().is_empty());
         let changes = changes.map(|line| async move {
             let at = line.find('{').expect("a change needs a JSON object");
             let (given, value) = (parse_line(&line[..at]), read_json(&line[at..]));
             let args = Arguments::new(&given);
-            let target = format!("/operator/v1/{}/{}", args.one("kind"), args.one("name"));
-            let (host, change) = (args.one("host"), args.one("change"));
+            let target = format!(
+                "/operator/v1/{}/{}",
+                args.required("kind"),
+                args.required("name")
+            );
+            let (host, change) = (args.required("host"), args.required("change"));
             let read_at = args.parsed("read_at", 0);
-            world.put(host, &target, read_at, change, &value).await
+            env.put(host, &target, read_at, change, &value).await
         });
         let mut outcomes: Vec<_> = future::join_all(changes).await;
         // The order of concurrent changes is random; the sorted outcomes are deterministic.
@@ -141,15 +144,15 @@
     /// callers.
     pub(super) async fn list(&self, input: &str) -> String {
         let mut input = input.to_owned();
-        for host in self.world().hosts.values() {
+        for host in self.env().hosts.values() {
             let named = format!("callers-of:{}", host.name);
-            input = input.replace(&named, &host.callers().to_string());
+            input = input.replace(&named, &host.callers_address().to_string());
         }
         let hosts: Value = read_json(&input);
         let request = http::Request::post("/control/hosts", &hosts);
-        let (to, limit) = (self.world().stand_in("hosts"), Duration::from_secs(5));
-        let answer = self.world().client.send(to, request, limit).await;
-        let done = answer.is_ok_and(|it| it.status.is_success());
+        let (to, limit) = (self.env().stand_in("hosts"), Duration::from_secs(5));
+        let response = self.env().client.send(to, request, limit).await;
+        let done = response.is_ok_and(|it| it.status.is_success());
         assert!(done, "the host list refused the change: {hosts}");
         "listed".to_owned()
     }
@@ -158,26 +161,26 @@
 async fn exchange(to: SocketAddr, bytes: &[u8]) -> io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect(to).await?;
     stream.write_all(bytes).await?;
-    let mut answer = Vec::new();
-    let mut part = [0; 1024];
+    let mut response = Vec::new();
+    let mut buffer = [0; 1024];
     // A host may respond and close the connection before it has read the whole body.
-    while answer.len() < HEAD {
-        match stream.read(&mut part).await {
+    while response.len() < MAX_RESPONSE_BYTES {
+        match stream.read(&mut buffer).await {
             Ok(0) | Err(_) => break,
-            Ok(read) => answer.extend_from_slice(&part[..read]),
+            Ok(read) => response.extend_from_slice(&buffer[..read]),
         }
     }
-    Ok(answer)
+    Ok(response)
 }
 
 /// Returns the status and, from a problem document, the fields `reason` and `run`.
-fn status_and_reason(answer: &[u8]) -> String {
-    let text = String::from_utf8_lossy(answer);
+fn status_and_reason(response: &[u8]) -> String {
+    let text = String::from_utf8_lossy(response);
     let Some(status) = text.split(' ').nth(1) else {
         return "closed".to_owned();
     };
     let body = text.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     let problem: Value = serde_json::from_str(body).unwrap_or_default();
-    let word = |name: &str| problem[name].as_str().unwrap_or("-").to_owned();
-    format!("{status} {} {}", word("reason"), word("run"))
+    let field = |name: &str| problem[name].as_str().unwrap_or("-").to_owned();
+    format!("{status} {} {}", field("reason"), field("run"))
 }
--- a/crates/scenario/src/stage/rollout.rs
+++ b/crates/scenario/src/stage/rollout.rs
@@ -8,9 +8,9 @@
 use super::Stage;
 use crate::command::Arguments;
 use crate::defaults::OPERATOR_KEY;
-use crate::limit::until;
+use crate::environment::Environment;
 use crate::records;
-use crate::world::World;
+use crate::wait::wait_until;
 
 /// Path of the lease's row in the table service.
 const LEASE: &str = "/v1/rows/lease%2Forders";
@@ -24,9 +24,9 @@
 impl Stage {
     /// Waits until the lease is held by `held_by=`, or by any host without it.
     pub(super) async fn lease(&self, args: &Arguments<'_>) -> String {
-        let (world, wanted) = (self.world(), args.maybe("held_by"));
-        let held = until(args.within(), || async move {
-            let holder = holder(world).await?;
+        let (env, wanted) = (self.env(), args.optional("held_by"));
+        let held = wait_until(args.timeout(), || async move {
+            let holder = holder(env).await?;
             wanted.is_none_or(|it| it == holder.host).then_some(holder)
         });
         match held.await {
@@ -37,12 +37,12 @@
 
     /// Lists the distinct orders that engines accepted; first waits for at least `count=`.
     pub(super) async fn orders(&self, args: &Arguments<'_>) -> String {
-        let (world, wanted) = (self.world(), args.parsed("count", 0));
-        until(args.within(), || async move {
-            (orders(world).await.len() >= wanted).then_some(())
+        let (env, wanted) = (self.env(), args.parsed("count", 0));
+        wait_until(args.timeout(), || async move {
+            (orders(env).await.len() >= wanted).then_some(())
         })
         .await;
-        let orders = orders(world).await;
+        let orders = orders(env).await;
         if orders.is_empty() {
             return "none".to_owned();
         }
@@ -52,13 +52,13 @@
     /// Lists the changes with a revision above `after=`, oldest first; first waits for at least
     /// `count=`.
     pub(super) async fn history(&self, args: &Arguments<'_>) -> String {
-        let (world, host) = (self.world(), args.one("host"));
+        let (env, host) = (self.env(), args.required("host"));
         let (after, wanted) = (args.parsed("after", 0), args.parsed("count", 0));
-        until(args.within(), || async move {
-            (history(world, host, after).await.len() >= wanted).then_some(())
+        wait_until(args.timeout(), || async move {
+            (history(env, host, after).await.len() >= wanted).then_some(())
         })
         .await;
-        let lines = history(world, host, after).await;
+        let lines = history(env, host, after).await;
         if lines.is_empty() {
             return "none".to_owned();
         }
@@ -66,42 +66,47 @@
     }
 }
 
-async fn holder(world: &World) -> Option<Holder> {
-    let row = world.client.get(world.stand_in("table"), LEASE, "").await?;
+async fn holder(env: &Environment) -> Option<Holder> {
+    let row = env.client.get(env.stand_in("table"), LEASE, "").await?;
     let text = row["value"].as_str();
     let value = text.map_or_else(|| row["value"].clone(), parse);
     let incarnation = value["holder"].as_u64()?;
     Some(Holder {
-        host: names(world).await.remove(&incarnation)?,
+        host: host_names(env).await.remove(&incarnation)?,
         fencing: value["fencing"].as_u64()?,
     })
 }
 
 /// Returns the names of the hosts by incarnation, from the status of all hosts that respond.
-async fn names(world: &World) -> BTreeMap<u64, String> {
-    let asked = world.hosts.values().map(|host| {
+async fn host_names(env: &Environment) -> BTreeMap<u64, String> {
+    let asked = env.hosts.values().map(|host| {
         let path = "/operator/v1/status";
-        world.client.get(host.operators(), path, OPERATOR_KEY)
+        env.client.get(host.operators_address(), path, OPERATOR_KEY)
     });
     let mut names = BTreeMap::new();
     for status in future::join_all(asked).await.into_iter().flatten() {
         let peers = status["peers"].as_array().into_iter().flatten();
         for it in peers.chain([&status["host"]]) {
-            if let (Some(life), Some(name)) = (it["incarnation"].as_u64(), it["name"].as_str()) {
-                names.insert(life, name.to_owned());
+            if let (Some(incarnation), Some(name)) =
+                (it["incarnation"].as_u64(), it["name"].as_str())
+            {
+                names.insert(incarnation, name.to_owned());
             }
         }
     }
     names
 }
 
-async fn orders(world: &World) -> BTreeSet<String> {
+async fn orders(env: &Environment) -> BTreeSet<String> {
     let mut orders = BTreeSet::new();
-    for engine in world.stand_ins.keys().filter(|it| it.starts_with("engine")) {
-        let record = records::read(world, world.stand_in(engine)).await;
+    for engine in env.stand_ins.keys().filter(|it| it.starts_with("engine")) {
+        let record = records::read(env, env.stand_in(engine)).await;
         for it in record["loads"].as_array().into_iter().flatten() {
             let stale = if it["stale"] == true { " STALE" } else { "" };
-            let (version, wanted) = (text(&it["version"]), text(&it["wanted"]));
+            let (version, wanted) = (
+                string_or_unknown(&it["version"]),
+                string_or_unknown(&it["wanted"]),
+            );
             let fencing = &it["fencing"];
             orders.insert(format!(
                 "{engine} {version} {wanted} number {fencing}{stale}"
@@ -111,20 +116,20 @@
     orders
 }
 
-async fn history(world: &World, host: &str, after: u64) -> Vec<String> {
-    let to = world.host(host).operators();
-    let answer = world.client.get(to, "/operator/v1/history", OPERATOR_KEY);
-    let answer = answer.await.unwrap_or_default();
-    let entries = answer["entries"].as_array().into_iter().flatten();
+async fn history(env: &Environment, host: &str, after: u64) -> Vec<String> {
+    let to = env.host(host).operators_address();
+    let response = env.client.get(to, "/operator/v1/history", OPERATOR_KEY);
+    let response = response.await.unwrap_or_default();
+    let entries = response["entries"].as_array().into_iter().flatten();
     let later = entries.filter(|it| it["revision"].as_u64().is_some_and(|it| it > after));
     let mut lines: Vec<_> = later
-        .map(|it| format!("{} {}", it["revision"], text(&it["change"])))
+        .map(|it| format!("{} {}", it["revision"], string_or_unknown(&it["change"])))
         .collect();
     lines.reverse();
     lines
 }
 
-fn text(value: &Value) -> &str {
+fn string_or_unknown(value: &Value) -> &str {
     value.as_str().unwrap_or("?")
 }
 
