--- a/crates/barleypind/tests/golden/site.rs
+++ b/crates/barleypind/tests/golden/site.rs
@@ -11,7 +11,7 @@
 use barleypind::{Daemon, DrainOutcome};
 use config::{Customer, Settings};
 use datadriven::TestCase;
-use fakes::Started;
+use fakes::RunningStandIns;
 use http::{Client, Method, Options, PoolLimits, Request, Response};
 use link::keys::Authority;
 use serde_json::{Value, json};
@@ -31,7 +31,7 @@
     pub(crate) addresses: BTreeMap<String, SocketAddr>,
     clock: Arc<ShiftedClock>,
     client: Client,
-    _started: Started,
+    _started: RunningStandIns,
     dir: TempDir,
     /// The fraction of responses that are rated.
     rated: f64,
@@ -43,7 +43,9 @@
         let clock = Arc::new(ShiftedClock::default());
         let settings = fakes::Settings::parse(&format!("{PLATFORM}\n{}", case.input)).unwrap();
         let endpoints = settings.engine.len() + settings.service.len();
-        let started = Started::start(clock.clone(), settings).await.unwrap();
+        let started = RunningStandIns::start(clock.clone(), settings)
+            .await
+            .unwrap();
         let addresses: BTreeMap<String, SocketAddr> = started
             .addresses()
             .into_iter()
--- a/crates/barleypind/tests/scripts.rs
+++ b/crates/barleypind/tests/scripts.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use scenario::Stage;
+use scenario::ScriptRunner;
 
 const BARLEYPIND: &str = env!("CARGO_BIN_EXE_barleypind");
 
@@ -10,8 +10,8 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scripts");
     let path = path.join(script).with_extension("txt");
     datadriven::walk(&path.to_string_lossy(), |file| {
-        let mut stage = Stage::new(Path::new(BARLEYPIND));
-        file.run(|case| stage.run(case));
+        let mut runner = ScriptRunner::new(Path::new(BARLEYPIND));
+        file.run(|case| runner.run(case));
     });
 }
 
--- a/crates/barleypind/tests/soak.rs
+++ b/crates/barleypind/tests/soak.rs
@@ -11,6 +11,6 @@
 fn responses_match_records_under_random_faults() {
     let length = Duration::from_secs(6);
     let report = scenario::soak(1, length, Path::new(BARLEYPIND));
-    assert!(report.faults.is_empty(), "{report}");
+    assert!(report.violations.is_empty(), "{report}");
     assert!(report.answered > 0, "{report}");
 }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -27,10 +27,10 @@
 use crate::lagged::Lagged;
 use crate::plain_service::millis;
 use crate::response::Response;
-use crate::settings::{EngineSettings, Truth};
+use crate::settings::{EngineSettings, GroundTruth};
 use crate::slots::Slots;
 
-pub use execution::{End, Execution};
+pub use execution::{Execution, ExecutionState};
 
 /// Maximum number of buffered events of a stream; generation waits while the buffer is full.
 const STREAM_BUFFER: usize = 64;
@@ -44,7 +44,7 @@
 struct Shared {
     clock: Arc<dyn Clock>,
     settings: EngineSettings,
-    truth: BTreeMap<String, Truth>,
+    truth: BTreeMap<String, GroundTruth>,
     seed: u64,
     slots: Slots,
     inner: Mutex<Inner>,
@@ -73,7 +73,7 @@
     pub fn new(
         clock: Arc<dyn Clock>,
         settings: EngineSettings,
-        truth: BTreeMap<String, Truth>,
+        truth: BTreeMap<String, GroundTruth>,
         seed: u64,
     ) -> Self {
         let inner = Inner {
@@ -215,8 +215,8 @@
     fn cancel(&mut self, attempt: &str) -> Response {
         self.cancels.push(attempt.to_owned());
         for it in &mut self.executions {
-            if it.attempt == attempt && it.end == End::Running {
-                it.end = End::Cancelled;
+            if it.attempt == attempt && it.end == ExecutionState::Running {
+                it.end = ExecutionState::Cancelled;
             }
         }
         Response::ok(&json!({}))
--- a/crates/fakes/src/engine/execution.rs
+++ b/crates/fakes/src/engine/execution.rs
@@ -28,13 +28,13 @@
     /// Cost at the version's actual price.
     pub cost_microcents: u64,
     /// The state of the execution.
-    pub end: End,
+    pub end: ExecutionState,
 }
 
 /// The state of an execution: running, or the way in which it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum ExecutionState {
     /// The execution has not ended.
     Running,
     /// The complete response was generated.
--- a/crates/fakes/src/engine/generation.rs
+++ b/crates/fakes/src/engine/generation.rs
@@ -12,11 +12,11 @@
 
 use crate::call::Call;
 use crate::engine::prompt::Prompt;
-use crate::engine::{End, Engine, Execution};
+use crate::engine::{Engine, Execution, ExecutionState};
 use crate::mark::Mark;
 use crate::response::Response;
 use crate::rng;
-use crate::settings::Truth;
+use crate::settings::GroundTruth;
 use crate::slots::Slot;
 
 type Events = mpsc::Sender<io::Result<Vec<u8>>>;
@@ -35,7 +35,7 @@
     idx: usize,
     attempt: String,
     chunks: Vec<String>,
-    truth: Truth,
+    truth: GroundTruth,
     prompt_tokens: u64,
     confidence: f64,
     first_chunk_delay: Duration,
@@ -101,7 +101,7 @@
             cached_tokens: cached,
             completion_tokens: 0,
             cost_microcents: 0,
-            end: End::Running,
+            end: ExecutionState::Running,
         };
         let idx = shared.with(|it| {
             it.executions.push(execution);
@@ -127,26 +127,26 @@
         task::sleep(self.first_chunk_delay).await;
         if self.drawn.fails {
             let _ = events.send(Err(connection_reset())).await;
-            return self.finish(0, End::Failed);
+            return self.finish(0, ExecutionState::Failed);
         }
         for idx in self.chunk_order() {
             if self.drawn.cut_after == Some(idx) {
                 let _ = events.send(Err(connection_reset())).await;
-                return self.finish(idx, End::Cut);
+                return self.finish(idx, ExecutionState::Cut);
             }
             self.delay_chunk(idx).await;
             if self.is_cancelled() {
-                return self.finish(idx, End::Cancelled);
+                return self.finish(idx, ExecutionState::Cancelled);
             }
             if events.send(Ok(event(&self.chunk(idx)))).await.is_err() {
-                return self.finish(idx, End::Disconnected);
+                return self.finish(idx, ExecutionState::Disconnected);
             }
         }
         let tokens = self.chunks.len();
         let last = event(&self.last_chunk());
         let done = b"data: [DONE]\n\n".to_vec();
         // The record is complete before the reader can see the end of the response.
-        self.finish(tokens, End::Complete);
+        self.finish(tokens, ExecutionState::Complete);
         let _ = events.send(Ok(last)).await;
         let _ = events.send(Ok(done)).await;
     }
@@ -158,15 +158,15 @@
         let token_time = Duration::from_micros(self.truth.token_us);
         task::sleep(token_time * u32::try_from(tokens).unwrap_or(u32::MAX)).await;
         if self.is_cancelled() {
-            self.finish(tokens, End::Cancelled);
+            self.finish(tokens, ExecutionState::Cancelled);
             return Response::Lost;
         }
         if self.drawn.fails {
-            self.finish(tokens, End::Failed);
+            self.finish(tokens, ExecutionState::Failed);
             return Response::error(500, "failed");
         }
         if self.drawn.cut_after.is_some() {
-            self.finish(tokens, End::Cut);
+            self.finish(tokens, ExecutionState::Cut);
             return Response::Lost;
         }
         let mut body = self.last_chunk();
@@ -175,7 +175,7 @@
             "message": {"role": "assistant", "content": self.chunks.concat()},
             "finish_reason": "stop",
         }]);
-        self.finish(tokens, End::Complete);
+        self.finish(tokens, ExecutionState::Complete);
         Response::ok(&body)
     }
 
@@ -225,10 +225,10 @@
     fn is_cancelled(&self) -> bool {
         self.engine
             .shared
-            .with(|it| it.executions[self.idx].end == End::Cancelled)
+            .with(|it| it.executions[self.idx].end == ExecutionState::Cancelled)
     }
 
-    fn finish(&mut self, tokens: usize, end: End) {
+    fn finish(&mut self, tokens: usize, end: ExecutionState) {
         let completion_tokens = tokens as u64;
         let cost = Money(self.truth.price_prompt).per_million(self.prompt_tokens)
             + Money(self.truth.price_completion).per_million(completion_tokens);
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -16,24 +16,25 @@
 mod rating;
 mod response;
 mod rng;
+mod running;
 mod server;
 mod settings;
 mod slots;
 mod stand_in;
-mod started;
 mod table;
 
 pub use call::Call;
-pub use engine::{End, Engine, Execution};
+pub use engine::{Engine, Execution, ExecutionState};
 pub use host_list::{Host, HostList};
 pub use mark::Mark;
 pub use objects::Objects;
-pub use plain_service::{PlainService, Run};
+pub use plain_service::{PlainService, ServiceExecution};
 pub use rating::Rating;
 pub use response::Response;
+pub use running::RunningStandIns;
 pub use settings::{
-    EngineSettings, HostsSettings, PlainSettings, RatingSettings, Settings, StoreSettings, Truth,
+    EngineSettings, GroundTruth, HostListSettings, PlainServiceSettings, RatingSettings, Settings,
+    StoreSettings,
 };
 pub use stand_in::StandIn;
-pub use started::Started;
 pub use table::Table;
--- a/crates/fakes/src/main.rs
+++ b/crates/fakes/src/main.rs
@@ -7,7 +7,7 @@
 use async_std::{future, task};
 use clap::{Arg, Command, value_parser};
 use error_stack::{Report, ResultExt};
-use fakes::{Settings, Started};
+use fakes::{RunningStandIns, Settings};
 use kernel::SystemClock;
 
 #[derive(Debug, derive_more::Display, derive_more::Error)]
@@ -50,7 +50,7 @@
 async fn run(path: &PathBuf) -> Result<(), Report<Error>> {
     let text = std::fs::read_to_string(path).change_context(Error::Read)?;
     let settings = Settings::parse(&text).change_context(Error::Settings)?;
-    let started = Started::start(Arc::new(SystemClock::new()), settings)
+    let started = RunningStandIns::start(Arc::new(SystemClock::new()), settings)
         .await
         .change_context(Error::Bind)?;
     let addresses =
--- a/crates/fakes/src/plain_service.rs
+++ b/crates/fakes/src/plain_service.rs
@@ -16,13 +16,13 @@
 use crate::lagged::Lagged;
 use crate::response::Response;
 use crate::rng;
-use crate::settings::PlainSettings;
+use crate::settings::PlainServiceSettings;
 use crate::slots::Slots;
 
 /// An endpoint of a plain service.
 pub struct PlainService {
     clock: Arc<dyn Clock>,
-    settings: PlainSettings,
+    settings: PlainServiceSettings,
     seed: u64,
     slots: Slots,
     inner: Mutex<Inner>,
@@ -30,7 +30,7 @@
 
 /// An execution of a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Run {
+pub struct ServiceExecution {
     /// The request's id, as assigned by the entry host.
     pub request: String,
     /// The attempt's id, as assigned by the entry host.
@@ -49,7 +49,7 @@
 }
 
 struct Inner {
-    runs: Vec<Run>,
+    runs: Vec<ServiceExecution>,
     by_call: BTreeMap<String, u64>,
     by_request: BTreeMap<String, u64>,
     refused: u64,
@@ -77,7 +77,7 @@
 impl PlainService {
     /// Creates an endpoint with no records.
     #[must_use]
-    pub fn new(clock: Arc<dyn Clock>, settings: PlainSettings, seed: u64) -> Self {
+    pub fn new(clock: Arc<dyn Clock>, settings: PlainServiceSettings, seed: u64) -> Self {
         let faults = Faults {
             incarnation: settings.incarnation,
             ..Faults::default()
@@ -120,7 +120,7 @@
             return Response::error(503, "overloaded");
         };
         self.record_load();
-        let run = Run {
+        let run = ServiceExecution {
             request: call.header("x-request-id").to_owned(),
             attempt: call.header("x-attempt-id").to_owned(),
             call: call_name(call),
@@ -188,7 +188,7 @@
         Some(code)
     }
 
-    fn start(&mut self, run: Run) -> usize {
+    fn start(&mut self, run: ServiceExecution) -> usize {
         *self.by_call.entry(run.call.clone()).or_default() += 1;
         *self.by_request.entry(run.request.clone()).or_default() += 1;
         self.runs.push(run);
--- a/crates/fakes/src/started.rs
+++ b/crates/fakes/src/running.rs
@@ -15,17 +15,17 @@
 use crate::plain_service::PlainService;
 use crate::rating::Rating;
 use crate::server::Server;
-use crate::settings::{EngineSettings, PlainSettings, Settings};
+use crate::settings::{EngineSettings, PlainServiceSettings, Settings};
 use crate::stand_in::StandIn;
 use crate::table::Table;
 
 /// Running stand-ins. Dropping this stops their accept loops.
 #[derive(Debug, Default)]
-pub struct Started {
+pub struct RunningStandIns {
     servers: BTreeMap<String, Server>,
 }
 
-impl Started {
+impl RunningStandIns {
     /// Starts all stand-ins. Engines and services are listed in every host list; entry hosts are
     /// added with `POST /control/hosts`.
     ///
@@ -105,7 +105,7 @@
     }
 }
 
-fn service_host(plain: PlainSettings, address: SocketAddr) -> Host {
+fn service_host(plain: PlainServiceSettings, address: SocketAddr) -> Host {
     Host {
         name: plain.name,
         kind: "service".to_owned(),
--- a/crates/fakes/src/settings.rs
+++ b/crates/fakes/src/settings.rs
@@ -13,7 +13,7 @@
     pub seed: u64,
     /// The actual quality, price and speed of each version, hidden from the router under test.
     #[serde(default)]
-    pub versions: BTreeMap<String, Truth>,
+    pub versions: BTreeMap<String, GroundTruth>,
     /// Table services.
     #[serde(default)]
     pub table: Vec<StoreSettings>,
@@ -22,13 +22,13 @@
     pub objects: Vec<StoreSettings>,
     /// Host lists.
     #[serde(default)]
-    pub hosts: Vec<HostsSettings>,
+    pub hosts: Vec<HostListSettings>,
     /// Model engines.
     #[serde(default)]
     pub engine: Vec<EngineSettings>,
     /// Endpoints of plain services.
     #[serde(default)]
-    pub service: Vec<PlainSettings>,
+    pub service: Vec<PlainServiceSettings>,
     /// Rating services.
     #[serde(default)]
     pub rating: Vec<RatingSettings>,
@@ -37,7 +37,7 @@
 /// The actual quality, price and speed of a version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Truth {
+pub struct GroundTruth {
     /// The probability that a response is good, by request class; the class `default` stands for
     /// all others.
     pub good: BTreeMap<String, f64>,
@@ -70,7 +70,7 @@
 /// A host list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct HostsSettings {
+pub struct HostListSettings {
     /// The stand-in's name.
     pub name: String,
     /// The address to listen on; port 0 takes a free port.
@@ -122,7 +122,7 @@
 /// An endpoint of a plain service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PlainSettings {
+pub struct PlainServiceSettings {
     /// The stand-in's name, also in the host list.
     pub name: String,
     /// The service that the endpoint serves.
@@ -182,7 +182,7 @@
     }
 }
 
-impl Truth {
+impl GroundTruth {
     /// Returns the probability that a response to a request of `class` is good.
     #[must_use]
     pub fn good_probability(&self, class: &str) -> f64 {
@@ -195,7 +195,7 @@
     }
 }
 
-impl Default for Truth {
+impl Default for GroundTruth {
     fn default() -> Self {
         Self {
             good: BTreeMap::new(),
--- a/crates/fakes/tests/sockets.rs
+++ b/crates/fakes/tests/sockets.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use async_std::task;
-use fakes::{Settings, Started};
+use fakes::{RunningStandIns, Settings};
 use googletest::prelude::*;
 use http::{Cause, Client, Error, Options, PoolLimits, Request};
 use kernel::{Clock, SystemClock};
@@ -64,7 +64,7 @@
 
 struct Site {
     client: Client,
-    started: Started,
+    started: RunningStandIns,
 }
 
 impl Site {
@@ -100,7 +100,7 @@
     task::block_on(async {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
         let settings = Settings::parse(SETTINGS).expect("the settings");
-        let started = Started::start(Arc::clone(&clock), settings)
+        let started = RunningStandIns::start(Arc::clone(&clock), settings)
             .await
             .expect("free ports");
         let client = Client::new(clock, PoolLimits::default());
--- a/crates/scenario/src/environment.rs
+++ b/crates/scenario/src/environment.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-use fakes::Started;
+use fakes::RunningStandIns;
 use futures::future;
 use http::Request;
 use kernel::SystemClock;
@@ -44,7 +44,7 @@
     extra_settings: String,
     next_ip: u8,
     proxies: BTreeMap<String, TcpProxy>,
-    _started: Started,
+    _started: RunningStandIns,
 }
 
 impl Environment {
@@ -54,7 +54,7 @@
         let mut text = defaults::STAND_IN_SETTINGS.to_owned();
         text.push_str(&engines.settings());
         let settings = fakes::Settings::parse(&text).expect("the stand-ins' settings are valid");
-        let started = Started::start(Arc::new(SystemClock::new()), settings)
+        let started = RunningStandIns::start(Arc::new(SystemClock::new()), settings)
             .await
             .expect("loopback ports are free");
         let addresses = started.addresses().into_iter();
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -13,9 +13,9 @@
 mod load;
 mod proxy;
 mod records;
+mod runner;
 mod soak;
-mod stage;
 mod wait;
 
+pub use runner::ScriptRunner;
 pub use soak::{Report, soak};
-pub use stage::Stage;
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/runner.rs
@@ -22,7 +22,7 @@
 use crate::wait::wait_until;
 
 /// Runs the commands of a script.
-pub struct Stage {
+pub struct ScriptRunner {
     binary: PathBuf,
     env: Option<Environment>,
     pending_calls: BTreeMap<String, JoinHandle<Outcome>>,
@@ -31,8 +31,8 @@
     sessions: BTreeMap<String, String>,
 }
 
-impl Stage {
-    /// Creates a stage without processes; `binary` is the program of the entry hosts.
+impl ScriptRunner {
+    /// Creates a runner without processes; `binary` is the program of the entry hosts.
     #[must_use]
     pub fn new(binary: &Path) -> Self {
         Self {
--- a/crates/scenario/src/stage/counts.rs
+++ b/crates/scenario/src/runner/counts.rs
@@ -1,11 +1,11 @@
 //! Commands that print counts from the stand-ins' records.
 
-use super::Stage;
+use super::ScriptRunner;
 use crate::command::Arguments;
 use crate::records;
 use crate::wait::wait_until;
 
-impl Stage {
+impl ScriptRunner {
     pub(super) async fn executions_at(&self, args: &Arguments<'_>) -> String {
         let count =
             records::executions_at(self.env(), args.required("endpoint"), args.optional("call"))
--- a/crates/scenario/src/stage/misuse.rs
+++ b/crates/scenario/src/runner/misuse.rs
@@ -12,14 +12,14 @@
 use link::{Link, Peer, Settings};
 use serde_json::{Value, json};
 
-use super::{Stage, read_json};
+use super::{ScriptRunner, read_json};
 use crate::command::{Arguments, parse_line};
 use crate::wait::wait_until;
 
 /// Maximum number of bytes read from a response, about.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
-impl Stage {
+impl ScriptRunner {
     /// Sends a frame to a host with a certificate of an unknown authority.
     pub(super) async fn stranger(&self, args: &Arguments<'_>) -> String {
         let host = args.required("host");
--- a/crates/scenario/src/stage/rollout.rs
+++ b/crates/scenario/src/runner/rollout.rs
@@ -5,7 +5,7 @@
 use futures::future;
 use serde_json::Value;
 
-use super::Stage;
+use super::ScriptRunner;
 use crate::command::Arguments;
 use crate::defaults::OPERATOR_KEY;
 use crate::environment::Environment;
@@ -21,7 +21,7 @@
     fencing: u64,
 }
 
-impl Stage {
+impl ScriptRunner {
     /// Waits until the lease is held by `held_by=`, or by any host without it.
     pub(super) async fn lease(&self, args: &Arguments<'_>) -> String {
         let (env, wanted) = (self.env(), args.optional("held_by"));
--- a/crates/scenario/src/soak.rs
+++ b/crates/scenario/src/soak.rs
@@ -41,9 +41,9 @@
     /// Number of calls that got a response, perhaps after retries.
     pub answered: usize,
     /// Number of steps that are not calls: kills, freezes, faults, changes and their ends.
-    pub troubles: usize,
+    pub injected_faults: usize,
     /// The violations, one line each.
-    pub faults: Vec<String>,
+    pub violations: Vec<String>,
     script: String,
 }
 
@@ -53,20 +53,20 @@
             seed,
             calls,
             answered,
-            troubles,
-            faults,
+            injected_faults,
+            violations,
             script,
         } = self;
         writeln!(
             f,
-            "seed {seed}: {calls} calls, {answered} answered, {troubles} troubles, {} broken promises",
-            faults.len()
+            "seed {seed}: {calls} calls, {answered} answered, {injected_faults} troubles, {} broken promises",
+            violations.len()
         )?;
-        if faults.is_empty() {
+        if violations.is_empty() {
             return Ok(());
         }
-        for fault in faults {
-            writeln!(f, "{fault}")?;
+        for violation in violations {
+            writeln!(f, "{violation}")?;
         }
         write!(f, "\nThe script, with the time of each step:\n{script}")
     }
@@ -99,8 +99,8 @@
         seed,
         calls: histories.len(),
         answered: histories.iter().filter(|it| it.has_succeeded()).count(),
-        troubles: steps.len() - histories.len(),
-        faults: check::violations(&histories, &records, &spans),
+        injected_faults: steps.len() - histories.len(),
+        violations: check::violations(&histories, &records, &spans),
         script: script.join("\n"),
     }
 }
--- a/xtask/src/demo/organisations.rs
+++ b/xtask/src/demo/organisations.rs
@@ -5,7 +5,8 @@
 use config::Customer;
 use error_stack::Report;
 use fakes::{
-    EngineSettings, HostsSettings, PlainSettings, RatingSettings, Settings, StoreSettings, Truth,
+    EngineSettings, GroundTruth, HostListSettings, PlainServiceSettings, RatingSettings, Settings,
+    StoreSettings,
 };
 use serde_json::{Value, json};
 use toml::{Table, toml};
@@ -82,7 +83,7 @@
         versions: VERSIONS.iter().map(truth).collect(),
         table: vec![store("table")],
         objects: vec![store("objects")],
-        hosts: vec![HostsSettings {
+        hosts: vec![HostListSettings {
             name: "hosts".to_owned(),
             address: ANY.to_owned(),
             lag_ms: 300,
@@ -147,7 +148,7 @@
 
 const ANY: &str = "127.0.0.1:0";
 
-fn truth((id, price, words, token_us, good): &Row) -> (String, Truth) {
+fn truth((id, price, words, token_us, good): &Row) -> (String, GroundTruth) {
     let [era, chat, dossier] = *good;
     let good = [
         ("era", era),
@@ -156,7 +157,7 @@
         ("catalogue", chat),
         ("dossier", dossier),
     ];
-    let truth = Truth {
+    let truth = GroundTruth {
         good: good.map(|(class, it)| (class.to_owned(), it)).into(),
         confidence: 0.8,
         price_prompt: price * MILLION,
@@ -185,8 +186,8 @@
     }
 }
 
-fn service(centre: &str, service: &str) -> PlainSettings {
-    PlainSettings {
+fn service(centre: &str, service: &str) -> PlainServiceSettings {
+    PlainServiceSettings {
         name: format!("{service}-{centre}"),
         service: service.to_owned(),
         address: ANY.to_owned(),
--- a/xtask/src/load/setup.rs
+++ b/xtask/src/load/setup.rs
@@ -4,7 +4,9 @@
 
 use config::Customer;
 use error_stack::Report;
-use fakes::{EngineSettings, HostsSettings, RatingSettings, Settings, StoreSettings, Truth};
+use fakes::{
+    EngineSettings, GroundTruth, HostListSettings, RatingSettings, Settings, StoreSettings,
+};
 use serde_json::json;
 
 use crate::error::Error;
@@ -33,13 +35,13 @@
         name: name.to_owned(),
         address: ANY.to_owned(),
     };
-    let truth = |words, token_us| Truth {
+    let truth = |words, token_us| GroundTruth {
         price_prompt: MILLION,
         price_completion: MILLION,
         confidence: 1.0,
         words,
         token_us,
-        ..Truth::default()
+        ..GroundTruth::default()
     };
     Settings {
         seed: 1,
@@ -50,7 +52,7 @@
         .into(),
         table: vec![store("table")],
         objects: vec![store("objects")],
-        hosts: vec![HostsSettings {
+        hosts: vec![HostListSettings {
             name: "hosts".to_owned(),
             address: ANY.to_owned(),
             lag_ms: 0,
--- a/xtask/src/reconcile/evidence.rs
+++ b/xtask/src/reconcile/evidence.rs
@@ -1,6 +1,6 @@
 //! The stand-ins' records of one run.
 
-use fakes::{Execution, Run};
+use fakes::{Execution, ServiceExecution};
 
 use crate::reconcile::{Allowed, Bill};
 
@@ -10,7 +10,7 @@
     /// What the engines executed.
     pub executions: Vec<Execution>,
     /// What the plain services executed.
-    pub runs: Vec<Run>,
+    pub runs: Vec<ServiceExecution>,
     /// What the table holds as billed.
     pub bills: Vec<Bill>,
     /// Which versions may answer whom.
--- a/xtask/src/site/stand_ins.rs
+++ b/xtask/src/site/stand_ins.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use error_stack::{Report, ResultExt, ensure};
-use fakes::{Execution, Host, Run};
+use fakes::{Execution, Host, ServiceExecution};
 use http::{Client, Options, Request};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -34,7 +34,7 @@
 
 #[derive(Deserialize)]
 struct PlainRecords {
-    runs: Vec<Run>,
+    runs: Vec<ServiceExecution>,
 }
 
 /// The table's counts and rows.
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     /// When a service does not give its record.
-    pub async fn runs(&self) -> Result<Vec<Run>, Report<Error>> {
+    pub async fn runs(&self) -> Result<Vec<ServiceExecution>, Report<Error>> {
         let mut runs = Vec::new();
         for name in &self.services {
             let records: PlainRecords = self.records(name).await?;
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -49,7 +49,7 @@
     for seed in first..first + value(matches, "rounds") {
         let report = scenario::soak(seed, length, &binaries.daemon);
         print!("{report}");
-        if !report.faults.is_empty() {
+        if !report.violations.is_empty() {
             println!(
                 "\nTo repeat: cargo xtask soak --seed {seed} --for {}",
                 length.as_secs()
--- a/xtask/tests/reconcile.rs
+++ b/xtask/tests/reconcile.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fakes::{End as Ended, Execution, Run};
+use fakes::{Execution, ExecutionState, ServiceExecution};
 use gate::problem::{self, Reason};
 use googletest::prelude::*;
 use serde_json::json;
@@ -265,7 +265,7 @@
 }
 
 fn ran(times: usize) -> Evidence {
-    let run = Run {
+    let run = ServiceExecution {
         request: "r1".to_owned(),
         attempt: "7".to_owned(),
         call: "c1.0".to_owned(),
@@ -293,7 +293,7 @@
         cached_tokens: 0,
         completion_tokens: 1,
         cost_microcents: 1,
-        end: Ended::Complete,
+        end: ExecutionState::Complete,
     };
     Evidence {
         executions: versions.iter().map(execution).collect(),
