--- a/crates/scenario/src/runner/misuse.rs
+++ b/crates/scenario/src/runner/misuse.rs
@@ -16,7 +16,7 @@
 use crate::command::{Arguments, parse_line};
 use crate::wait::wait_until;
 
-/// Maximum number of bytes read from a response, about.
+/// Reading of a response stops once it has at least this many bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
 impl ScriptRunner {
--- a/crates/scenario/src/soak.rs
+++ b/crates/scenario/src/soak.rs
@@ -38,7 +38,7 @@
     pub seed: u64,
     /// Number of calls.
     pub calls: usize,
-    /// Number of calls that got a response, perhaps after retries.
+    /// Number of calls that succeeded, perhaps after retries.
     pub answered: usize,
     /// Number of steps that are not calls: kills, freezes, faults, changes and their ends.
     pub injected_faults: usize,
@@ -249,7 +249,7 @@
     }
 
     /// Reads the stand-ins' records after waiting, up to a timeout, for the billing record of every
-    /// call that got a response.
+    /// call that succeeded.
     async fn records(&self, histories: &[CallHistory]) -> Records {
         let env = &self.env;
         let answered = || histories.iter().filter(|it| it.has_succeeded());
