--- a/crates/fakes/src/engine/prompt.rs
+++ b/crates/fakes/src/engine/prompt.rs
@@ -1,11 +1,11 @@
-//! The body of a chat call to an engine.
+//! The body of a chat request to an engine.
 
 use serde::Deserialize;
 use serde_json::Value;
 
 use crate::mark::Mark;
 
-/// A text of so many characters is counted as one token.
+/// Bytes of text that are counted as one token.
 const CHARS_PER_TOKEN: usize = 4;
 
 #[derive(Debug, Deserialize)]
@@ -17,7 +17,7 @@
     pub(crate) stream: bool,
     #[serde(default)]
     pub(crate) max_tokens: Option<u64>,
-    #[serde(default = "general")]
+    #[serde(default = "default_class")]
     pub(crate) class: String,
 }
 
@@ -28,9 +28,14 @@
 }
 
 impl Prompt {
-    /// The caller's own name for its call; the newest message that has one counts.
-    pub(crate) fn call(&self) -> String {
-        let named = |it: &Message| it.content.as_str().and_then(Mark::call).map(str::to_owned);
+    /// Returns the caller's name for its call, from the newest message that has one.
+    pub(crate) fn call_name(&self) -> String {
+        let named = |it: &Message| {
+            it.content
+                .as_str()
+                .and_then(Mark::call_name)
+                .map(str::to_owned)
+        };
         self.messages
             .iter()
             .rev()
@@ -42,8 +47,7 @@
         self.messages.iter().map(Message::tokens).sum()
     }
 
-    /// Every beginning of the conversation, the longest last: how many tokens
-    /// it has and its text.
+    /// Returns the token count and text of every prefix of the conversation, the longest last.
     pub(crate) fn prefixes(&self) -> Vec<(u64, String)> {
         let mut tokens = 0;
         let mut text = self.model.clone();
@@ -65,6 +69,6 @@
     }
 }
 
-fn general() -> String {
+fn default_class() -> String {
     "general".to_owned()
 }
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The lagging host list.
+//! A stand-in of the host list, whose readers see changes after a lag.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,18 +10,18 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::answer::Answer;
 use crate::call::Call;
 use crate::control;
 use crate::lagged::Lagged;
+use crate::response::Response;
 
-/// Shows callers which hosts there were some time ago.
-pub struct Hosts {
+/// The host list. `GET /v1/hosts` returns its state as of the configured lag ago.
+pub struct HostList {
     clock: Arc<dyn Clock>,
     inner: Mutex<Inner>,
 }
 
-/// One entry of the list; see `docs/PROTOCOLS.md` for its fields.
+/// An entry of the host list; see `docs/PROTOCOLS.md` for its fields.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
@@ -29,26 +29,26 @@
     pub name: String,
     /// `entry`, `engine` or `service`.
     pub kind: String,
-    /// Which life of the host this is.
+    /// The incarnation of the host.
     pub incarnation: u64,
-    /// Where callers or entry hosts connect to.
+    /// The address that callers or entry hosts connect to.
     pub address: String,
-    /// Where other entry hosts connect to.
+    /// The address that other entry hosts connect to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fleet_address: Option<String>,
-    /// The data centre it stands in.
+    /// The data centre of the host.
     pub data_centre: String,
-    /// The region of that data centre.
+    /// The region of the data centre.
     pub region: String,
     /// `live` or `leaving`.
     pub state: String,
-    /// The plain service it serves.
+    /// The plain service that the host serves.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
-    /// The versions it was started with.
+    /// The versions that the host was started with.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub versions: Vec<String>,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether the host refuses orders that carry an old fencing number.
     #[serde(default)]
     pub fences: bool,
 }
@@ -76,8 +76,8 @@
     remove: Vec<String>,
 }
 
-impl Hosts {
-    /// Starts with hosts that are seen at once.
+impl HostList {
+    /// Creates a list whose initial hosts are visible at once.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, lag: Duration, hosts: Vec<Host>) -> Self {
         let hosts = hosts.into_iter().map(|it| (it.name.clone(), it)).collect();
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Answers one call.
-    pub async fn answer(&self, call: &Call) -> Answer {
+    /// Handles one call.
+    pub async fn handle(&self, call: &Call) -> Response {
         if call.path.first().is_some_and(|it| it == "v1") {
             let delay = self.with(|it| it.faults.delay_ms);
             task::sleep(Duration::from_millis(delay)).await;
         }
         let now = self.clock.now();
-        self.with(|it| it.answer(now, call))
+        self.with(|it| it.handle(now, call))
     }
 
     fn with<T>(&self, work: impl FnOnce(&mut Inner) -> T) -> T {
@@ -112,42 +112,42 @@
 }
 
 impl Inner {
-    fn answer(&mut self, now: Duration, call: &Call) -> Answer {
+    fn handle(&mut self, now: Duration, call: &Call) -> Response {
         match (call.method, call.segments().as_slice()) {
-            (Method::Post, ["control", "faults"]) => self.switch(call),
+            (Method::Post, ["control", "faults"]) => self.update_faults(call),
             (Method::Post, ["control", "hosts"]) => self.change(now, call),
-            (Method::Get, ["control", "records"]) => Answer::ok(&json!({
+            (Method::Get, ["control", "records"]) => Response::ok(&json!({
                 "reads": self.reads,
-                "hosts": self.hosts.newest().values().collect::<Vec<_>>(),
+                "hosts": self.hosts.latest().values().collect::<Vec<_>>(),
             })),
-            (_, ["v1", ..]) if self.faults.outage => Answer::error(503, "outage"),
+            (_, ["v1", ..]) if self.faults.outage => Response::error(503, "outage"),
             (Method::Get, ["v1", "hosts"]) => {
                 self.reads += 1;
-                let hosts = self.hosts.seen(now);
-                Answer::ok(&json!({ "hosts": hosts.values().collect::<Vec<_>>() }))
+                let hosts = self.hosts.visible_at(now);
+                Response::ok(&json!({ "hosts": hosts.values().collect::<Vec<_>>() }))
             }
-            _ => Answer::error(404, "not_found"),
+            _ => Response::error(404, "not_found"),
         }
     }
 
-    fn switch(&mut self, call: &Call) -> Answer {
-        let answer = control::switch(&mut self.faults, call);
+    fn update_faults(&mut self, call: &Call) -> Response {
+        let response = control::update_faults(&mut self.faults, call);
         self.hosts
             .set_lag(Duration::from_millis(self.faults.lag_ms));
-        answer
+        response
     }
 
-    fn change(&mut self, now: Duration, call: &Call) -> Answer {
+    fn change(&mut self, now: Duration, call: &Call) -> Response {
         let change: Change = match call.json() {
             Ok(it) => it,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
-        let mut hosts = self.hosts.newest().clone();
+        let mut hosts = self.hosts.latest().clone();
         for name in &change.remove {
             hosts.remove(name);
         }
         hosts.extend(change.hosts.into_iter().map(|it| (it.name.clone(), it)));
         self.hosts.set(now, hosts);
-        Answer::ok(&json!({}))
+        Response::ok(&json!({}))
     }
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,39 +1,40 @@
-//! Stand-ins for the platform, the engines and the plain services, so that the
-//! whole path can be run, broken and measured on one machine.
+//! Stand-ins of the platform, of model engines and of plain services, for tests, demos and
+//! measurements on one host.
 //!
-//! Each stand-in keeps its own record of what really ran; tests and chores set
-//! that record against what callers were told. The protocols are those of
-//! `docs/PROTOCOLS.md`; settings and faults are in `docs/operate/stand-ins.md`.
+//! Each stand-in records the work it executed; tests and tools compare these records with the
+//! responses that callers got. The protocols are those of `docs/PROTOCOLS.md`; settings and
+//! faults are in `docs/operate/stand-ins.md`.
 
-mod answer;
 mod call;
 mod control;
 mod engine;
-mod hosts;
+mod host_list;
 mod lagged;
 mod mark;
 mod objects;
-mod plain;
+mod plain_service;
 mod rating;
+mod response;
 mod rng;
+mod running;
 mod server;
 mod settings;
 mod slots;
 mod stand_in;
-mod started;
 mod table;
 
-pub use answer::Answer;
 pub use call::Call;
-pub use engine::{End, Engine, Execution};
-pub use hosts::{Host, Hosts};
+pub use engine::{Engine, Execution, ExecutionState};
+pub use host_list::{Host, HostList};
 pub use mark::Mark;
 pub use objects::Objects;
-pub use plain::{Plain, Run};
+pub use plain_service::{PlainService, ServiceExecution};
 pub use rating::Rating;
+pub use response::Response;
+pub use running::RunningStandIns;
 pub use settings::{
-    EngineSettings, HostsSettings, PlainSettings, RatingSettings, Settings, StoreSettings, Truth,
+    EngineSettings, GroundTruth, HostListSettings, PlainServiceSettings, RatingSettings, Settings,
+    StoreSettings,
 };
 pub use stand_in::StandIn;
-pub use started::Started;
 pub use table::Table;
--- a/crates/fakes/src/main.rs
+++ b/crates/fakes/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins in one small process, never shipped.
+//! Runs the stand-ins of a settings file in one process, for tests and demos.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,16 +7,16 @@
 use async_std::{future, task};
 use clap::{Arg, Command, value_parser};
 use error_stack::{Report, ResultExt};
-use fakes::{Settings, Started};
+use fakes::{RunningStandIns, Settings};
 use kernel::SystemClock;
 
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 enum Error {
-    #[display("the settings can't be read")]
+    #[display("cannot read the settings file")]
     Read,
-    #[display("the settings are wrong")]
+    #[display("invalid settings")]
     Settings,
-    #[display("an address can't be bound")]
+    #[display("cannot bind the address of a stand-in")]
     Bind,
 }
 
@@ -50,11 +50,11 @@
 async fn run(path: &PathBuf) -> Result<(), Report<Error>> {
     let text = std::fs::read_to_string(path).change_context(Error::Read)?;
     let settings = Settings::parse(&text).change_context(Error::Settings)?;
-    let started = Started::start(Arc::new(SystemClock::new()), settings)
+    let started = RunningStandIns::start(Arc::new(SystemClock::new()), settings)
         .await
         .change_context(Error::Bind)?;
     let addresses =
-        serde_json::to_string(&started.addresses()).expect("names and addresses are plain text");
+        serde_json::to_string(&started.addresses()).expect("names and addresses serialize");
     println!("ready {addresses}");
     future::pending::<()>().await;
     Ok(())
--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain_service.rs
@@ -1,4 +1,4 @@
-//! A plain service, which counts what it executes.
+//! A stand-in of a plain service's endpoint, which counts the calls that it executes.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,45 +11,45 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::answer::Answer;
 use crate::call::Call;
 use crate::control;
 use crate::lagged::Lagged;
+use crate::response::Response;
 use crate::rng;
-use crate::settings::PlainSettings;
+use crate::settings::PlainServiceSettings;
 use crate::slots::Slots;
 
 /// An endpoint of a plain service.
-pub struct Plain {
+pub struct PlainService {
     clock: Arc<dyn Clock>,
-    settings: PlainSettings,
+    settings: PlainServiceSettings,
     seed: u64,
     slots: Slots,
     inner: Mutex<Inner>,
 }
 
-/// One execution of a call.
+/// An execution of a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Run {
-    /// The request, as the entry host named it.
+pub struct ServiceExecution {
+    /// The request's id, as assigned by the entry host.
     pub request: String,
-    /// The attempt, as the entry host named it.
+    /// The attempt's id, as assigned by the entry host.
     pub attempt: String,
-    /// The caller's own name for its call: the body's field `call`, or the
-    /// query's, or its idempotency key.
+    /// The caller's name for its call: the field `call` of the body, else the query parameter
+    /// `call`, else the idempotency key.
     pub call: String,
     /// The HTTP method.
     pub method: String,
-    /// The path below the service.
+    /// The path within the service.
     pub path: String,
-    /// When it ran, in milliseconds since the Unix epoch.
+    /// Start time in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// Whether an answer was given for it.
+    /// Whether the endpoint gave a successful response.
     pub answered: bool,
 }
 
 struct Inner {
-    runs: Vec<Run>,
+    runs: Vec<ServiceExecution>,
     by_call: BTreeMap<String, u64>,
     by_request: BTreeMap<String, u64>,
     refused: u64,
@@ -60,24 +60,24 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Faults {
-    /// Each call takes so much longer.
+    /// Additional duration of each call.
     delay_ms: u64,
-    /// This share of calls is answered 500 after it has been executed.
+    /// The share of calls that get status 500 after they were executed.
     errors: f64,
-    /// So many calls are executed while the connection closes without an answer.
+    /// The number of next calls that are executed but get no response: the connection is closed.
     lose_answers: u64,
-    /// Calls are refused with this code and not executed.
+    /// Refuses calls with this code, without executing them.
     refuse: Option<String>,
-    /// Work is refused, and the load report says so.
+    /// Refuses calls and reports the state `leaving` in the load report.
     leaving: bool,
-    /// The endpoint's life; calls meant for another are refused.
+    /// The endpoint's incarnation; calls that name another one are refused.
     incarnation: u64,
 }
 
-impl Plain {
-    /// Starts an endpoint without records.
+impl PlainService {
+    /// Creates an endpoint with no records.
     #[must_use]
-    pub fn new(clock: Arc<dyn Clock>, settings: PlainSettings, seed: u64) -> Self {
+    pub fn new(clock: Arc<dyn Clock>, settings: PlainServiceSettings, seed: u64) -> Self {
         let faults = Faults {
             incarnation: settings.incarnation,
             ..Faults::default()
@@ -99,11 +99,11 @@
         }
     }
 
-    /// Answers one call.
-    pub async fn answer(&self, call: &Call) -> Answer {
+    /// Handles one call.
+    pub async fn handle(&self, call: &Call) -> Response {
         match (call.method, call.segments().as_slice()) {
             (Method::Post, ["control", "faults"]) => {
-                self.with(|it| control::switch(&mut it.faults, call))
+                self.with(|it| control::update_faults(&mut it.faults, call))
             }
             (Method::Get, ["control", "records"]) => self.with(|it| it.records()),
             (Method::Get, ["v1", "load"]) => self.load(),
@@ -111,19 +111,19 @@
         }
     }
 
-    async fn execute(&self, call: &Call) -> Answer {
+    async fn execute(&self, call: &Call) -> Response {
         if let Some(code) = self.with(|it| it.refusal(call)) {
-            return Answer::error(503, &code);
+            return Response::error(503, &code);
         }
-        let Some(slot) = self.slots.enter(call.header("x-priority")).await else {
+        let Some(slot) = self.slots.acquire(call.header("x-priority")).await else {
             self.with(|it| it.refused += 1);
-            return Answer::error(503, "overloaded");
+            return Response::error(503, "overloaded");
         };
-        self.note_load();
-        let run = Run {
+        self.record_load();
+        let run = ServiceExecution {
             request: call.header("x-request-id").to_owned(),
             attempt: call.header("x-attempt-id").to_owned(),
-            call: caller_name(call),
+            call: call_name(call),
             method: call.method.to_string(),
             path: format!("/{}", call.path.join("/")),
             started_ms: millis(self.clock.wall()),
@@ -134,20 +134,20 @@
         if delay > 0 {
             task::sleep(Duration::from_millis(delay)).await;
         }
-        let draw = rng::drawn_for(self.seed, &(&run.request, &run.attempt)).random::<f64>();
-        let answer = self.with(|it| it.finish(idx, draw));
+        let draw = rng::keyed(self.seed, &(&run.request, &run.attempt)).random::<f64>();
+        let response = self.with(|it| it.finish(idx, draw));
         drop(slot);
-        self.note_load();
-        answer
+        self.record_load();
+        response
     }
 
-    fn load(&self) -> Answer {
+    fn load(&self) -> Response {
         let now = self.clock.now();
         let (state, incarnation, (running, waiting)) = self.with(|it| {
             let state = if it.faults.leaving { "leaving" } else { "live" };
-            (state, it.faults.incarnation, *it.load.seen(now))
+            (state, it.faults.incarnation, *it.load.visible_at(now))
         });
-        Answer::ok(&json!({
+        Response::ok(&json!({
             "name": self.settings.name,
             "incarnation": incarnation,
             "state": state,
@@ -159,7 +159,7 @@
         }))
     }
 
-    fn note_load(&self) {
+    fn record_load(&self) {
         let now = self.clock.now();
         let load = (self.slots.running(), self.slots.waiting());
         self.with(|it| it.load.set(now, load));
@@ -172,12 +172,14 @@
 
 impl Inner {
     fn refusal(&mut self, call: &Call) -> Option<String> {
-        let meant_for = call.header("x-incarnation");
+        let target_incarnation = call.header("x-incarnation");
         let code = if let Some(code) = &self.faults.refuse {
             code.clone()
         } else if self.faults.leaving {
             "leaving".to_owned()
-        } else if !meant_for.is_empty() && meant_for.parse() != Ok(self.faults.incarnation) {
+        } else if !target_incarnation.is_empty()
+            && target_incarnation.parse() != Ok(self.faults.incarnation)
+        {
             "wrong_incarnation".to_owned()
         } else {
             return None;
@@ -186,24 +188,24 @@
         Some(code)
     }
 
-    fn start(&mut self, run: Run) -> usize {
+    fn start(&mut self, run: ServiceExecution) -> usize {
         *self.by_call.entry(run.call.clone()).or_default() += 1;
         *self.by_request.entry(run.request.clone()).or_default() += 1;
         self.runs.push(run);
         self.runs.len() - 1
     }
 
-    fn finish(&mut self, idx: usize, draw: f64) -> Answer {
+    fn finish(&mut self, idx: usize, draw: f64) -> Response {
         if self.faults.lose_answers > 0 {
             self.faults.lose_answers -= 1;
-            return Answer::Lost;
+            return Response::Lost;
         }
         if draw < self.faults.errors {
-            return Answer::error(500, "failed");
+            return Response::error(500, "failed");
         }
         let run = &mut self.runs[idx];
         run.answered = true;
-        Answer::ok(&json!({
+        Response::ok(&json!({
             "call": run.call,
             "path": run.path,
             "request": run.request,
@@ -212,8 +214,8 @@
         }))
     }
 
-    fn records(&self) -> Answer {
-        Answer::ok(&json!({
+    fn records(&self) -> Response {
+        Response::ok(&json!({
             "runs": self.runs,
             "by_call": self.by_call,
             "by_request": self.by_request,
@@ -226,7 +228,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn caller_name(call: &Call) -> String {
+fn call_name(call: &Call) -> String {
     let body: Value = serde_json::from_slice(&call.body).unwrap_or_default();
     if let Some(name) = body["call"].as_str() {
         return name.to_owned();
--- a/crates/fakes/src/started.rs
+++ b/crates/fakes/src/running.rs
@@ -1,4 +1,4 @@
-//! All stand-ins of one settings file, listening.
+//! The running stand-ins of a settings file.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,28 +10,28 @@
 use kernel::Clock;
 
 use crate::engine::Engine;
-use crate::hosts::{Host, Hosts};
+use crate::host_list::{Host, HostList};
 use crate::objects::Objects;
-use crate::plain::Plain;
+use crate::plain_service::PlainService;
 use crate::rating::Rating;
 use crate::server::Server;
-use crate::settings::{EngineSettings, PlainSettings, Settings};
+use crate::settings::{EngineSettings, PlainServiceSettings, Settings};
 use crate::stand_in::StandIn;
 use crate::table::Table;
 
-/// Running stand-ins; dropping this stops them from accepting.
+/// Running stand-ins. Dropping this stops their accept loops.
 #[derive(Debug, Default)]
-pub struct Started {
+pub struct RunningStandIns {
     servers: BTreeMap<String, Server>,
 }
 
-impl Started {
-    /// Starts all stand-ins. Engines and services enter every host list by
-    /// themselves; entry hosts are added over `POST /control/hosts`.
+impl RunningStandIns {
+    /// Starts all stand-ins. Engines and services are listed in every host list; entry hosts are
+    /// added with `POST /control/hosts`.
     ///
     /// # Errors
     ///
-    /// When an address can't be bound.
+    /// Returns an error when an address can't be bound.
     pub async fn start(clock: Arc<dyn Clock>, settings: Settings) -> io::Result<Self> {
         let mut started = Self::default();
         let mut hosts = Vec::new();
@@ -54,19 +54,19 @@
             hosts.push(engine_host(it, address));
         }
         for it in settings.service {
-            let plain = Box::new(Plain::new(Arc::clone(&clock), it.clone(), seed));
+            let plain = Box::new(PlainService::new(Arc::clone(&clock), it.clone(), seed));
             let address = started.add(&it.name, &it.address, plain).await?;
             hosts.push(service_host(it, address));
         }
         for it in settings.hosts {
             let lag = Duration::from_millis(it.lag_ms);
-            let list = Hosts::new(Arc::clone(&clock), lag, hosts.clone());
+            let list = HostList::new(Arc::clone(&clock), lag, hosts.clone());
             started.add(&it.name, &it.address, list).await?;
         }
         Ok(started)
     }
 
-    /// Where each stand-in listens, by its name.
+    /// Returns the listening address of each stand-in by its name.
     #[must_use]
     pub fn addresses(&self) -> BTreeMap<&str, SocketAddr> {
         self.servers
@@ -105,7 +105,7 @@
     }
 }
 
-fn service_host(plain: PlainSettings, address: SocketAddr) -> Host {
+fn service_host(plain: PlainServiceSettings, address: SocketAddr) -> Host {
     Host {
         name: plain.name,
         kind: "service".to_owned(),
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -1,4 +1,4 @@
-//! The accept loop of one stand-in.
+//! The HTTP server of one stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,30 +6,33 @@
 use async_std::net::{TcpListener, TcpStream};
 use async_std::stream::StreamExt;
 use async_std::task::{self, JoinHandle};
-use http_types::{Request, Response, StatusCode};
+use http_types::{Request, StatusCode};
 
 use crate::call::Call;
 use crate::stand_in::StandIn;
 
-/// A stand-in that listens on an address until it is dropped.
+/// A stand-in that listens on an address. Dropping it stops the accept loop.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
-    accepting: Option<JoinHandle<()>>,
+    accept_task: Option<JoinHandle<()>>,
 }
 
 impl Server {
     pub(crate) fn start(listener: TcpListener, stand_in: StandIn) -> std::io::Result<Self> {
         let address = listener.local_addr()?;
-        let accepting = Some(task::spawn(accept(listener, Arc::new(stand_in))));
-        Ok(Self { address, accepting })
+        let accept_task = Some(task::spawn(accept(listener, Arc::new(stand_in))));
+        Ok(Self {
+            address,
+            accept_task,
+        })
     }
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        if let Some(accepting) = self.accepting.take() {
-            task::spawn(accepting.cancel());
+        if let Some(accept_task) = self.accept_task.take() {
+            task::spawn(accept_task.cancel());
         }
     }
 }
@@ -44,18 +47,16 @@
 }
 
 async fn serve(io: TcpStream, stand_in: Arc<StandIn>) {
-    // Without this each small event would wait for the answer to the one before.
+    // With Nagle's algorithm, each small event would wait for the acknowledgement of the last.
     let _ = io.set_nodelay(true);
-    // An error here is a caller that went away or an answer that is to be lost;
-    // both end in a closed connection, which is what the caller is to see.
+    // An error here is a caller that disconnected or a response that a fault drops; either way
+    // the connection is closed, as intended.
     let _ = async_h1::accept(io, |req| respond(Arc::clone(&stand_in), req)).await;
 }
 
-async fn respond(stand_in: Arc<StandIn>, req: Request) -> http_types::Result<Response> {
+async fn respond(stand_in: Arc<StandIn>, req: Request) -> http_types::Result<http_types::Response> {
     let call = Call::read(req).await?;
-    stand_in
-        .answer(&call)
-        .await
-        .response()
-        .ok_or_else(|| http_types::Error::from_str(StatusCode::ServiceUnavailable, "lost answer"))
+    stand_in.handle(&call).await.into_http().ok_or_else(|| {
+        http_types::Error::from_str(StatusCode::ServiceUnavailable, "dropped response")
+    })
 }
--- a/crates/fakes/tests/sockets.rs
+++ b/crates/fakes/tests/sockets.rs
@@ -1,10 +1,10 @@
-//! The stand-ins over real connections, as the product's clients see them.
+//! Tests of the stand-ins over TCP connections with the router's HTTP client.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use async_std::task;
-use fakes::{Settings, Started};
+use fakes::{RunningStandIns, Settings};
 use googletest::prelude::*;
 use http::{Cause, Client, Error, Options, PoolLimits, Request};
 use kernel::{Clock, SystemClock};
@@ -23,10 +23,10 @@
 "#;
 
 #[test]
-fn a_lost_answer_shows_as_maybe_sent() {
-    // An operator's change is in force although it seemed to fail: the table
-    // took it and the connection closed before the answer.
-    check(async |site| {
+fn lost_response_returns_maybe_sent() {
+    // Guards against a client that takes a lost response for a failed write: the table applied
+    // the write and the connection closed before the response.
+    with_stand_ins(async |site| {
         site.post("table", "/control/faults", &json!({"lose_answers": 1}))
             .await
             .expect("a fault");
@@ -39,9 +39,10 @@
 }
 
 #[test]
-fn a_cut_stream_shows_as_cut() {
-    // A restorer's plan stops in the middle: the engine's connection broke.
-    check(async |site| {
+fn cut_stream_returns_cut() {
+    // Guards against a client that takes a stream for complete although its connection closed
+    // before the end.
+    with_stand_ins(async |site| {
         let faults = json!({"cut": 1.0, "cut_after": 2});
         site.post("engine", "/control/faults", &faults)
             .await
@@ -53,8 +54,8 @@
 }
 
 #[test]
-fn engines_stand_in_the_host_list_with_their_addresses() {
-    check(async |site| {
+fn host_list_contains_engine_addresses() {
+    with_stand_ins(async |site| {
         let hosts = site.get("hosts", "/v1/hosts").await.expect("the list");
         let address = site.address("engine").to_string();
         assert_that!(hosts["hosts"][0]["address"], eq(&json!(address)));
@@ -63,7 +64,7 @@
 
 struct Site {
     client: Client,
-    started: Started,
+    started: RunningStandIns,
 }
 
 impl Site {
@@ -95,11 +96,11 @@
     }
 }
 
-fn check(test: impl AsyncFnOnce(Site)) {
+fn with_stand_ins(test: impl AsyncFnOnce(Site)) {
     task::block_on(async {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
         let settings = Settings::parse(SETTINGS).expect("the settings");
-        let started = Started::start(Arc::clone(&clock), settings)
+        let started = RunningStandIns::start(Arc::clone(&clock), settings)
             .await
             .expect("free ports");
         let client = Client::new(clock, PoolLimits::default());
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -1,4 +1,4 @@
-//! Plain calls to any process of a scenario.
+//! An HTTP client for all processes of a scenario.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,11 +8,11 @@
 use kernel::SystemClock;
 use serde_json::Value;
 
-/// More than any answer of a scenario.
+/// Maximum size of a response body in bytes.
 const BODY_LIMIT: usize = 16 << 20;
 
-/// A client that opens a connection of its own for each request, so that no
-/// scenario depends on what an earlier step left in a pool.
+/// A client that opens a new connection for each request, so that no step depends on connections
+/// that an earlier step left in the pool.
 #[derive(Clone)]
 pub(crate) struct Client {
     http: http::Client,
@@ -30,47 +30,49 @@
         }
     }
 
-    /// Sends and gives the answer with its whole body, or why there is none.
+    /// Sends a request and reads the complete response.
+    ///
+    /// Returns the error as text when there is no response within `limit`.
     pub(crate) async fn send(
         &self,
         to: SocketAddr,
         request: Request,
-        limit: Duration,
-    ) -> Result<Answer, String> {
+        timeout: Duration,
+    ) -> Result<Response, String> {
         let options = Options {
             connect: Duration::from_secs(2),
-            first_byte: limit,
-            total: limit,
+            first_byte: timeout,
+            total: timeout,
             retry_policy: RetryPolicy::Never,
         };
         let res = self.http.send(to, request, &options).await;
         let res = res.map_err(|err| err.to_string())?;
         let (status, headers) = (res.status, res.headers);
         let body = res.body.collect(BODY_LIMIT).await;
-        Ok(Answer {
+        Ok(Response {
             status,
             headers,
             body: body.map_err(|err| err.to_string())?,
         })
     }
 
-    /// The JSON that a `GET` gives, or nothing.
+    /// Sends a `GET` and returns the JSON body; `None` unless the status is a success.
     pub(crate) async fn get(&self, to: SocketAddr, target: &str, key: &str) -> Option<Value> {
         let request = Request::get(target).header("authorization", format!("Bearer {key}"));
-        let answer = self.send(to, request, Duration::from_secs(2)).await.ok()?;
-        answer.status.is_success().then(|| answer.json())
+        let response = self.send(to, request, Duration::from_secs(2)).await.ok()?;
+        response.status.is_success().then(|| response.json())
     }
 }
 
-/// An answer, read to its end.
-pub(crate) struct Answer {
+/// A completely read response.
+pub(crate) struct Response {
     pub(crate) status: Status,
     pub(crate) headers: http::Headers,
     pub(crate) body: Vec<u8>,
 }
 
-impl Answer {
-    /// The body as JSON, or null.
+impl Response {
+    /// Parses the body as JSON; returns null when it isn't valid.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
--- a/crates/scenario/src/defaults.rs
+++ b/crates/scenario/src/defaults.rs
@@ -1,23 +1,23 @@
-//! The stand-ins and the configuration that every scenario begins with.
+//! The default stand-ins and configuration of a scenario.
 
 use serde_json::{Value, json};
 
-/// The customer of every call that names no other.
+/// The customer of calls without `customer=`.
 pub(crate) const CUSTOMER: &str = "kivuli";
-/// The bearer key of a customer is its name with this before it.
+/// Prefix of a customer's bearer key; the customer's name follows.
 pub(crate) const KEY_PREFIX: &str = "key-of-";
-/// The operators' bearer key.
+/// Bearer key of the operators.
 pub(crate) const OPERATOR_KEY: &str = "the operators' key of a scenario";
 
-/// One entry of the configuration.
-pub(crate) struct Entry {
+/// An entry of the configuration.
+pub(crate) struct ConfigEntry {
     pub(crate) kind: &'static str,
     pub(crate) name: &'static str,
     pub(crate) value: Value,
 }
 
-/// The configuration, in the order in which it can be accepted.
-pub(crate) fn entries() -> Vec<Entry> {
+/// Returns the entries of the default configuration. An entry comes after those that it refers to.
+pub(crate) fn entries() -> Vec<ConfigEntry> {
     vec![
         customer(CUSTOMER),
         customer("salt"),
@@ -28,19 +28,24 @@
         profile("dossier", &["big@1", "big@2"], "idempotent"),
         profile("chat", &["small@1", "big@1"], "idempotent"),
         profile("entry", &["big@1"], "at_most_once"),
-        Entry {
+        ConfigEntry {
             kind: "services",
             name: "seats",
             value: json!({"routes": [
-                {"method": "POST", "prefix": "/holds", "repeat": "at_most_once", "priority": "urgent"},
+                {
+                    "method": "POST",
+                    "prefix": "/holds",
+                    "repeat": "at_most_once",
+                    "priority": "urgent",
+                },
                 {"method": "GET", "prefix": "/", "repeat": "idempotent", "priority": "urgent"},
             ]}),
         },
     ]
 }
 
-/// The settings of the stand-ins, without the engines.
-pub(crate) const STAND_INS: &str = r#"
+/// Settings of the stand-ins except the engines.
+pub(crate) const STAND_IN_SETTINGS: &str = r#"
 seed = 7
 
 [versions."small@1"]
@@ -97,14 +102,14 @@
 /// The engines of a scenario.
 pub(crate) struct Engines {
     pub(crate) count: usize,
-    /// Whether they refuse orders with an old fencing number.
+    /// Whether the engines refuse orders with an old fencing number.
     pub(crate) fences: bool,
-    /// How long they take to load a version.
+    /// Time to load a version.
     pub(crate) load_ms: u64,
 }
 
 impl Engines {
-    /// Their part of the stand-ins' settings.
+    /// Returns the engines' part of the stand-ins' settings.
     pub(crate) fn settings(&self) -> String {
         (0..self.count).map(|idx| self.engine(idx)).collect()
     }
@@ -122,21 +127,21 @@
     }
 }
 
-fn customer(name: &'static str) -> Entry {
+fn customer(name: &'static str) -> ConfigEntry {
     let value = json!({
         "key_blake3": key_hash(name),
         "rate_per_s": 10_000,
         "burst": 10_000,
         "concurrency": 1_000,
     });
-    Entry {
+    ConfigEntry {
         kind: "customers",
         name,
         value,
     }
 }
 
-/// The value, with the hash of a customer's key where it says `key_of`.
+/// Replaces the field `key_of`, a customer's name, by `key_blake3`, the hash of its key.
 pub(crate) fn with_key(mut value: Value) -> Value {
     if let Some(name) = value.as_object_mut().and_then(|it| it.remove("key_of")) {
         value["key_blake3"] = json!(key_hash(name.as_str().unwrap_or_default()));
@@ -149,20 +154,20 @@
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-fn version(name: &'static str, price: u64) -> Entry {
+fn version(name: &'static str, price: u64) -> ConfigEntry {
     let value = json!({
         "state": "active",
         "prompt_microcents_per_million": price,
         "completion_microcents_per_million": price,
     });
-    Entry {
+    ConfigEntry {
         kind: "versions",
         name,
         value,
     }
 }
 
-fn profile(name: &'static str, allow: &[&str], repeat: &str) -> Entry {
+fn profile(name: &'static str, allow: &[&str], repeat: &str) -> ConfigEntry {
     let value = json!({
         "allow": allow,
         "quality": 0.9,
@@ -171,7 +176,7 @@
         "when_stale": "serve",
         "customers": {CUSTOMER: {}, "salt": {}},
     });
-    Entry {
+    ConfigEntry {
         kind: "profiles",
         name,
         value,
--- a/crates/scenario/src/host.rs
+++ b/crates/scenario/src/host.rs
@@ -1,4 +1,4 @@
-//! One entry host as a real process.
+//! An entry host as a child process.
 
 use std::fs::{self, File};
 use std::io;
@@ -16,23 +16,23 @@
 const OPERATORS_PORT: u16 = 7001;
 const FLEET_PORT: u16 = 7002;
 
-/// Where the platform's stand-ins listen.
+/// Addresses of the platform's stand-ins.
 #[derive(Clone, Copy)]
-pub(crate) struct Platform {
+pub(crate) struct PlatformAddresses {
     pub(crate) table: SocketAddr,
     pub(crate) objects: SocketAddr,
     pub(crate) hosts: SocketAddr,
     pub(crate) rating: SocketAddr,
 }
 
-/// Writes the files that all hosts share, once and before any of them reads them.
+/// Writes the key files that all hosts share. Called once, before the first host starts.
 pub(crate) fn write_shared_keys(dir: &Path, authority: &Authority) -> io::Result<()> {
     fs::write(dir.join("ca.pem"), &authority.certificate)?;
     fs::write(dir.join("operator.key"), OPERATOR_KEY)?;
     fs::write(dir.join("session.key"), "the session key of a scenario")
 }
 
-/// A running or ended `barleypind`.
+/// A `barleypind` process, running or exited.
 pub(crate) struct Host {
     pub(crate) name: String,
     pub(crate) data_centre: String,
@@ -41,20 +41,20 @@
 }
 
 impl Host {
-    /// Writes the host's files into `dir` and starts it.
+    /// Writes the host's keys and settings into `dir` and starts its process.
     pub(crate) fn start(
         binary: &Path,
         dir: &Path,
         authority: &Authority,
-        platform: Platform,
+        platform: PlatformAddresses,
         name: &str,
         ip: Ipv4Addr,
-        extra: &str,
+        extra_settings: &str,
     ) -> io::Result<Self> {
         let data_centre = format!("dc-{name}");
         write_keys(dir, authority, name)?;
         let settings = dir.join(format!("{name}.toml"));
-        let text = settings_text(dir, platform, name, &data_centre, ip, extra);
+        let text = settings_text(dir, platform, name, &data_centre, ip, extra_settings);
         fs::write(&settings, text)?;
         let log = File::options()
             .create(true)
@@ -75,38 +75,38 @@
         })
     }
 
-    /// Where callers reach it.
-    pub(crate) fn callers(&self) -> SocketAddr {
+    /// Returns the address for callers.
+    pub(crate) fn callers_address(&self) -> SocketAddr {
         (self.ip, CALLERS_PORT).into()
     }
 
-    /// Where operators reach it.
-    pub(crate) fn operators(&self) -> SocketAddr {
+    /// Returns the address for operators.
+    pub(crate) fn operators_address(&self) -> SocketAddr {
         (self.ip, OPERATORS_PORT).into()
     }
 
-    /// Where other hosts reach it.
-    pub(crate) fn fleet(&self) -> SocketAddr {
+    /// Returns the address for other hosts.
+    pub(crate) fn fleet_address(&self) -> SocketAddr {
         (self.ip, FLEET_PORT).into()
     }
 
-    /// Sends a signal to this very process, by the handle that started it.
+    /// Sends a signal to the process.
     pub(crate) fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if let Some(id) = id {
-            // A process that has ended already is what the script sees next.
+            // Fails only when the process has exited; the script's next command shows that.
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Ends it at once and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub(crate) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Its exit status, once it has ended.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status if the process has exited.
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
@@ -127,14 +127,14 @@
 
 fn settings_text(
     dir: &Path,
-    platform: Platform,
+    platform: PlatformAddresses,
     name: &str,
     data_centre: &str,
     ip: Ipv4Addr,
-    extra: &str,
+    extra_settings: &str,
 ) -> String {
     let dir = dir.display();
-    let Platform {
+    let PlatformAddresses {
         table,
         objects,
         hosts,
@@ -172,7 +172,7 @@
 
 [limits]
 hosts_keep_ms = 1000
-{extra}
+{extra_settings}
 "#
     )
 }
--- a/crates/scenario/src/soak/plan.rs
+++ b/crates/scenario/src/soak/steps.rs
@@ -1,4 +1,4 @@
-//! What a soak does and when, drawn by its seed.
+//! The steps of a soak, drawn from its seed.
 
 use std::fmt::{self, Display};
 use std::time::Duration;
@@ -9,61 +9,61 @@
 
 /// The entry hosts of a soak.
 pub(super) const HOSTS: [&str; 3] = ["a", "b", "c"];
-/// Time between two calls.
-const CALL_EVERY: Duration = Duration::from_millis(40);
-/// Time between two troubles of the same sort, so that each has its turn.
-const REST: (u64, u64) = (1_500, 4_000);
+/// Interval between two calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(40);
+/// Pause between two faults of the same kind, as a range in milliseconds.
+const FAULT_PAUSE_MS: (u64, u64) = (1_500, 4_000);
 
-/// A step and its time from the start.
+/// A step and its time since the start.
 #[derive(Clone, Debug)]
 pub(super) struct Step {
     pub(super) at: Duration,
-    pub(super) act: Act,
+    pub(super) action: Action,
 }
 
-/// What a step does.
+/// The action of a step.
 #[derive(Clone, Debug)]
-pub(super) enum Act {
-    /// A caller makes a call, and repeats it until it is answered.
-    Call(Job),
-    /// SIGKILL.
+pub(super) enum Action {
+    /// A caller makes a call and retries it until it succeeds.
+    Call(CallSpec),
+    /// Sends SIGKILL to a host.
     Kill(&'static str),
-    /// SIGSTOP.
+    /// Sends SIGSTOP to a host.
     Freeze(&'static str),
-    /// SIGCONT.
+    /// Sends SIGCONT to a host.
     Thaw(&'static str),
-    /// SIGTERM.
+    /// Sends SIGTERM to a host.
     Drain(&'static str),
-    /// A killed or drained host is replaced.
+    /// Replaces a killed or drained host.
     Start(&'static str),
-    /// A fault of a stand-in is switched.
+    /// Sets faults of a stand-in.
     Fault {
         at: &'static str,
         json: &'static str,
     },
-    /// An operator withdraws or restores a version.
+    /// Withdraws or restores a version, as an operator.
     Change(State),
 }
 
-/// A version's state.
+/// The configured state of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
     Active,
     Withdrawn,
 }
 
-/// A call by a good caller: one key and one ticket, wherever it is repeated.
+/// A call, whose retries carry the same key and ticket.
 #[derive(Clone, Debug)]
-pub(super) struct Job {
+pub(super) struct CallSpec {
     pub(super) key: String,
     pub(super) kind: Kind,
-    /// Whether it asks for a ticket first.
+    /// Whether the caller takes a ticket first.
     pub(super) ticket: Ticket,
-    /// The host that it begins with.
+    /// Index of the host that is called first.
     pub(super) first: usize,
 }
 
-/// What a call asks for.
+/// The kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
     /// A seat hold; at most once.
@@ -86,7 +86,7 @@
 impl Kind {
     const ALL: [Self; 4] = [Self::Hold, Self::Entry, Self::Tag, Self::Dossier];
 
-    /// The arguments of the script's `call` for it.
+    /// Returns the arguments of the script command `call`.
     pub(super) fn arguments(self) -> &'static str {
         match self {
             Self::Hold => "path=holds",
@@ -101,8 +101,8 @@
     }
 }
 
-/// Draws the steps of a soak. At most one host is in trouble at a time: the
-/// loss of both holders of a record is stated, see `docs/design/ledger.md`.
+/// Draws the steps of a soak. At most one host is down at a time: a record is lost when both of its
+/// holders are, see `docs/design/ledger.md`.
 pub(super) fn draw(seed: u64, length: Duration) -> Vec<Step> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut steps = calls(&mut rng, length);
@@ -124,45 +124,45 @@
         } else {
             Ticket::None
         };
-        let job = Job {
+        let spec = CallSpec {
             key: format!("soak-{}", steps.len()),
             kind,
             ticket,
             first: rng.random_range(0..HOSTS.len()),
         };
-        let act = Act::Call(job);
-        steps.push(Step { at, act });
-        at += CALL_EVERY;
+        let action = Action::Call(spec);
+        steps.push(Step { at, action });
+        at += CALL_INTERVAL;
     }
     steps
 }
 
 fn hosts(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
     let mut steps = Vec::new();
-    let mut at = millis(rng, (300, 1_500));
+    let mut at = random_millis(rng, (300, 1_500));
     while at < length {
         let host = HOSTS[rng.random_range(0..HOSTS.len())];
-        let (begin, end, lasts) = match rng.random_range(0..3) {
-            0 => (Act::Kill(host), Act::Start(host), (300, 2_500)),
-            1 => (Act::Freeze(host), Act::Thaw(host), (300, 6_000)),
-            _ => (Act::Drain(host), Act::Start(host), (2_500, 4_000)),
+        let (begin, end, duration) = match rng.random_range(0..3) {
+            0 => (Action::Kill(host), Action::Start(host), (300, 2_500)),
+            1 => (Action::Freeze(host), Action::Thaw(host), (300, 6_000)),
+            _ => (Action::Drain(host), Action::Start(host), (2_500, 4_000)),
         };
-        steps.push(Step { at, act: begin });
-        at += millis(rng, lasts);
-        steps.push(Step { at, act: end });
-        // Copies are made anew before the next one.
-        at += millis(rng, (4_000, 7_000));
+        steps.push(Step { at, action: begin });
+        at += random_millis(rng, duration);
+        steps.push(Step { at, action: end });
+        // Leaves time to replicate records again before the next host fails.
+        at += random_millis(rng, (4_000, 7_000));
     }
     steps
 }
 
 fn store(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
-    const TROUBLES: [(&str, &str); 3] = [
+    const TABLE_FAULTS: [(&str, &str); 3] = [
         (r#"{"outage": true}"#, r#"{"outage": false}"#),
         (r#"{"delay_ms": 400}"#, r#"{"delay_ms": 0}"#),
         (r#"{"lose_answers": 2}"#, r#"{"lose_answers": 0}"#),
     ];
-    troubles(rng, length, &["table"], &TROUBLES)
+    stand_in_faults(rng, length, &["table"], &TABLE_FAULTS)
 }
 
 fn endpoints(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
@@ -178,26 +178,31 @@
         (r#"{"refuse": "overloaded"}"#, r#"{"refuse": null}"#),
         (r#"{"delay_ms": 300}"#, r#"{"delay_ms": 0}"#),
     ];
-    let mut steps = troubles(rng, length, &["engine-1", "engine-2"], &ENGINE);
-    steps.extend(troubles(rng, length, &["seats-1", "seats-2"], &SERVICE));
+    let mut steps = stand_in_faults(rng, length, &["engine-1", "engine-2"], &ENGINE);
+    steps.extend(stand_in_faults(
+        rng,
+        length,
+        &["seats-1", "seats-2"],
+        &SERVICE,
+    ));
     steps
 }
 
-fn troubles(
+fn stand_in_faults(
     rng: &mut Pcg64Mcg,
     length: Duration,
-    places: &[&'static str],
+    stand_ins: &[&'static str],
     kinds: &[(&'static str, &'static str)],
 ) -> Vec<Step> {
     let mut steps = Vec::new();
-    let mut at = millis(rng, REST);
+    let mut at = random_millis(rng, FAULT_PAUSE_MS);
     while at < length {
-        let place = places[rng.random_range(0..places.len())];
+        let stand_in = stand_ins[rng.random_range(0..stand_ins.len())];
         let (begin, end) = kinds[rng.random_range(0..kinds.len())];
-        for (json, lasts) in [(begin, (300, 3_000)), (end, REST)] {
-            let act = Act::Fault { at: place, json };
-            steps.push(Step { at, act });
-            at += millis(rng, lasts);
+        for (json, duration) in [(begin, (300, 3_000)), (end, FAULT_PAUSE_MS)] {
+            let action = Action::Fault { at: stand_in, json };
+            steps.push(Step { at, action });
+            at += random_millis(rng, duration);
         }
     }
     steps
@@ -205,44 +210,44 @@
 
 fn operators(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
     let mut steps = Vec::new();
-    let mut at = millis(rng, REST);
+    let mut at = random_millis(rng, FAULT_PAUSE_MS);
     let mut next = State::Withdrawn;
     while at < length {
-        let act = Act::Change(next);
-        steps.push(Step { at, act });
+        let action = Action::Change(next);
+        steps.push(Step { at, action });
         next = match next {
             State::Active => State::Withdrawn,
             State::Withdrawn => State::Active,
         };
-        at += millis(rng, (6_000, 12_000));
+        at += random_millis(rng, (6_000, 12_000));
     }
     steps
 }
 
-fn millis(rng: &mut Pcg64Mcg, (least, most): (u64, u64)) -> Duration {
-    Duration::from_millis(rng.random_range(least..most))
+fn random_millis(rng: &mut Pcg64Mcg, (min, max): (u64, u64)) -> Duration {
+    Duration::from_millis(rng.random_range(min..max))
 }
 
 impl Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "# at {} ms", self.at.as_millis())?;
-        match &self.act {
-            Act::Call(job) => {
-                let (host, kind) = (HOSTS[job.first], job.kind.arguments());
-                let ticket = match job.ticket {
+        match &self.action {
+            Action::Call(spec) => {
+                let (host, kind) = (HOSTS[spec.first], spec.kind.arguments());
+                let ticket = match spec.ticket {
                     Ticket::Taken => format!(" ticket={host}"),
                     Ticket::None => String::new(),
                 };
-                write!(f, "call host={host} {kind} key={}{ticket}", job.key)
+                write!(f, "call host={host} {kind} key={}{ticket}", spec.key)
             }
-            Act::Kill(host) => write!(f, "kill host={host}"),
-            Act::Freeze(host) => write!(f, "freeze host={host}"),
-            Act::Thaw(host) => write!(f, "thaw host={host}"),
-            Act::Drain(host) => write!(f, "drain host={host}"),
-            Act::Start(host) => write!(f, "start-host host={host}"),
-            Act::Fault { at, json } => write!(f, "fault at=({at})\n{json}"),
-            Act::Change(State::Active) => write!(f, "# big@2 is made active"),
-            Act::Change(State::Withdrawn) => write!(f, "# big@2 is withdrawn"),
+            Action::Kill(host) => write!(f, "kill host={host}"),
+            Action::Freeze(host) => write!(f, "freeze host={host}"),
+            Action::Thaw(host) => write!(f, "thaw host={host}"),
+            Action::Drain(host) => write!(f, "drain host={host}"),
+            Action::Start(host) => write!(f, "start-host host={host}"),
+            Action::Fault { at, json } => write!(f, "fault at=({at})\n{json}"),
+            Action::Change(State::Active) => write!(f, "# big@2 is made active"),
+            Action::Change(State::Withdrawn) => write!(f, "# big@2 is withdrawn"),
         }
     }
 }
--- a/xtask/src/reconcile/site_records.rs
+++ b/xtask/src/reconcile/site_records.rs
@@ -1,6 +1,6 @@
 //! The records that a run is checked against.
 
-use fakes::{Execution, Run};
+use fakes::{Execution, ServiceExecution};
 
 use crate::reconcile::{AllowedVersions, BillingRecord};
 
@@ -10,7 +10,7 @@
     /// The executions of the engines.
     pub executions: Vec<Execution>,
     /// The executions of the plain services.
-    pub runs: Vec<Run>,
+    pub runs: Vec<ServiceExecution>,
     /// The billing records in the table.
     pub billing_records: Vec<BillingRecord>,
     /// The versions that may serve each customer.
--- a/xtask/src/site/stand_ins.rs
+++ b/xtask/src/site/stand_ins.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use error_stack::{Report, ResultExt, ensure};
-use fakes::{Execution, Host, Run};
+use fakes::{Execution, Host, ServiceExecution};
 use http::{Client, Options, Request};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -35,7 +35,7 @@
 
 #[derive(Deserialize)]
 struct PlainRecords {
-    runs: Vec<Run>,
+    runs: Vec<ServiceExecution>,
 }
 
 /// The rows of the table service and its numbers of operations.
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// [`Error::StandIn`] if the records of a service can't be read.
-    pub async fn runs(&self) -> Result<Vec<Run>, Report<Error>> {
+    pub async fn runs(&self) -> Result<Vec<ServiceExecution>, Report<Error>> {
         let mut runs = Vec::new();
         for name in &self.services {
             let records: PlainRecords = self.records(name).await?;
--- a/xtask/tests/reconcile.rs
+++ b/xtask/tests/reconcile.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fakes::{End as ExecutionEnd, Execution, Run};
+use fakes::{Execution, ExecutionState, ServiceExecution};
 use gate::problem::{self, Reason};
 use googletest::prelude::*;
 use serde_json::json;
@@ -298,7 +298,7 @@
 }
 
 fn with_service_runs(times: usize) -> SiteRecords {
-    let run = Run {
+    let run = ServiceExecution {
         request: "r1".to_owned(),
         attempt: "7".to_owned(),
         call: "c1.0".to_owned(),
@@ -326,7 +326,7 @@
         cached_tokens: 0,
         completion_tokens: 1,
         cost_microcents: 1,
-        end: ExecutionEnd::Complete,
+        end: ExecutionState::Complete,
     };
     SiteRecords {
         executions: versions.iter().map(execution).collect(),
