--- a/crates/forward/src/caller.rs
+++ b/crates/forward/src/caller.rs
@@ -27,7 +27,7 @@
 pub(crate) struct Request {
     pub(crate) head: request::Head,
     pub(crate) body: Vec<u8>,
-    /// When the head was complete.
+    /// The time at which the head was complete.
     pub(crate) arrived: Duration,
 }
 
--- a/crates/forward/src/dialect.rs
+++ b/crates/forward/src/dialect.rs
@@ -34,7 +34,7 @@
     pub id: Option<RequestId>,
     /// The customer's API key.
     pub key: Option<String>,
-    /// How long the caller waits for the response.
+    /// The caller's timeout for the response.
     pub timeout: Option<Duration>,
     /// The id of the event after which to resume a stream.
     pub last_event: Option<u64>,
@@ -74,8 +74,8 @@
     pub load: Option<Load>,
     /// The model's confidence in its response, from 0 to 100.
     pub confidence: Option<u8>,
-    /// How long to send the endpoint no further requests, if it asks for a pause.
+    /// The time for which the endpoint asks to get no further requests.
     pub retry_after: Option<Duration>,
-    /// How long the endpoint keeps the idle connection open.
+    /// The endpoint's idle timeout for the connection.
     pub keep_alive: Option<Duration>,
 }
--- a/crates/forward/src/probe.rs
+++ b/crates/forward/src/probe.rs
@@ -15,8 +15,8 @@
 /// The timeout for opening a probe's connection. It delays the quarantine of requests that
 /// make endpoints exit.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a connection must stay open to show that the endpoint is alive: connections
-/// to a process that is about to end may still be accepted.
+/// The minimum time for which a connection must stay open to show that the endpoint is alive:
+/// connections to a process that is about to exit may still be accepted.
 const MIN_OPEN_TIME: Duration = Duration::from_millis(100);
 /// The maximum number of connections that a probe opens. Only a refused connection or one
 /// that stays open gives a result; after any other outcome the probe tries again.
--- a/crates/forward/src/serve.rs
+++ b/crates/forward/src/serve.rs
@@ -202,7 +202,7 @@
     route: OnceCell<(Arc<Route>, Option<Arc<Customer>>)>,
     fingerprint: Cell<Option<RequestFingerprint>>,
     pub(crate) attempts: Cell<u32>,
-    /// When the first part of an endpoint's response was written to the caller.
+    /// The time at which writing an endpoint's response to the caller began.
     pub(crate) first_byte: Cell<Option<Duration>>,
     /// The longest time between two parts of the response that came from the same attempt.
     pub(crate) max_pause: Cell<Option<Duration>>,
--- a/crates/forward/src/timeouts.rs
+++ b/crates/forward/src/timeouts.rs
@@ -21,13 +21,13 @@
     pub response_start_fraction: f64,
     /// The fraction of a stream's maximum pause after which it is resumed at another endpoint.
     pub pause_fraction: f64,
-    /// How long after the start of the host requests wait for the first configuration and
-    /// endpoints. Otherwise each caller would be refused and have to retry.
+    /// The time after the start of the host until which requests wait for the first configuration
+    /// and endpoints. Otherwise each caller would be refused and have to retry.
     pub startup_wait: Duration,
     /// The timeout for writing a part of a stream to a caller.
     pub write: Duration,
-    /// How long a closed connection is still read, so that unread bytes don't reset it before
-    /// the caller has read the response.
+    /// The time limit for reading what a caller still sends, before its connection is closed.
+    /// Closing with unread bytes would reset it before the caller has read the response.
     pub linger: Duration,
 }
 
--- a/crates/host/src/gossip.rs
+++ b/crates/host/src/gossip.rs
@@ -35,7 +35,7 @@
 pub const MIN_GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 /// The interval between attempts to reconnect to a silent host.
 pub const RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long another host's fingerprint may differ before the two views are compared.
+/// The time for which another host's fingerprint may differ before the two views are compared.
 /// Fingerprints differ briefly while an update is propagating.
 const MISMATCH_TOLERANCE: Duration = Duration::from_millis(1_200);
 /// The least time between two comparisons that this host starts because of differing
@@ -51,7 +51,7 @@
     pub fingerprint: u64,
 }
 
-/// What the receiver of an update does next.
+/// The actions that an update requires of its receiver.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpdateOutcome {
     /// The update changed the roster; send the change to the neighbours.
--- a/crates/host/src/gossip/failure_detector.rs
+++ b/crates/host/src/gossip/failure_detector.rs
@@ -5,10 +5,10 @@
 
 use kernel::HostName;
 
-/// How long a host may be silent before it is probed. Longer than two update intervals, so that
-/// one lost datagram doesn't trigger a probe.
+/// Time of silence after which a host is probed. Longer than two update intervals, so that one lost
+/// datagram doesn't trigger a probe.
 const SUSPECT_AFTER: Duration = Duration::from_millis(1_200);
-/// How long a host is not suspected again after this host marked it silent, if it refutes the
+/// Time for which a host is not suspected again after this host marked it silent, if it refutes the
 /// claim before the graph is recomputed without it. Only the path between the two is broken
 /// then, and other hosts monitor it.
 const SUSPENSION: Duration = Duration::from_secs(10);
@@ -21,10 +21,10 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Monitored {
-    /// When the host was last heard from; initially half of [`SUSPECT_AFTER`] before monitoring
-    /// began.
+    /// The time at which the host was last heard from; initially half of [`SUSPECT_AFTER`] before
+    /// monitoring began.
     last_heard: Duration,
-    /// When the host was probed, if the result is outstanding.
+    /// The time at which the host was probed, if the result is outstanding.
     probed_at: Option<Duration>,
     /// No new suspicion starts before this time.
     suspended_until: Duration,
--- a/crates/host/src/gossip/record.rs
+++ b/crates/host/src/gossip/record.rs
@@ -5,7 +5,7 @@
 
 use crate::Member;
 
-/// What is known of one host.
+/// The known state of one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Name, addresses and location of the host.
--- a/crates/host/src/gossip/roster.rs
+++ b/crates/host/src/gossip/roster.rs
@@ -10,21 +10,20 @@
 use crate::Member;
 use crate::addresses::Address;
 
-/// How long a silent or gone host is kept at least, so that outdated records don't revive it.
+/// Minimum time for which a silent or gone host is kept, so that outdated records don't revive it.
 /// After that, the host is found again through the store's listing.
 const SILENT_RETENTION: Duration = Duration::from_mins(10);
-/// How long a host has been silent or gone before its entry is withdrawn from the store;
-/// longer than most restarts and network partitions.
+/// Time after which the entry of a silent or gone host is withdrawn from the store; longer than
+/// most restarts and network partitions.
 const WITHDRAW_AFTER: Duration = Duration::from_mins(1);
-/// How long callers are sent to a host that is only listed in the store. A live host is
+/// Time for which callers are sent to a host that is only listed in the store. A live host is
 /// heard within this time, and a dead one is detected.
 const LISTED_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long callers are still sent to a host after it was marked silent, per hop that an
+/// Time for which callers are still sent to a host after it was marked silent, per hop that an
 /// update takes to reach all hosts. A live host refutes the claim in this time.
 ///
-/// When a partitioned data centre reconnects, each side has marked most of the other silent.
-/// Without this delay, callers would see only a fraction of the hosts until the refutations
-/// arrive.
+/// Each side of a network partition marks most of the other silent. Without this delay, callers
+/// would see only a fraction of the hosts after a reconnection, until the refutations arrive.
 const SILENT_GRACE_PER_HOP: Duration = Duration::from_millis(150);
 /// Number of known hosts from which on no records of other hosts are merged. Bounds the memory
 /// that records with invented names can take.
@@ -45,7 +44,7 @@
     record: Record,
     name_hash: u32,
     record_hash: u64,
-    /// When this record was stored.
+    /// The time at which this record was stored.
     stored_at: Duration,
     /// The last live state before this record; the record's own state if the host was unknown.
     last_live_state: State,
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -73,8 +73,8 @@
     pub(crate) failing_calls: RefCell<HashSet<&'static str>>,
     /// Number of unusable entries in each listing when it was last read.
     pub(crate) unusable_entries: RefCell<HashMap<&'static str, usize>>,
-    /// When the store last confirmed the configuration in force, to this host or
-    /// to one that reported it.
+    /// The time at which the store last had the configuration in force, as observed by this host or
+    /// by one that reported it.
     pub(crate) config_confirmed: Cell<Option<Duration>>,
     /// Whether a long poll for changes of the documents is open at the store.
     pub(crate) is_watching_documents: Cell<bool>,
@@ -85,7 +85,7 @@
     pub(crate) bootstrap_attempted: Cell<bool>,
     /// Number of hosts that the store listed when this host joined.
     pub(crate) hosts_found: Cell<Option<usize>>,
-    /// When the join call to the store succeeded.
+    /// The time at which the join call to the store succeeded.
     pub(crate) joined_at: Cell<Option<Duration>>,
     /// The epoch of the roster that the router received last.
     peers_epoch: Cell<Option<u64>>,
@@ -97,7 +97,7 @@
     /// Number of times that the store was restored from a copy; unknown before the
     /// first call to it.
     pub(crate) era: Cell<Option<u64>>,
-    /// When a call to the store last succeeded.
+    /// The time of the last successful store call.
     pub(crate) store_reached: Cell<Option<Duration>>,
     start: Start,
     pub(crate) started: Duration,
@@ -118,13 +118,13 @@
 /// The phases of a shutdown, each as a time since the request to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// How long the host accepts every request.
+    /// The end of the phase in which the host accepts every request.
     pub accept_until: Duration,
-    /// How long callers may still use its address. At least until then it keeps its port
-    /// open, accepts requests that can end in time and refuses the others immediately. A
-    /// closed port would cost each caller a failed connection.
+    /// The end of the phase in which callers may still use its address. At least until then it
+    /// keeps its port open, accepts requests that can end in time and refuses the others
+    /// immediately. A closed port would cost each caller a failed connection.
     pub listen_until: Duration,
-    /// When the process ends at the latest.
+    /// The latest exit of the process.
     pub exit_by: Duration,
 }
 
--- a/crates/host/src/host/listing_meta.rs
+++ b/crates/host/src/host/listing_meta.rs
@@ -4,12 +4,12 @@
 
 use route::directory::Absence;
 
-/// What is needed to compare a listing of endpoints with another one.
+/// The properties of a listing of endpoints by which it is compared with another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ListingMeta {
-    /// When it was read from the store.
+    /// The time at which it was last read from the store, by this host or by one that reported it.
     pub(crate) at: Duration,
-    /// What an absent entry means in it.
+    /// The meaning of an entry's absence.
     pub(crate) absence: Absence,
     pub(crate) fingerprint: u64,
 }
--- a/crates/host/src/host/readers.rs
+++ b/crates/host/src/host/readers.rs
@@ -24,13 +24,13 @@
 const RANK_DELAY: Duration = Duration::from_millis(10);
 /// Rank from which on the delay no longer grows.
 const MAX_DELAYED_RANKS: usize = 25;
-/// How long a host that has just started waits for state from other hosts, plus the
-/// delay of its rank. Long enough for a few hosts to read a large listing and for it to
+/// Time that a host waits for state from other hosts, counted from its start and without
+/// the delay of its rank. Long enough for a few hosts to read a large listing and for it to
 /// spread; otherwise hundreds of hosts that start at once would read it themselves.
 const STARTUP_WAIT: Duration = Duration::from_millis(1_500);
 /// Rank from which on that delay no longer grows.
 const MAX_DELAYED_STARTUP_RANKS: usize = 100;
-/// How long after its start a host begins to read on behalf of others. By then its own
+/// Time after its start at which a host begins to read on behalf of others. By then its own
 /// record, and those of hosts that started with it, have spread. Must be shorter than the
 /// time after which hosts read the store themselves, or each would do so before a reader
 /// confirms its state.
@@ -38,8 +38,8 @@
 /// Number of hosts that read the store after bootstrapping from other hosts gave them no
 /// state. When all hosts start at once, the others get their state from these.
 const STARTUP_READER_COUNT: usize = 8;
-/// How long a host that starts waits for the state of a running host before it may read
-/// the store. Callers are refused meanwhile.
+/// Time that a host waits, counted from its start, for the state of a running host before it
+/// may read the store.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl<S: Store, D: Dialect> Host<S, D> {
--- a/crates/host/src/message.rs
+++ b/crates/host/src/message.rs
@@ -93,7 +93,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ListingStatus {
     pub(crate) version: ListingVersion,
-    /// What the absence of an entry means.
+    /// The meaning of an entry's absence.
     pub(crate) absence: Absence,
 }
 
--- a/crates/host/src/outage.rs
+++ b/crates/host/src/outage.rs
@@ -4,7 +4,8 @@
 
 use route::directory::Absence;
 
-/// How long after an outage entries of live endpoints may be missing.
+/// Time after an outage or a restore of the store for which entries of live endpoints may be
+/// missing.
 const RENEWAL_TIME: Duration = Duration::from_millis(2_200);
 /// Shortest outage of the store in which entries can lapse. An endpoint's entry is removed
 /// after three missed heartbeats, which are 1.2 s apart, and the last heartbeat may have been
--- a/crates/host/src/store.rs
+++ b/crates/host/src/store.rs
@@ -77,7 +77,8 @@
     ) -> impl Future<Output = Result<(), StoreError>>;
 }
 
-/// What a host needs to find and authenticate the others, and the quarantined requests.
+/// The data that a host reads from the store to join the fleet: to find and authenticate the other
+/// hosts, and to deny quarantined requests.
 #[derive(Clone, Debug)]
 pub struct JoinInfo {
     /// The authority that issues the hosts' certificates.
--- a/crates/route/src/call.rs
+++ b/crates/route/src/call.rs
@@ -41,9 +41,9 @@
     pub profile: RequestProfile,
     /// Identifies the same request when it is sent again under another ID.
     pub fingerprint: RequestFingerprint,
-    /// When the request arrived.
+    /// The time at which the request arrived.
     pub arrived: Duration,
-    /// When the caller's or the route's timeout expires, whichever is first.
+    /// The time at which the caller's or the route's timeout expires, whichever is first.
     pub deadline: Duration,
     /// The release that the request is assigned to during a roll-out.
     pub(crate) assignment: Option<ReleaseAssignment>,
@@ -82,7 +82,7 @@
     Denied,
 }
 
-/// How an attempt ended.
+/// The ending of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, derive_more::Display)]
 pub enum Ending {
     /// The response is complete.
@@ -117,7 +117,7 @@
     Cancelled,
 }
 
-/// What to do with a request whose attempt ended. Has no meaning after [`Ending::Answered`].
+/// The next action for a request whose attempt ended. Has no meaning after [`Ending::Answered`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Try another endpoint.
@@ -126,12 +126,12 @@
     Fail(Failure),
 }
 
-/// How a request fails.
+/// The failure of a request, as it is reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The request was not run; the caller may retry later.
     NotRun {
-        /// How long the caller should wait before it retries.
+        /// The delay after which the caller should retry.
         retry_after: Duration,
     },
     /// The request may have run, and the response is lost.
--- a/crates/route/src/cascade.rs
+++ b/crates/route/src/cascade.rs
@@ -38,7 +38,7 @@
     pub confidence: u8,
     /// The request's priority; 0 is the most urgent.
     pub priority: u8,
-    /// How long the caller has waited so far.
+    /// The time since the request arrived.
     pub waited: Duration,
     /// The expected time until the largest model's response starts.
     pub expected_latency: Duration,
--- a/crates/route/src/config/route.rs
+++ b/crates/route/src/config/route.rs
@@ -5,7 +5,7 @@
 
 use kernel::{ModelName, ServiceName};
 
-/// How to handle the requests to a host whose path has a certain prefix.
+/// The handling of requests with a certain host name and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The route's name.
--- a/crates/route/src/directory.rs
+++ b/crates/route/src/directory.rs
@@ -41,7 +41,7 @@
     peers: Option<Peers>,
 }
 
-/// What a listing says of endpoints that it doesn't contain.
+/// The meaning of an endpoint's absence from a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Absence {
     /// They are gone.
--- a/crates/route/src/evacuation.rs
+++ b/crates/route/src/evacuation.rs
@@ -17,7 +17,8 @@
 pub struct Evacuation {
     /// The data centre.
     pub data_centre: DataCentre,
-    /// When it was written.
+    /// The store's revision at which it was written, or at which a full read showed that the data
+    /// centre is back in use.
     pub revision: Revision,
     /// Whether its endpoints may be used.
     pub access: Access,
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -7,7 +7,8 @@
 const HALF_LIFE: Duration = Duration::from_secs(3);
 /// The least number of failures, weighted by age, for an ejection.
 const MIN_FAILURES: f64 = 2.5;
-/// How far an endpoint's error rate must exceed its service's for an ejection.
+/// The difference between an endpoint's error rate and the mean of its service's other endpoints
+/// above which it is ejected.
 const ERROR_RATE_MARGIN: f64 = 0.25;
 /// The duration of an endpoint's first ejection. Each further one lasts twice as long as the one
 /// before, until the endpoint responds well again.
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -26,12 +26,12 @@
 /// Number of exits after which it is quarantined even if another request is a suspect of all of
 /// them.
 const MIN_SHARED_EXITS: usize = 5;
-/// How long a request is quarantined. Its caller is told to retry after that; a release that can
+/// Duration of a request's quarantine. Its caller is told to retry after that; a release that can
 /// handle it may be in use by then.
 const QUARANTINE_TIME: Duration = Duration::from_hours(1);
-/// How long after the end of an attempt a process exit may still be caused by it. If the caller
-/// leaves, or the response is discarded in favour of a larger model's, the attempt ends although
-/// the request may already have done its damage.
+/// Maximum time between the end of an attempt and a process exit for the exit to be attributed to
+/// the request. If the caller disconnects, or the response is discarded in favour of a larger
+/// model's, the attempt ends before the process exits.
 const MAX_EXIT_DELAY: Duration = Duration::from_secs(1);
 /// Maximum number of remembered exits.
 const MAX_EXITS: usize = 256;
@@ -69,7 +69,7 @@
     survived: SurvivedRequests,
     /// Requests quarantined since the last [`Self::take_quarantined`].
     newly_quarantined: Vec<RequestFingerprint>,
-    /// When the last periodic update with all quarantined requests was built.
+    /// The time at which the last periodic update with all quarantined requests was built.
     last_full_update: Duration,
     /// Whether anything changed since the last [`Self::take_changed`].
     has_changes: bool,
--- a/crates/route/src/quarantine/exit.rs
+++ b/crates/route/src/quarantine/exit.rs
@@ -9,9 +9,9 @@
 /// The exit of an endpoint's process.
 #[derive(Clone, Debug)]
 pub(super) struct Exit {
-    /// When it was detected.
+    /// The time at which it was detected.
     pub(super) at: Duration,
-    /// When this host's information on it last changed.
+    /// The time at which this host's information on it last changed.
     changed: Duration,
     /// The requests in flight there.
     suspects: BTreeSet<RequestFingerprint>,
--- a/crates/route/src/quarantine/finished.rs
+++ b/crates/route/src/quarantine/finished.rs
@@ -8,24 +8,25 @@
 /// A finished attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FinishedAttempt {
-    /// When it ended.
+    /// The time at which it ended.
     pub(crate) at: Duration,
     /// The endpoint's process.
     pub(crate) process: ProcessId,
     /// The request.
     pub(crate) fingerprint: RequestFingerprint,
-    /// What its ending implies for the process.
+    /// The conclusion on the process from its ending.
     pub(crate) outcome: Outcome,
 }
 
-/// What the ending of an attempt implies for the endpoint's process.
+/// The conclusion on an endpoint's process from the ending of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
     /// The process ran the request to its end.
     Answered,
     /// The process may have exited.
     Broken,
-    /// Nothing: the request may still have been running.
+    /// No conclusion: the request may still have been running, or the process is alive although the
+    /// connection broke.
     Unknown,
 }
 
--- a/crates/route/src/quarantine/quarantined.rs
+++ b/crates/route/src/quarantine/quarantined.rs
@@ -7,9 +7,9 @@
 /// The state of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QuarantinedRequest {
-    /// When it was quarantined.
+    /// The time at which it was quarantined.
     pub(super) since: Duration,
-    /// When this host's information on it last changed.
+    /// The time at which this host's information on it last changed.
     pub(super) changed: Duration,
     /// Whether the store contains it, so that it survives a restart of all hosts.
     pub(super) is_persisted: bool,
--- a/crates/route/src/quarantine/survived.rs
+++ b/crates/route/src/quarantine/survived.rs
@@ -5,7 +5,7 @@
 
 use crate::RequestFingerprint;
 
-/// How long a request counts as safe after an endpoint survived it.
+/// Time for which a request counts as safe after an endpoint survived it.
 const SURVIVED_TTL: Duration = Duration::from_secs(30);
 /// Maximum number of requests remembered; the latest are kept.
 const MAX_REQUESTS: usize = 4_096;
--- a/crates/route/src/quarantine/update.rs
+++ b/crates/route/src/quarantine/update.rs
@@ -10,10 +10,10 @@
 use crate::endpoint::ProcessId;
 use crate::rollout::Scope;
 
-/// How often all quarantined requests are sent again, for hosts that missed them during a network
-/// partition.
+/// Minimum interval between periodic updates with all quarantined requests, for hosts that missed
+/// them during a network partition.
 const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(5);
-/// How long a change is sent: in several updates, because each may be lost.
+/// Time for which a change is included in updates. It is sent in several, because each may be lost.
 const CHANGE_RESEND_TIME: Duration = Duration::from_millis(1_200);
 /// Maximum number of exits in one update; the latest are sent.
 const MAX_EXITS_PER_UPDATE: usize = 16;
@@ -34,7 +34,7 @@
 pub struct ExitReport {
     /// The process.
     pub process: ProcessId,
-    /// How long ago it was detected.
+    /// The time since it was detected.
     pub age: Duration,
     /// The requests in flight there.
     pub suspects: Vec<RequestFingerprint>,
@@ -48,7 +48,7 @@
     /// The request.
     #[serde(rename = "print")]
     pub fingerprint: RequestFingerprint,
-    /// How long it has been quarantined.
+    /// The time since it was quarantined.
     pub age: Duration,
     /// Whether the store contains it.
     #[serde(rename = "is_kept")]
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -29,20 +29,21 @@
 /// Fraction of the allowed exposure that the release gets during its trial. The rest is a margin
 /// for differences between hosts' counts at the start and end of the trial.
 const TRIAL_EXPOSURE_FRACTION: f64 = 0.5;
-/// When the trial ends and one endpoint of the new release is filled to capacity, as a fraction of
-/// the roll-out's duration. Some faults show only when most of an endpoint's slots are in use,
-/// which may not happen in a trial under light load.
+/// Earliest end of the trial, as a fraction of the roll-out's duration. After the trial, one
+/// endpoint of the new release is filled to capacity until the shift of traffic starts. Some faults
+/// show only when most of an endpoint's slots are in use, which may not happen in a trial under
+/// light load.
 const TRIAL_END_FRACTION: f64 = 0.5;
 /// Share of requests that the new release gets while one endpoint is filled, as a multiple of the
 /// allowed exposure. Averaged over the roll-out's duration, the trial and this phase together stay
 /// within the allowed exposure.
 const FILL_EXPOSURE_FACTOR: f64 = 4.0;
-/// When traffic starts to shift to the new release, as a fraction of the roll-out's duration.
+/// Start of the shift of traffic to the new release, as a fraction of the roll-out's duration.
 const SHIFT_START_FRACTION: f64 = 0.62;
-/// When all traffic has shifted.
+/// End of the shift of traffic, as a fraction of the roll-out's duration.
 const SHIFT_END_FRACTION: f64 = 0.74;
-/// When the roll-out is complete. Endpoints of the old release stop immediately at that point, so
-/// requests sent to them before the shift must have ended.
+/// Earliest completion of the roll-out, as a fraction of its duration. Endpoints of the old release
+/// stop immediately at that point, so requests sent to them before the shift must have ended.
 const COMPLETE_FRACTION: f64 = 0.86;
 /// Minimum number of the old release's responses for a bad verdict, and of the new release's for a
 /// good one. A host that has just started has no baseline, and would blame the new release for any
@@ -50,8 +51,8 @@
 const MIN_RESPONSES: u32 = 20;
 /// Minimum number of failed responses for a bad verdict because of failures.
 const MIN_FAILURES: u32 = 5;
-/// How far the lower confidence bound of the new release's failure rate may exceed the old
-/// release's rate.
+/// Maximum difference between the lower confidence bound of the new release's failure rate and the
+/// old release's failure rate. Above it, the new release is judged bad.
 const FAILURE_RATE_MARGIN: f64 = 0.05;
 /// Latency ratios between the new and the old release (geometric mean) above which the new one is
 /// judged bad: between events of a stream, until a response starts on routes that choose the
@@ -61,11 +62,11 @@
 const MAX_STREAM_START_RATIO: f64 = 2.2;
 const MAX_RESPONSE_START_RATIO: f64 = 1.4;
 
-/// How long hosts exchange which sessions are active before the new release gets any requests.
+/// Time during which hosts exchange their active sessions before the new release gets any requests.
 /// Updates are sent twice in that time.
 const SESSION_EXCHANGE_TIME: Duration = Duration::from_millis(1_200);
-/// How long before the end of the trial that end is announced, per hop of gossip. Several times
-/// the propagation delay, to tolerate lost messages.
+/// Minimum time between the announcement of the trial's end and that end, per hop of gossip.
+/// Several times the propagation delay, to tolerate lost messages.
 const TRIAL_END_NOTICE: Duration = Duration::from_millis(300);
 /// Time added to the exchange of sessions for each extra hop that an update needs to reach all
 /// hosts.
--- a/crates/route/src/rollout/order.rs
+++ b/crates/route/src/rollout/order.rs
@@ -18,7 +18,7 @@
     /// The duration of the roll-out.
     #[serde(rename = "over")]
     pub duration: Duration,
-    /// When the order was written; a newer order has a higher revision.
+    /// The store's revision at which the order was written; a newer order has a higher one.
     pub revision: Revision,
 }
 
--- a/crates/route/src/rollout/pooled.rs
+++ b/crates/route/src/rollout/pooled.rs
@@ -8,8 +8,8 @@
 
 use super::{Evidence, Scope, Update};
 
-/// How long a neighbour's partial sum counts. Neighbours send theirs twice a second; the sum of
-/// one that died or reports to another host must expire, or it would be counted twice.
+/// Time for which a neighbour's partial sum counts. Neighbours send theirs twice a second; the sum
+/// of one that exited or reports to another host must expire, or it would be counted twice.
 const PARTIAL_SUM_TTL: Duration = Duration::from_secs(2);
 
 /// Minimum time between two totals of the same host.
--- a/crates/route/src/rollout/update.rs
+++ b/crates/route/src/rollout/update.rs
@@ -11,14 +11,15 @@
 pub struct Update {
     /// The operator's order.
     pub order: Order,
-    /// How long ago the order was first seen.
+    /// The time since the order was first seen by any host, as far as the sender knows.
     pub elapsed: Duration,
     /// The verdict that the host knows.
     pub verdict: Verdict,
-    /// When the release leaves its trial, counted from the order, once hosts agree on it.
+    /// The earliest announced end of the trial, as a time since the order was first seen. `None` if
+    /// no end is known to be announced.
     #[serde(rename = "moves_on")]
     pub trial_end: Option<Duration>,
-    /// What the host itself has observed.
+    /// The evidence from the host's own observations.
     pub evidence: Evidence,
     /// Partial sums of evidence on their way to the aggregating hosts.
     #[serde(rename = "sums")]
@@ -30,7 +31,7 @@
     pub pinned_sessions: Vec<u64>,
 }
 
-/// How much of its state a host sends.
+/// The part of a host's state that an update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// Recent changes, which neighbours forward, and parts of the state that are sent repeatedly.
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -61,7 +61,7 @@
     prefill_estimators: HashMap<(ServiceName, ModelName), PrefillEstimator>,
     /// Moving average of the time to the first byte, by route, for routes that choose no model.
     first_byte_times: HashMap<Arc<str>, Duration>,
-    /// When the current listing was read.
+    /// The time at which the current listing was last read or confirmed.
     listing_time: Option<Duration>,
     /// Endpoints that were ejected since the last [`Self::take_ejected`], except unreachable ones.
     ejected: Vec<(EndpointId, Ending)>,
--- a/crates/route/src/router/denial.rs
+++ b/crates/route/src/router/denial.rs
@@ -24,7 +24,7 @@
     Quarantined {
         /// The request's fingerprint.
         fingerprint: RequestFingerprint,
-        /// How long the request stays quarantined.
+        /// The remaining time of the quarantine.
         retry_after: Duration,
     },
 }
--- a/crates/route/src/warm_up.rs
+++ b/crates/route/src/warm_up.rs
@@ -16,7 +16,8 @@
 /// The warm-up limits of a service's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    /// How long an endpoint stays cold after its start.
+    /// The duration of a full warm-up. Endpoints whose data centre is back in use count as cold for
+    /// this time; the others report their own remaining time.
     pub span: Duration,
     /// Requests per second that a cold endpoint takes from all hosts together.
     pub rate: f64,
--- a/crates/telemetry/src/report.rs
+++ b/crates/telemetry/src/report.rs
@@ -16,7 +16,7 @@
     pub route: Option<&'a str>,
     /// The customer, if the route requires a key.
     pub customer: Option<&'a str>,
-    /// How it ended.
+    /// The outcome of the request.
     pub outcome: Outcome,
     /// The status of the response to the caller, or 0 if there was none or the request was
     /// cancelled because the caller disconnected.
@@ -40,7 +40,7 @@
     pub config_version: Option<u64>,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// An endpoint's complete response was forwarded.
@@ -87,9 +87,9 @@
     pub number: u32,
     /// The endpoint, and the inputs to its choice.
     pub placement: &'a Placement,
-    /// How it ended.
+    /// The ending of the attempt.
     pub ending: Ending,
-    /// How long it took.
+    /// The duration of the attempt.
     pub took: Duration,
     /// The time left until the request's deadline when the attempt began.
     pub time_left: Duration,
