--- a/xtask/src/caller.rs
+++ b/xtask/src/caller.rs
@@ -1,4 +1,4 @@
-//! A client that follows the caller protocol.
+//! A client of the callers' API.
 //!
 //! It caches the list of hosts, retries at other hosts with the same idempotency key
 //! and ticket, and respects the retry delay in a refusal, up to a limit.
@@ -25,7 +25,7 @@
 
 /// Maximum number of tries of one call.
 const MAX_TRIES: usize = 6;
-/// Delay before the next try where the refusal names none.
+/// Delay before the next try unless a refusal names another.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Maximum delay between two tries.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
@@ -131,7 +131,7 @@
     }
 }
 
-/// Returns whether a retry after a refusal for this reason can't succeed.
+/// Returns whether the caller gives up after a refusal for this reason.
 fn is_final(reason: Reason) -> bool {
     matches!(
         reason,
--- a/xtask/src/caller/hosts.rs
+++ b/xtask/src/caller/hosts.rs
@@ -30,9 +30,11 @@
 #[derive(Clone, Debug)]
 struct CachedHosts {
     expires_at: Duration,
+    /// The hosts in the order of preference that the issuer sent.
     hosts: Vec<SocketAddr>,
     /// The host that issued the ticket. Only this host may run an at-most-once call with it.
     issuer: SocketAddr,
+    /// The ticket that all calls share until `expires_at`.
     ticket: String,
 }
 
@@ -50,7 +52,8 @@
         }
     }
 
-    /// Returns the preferred host that is not in `avoid`, or the preferred host if all are.
+    /// Returns the first host of the list that is not in `avoid`, or the first host of all if every
+    /// one is in it. Returns `None` if no host sent a list.
     ///
     /// The first try of an at-most-once call goes to the host that issued the ticket.
     pub(crate) async fn choose(
--- a/xtask/src/caller/record.rs
+++ b/xtask/src/caller/record.rs
@@ -18,7 +18,8 @@
     pub customer: &'static str,
     /// The tries in order, at least one.
     pub tries: Vec<Try>,
-    /// The time from the start of the first try to the end of the last one.
+    /// The time from the start of the call to its end, including delays and requests for the list
+    /// of hosts.
     pub duration: Duration,
 }
 
@@ -38,7 +39,7 @@
     Completed(CallResponse),
     /// The host or the service sent an error.
     Refused(Refusal),
-    /// No complete response came, for this reason.
+    /// No usable response came, for this reason.
     Failed(String),
 }
 
@@ -66,9 +67,10 @@
     pub request: String,
     /// The reason.
     pub reason: Reason,
-    /// Whether the request was executed, according to the host.
+    /// Whether the request may have been executed: according to the host, or `Unknown` if the error
+    /// isn't a host's.
     pub run: Run,
-    /// The delay before a retry.
+    /// The delay before a retry, if the refusal names one. Always `None` for an error in a stream.
     pub retry_after: Option<Duration>,
 }
 
--- a/xtask/src/caller/request.rs
+++ b/xtask/src/caller/request.rs
@@ -17,7 +17,7 @@
     pub customer: &'static str,
     /// The messages of the conversation as role and text, the newest last.
     pub messages: Vec<(&'static str, String)>,
-    /// The session token of the previous response.
+    /// The newest session token of the conversation, if any.
     pub session: Option<String>,
 }
 
--- a/xtask/src/capacity.rs
+++ b/xtask/src/capacity.rs
@@ -1,7 +1,8 @@
 //! `cargo xtask capacity`: measures the cost of each mechanism as a function of a size.
 //!
-//! Each series has at least four sizes and a least-squares fit, which distinguishes constant,
-//! linear and quadratic growth. `docs/CAPACITY.md` compares the results with the target sizes.
+//! Each series has at least four sizes, a least-squares line, and the exponent of a power law,
+//! which classes the growth as constant, sublinear, linear or superlinear. `docs/CAPACITY.md`
+//! compares the results with the target sizes.
 
 mod decisions;
 mod document;
--- a/xtask/src/capacity/decisions.rs
+++ b/xtask/src/capacity/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision core: processor time per request by numbers of versions, endpoints and customers.
+//! The decision core: elapsed time per request by numbers of versions, endpoints and customers.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -60,7 +60,7 @@
     Series::new(name, "us", against, f64::from(target), samples.collect())
 }
 
-/// Returns the microseconds per request in the core, from arrival to delivery.
+/// Returns the elapsed microseconds per request in the core, from arrival to delivery.
 fn request(sizes: Sizes) -> f64 {
     let policy = Arc::new(policy(sizes));
     let mut core = Decider::new(1, Tuning::default());
--- a/xtask/src/capacity/fleet.rs
+++ b/xtask/src/capacity/fleet.rs
@@ -1,4 +1,4 @@
-//! Cost of membership, gossip updates and evidence by number of hosts.
+//! Cost and delays of membership, gossip updates and evidence, by number of hosts.
 
 use fleet::measure::{Cost, Figures, Incident, incident, measure as run};
 
@@ -56,7 +56,7 @@
     ]
 }
 
-/// Measures the cost of each kind of failure by number of hosts.
+/// Measures the effects of each kind of failure by number of hosts.
 pub(super) fn incidents() -> Vec<Series> {
     INCIDENTS.iter().flat_map(|it| costs(*it)).collect()
 }
--- a/xtask/src/capacity/processes.rs
+++ b/xtask/src/capacity/processes.rs
@@ -69,7 +69,7 @@
     });
     let mut revision = site.operator().put("versions/some@1", 0, &version).await?;
     site.wait_until_ready().await?;
-    // Leaves the hosts time to discover each other, which is not measured.
+    // The hosts discover each other before the measurement.
     task::sleep(WATCH_TIME / 2).await;
     let usage = |site: &Site| -> Result<Vec<Usage>, Report<Error>> {
         site.entry_hosts
--- a/xtask/src/capacity/records.rs
+++ b/xtask/src/capacity/records.rs
@@ -17,7 +17,7 @@
 const TARGET_HOSTS: f64 = 330.0;
 /// Peak requests per second of a host if all hosts have equal shares.
 const TARGET_RATE: f64 = FLEET_RATE / TARGET_HOSTS;
-/// Default limit on the records that a host holds.
+/// Default number of unwritten records at which a host refuses billable calls.
 const TARGET_HELD: f64 = 40_000.0;
 const RUNS: usize = 3;
 const KIB: f64 = 1024.0;
@@ -90,8 +90,9 @@
     Series::new(name, unit, against, target, samples.collect())
 }
 
-/// Measures the growth of peak memory while `hold` allocates records. Each size runs
-/// once: a second run would reuse freed memory and show no growth.
+/// Measures the growth of this process's peak memory beyond its earlier peak while `hold`
+/// allocates records. Each size runs once: a second run would reuse freed memory and show no
+/// growth.
 fn memory(name: &str, hold: impl Fn(usize)) -> Series {
     let samples = HELD.map(|size| {
         let before = peak_kib();
--- a/xtask/src/capacity/series.rs
+++ b/xtask/src/capacity/series.rs
@@ -10,7 +10,7 @@
 pub struct Sample {
     /// The size.
     pub size: f64,
-    /// The median of the runs.
+    /// The median of the runs; for an even number of runs, the upper one of the two middle values.
     pub value: f64,
     /// The minimum and maximum of the runs.
     pub range: (f64, f64),
@@ -23,7 +23,7 @@
     pub name: String,
     /// The unit of the values.
     pub unit: &'static str,
-    /// The unit of the size, such as hosts.
+    /// The things that the size counts, such as hosts.
     pub against: &'static str,
     /// The size at the target deployment.
     pub target: f64,
--- a/xtask/src/days.rs
+++ b/xtask/src/days.rs
@@ -1,5 +1,7 @@
 //! `cargo xtask days`: replays the days under `deploy/days/`. Each day has one kind of
 //! failure or a pair of them.
+//!
+//! The replays run in the users' bench, a program outside this workspace.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -12,7 +14,7 @@
 
 use crate::error::Error;
 
-/// Folder of the days, relative to the root of the repository.
+/// Folder of the days. The task must run in the root of the repository.
 const DAYS_DIR: &str = "deploy/days";
 
 /// Returns the definition of the subcommand.
@@ -47,14 +49,15 @@
 
 /// Replays each day on each site and prints its worth or the rules that it broke.
 ///
-/// The exit code is a failure if a day broke a rule or was not replayed.
+/// The exit code is a failure if a day broke a rule or was not replayed. Without the bench or a
+/// site, nothing is replayed and the exit code is a success.
 ///
 /// # Errors
-/// [`Error::Measurement`] if the folder of the days can't be read.
+/// [`Error::Measurement`] if a site is given and the folder of the days can't be read.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let bench = matches.get_one::<PathBuf>("bench");
     let Some(bench) = bench.filter(|it| it.exists()) else {
-        println!("skipped: the users' bench is not here (--bench PROGRAM)");
+        println!("skipped: no days were replayed, because --bench names no existing program");
         return Ok(ExitCode::SUCCESS);
     };
     let jobs = *matches.get_one::<usize>("jobs").unwrap_or(&1);
@@ -68,19 +71,26 @@
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 loop {
-                    let next = queue.lock().expect("no thread panics with it").next();
+                    let next = queue
+                        .lock()
+                        .expect("no thread panics while it holds the lock")
+                        .next();
                     let Some((site, day)) = next else { break };
                     let line = replay(bench, &site, &day);
-                    if line.contains("BROKEN") || line.contains("not played") {
-                        *broken.lock().expect("no thread panics with it") += 1;
+                    if line.contains("BROKEN") || line.contains("not replayed") {
+                        *broken
+                            .lock()
+                            .expect("no thread panics while it holds the lock") += 1;
                     }
                     println!("{line}");
                 }
             });
         }
     });
-    let broken = broken.into_inner().expect("no thread panicked with it");
-    println!("{broken} days broke a rule or were not played");
+    let broken = broken
+        .into_inner()
+        .expect("no thread panicked while it held the lock");
+    println!("{broken} days broke a rule or were not replayed");
     Ok(if broken == 0 {
         ExitCode::SUCCESS
     } else {
@@ -95,7 +105,8 @@
     Ok(days)
 }
 
-/// Replays a day and returns a line with the site, the day, and its worth or the broken rules.
+/// Replays a day and returns a line with the site, the day, and its worth, the broken rules, or
+/// that it was not replayed.
 fn replay(bench: &Path, site: &Path, day: &Path) -> String {
     let name = |it: &Path| it.file_stem().unwrap_or_default().display().to_string();
     let title = format!("{} {}", name(site), name(day));
@@ -106,7 +117,7 @@
         .stdin(Stdio::null())
         .output();
     let Ok(output) = result else {
-        return format!("{title}: not played");
+        return format!("{title}: not replayed");
     };
     let text = String::from_utf8_lossy(&output.stdout);
     let find = |start: &str| text.lines().find(|it| it.starts_with(start));
@@ -116,6 +127,6 @@
             format!("{title}: {worth}")
         }
         (_, Some(rules)) => format!("{title}: BROKEN {rules}"),
-        (None, None) => format!("{title}: not played"),
+        (None, None) => format!("{title}: not replayed"),
     }
 }
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -17,18 +17,21 @@
 use crate::reconcile::{SiteRecords, Tally};
 use crate::site::{Binaries, EntryHost, Profile, Site};
 
-/// Timeout for a drained host to hand over its records and exit.
+/// Time for all drained hosts to hand over their records and exit.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Returns the definition of the subcommand.
 #[must_use]
 pub fn command() -> Command {
     Command::new("demo")
-        .about("Runs a mixed workload on stand-ins and three hosts and checks the responses")
+        .about(
+            "Runs a mixed workload on three hosts while versions change and a host is killed, \
+             and checks the responses against the stand-ins' records",
+        )
         .arg(
             Arg::new("seconds")
                 .long("seconds")
-                .help("Duration of the workload")
+                .help("Seconds in which work items start")
                 .value_parser(value_parser!(u64).range(8..=40))
                 .default_value("20"),
         )
@@ -49,7 +52,7 @@
         .arg(
             Arg::new("logs")
                 .long("logs")
-                .help("Print so many of the last lines of each host's log at the end")
+                .help("Number of last lines of each host's log to print at the end")
                 .value_parser(value_parser!(usize))
                 .default_value("0"),
         )
@@ -58,8 +61,9 @@
 /// Runs the demo.
 ///
 /// # Errors
-/// If the site doesn't start or a stand-in doesn't respond. A violated guarantee is not an error
-/// but shows in the figures and in the exit code.
+/// If the build fails, the site doesn't start, or a host or stand-in refuses a request or doesn't
+/// respond. A violated guarantee is not an error but shows in the figures. The exit code is a
+/// failure if a count of violations that must be zero is not, or if no call was answered.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Dev)?;
     task::block_on(run_demo(binaries, matches))
@@ -119,7 +123,7 @@
     let exit_state = |entry: &mut EntryHost| {
         let left = deadline.saturating_duration_since(Instant::now());
         let exited = entry.process.exits_within(left);
-        let state = if exited { "ended" } else { "did not end" };
+        let state = if exited { "exited" } else { "did not exit" };
         format!("{} {state}", entry.name)
     };
     site.entry_hosts.iter_mut().map(exit_state).collect()
--- a/xtask/src/demo/driver.rs
+++ b/xtask/src/demo/driver.rs
@@ -60,8 +60,8 @@
     Arc::clone(callers.entry((customer, host_index)).or_insert_with(make))
 }
 
-/// Makes the calls of one item in turn, each with the messages before it. Stops after a call
-/// that failed.
+/// Makes the calls of one item one after the other. Each call also sends all earlier messages of
+/// the conversation. Stops after a call that did not complete.
 async fn converse(caller: &Caller, item: &Item) -> Vec<Call> {
     let mut calls = Vec::new();
     let mut messages = Vec::new();
--- a/xtask/src/demo/organisations.rs
+++ b/xtask/src/demo/organisations.rs
@@ -25,7 +25,7 @@
 pub(crate) const NEW_VERSION: &str = "small@2";
 /// The version that the new one replaces.
 pub(crate) const OLD_VERSION: &str = "small@1";
-/// The version whose responses turn bad and which is withdrawn.
+/// The version whose responses become bad and which is withdrawn.
 pub(crate) const BAD_VERSION: &str = "mid@1";
 
 /// The customers.
@@ -33,7 +33,8 @@
     ["kivuli-bench", "studio-baobab", "sal-visitors", "sal-gates"];
 
 /// A version: name, price of a prompt token in microcents, words of a response, microseconds per
-/// generated token, and the probabilities of a good response to tags, chats and dossiers.
+/// generated token, and the probabilities of a good response by class: era; chat, notes and
+/// catalogue; dossier.
 type Row = (&'static str, u64, u64, u64, [f64; 3]);
 
 const VERSIONS: [Row; 5] = [
@@ -48,7 +49,7 @@
 const COMPLETION_PRICE_FACTOR: u64 = 4;
 const MILLION: u64 = 1_000_000;
 
-/// The result of the configuration.
+/// Facts about the configured site that the script and the checks need.
 pub(crate) struct Setup {
     pub(crate) allowed: AllowedVersions,
     /// The revision at which each version was created.
@@ -60,8 +61,9 @@
     format!("key-of-{customer}")
 }
 
-/// Returns settings of the hosts that shorten processes which by default take longer than the
-/// demo: half of the responses are rated, and a lost host is fenced after two seconds.
+/// Returns settings of the hosts: at most half of the responses of a version with enough ratings
+/// are sent for rating, which is also the default, and a lost host is fenced after two seconds, so
+/// that this happens during the demo.
 pub(crate) fn settings() -> Table {
     toml! {
         [decide]
@@ -254,7 +256,8 @@
     ]
 }
 
-/// Adds the versions that a profile allows to each of its customers.
+/// Allows each customer of a profile the versions in the customer's own list, or else those of the
+/// profile.
 fn allow(allowed: &mut AllowedVersions, name: &str, profile: &Value) {
     let customers = profile["customers"].as_object().into_iter().flatten();
     for (customer, grant) in customers {
--- a/xtask/src/demo/report.rs
+++ b/xtask/src/demo/report.rs
@@ -21,8 +21,18 @@
 ) {
     let mut rows = Table::new();
     rows.set_header([
-        "work", "calls", "answered", "good", "repeated", "cost c", "billed c", "unbilled",
-        "p50 ms", "p99 ms", "refused", "lost",
+        "kind",
+        "calls",
+        "answered",
+        "good",
+        "retried",
+        "cost (cents)",
+        "billed (cents)",
+        "unbilled",
+        "p50 ms",
+        "p99 ms",
+        "refused",
+        "lost",
     ]);
     for line in lines(calls, site_records) {
         rows.add_row(row(&line));
@@ -32,7 +42,7 @@
     println!("executions by version: {}", versions(site_records));
     let sessions = Sessions::count(calls);
     println!(
-        "conversations: {}, moved to another version and told so: {}, not told: {}",
+        "conversations: {}; changes of version reported to the caller: {}, not reported: {}",
         sessions.conversations, sessions.reported_moves, sessions.unreported_moves
     );
     println!(
@@ -47,7 +57,8 @@
     println!("{json}");
 }
 
-/// Returns whether calls were answered and no guarantee without exceptions was violated.
+/// Returns whether at least one call was answered and the counts of violations that must be zero
+/// are zero.
 pub(crate) fn guarantees_hold(tally: &Tally) -> bool {
     let broken = [
         tally.not_run_but_ran,
@@ -85,7 +96,8 @@
     list.join(", ")
 }
 
-/// Returns the number of good responses; only responses of engines have such a mark.
+/// Returns the number of good responses, or `-` for a plain service, whose responses are not
+/// marked good or bad.
 fn good(line: &Line) -> String {
     match line.kind.route() {
         Route::Chat { .. } => line.good.to_string(),
--- a/xtask/src/demo/script.rs
+++ b/xtask/src/demo/script.rs
@@ -30,7 +30,7 @@
         .await?;
 
     task::sleep(length.mul_f64(0.2)).await;
-    println!("{BAD_VERSION} turns bad");
+    println!("90 % of the responses of {BAD_VERSION} become bad from now on");
     for (_, centre) in organisations::HOSTS {
         let engine = format!("mid-{centre}");
         site.stand_ins
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -13,7 +13,7 @@
 #[must_use]
 pub fn command() -> Command {
     Command::new("experiment")
-        .about("Measures the decisions against an oracle and baselines on a virtual clock")
+        .about("Compares the decisions with those of an oracle and of baselines, on a virtual clock")
         .arg(
             Arg::new("workload")
                 .long("workload")
@@ -28,13 +28,13 @@
         .arg(
             Arg::new("seed")
                 .long("seed")
-                .help("Run only this seed instead of the reported ones")
+                .help("Run only this seed instead of those used for published results")
                 .value_parser(value_parser!(u64)),
         )
         .arg(
             Arg::new("tuned")
                 .long("tuned")
-                .help("Run the seeds for tuning constants instead of the reported ones")
+                .help("Run the seeds used to choose constants instead of those used for published results")
                 .conflicts_with("seed")
                 .action(ArgAction::SetTrue),
         )
--- a/xtask/src/load.rs
+++ b/xtask/src/load.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask load`: measures the latency that a host adds to an engine, its throughput and its
-//! resource usage.
+//! `cargo xtask load`: measures the latency that a host adds to an engine's, its throughput and
+//! its resource usage.
 //!
 //! The load is open-loop: each request has a scheduled start that doesn't depend on earlier
 //! responses, and its latency counts from there. This avoids coordinated omission: a slow response
@@ -29,8 +29,7 @@
 pub(crate) use setup::stand_ins;
 pub use usage::Usage;
 
-/// Number of rounds in which the stand-in and the host are measured in turn, so that other
-/// load of the machine affects both.
+/// Number of rounds. In each, the stand-in is measured first and then the host.
 const ROUNDS: u32 = 4;
 /// Duration of the load on each target before the measurement, without the ramp-up. It fills
 /// pools and caches.
@@ -75,7 +74,8 @@
 /// Runs the measurement.
 ///
 /// # Errors
-/// If the site doesn't start or the usage of a process can't be read.
+/// If the programs can't be built, the site doesn't start or refuses its configuration, or the
+/// usage of a process can't be read.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Release)?;
     let figures = task::block_on(run_load(binaries, matches))?;
--- a/xtask/src/load/measurement.rs
+++ b/xtask/src/load/measurement.rs
@@ -17,11 +17,11 @@
     pub(crate) responses: u64,
     /// Number of requests without a complete response, by reason.
     pub(crate) failures: BTreeMap<String, u64>,
-    /// Number of tokens received in the steady state.
+    /// Number of stream events received in `steady_time`, counted as tokens.
     pub(crate) tokens: u64,
-    /// Duration of the steady state, in which as many streams end as start.
+    /// Time from the end of the ramp-up to the start of the last request, summed over the runs.
     pub(crate) steady_time: Duration,
-    /// Time from the first scheduled start to the last response.
+    /// Sum over the runs of the time from the first scheduled start to the last response.
     pub(crate) elapsed: Duration,
 }
 
@@ -48,7 +48,7 @@
         per_second(self.responses, self.elapsed)
     }
 
-    /// Returns the tokens per second in the steady state.
+    /// Returns the tokens per second in `steady_time`.
     pub(crate) fn tokens_per_second(&self) -> f64 {
         per_second(self.tokens, self.steady_time)
     }
--- a/xtask/src/load/report.rs
+++ b/xtask/src/load/report.rs
@@ -86,13 +86,14 @@
         );
     }
 
-    /// Returns the number of tokens that the host relayed, including the ramp-up.
+    /// Returns the number of words in the complete streamed responses, including those of the
+    /// ramp-up.
     fn streamed(&self) -> u64 {
         self.host.streaming.responses * u64::from(STREAM_WORDS)
     }
 
-    /// Returns the latency in milliseconds that the host adds at a quantile. It is negative if
-    /// the noise of the machine exceeds it.
+    /// Returns the latency in milliseconds that the host adds at a quantile. The difference may be
+    /// negative because of noise.
     fn added(&self, quantile: f64) -> f64 {
         millis(self.host.unary.quantile(quantile)) - millis(self.direct.unary.quantile(quantile))
     }
--- a/xtask/src/load/setup.rs
+++ b/xtask/src/load/setup.rs
@@ -23,7 +23,7 @@
 
 /// Microseconds between two tokens of a stream.
 const TOKEN_US: u64 = 10_000;
-/// Duration of a streamed response.
+/// Approximate duration of a streamed response: `STREAM_WORDS` times `TOKEN_US`.
 pub(crate) const STREAM_DURATION: Duration = Duration::from_secs(1);
 const MILLION: u64 = 1_000_000;
 const ANY: &str = "127.0.0.1:0";
--- a/xtask/src/load/target.rs
+++ b/xtask/src/load/target.rs
@@ -19,7 +19,7 @@
 use crate::site::Site;
 
 const BODY_LIMIT: usize = 1 << 20;
-/// Prefix of a server-sent event. All but the last two events of a stream carry a token.
+/// Prefix of a server-sent event. All but the last two events of a stream carry text.
 const EVENT_PREFIX: &[u8; 6] = b"data: ";
 
 /// The kind of load.
@@ -144,7 +144,8 @@
         Ok(due.elapsed())
     }
 
-    /// Reads a stream to its end and counts its events as tokens.
+    /// Reads a stream to its end and adds its events, including the two without text, to the token
+    /// count. An event whose prefix is split between two pieces is not counted.
     async fn read(&self, mut body: Body) -> Result<(), String> {
         let mut end = Vec::new();
         while let Some(piece) = body.piece().await.map_err(|err| err.to_string())? {
--- a/xtask/src/load/usage.rs
+++ b/xtask/src/load/usage.rs
@@ -11,7 +11,7 @@
 const TICK: Duration = Duration::from_millis(10);
 /// Index of `utime` in the fields of `stat` after the program's name.
 const UTIME: usize = 11;
-/// Index of `stime`, likewise.
+/// Index of `stime` in the same fields.
 const STIME: usize = 12;
 
 /// Processor time and peak memory.
--- a/xtask/src/reconcile.rs
+++ b/xtask/src/reconcile.rs
@@ -1,7 +1,8 @@
 //! Comparison of the responses to callers with the stand-ins' records.
 //!
-//! It doesn't rely on reports of the hosts: executions are those that the endpoints recorded, and
-//! a response counts if its text is the complete output of one attempt of the caller's own call.
+//! Executions and good responses are judged by what the endpoints recorded or marked, not by what
+//! hosts report: a response counts if its text is the complete output of one attempt of the
+//! caller's own call. Billing records are those that the hosts wrote to the table.
 
 mod allowed_versions;
 mod billing_record;
--- a/xtask/src/reconcile/allowed_versions.rs
+++ b/xtask/src/reconcile/allowed_versions.rs
@@ -1,4 +1,4 @@
-//! The versions that customers allow under their profiles.
+//! The versions that may serve each customer under each profile.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/xtask/src/reconcile/billing_record.rs
+++ b/xtask/src/reconcile/billing_record.rs
@@ -8,7 +8,8 @@
     /// The customer who is billed.
     pub customer: String,
     /// The caller's idempotency key, or the request's id if it sent none. The suffix after `~`, by
-    /// which the ledger distinguishes different bodies under one key, is removed.
+    /// which the ledger distinguishes different bodies under one key, is removed. A key that itself
+    /// contains `~` is cut at it too; the callers here use none.
     pub key: String,
     /// The amount in microcents.
     pub microcents: u64,
--- a/xtask/src/reconcile/line.rs
+++ b/xtask/src/reconcile/line.rs
@@ -16,7 +16,7 @@
     pub kind: Kind,
     /// Number of calls.
     pub calls: u64,
-    /// Number of calls with a complete response of their own.
+    /// Number of calls with a complete response that belongs to them.
     pub answered: u64,
     /// Number of these responses that the engines marked as good.
     pub good: u64,
--- a/xtask/src/reconcile/site_records.rs
+++ b/xtask/src/reconcile/site_records.rs
@@ -4,7 +4,8 @@
 
 use crate::reconcile::{AllowedVersions, BillingRecord};
 
-/// The stand-ins' records of one run and the configuration of the site.
+/// The stand-ins' records of one run and facts about the configuration of the site. The billing
+/// records are those that the hosts wrote to the table's stand-in.
 #[derive(Clone, Debug, Default)]
 pub struct SiteRecords {
     /// The executions of the engines.
@@ -13,7 +14,7 @@
     pub runs: Vec<Run>,
     /// The billing records in the table.
     pub billing_records: Vec<BillingRecord>,
-    /// The versions that may serve each customer.
+    /// The versions that may serve each customer under each profile.
     pub allowed: AllowedVersions,
     /// The withdrawal of a version in the run, if any.
     pub withdrawal: Option<Withdrawal>,
@@ -24,6 +25,7 @@
 pub struct Withdrawal {
     /// The version.
     pub version: String,
-    /// Time at which the change was accepted, in milliseconds since the Unix epoch.
+    /// Time at which the operator had the response to the change, in milliseconds since the Unix
+    /// epoch.
     pub accepted_ms: u64,
 }
--- a/xtask/src/reconcile/tally.rs
+++ b/xtask/src/reconcile/tally.rs
@@ -19,7 +19,7 @@
 /// The figures, which are serialized as the report's last line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Tally {
-    /// Calls with a complete response of their own.
+    /// Calls with a complete response that belongs to them.
     pub answered: u64,
     /// Calls that ended with a refusal.
     pub refused: u64,
@@ -29,11 +29,12 @@
     pub lost: u64,
     /// At-most-once calls that ran more than once.
     pub doubled: u64,
-    /// Calls with more than one billing record.
+    /// Calls with more than one billing record under their customer and idempotency key.
     pub billed_twice: u64,
-    /// Executions on a version that the customer does not allow, or of an unknown call.
+    /// Executions on a version that may not serve the customer under the profile, or of an unknown
+    /// call or a call of a plain service.
     pub disallowed: u64,
-    /// Seconds from the acceptance of a withdrawal to the last start of an execution on the
+    /// Seconds from the response to a withdrawal to the last start of an execution on the
     /// version; 0 without a withdrawal or a later start.
     pub withdrawn_after_s: f64,
     /// The median duration of the answered calls in milliseconds.
@@ -101,8 +102,8 @@
     }
 }
 
-/// Returns the number of refusals of this call that reported "not run" wrongly: an endpoint
-/// executed the refused request, or all tries got such a refusal and an endpoint executed the call.
+/// Returns the number of tries refused as "not run" whose request an endpoint executed. Returns 1
+/// if there is none, but all tries were refused as "not run" and an endpoint executed the call.
 fn not_run_but_ran(call: &Call, index: &ExecutionIndex<'_>) -> u64 {
     let claims: Vec<_> = call
         .tries
--- a/xtask/src/site.rs
+++ b/xtask/src/site.rs
@@ -30,16 +30,16 @@
 pub use process::Process;
 pub use stand_ins::{Row, StandIns, TableRecords};
 
-/// Timeout for a host to become ready.
+/// Time for a host to respond to a probe with success, counted from the first probe.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Interval between two checks whether a host is ready.
+/// Interval between two probes of a host.
 const READY_POLL: Duration = Duration::from_millis(50);
 
 /// A running trial site. Dropping it kills its processes and deletes its directory.
 pub struct Site {
-    /// The clock of the task.
+    /// The clock for callers and timestamps of this process.
     pub clock: Arc<dyn Clock>,
-    /// The HTTP client of the task.
+    /// The HTTP client that all parts of this process share.
     pub client: Client,
     /// The stand-ins for the platform, engines and services.
     pub stand_ins: StandIns,
--- a/xtask/src/site/operator.rs
+++ b/xtask/src/site/operator.rs
@@ -38,7 +38,8 @@
     /// Returns the revision of the change.
     ///
     /// # Errors
-    /// [`Error::Operator`] if the change is refused or no host accepts it in any try.
+    /// [`Error::Operator`] if the change is refused, no host accepts it in any try, or the response
+    /// has no revision.
     pub async fn put<T: Serialize>(
         &self,
         entry: &str,
--- a/xtask/src/site/process.rs
+++ b/xtask/src/site/process.rs
@@ -48,7 +48,8 @@
     /// Waits for a line that starts with `ready ` and returns the rest of the line.
     ///
     /// # Errors
-    /// [`Error::NotReady`] if the process exits or closes its output before.
+    /// [`Error::NotReady`] if the process exits or closes its output, or the output can't be read,
+    /// before such a line.
     pub fn wait_for_ready_line(&mut self) -> Result<String, Report<Error>> {
         let stdout = self.child.stdout.as_mut().ok_or(Error::NotReady)?;
         for line in BufReader::new(stdout).lines() {
@@ -62,7 +63,7 @@
 
     /// Kills the process without a shutdown, as in a power failure, and waits for its exit.
     pub fn kill(&mut self) {
-        // Fails only if the process has already exited.
+        // Succeeds also if the process has already exited. Other errors are ignored.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/xtask/src/site/stand_ins.rs
+++ b/xtask/src/site/stand_ins.rs
@@ -88,7 +88,7 @@
         self.addresses[name]
     }
 
-    /// Sets the injected faults of a stand-in.
+    /// Changes the injected faults of a stand-in that `faults` names. The others stay.
     ///
     /// # Errors
     /// [`Error::StandIn`] if the stand-in can't be reached or refuses the faults.
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -14,7 +14,7 @@
 #[must_use]
 pub fn command() -> Command {
     Command::new("soak")
-        .about("Injects random failures and changes into real processes and checks the responses")
+        .about("Injects random failures and changes into real processes and checks the guarantees to callers")
         .arg(
             Arg::new("seed")
                 .long("seed")
@@ -42,7 +42,10 @@
 /// reproduces the round and stops.
 ///
 /// # Errors
-/// [`Error::Build`] if the daemon can't be built.
+/// [`Error::Build`] if the programs can't be built.
+///
+/// # Panics
+/// If a host doesn't start or a stand-in doesn't respond.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, Report<Error>> {
     let binaries = Binaries::build(Profile::Dev)?;
     let first = value(matches, "seed");
--- a/xtask/src/worth.rs
+++ b/xtask/src/worth.rs
@@ -1,7 +1,9 @@
-//! `cargo xtask worth`: breaks down the worth that a replayed day lost by cause: credit not
-//! earned, and prices paid.
+//! `cargo xtask worth`: prints, for each replayed day, how much of its worth (the score, as a
+//! fraction of the demand) was lost to each cause. A cause is a part of the credit that was not
+//! earned, or a price that was paid.
 //!
-//! Reads journal entries of the users' bench. See `docs/design/deciding.md` for the terms.
+//! Reads journal entries of the users' bench, a program outside this workspace that replays days.
+//! See `docs/design/deciding.md` for the terms.
 
 use std::fs::File;
 use std::path::PathBuf;
@@ -54,7 +56,7 @@
 #[must_use]
 pub fn command() -> Command {
     Command::new("worth")
-        .about("Prints by cause how much worth the days of journal entries lost")
+        .about("Prints, by cause, the worth that the days of journal entries lost")
         .arg(
             Arg::new("entry")
                 .value_name("FILE")
@@ -79,8 +81,9 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Returns a table with a row per cause, in decreasing order of the first day's loss, and a
-/// column per day. The last row is the difference between 1 and the worth of the day.
+/// Returns a table with a column per day and a row per cause, in decreasing order of the first
+/// day's loss. The last two rows are the sum of the smaller causes, and 1 minus the worth of the
+/// day.
 #[must_use]
 pub fn table(entry: &Entry) -> String {
     let days: Vec<Vec<(String, f64)>> = entry.days.iter().map(Day::causes).collect();
@@ -107,7 +110,7 @@
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
     let titles = entry.days.iter().map(|it| it.name.clone());
-    table.set_header(std::iter::once("missing".to_owned()).chain(titles));
+    table.set_header(std::iter::once("lost to".to_owned()).chain(titles));
     let mut row = |name: &str, values: &[f64]| {
         let values = values.iter().map(|it| format!("{it:.3}"));
         table.add_row(std::iter::once(name.to_owned()).chain(values));
@@ -120,9 +123,9 @@
             rest.iter_mut().zip(values).for_each(|(sum, it)| *sum += it);
         }
     }
-    row("smaller ones", &rest);
+    row("other causes", &rest);
     let missing: Vec<f64> = entry.days.iter().map(|it| 1.0 - it.worth).collect();
-    row("all", &missing);
+    row("total", &missing);
     table.to_string()
 }
 
--- a/xtask/tests/pages.rs
+++ b/xtask/tests/pages.rs
@@ -1,4 +1,4 @@
-//! Checks references to bench runs in the documentation.
+//! Checks that the documentation cites only runs that finished successfully.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -54,7 +54,7 @@
     );
 }
 
-/// Guards against pages that cite figures of an aborted or failed run.
+/// A page must not cite figures of an aborted or failed run.
 #[test]
 fn each_run_cited_by_a_page_has_finished() {
     let mut found = Vec::new();
--- a/xtask/tests/reconcile.rs
+++ b/xtask/tests/reconcile.rs
@@ -10,7 +10,7 @@
 use xtask::reconcile::{AllowedVersions, BillingRecord, Sessions, SiteRecords, Tally, Withdrawal};
 use xtask::workload::{Kind, Schedule};
 
-/// Checks the field of the tally of one call that `field` selects.
+/// Checks the value that `field` selects from the tally of one call.
 fn check<T: PartialEq + std::fmt::Debug>(
     call: Call,
     site_records: &SiteRecords,
--- a/xtask/tests/worth.rs
+++ b/xtask/tests/worth.rs
@@ -12,13 +12,13 @@
          "prices": [["models", 600, 0.06], ["hosts", 9, 0.029], ["loads", 1, 0.001]]}]}"#;
     let entry: Entry = serde_json::from_str(text).unwrap();
     expect![[r"
-        | missing             | quiet | busy  |
+        | lost to             | quiet | busy  |
         |---------------------|-------|-------|
         | models              | 0.070 | 0.060 |
         | credit: whole day   | 0.040 | 0.160 |
         | hosts               | 0.029 | 0.029 |
         | credit: worst class | 0.020 | 0.050 |
-        | smaller ones        | 0.001 | 0.001 |
-        | all                 | 0.160 | 0.300 |"]]
+        | other causes        | 0.001 | 0.001 |
+        | total               | 0.160 | 0.300 |"]]
     .assert_eq(&table(&entry));
 }
