--- a/xtask/src/caller.rs
+++ b/xtask/src/caller.rs
@@ -42,12 +42,12 @@
 }
 
 impl Caller {
-    /// Creates a caller that asks the hosts at `initial_hosts` for the list of hosts.
+    /// Creates a caller that asks the hosts at `initial_addresses` for the list of hosts.
     #[must_use]
     pub fn new(
         clock: Arc<dyn Clock>,
         client: Client,
-        initial_hosts: Vec<SocketAddr>,
+        initial_addresses: Vec<SocketAddr>,
         data_centre: &str,
         key: String,
     ) -> Self {
@@ -57,7 +57,7 @@
             total: Duration::from_secs(12),
             retry_policy: RetryPolicy::Never,
         };
-        let hosts = Hosts::new(Arc::clone(&clock), initial_hosts, data_centre);
+        let hosts = Hosts::new(Arc::clone(&clock), initial_addresses, data_centre);
         Self {
             clock,
             client,
--- a/xtask/src/caller/hosts.rs
+++ b/xtask/src/caller/hosts.rs
@@ -16,7 +16,7 @@
 pub(crate) struct Hosts {
     clock: Arc<dyn Clock>,
     data_centre: String,
-    bootstrap: Vec<SocketAddr>,
+    initial_addresses: Vec<SocketAddr>,
     cached: Mutex<Option<CachedHosts>>,
 }
 
@@ -41,13 +41,13 @@
 impl Hosts {
     pub(crate) fn new(
         clock: Arc<dyn Clock>,
-        bootstrap: Vec<SocketAddr>,
+        initial_addresses: Vec<SocketAddr>,
         data_centre: &str,
     ) -> Self {
         Self {
             clock,
             data_centre: data_centre.to_owned(),
-            bootstrap,
+            initial_addresses,
             cached: Mutex::new(None),
         }
     }
@@ -64,12 +64,12 @@
         avoid: &[SocketAddr],
     ) -> Option<Target> {
         let cached = self.cached_or_fetched(client, key, avoid).await?;
-        let first = match planned.kind.retry_policy() {
+        let chosen = match planned.kind.retry_policy() {
             CallRetryPolicy::AtMostOnce if avoid.is_empty() => Some(cached.issuer),
             _ => cached.hosts.iter().find(|it| !avoid.contains(it)).copied(),
         };
         Some(Target {
-            address: first.or(cached.hosts.first().copied())?,
+            address: chosen.or(cached.hosts.first().copied())?,
             ticket: cached.ticket,
         })
     }
@@ -96,8 +96,10 @@
         if let Some(cached) = known.filter(|it| it.expires_at > now) {
             return Some(cached);
         }
-        let (tried, fresh): (Vec<SocketAddr>, Vec<SocketAddr>) =
-            self.bootstrap.iter().partition(|it| avoid.contains(it));
+        let (tried, fresh): (Vec<SocketAddr>, Vec<SocketAddr>) = self
+            .initial_addresses
+            .iter()
+            .partition(|it| avoid.contains(it));
         for host in fresh.into_iter().chain(tried) {
             if let Some(cached) = self.fetch(client, key, host).await {
                 *self.lock() = Some(cached.clone());
--- a/xtask/src/capacity/decisions.rs
+++ b/xtask/src/capacity/decisions.rs
@@ -16,25 +16,32 @@
 /// The sizes of the target deployment.
 const TARGET: Sizes = Sizes {
     versions: 34,
-    replicas: 1200,
+    endpoints: 1200,
     customers: 10,
 };
 const RUNS: usize = 5;
-const WARM_UP: u32 = 5_000;
-const REQUESTS: u32 = 5_000;
+const WARM_UP_REQUESTS: u32 = 5_000;
+const MEASURED_REQUESTS: u32 = 5_000;
 const ALLOWED_VERSIONS: usize = 4;
 
 #[derive(Clone, Copy)]
 struct Sizes {
     versions: u32,
-    replicas: u32,
+    endpoints: u32,
     customers: u32,
 }
 
 pub(super) fn measure() -> Vec<Series> {
     let versions = [8, 16, 34, 68].map(|versions| (versions, Sizes { versions, ..TARGET }));
-    let replicas =
-        [150, 300, 600, 1200, 2400].map(|replicas| (replicas, Sizes { replicas, ..TARGET }));
+    let endpoints = [150, 300, 600, 1200, 2400].map(|endpoints| {
+        (
+            endpoints,
+            Sizes {
+                endpoints,
+                ..TARGET
+            },
+        )
+    });
     let customers = [5, 10, 20, 40].map(|customers| {
         (
             customers,
@@ -46,22 +53,22 @@
     });
     vec![
         series("versions", TARGET.versions, &versions),
-        series("replicas", TARGET.replicas, &replicas),
+        series("replicas", TARGET.endpoints, &endpoints),
         series("customers", TARGET.customers, &customers),
     ]
 }
 
-fn series(against: &'static str, target: u32, sizes: &[(u32, Sizes)]) -> Series {
+fn series(size_unit: &'static str, target: u32, sizes: &[(u32, Sizes)]) -> Series {
     let samples = sizes.iter().map(|(size, sizes)| {
-        let runs = (0..RUNS).map(|_| request(*sizes)).collect();
+        let runs = (0..RUNS).map(|_| micros_per_request(*sizes)).collect();
         Sample::of(f64::from(*size), runs)
     });
     let name = "decide: one request, arrival to delivery";
-    Series::new(name, "us", against, f64::from(target), samples.collect())
+    Series::new(name, "us", size_unit, f64::from(target), samples.collect())
 }
 
 /// Returns the elapsed microseconds per request in the core, from arrival to delivery.
-fn request(sizes: Sizes) -> f64 {
+fn micros_per_request(sizes: Sizes) -> f64 {
     let policy = Arc::new(policy(sizes));
     let mut core = Decider::new(1, Tuning::default());
     let mut actions = Vec::new();
@@ -70,24 +77,24 @@
         Event::Configure(Arc::clone(&policy)),
         &mut actions,
     );
-    for replica in 0..sizes.replicas {
+    for number in 0..sizes.endpoints {
         core.handle(
             Duration::ZERO,
-            Event::Endpoint(endpoint(replica, &policy)),
+            Event::Endpoint(endpoint(number, &policy)),
             &mut actions,
         );
     }
     let mut now = Duration::from_mins(1);
-    for number in 0..WARM_UP {
+    for number in 0..WARM_UP_REQUESTS {
         now += Duration::from_millis(1);
         run_request(&mut core, now, number, sizes, &mut actions);
     }
     let start = Instant::now();
-    for number in WARM_UP..WARM_UP + REQUESTS {
+    for number in WARM_UP_REQUESTS..WARM_UP_REQUESTS + MEASURED_REQUESTS {
         now += Duration::from_millis(1);
         run_request(&mut core, now, number, sizes, &mut actions);
     }
-    start.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(MEASURED_REQUESTS)
 }
 
 fn run_request(
--- a/xtask/src/capacity/document.rs
+++ b/xtask/src/capacity/document.rs
@@ -23,7 +23,7 @@
         Sample::of(f64::from(*size), vec![f64::from(length)])
     });
     let parse = texts.iter().map(|(size, text)| {
-        let runs = (0..RUNS).map(|_| parse(text)).collect();
+        let runs = (0..RUNS).map(|_| micros_per_parse(text)).collect();
         Sample::of(f64::from(*size), runs)
     });
     vec![
@@ -39,7 +39,7 @@
 }
 
 /// Returns the microseconds to parse the document.
-fn parse(text: &str) -> f64 {
+fn micros_per_parse(text: &str) -> f64 {
     let start = Instant::now();
     for _ in 0..PARSES {
         let document: Document =
--- a/xtask/src/capacity/fleet.rs
+++ b/xtask/src/capacity/fleet.rs
@@ -1,6 +1,6 @@
 //! Cost and delays of membership, gossip updates and evidence, by number of hosts.
 
-use fleet::measure::{Cost, Figures, Incident, incident, measure as run};
+use fleet::measure::{Cost, Figures, Incident, incident, measure as measure_fleet};
 
 use crate::capacity::{Sample, Series};
 
@@ -23,14 +23,14 @@
         .map(|hosts| {
             SEEDS
                 .iter()
-                .map(|seed| run(*hosts, SECONDS, *seed))
+                .map(|seed| measure_fleet(*hosts, SECONDS, *seed))
                 .collect()
         })
         .collect();
     let series = |name: &str, unit, value: fn(&Figures) -> f64| {
         let samples = runs.iter().map(|it| {
             let size = it.first().map_or(0, |it| it.hosts);
-            Sample::of(count(size), it.iter().map(value).collect())
+            Sample::of(to_f64(size), it.iter().map(value).collect())
         });
         Series::new(name, unit, "hosts", TARGET, samples.collect())
     };
@@ -39,7 +39,7 @@
         series("fleet: bytes of the busiest host", "B/s", |it| it.bytes_max),
         series("fleet: frames sent", "1/s", |it| it.frames),
         series("fleet: processor time", "% core", |it| it.processor * 100.0),
-        series("fleet: state", "B", |it| count(it.state_bytes)),
+        series("fleet: state", "B", |it| to_f64(it.state_bytes)),
         series("fleet: revision in force everywhere, at worst", "s", |it| {
             it.revision_max.as_secs_f64()
         }),
@@ -49,7 +49,7 @@
         series("fleet: a dead host known everywhere, at worst", "s", |it| {
             it.detection_max.as_secs_f64()
         }),
-        series("fleet: false deaths", "1", |it| count(it.false_deaths)),
+        series("fleet: false deaths", "1", |it| to_f64(it.false_deaths)),
         series("fleet: reads of the table, all hosts", "1/s", |it| {
             it.table_reads
         }),
@@ -74,7 +74,7 @@
     let series = |name: String, unit, value: fn(&Cost) -> f64| {
         let samples = runs.iter().map(|it| {
             let size = it.first().map_or(0, |it| it.hosts);
-            Sample::of(count(size), it.iter().map(value).collect())
+            Sample::of(to_f64(size), it.iter().map(value).collect())
         });
         Series::new(name, unit, "hosts", TARGET, samples.collect())
     };
@@ -95,11 +95,11 @@
         series(
             format!("incident {kind}: hosts wrongly declared"),
             "1",
-            |it| count(it.wrong),
+            |it| to_f64(it.wrong),
         ),
     ]
 }
 
-fn count(value: usize) -> f64 {
+fn to_f64(value: usize) -> f64 {
     f64::from(u32::try_from(value).unwrap_or(u32::MAX))
 }
--- a/xtask/src/capacity/records.rs
+++ b/xtask/src/capacity/records.rs
@@ -79,7 +79,7 @@
 fn series(
     name: &str,
     unit: &'static str,
-    against: &'static str,
+    size_unit: &'static str,
     target: f64,
     runs: &[(f64, [Figures; RUNS])],
     value: fn(&Figures) -> f64,
@@ -87,7 +87,7 @@
     let samples = runs
         .iter()
         .map(|(size, runs)| Sample::of(*size, runs.iter().map(value).collect()));
-    Series::new(name, unit, against, target, samples.collect())
+    Series::new(name, unit, size_unit, target, samples.collect())
 }
 
 /// Measures the growth of this process's peak memory beyond its earlier peak while `hold`
--- a/xtask/src/capacity/series.rs
+++ b/xtask/src/capacity/series.rs
@@ -24,7 +24,8 @@
     /// The unit of the values.
     pub unit: &'static str,
     /// The things that the size counts, such as hosts.
-    pub against: &'static str,
+    #[serde(rename = "against")]
+    pub size_unit: &'static str,
     /// The size at the target deployment.
     pub target: f64,
     /// The samples in the order of their measurement.
@@ -57,7 +58,7 @@
     pub fn new(
         name: impl Into<String>,
         unit: &'static str,
-        against: &'static str,
+        size_unit: &'static str,
         target: f64,
         samples: Vec<Sample>,
     ) -> Self {
@@ -66,7 +67,7 @@
         Self {
             name: name.into(),
             unit,
-            against,
+            size_unit,
             target,
             samples,
             at_target: fit.at(target),
@@ -97,7 +98,7 @@
         table.add_row([
             series.name.clone(),
             series.unit.to_owned(),
-            series.against.to_owned(),
+            series.size_unit.to_owned(),
             samples(&series.samples),
             number(fit.base),
             number(fit.slope),
--- a/xtask/src/days.rs
+++ b/xtask/src/days.rs
@@ -66,7 +66,7 @@
         replays.extend(days()?.into_iter().map(|day| (site.clone(), day)));
     }
     let queue = Mutex::new(replays.into_iter());
-    let broken = Mutex::new(0);
+    let failed = Mutex::new(0);
     thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
@@ -78,7 +78,7 @@
                     let Some((site, day)) = next else { break };
                     let line = replay(bench, &site, &day);
                     if line.contains("BROKEN") || line.contains("not replayed") {
-                        *broken
+                        *failed
                             .lock()
                             .expect("no thread panics while it holds the lock") += 1;
                     }
@@ -87,11 +87,11 @@
             });
         }
     });
-    let broken = broken
+    let failed = failed
         .into_inner()
         .expect("no thread panicked while it held the lock");
-    println!("{broken} days broke a rule or were not replayed");
-    Ok(if broken == 0 {
+    println!("{failed} days broke a rule or were not replayed");
+    Ok(if failed == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -87,7 +87,7 @@
     let exits = drain(&mut site).await;
     let site_records = SiteRecords {
         executions: site.stand_ins.executions().await?,
-        runs: site.stand_ins.runs().await?,
+        service_executions: site.stand_ins.service_executions().await?,
         billing_records: site.stand_ins.billing_records().await?,
         allowed: setup.allowed,
         withdrawal: Some(withdrawal),
--- a/xtask/src/demo/driver.rs
+++ b/xtask/src/demo/driver.rs
@@ -34,7 +34,7 @@
             let caller = caller(site, &mut callers, &item);
             task::spawn(async move {
                 task::sleep(item.at).await;
-                converse(&caller, &item).await
+                run_item(&caller, &item).await
             })
         })
         .collect();
@@ -62,7 +62,7 @@
 
 /// Makes the calls of one item one after the other. Each call also sends all earlier messages of
 /// the conversation. Stops after a call that did not complete.
-async fn converse(caller: &Caller, item: &Item) -> Vec<Call> {
+async fn run_item(caller: &Caller, item: &Item) -> Vec<Call> {
     let mut calls = Vec::new();
     let mut messages = Vec::new();
     let mut session = None;
--- a/xtask/src/demo/organisations.rs
+++ b/xtask/src/demo/organisations.rs
@@ -35,9 +35,9 @@
 /// A version: name, price of a prompt token in microcents, words of a response, microseconds per
 /// generated token, and the probabilities of a good response by class: era; chat, notes and
 /// catalogue; dossier.
-type Row = (&'static str, u64, u64, u64, [f64; 3]);
+type VersionRow = (&'static str, u64, u64, u64, [f64; 3]);
 
-const VERSIONS: [Row; 5] = [
+const VERSIONS: [VersionRow; 5] = [
     ("small@1", 1, 16, 500, [0.95, 0.85, 0.30]),
     ("small@2", 1, 16, 500, [0.97, 0.90, 0.35]),
     ("mid@1", 6, 24, 1000, [0.98, 0.95, 0.70]),
@@ -77,9 +77,9 @@
 pub(crate) fn stand_ins(seed: u64) -> Settings {
     let store = |name: &str| StoreSettings {
         name: name.to_owned(),
-        address: ANY.to_owned(),
+        address: ANY_FREE_PORT.to_owned(),
     };
-    let centres = HOSTS.iter().map(|(_, centre)| *centre);
+    let data_centres = HOSTS.iter().map(|(_, data_centre)| *data_centre);
     Settings {
         seed,
         versions: VERSIONS.iter().map(truth).collect(),
@@ -87,10 +87,10 @@
         objects: vec![store("objects")],
         hosts: vec![HostsSettings {
             name: "hosts".to_owned(),
-            address: ANY.to_owned(),
+            address: ANY_FREE_PORT.to_owned(),
             lag_ms: 300,
         }],
-        engine: centres
+        engine: data_centres
             .clone()
             .flat_map(|it| {
                 [
@@ -100,12 +100,12 @@
                 ]
             })
             .collect(),
-        service: centres
+        service: data_centres
             .flat_map(|it| [service(it, "bench"), service(it, "gate")])
             .collect(),
         rating: vec![RatingSettings {
             name: "rating".to_owned(),
-            address: ANY.to_owned(),
+            address: ANY_FREE_PORT.to_owned(),
             late_ms: 300,
             noise: 0.05,
             never: 0.3,
@@ -148,9 +148,9 @@
     version(row.expect("the version is one of the demo's"), state)
 }
 
-const ANY: &str = "127.0.0.1:0";
+const ANY_FREE_PORT: &str = "127.0.0.1:0";
 
-fn truth((id, price, words, token_us, good): &Row) -> (String, Truth) {
+fn truth((id, price, words, token_us, good): &VersionRow) -> (String, Truth) {
     let [era, chat, dossier] = *good;
     let good = [
         ("era", era),
@@ -171,29 +171,29 @@
     ((*id).to_owned(), truth)
 }
 
-fn engine(centre: &str, model: &str, slots: usize, versions: &[&str]) -> EngineSettings {
+fn engine(data_centre: &str, model: &str, slots: usize, versions: &[&str]) -> EngineSettings {
     EngineSettings {
-        name: format!("{model}-{centre}"),
-        address: ANY.to_owned(),
-        data_centre: centre.to_owned(),
+        name: format!("{model}-{data_centre}"),
+        address: ANY_FREE_PORT.to_owned(),
+        data_centre: data_centre.to_owned(),
         region: "local".to_owned(),
         incarnation: 1,
         slots,
         queue: slots * 2,
         versions: versions.iter().map(|it| (*it).to_owned()).collect(),
-        fences: centre.starts_with("dar"),
+        fences: data_centre.starts_with("dar"),
         load_ms: 300,
         load_lag_ms: 100,
         prefixes: 256,
     }
 }
 
-fn service(centre: &str, service: &str) -> PlainSettings {
+fn service(data_centre: &str, service: &str) -> PlainSettings {
     PlainSettings {
-        name: format!("{service}-{centre}"),
+        name: format!("{service}-{data_centre}"),
         service: service.to_owned(),
-        address: ANY.to_owned(),
-        data_centre: centre.to_owned(),
+        address: ANY_FREE_PORT.to_owned(),
+        data_centre: data_centre.to_owned(),
         region: "local".to_owned(),
         incarnation: 1,
         slots: 64,
@@ -203,7 +203,7 @@
     }
 }
 
-fn version((_, price, ..): &Row, state: &str) -> Value {
+fn version((_, price, ..): &VersionRow, state: &str) -> Value {
     json!({
         "state": state,
         "prompt_microcents_per_million": price * MILLION,
--- a/xtask/src/demo/report.rs
+++ b/xtask/src/demo/report.rs
@@ -5,11 +5,11 @@
 use comfy_table::Table;
 
 use crate::caller::Call;
-use crate::reconcile::{Line, Sessions, SiteRecords, Tally, lines};
+use crate::reconcile::{KindRow, Sessions, SiteRecords, Tally, rows_by_kind};
 use crate::site::TableRecords;
 use crate::workload::Route;
 
-const MICROCENTS: u64 = 1_000_000;
+const MICROCENTS_PER_CENT: u64 = 1_000_000;
 
 /// Prints tables and, as the last line, the figures as JSON.
 pub(crate) fn print(
@@ -34,8 +34,8 @@
         "refused",
         "lost",
     ]);
-    for line in lines(calls, site_records) {
-        rows.add_row(row(&line));
+    for kind_row in rows_by_kind(calls, site_records) {
+        rows.add_row(row(&kind_row));
     }
     println!("{rows}");
     println!("hosts: {}", exits.join(", "));
@@ -50,7 +50,7 @@
         table.reads,
         table.writes,
         site_records.executions.len(),
-        site_records.runs.len(),
+        site_records.service_executions.len(),
         site_records.billing_records.len()
     );
     let json = serde_json::to_string(tally).expect("the figures can be serialized to JSON");
@@ -60,30 +60,30 @@
 /// Returns whether at least one call was answered and the counts of violations that must be zero
 /// are zero.
 pub(crate) fn guarantees_hold(tally: &Tally) -> bool {
-    let broken = [
+    let violations = [
         tally.not_run_but_ran,
         tally.lost,
         tally.doubled,
         tally.billed_twice,
         tally.disallowed,
     ];
-    tally.answered > 0 && broken.iter().all(|it| *it == 0)
+    tally.answered > 0 && violations.iter().all(|it| *it == 0)
 }
 
-fn row(line: &Line) -> Vec<String> {
+fn row(kind_row: &KindRow) -> Vec<String> {
     vec![
-        line.kind.to_string(),
-        line.calls.to_string(),
-        line.answered.to_string(),
-        good(line),
-        line.retried.to_string(),
-        cents(line.microcents),
-        cents(line.billed),
-        line.unbilled.to_string(),
-        format!("{:.1}", line.p50_ms),
-        format!("{:.1}", line.p99_ms),
-        reasons(&line.refusals),
-        reasons(&line.losses),
+        kind_row.kind.to_string(),
+        kind_row.calls.to_string(),
+        kind_row.answered.to_string(),
+        good(kind_row),
+        kind_row.retried.to_string(),
+        cents(kind_row.cost_microcents),
+        cents(kind_row.billed_microcents),
+        kind_row.unbilled.to_string(),
+        format!("{:.1}", kind_row.p50_ms),
+        format!("{:.1}", kind_row.p99_ms),
+        reasons(&kind_row.refusals),
+        reasons(&kind_row.losses),
     ]
 }
 
@@ -98,17 +98,17 @@
 
 /// Returns the number of good responses, or `-` for a plain service, whose responses are not
 /// marked good or bad.
-fn good(line: &Line) -> String {
-    match line.kind.route() {
-        Route::Chat { .. } => line.good.to_string(),
+fn good(kind_row: &KindRow) -> String {
+    match kind_row.kind.route() {
+        Route::Chat { .. } => kind_row.good.to_string(),
         Route::Plain { .. } => "-".to_owned(),
     }
 }
 
 /// Formats an amount as cents with four decimal places.
 fn cents(microcents: u64) -> String {
-    let rest = microcents % MICROCENTS / 100;
-    format!("{}.{rest:04}", microcents / MICROCENTS)
+    let rest = microcents % MICROCENTS_PER_CENT / 100;
+    format!("{}.{rest:04}", microcents / MICROCENTS_PER_CENT)
 }
 
 fn reasons(reasons: &BTreeMap<String, u64>) -> String {
--- a/xtask/src/demo/script.rs
+++ b/xtask/src/demo/script.rs
@@ -31,10 +31,10 @@
 
     task::sleep(length.mul_f64(0.2)).await;
     println!("90 % of the responses of {BAD_VERSION} become bad from now on");
-    for (_, centre) in organisations::HOSTS {
-        let engine = format!("mid-{centre}");
+    for (_, data_centre) in organisations::HOSTS {
+        let engine = format!("mid-{data_centre}");
         site.stand_ins
-            .fault(&engine, &json!({"bad": {BAD_VERSION: 0.9}}))
+            .set_faults(&engine, &json!({"bad": {BAD_VERSION: 0.9}}))
             .await?;
     }
 
--- a/xtask/src/lib.rs
+++ b/xtask/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod load;
 pub mod reconcile;
 pub mod site;
+pub mod site_task;
 pub mod soak;
-pub mod try_out;
 pub mod workload;
 pub mod worth;
--- a/xtask/src/load.rs
+++ b/xtask/src/load.rs
@@ -113,7 +113,7 @@
     let usage = |idx: usize| Usage::of(site.entry_hosts[idx].process.id());
     for _ in 0..ROUNDS {
         measure_direct(&direct, &mut figures.direct, rate, streams, duration).await;
-        let (before, partner) = (usage(0)?, usage(1)?);
+        let (before, copy_holder_before) = (usage(0)?, usage(1)?);
         host.run(LoadKind::Unary, rate, duration, &mut figures.host.unary)
             .await;
         let between = usage(0)?;
@@ -127,7 +127,7 @@
         let after = usage(0)?;
         figures.cpu_unary += between.since(&before);
         figures.cpu_streaming += after.since(&between);
-        figures.partner_cpu += usage(1)?.since(&partner);
+        figures.copy_holder_cpu += usage(1)?.since(&copy_holder_before);
         figures.peak_kib = after.peak_kib;
     }
     Ok(figures)
--- a/xtask/src/load/report.rs
+++ b/xtask/src/load/report.rs
@@ -20,7 +20,7 @@
     /// The host's processor time under the streaming load.
     pub(crate) cpu_streaming: Duration,
     /// The processor time of the host that holds copies of the billing records.
-    pub(crate) partner_cpu: Duration,
+    pub(crate) copy_holder_cpu: Duration,
     /// The host's peak resident memory in KiB.
     pub(crate) peak_kib: u64,
 }
@@ -41,7 +41,7 @@
             host: Pair::default(),
             cpu_unary: Duration::ZERO,
             cpu_streaming: Duration::ZERO,
-            partner_cpu: Duration::ZERO,
+            copy_holder_cpu: Duration::ZERO,
             peak_kib: 0,
         }
     }
@@ -56,7 +56,7 @@
             "host": target(&self.host),
             "cpu_us_per_request": micros_per(self.cpu_unary, self.host.unary.responses),
             "cpu_us_per_token": micros_per(self.cpu_streaming, self.streamed()),
-            "partner_cpu_us_per_request": micros_per(self.partner_cpu, self.host.unary.responses + self.host.streaming.responses),
+            "partner_cpu_us_per_request": micros_per(self.copy_holder_cpu, self.host.unary.responses + self.host.streaming.responses),
             "cpu_ms_total": millis(self.cpu_unary + self.cpu_streaming),
             "peak_memory_kib": self.peak_kib,
         })
--- a/xtask/src/load/setup.rs
+++ b/xtask/src/load/setup.rs
@@ -26,12 +26,12 @@
 /// Approximate duration of a streamed response: `STREAM_WORDS` times `TOKEN_US`.
 pub(crate) const STREAM_DURATION: Duration = Duration::from_secs(1);
 const MILLION: u64 = 1_000_000;
-const ANY: &str = "127.0.0.1:0";
+const ANY_FREE_PORT: &str = "127.0.0.1:0";
 
 pub(crate) fn stand_ins() -> Settings {
     let store = |name: &str| StoreSettings {
         name: name.to_owned(),
-        address: ANY.to_owned(),
+        address: ANY_FREE_PORT.to_owned(),
     };
     let truth = |words, token_us| Truth {
         price_prompt: MILLION,
@@ -55,12 +55,12 @@
         objects: vec![store("objects")],
         hosts: vec![HostsSettings {
             name: "hosts".to_owned(),
-            address: ANY.to_owned(),
+            address: ANY_FREE_PORT.to_owned(),
             lag_ms: 0,
         }],
         engine: vec![EngineSettings {
             name: ENGINE.to_owned(),
-            address: ANY.to_owned(),
+            address: ANY_FREE_PORT.to_owned(),
             data_centre: "dar-1".to_owned(),
             region: "local".to_owned(),
             incarnation: 1,
@@ -75,7 +75,7 @@
         service: Vec::new(),
         rating: vec![RatingSettings {
             name: "rating".to_owned(),
-            address: ANY.to_owned(),
+            address: ANY_FREE_PORT.to_owned(),
             late_ms: 100,
             noise: 0.0,
             never: 0.5,
--- a/xtask/src/load/target.rs
+++ b/xtask/src/load/target.rs
@@ -47,8 +47,8 @@
     client: Client,
     address: SocketAddr,
     path: Path,
-    numbers: Arc<AtomicU64>,
-    tokens: Arc<AtomicU64>,
+    next_number: Arc<AtomicU64>,
+    token_count: Arc<AtomicU64>,
 }
 
 #[derive(Clone, Copy)]
@@ -76,8 +76,8 @@
             client: site.client.clone(),
             address,
             path,
-            numbers: Arc::default(),
-            tokens: Arc::default(),
+            next_number: Arc::default(),
+            token_count: Arc::default(),
         }
     }
 
@@ -94,7 +94,7 @@
         let mut tokens_before = None;
         let mut tasks = Vec::new();
         for due in ConstantRate::new(per_second, ramp + length) {
-            let now = self.tokens.load(Ordering::Relaxed);
+            let now = self.token_count.load(Ordering::Relaxed);
             if due >= ramp && tokens_before.is_none() {
                 tokens_before = Some((now, Instant::now()));
             }
@@ -109,7 +109,7 @@
             }));
         }
         if let Some((before, since)) = tokens_before {
-            measurement.tokens += self.tokens.load(Ordering::Relaxed) - before;
+            measurement.tokens += self.token_count.load(Ordering::Relaxed) - before;
             measurement.steady_time += since.elapsed();
         }
         for result in join_all(tasks).await {
@@ -130,7 +130,7 @@
         let res = self.client.send(self.address, request, &options).await;
         let res = res.map_err(|err| err.to_string())?;
         if !res.status.is_success() {
-            return Err(refusal(res.body).await);
+            return Err(refusal_reason(res.body).await);
         }
         match load_kind {
             LoadKind::Unary => drop(
@@ -139,21 +139,21 @@
                     .await
                     .map_err(|err| err.to_string())?,
             ),
-            LoadKind::Streaming => self.read(res.body).await?,
+            LoadKind::Streaming => self.read_stream(res.body).await?,
         }
         Ok(due.elapsed())
     }
 
     /// Reads a stream to its end and adds its events, including the two without text, to the token
     /// count. An event whose prefix is split between two pieces is not counted.
-    async fn read(&self, mut body: Body) -> Result<(), String> {
+    async fn read_stream(&self, mut body: Body) -> Result<(), String> {
         let mut end = Vec::new();
         while let Some(piece) = body.piece().await.map_err(|err| err.to_string())? {
             let events = piece
                 .windows(EVENT_PREFIX.len())
                 .filter(|it| it == EVENT_PREFIX)
                 .count();
-            self.tokens.fetch_add(events as u64, Ordering::Relaxed);
+            self.token_count.fetch_add(events as u64, Ordering::Relaxed);
             end = piece;
         }
         if end.ends_with(b"[DONE]\n\n") {
@@ -172,7 +172,7 @@
             Path::Direct => version.to_owned(),
             Path::Host => profile_of(version),
         };
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed).to_string();
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed).to_string();
         let request = Request::post(
             "/v1/chat/completions",
             &json!({
@@ -191,7 +191,7 @@
     }
 }
 
-async fn refusal(body: Body) -> String {
+async fn refusal_reason(body: Body) -> String {
     match body.parse::<Problem>(BODY_LIMIT).await {
         Ok(problem) => problem.reason.to_string(),
         Err(err) => err.to_string(),
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -5,13 +5,13 @@
 use clap::Command;
 use error_stack::Report;
 use xtask::error::Error;
-use xtask::{capacity, days, demo, experiment, load, soak, try_out, worth};
+use xtask::{capacity, days, demo, experiment, load, site_task, soak, worth};
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
     let done = match matches.subcommand() {
         Some(("demo", matches)) => demo::run(matches),
-        Some(("site", matches)) => try_out::run(matches),
+        Some(("site", matches)) => site_task::run(matches),
         Some(("capacity", matches)) => capacity::run(matches),
         Some(("load", matches)) => load::run(matches),
         Some(("experiment", matches)) => experiment::run(matches),
@@ -32,7 +32,7 @@
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(demo::command())
-        .subcommand(try_out::command())
+        .subcommand(site_task::command())
         .subcommand(capacity::command())
         .subcommand(load::command())
         .subcommand(experiment::command())
--- a/xtask/src/reconcile.rs
+++ b/xtask/src/reconcile.rs
@@ -6,14 +6,14 @@
 
 mod allowed_versions;
 mod billing_record;
-mod line;
+mod kind_row;
 mod sessions;
 mod site_records;
 mod tally;
 
 pub use allowed_versions::AllowedVersions;
 pub use billing_record::BillingRecord;
-pub use line::{Line, lines};
+pub use kind_row::{KindRow, rows_by_kind};
 pub use sessions::Sessions;
 pub use site_records::{SiteRecords, Withdrawal};
 pub use tally::Tally;
--- a/xtask/src/reconcile/line.rs
+++ b/xtask/src/reconcile/kind_row.rs
@@ -11,7 +11,7 @@
 
 /// The figures of one kind of work.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct KindRow {
     /// The kind.
     pub kind: Kind,
     /// Number of calls.
@@ -23,9 +23,9 @@
     /// Number of calls with more than one try.
     pub retried: u64,
     /// The cost of the executions in microcents, according to the engines.
-    pub microcents: u64,
+    pub cost_microcents: u64,
     /// The billed amount in microcents.
-    pub billed: u64,
+    pub billed_microcents: u64,
     /// Number of answered calls without a billing record.
     pub unbilled: u64,
     /// The median duration of the answered calls in milliseconds.
@@ -38,16 +38,16 @@
     pub losses: BTreeMap<String, u64>,
 }
 
-/// Returns the lines of all kinds.
+/// Returns the rows of all kinds.
 #[must_use]
-pub fn lines(calls: &[Call], site_records: &SiteRecords) -> Vec<Line> {
+pub fn rows_by_kind(calls: &[Call], site_records: &SiteRecords) -> Vec<KindRow> {
     Kind::ALL
         .iter()
-        .map(|kind| line(*kind, calls, site_records))
+        .map(|kind| kind_row(*kind, calls, site_records))
         .collect()
 }
 
-fn line(kind: Kind, calls: &[Call], site_records: &SiteRecords) -> Line {
+fn kind_row(kind: Kind, calls: &[Call], site_records: &SiteRecords) -> KindRow {
     let calls: BTreeMap<_, _> = calls
         .iter()
         .filter(|it| it.kind == kind)
@@ -57,19 +57,19 @@
     let durations: Vec<_> = responses.iter().map(|(call, _)| call.duration).collect();
     let (p50_ms, p99_ms) = percentiles(&durations);
     let is_good = |response: &CallResponse| Mark::parse(&response.text).is_some_and(|it| it.good);
-    let mut line = Line {
+    let mut row = KindRow {
         kind,
         calls: calls.len() as u64,
         answered: responses.len() as u64,
         good: responses.iter().filter(|(_, it)| is_good(it)).count() as u64,
         retried: calls.values().filter(|it| it.tries.len() > 1).count() as u64,
-        microcents: site_records
+        cost_microcents: site_records
             .executions
             .iter()
             .filter(|it| calls.contains_key(it.call.as_str()))
             .map(|it| it.cost_microcents)
             .sum(),
-        billed: site_records
+        billed_microcents: site_records
             .billing_records
             .iter()
             .filter(|it| calls.contains_key(it.key.as_str()))
@@ -84,17 +84,17 @@
     for call in calls.values() {
         match call.outcome() {
             Outcome::Refused(it) => {
-                *line.refusals.entry(it.reason.to_string()).or_default() += 1;
+                *row.refusals.entry(it.reason.to_string()).or_default() += 1;
             }
-            Outcome::Failed(reason) => *line.losses.entry(reason.clone()).or_default() += 1,
+            Outcome::Failed(reason) => *row.losses.entry(reason.clone()).or_default() += 1,
             Outcome::Completed(response) if !is_complete_response(call, response) => {
                 let reason = "incomplete response or response to another call".to_owned();
-                *line.losses.entry(reason).or_default() += 1;
+                *row.losses.entry(reason).or_default() += 1;
             }
             Outcome::Completed(_) => {}
         }
     }
-    line
+    row
 }
 
 fn unbilled(responses: &[(&Call, &CallResponse)], site_records: &SiteRecords) -> u64 {
--- a/xtask/src/reconcile/site_records.rs
+++ b/xtask/src/reconcile/site_records.rs
@@ -11,7 +11,7 @@
     /// The executions of the engines.
     pub executions: Vec<Execution>,
     /// The executions of the plain services.
-    pub runs: Vec<Run>,
+    pub service_executions: Vec<Run>,
     /// The billing records in the table.
     pub billing_records: Vec<BillingRecord>,
     /// The versions that may serve each customer under each profile.
--- a/xtask/src/reconcile/tally.rs
+++ b/xtask/src/reconcile/tally.rs
@@ -85,7 +85,10 @@
             .executions
             .iter()
             .map(|it| (&it.call, &it.request));
-        let plain = site_records.runs.iter().map(|it| (&it.call, &it.request));
+        let plain = site_records
+            .service_executions
+            .iter()
+            .map(|it| (&it.call, &it.request));
         let mut index = Self {
             executions_by_call: BTreeMap::new(),
             requests: BTreeSet::new(),
@@ -105,7 +108,7 @@
 /// Returns the number of tries refused as "not run" whose request an endpoint executed. Returns 1
 /// if there is none, but all tries were refused as "not run" and an endpoint executed the call.
 fn not_run_but_ran(call: &Call, index: &ExecutionIndex<'_>) -> u64 {
-    let claims: Vec<_> = call
+    let not_run_refusals: Vec<_> = call
         .tries
         .iter()
         .filter_map(|it| match &it.outcome {
@@ -113,13 +116,13 @@
             _ => None,
         })
         .collect();
-    let named = claims
+    let executed_requests = not_run_refusals
         .iter()
         .filter(|it| !it.request.is_empty() && index.requests.contains(it.request.as_str()))
         .count() as u64;
-    let all_claimed = claims.len() == call.tries.len();
-    let on_record = index.executions_of(&call.name) > 0;
-    named.max(u64::from(all_claimed && on_record))
+    let all_refused_as_not_run = not_run_refusals.len() == call.tries.len();
+    let call_was_executed = index.executions_of(&call.name) > 0;
+    executed_requests.max(u64::from(all_refused_as_not_run && call_was_executed))
 }
 
 /// Returns whether the response is the complete output of one attempt of this call.
--- a/xtask/src/site.rs
+++ b/xtask/src/site.rs
@@ -96,7 +96,7 @@
     /// Use [`Self::wait_until_ready`] to wait until the host is ready.
     pub async fn add_host(&mut self, name: &str, data_centre: &str) -> Result<(), Report<Error>> {
         let entry = EntryHost::start(self, name, data_centre)?;
-        self.stand_ins.register(&entry.host()).await?;
+        self.stand_ins.register(&entry.host_list_entry()).await?;
         self.entry_hosts.push(entry);
         Ok(())
     }
--- a/xtask/src/site/entry_host.rs
+++ b/xtask/src/site/entry_host.rs
@@ -53,7 +53,7 @@
 
     /// Returns the host's entry in the host list.
     #[must_use]
-    pub fn host(&self) -> fakes::Host {
+    pub fn host_list_entry(&self) -> fakes::Host {
         fakes::Host {
             name: self.name.clone(),
             kind: "entry".to_owned(),
--- a/xtask/src/site/operator.rs
+++ b/xtask/src/site/operator.rs
@@ -115,6 +115,6 @@
     }
 }
 
-fn refused(what: &str, body: &Value) -> Report<Error> {
-    Report::new(Error::Operator).attach(format!("{what}: {body}"))
+fn refused(subject: &str, body: &Value) -> Report<Error> {
+    Report::new(Error::Operator).attach(format!("{subject}: {body}"))
 }
--- a/xtask/src/site/stand_ins.rs
+++ b/xtask/src/site/stand_ins.rs
@@ -15,7 +15,7 @@
 use crate::site::{Process, log_file, write};
 
 /// Maximum size of a response body in bytes.
-const RECORDS_LIMIT: usize = 256 << 20;
+const BODY_LIMIT: usize = 256 << 20;
 
 /// The running stand-ins.
 pub struct StandIns {
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// [`Error::StandIn`] if the stand-in can't be reached or refuses the faults.
-    pub async fn fault(&self, name: &str, faults: &Value) -> Result<(), Report<Error>> {
+    pub async fn set_faults(&self, name: &str, faults: &Value) -> Result<(), Report<Error>> {
         let request = Request::post("/control/faults", faults);
         self.send(name, request).await.map(drop)
     }
@@ -132,13 +132,13 @@
     ///
     /// # Errors
     /// [`Error::StandIn`] if the records of a service can't be read.
-    pub async fn runs(&self) -> Result<Vec<Run>, Report<Error>> {
-        let mut runs = Vec::new();
+    pub async fn service_executions(&self) -> Result<Vec<Run>, Report<Error>> {
+        let mut executions = Vec::new();
         for name in &self.services {
             let records: PlainRecords = self.records(name).await?;
-            runs.extend(records.runs);
+            executions.extend(records.runs);
         }
-        Ok(runs)
+        Ok(executions)
     }
 
     /// Returns the rows and operation counts of the table service.
@@ -177,7 +177,7 @@
         let is_success = res.status.is_success();
         let body = res
             .body
-            .collect(RECORDS_LIMIT)
+            .collect(BODY_LIMIT)
             .await
             .change_context(Error::StandIn)?;
         ensure!(
--- a/xtask/src/worth.rs
+++ b/xtask/src/worth.rs
@@ -96,7 +96,7 @@
     let loss = |day: &[(String, f64)], name: &String| -> f64 {
         day.iter().filter(|it| it.0 == *name).map(|it| it.1).sum()
     };
-    let mut lines: Vec<(&str, Vec<f64>)> = names
+    let mut rows: Vec<(&str, Vec<f64>)> = names
         .into_iter()
         .map(|name| {
             (
@@ -106,26 +106,26 @@
         })
         .collect();
     let first = |it: &Vec<f64>| it.first().copied().unwrap_or_default();
-    lines.sort_by(|a, b| first(&b.1).total_cmp(&first(&a.1)));
+    rows.sort_by(|a, b| first(&b.1).total_cmp(&first(&a.1)));
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
     let titles = entry.days.iter().map(|it| it.name.clone());
     table.set_header(std::iter::once("lost to".to_owned()).chain(titles));
-    let mut row = |name: &str, values: &[f64]| {
+    let mut add_row = |name: &str, values: &[f64]| {
         let values = values.iter().map(|it| format!("{it:.3}"));
         table.add_row(std::iter::once(name.to_owned()).chain(values));
     };
     let mut rest = vec![0.0; days.len()];
-    for (name, values) in &lines {
+    for (name, values) in &rows {
         if values.iter().any(|it| it.abs() >= MIN_SHOWN_LOSS) {
-            row(name, values);
+            add_row(name, values);
         } else {
             rest.iter_mut().zip(values).for_each(|(sum, it)| *sum += it);
         }
     }
-    row("other causes", &rest);
+    add_row("other causes", &rest);
     let missing: Vec<f64> = entry.days.iter().map(|it| 1.0 - it.worth).collect();
-    row("total", &missing);
+    add_row("total", &missing);
     table.to_string()
 }
 
--- a/xtask/tests/load.rs
+++ b/xtask/tests/load.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn usage_is_parsed_after_a_name_with_parentheses() {
+fn usage_is_parsed_if_the_program_name_contains_a_parenthesis() {
     let stat = "42 (a b) c) S 1 42 42 0 -1 4194560 1 0 0 0 150 50 0 0 20 0 5 0 1 1 1";
     let status = "Name:\tx\nVmHWM:\t   2048 kB\nVmRSS:\t 1024 kB\n";
     let expect = Usage {
--- a/xtask/tests/pages.rs
+++ b/xtask/tests/pages.rs
@@ -56,7 +56,7 @@
 
 /// A page must not cite figures of an aborted or failed run.
 #[test]
-fn each_run_cited_by_a_page_has_finished() {
+fn pages_cite_only_runs_that_finished_successfully() {
     let mut found = Vec::new();
     collect_pages(&root().join("docs"), &mut found);
     let mut errors = Vec::new();
--- a/xtask/tests/reconcile.rs
+++ b/xtask/tests/reconcile.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_complete_response_to_the_call_counts_as_answered() {
-    let call = call(Kind::EraTag, [answered(&whole("c1.0"))]);
+    let call = call(Kind::EraTag, [answered(&complete_text("c1.0"))]);
     check(
         call,
         &without_executions(),
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_response_to_another_call_counts_as_lost() {
-    let call = call(Kind::EraTag, [answered(&whole("c2.0"))]);
+    let call = call(Kind::EraTag, [answered(&complete_text("c2.0"))]);
     check(
         call,
         &without_executions(),
@@ -47,14 +47,17 @@
 fn a_response_mixed_from_two_attempts_counts_as_lost() {
     // A host that continues an interrupted response with a second attempt mixes the output of
     // two attempts.
-    let text = whole("c1.0").replace("[[end=7", "[[end=8");
+    let text = complete_text("c1.0").replace("[[end=7", "[[end=8");
     let call = call(Kind::EraTag, [answered(&text)]);
     check(call, &without_executions(), |it| it.lost, &1);
 }
 
 #[test]
 fn a_response_with_a_missing_word_counts_as_lost() {
-    let call = call(Kind::EraTag, [answered(&whole("c1.0").replace(" w1", ""))]);
+    let call = call(
+        Kind::EraTag,
+        [answered(&complete_text("c1.0").replace(" w1", ""))],
+    );
     check(call, &without_executions(), |it| it.lost, &1);
 }
 
@@ -62,7 +65,7 @@
 fn a_call_that_succeeds_in_a_retry_counts_as_answered() {
     let tries = [
         Outcome::Failed("closed".to_owned()),
-        answered(&whole("c1.0")),
+        answered(&complete_text("c1.0")),
     ];
     let call = call(Kind::EraTag, tries);
     check(
@@ -80,12 +83,12 @@
 }
 
 #[test]
-fn not_run_is_wrong_for_an_executed_request() {
+fn a_not_run_refusal_of_an_executed_request_is_counted() {
     // A caller who gets "not run" for a booking that was executed books again and pays twice.
     let call = call(Kind::Booking, [refused("r1", problem::Run::NotRun)]);
     check(
         call.clone(),
-        &with_service_runs(1),
+        &with_service_executions(1),
         |it| it.not_run_but_ran,
         &1,
     );
@@ -93,22 +96,37 @@
 }
 
 #[test]
-fn not_run_without_a_request_id_is_wrong_for_an_executed_call() {
+fn a_not_run_refusal_without_a_request_id_is_counted_if_the_call_was_executed() {
     let call = call(Kind::Booking, [refused("", problem::Run::NotRun)]);
-    check(call, &with_service_runs(1), |it| it.not_run_but_ran, &1);
+    check(
+        call,
+        &with_service_executions(1),
+        |it| it.not_run_but_ran,
+        &1,
+    );
 }
 
 #[test]
-fn not_run_is_right_when_only_another_try_was_executed() {
+fn a_not_run_refusal_is_not_counted_if_only_another_try_was_executed() {
     let tries = [refused("r0", problem::Run::NotRun), answered("c1.0")];
     let call = call(Kind::Booking, tries);
-    check(call, &with_service_runs(1), |it| it.not_run_but_ran, &0);
+    check(
+        call,
+        &with_service_executions(1),
+        |it| it.not_run_but_ran,
+        &0,
+    );
 }
 
 #[test]
-fn unknown_is_never_wrong() {
+fn an_unknown_refusal_is_not_counted() {
     let call = call(Kind::Booking, [refused("r1", problem::Run::Unknown)]);
-    check(call, &with_service_runs(1), |it| it.not_run_but_ran, &0);
+    check(
+        call,
+        &with_service_executions(1),
+        |it| it.not_run_but_ran,
+        &0,
+    );
 }
 
 #[test]
@@ -116,28 +134,28 @@
     let tries = [answered("c1.0")];
     check(
         call(Kind::Booking, tries.clone()),
-        &with_service_runs(2),
+        &with_service_executions(2),
         |it| it.doubled,
         &1,
     );
     check(
         call(Kind::GateScan, tries),
-        &with_service_runs(2),
+        &with_service_executions(2),
         |it| it.doubled,
         &0,
     );
 }
 
 #[test]
-fn executions_of_engines_count_as_doubled() {
-    let call = call(Kind::CatalogueEntry, [answered(&whole("c1.0"))]);
+fn two_executions_on_engines_count_as_doubled() {
+    let call = call(Kind::CatalogueEntry, [answered(&complete_text("c1.0"))]);
     let twice = with_executions(&["small@1", "small@1"]);
     check(call, &twice, |it| it.doubled, &1);
 }
 
 #[test]
 fn two_billing_records_of_a_call_count_as_billed_twice() {
-    let call = call(Kind::EraTag, [answered(&whole("c1.0"))]);
+    let call = call(Kind::EraTag, [answered(&complete_text("c1.0"))]);
     let row = json!({"records": [
         {"key": {"customer": "kivuli-bench", "home": 1, "key": "c1.0"}, "charge": {"money": 3}},
         {"key": {"customer": "kivuli-bench", "home": 1, "key": "c1.0~ab"}, "charge": {"money": 3}},
@@ -162,14 +180,14 @@
 
 #[test]
 fn a_version_outside_the_profile_is_disallowed() {
-    let call = call(Kind::EraTag, [answered(&whole("c1.0"))]);
+    let call = call(Kind::EraTag, [answered(&complete_text("c1.0"))]);
     let site_records = with_executions(&["small@1", "strong@1"]);
     check(call, &site_records, |it| it.disallowed, &1);
 }
 
 #[test]
-fn the_last_start_on_a_withdrawn_version_is_measured() {
-    let call = call(Kind::EraTag, [answered(&whole("c1.0"))]);
+fn withdrawn_after_s_is_the_time_to_the_last_start_on_the_version() {
+    let call = call(Kind::EraTag, [answered(&complete_text("c1.0"))]);
     let mut site_records = with_executions(&["small@1", "small@1"]);
     site_records.executions[0].started_ms = 900;
     site_records.executions[1].started_ms = 2500;
@@ -183,7 +201,7 @@
 #[test]
 fn reported_and_unreported_changes_of_version_are_counted() {
     let turn = |turn: u32, version: &str, moved: bool| {
-        let text = whole(&format!("c1.{turn}")).replace("small@1", version);
+        let text = complete_text(&format!("c1.{turn}")).replace("small@1", version);
         let response = CallResponse {
             text,
             moved,
@@ -210,8 +228,8 @@
 }
 
 #[test]
-fn percentiles_cover_the_answered_calls() {
-    let call = call(Kind::EraTag, [answered(&whole("c1.0"))]);
+fn percentiles_of_one_answered_call_are_its_duration() {
+    let call = call(Kind::EraTag, [answered(&complete_text("c1.0"))]);
     check(
         call,
         &without_executions(),
@@ -221,14 +239,14 @@
 }
 
 #[test]
-fn a_stream_is_complete_only_with_its_end_mark() {
+fn a_stream_is_complete_only_with_the_done_event() {
     let chunk = r#"data: {"choices":[{"delta":{"content":"a"}}]}"#;
     let last =
         r#"data: {"choices":[{"delta":{}}],"barleypin":{"version":"v@1","cost_microcents":5}}"#;
     let stream = format!("{chunk}\n\n{last}\n\n");
     let cut = parse_stream(stream.as_bytes(), CallResponse::default());
     assert_that!(cut, matches_pattern!(Outcome::Failed(anything())));
-    let whole = parse_stream(
+    let complete = parse_stream(
         format!("{stream}data: [DONE]\n\n").as_bytes(),
         CallResponse::default(),
     );
@@ -238,7 +256,7 @@
         text: "a".to_owned(),
         ..CallResponse::default()
     };
-    assert_that!(whole, eq(&Outcome::Completed(expect)));
+    assert_that!(complete, eq(&Outcome::Completed(expect)));
 }
 
 #[test]
@@ -283,7 +301,7 @@
     })
 }
 
-fn whole(call: &str) -> String {
+fn complete_text(call: &str) -> String {
     format!("[[request=r1 attempt=7 version=small@1 call={call} good=1]] w1 w2 [[end=7 words=2]]")
 }
 
@@ -297,7 +315,7 @@
     }
 }
 
-fn with_service_runs(times: usize) -> SiteRecords {
+fn with_service_executions(times: usize) -> SiteRecords {
     let run = Run {
         request: "r1".to_owned(),
         attempt: "7".to_owned(),
@@ -308,7 +326,7 @@
         answered: true,
     };
     SiteRecords {
-        runs: vec![run; times],
+        service_executions: vec![run; times],
         ..without_executions()
     }
 }
