--- a/xtask/src/caller.rs
+++ b/xtask/src/caller.rs
@@ -1,4 +1,4 @@
-//! A client that follows the caller protocol.
+//! A client of the callers' API.
 //!
 //! It caches the list of hosts, retries at other hosts with the same idempotency key
 //! and ticket, and respects the retry delay in a refusal, up to a limit.
@@ -25,7 +25,7 @@
 
 /// Maximum number of tries of one call.
 const MAX_TRIES: usize = 6;
-/// Delay before the next try where the refusal names none.
+/// Delay before the next try unless a refusal names another.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Maximum delay between two tries.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
@@ -42,12 +42,12 @@
 }
 
 impl Caller {
-    /// Creates a caller that asks the hosts at `initial_hosts` for the list of hosts.
+    /// Creates a caller that asks the hosts at `initial_addresses` for the list of hosts.
     #[must_use]
     pub fn new(
         clock: Arc<dyn Clock>,
         client: Client,
-        initial_hosts: Vec<SocketAddr>,
+        initial_addresses: Vec<SocketAddr>,
         data_centre: &str,
         key: String,
     ) -> Self {
@@ -57,7 +57,7 @@
             total: Duration::from_secs(12),
             retry_policy: RetryPolicy::Never,
         };
-        let hosts = Hosts::new(Arc::clone(&clock), initial_hosts, data_centre);
+        let hosts = Hosts::new(Arc::clone(&clock), initial_addresses, data_centre);
         Self {
             clock,
             client,
@@ -131,7 +131,7 @@
     }
 }
 
-/// Returns whether a retry after a refusal for this reason can't succeed.
+/// Returns whether the caller gives up after a refusal for this reason.
 fn is_final(reason: Reason) -> bool {
     matches!(
         reason,
--- a/xtask/src/caller/hosts.rs
+++ b/xtask/src/caller/hosts.rs
@@ -16,7 +16,7 @@
 pub(crate) struct Hosts {
     clock: Arc<dyn Clock>,
     data_centre: String,
-    bootstrap: Vec<SocketAddr>,
+    initial_addresses: Vec<SocketAddr>,
     cached: Mutex<Option<CachedHosts>>,
 }
 
@@ -30,27 +30,30 @@
 #[derive(Clone, Debug)]
 struct CachedHosts {
     expires_at: Duration,
+    /// The hosts in the order of preference that the issuer sent.
     hosts: Vec<SocketAddr>,
     /// The host that issued the ticket. Only this host may run an at-most-once call with it.
     issuer: SocketAddr,
+    /// The ticket that all calls share until `expires_at`.
     ticket: String,
 }
 
 impl Hosts {
     pub(crate) fn new(
         clock: Arc<dyn Clock>,
-        bootstrap: Vec<SocketAddr>,
+        initial_addresses: Vec<SocketAddr>,
         data_centre: &str,
     ) -> Self {
         Self {
             clock,
             data_centre: data_centre.to_owned(),
-            bootstrap,
+            initial_addresses,
             cached: Mutex::new(None),
         }
     }
 
-    /// Returns the preferred host that is not in `avoid`, or the preferred host if all are.
+    /// Returns the first host of the list that is not in `avoid`, or the first host of all if every
+    /// one is in it. Returns `None` if no host sent a list.
     ///
     /// The first try of an at-most-once call goes to the host that issued the ticket.
     pub(crate) async fn choose(
@@ -61,12 +64,12 @@
         avoid: &[SocketAddr],
     ) -> Option<Target> {
         let cached = self.cached_or_fetched(client, key, avoid).await?;
-        let first = match planned.kind.retry_policy() {
+        let chosen = match planned.kind.retry_policy() {
             CallRetryPolicy::AtMostOnce if avoid.is_empty() => Some(cached.issuer),
             _ => cached.hosts.iter().find(|it| !avoid.contains(it)).copied(),
         };
         Some(Target {
-            address: first.or(cached.hosts.first().copied())?,
+            address: chosen.or(cached.hosts.first().copied())?,
             ticket: cached.ticket,
         })
     }
@@ -93,8 +96,10 @@
         if let Some(cached) = known.filter(|it| it.expires_at > now) {
             return Some(cached);
         }
-        let (tried, fresh): (Vec<SocketAddr>, Vec<SocketAddr>) =
-            self.bootstrap.iter().partition(|it| avoid.contains(it));
+        let (tried, fresh): (Vec<SocketAddr>, Vec<SocketAddr>) = self
+            .initial_addresses
+            .iter()
+            .partition(|it| avoid.contains(it));
         for host in fresh.into_iter().chain(tried) {
             if let Some(cached) = self.fetch(client, key, host).await {
                 *self.lock() = Some(cached.clone());
--- a/xtask/src/demo/organisations.rs
+++ b/xtask/src/demo/organisations.rs
@@ -26,7 +26,7 @@
 pub(crate) const NEW_VERSION: &str = "small@2";
 /// The version that the new one replaces.
 pub(crate) const OLD_VERSION: &str = "small@1";
-/// The version whose responses turn bad and which is withdrawn.
+/// The version whose responses become bad and which is withdrawn.
 pub(crate) const BAD_VERSION: &str = "mid@1";
 
 /// The customers.
@@ -34,10 +34,11 @@
     ["kivuli-bench", "studio-baobab", "sal-visitors", "sal-gates"];
 
 /// A version: name, price of a prompt token in microcents, words of a response, microseconds per
-/// generated token, and the probabilities of a good response to tags, chats and dossiers.
-type Row = (&'static str, u64, u64, u64, [f64; 3]);
+/// generated token, and the probabilities of a good response by class: era; chat, notes and
+/// catalogue; dossier.
+type VersionRow = (&'static str, u64, u64, u64, [f64; 3]);
 
-const VERSIONS: [Row; 5] = [
+const VERSIONS: [VersionRow; 5] = [
     ("small@1", 1, 16, 500, [0.95, 0.85, 0.30]),
     ("small@2", 1, 16, 500, [0.97, 0.90, 0.35]),
     ("mid@1", 6, 24, 1000, [0.98, 0.95, 0.70]),
@@ -49,7 +50,7 @@
 const COMPLETION_PRICE_FACTOR: u64 = 4;
 const MILLION: u64 = 1_000_000;
 
-/// The result of the configuration.
+/// Facts about the configured site that the script and the checks need.
 pub(crate) struct Setup {
     pub(crate) allowed: AllowedVersions,
     /// The revision at which each version was created.
@@ -61,8 +62,9 @@
     format!("key-of-{customer}")
 }
 
-/// Returns settings of the hosts that shorten processes which by default take longer than the
-/// demo: half of the responses are rated, and a lost host is fenced after two seconds.
+/// Returns settings of the hosts: at most half of the responses of a version with enough ratings
+/// are sent for rating, which is also the default, and a lost host is fenced after two seconds, so
+/// that this happens during the demo.
 pub(crate) fn settings() -> Table {
     toml! {
         [decide]
@@ -76,9 +78,9 @@
 pub(crate) fn stand_ins(seed: u64) -> Settings {
     let store = |name: &str| StoreSettings {
         name: name.to_owned(),
-        address: ANY.to_owned(),
+        address: ANY_FREE_PORT.to_owned(),
     };
-    let centres = HOSTS.iter().map(|(_, centre)| *centre);
+    let data_centres = HOSTS.iter().map(|(_, data_centre)| *data_centre);
     Settings {
         seed,
         versions: VERSIONS.iter().map(truth).collect(),
@@ -86,10 +88,10 @@
         objects: vec![store("objects")],
         hosts: vec![HostListSettings {
             name: "hosts".to_owned(),
-            address: ANY.to_owned(),
+            address: ANY_FREE_PORT.to_owned(),
             lag_ms: 300,
         }],
-        engine: centres
+        engine: data_centres
             .clone()
             .flat_map(|it| {
                 [
@@ -99,12 +101,12 @@
                 ]
             })
             .collect(),
-        service: centres
+        service: data_centres
             .flat_map(|it| [service(it, "bench"), service(it, "gate")])
             .collect(),
         rating: vec![RatingSettings {
             name: "rating".to_owned(),
-            address: ANY.to_owned(),
+            address: ANY_FREE_PORT.to_owned(),
             late_ms: 300,
             noise: 0.05,
             never: 0.3,
@@ -147,9 +149,9 @@
     version(row.expect("the version is one of the demo's"), state)
 }
 
-const ANY: &str = "127.0.0.1:0";
+const ANY_FREE_PORT: &str = "127.0.0.1:0";
 
-fn truth((id, price, words, token_us, good): &Row) -> (String, GroundTruth) {
+fn truth((id, price, words, token_us, good): &VersionRow) -> (String, GroundTruth) {
     let [era, chat, dossier] = *good;
     let good = [
         ("era", era),
@@ -170,29 +172,29 @@
     ((*id).to_owned(), truth)
 }
 
-fn engine(centre: &str, model: &str, slots: usize, versions: &[&str]) -> EngineSettings {
+fn engine(data_centre: &str, model: &str, slots: usize, versions: &[&str]) -> EngineSettings {
     EngineSettings {
-        name: format!("{model}-{centre}"),
-        address: ANY.to_owned(),
-        data_centre: centre.to_owned(),
+        name: format!("{model}-{data_centre}"),
+        address: ANY_FREE_PORT.to_owned(),
+        data_centre: data_centre.to_owned(),
         region: "local".to_owned(),
         incarnation: 1,
         slots,
         queue: slots * 2,
         versions: versions.iter().map(|it| (*it).to_owned()).collect(),
-        fences: centre.starts_with("dar"),
+        fences: data_centre.starts_with("dar"),
         load_ms: 300,
         load_lag_ms: 100,
         prefixes: 256,
     }
 }
 
-fn service(centre: &str, service: &str) -> PlainServiceSettings {
+fn service(data_centre: &str, service: &str) -> PlainServiceSettings {
     PlainServiceSettings {
-        name: format!("{service}-{centre}"),
+        name: format!("{service}-{data_centre}"),
         service: service.to_owned(),
-        address: ANY.to_owned(),
-        data_centre: centre.to_owned(),
+        address: ANY_FREE_PORT.to_owned(),
+        data_centre: data_centre.to_owned(),
         region: "local".to_owned(),
         incarnation: 1,
         slots: 64,
@@ -202,7 +204,7 @@
     }
 }
 
-fn version((_, price, ..): &Row, state: &str) -> Value {
+fn version((_, price, ..): &VersionRow, state: &str) -> Value {
     json!({
         "state": state,
         "prompt_microcents_per_million": price * MILLION,
@@ -255,7 +257,8 @@
     ]
 }
 
-/// Adds the versions that a profile allows to each of its customers.
+/// Allows each customer of a profile the versions in the customer's own list, or else those of the
+/// profile.
 fn allow(allowed: &mut AllowedVersions, name: &str, profile: &Value) {
     let customers = profile["customers"].as_object().into_iter().flatten();
     for (customer, grant) in customers {
--- a/xtask/tests/pages.rs
+++ b/xtask/tests/pages.rs
@@ -1,4 +1,4 @@
-//! Checks references to bench runs in the documentation.
+//! Checks that the documentation cites only runs that finished successfully.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -54,9 +54,9 @@
     );
 }
 
-/// Guards against pages that cite figures of an aborted or failed run.
+/// A page must not cite figures of an aborted or failed run.
 #[test]
-fn each_run_cited_by_a_page_has_finished() {
+fn pages_cite_only_runs_that_finished_successfully() {
     let mut found = Vec::new();
     collect_pages(&root().join("docs"), &mut found);
     let mut errors = Vec::new();
