--- a/crates/experiment/src/arrival.rs
+++ b/crates/experiment/src/arrival.rs
@@ -16,7 +16,7 @@
     pub(crate) at: Duration,
     pub(crate) customer: usize,
     pub(crate) class: ClassIdx,
-    /// The session; all its requests prefer the same version.
+    /// The index of the request's session; `None` for classes without sessions.
     pub(crate) session: Option<usize>,
     pub(crate) hard: bool,
     pub(crate) prompt: u32,
@@ -63,7 +63,7 @@
     customer: usize,
     idx: ClassIdx,
     class: &'a Class,
-    /// New requests or sessions per second, without faults.
+    /// This customer's new requests or sessions of this class per second, without faults.
     rate: f64,
     now: Duration,
 }
--- a/crates/experiment/src/attempt.rs
+++ b/crates/experiment/src/attempt.rs
@@ -11,6 +11,7 @@
     pub(crate) host: usize,
     /// The incarnation of the host's process. Numbers start anew in each process, so without it
     /// the late end of a previous process's attempt could be taken for one of its successor's.
+    /// Always zero under the baselines, whose numbers don't restart.
     pub(crate) incarnation: u64,
     pub(crate) number: u64,
 }
@@ -41,16 +42,15 @@
 /// The progress of an attempt. Attempts at plain services have no [`Response`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum State {
+    /// Not running: on the way to the endpoint, in its queue, refused or aborted.
     Waiting,
     Running {
         started: Duration,
         first_token: Duration,
         response: Option<Response>,
     },
-    /// The response is complete and kept until it is delivered.
-    Done {
-        response: Option<Response>,
-    },
+    /// The endpoint has finished. A complete response is kept until the request ends.
+    Done { response: Option<Response> },
 }
 
 impl Attempt {
--- a/crates/experiment/src/configuration.rs
+++ b/crates/experiment/src/configuration.rs
@@ -53,8 +53,9 @@
         self.rollout = Some((version, replaces));
     }
 
-    /// Sets the share of the version that is being rolled out, unless the configuration has changed
-    /// since `revision`. Returns whether the step was applied.
+    /// Sets the share of a version if it is being rolled out and the configuration still has
+    /// `revision`. A share of 1 makes the version active and ends the roll-out. Returns whether the
+    /// step was applied.
     pub(crate) fn apply_rollout_step(
         &mut self,
         version: VersionIdx,
--- a/crates/experiment/src/ground_truth.rs
+++ b/crates/experiment/src/ground_truth.rs
@@ -1,4 +1,4 @@
-//! The ground truth about each version's quality, which routers can't see.
+//! The true quality of each version. Of the routers, only the oracle reads it.
 
 mod accuracy;
 mod confidence;
@@ -27,7 +27,8 @@
     pub(crate) keyed_rng: KeyedRng,
 }
 
-/// The effect of the active faults on a version.
+/// The effect of the active faults on a version. Of several faults, the last one that the scenario
+/// lists determines the share, and the last [`Fault::Bad`] the failure mode.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Degradation {
     /// The share of responses that are bad because of the fault.
--- a/crates/experiment/src/ground_truth/version.rs
+++ b/crates/experiment/src/ground_truth/version.rs
@@ -41,7 +41,8 @@
     /// The time between two tokens of a response.
     pub(crate) token: Duration,
     pub(crate) confidence: ConfidenceDistribution,
-    /// Indexed by class. Only models have entries; their classes come first.
+    /// Indexed by class. Only model classes have entries; they come before the classes of the
+    /// plain service.
     pub(crate) accuracies: Vec<Accuracy>,
 }
 
--- a/crates/experiment/src/keyed_rng.rs
+++ b/crates/experiment/src/keyed_rng.rs
@@ -1,8 +1,9 @@
 /// A stateless random number generator, keyed by purpose, request and another index such as the
 /// version.
 ///
-/// Every router gets the same number for the same request and version, whatever it did before, so
-/// random draws don't add noise to the comparison (common random numbers).
+/// The same key gives the same number, whatever was drawn before. The draws of a request's
+/// difficulty, quality and confidence have the same keys under every router, so they don't add
+/// noise to the comparison (common random numbers).
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KeyedRng {
     seed: u64,
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,7 +1,7 @@
-//! Simulates the decision core and baseline routers on a virtual clock.
+//! Runs the decision core and baseline routers against simulated callers, endpoints and a simulated
+//! rating service, on a virtual clock.
 //!
-//! The callers, endpoints and rating service are simulated as well. See
-//! `docs/design/experiment.md` for the figures and the method, and `docs/scenarios.md` for the
+//! See `docs/design/experiment.md` for the figures and the method, and `docs/scenarios.md` for the
 //! scenario language.
 
 mod arrival;
--- a/crates/experiment/src/options.rs
+++ b/crates/experiment/src/options.rs
@@ -3,8 +3,7 @@
 /// The seeds for tuning rules and constants.
 pub const TUNED: [u64; 4] = [11, 12, 13, 14];
 
-/// The seeds for reported figures. They aren't used for tuning, so that the figures aren't
-/// overfitted.
+/// The seeds for reported figures. They differ from those for tuning.
 pub const REPORTED: [u64; 3] = [101, 102, 103];
 
 /// The seeds of a run.
@@ -32,7 +31,7 @@
 /// Options of a run. The default is every scenario of both workloads with the reported seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The seeds, over all of which the figures are taken.
+    /// The seeds to run. The figures aggregate all of them.
     pub seeds: Seeds,
     /// If given, runs only the scenario with this name.
     pub scenario: Option<String>,
--- a/crates/experiment/src/plan/problem.rs
+++ b/crates/experiment/src/plan/problem.rs
@@ -6,7 +6,7 @@
 pub struct Problem {
     /// The share of requests that are hard.
     pub hard: f64,
-    /// Maximum versions tried for a request. At least one.
+    /// Maximum versions tried for a request: one to four. A higher number counts as four.
     pub depth: usize,
     /// The mean number of turns that follow in the session. They go to the version whose response
     /// was delivered, and their responses are always delivered.
--- a/crates/experiment/src/plan/search.rs
+++ b/crates/experiment/src/plan/search.rs
@@ -124,7 +124,8 @@
     best_outcome(problem, price, &start)
 }
 
-/// Returns the best outcome from a belief on, weighted by the probability of the belief.
+/// Returns the subtree with the lowest objective for a belief. Its cost and good responses are
+/// weighted by the probability of the belief.
 fn best_outcome(problem: &Problem, price: f64, belief: &Belief) -> Outcome {
     let mut best = deliver(problem, price, belief);
     if belief.len == problem.depth.min(MAX_CHOICES) {
@@ -154,6 +155,7 @@
     (problem.choices[idx].cost - gain) * weight >= objective(best, price)
 }
 
+/// Returns the cost minus `price` times the good responses (the Lagrangian). Lower is better.
 fn objective(outcome: &Outcome, price: f64) -> f64 {
     outcome.cost - price * outcome.good
 }
--- a/crates/experiment/src/rating_service.rs
+++ b/crates/experiment/src/rating_service.rs
@@ -57,6 +57,8 @@
 
     /// Returns the rating of a response and the time at which the host receives it; `None` if the
     /// service doesn't rate the response.
+    ///
+    /// `rating` holds the response's true quality; the returned one may be inverted.
     pub(crate) fn rate(
         &mut self,
         now: Duration,
--- a/crates/experiment/src/record.rs
+++ b/crates/experiment/src/record.rs
@@ -43,6 +43,7 @@
     Pending,
     /// A response was delivered; `None` at a plain service.
     Delivered(Option<(VersionIdx, Response)>),
+    /// The request ended without a delivered response, for this reason.
     Refused(&'static str),
 }
 
--- a/crates/experiment/src/report/figures.rs
+++ b/crates/experiment/src/report/figures.rs
@@ -21,7 +21,8 @@
     pub cost_to_oracle: f64,
     /// The same by quarter of the measurement window in which the request arrived.
     pub cost_to_oracle_by_quarter: [f64; 4],
-    /// The cost relative to a lower bound that knows every response in advance.
+    /// The cost of the model requests in the measurement window, relative to a lower bound for
+    /// those of the whole scenario. The bound is computed with knowledge of every response.
     pub cost_to_clairvoyant: f64,
     /// The share of delivered model responses that were good.
     pub good: f64,
@@ -35,10 +36,12 @@
     pub affected: f64,
     /// Verdicts on versions.
     pub quarantine: Quarantine,
-    /// The utilization of each pool over the whole scenario. The last pool is the plain service's.
+    /// The slot time of finished attempts at each pool, as a share of the pool's slot time in the
+    /// scenario. The last pool is the plain service's.
     #[serde(rename = "use_of_pools")]
     pub pool_utilization: Vec<f64>,
-    /// Attempts per step of a plan. Exceeds one only through retries and hedges.
+    /// One plus the attempts beyond one for each version tried, per request with an attempt.
+    /// Exceeds one only through retries and hedges.
     #[serde(rename = "tries")]
     pub attempts_per_step: f64,
     /// Attempts per request, over the requests with at least one attempt.
@@ -52,7 +55,7 @@
     pub sent_to_withdrawn: u64,
     /// Requests that were still pending at the end of the run. Must be zero.
     pub unfinished: u64,
-    /// Requests that got no complete response, by reason.
+    /// Requests that ended without a delivered response, by reason.
     pub refusals: BTreeMap<&'static str, u64>,
     /// Figures of each customer's model requests.
     pub customers: Vec<CustomerFigures>,
--- a/crates/experiment/src/router.rs
+++ b/crates/experiment/src/router.rs
@@ -34,17 +34,21 @@
     /// The decision core, with one decider for each host.
     #[display("core")]
     Core,
-    /// Follows the plan of least cost, computed from the true distributions.
+    /// Follows the plan of least cost that meets the class's quality target, computed from the true
+    /// distributions. Pinned sessions stay with their version.
     #[display("oracle")]
     Oracle,
-    /// Sends every request to the strongest allowed version.
+    /// Sends each request without a pin to the strongest of the initially active versions that
+    /// still accept requests.
     #[display("strongest")]
     Strongest,
-    /// Starts at the cheapest version and goes on to the next if the confidence is below a fixed
-    /// threshold.
+    /// Starts at the cheapest of the initially active versions that still accept requests, and
+    /// goes on to the next if the confidence is below a fixed threshold. Requests that aren't
+    /// idempotent go to the strongest; pinned sessions stay with their version.
     #[display("static-cascade")]
     StaticCascade,
-    /// Sends each request to a random allowed version.
+    /// Sends each request without a pin to a random one of the initially active versions that
+    /// still accept requests.
     #[display("random")]
     Random,
 }
@@ -124,9 +128,11 @@
     Refused,
     /// The connection failed; the request didn't run.
     Unreachable,
-    /// The engine failed. The request may have run.
+    /// The engine failed, or the endpoint went down before the first token was received. The
+    /// request may have run.
     Failed,
-    /// The endpoint went down after the first token.
+    /// The endpoint went down after the first token was received, or while a call of a plain
+    /// service had been running for at least the network latency.
     Cut,
     /// The attempt exceeded the router's timeout.
     TimedOut,
@@ -167,7 +173,7 @@
     /// Sends a gossip update to the other hosts.
     Broadcast(Arc<GossipUpdate>),
     /// Requests that the configuration give a version this share of the requests. Applied only if
-    /// the configuration still has this revision.
+    /// the configuration still has this revision and the version is being rolled out.
     RolloutStep {
         version: VersionIdx,
         to: f64,
@@ -196,7 +202,7 @@
         }
     }
 
-    /// Replaces a host by one without state.
+    /// Replaces a host's router by a new one. Under the core it gets the digest of another host.
     pub(crate) fn replace(&mut self, now: Duration, host: usize) {
         match self {
             Self::Core(it) => it.replace(now, host),
--- a/crates/experiment/src/router/baseline.rs
+++ b/crates/experiment/src/router/baseline.rs
@@ -17,7 +17,8 @@
 /// The confidence below which the static cascade tries the next version.
 const CONFIDENCE_THRESHOLD: f64 = 0.6;
 
-/// Maximum attempts at one version, after which the request is refused.
+/// Maximum attempts at a version or the plain service that end without a response. A request that
+/// isn't idempotent is refused after the first one that may have run.
 const MAX_ATTEMPTS_PER_VERSION: u32 = 3;
 
 /// A router that chooses versions by a fixed rule or by the oracle's plan, and endpoints by load.
--- a/crates/experiment/src/router/core/host.rs
+++ b/crates/experiment/src/router/core/host.rs
@@ -10,7 +10,7 @@
 use super::id_map::IdMap;
 use crate::{attempt::AttemptKey, endpoint::Load, router::AttemptOutcome};
 
-/// An entry host.
+/// The decider of an entry host and the endpoint states last reported to it.
 pub(super) struct Host {
     pub(super) decider: Decider,
     pub(super) endpoints: Vec<EndpointStatus>,
--- a/crates/experiment/src/router/core/policy.rs
+++ b/crates/experiment/src/router/core/policy.rs
@@ -14,15 +14,13 @@
     workload::{Call, Class, Priority, World},
 };
 
-/// A customer's rate limit as a multiple of its usual rate; high enough that a flood is limited by
-/// fair sharing instead.
+/// A customer's rate limit as a multiple of its usual rate.
 const RATE_HEADROOM: f64 = 40.0;
 
 /// A customer's burst, in seconds of its rate limit.
 const BURST_SECONDS: f64 = 5.0;
 
-/// A customer's concurrency limit, in seconds of its usual rate; high because batch requests that
-/// wait for a long time count as well.
+/// A customer's concurrency limit beyond 20, in seconds of its usual rate.
 const CONCURRENCY_SECONDS: f64 = 2_000.0;
 
 /// Maximum calls of the plain service in flight from one host.
--- a/crates/experiment/src/router/load_view.rs
+++ b/crates/experiment/src/router/load_view.rs
@@ -51,7 +51,10 @@
         self.endpoints[endpoint].up = up;
     }
 
-    /// Returns the less loaded of two random endpoints that serve the version; `None` if none does.
+    /// Picks the less loaded of two endpoints that are up and serve the version (`None`: the plain
+    /// service), and counts an attempt as sent to it. Returns `None` if there is no such endpoint.
+    ///
+    /// The two are drawn independently and may be the same.
     pub(crate) fn pick(
         &mut self,
         keyed_rng: KeyedRng,
--- a/crates/experiment/src/router/oracle.rs
+++ b/crates/experiment/src/router/oracle.rs
@@ -10,7 +10,7 @@
     workload::{Call, ClassIdx},
 };
 
-/// Number of equal steps into which the share of bad responses is quantized.
+/// Number of equal steps into which the share of responses that a fault makes bad is quantized.
 const DEGRADATION_STEPS: u32 = 25;
 
 /// Maximum versions that the oracle tries for a request.
@@ -26,8 +26,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PlanKey {
     class: ClassIdx,
-    /// Indexed by version: the share of bad responses in steps, whether they have the confidence of
-    /// good responses, and whether the version is active.
+    /// Indexed by version: the share of responses that a fault makes bad, rounded up to steps,
+    /// whether they have the confidence of good responses, and whether the version is active.
     versions: [(u32, bool, bool); 4],
 }
 
--- a/crates/experiment/src/scenario.rs
+++ b/crates/experiment/src/scenario.rs
@@ -86,7 +86,8 @@
         Self::parse(name, text)
     }
 
-    /// Returns the scenario with all times divided by `by`, for tests.
+    /// Returns the scenario with its duration and the start and end of each fault divided by `by`,
+    /// for tests. The delays of ratings and load reports stay.
     pub(crate) fn shortened(mut self, by: u32) -> Self {
         self.duration /= by;
         for it in &mut self.events {
--- a/crates/experiment/src/scenario/fault.rs
+++ b/crates/experiment/src/scenario/fault.rs
@@ -5,7 +5,8 @@
 /// A fault, or another change of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
-    /// This share of a version's responses is bad.
+    /// A fault makes this share of a version's responses bad, whether or not they would have been
+    /// good.
     Bad {
         version: VersionIdx,
         share: f64,
@@ -20,7 +21,7 @@
         version: VersionIdx,
         replaces: VersionIdx,
     },
-    /// Only this share of each pool's model replicas stays up.
+    /// Only this share of the replicas of each model pool stays up.
     Capacity { share: f64 },
     /// Ratings are delayed by this additional time.
     RatingsLate { by: Duration },
@@ -34,7 +35,7 @@
     Surge { times: f64 },
     /// An entry host is lost for the rest of the scenario.
     HostLost { host: usize },
-    /// An entry host is replaced by one without state.
+    /// An entry host is replaced by one that has lost its requests and its router's state.
     HostReplaced { host: usize },
 }
 
--- a/crates/experiment/src/scenario/parse.rs
+++ b/crates/experiment/src/scenario/parse.rs
@@ -8,7 +8,8 @@
     `ratings out`, `load stale T`, `customer N demand xF`, `models demand xF`, `host N lost`, \
     `host N replaced`";
 
-/// Parses the lines up to `----`, of which a line `scenario` may be the first.
+/// Parses the lines before the first `----`, or all if there is none. Skips blank lines, comments
+/// and lines `scenario`.
 pub(super) fn scenario(name: &str, text: &str) -> Result<Scenario, Error> {
     let mut scenario = Scenario {
         name: name.to_owned(),
@@ -156,7 +157,7 @@
 
 fn index(text: &str) -> Result<usize, String> {
     text.parse()
-        .map_err(|_| format!("{text:?} is not a number from 0"))
+        .map_err(|_| format!("{text:?} is not a whole number (0 or more)"))
 }
 
 /// Limits the end of each event to the end of the scenario.
--- a/crates/experiment/src/sim.rs
+++ b/crates/experiment/src/sim.rs
@@ -29,13 +29,14 @@
 /// Delay until a gossip update reaches the other hosts.
 const GOSSIP_DELAY: Duration = Duration::from_millis(100);
 
-/// Delay until a change of the configuration or of an endpoint's state reaches all hosts.
+/// Delay until a change of the configuration or of an endpoint's state reaches all hosts. The
+/// number of live hosts reaches them at once.
 const PROPAGATION_DELAY: Duration = Duration::from_secs(1);
 
 /// Interval between the load reports of an endpoint to a host.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Age of a load report when the host reads it.
+/// Age of a load report when the host reads it, without faults.
 const LOAD_REPORT_AGE: Duration = Duration::from_millis(500);
 
 /// Maximum time after the end of the scenario during which requests may still end.
--- a/crates/experiment/src/sim/event.rs
+++ b/crates/experiment/src/sim/event.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(super) enum Event {
     Arrive(usize),
-    /// The caller stops waiting.
+    /// The caller's deadline. It gives up unless it has seen the first token.
     CallerTimeout(usize),
     /// An attempt reaches its endpoint.
     Submit(AttemptKey),
@@ -34,16 +34,20 @@
         load: Load,
         age: Duration,
     },
+    /// All live hosts learn the state of an endpoint.
     Endpoint {
         endpoint: usize,
         incarnation: u64,
         up: bool,
     },
+    /// The host that sent the response receives its rating.
     Rated(Rating),
+    /// All live hosts but `from` receive a gossip update.
     Gossip {
         from: usize,
         update: Arc<GossipUpdate>,
     },
+    /// All live hosts receive a configuration.
     Configured(Arc<Configuration>),
     FaultBegins(usize),
     FaultEnds(usize),
--- a/crates/experiment/src/sim/replica.rs
+++ b/crates/experiment/src/sim/replica.rs
@@ -254,7 +254,8 @@
             .push(self.now + NETWORK_LATENCY, Event::Ended(key, outcome));
     }
 
-    /// Charges the tokens that a cancelled attempt has used.
+    /// Charges a cancelled attempt at a model for the whole prompt and the completion tokens after
+    /// the first one. Charges nothing if the attempt started at this instant or isn't running.
     fn charge_partial(&mut self, attempt: &Attempt) {
         let (
             State::Running {
--- a/crates/experiment/src/tally.rs
+++ b/crates/experiment/src/tally.rs
@@ -28,8 +28,10 @@
     world: &'a World,
     window: [Duration; 2],
     classes: Vec<ClassTally>,
+    /// By customer: model requests offered and delivered.
     customers: Vec<[u64; 2]>,
     refusals: BTreeMap<&'static str, u64>,
+    /// Harmed requests without and with a pin to a version.
     harmed: [u64; 2],
     /// By quarter of the window, the cost of the requests that this router and the oracle both
     /// delivered: this router's and the oracle's.
@@ -41,6 +43,7 @@
     unfinished: u64,
     dispatched: u64,
     dispatches: u64,
+    /// The distinct versions tried, at least one for each request with an attempt.
     steps: u64,
     bound: f64,
     seeds: u32,
--- a/crates/experiment/src/tally/bound.rs
+++ b/crates/experiment/src/tally/bound.rs
@@ -5,12 +5,12 @@
     workload::{ClassIdx, World},
 };
 
-/// Returns a lower bound of the cost at which each class meets its target, given knowledge of
-/// every response in advance.
+/// Returns a lower bound of the cost at which each class meets its target with the versions of
+/// [`World::ACTIVE`], given knowledge of every response in advance.
 ///
-/// Each request goes to the cheapest version whose response is good, except that as many as the
-/// target allows, the most expensive ones first, take the cheapest version's bad response. Ignores
-/// capacity, sessions and the measurement window.
+/// Each request takes the cheapest version, except that the requests with the least extra cost of a
+/// good response, up to the target's share, take that response instead. Responses are those at the
+/// arrival time. Ignores capacity, sessions, withdrawals and the measurement window.
 pub(crate) fn clairvoyant_cost(truth: &GroundTruth<'_>, arrivals: &[Arrival]) -> f64 {
     let models = truth.world.classes().filter(|(_, it)| it.is_model());
     models
--- a/crates/experiment/src/workload.rs
+++ b/crates/experiment/src/workload.rs
@@ -21,7 +21,8 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Workload {
-    /// Film restoration: era tags, catalogue entries, long dossiers and the bench portal.
+    /// Film restoration: era tags, catalogue entries, long dossiers and calls of the plain service
+    /// `bench`.
     #[display("kivuli")]
     Kivuli,
     /// Salt mine tours: itineraries, visitors' chats, summaries, gate scans and seat holds.
--- a/crates/experiment/src/workload/class.rs
+++ b/crates/experiment/src/workload/class.rs
@@ -35,7 +35,7 @@
         hard: f64,
         prompt: Range,
         completion: Range,
-        /// The number of turns of a session. All turns prefer the same version.
+        /// The number of turns of a session. A class with at most one turn has no sessions.
         turns: Range,
     },
     /// Calls of the plain service, with their service time.
--- a/crates/experiment/tests/core.rs
+++ b/crates/experiment/tests/core.rs
@@ -4,8 +4,8 @@
 use googletest::prelude::*;
 
 /// Runs a scenario in quick mode with both workloads. Checks that each request ends, that no
-/// request runs more than once unless it is idempotent, and that a withdrawn version gets no
-/// requests.
+/// request runs more than once unless it is idempotent, that a withdrawn version gets no requests,
+/// and that only the responses of known, finished attempts are delivered.
 fn check(scenario: &str) {
     let scenario = Scenario::shipped(scenario).expect("a shipped scenario");
     let options = Options {
--- a/crates/experiment/tests/scenario.rs
+++ b/crates/experiment/tests/scenario.rs
@@ -27,7 +27,7 @@
     );
     check("at 5m version small@1 bad 120%", "`0%` to `100%`");
     check("at 5m models demand 4", "`x` and a number above 0");
-    check("at 5m host first lost", "a number from 0");
+    check("at 5m host first lost", "a whole number (0 or more)");
 }
 
 #[gtest]
