--- a/crates/experiment/src/arrival.rs
+++ b/crates/experiment/src/arrival.rs
@@ -33,8 +33,8 @@
     let mut all = Vec::new();
     let mut sessions = 0;
     for customer in 0..world.customers.len() {
-        for (idx, class) in world.classes() {
-            let mut stream = Stream::new(world, seed, customer, idx, class);
+        for (class_idx, class) in world.classes() {
+            let mut stream = Stream::new(world, seed, customer, class_idx, class);
             while let Some(at) = stream.next_start(scenario) {
                 stream.push_requests(at, &mut sessions, &mut all);
             }
@@ -61,7 +61,7 @@
 struct Stream<'a> {
     rng: Pcg64Mcg,
     customer: usize,
-    idx: ClassIdx,
+    class_idx: ClassIdx,
     class: &'a Class,
     /// This customer's new requests or sessions of this class per second, without faults.
     rate: f64,
@@ -69,12 +69,18 @@
 }
 
 impl<'a> Stream<'a> {
-    fn new(world: &World, seed: u64, customer: usize, idx: ClassIdx, class: &'a Class) -> Self {
-        let stream_id = (u64::try_from(customer).unwrap_or(0) << 8) | u64::from(idx.0);
+    fn new(
+        world: &World,
+        seed: u64,
+        customer: usize,
+        class_idx: ClassIdx,
+        class: &'a Class,
+    ) -> Self {
+        let stream_id = (u64::try_from(customer).unwrap_or(0) << 8) | u64::from(class_idx.0);
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9E37_79B9).wrapping_add(stream_id)),
             customer,
-            idx,
+            class_idx,
             class,
             rate: class.rate * world.share(customer),
             now: Duration::ZERO,
@@ -131,7 +137,7 @@
             idx: 0,
             at,
             customer: self.customer,
-            class: self.idx,
+            class: self.class_idx,
             session,
             hard: false,
             prompt,
--- a/crates/experiment/src/configuration.rs
+++ b/crates/experiment/src/configuration.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns whether new requests may go to a version.
-    pub(crate) fn takes_work(&self, version: VersionIdx) -> bool {
+    pub(crate) fn accepts_requests(&self, version: VersionIdx) -> bool {
         matches!(self.states[version.idx()], State::Active | State::Trial(_))
     }
 }
--- a/crates/experiment/src/endpoint.rs
+++ b/crates/experiment/src/endpoint.rs
@@ -39,12 +39,12 @@
 }
 
 impl Endpoint {
-    pub(crate) fn new(it: &Pool) -> Self {
+    pub(crate) fn new(pool: &Pool) -> Self {
         Self {
-            slots: it.slots,
+            slots: pool.slots,
             incarnation: 1,
             up: true,
-            max_waiting: it.max_waiting,
+            max_waiting: pool.max_waiting,
             running: Vec::new(),
             waiting: BTreeMap::new(),
             last_queue_number: 0,
--- a/crates/experiment/src/ground_truth.rs
+++ b/crates/experiment/src/ground_truth.rs
@@ -48,7 +48,8 @@
         let degradation = self.degradation(version, now);
         let faulted = self.keyed_rng.draw(Purpose::Fault, request, other) < degradation.share;
         let accuracy = self.world.version(version).accuracy(arrival.class);
-        let able = self.keyed_rng.draw(Purpose::Good, request, other) < accuracy.at(arrival.hard);
+        let able =
+            self.keyed_rng.draw(Purpose::Quality, request, other) < accuracy.at(arrival.hard);
         let good = able && !faulted;
         let looks_good = good || (faulted && degradation.failure_mode == FailureMode::Confident);
         let draw = self.keyed_rng.draw(Purpose::Confidence, request, other);
--- a/crates/experiment/src/keyed_rng.rs
+++ b/crates/experiment/src/keyed_rng.rs
@@ -12,17 +12,17 @@
 /// The use of a random number. Each purpose has its own independent sequence.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Purpose {
-    Good = 1,
+    Quality = 1,
     Confidence,
     Fault,
     Difficulty,
     Rating,
-    Flip,
+    RatingFlip,
     Delay,
     Choice,
     Host,
     Plan,
-    Noise,
+    FlippedShare,
 }
 
 impl KeyedRng {
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -25,7 +25,7 @@
 mod workload;
 
 pub use error::Error;
-pub use options::{Options, REPORTED, Seeds, TUNED};
+pub use options::{Options, REPORT_SEEDS, Seeds, TUNING_SEEDS};
 pub use plan::{Choice, Plan, Problem};
 pub use report::{Aim, Case, ClassFigures, CustomerFigures, Figures, Latency, Quarantine, Report};
 pub use router::RouterKind;
--- a/crates/experiment/src/options.rs
+++ b/crates/experiment/src/options.rs
@@ -1,17 +1,17 @@
 use crate::Workload;
 
 /// The seeds for tuning rules and constants.
-pub const TUNED: [u64; 4] = [11, 12, 13, 14];
+pub const TUNING_SEEDS: [u64; 4] = [11, 12, 13, 14];
 
 /// The seeds for reported figures. They differ from those for tuning.
-pub const REPORTED: [u64; 3] = [101, 102, 103];
+pub const REPORT_SEEDS: [u64; 3] = [101, 102, 103];
 
 /// The seeds of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Seeds {
-    /// The seeds of [`TUNED`].
+    /// The seeds of [`TUNING_SEEDS`].
     Tuned,
-    /// The seeds of [`REPORTED`].
+    /// The seeds of [`REPORT_SEEDS`].
     #[default]
     Reported,
     /// A single seed.
@@ -21,8 +21,8 @@
 impl Seeds {
     pub(crate) fn list(self) -> Vec<u64> {
         match self {
-            Self::Tuned => TUNED.to_vec(),
-            Self::Reported => REPORTED.to_vec(),
+            Self::Tuned => TUNING_SEEDS.to_vec(),
+            Self::Reported => REPORT_SEEDS.to_vec(),
             Self::One(seed) => vec![seed],
         }
     }
--- a/crates/experiment/src/plan/search.rs
+++ b/crates/experiment/src/plan/search.rs
@@ -4,7 +4,7 @@
 const SEARCH_STEPS: u32 = 24;
 
 /// Maximum versions that a plan tries for a request.
-const MAX_CHOICES: usize = 4;
+const MAX_TRIED: usize = 4;
 
 /// A mixture of two plans, of which the second is used for a share of the requests.
 #[derive(Clone, Debug)]
@@ -33,9 +33,9 @@
     /// The joint probability of the observations with an easy and with a hard request.
     weight: [f64; 2],
     /// For each response, the probability that it is good, for easy and hard requests.
-    responses: [[f64; 2]; MAX_CHOICES],
+    responses: [[f64; 2]; MAX_TRIED],
     /// The choice that returned each response.
-    tried: [usize; MAX_CHOICES],
+    tried: [usize; MAX_TRIED],
     /// The number of responses.
     len: usize,
 }
@@ -117,8 +117,8 @@
 fn optimize(problem: &Problem, price: f64) -> Outcome {
     let start = Belief {
         weight: [1.0 - problem.hard, problem.hard],
-        responses: [[0.0; 2]; MAX_CHOICES],
-        tried: [0; MAX_CHOICES],
+        responses: [[0.0; 2]; MAX_TRIED],
+        tried: [0; MAX_TRIED],
         len: 0,
     };
     best_outcome(problem, price, &start)
@@ -128,7 +128,7 @@
 /// weighted by the probability of the belief.
 fn best_outcome(problem: &Problem, price: f64, belief: &Belief) -> Outcome {
     let mut best = deliver(problem, price, belief);
-    if belief.len == problem.depth.min(MAX_CHOICES) {
+    if belief.len == problem.depth.min(MAX_TRIED) {
         return best.expect("depth is at least one, so there is a response");
     }
     let weight = belief.weight[0] + belief.weight[1];
--- a/crates/experiment/src/rating_service.rs
+++ b/crates/experiment/src/rating_service.rs
@@ -41,7 +41,7 @@
 
 impl RatingService {
     pub(crate) fn new(keyed_rng: KeyedRng) -> Self {
-        let part = keyed_rng.draw(Purpose::Noise, 0, 0);
+        let part = keyed_rng.draw(Purpose::FlippedShare, 0, 0);
         Self {
             keyed_rng,
             flipped: FLIPPED_SHARE_BOUNDS[0]
@@ -78,7 +78,7 @@
         }
         let delay = DELAY_SECONDS_BOUNDS[0]
             + (DELAY_SECONDS_BOUNDS[1] - DELAY_SECONDS_BOUNDS[0]) * draw(Purpose::Delay);
-        let flipped = draw(Purpose::Flip) < self.flipped;
+        let flipped = draw(Purpose::RatingFlip) < self.flipped;
         rating.good ^= flipped;
         let late = scenario.active(now).find_map(|it| match it.fault {
             Fault::RatingsLate { by } => Some(by),
--- a/crates/experiment/src/record.rs
+++ b/crates/experiment/src/record.rs
@@ -44,7 +44,7 @@
     /// A response was delivered; `None` at a plain service.
     Delivered(Option<(VersionIdx, Response)>),
     /// The request ended without a delivered response, for this reason.
-    Refused(&'static str),
+    Failed(&'static str),
 }
 
 impl Record {
@@ -52,7 +52,7 @@
     pub(crate) fn response(&self) -> Option<(VersionIdx, Response)> {
         match self.status {
             RequestStatus::Delivered(response) => response,
-            RequestStatus::Pending | RequestStatus::Refused(_) => None,
+            RequestStatus::Pending | RequestStatus::Failed(_) => None,
         }
     }
 
--- a/crates/experiment/src/router/baseline.rs
+++ b/crates/experiment/src/router/baseline.rs
@@ -110,7 +110,7 @@
         let request = Request {
             host,
             arrival: arrival.clone(),
-            pin: pin.filter(|it| self.configuration.takes_work(*it)),
+            pin: pin.filter(|it| self.configuration.accepts_requests(*it)),
             version_plan,
             tried: Vec::new(),
             current: None,
@@ -150,7 +150,7 @@
             let seen = request.tried.iter().map(|it| it.confidence);
             return version_plan.next(self.keyed_rng, &request.arrival, &seen.collect::<Vec<_>>());
         }
-        let active = World::ACTIVE.map(|it| self.configuration.takes_work(it).then_some(it));
+        let active = World::ACTIVE.map(|it| self.configuration.accepts_requests(it).then_some(it));
         let active = active.into_iter().flatten().collect::<Vec<_>>();
         let position = request.tried.len();
         let Some(last) = request.tried.last() else {
--- a/crates/experiment/src/router/core.rs
+++ b/crates/experiment/src/router/core.rs
@@ -7,7 +7,7 @@
 use std::{sync::Arc, time::Duration};
 
 use decide::{
-    Action, Arrival as Request, Event, Tuning,
+    Action, Arrival as CoreArrival, Event, Tuning,
     action::{Dispatch, Relay as CoreRelay, Verdict},
     arrival::{Call, Chat, Pin, Work},
     event::{Quality, Rating},
@@ -171,7 +171,7 @@
         Some(event)
     }
 
-    fn to_arrival(&self, now: Duration, arrival: &Arrival, pin: Option<VersionIdx>) -> Request {
+    fn to_arrival(&self, now: Duration, arrival: &Arrival, pin: Option<VersionIdx>) -> CoreArrival {
         let class = self.world.class(arrival.class);
         let work = match self.ids.profile(arrival.class) {
             Some(profile) => Work::Chat(Chat {
@@ -187,7 +187,7 @@
                 retry_policy: Some(policy::retry_policy(class)),
             }),
         };
-        Request {
+        CoreArrival {
             request: key::Request(to_u64(arrival.idx)),
             customer: key::Customer::at(arrival.customer),
             work,
--- a/crates/experiment/src/scenario/parse.rs
+++ b/crates/experiment/src/scenario/parse.rs
@@ -31,7 +31,7 @@
             detail,
         })?;
     }
-    close_open_events(&mut scenario);
+    limit_events_to_duration(&mut scenario);
     Ok(scenario)
 }
 
@@ -161,7 +161,7 @@
 }
 
 /// Limits the end of each event to the end of the scenario.
-fn close_open_events(scenario: &mut Scenario) {
+fn limit_events_to_duration(scenario: &mut Scenario) {
     for it in &mut scenario.events {
         it.until = it.until.min(scenario.duration);
     }
--- a/crates/experiment/src/sim.rs
+++ b/crates/experiment/src/sim.rs
@@ -303,7 +303,7 @@
             }
             Output::Deliver { request, attempt } => self.deliver(request, attempt),
             Output::Refuse { request, reason } => {
-                self.close(request, RequestStatus::Refused(reason));
+                self.close(request, RequestStatus::Failed(reason));
             }
             Output::Cancel { attempt } => self.cancel(attempt),
             Output::Sample { attempt } => self.sample(attempt),
--- a/crates/experiment/src/sim/caller.rs
+++ b/crates/experiment/src/sim/caller.rs
@@ -22,7 +22,7 @@
         let arrivals = self.arrivals;
         let arrival = &arrivals[idx];
         let Some(host) = self.host(arrival) else {
-            return self.close(idx, RequestStatus::Refused("no_host"));
+            return self.close(idx, RequestStatus::Failed("no_host"));
         };
         let pin = arrival.session.and_then(|it| self.pins[it]);
         self.records[idx].host = host;
@@ -38,22 +38,23 @@
             return;
         }
         let host = record.host;
-        self.close(idx, RequestStatus::Refused("caller_gave_up"));
+        self.close(idx, RequestStatus::Failed("caller_gave_up"));
         self.handle_input(host, &Input::Cancelled { request: idx });
     }
 
     pub(super) fn deliver(&mut self, idx: usize, attempt: AttemptKey) {
         let Some(it) = self.attempts.get(&attempt) else {
-            return self.close(idx, RequestStatus::Refused("delivered_unknown_attempt"));
+            return self.close(idx, RequestStatus::Failed("delivered_unknown_attempt"));
         };
         let State::Done { response, .. } = it.state else {
-            return self.close(idx, RequestStatus::Refused("delivered_unfinished_attempt"));
+            return self.close(idx, RequestStatus::Failed("delivered_unfinished_attempt"));
         };
         let version = it.version;
         self.close(idx, RequestStatus::Delivered(version.zip(response)));
         if let (Some(session), Some(version)) = (self.arrivals[idx].session, version) {
             let pin = self.pins[session].replace(version);
-            let kept = pin.is_none_or(|it| it == version || !self.configuration.takes_work(it));
+            let kept =
+                pin.is_none_or(|it| it == version || !self.configuration.accepts_requests(it));
             if !kept {
                 self.records[idx].pin_status = PinStatus::Moved;
             }
--- a/crates/experiment/src/sim/fault.rs
+++ b/crates/experiment/src/sim/fault.rs
@@ -90,7 +90,7 @@
             let record = &self.records[idx];
             let arrived = self.arrivals[idx].at <= self.now;
             if arrived && record.host == host && record.status == RequestStatus::Pending {
-                self.close(idx, RequestStatus::Refused("host_lost"));
+                self.close(idx, RequestStatus::Failed("host_lost"));
             }
         }
         let lost = self.attempts.keys().filter(|it| it.host == host).copied();
--- a/crates/experiment/src/sim/replica.rs
+++ b/crates/experiment/src/sim/replica.rs
@@ -169,11 +169,11 @@
     }
 
     pub(super) fn time_out(&mut self, key: AttemptKey) {
-        let waits = self
+        let unfinished = self
             .attempts
             .get(&key)
             .is_some_and(|it| !matches!(it.state, State::Done { .. }));
-        if waits {
+        if unfinished {
             self.cancel(key);
             let outcome = AttemptOutcome::TimedOut;
             self.handle_input(
--- a/crates/experiment/src/tally.rs
+++ b/crates/experiment/src/tally.rs
@@ -41,8 +41,8 @@
     reruns: u64,
     sent_to_withdrawn: u64,
     unfinished: u64,
-    dispatched: u64,
-    dispatches: u64,
+    requests_with_attempts: u64,
+    attempts: u64,
     /// The distinct versions tried, at least one for each request with an attempt.
     steps: u64,
     bound: f64,
@@ -67,8 +67,8 @@
             reruns: 0,
             sent_to_withdrawn: 0,
             unfinished: 0,
-            dispatched: 0,
-            dispatches: 0,
+            requests_with_attempts: 0,
+            attempts: 0,
             steps: 0,
             bound: 0.0,
             seeds: 0,
@@ -102,7 +102,7 @@
             *served += u64::from(record.delivered());
         }
         match record.status {
-            RequestStatus::Refused(reason) => *self.refusals.entry(reason).or_default() += 1,
+            RequestStatus::Failed(reason) => *self.refusals.entry(reason).or_default() += 1,
             RequestStatus::Pending => self.unfinished += 1,
             RequestStatus::Delivered(_) => {}
         }
@@ -119,8 +119,8 @@
         self.reruns += u64::from(at_most_once && record.runs > 1);
         self.sent_to_withdrawn += u64::from(record.withdrawn);
         if record.dispatches > 0 {
-            self.dispatched += 1;
-            self.dispatches += u64::from(record.dispatches);
+            self.requests_with_attempts += 1;
+            self.attempts += u64::from(record.dispatches);
             self.steps += u64::try_from(record.tried.len().max(1)).unwrap_or(1);
         }
     }
@@ -186,8 +186,8 @@
             affected: float(self.affected) / seeds,
             quarantine: self.quarantine,
             pool_utilization: self.pool_utilization.iter().map(|it| it / seeds).collect(),
-            attempts_per_step: 1.0 + ratio(self.dispatches - self.steps, self.dispatched),
-            dispatches: ratio(self.dispatches, self.dispatched),
+            attempts_per_step: 1.0 + ratio(self.attempts - self.steps, self.requests_with_attempts),
+            dispatches: ratio(self.attempts, self.requests_with_attempts),
             moved_sessions: self.moved,
             reruns: self.reruns,
             sent_to_withdrawn: self.sent_to_withdrawn,
--- a/crates/experiment/src/tally/bound.rs
+++ b/crates/experiment/src/tally/bound.rs
@@ -19,9 +19,9 @@
 }
 
 fn class_bound(truth: &GroundTruth<'_>, arrivals: &[Arrival], class: ClassIdx, target: f64) -> f64 {
-    let mut extras = Vec::new();
+    let mut extra_costs = Vec::new();
     let mut total = 0;
-    let mut missed = 0;
+    let mut without_good_response = 0;
     for arrival in arrivals.iter().filter(|it| it.class == class) {
         let cost = |it| {
             truth
@@ -38,17 +38,17 @@
             .min();
         total += cheapest;
         match good {
-            Some(good) => extras.push(good - cheapest),
-            None => missed += 1,
+            Some(good) => extra_costs.push(good - cheapest),
+            None => without_good_response += 1,
         }
     }
-    extras.sort_unstable();
-    let all = extras.len() + missed;
+    extra_costs.sort_unstable();
+    let all = extra_costs.len() + without_good_response;
     let needed = (1..=all)
         .take_while(|it| share(*it, all) <= target)
         .count()
-        .min(extras.len());
-    float(total + extras.iter().take(needed).sum::<u64>())
+        .min(extra_costs.len());
+    float(total + extra_costs.iter().take(needed).sum::<u64>())
 }
 
 fn share(part: usize, whole: usize) -> f64 {
--- a/crates/experiment/tests/core.rs
+++ b/crates/experiment/tests/core.rs
@@ -21,8 +21,8 @@
         expect_that!(core.unfinished, eq(0), "{workload}");
         expect_that!(core.reruns, eq(0), "{workload}");
         expect_that!(core.sent_to_withdrawn, eq(0), "{workload}");
-        let broken = core.refusals.keys().find(|it| it.starts_with("delivered_"));
-        expect_that!(broken, none(), "{workload}");
+        let bad_delivery = core.refusals.keys().find(|it| it.starts_with("delivered_"));
+        expect_that!(bad_delivery, none(), "{workload}");
     }
 }
 
@@ -36,7 +36,7 @@
 /// Guards against retrying a request that isn't idempotent after its engine failed and may have
 /// run it.
 #[gtest]
-fn requests_that_are_not_idempotent_run_once_when_a_version_fails() {
+fn requests_that_are_not_idempotent_run_at_most_once_when_a_version_fails() {
     check("errors");
 }
 
--- a/crates/experiment/tests/golden.rs
+++ b/crates/experiment/tests/golden.rs
@@ -9,7 +9,7 @@
 use experiment::{Case, Options, RouterKind, Scenario, Seeds, Workload, case};
 
 #[test]
-fn scenarios_under_the_baselines() {
+fn baseline_figures_match_the_golden_output() {
     walk("tests/cases", |file| file.run(|test| check(test)));
 }
 
--- a/crates/experiment/tests/plan.rs
+++ b/crates/experiment/tests/plan.rs
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn a_hard_request_may_fail_at_every_version() {
+fn a_second_version_does_not_help_when_hard_requests_fail_at_every_version() {
     // Both versions fail at all hard requests, so a second version doesn't help.
     let same = |cost| Choice::new(cost, [1.0, 0.0], SHARP);
     let problem = Problem {
