--- a/crates/experiment/src/configuration.rs
+++ b/crates/experiment/src/configuration.rs
@@ -53,8 +53,9 @@
         self.rollout = Some((version, replaces));
     }
 
-    /// Sets the share of the version that is being rolled out, unless the configuration has changed
-    /// since `revision`. Returns whether the step was applied.
+    /// Sets the share of a version if it is being rolled out and the configuration still has
+    /// `revision`. A share of 1 makes the version active and ends the roll-out. Returns whether the
+    /// step was applied.
     pub(crate) fn apply_rollout_step(
         &mut self,
         version: VersionIdx,
@@ -76,7 +77,7 @@
     }
 
     /// Returns whether new requests may go to a version.
-    pub(crate) fn takes_work(&self, version: VersionIdx) -> bool {
+    pub(crate) fn accepts_requests(&self, version: VersionIdx) -> bool {
         matches!(self.states[version.idx()], State::Active | State::Trial(_))
     }
 }
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,7 +1,7 @@
-//! Simulates the decision core and baseline routers on a virtual clock.
+//! Runs the decision core and baseline routers against simulated callers, endpoints and a simulated
+//! rating service, on a virtual clock.
 //!
-//! The callers, endpoints and rating service are simulated as well. See
-//! `docs/design/experiment.md` for the figures and the method, and `docs/scenarios.md` for the
+//! See `docs/design/experiment.md` for the figures and the method, and `docs/scenarios.md` for the
 //! scenario language.
 
 mod arrival;
@@ -25,7 +25,7 @@
 mod workload;
 
 pub use error::Error;
-pub use options::{Options, REPORTED, Seeds, TUNED};
+pub use options::{Options, REPORT_SEEDS, Seeds, TUNING_SEEDS};
 pub use plan::{Choice, Plan, Problem};
 pub use report::{Aim, Case, ClassFigures, CustomerFigures, Figures, Latency, Quarantine, Report};
 pub use router::RouterKind;
--- a/crates/experiment/src/record.rs
+++ b/crates/experiment/src/record.rs
@@ -43,7 +43,8 @@
     Pending,
     /// A response was delivered; `None` at a plain service.
     Delivered(Option<(VersionIdx, Response)>),
-    Refused(&'static str),
+    /// The request ended without a delivered response, for this reason.
+    Failed(&'static str),
 }
 
 impl Record {
@@ -51,7 +52,7 @@
     pub(crate) fn response(&self) -> Option<(VersionIdx, Response)> {
         match self.status {
             RequestStatus::Delivered(response) => response,
-            RequestStatus::Pending | RequestStatus::Refused(_) => None,
+            RequestStatus::Pending | RequestStatus::Failed(_) => None,
         }
     }
 
--- a/crates/experiment/src/router/baseline.rs
+++ b/crates/experiment/src/router/baseline.rs
@@ -17,7 +17,8 @@
 /// The confidence below which the static cascade tries the next version.
 const CONFIDENCE_THRESHOLD: f64 = 0.6;
 
-/// Maximum attempts at one version, after which the request is refused.
+/// Maximum attempts at a version or the plain service that end without a response. A request that
+/// isn't idempotent is refused after the first one that may have run.
 const MAX_ATTEMPTS_PER_VERSION: u32 = 3;
 
 /// A router that chooses versions by a fixed rule or by the oracle's plan, and endpoints by load.
@@ -109,7 +110,7 @@
         let request = Request {
             host,
             arrival: arrival.clone(),
-            pin: pin.filter(|it| self.configuration.takes_work(*it)),
+            pin: pin.filter(|it| self.configuration.accepts_requests(*it)),
             version_plan,
             tried: Vec::new(),
             current: None,
@@ -149,7 +150,7 @@
             let seen = request.tried.iter().map(|it| it.confidence);
             return version_plan.next(self.keyed_rng, &request.arrival, &seen.collect::<Vec<_>>());
         }
-        let active = World::ACTIVE.map(|it| self.configuration.takes_work(it).then_some(it));
+        let active = World::ACTIVE.map(|it| self.configuration.accepts_requests(it).then_some(it));
         let active = active.into_iter().flatten().collect::<Vec<_>>();
         let position = request.tried.len();
         let Some(last) = request.tried.last() else {
--- a/crates/experiment/src/tally/bound.rs
+++ b/crates/experiment/src/tally/bound.rs
@@ -5,12 +5,12 @@
     workload::{ClassIdx, World},
 };
 
-/// Returns a lower bound of the cost at which each class meets its target, given knowledge of
-/// every response in advance.
+/// Returns a lower bound of the cost at which each class meets its target with the versions of
+/// [`World::ACTIVE`], given knowledge of every response in advance.
 ///
-/// Each request goes to the cheapest version whose response is good, except that as many as the
-/// target allows, the most expensive ones first, take the cheapest version's bad response. Ignores
-/// capacity, sessions and the measurement window.
+/// Each request takes the cheapest version, except that the requests with the least extra cost of a
+/// good response, up to the target's share, take that response instead. Responses are those at the
+/// arrival time. Ignores capacity, sessions, withdrawals and the measurement window.
 pub(crate) fn clairvoyant_cost(truth: &GroundTruth<'_>, arrivals: &[Arrival]) -> f64 {
     let models = truth.world.classes().filter(|(_, it)| it.is_model());
     models
@@ -19,9 +19,9 @@
 }
 
 fn class_bound(truth: &GroundTruth<'_>, arrivals: &[Arrival], class: ClassIdx, target: f64) -> f64 {
-    let mut extras = Vec::new();
+    let mut extra_costs = Vec::new();
     let mut total = 0;
-    let mut missed = 0;
+    let mut without_good_response = 0;
     for arrival in arrivals.iter().filter(|it| it.class == class) {
         let cost = |it| {
             truth
@@ -38,17 +38,17 @@
             .min();
         total += cheapest;
         match good {
-            Some(good) => extras.push(good - cheapest),
-            None => missed += 1,
+            Some(good) => extra_costs.push(good - cheapest),
+            None => without_good_response += 1,
         }
     }
-    extras.sort_unstable();
-    let all = extras.len() + missed;
+    extra_costs.sort_unstable();
+    let all = extra_costs.len() + without_good_response;
     let needed = (1..=all)
         .take_while(|it| share(*it, all) <= target)
         .count()
-        .min(extras.len());
-    float(total + extras.iter().take(needed).sum::<u64>())
+        .min(extra_costs.len());
+    float(total + extra_costs.iter().take(needed).sum::<u64>())
 }
 
 fn share(part: usize, whole: usize) -> f64 {
--- a/crates/experiment/tests/core.rs
+++ b/crates/experiment/tests/core.rs
@@ -4,8 +4,8 @@
 use googletest::prelude::*;
 
 /// Runs a scenario in quick mode with both workloads. Checks that each request ends, that no
-/// request runs more than once unless it is idempotent, and that a withdrawn version gets no
-/// requests.
+/// request runs more than once unless it is idempotent, that a withdrawn version gets no requests,
+/// and that only the responses of known, finished attempts are delivered.
 fn check(scenario: &str) {
     let scenario = Scenario::shipped(scenario).expect("a shipped scenario");
     let options = Options {
@@ -21,8 +21,8 @@
         expect_that!(core.unfinished, eq(0), "{workload}");
         expect_that!(core.reruns, eq(0), "{workload}");
         expect_that!(core.sent_to_withdrawn, eq(0), "{workload}");
-        let broken = core.refusals.keys().find(|it| it.starts_with("delivered_"));
-        expect_that!(broken, none(), "{workload}");
+        let bad_delivery = core.refusals.keys().find(|it| it.starts_with("delivered_"));
+        expect_that!(bad_delivery, none(), "{workload}");
     }
 }
 
@@ -36,7 +36,7 @@
 /// Guards against retrying a request that isn't idempotent after its engine failed and may have
 /// run it.
 #[gtest]
-fn requests_that_are_not_idempotent_run_once_when_a_version_fails() {
+fn requests_that_are_not_idempotent_run_at_most_once_when_a_version_fails() {
     check("errors");
 }
 
