--- a/crates/decide/src/action.rs
+++ b/crates/decide/src/action.rs
@@ -34,9 +34,9 @@
     Publish(Evidence),
     /// Sends this host's demand to the other hosts.
     Demand(Demand),
-    /// Sends a response to the rating service. Precedes the request's `Deliver` or the dispatch of
-    /// its next step, while the driver still has the response. A response that is being relayed is
-    /// sent once it is complete.
+    /// Sends a response to the rating service. Emitted when the response is complete, before the
+    /// request's `Deliver` or the dispatch of its next step, while the driver still has the
+    /// response.
     Sample {
         /// The request.
         request: key::Request,
--- a/crates/decide/src/attempts.rs
+++ b/crates/decide/src/attempts.rs
@@ -9,7 +9,7 @@
 
 /// The attempts in flight, by key and by the id that the driver uses.
 ///
-/// Ids are consecutive from 1; drivers may rely on their being small.
+/// Ids are consecutive from 1; drivers may rely on that.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
     by_key: SlotMap<Key, Attempt>,
--- a/crates/decide/src/class_traffic.rs
+++ b/crates/decide/src/class_traffic.rs
@@ -17,8 +17,9 @@
     /// Prompt tokens per request.
     pub(crate) prompt: Mean,
     pub(crate) first_seen: FirstSeen,
-    /// Requests not pinned to a version. Halved, like `pinned`, when the sum of both
-    /// exceeds [`MAX_REQUEST_COUNT`].
+    /// Requests not pinned to a version. Halved, like `pinned`, when
+    /// [`Self::record_requests`] finds that the sum of both exceeds
+    /// [`MAX_REQUEST_COUNT`].
     pub(crate) free: f64,
     /// Requests pinned to a version by their session.
     pub(crate) pinned: f64,
@@ -32,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FirstSeen {
     Never,
-    /// The first request, at this or another host, came at this time.
+    /// This host first learned of a request, its own or another host's, at this time.
     At(Duration),
     /// Another host has sent its statistics of the class.
     ByPeer,
--- a/crates/decide/src/confidence_model.rs
+++ b/crates/decide/src/confidence_model.rs
@@ -5,8 +5,9 @@
 
 /// Iterations of the expectation-maximization fit.
 const FIT_ITERATIONS: u32 = 12;
-/// Maximum number of unrated responses that count, since the distributions may
-/// differ in this class.
+/// The maximum number of unrated responses that count in one fit, because the
+/// confidence distributions, estimated over all classes, may differ from those of
+/// the fitted class.
 const MAX_UNRATED: f64 = 1200.0;
 /// The weight of an unrated response relative to a rating.
 const UNRATED_WEIGHT: f64 = 0.35;
--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -113,7 +113,7 @@
 
     /// Returns the step of the pinned version if the session keeps it; else the current step if its
     /// version may still be used; else the first step of a new plan. Updates the request's plan and
-    /// session.
+    /// session. Fails with `NoEndpoint` if the kept version has no endpoint.
     fn version_step(
         &mut self,
         now: Duration,
--- a/crates/decide/src/decider/configure.rs
+++ b/crates/decide/src/decider/configure.rs
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Applies an update of an endpoint and dispatches queued requests to it.
+    /// Applies an update of an endpoint and dispatches requests queued for its versions or service.
     pub(super) fn endpoint(&mut self, now: Duration, update: &Update, actions: &mut Vec<Action>) {
         let before = self.directory.availability_hash();
         let key = self.directory.update(now, &self.policy, update);
         if self.directory.availability_hash() != before {
-            // A version got its first endpoint or lost its last one.
+            // A version or service got its first endpoint or lost its last one.
             self.plans.invalidate();
         }
         if let Some(key) = key {
--- a/crates/decide/src/decider/end.rs
+++ b/crates/decide/src/decider/end.rs
@@ -176,7 +176,7 @@
     }
 
     /// Makes the retry avoid the endpoint, and also the version if the last two failures after which
-    /// the request may have run were both with it.
+    /// the request may have run were both with it and the request may use another.
     fn prepare_retry(&mut self, now: Duration, attempt: &Attempt, outcome: Outcome) {
         let key = attempt.request;
         let Some(request) = self.requests.get_mut(key) else {
--- a/crates/decide/src/decider/failures.rs
+++ b/crates/decide/src/decider/failures.rs
@@ -82,10 +82,10 @@
         }
     }
 
-    /// Returns whether an attempt had an endpoint known to have free capacity and far more time than
-    /// usual.
-    /// If the usual time is unknown, any time is enough. A timeout at a full endpoint, or shortly
-    /// before the deadline, is caused by overload and not by the version.
+    /// Returns whether the endpoint was known to have free capacity and the attempt's timeout was
+    /// at least `AMPLE_TIME_FACTOR` times the usual duration (any timeout if that is unknown). A
+    /// timeout at a full endpoint, or shortly before the deadline, is caused by overload and not
+    /// by the version.
     fn had_ample_time(&self, attempt: &Attempt) -> bool {
         const AMPLE_TIME_FACTOR: u32 = 4;
         let usual = self.expected_latency(attempt.request, attempt.target);
--- a/crates/decide/src/decider/learn.rs
+++ b/crates/decide/src/decider/learn.rs
@@ -68,12 +68,16 @@
             Outcome::Failed | Outcome::Cut | Outcome::TimedOut => {
                 self.learn_from_failure(now, attempt, version, outcome, actions);
             }
-            // The request didn't run, so the outcome isn't evidence about the version.
+            // The request didn't run (`Served` occurs only for plain services), so the outcome
+            // isn't evidence about the version.
             Outcome::NotSent | Outcome::Denied(_) | Outcome::Served => {}
         }
     }
 
-    /// Requests a rating of a response, depending on the value of a further rating.
+    /// Requests a rating of the response if the sampler admits it, depending on the value of a
+    /// further rating. Responses of probes, explorations, versions on trial and suspect versions
+    /// are admitted whatever the value. Once the version and class have enough ratings, all but a
+    /// random share of responses are left out.
     pub(super) fn request_rating(
         &mut self,
         now: Duration,
@@ -339,7 +343,7 @@
         rollouts.find(|it| it.version == version)?.replaces
     }
 
-    /// Returns the expected share of bad ratings for such a response.
+    /// Returns the expected share of bad ratings for a response with the properties of `sample`.
     fn expected_bad_rate(&self, version: key::Version, class: ClassIndex, sample: Sample) -> f64 {
         let kind = |version| ResponseKind {
             version,
--- a/crates/decide/src/decider/place.rs
+++ b/crates/decide/src/decider/place.rs
@@ -20,7 +20,9 @@
 }
 
 impl Decider {
-    /// Dispatches the request's current step, queues it, or refuses the request.
+    /// Dispatches the request's current step. If it can't be sent now, skips the step if it is
+    /// a probe, else queues the request; if it may not be queued, dispatches it to another version
+    /// with capacity or gives it up.
     pub(super) fn place(&mut self, now: Duration, key: request::Key, actions: &mut Vec<Action>) {
         let next = match self.next_step(now, key, actions) {
             Ok(next) => next,
--- a/crates/decide/src/decider/plan.rs
+++ b/crates/decide/src/decider/plan.rs
@@ -52,7 +52,8 @@
         Ok(self.with_probe(now, &input, &entry, usual))
     }
 
-    /// Replaces versions by those on trial, for the share of requests given by each roll-out.
+    /// Replaces versions by those on trial, for the share of requests given by each roll-out. A
+    /// roll-out that replaces no version replaces the whole plan.
     pub(super) fn with_trials(&mut self, input: &PlanInput, plan: Plan) -> Plan {
         let policy = Arc::clone(&self.policy);
         let mut plan = plan;
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -46,6 +46,8 @@
         Ok(())
     }
 
+    /// Queues the request: at the front of its customer's backlog if it has been attempted before,
+    /// else at the end.
     pub(super) fn enqueue(&mut self, key: request::Key, target: Target) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Returns whether a plain service has reached its limit of attempts in flight from this host.
+    /// Returns whether this host's attempts in flight, at its subset of a plain service's
+    /// endpoints, have reached the service's limit.
     pub(super) fn is_at_limit(&self, target: Target) -> bool {
         match target {
             Target::Version(_) => false,
@@ -107,10 +110,11 @@
         }
     }
 
-    /// Returns the time limit of an attempt. If another attempt could follow, the limit is half of
-    /// the remaining time, or a multiple of the usual latency if that is longer, so that an
-    /// endpoint that hangs leaves time for a retry. A model response that is relayed while it is
-    /// received gets all of the remaining time, since it can't be replaced once it has started.
+    /// Returns the time limit of an attempt. For an idempotent request with a known usual latency,
+    /// it is half of the remaining time, or a multiple of the usual latency if that is longer (at
+    /// most all of the time), so that an endpoint that hangs leaves time for a retry. All other
+    /// attempts get all of the remaining time, and so does a model response that is relayed while
+    /// it is received, since it can't be replaced once it has started.
     pub(super) fn timeout(&self, now: Duration, key: request::Key, next: NextStep) -> Duration {
         const TIMEOUT_LATENCY_FACTOR: u32 = 5;
         let Some(request) = self.requests.get(key) else {
--- a/crates/decide/src/demand.rs
+++ b/crates/decide/src/demand.rs
@@ -18,7 +18,7 @@
 pub struct Rate {
     /// The customer.
     pub customer: Customer,
-    /// Chat requests.
+    /// Model requests.
     pub chat: Flow,
     /// Calls of plain services, which have separate limits.
     pub calls: Flow,
--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -17,7 +17,7 @@
 /// from; see `docs/design/decide-endpoints.md`. A prompt prefix may still lead to
 /// an endpoint that is no longer among them.
 const SUBSET_SIZE: usize = 24;
-/// The number of slots in the table from prompt prefix to endpoint.
+/// The number of entries in the table from prompt prefix to endpoint.
 const PREFIX_SLOTS: usize = 4096;
 /// The utilization from which on prefix affinity is ignored.
 const MAX_AFFINITY_UTILIZATION: f64 = 0.75;
@@ -36,7 +36,7 @@
     pub(crate) priority: Priority,
     /// The hash of the prompt prefix, or 0.
     pub(crate) prefix: u64,
-    /// The endpoint of the previous attempt, which is excluded.
+    /// An endpoint that is excluded, if any.
     pub(crate) avoid: Option<Key>,
 }
 
--- a/crates/decide/src/endpoint.rs
+++ b/crates/decide/src/endpoint.rs
@@ -28,8 +28,9 @@
     }
 }
 
-/// The current state of an endpoint. Each update replaces the previous one; an
-/// update with a different incarnation, even a lower one, removes the known endpoint.
+/// The current state of an endpoint. Each update replaces the previous one, except that
+/// a missing load report, or one of no slots, keeps the last. An update with a different
+/// incarnation, even a lower one, removes the known endpoint.
 #[derive(Clone, Debug)]
 pub struct Update {
     /// The endpoint.
--- a/crates/decide/src/event.rs
+++ b/crates/decide/src/event.rs
@@ -52,7 +52,8 @@
         verdict: Verdict,
     },
     /// A summary of what another host has learned, see [`Decider::digest`](crate::Decider::digest).
-    /// Requested once, by a starting host; ignored by a host that already has enough observations.
+    /// Requested once, by a starting host. Its statistics are ignored by a host that has already
+    /// recorded enough.
     Digest(Evidence),
     /// The number of live entry hosts changed.
     Hosts {
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -38,10 +38,11 @@
     pub version: VersionId,
     /// The class.
     pub class: key::Class,
-    /// Complete responses of first steps by confidence bucket.
+    /// Complete responses of first steps by confidence bucket, including those of all
+    /// probes and explorations.
     pub answered: [u32; BUCKETS],
-    /// Complete responses of later steps, after another version's response was
-    /// rejected, by confidence bucket.
+    /// Complete responses of later steps by confidence bucket: those received after
+    /// another response to the request was kept as fallback.
     pub later_answered: [u32; BUCKETS],
     /// Failures attributed to the version.
     pub failed: u32,
--- a/crates/decide/src/forecast.rs
+++ b/crates/decide/src/forecast.rs
@@ -9,9 +9,9 @@
     pub(crate) version: key::Version,
     /// The cost of a response in microcents.
     pub(crate) cost: f64,
-    /// The quality as the first step of a cascade.
+    /// The quality of a cascade's first step, from responses at `StepPosition::First`.
     pub(crate) first: Curve,
-    /// The quality as a later step, after another version's response was rejected.
+    /// The quality of a later step, from responses at `StepPosition::Later`.
     pub(crate) later: Curve,
     /// The number of ratings of the version in the class.
     pub(crate) ratings: f64,
--- a/crates/decide/src/key.rs
+++ b/crates/decide/src/key.rs
@@ -32,13 +32,13 @@
 }
 
 index_key! {
-    /// An entry of [`Policy::versions`](crate::Policy::versions).
+    /// The key of an entry of [`Policy::versions`](crate::Policy::versions).
     Version;
-    /// An entry of [`Policy::profiles`](crate::Policy::profiles).
+    /// The key of an entry of [`Policy::profiles`](crate::Policy::profiles).
     Profile;
-    /// An entry of [`Policy::customers`](crate::Policy::customers).
+    /// The key of an entry of [`Policy::customers`](crate::Policy::customers).
     Customer;
-    /// An entry of [`Policy::services`](crate::Policy::services).
+    /// The key of an entry of [`Policy::services`](crate::Policy::services).
     Service;
 }
 
--- a/crates/decide/src/knowledge.rs
+++ b/crates/decide/src/knowledge.rs
@@ -56,7 +56,8 @@
 }
 
 impl Knowledge {
-    /// Creates an instance with priors only; `noise` is the fraction of wrong ratings.
+    /// Creates an instance with priors only; `noise` is the prior fraction of wrong
+    /// ratings.
     pub(crate) fn new(noise: f64) -> Self {
         let prior = ConfidenceModel::prior(noise);
         Self {
@@ -141,7 +142,7 @@
         self.classes[class.0].spending.add(now, float(cost.0));
     }
 
-    /// Returns the value of a rating of such a response, in arbitrary units. It
+    /// Returns the value of a rating of a response of this kind, in arbitrary units. It
     /// grows with the spending of the class and the uncertainty of the estimate.
     pub(crate) fn rating_value(&self, now: Duration, kind: ResponseKind) -> f64 {
         let spending = self.classes[kind.class.0].spending.rate(now);
@@ -231,7 +232,7 @@
         (mean, high)
     }
 
-    /// Returns the distribution of such responses over the confidence buckets.
+    /// Returns the distribution of responses of this kind over the confidence buckets.
     pub(crate) fn confidence_distribution(&self, kind: ResponseKind) -> [f64; BUCKETS] {
         let it = self.versions.get(kind.version.index());
         it.map_or([0.0; BUCKETS], |it| it.confidence_distribution(kind))
@@ -243,7 +244,7 @@
         *it.map_or(&self.general, |it| &it.model).bad_distribution()
     }
 
-    /// Returns the probability that such a response is rated bad.
+    /// Returns the probability that a response of this kind and bucket is rated bad.
     pub(crate) fn bad_rating_chance(&self, kind: ResponseKind, bucket: Bucket) -> f64 {
         let it = self.versions.get(kind.version.index());
         it.map_or(0.5, |it| {
@@ -259,7 +260,7 @@
         self.stats(version, class).map_or(0.0, both)
     }
 
-    /// Returns the decayed number of such responses.
+    /// Returns the decayed number of responses of this kind.
     pub(crate) fn responses(&self, kind: ResponseKind) -> f64 {
         let stats = self.stats(kind.version, kind.class);
         stats.map_or(0.0, |it| it.step(kind.position).histogram.responses())
--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -189,9 +189,9 @@
         }
         let ratio =
             (rate_with_fault(normal.failure_rate, FAULT_SHARES[0]) / normal.failure_rate).ln();
-        // Failures at the endpoint that failed last, or at an unknown one, can't raise
-        // the statistic to the threshold on their own, so that one broken endpoint
-        // doesn't quarantine the version.
+        // If the version has at least two live endpoints, failures at the endpoint that
+        // failed last, or at an unknown one, can't raise the statistic to the threshold
+        // on their own, so that one broken endpoint doesn't quarantine the version.
         let is_single_endpoint = normal.endpoints < 2;
         let limit = if repeated && !is_single_endpoint {
             0.6 * ERROR_THRESHOLD
@@ -200,7 +200,7 @@
         };
         self.errors
             .add_capped(limit, ratio.min(MAX_FAILURE_LOG_RATIO), count);
-        // A version with a single endpoint can't fail at several.
+        // A version with fewer than two endpoints can't fail at several.
         let at_several_endpoints = is_single_endpoint || self.failed_endpoints[1].is_some();
         if self.errors.sum() >= ERROR_THRESHOLD && at_several_endpoints {
             // Several failures in a row suggest a fault of nearly all responses.
@@ -275,8 +275,9 @@
                 + seen.good * ((1.0 - bad_rate) / (1.0 - normal)).ln()
         };
         if let Some(it) = self.quarantine {
-            // Ratings arrive minutes late. Ratings of responses from before the
-            // quarantine would end it although the fault persists.
+            // Ratings arrive minutes late. Those of responses from before the quarantine,
+            // or of an unknown time (from other hosts), are ignored: they would end it
+            // although the fault persists.
             let probe = seen.answered.is_some_and(|at| at >= it.started_at);
             if probe && matches!(it.cause, Cause::Ratings | Cause::Confidence) {
                 self.record_in_quarantine(now, -ratio(it.fault_share));
--- a/crates/decide/src/plan_cache.rs
+++ b/crates/decide/src/plan_cache.rs
@@ -12,8 +12,8 @@
 /// The maximum age of a reused plan.
 const MAX_AGE: Duration = Duration::from_secs(10);
 
-/// Identifies a set of allowed versions. Customers and profiles with the same
-/// set share plans.
+/// Identifies a set of allowed versions. Customers with the same set share the plans
+/// of a profile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct VersionSetId(usize);
 
@@ -89,7 +89,8 @@
         *self.set_ids.get(profile.index())?.get(customer.index())?
     }
 
-    /// Returns the cached plan unless it is too old or too much was learned since.
+    /// Returns the cached plan if it is younger than [`ALWAYS_REUSED_AGE`], or younger
+    /// than [`MAX_AGE`] and not outdated.
     pub(crate) fn get(
         &self,
         now: Duration,
@@ -99,7 +100,7 @@
         let it = self.entries.get(&key)?;
         let age = now.saturating_sub(it.made_at);
         let learned = knowledge_revision.saturating_sub(it.knowledge_revision);
-        // Outdated if the observations since then exceed 2 % of those before.
+        // Outdated if the knowledge revision has grown by more than 2 %.
         let outdated = learned * 50 > it.knowledge_revision;
         let reusable = age < ALWAYS_REUSED_AGE || (age < MAX_AGE && !outdated);
         reusable.then_some(*it)
--- a/crates/decide/src/planner.rs
+++ b/crates/decide/src/planner.rs
@@ -40,8 +40,8 @@
     pub(crate) cap: f64,
     /// The maximum number of steps.
     pub(crate) steps: usize,
-    /// The share of requests that continue a session. They use the version that
-    /// answered the session's first request, in a single step.
+    /// The share of requests that continue a session. They use, in a single step, the
+    /// version whose response to the session's first request was accepted.
     pub(crate) pinned: f64,
 }
 
@@ -52,9 +52,10 @@
     quality: f64,
 }
 
-/// Returns the cheapest mix of plans that meets the goal. If none does, returns the
-/// plan of highest quality within the cost cap, or the cheapest plan if all exceed
-/// the cap. Returns `None` if there is no version.
+/// Returns the cheapest mix of plans found that meets the goal. If none does, returns
+/// a plan within the cost cap whose quality is in the highest interval that such plans
+/// reach, or the cheapest plan if all exceed the cap. Returns `None` if there is no
+/// version.
 pub(crate) fn find_cheapest_mix(forecasts: &[Forecast], goal: &Goal) -> Option<Mix> {
     let mut candidates = Candidates::new(goal);
     for it in forecasts {
@@ -70,7 +71,7 @@
     candidates.mix()
 }
 
-/// Returns the versions whose quality plus one standard error exceeds that of
+/// Returns the versions whose quality plus one standard error exceeds the quality of
 /// every cheaper version, at most [`MAX_COMBINED_VERSIONS`], in order of cost.
 fn frontier(forecasts: &[Forecast]) -> Vec<Forecast> {
     let mut sorted = forecasts.to_vec();
@@ -82,7 +83,7 @@
         keep
     });
     if sorted.len() > MAX_COMBINED_VERSIONS {
-        // Keeps the cheapest and the best; those in between rarely combine well.
+        // Keeps the cheapest and the most expensive; those in between rarely combine well.
         let best = sorted.split_off(sorted.len() - MAX_COMBINED_VERSIONS / 2);
         sorted.truncate(MAX_COMBINED_VERSIONS - best.len());
         sorted.extend(best);
@@ -193,10 +194,10 @@
 }
 
 impl Expectation {
-    /// Includes the later requests of the sessions that the plan starts, which use
-    /// the version that answered first, in a single step. `accepted` lists the
-    /// versions with the share of requests for which each one's response is
-    /// accepted; `pinned` is the share of later requests.
+    /// Includes the later requests of the sessions that the plan starts. They use, in a
+    /// single step, the version whose response to the session's first request was
+    /// accepted. `accepted` lists the versions with the share of requests for which
+    /// each one's response is accepted; `pinned` is the share of later requests.
     fn with_sessions(self, accepted: &[(&Forecast, f64)], pinned: f64) -> Self {
         let free = 1.0 - pinned;
         let mut it = Self {
--- a/crates/decide/src/policy/service.rs
+++ b/crates/decide/src/policy/service.rs
@@ -18,6 +18,7 @@
     pub priority: Priority,
     /// The time limit if the caller sets no deadline.
     pub deadline: Duration,
-    /// Maximum number of calls that this host may have in flight to the service.
+    /// The number of calls in flight from this host, at its subset of the live endpoints,
+    /// from which on further calls are queued. Hedges may exceed it.
     pub concurrency: u32,
 }
--- a/crates/decide/src/pool.rs
+++ b/crates/decide/src/pool.rs
@@ -52,7 +52,8 @@
         self.seconds.value(1).unwrap_or(0.0)
     }
 
-    /// Returns how long to wait for the first byte before hedging.
+    /// Returns how long to wait for the first byte before hedging, or `None` if too few
+    /// first bytes were timed.
     pub(crate) fn hedge_after(&self) -> Option<Duration> {
         const MIN_SAMPLES: u32 = 30;
         let high = self.first_byte.high(MIN_SAMPLES)?;
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -92,7 +92,7 @@
         level.len += 1;
     }
 
-    /// Returns a request to the front of its customer's backlog.
+    /// Inserts a request at the front of its customer's backlog.
     pub(crate) fn push_front(&mut self, entry: Entry, weight: f64) {
         let level = &mut self.levels[entry.priority.index()];
         let backlog = level.backlog(entry.customer, weight);
--- a/crates/decide/src/refusal.rs
+++ b/crates/decide/src/refusal.rs
@@ -24,7 +24,7 @@
     NotAllowed,
     /// The customer has exceeded its request rate.
     RateLimited,
-    /// The customer has too many requests in flight.
+    /// The customer has too many requests in flight or queued.
     ConcurrencyLimited,
     /// The queue is full, the expected wait is too long, or an endpoint was at capacity.
     Overloaded,
@@ -32,11 +32,13 @@
     Deadline,
     /// All versions that the customer may use are withdrawn.
     NoVersion,
-    /// No live endpoint serves the version or service.
+    /// No live endpoint serves the service, the session's version or, without one, any version
+    /// that the customer may use.
     NoEndpoint,
     /// The request would exceed the profile's cost cap.
     CostCap,
-    /// The attempts failed, and the request can't be retried.
+    /// The attempts failed or returned no acceptable response, and the request can't be attempted
+    /// again.
     UpstreamFailed,
     /// The attempt failed after part of its response may have been relayed.
     AnswerCut,
--- a/crates/decide/src/request.rs
+++ b/crates/decide/src/request.rs
@@ -39,11 +39,14 @@
     pub(crate) run: Run,
     /// The attempts in flight; two if the request is hedged.
     pub(crate) in_flight: [Option<attempt::Key>; 2],
-    /// A response of low confidence, delivered if no better one is received.
+    /// The last response that wasn't accepted, delivered if no later one is. A probe's or
+    /// exploration's response doesn't replace an earlier one; one of a version that is quarantined
+    /// when it responds isn't kept.
     pub(crate) fallback: Option<Fallback>,
     /// Whether part of a response may have been relayed.
     pub(crate) relayed: bool,
-    /// The endpoint of the previous attempt, which the next one avoids.
+    /// The endpoint of the last attempt that was retried or considered for hedging. It is avoided
+    /// until a tick finds the request queued.
     pub(crate) avoided_replica: Option<replica::Key>,
     /// The version of the last failed attempt that may have run.
     pub(crate) last_failed_version: Option<key::Version>,
@@ -51,7 +54,7 @@
     pub(crate) waiting_for: Option<Target>,
 }
 
-/// A response to deliver if no better one is received.
+/// A response to deliver if no later one is accepted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fallback {
     pub(crate) attempt: AttemptId,
--- a/crates/decide/src/response_stats.rs
+++ b/crates/decide/src/response_stats.rs
@@ -10,8 +10,8 @@
 
 /// Statistics of the responses of one version, in one class or over all classes.
 ///
-/// The first and the later steps of a cascade are separate, because later steps
-/// get the harder requests, for which another version's response was rejected.
+/// The positions of [`StepPosition`] are separate, because later steps mostly get the
+/// harder requests, for which another version's response was rejected.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ResponseStats {
     pub(crate) first: StepStats,
@@ -31,8 +31,8 @@
     updates_since_fit: u32,
 }
 
-/// The position of a response in a cascade: the first, or one after another
-/// version's response was rejected.
+/// The position of a response in a cascade: `Later` if another response to the request
+/// was kept as fallback before. Probes and explorations always count as `First`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StepPosition {
     First,
--- a/crates/decide/src/tuning.rs
+++ b/crates/decide/src/tuning.rs
@@ -15,7 +15,7 @@
     pub max_attempts: u32,
     /// The retry budget earned per request, shared by retries and hedges.
     pub retry_share: f64,
-    /// The share of ratings that are assumed to be wrong.
+    /// The prior share of wrong ratings, which the ratings received correct.
     pub rating_noise: f64,
     /// The maximum number of responses sent to the rating service per second.
     pub sample_rate: f64,
@@ -25,9 +25,9 @@
     /// The share of requests that explore a version outside the plan, before the factors for its
     /// ratings and cost.
     pub explore_share: f64,
-    /// The queue length for one version or service at this host. At each priority, a customer may
-    /// queue twice its weight's share of this length, at least 4 requests and at most this length.
-    /// All customers together may queue at most twice this length.
+    /// The queue length for one version or service at this host. At each priority, a customer's
+    /// limit is twice its weight's share of this length, at most this length, but never less than
+    /// 4 requests. All customers together may queue at most twice this length.
     pub queue_length: usize,
     /// The treatment of sessions whose version is quarantined.
     pub pinned_sessions: PinnedSessions,
--- a/crates/decide/src/version_stats.rs
+++ b/crates/decide/src/version_stats.rs
@@ -54,7 +54,7 @@
         &mut self.classes[class.0]
     }
 
-    /// Returns the distribution of such responses over the confidence buckets.
+    /// Returns the distribution of responses of this kind over the confidence buckets.
     pub(crate) fn confidence_distribution(&self, kind: ResponseKind) -> [f64; BUCKETS] {
         let fitted = self.model.distribution(self.cached_fit(kind).share);
         match self.classes.get(kind.class.0) {
