--- a/crates/decide/src/class_traffic.rs
+++ b/crates/decide/src/class_traffic.rs
@@ -80,7 +80,7 @@
     /// Returns `DEFAULT_SHARE` for a class with fewer than `MIN_REQUESTS` requests
     /// or first seen less than `MIN_AGE` ago: later requests of its sessions may
     /// not have arrived yet.
-    pub(crate) fn pinned(&self, now: Duration) -> f64 {
+    pub(crate) fn pinned_share(&self, now: Duration) -> f64 {
         const DEFAULT_SHARE: f64 = 0.7;
         const MIN_REQUESTS: f64 = 20.0;
         const MIN_AGE: Duration = Duration::from_secs(100);
--- a/crates/decide/src/decider/choose.rs
+++ b/crates/decide/src/decider/choose.rs
@@ -256,7 +256,7 @@
             customer: request.customer,
             class: request.class,
             max_steps: if single { 1 } else { STEPS },
-            pinned_share: knowledge.traffic(request.class).pinned(now),
+            pinned_share: knowledge.traffic(request.class).pinned_share(now),
         }
     }
 }
--- a/crates/decide/src/decider/plan.rs
+++ b/crates/decide/src/decider/plan.rs
@@ -142,7 +142,7 @@
             target: profile.target,
             cap: profile.cap.map_or(f64::MAX, |it| float(it.0)),
             steps: input.max_steps,
-            pinned: input.pinned_share,
+            pinned_share: input.pinned_share,
         };
         let mix = find_cheapest_mix(&usable, &goal).ok_or(Reason::NoVersion)?;
         Ok(CachedPlan {
--- a/crates/decide/src/decider/wait.rs
+++ b/crates/decide/src/decider/wait.rs
@@ -58,10 +58,10 @@
             customer: request.customer,
             priority: request.priority,
         };
-        let retried = request.attempts > 0;
+        let attempted = request.attempts > 0;
         let weight = self.weight(entry.customer);
         if let Some(pool) = self.pools.get_mut(target) {
-            if retried {
+            if attempted {
                 pool.queue.push_front(entry, weight);
             } else {
                 pool.queue.push(entry, weight);
--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -18,7 +18,7 @@
 /// an endpoint that is no longer among them.
 const SUBSET_SIZE: usize = 24;
 /// The number of entries in the table from prompt prefix to endpoint.
-const PREFIX_SLOTS: usize = 4096;
+const PREFIX_ENTRIES: usize = 4096;
 /// The utilization from which on prefix affinity is ignored.
 const MAX_AFFINITY_UTILIZATION: f64 = 0.75;
 
@@ -85,7 +85,7 @@
             by_name: HashMap::new(),
             by_version: Vec::new(),
             by_service: Vec::new(),
-            prefixes: vec![PrefixEntry::default(); PREFIX_SLOTS],
+            prefixes: vec![PrefixEntry::default(); PREFIX_ENTRIES],
         }
     }
 
@@ -252,7 +252,7 @@
     /// Records that the endpoint has the prefix cached.
     pub(crate) fn record_prefix(&mut self, prefix: u64, key: Key) {
         if prefix != 0 {
-            self.prefixes[prefix_slot(prefix)] = PrefixEntry { hash: prefix, key };
+            self.prefixes[prefix_index(prefix)] = PrefixEntry { hash: prefix, key };
         }
     }
 
@@ -260,7 +260,7 @@
         if criteria.prefix == 0 {
             return None;
         }
-        let entry = self.prefixes[prefix_slot(criteria.prefix)];
+        let entry = self.prefixes[prefix_index(criteria.prefix)];
         let it = self.replicas.get(entry.key)?;
         let usable = entry.hash == criteria.prefix
             && it.state == State::Live
@@ -385,7 +385,7 @@
     }
 }
 
-fn prefix_slot(prefix: u64) -> usize {
-    let size = u64::try_from(PREFIX_SLOTS).unwrap_or(1);
+fn prefix_index(prefix: u64) -> usize {
+    let size = u64::try_from(PREFIX_ENTRIES).unwrap_or(1);
     usize::try_from(key::mix(prefix, 0) % size).unwrap_or(0)
 }
--- a/crates/decide/src/monitor.rs
+++ b/crates/decide/src/monitor.rs
@@ -192,8 +192,8 @@
         // If the version has at least two live endpoints, failures at the endpoint that
         // failed last, or at an unknown one, can't raise the statistic to the threshold
         // on their own, so that one broken endpoint doesn't quarantine the version.
-        let is_single_endpoint = normal.endpoints < 2;
-        let limit = if repeated && !is_single_endpoint {
+        let has_few_endpoints = normal.endpoints < 2;
+        let limit = if repeated && !has_few_endpoints {
             0.6 * ERROR_THRESHOLD
         } else {
             f64::MAX
@@ -201,7 +201,7 @@
         self.errors
             .add_capped(limit, ratio.min(MAX_FAILURE_LOG_RATIO), count);
         // A version with fewer than two endpoints can't fail at several.
-        let at_several_endpoints = is_single_endpoint || self.failed_endpoints[1].is_some();
+        let at_several_endpoints = has_few_endpoints || self.failed_endpoints[1].is_some();
         if self.errors.sum() >= ERROR_THRESHOLD && at_several_endpoints {
             // Several failures in a row suggest a fault of nearly all responses.
             let fault_share = FAULT_SHARES[usize::from(self.consecutive_failures >= 4.0)];
@@ -278,8 +278,8 @@
             // Ratings arrive minutes late. Those of responses from before the quarantine,
             // or of an unknown time (from other hosts), are ignored: they would end it
             // although the fault persists.
-            let probe = seen.answered.is_some_and(|at| at >= it.started_at);
-            if probe && matches!(it.cause, Cause::Ratings | Cause::Confidence) {
+            let answered_in_quarantine = seen.answered.is_some_and(|at| at >= it.started_at);
+            if answered_in_quarantine && matches!(it.cause, Cause::Ratings | Cause::Confidence) {
                 self.record_in_quarantine(now, -ratio(it.fault_share));
             }
             return;
--- a/crates/decide/src/planner.rs
+++ b/crates/decide/src/planner.rs
@@ -42,7 +42,7 @@
     pub(crate) steps: usize,
     /// The share of requests that continue a session. They use, in a single step, the
     /// version whose response to the session's first request was accepted.
-    pub(crate) pinned: f64,
+    pub(crate) pinned_share: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -84,9 +84,9 @@
     });
     if sorted.len() > MAX_COMBINED_VERSIONS {
         // Keeps the cheapest and the most expensive; those in between rarely combine well.
-        let best = sorted.split_off(sorted.len() - MAX_COMBINED_VERSIONS / 2);
-        sorted.truncate(MAX_COMBINED_VERSIONS - best.len());
-        sorted.extend(best);
+        let expensive = sorted.split_off(sorted.len() - MAX_COMBINED_VERSIONS / 2);
+        sorted.truncate(MAX_COMBINED_VERSIONS - expensive.len());
+        sorted.extend(expensive);
     }
     sorted
 }
@@ -121,7 +121,7 @@
     };
     let accepted = [(first, pass), (second, escalated)];
     candidates.add_if_cheaper(
-        expected.with_sessions(&accepted, candidates.goal.pinned),
+        expected.with_sessions(&accepted, candidates.goal.pinned_share),
         || Plan::new(&[checked_step(first, threshold), Step::last(second.version)]),
     );
 }
@@ -166,7 +166,7 @@
         (third, escalated_twice),
     ];
     candidates.add_if_cheaper(
-        expected.with_sessions(&accepted, candidates.goal.pinned),
+        expected.with_sessions(&accepted, candidates.goal.pinned_share),
         || {
             let last = Step::last(third.version);
             Plan::new(&[
@@ -197,16 +197,17 @@
     /// Includes the later requests of the sessions that the plan starts. They use, in a
     /// single step, the version whose response to the session's first request was
     /// accepted. `accepted` lists the versions with the share of requests for which
-    /// each one's response is accepted; `pinned` is the share of later requests.
-    fn with_sessions(self, accepted: &[(&Forecast, f64)], pinned: f64) -> Self {
-        let free = 1.0 - pinned;
+    /// each one's response is accepted; `pinned_share` is the share of later
+    /// requests.
+    fn with_sessions(self, accepted: &[(&Forecast, f64)], pinned_share: f64) -> Self {
+        let free = 1.0 - pinned_share;
         let mut it = Self {
             cost: free * self.cost,
             quality: free * self.quality,
             variance: free * free * self.variance,
         };
         for (version, share) in accepted {
-            let share = pinned * share;
+            let share = pinned_share * share;
             it.cost += share * version.cost;
             it.quality += share * version.quality();
             it.variance += share * share * version.first.variance[0];
