--- a/crates/decide/src/decider/learn.rs
+++ b/crates/decide/src/decider/learn.rs
@@ -74,10 +74,10 @@
         }
     }
 
-    /// Requests a rating of the response if the sampler admits it, depending on the value of a
-    /// further rating. Responses of probes, explorations, versions on trial and suspect versions
-    /// are admitted whatever the value. Once the version and class have enough ratings, all but a
-    /// random share of responses are left out.
+    /// Requests a rating of the response if the sampler admits it, depending on its rate limit and
+    /// on the value of a further rating. For responses of probes, explorations, versions on trial
+    /// and suspect versions, only the rate limit counts. Once the version and class have enough
+    /// ratings, a random share of the responses isn't considered.
     pub(super) fn request_rating(
         &mut self,
         now: Duration,
