--- a/crates/decide/src/class_traffic.rs
+++ b/crates/decide/src/class_traffic.rs
@@ -17,8 +17,9 @@
     /// Prompt tokens per request.
     pub(crate) prompt: Mean,
     pub(crate) first_seen: FirstSeen,
-    /// Requests not pinned to a version. Halved, like `pinned`, when the sum of both
-    /// exceeds [`MAX_REQUEST_COUNT`].
+    /// Requests not pinned to a version. Halved, like `pinned`, when
+    /// [`Self::record_requests`] finds that the sum of both exceeds
+    /// [`MAX_REQUEST_COUNT`].
     pub(crate) free: f64,
     /// Requests pinned to a version by their session.
     pub(crate) pinned: f64,
@@ -32,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FirstSeen {
     Never,
-    /// The first request, at this or another host, came at this time.
+    /// This host first learned of a request, its own or another host's, at this time.
     At(Duration),
     /// Another host has sent its statistics of the class.
     ByPeer,
@@ -79,7 +80,7 @@
     /// Returns `DEFAULT_SHARE` for a class with fewer than `MIN_REQUESTS` requests
     /// or first seen less than `MIN_AGE` ago: later requests of its sessions may
     /// not have arrived yet.
-    pub(crate) fn pinned(&self, now: Duration) -> f64 {
+    pub(crate) fn pinned_share(&self, now: Duration) -> f64 {
         const DEFAULT_SHARE: f64 = 0.7;
         const MIN_REQUESTS: f64 = 20.0;
         const MIN_AGE: Duration = Duration::from_secs(100);
