--- a/crates/forward/src/attempt.rs
+++ b/crates/forward/src/attempt.rs
@@ -33,7 +33,7 @@
     pub(crate) id: &'a RequestId,
     pub(crate) placement: &'a Placement,
     pub(crate) progress: &'a Progress,
-    /// The id of the last event that was written to the caller.
+    /// The id of the last event that the caller has, or that was buffered for it.
     pub(crate) last_event: &'a mut Option<u64>,
 }
 
@@ -259,7 +259,7 @@
 
     /// Returns how long to wait for the start of the response: until the request's deadline,
     /// and no longer than [`route::Router::response_timeout`] if the request may be retried at
-    /// another endpoint.
+    /// another endpoint and no retry was denied.
     fn response_start_timeout(&self, call: &Call) -> Duration {
         let left = call.time_left(self.node.now());
         if may_retry_elsewhere(call) && !call.is_retry_denied() {
--- a/crates/forward/src/attempt/stream.rs
+++ b/crates/forward/src/attempt/stream.rs
@@ -128,7 +128,9 @@
         }
     }
 
-    /// Returns how long to wait for the next event; see [`Self::response_start_timeout`].
+    /// Returns how long to wait for the next event: until the request's deadline, and no longer
+    /// than a fraction of the route's pause if the request may be retried at another endpoint and
+    /// no retry was denied.
     fn event_timeout(&self, call: &Call) -> Duration {
         let left = call.time_left(self.node.now());
         match call.route.response {
--- a/crates/forward/src/lazy_timeout.rs
+++ b/crates/forward/src/lazy_timeout.rs
@@ -12,7 +12,8 @@
 ///
 /// Each event of a stream has its own timeout. Arming a timer for each one wakes the
 /// reactor with a system call; instead, the timer of an earlier event keeps running.
-/// It is armed again only if it fires before the deadline or would fire after it.
+/// A new timer is armed only if the old one has fired before the deadline, or would fire
+/// after it.
 pub(crate) struct LazyTimeout<'a> {
     clock: &'a dyn Clock,
     timer: Option<Timer>,
--- a/crates/forward/src/listener.rs
+++ b/crates/forward/src/listener.rs
@@ -11,8 +11,8 @@
 use crate::conn::Conn;
 use crate::{Dialect, Node, caller};
 
-/// The delay after a failed accept, so that the loop doesn't spin while the process has no
-/// free file descriptor.
+/// The delay after a failed accept, and between checks while too many connections are open. It
+/// keeps the loop from spinning, for example while the process has no free file descriptor.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts callers' connections and serves each in its own task.
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -154,7 +154,7 @@
         self.open_connections.get()
     }
 
-    /// Closes idle connections to endpoints that are too old to be reused.
+    /// Closes connections to endpoints that have been idle for too long to be reused.
     pub fn sweep(&self) {
         self.pool
             .sweep(self.now(), self.timeouts.idempotent_max_idle);
--- a/crates/forward/src/pool.rs
+++ b/crates/forward/src/pool.rs
@@ -15,8 +15,8 @@
 /// account for the time that a request takes to arrive.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Idle connections to endpoints. A restarted endpoint has a new key, so a connection is
-/// never used for another process than the one that it was opened to.
+/// Idle connections to endpoints. A restarted endpoint has a new key, so the connections of its
+/// earlier process aren't used for it.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: RefCell<HashMap<Key, Vec<Idle>>>,
@@ -73,7 +73,7 @@
         });
     }
 
-    /// Closes connections that are too old to be reused.
+    /// Closes connections that have been idle for too long to be reused.
     pub(crate) fn sweep(&self, now: Duration, max_idle: Duration) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, conns| {
--- a/crates/forward/src/serve.rs
+++ b/crates/forward/src/serve.rs
@@ -208,12 +208,13 @@
     pub(crate) max_pause: Cell<Option<Duration>>,
     /// The number of events of a stream that were passed to the response writer.
     pub(crate) events: Cell<u64>,
+    /// The endpoint, ending and duration in milliseconds of each attempt, for the report.
     trail: RefCell<String>,
     attempt_summary: Cell<AttemptSummary>,
 }
 
 impl Progress {
-    /// Appends an attempt to the trail.
+    /// Appends a finished attempt to `trail`.
     pub(crate) fn record_attempt(&self, placement: &Placement, ending: Ending, took: Duration) {
         let mut trail = self.trail.borrow_mut();
         if !trail.is_empty() {
--- a/crates/forward/src/upstream.rs
+++ b/crates/forward/src/upstream.rs
@@ -134,8 +134,11 @@
         }
     }
 
-    /// Skips a stray response. The connection isn't reused afterwards, since more of them may
-    /// follow.
+    /// Starts skipping the body of a stray response; the next call of [`Self::head`] reads it. The
+    /// connection isn't reused afterwards, since more of them may follow.
+    ///
+    /// # Errors
+    /// Returns an error if the body extends to the end of the connection.
     pub(crate) fn skip_response(&mut self, head: &response::Head) -> Result<(), UpstreamError> {
         if head.length == Length::UntilClose {
             return Err(UpstreamError::Broken);
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -13,9 +13,10 @@
 /// Limits the retries for one service over a sliding window.
 ///
 /// Guards against retry storms, in which the retries of all hosts keep an overloaded
-/// service from recovering. The limit holds for the whole fleet without coordination: each
-/// host allows itself the ratio of its own requests and its share of the slack. A host that
-/// is partitioned from the others keeps its share.
+/// service from recovering. Escalations to a larger model count as retries. The limit needs no
+/// coordination: each host allows itself the ratio of its own requests, and an equal share of
+/// the slack among the live hosts that it knows. In a network partition, each side divides the
+/// slack among its own hosts only, so the sides together may exceed it.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
--- a/crates/route/src/call.rs
+++ b/crates/route/src/call.rs
@@ -21,8 +21,8 @@
     pub prompt_tokens: u64,
     /// The maximum number of tokens to generate.
     pub output_tokens: u64,
-    /// The last part of the prompt that is shared with other requests: its hash, and the
-    /// number of prompt tokens up to its end.
+    /// The longest prefix of the prompt that is shared with other requests: the ID of its last
+    /// part, and its length in tokens.
     pub shared_prefix: Option<(u64, u64)>,
     /// The session that the request belongs to.
     pub session: Option<SessionId>,
@@ -51,7 +51,8 @@
     stream_started: bool,
     pub(crate) cascade: Cascade,
     pub(crate) tried: Vec<Key>,
-    /// The endpoints that refused the request or were not the listed endpoint.
+    /// The endpoints that refused the request, and those at whose address another endpoint
+    /// responded.
     pub(crate) refused: Vec<Key>,
     pub(crate) attempts: u32,
     pub(crate) unsent: u32,
@@ -88,7 +89,8 @@
     /// The response is complete.
     #[display("answered")]
     Answered,
-    /// The endpoint responded with an error.
+    /// The endpoint responded with a server error, with a status that callers take to mean that
+    /// the request has not run, or with a response that can't continue the caller's stream.
     #[display("failed")]
     Failed,
     /// No part of the request can have reached the endpoint.
@@ -103,10 +105,11 @@
     /// Another endpoint has the address; it didn't run the request.
     #[display("moved")]
     Misdirected,
-    /// The connection broke, or the data received was not a response to this request.
+    /// The connection broke, or the response was invalid, too long or incomplete, or successful
+    /// without the endpoint's signature.
     #[display("broken")]
     Broken,
-    /// The endpoint sent nothing within the timeout.
+    /// The response, or the next data of a stream, wasn't received within the timeout.
     #[display("silent")]
     TimedOut,
     /// The response was discarded, to ask a larger model instead.
@@ -138,7 +141,8 @@
     Lost,
     /// The request may have run, and it timed out.
     Late,
-    /// The endpoint's error response is forwarded.
+    /// The endpoint responded with an error. It is forwarded if it may be; otherwise the caller
+    /// gets a 502.
     Passed,
 }
 
@@ -233,7 +237,7 @@
         self.retry = Retry::Denied;
     }
 
-    /// Clears a denied retry, after the endpoint has sent data.
+    /// Clears a denied retry, after the endpoint has sent data or the attempt has ended.
     pub fn clear_denied_retry(&mut self) {
         if self.retry == Retry::Denied {
             self.retry = Retry::NotRequested;
@@ -243,9 +247,9 @@
     /// Records that the response to the caller has started as a stream. No other response
     /// can be sent from now on, and another endpoint can only continue the stream.
     ///
-    /// Must be called before the first byte is written. Otherwise the error response of the
-    /// next endpoint could be written into a stream that stopped at its first event, which
-    /// corrupts the chunked encoding (docs/design/relay.md).
+    /// Must be called before the first byte is written. If the endpoint then breaks off, the
+    /// error response of the next attempt must not be written into the started stream, which
+    /// would corrupt the chunked encoding (docs/design/relay.md).
     pub fn start_stream(&mut self) {
         self.stream_started = true;
     }
@@ -256,7 +260,7 @@
         self.stream_started
     }
 
-    /// Returns the number of attempts.
+    /// Returns the number of attempts, without those that ended before anything was sent.
     #[must_use]
     pub fn attempts(&self) -> u32 {
         self.attempts
--- a/crates/route/src/cascade.rs
+++ b/crates/route/src/cascade.rs
@@ -15,16 +15,14 @@
 /// full utilization, relative to that response's price. See `docs/design/deciding.md`.
 const CAPACITY_PRICE: f64 = 5.0;
 /// The midpoint and scale of the logistic function that maps a model's confidence, from 0
-/// to 100, to the probability that its response is right. The mapping is steep, since
-/// confidence tells little more than on which side of the midpoint a request is. See
-/// `docs/design/deciding.md`.
+/// to 100, to the probability that its response is right. See `docs/design/deciding.md`.
 const CONFIDENCE_MIDPOINT: f64 = 50.0;
 const CONFIDENCE_SCALE: f64 = 6.0;
 
 /// A model cascade: the model of a route to ask for a request.
 ///
-/// The smallest model is asked first: it is the cheapest, and its confidence comes with
-/// the first token, before the caller has received any of the response.
+/// The smallest model is asked first: it is the cheapest, and its confidence is in the head of
+/// the response, before the caller has received any of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cascade {
     models: usize,
@@ -96,10 +94,12 @@
 }
 
 /// Returns the expected fraction of its value that a response keeps if it is expected to
-/// start `after` the request. Allows for errors of the estimate in both directions.
-fn remaining_value(after: Duration, target_latency: Duration) -> f64 {
+/// start `latency` after the request arrived. The expectation may be wrong by `ESTIMATE_ERROR`
+/// of the target latency in both directions, so the value decreases linearly between these
+/// bounds.
+fn remaining_value(latency: Duration, target_latency: Duration) -> f64 {
     const ESTIMATE_ERROR: f64 = 0.25;
-    let lateness =
-        (after.div_duration_f64(target_latency) - (1.0 - ESTIMATE_ERROR)) / (2.0 * ESTIMATE_ERROR);
+    let lateness = (latency.div_duration_f64(target_latency) - (1.0 - ESTIMATE_ERROR))
+        / (2.0 * ESTIMATE_ERROR);
     1.0 - (1.0 - LATE_VALUE) * lateness.clamp(0.0, 1.0)
 }
--- a/crates/route/src/config/route.rs
+++ b/crates/route/src/config/route.rs
@@ -20,7 +20,8 @@
     pub retry_policy: RetryPolicy,
     /// The kind of response.
     pub response: ResponseKind,
-    /// The maximum number of attempts per request.
+    /// The maximum number of attempts per request, without those that ended before anything was
+    /// sent.
     pub attempts: u32,
     /// The maximum time until a response is complete.
     pub timeout: Duration,
@@ -31,7 +32,8 @@
     pub priority: u8,
     /// Who may use the route.
     pub access: Access,
-    /// The models to choose from, smallest first. Empty if the caller chooses the model.
+    /// The models to choose from, smallest first. Empty if the route doesn't choose
+    /// the model.
     pub models: Vec<ModelName>,
 }
 
--- a/crates/route/src/directory.rs
+++ b/crates/route/src/directory.rs
@@ -41,10 +41,10 @@
     peers: Option<Peers>,
 }
 
-/// The meaning of an endpoint's absence from a listing.
+/// The meaning of the absence of known endpoints from a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Absence {
-    /// They are gone.
+    /// The absent endpoints are gone.
     Gone,
     /// Their entries may have expired during an outage of the store. They stay in use until a
     /// `Gone` listing arrives.
@@ -54,7 +54,7 @@
 /// Effect of a listing on the directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// New endpoints.
+    /// Endpoints that are new, restarted, or changed their service.
     pub added: Vec<EndpointId>,
     /// Endpoints that take no new requests from now on.
     pub leaving: Vec<EndpointId>,
@@ -67,7 +67,8 @@
     /// leaving endpoints as ready. Requests sent to these would be lost. So endpoints that were
     /// gone are ignored until then, and leaving ones stay marked as leaving.
     pub fn store_restored(&mut self, now: Duration) {
-        /// Longer than an entry's lifetime, which is three heartbeat intervals of 1.2 s.
+        /// The time for which endpoints that are gone are ignored. Longer than the lifetime of an
+        /// entry, so that the store no longer lists them after it.
         const ENTRY_LIFETIME: Duration = Duration::from_secs(5);
         let gone = self
             .endpoints
@@ -80,8 +81,9 @@
         }
     }
 
-    /// Corrects entries of endpoints on which this host has newer information than the store,
-    /// which may show an older copy. Call this before the listing is sent to other hosts.
+    /// Removes the entries of endpoints that this host knows to be gone, and marks those that it
+    /// knows to be leaving as draining: the store may show an older copy. Call this before the
+    /// listing is sent to other hosts.
     pub fn correct(&self, now: Duration, entries: &mut Vec<Entry>) {
         let is_gone = |it: &Entry| {
             let until = self.gone_until.get(&it.process());
@@ -100,26 +102,26 @@
         }
     }
 
-    /// Applies a complete listing.
+    /// Applies a complete listing that was read at `read_at`, and returns what changed.
     pub fn apply_listing(
         &mut self,
-        now: Duration,
+        read_at: Duration,
         entries: Vec<Entry>,
         absence: Absence,
     ) -> Change {
         let mut change = Change::default();
         let mut seen = HashSet::with_capacity(entries.len());
         for entry in entries {
-            seen.insert(self.apply_entry(now, entry, &mut change));
+            seen.insert(self.apply_entry(read_at, entry, &mut change));
         }
         if absence == Absence::Gone {
-            self.mark_missing(now, &seen, &mut change);
+            self.mark_missing(read_at, &seen, &mut change);
         }
-        self.refresh_cold_starts(now);
+        self.refresh_cold_starts(read_at);
         change
     }
 
-    fn apply_entry(&mut self, now: Duration, entry: Entry, change: &mut Change) -> Key {
+    fn apply_entry(&mut self, read_at: Duration, entry: Entry, change: &mut Change) -> Key {
         let Some(&key) = self.by_id.get(&entry.id) else {
             change.added.push(entry.id.clone());
             return self.insert(entry);
@@ -144,7 +146,7 @@
             }
             Ordering::Equal | Ordering::Greater => {
                 change.added.push(entry.id.clone());
-                return self.add_restarted(now, key, entry);
+                return self.add_restarted(read_at, key, entry);
             }
         }
         key
@@ -155,9 +157,9 @@
     /// Load, health, requests and connections of the previous process stay with the old key.
     /// Carried over, an ejection would leave a healthy endpoint unused, and requests that were
     /// lost with their process would count as in flight forever.
-    fn add_restarted(&mut self, now: Duration, old_key: Key, entry: Entry) -> Key {
+    fn add_restarted(&mut self, read_at: Duration, old_key: Key, entry: Entry) -> Key {
         if let Some(it) = self.endpoints.get_mut(old_key) {
-            it.listed = Listed::Missing(now);
+            it.listed = Listed::Missing(read_at);
         }
         self.insert(entry)
     }
@@ -171,28 +173,30 @@
         key
     }
 
-    fn mark_missing(&mut self, now: Duration, seen: &HashSet<Key>, change: &mut Change) {
+    fn mark_missing(&mut self, read_at: Duration, seen: &HashSet<Key>, change: &mut Change) {
         for (key, it) in &mut self.endpoints {
             if !seen.contains(&key) && it.listed == Listed::Yes {
                 if it.takes_work() {
                     change.leaving.push(it.entry.id.clone());
                 }
-                it.listed = Listed::Missing(now);
+                it.listed = Listed::Missing(read_at);
             }
         }
-        self.remove_gone(now);
+        self.remove_gone(read_at);
     }
 
-    /// Removes endpoints that are gone and have no request of this host in flight.
-    fn remove_gone(&mut self, now: Duration) {
-        /// Long enough for late messages on the endpoint to find it still known.
+    /// Removes endpoints that have been missing for `RETENTION` and have no request of this host
+    /// in flight.
+    fn remove_gone(&mut self, read_at: Duration) {
+        /// The time for which a missing endpoint stays known, for messages about it that arrive
+        /// late.
         const RETENTION: Duration = Duration::from_secs(30);
         let (by_id, by_service) = (&mut self.by_id, &mut self.by_service);
         self.endpoints.retain(|key, it| {
             let Listed::Missing(since) = it.listed else {
                 return true;
             };
-            if it.in_flight > 0 || now.saturating_sub(since) < RETENTION {
+            if it.in_flight > 0 || read_at.saturating_sub(since) < RETENTION {
                 return true;
             }
             if by_id.get(&it.entry.id) == Some(&key) {
@@ -298,8 +302,8 @@
         self.endpoints.is_empty()
     }
 
-    /// Records a failed response of an endpoint. Returns whether the endpoint is ejected because
-    /// of it.
+    /// Records a failed or missing response of an endpoint. Returns whether the endpoint is
+    /// ejected because of it.
     pub(crate) fn record_failure(&mut self, now: Duration, key: Key) -> bool {
         let Some(it) = self.endpoints.get(key) else {
             return false;
@@ -317,7 +321,7 @@
         is_ejected
     }
 
-    /// Returns the mean failure rate of a service's other endpoints, where ejected ones count as
+    /// Returns the mean error rate of a service's other endpoints, where ejected ones count as
     /// zero, and the fraction of its endpoints that would be ejected with this one. Considers only
     /// endpoints that take requests.
     fn failure_statistics(
--- a/crates/route/src/directory/cold_start.rs
+++ b/crates/route/src/directory/cold_start.rs
@@ -72,7 +72,8 @@
         self.refresh_shares();
     }
 
-    /// Updates the cold-start times from the entries of a listing read at `at`.
+    /// Sets the cold-start times of all known endpoints from their latest entries, relative to
+    /// `at`, the time at which the current listing was read.
     pub(super) fn refresh_cold_starts(&mut self, at: Duration) {
         for it in self.endpoints.values_mut() {
             it.cold_start.listed_until = if it.entry.cold.is_zero() {
@@ -89,9 +90,9 @@
 
     /// Marks an endpoint as cold because its data centre is back in use.
     ///
-    /// It may have restarted while it got no requests, and its entry shows that it is cold only
-    /// after up to a heartbeat. Until then, all hosts would send requests to it at once. So it
-    /// counts as cold for a full warm-up.
+    /// It may have restarted while it got no requests, and its entry shows that only after its next
+    /// heartbeat. Until then all hosts would send it requests without a limit, so it counts as cold
+    /// for a full warm-up.
     pub(super) fn mark_returned(
         now: Duration,
         warm_ups: &HashMap<ServiceName, WarmUp>,
--- a/crates/route/src/endpoint.rs
+++ b/crates/route/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the directory lists them, and the load that they report.
+//! Endpoints as the listing shows them, and the load that they report.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId(u64);
 
-/// A directory entry of an endpoint.
+/// An endpoint's entry in the listing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// The endpoint's ID.
     pub id: EndpointId,
-    /// Increases with each start of the endpoint under the same ID. `None` if the directory
-    /// doesn't have it.
+    /// Increases with each start of the endpoint under the same ID. `None` if the listing
+    /// doesn't contain it.
     pub incarnation: Option<Incarnation>,
     /// The service that it belongs to.
     pub service: ServiceName,
--- a/crates/route/src/evacuation.rs
+++ b/crates/route/src/evacuation.rs
@@ -72,9 +72,9 @@
     /// Applies the complete list of evacuated data centres, as read from the store. Returns
     /// whether it changes which data centres may be used.
     ///
-    /// A data centre that it lacks is back in use, unless it was evacuated in an earlier era: a
-    /// store restored from an older copy has lost later changes, which doesn't mean that operators
-    /// undid them.
+    /// A data centre that it lacks is back in use, unless it was evacuated after that read or in
+    /// another era: a store restored from an older copy has lost later changes, which doesn't mean
+    /// that operators undid them.
     pub fn apply_snapshot(&mut self, at: Revision, evacuated: Vec<Evacuation>) -> bool {
         let absent = self.latest.values().filter(|known| {
             let is_listed = evacuated
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -2,8 +2,7 @@
 
 use std::time::Duration;
 
-/// The half-life of the counts. Short, so that a recovered endpoint is used again soon, but
-/// long enough for a few requests a second to add up.
+/// The half-life of the counts of successes and failures.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 /// The least number of failures, weighted by age, for an ejection.
 const MIN_FAILURES: f64 = 2.5;
--- a/crates/route/src/prefill.rs
+++ b/crates/route/src/prefill.rs
@@ -6,9 +6,10 @@
 const PRIOR_SECONDS_PER_TOKEN: f64 = 0.02e-3;
 /// The weight of the prior, in observed tokens.
 const PRIOR_TOKENS: f64 = 20_000.0;
-/// The length of the moving average, in observed tokens.
+/// The decay constant of the moving average, in observed tokens: a prompt of `n` tokens multiplies
+/// the weight of earlier observations by `WINDOW_TOKENS / (WINDOW_TOKENS + n)`.
 const WINDOW_TOKENS: f64 = 400_000.0;
-/// The time to start a response besides prefill.
+/// The part of the time until a response starts that doesn't depend on the prompt.
 const BASE_LATENCY: Duration = Duration::from_millis(15);
 
 /// A moving average of a model's prefill time per prompt token, including queueing.
--- a/crates/route/src/quarantine.rs
+++ b/crates/route/src/quarantine.rs
@@ -48,12 +48,13 @@
 /// and is retried with new ids and through other hosts. The processes exit shortly after each
 /// start, and most requests to the service fail.
 ///
-/// For each process exit, every host records which requests were in flight there and shares this
-/// with the others. A request that is a suspect of several exits is quarantined: it isn't sent to
-/// any endpoint. Innocent suspects are excluded in three ways: an exit no longer counts against
-/// others once a quarantined request explains it; a request is cleared if an endpoint survives its
-/// response; and of two requests that are suspects of the same exits, neither is quarantined until
-/// a further exit distinguishes them or they share many exits. See `docs/design/quarantine.md`.
+/// For each process exit, every host records which of its own requests were in flight there at the
+/// exit or shortly before, and shares this with the others. A request that is a suspect of several
+/// exits is quarantined: it isn't sent to any endpoint. Innocent suspects are excluded in three
+/// ways: an exit no longer counts against others once a quarantined request explains it; a request
+/// is cleared if a process keeps running after its response; and of two requests that are suspects
+/// of the same exits, neither is quarantined until a further exit distinguishes them or they share
+/// many exits. See `docs/design/quarantine.md`.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     exits: BTreeMap<ProcessId, Exit>,
@@ -65,7 +66,7 @@
     released: Vec<RequestFingerprint>,
     /// Recently finished attempts whose endpoints may still exit because of them.
     finished: VecDeque<FinishedAttempt>,
-    /// Requests that an endpoint recently survived.
+    /// Requests after whose response a process recently kept running.
     survived: SurvivedRequests,
     /// Requests quarantined since the last [`Self::take_quarantined`].
     newly_quarantined: Vec<RequestFingerprint>,
@@ -167,7 +168,8 @@
         self.exits.contains_key(&process)
     }
 
-    /// Ends quarantines that are over, and clears requests that endpoints survived.
+    /// Ends quarantines that are over, and clears requests after whose response
+    /// the process kept running.
     pub fn expire(&mut self, now: Duration) {
         while let Some(it) = self.finished.front()
             && now.saturating_sub(it.at) > MAX_EXIT_DELAY
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Clears a request because an endpoint survived its response.
+    /// Clears a request because a process kept running after its response.
     fn clear(&mut self, now: Duration, fingerprint: RequestFingerprint) {
         let Some(processes) = self.exits_by_request.get(&fingerprint) else {
             return;
--- a/crates/route/src/quarantine/exit.rs
+++ b/crates/route/src/quarantine/exit.rs
@@ -13,9 +13,9 @@
     pub(super) at: Duration,
     /// The time at which this host's information on it last changed.
     changed: Duration,
-    /// The requests in flight there.
+    /// The requests in flight there at the exit or up to `MAX_EXIT_DELAY` before.
     suspects: BTreeSet<RequestFingerprint>,
-    /// Requests that an endpoint survived.
+    /// Requests after whose response a process kept running.
     cleared: BTreeSet<RequestFingerprint>,
 }
 
--- a/crates/route/src/quarantine/finished.rs
+++ b/crates/route/src/quarantine/finished.rs
@@ -25,8 +25,8 @@
     Answered,
     /// The process may have exited.
     Broken,
-    /// No conclusion: the request may still have been running, or the process is alive although the
-    /// connection broke.
+    /// No conclusion: the request failed or may still have been running, or the process is alive
+    /// although the connection broke.
     Unknown,
 }
 
--- a/crates/route/src/quarantine/survived.rs
+++ b/crates/route/src/quarantine/survived.rs
@@ -1,16 +1,17 @@
-//! Requests that an endpoint recently survived.
+//! Requests after whose response a process recently kept running.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::RequestFingerprint;
 
-/// Time for which a request counts as safe after an endpoint survived it.
+/// Time for which a request counts as safe after a process survived it.
 const SURVIVED_TTL: Duration = Duration::from_secs(30);
 /// Maximum number of requests remembered; the latest are kept.
 const MAX_REQUESTS: usize = 4_096;
 
-/// Requests that an endpoint recently survived.
+/// Requests that a process recently survived: after the complete response, the endpoint's process
+/// was not seen to exit within `MAX_EXIT_DELAY`.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SurvivedRequests {
     latest: HashMap<RequestFingerprint, Duration>,
@@ -18,7 +19,7 @@
 }
 
 impl SurvivedRequests {
-    /// Records that an endpoint survived a request.
+    /// Records that a process survived a request.
     pub(super) fn record(&mut self, now: Duration, fingerprint: RequestFingerprint) {
         if self.order.len() == MAX_REQUESTS
             && let Some((at, oldest)) = self.order.pop_front()
@@ -30,7 +31,7 @@
         self.order.push_back((now, fingerprint));
     }
 
-    /// Returns whether an endpoint recently survived the request.
+    /// Returns whether a process recently survived the request.
     pub(super) fn contains(&self, now: Duration, fingerprint: RequestFingerprint) -> bool {
         let at = self.latest.get(&fingerprint);
         at.is_some_and(|it| now.saturating_sub(*it) <= SURVIVED_TTL)
--- a/crates/route/src/quarantine/update.rs
+++ b/crates/route/src/quarantine/update.rs
@@ -15,7 +15,7 @@
 const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(5);
 /// Time for which a change is included in updates. It is sent in several, because each may be lost.
 const CHANGE_RESEND_TIME: Duration = Duration::from_millis(1_200);
-/// Maximum number of exits in one update; the latest are sent.
+/// Maximum number of exits in one update; the most recently changed are sent.
 const MAX_EXITS_PER_UPDATE: usize = 16;
 
 /// One host's update on process exits and quarantined requests.
@@ -36,9 +36,9 @@
     pub process: ProcessId,
     /// The time since it was detected.
     pub age: Duration,
-    /// The requests in flight there.
+    /// The requests in flight there at the exit or shortly before.
     pub suspects: Vec<RequestFingerprint>,
-    /// Requests that an endpoint survived.
+    /// Requests after whose response a process kept running.
     pub cleared: Vec<RequestFingerprint>,
 }
 
@@ -64,8 +64,10 @@
 }
 
 impl Quarantine {
-    /// Builds an update for other hosts: recent changes, or all quarantined requests and the
-    /// latest exits.
+    /// Builds an update for other hosts: the exits and quarantined requests that changed recently,
+    /// or with [`Scope::Full`] all of them. It contains at most `MAX_EXITS_PER_UPDATE` exits. All
+    /// quarantined requests are also included if `FULL_UPDATE_INTERVAL` has passed since the last
+    /// such update.
     pub fn build_update(&mut self, now: Duration, scope: Scope) -> Update {
         self.expire(now);
         let is_included =
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -35,8 +35,7 @@
 /// light load.
 const TRIAL_END_FRACTION: f64 = 0.5;
 /// Share of requests that the new release gets while one endpoint is filled, as a multiple of the
-/// allowed exposure. Averaged over the roll-out's duration, the trial and this phase together stay
-/// within the allowed exposure.
+/// allowed exposure.
 const FILL_EXPOSURE_FACTOR: f64 = 4.0;
 /// Start of the shift of traffic to the new release, as a fraction of the roll-out's duration.
 const SHIFT_START_FRACTION: f64 = 0.62;
@@ -54,16 +53,16 @@
 /// Maximum difference between the lower confidence bound of the new release's failure rate and the
 /// old release's failure rate. Above it, the new release is judged bad.
 const FAILURE_RATE_MARGIN: f64 = 0.05;
-/// Latency ratios between the new and the old release (geometric mean) above which the new one is
-/// judged bad: between events of a stream, until a response starts on routes that choose the
-/// model, and until it starts on other routes. The second varies most because the new release's
-/// caches are empty.
+/// The new release is judged bad if the geometric mean of the ratios of its times between events to
+/// the old release's exceeds this with confidence.
 const MAX_EVENT_INTERVAL_RATIO: f64 = 1.6;
+/// The same limit for the time until a response starts, on routes that choose the model. It varies
+/// most because the new release's caches are empty.
 const MAX_STREAM_START_RATIO: f64 = 2.2;
+/// The same limit for the time until a response starts, on other routes.
 const MAX_RESPONSE_START_RATIO: f64 = 1.4;
 
 /// Time during which hosts exchange their active sessions before the new release gets any requests.
-/// Updates are sent twice in that time.
 const SESSION_EXCHANGE_TIME: Duration = Duration::from_millis(1_200);
 /// Minimum time between the announcement of the trial's end and that end, per hop of gossip.
 /// Several times the propagation delay, to tolerate lost messages.
@@ -90,9 +89,10 @@
     pool: Pool,
     /// Moving means of the old release's latencies, as logarithms, by class of request.
     baselines: HashMap<(u64, LatencyKind), MovingMean>,
-    /// Sessions that began on the old release and stay on it during the first half of the roll-out.
+    /// Sessions that other hosts reported as begun on the old release. They stay on it during the
+    /// first half of the roll-out.
     pinned_sessions: HashSet<u64>,
-    /// Those of these sessions that were already sent to the neighbours.
+    /// Such sessions, of this host or others, that were already sent to the neighbours.
     announced_sessions: HashSet<u64>,
 }
 
@@ -164,7 +164,8 @@
         }
     }
 
-    /// Chooses the release for a request whose session this host doesn't know.
+    /// Chooses the release for a request without a session, or with one that this host doesn't
+    /// know. `session` is the hash of the session or, without one, of the request's ID.
     #[must_use]
     pub(crate) fn side_for_new_session(&self, now: Duration, session: u64) -> Side {
         if self.is_pinning_sessions(now) && self.pinned_sessions.contains(&session) {
--- a/crates/route/src/rollout/latency.rs
+++ b/crates/route/src/rollout/latency.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Which latency of a response.
+/// A kind of latency that is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum LatencyKind {
     /// Until the response starts, relative to the expected time, on routes that choose the model.
@@ -53,6 +53,8 @@
     }
 }
 
+/// A moving mean: the plain mean of up to `WINDOW_SAMPLES` samples; after that, older samples decay
+/// exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct MovingMean {
     count: f64,
--- a/crates/route/src/rollout/pooled.rs
+++ b/crates/route/src/rollout/pooled.rs
@@ -15,12 +15,11 @@
 /// Minimum time between two totals of the same host.
 const TOTAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Evidence of a host and of the hosts below it in the aggregation tree, on its way to an
-/// aggregating host.
+/// The sum of the evidence of a host and of the hosts below it in the aggregation tree of the
+/// aggregating host `root`. A host sends it to the next host on the way to `root`.
 ///
-/// Exchanging evidence between all pairs of hosts, or spreading it by random gossip, is too
-/// expensive or too slow in a large fleet. With sums built on the way, each host sends one report
-/// per interval.
+/// Exchanging evidence between all pairs of hosts, or disseminating it by random gossip, is too
+/// expensive or too slow in a large fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PartialSum {
     /// Index of the aggregating host that it is for.
--- a/crates/route/src/rollout/side.rs
+++ b/crates/route/src/rollout/side.rs
@@ -2,7 +2,7 @@
 
 use derive_more::Display;
 
-/// Which release handles a request.
+/// One of the two releases of a roll-out.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Side {
     /// The release that was in use before.
--- a/crates/route/src/rollout/update.rs
+++ b/crates/route/src/rollout/update.rs
@@ -34,7 +34,8 @@
 /// The part of a host's state that an update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Recent changes, which neighbours forward, and parts of the state that are sent repeatedly.
+    /// The sessions, totals and quarantine changes that are new, and the parts of the state that
+    /// every update contains, such as a roll-out's order, verdict and own evidence.
     Delta,
     /// The full state, for a host that has just started.
     Full,
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -65,6 +65,7 @@
     listing_time: Option<Duration>,
     /// Endpoints that were ejected since the last [`Self::take_ejected`], except unreachable ones.
     ejected: Vec<(EndpointId, Ending)>,
+    /// The number of live hosts, including this one.
     hosts: u32,
     rng: Pcg32,
 }
@@ -134,15 +135,16 @@
         self.settings = settings;
     }
 
-    /// Replaces the listing of endpoints and returns what changed.
+    /// Applies a complete listing of endpoints that was read at `read_at`, and returns what
+    /// changed.
     pub fn update_listing(
         &mut self,
-        now: Duration,
+        read_at: Duration,
         entries: Vec<Entry>,
         absence: Absence,
     ) -> Change {
-        self.listing_time = Some(now);
-        self.directory.apply_listing(now, entries, absence)
+        self.listing_time = Some(read_at);
+        self.directory.apply_listing(read_at, entries, absence)
     }
 
     /// Records that the store was restored from an older copy.
@@ -185,7 +187,8 @@
         &self.directory
     }
 
-    /// Sets the number of hosts that share retry budgets, including this one.
+    /// Sets the number of live hosts, including this one. They share retry budgets, connection
+    /// limits and the filling of endpoints. Roll-outs that start later also depend on it.
     pub fn set_host_count(&mut self, hosts: u32) {
         self.hosts = hosts.max(1);
     }
--- a/crates/route/src/router/place.rs
+++ b/crates/route/src/router/place.rs
@@ -39,7 +39,8 @@
 /// The percentage of an endpoint's connection limit that all hosts together use.
 const CONNECTIONS_PERCENT: u32 = 90;
 
-/// A level of filtering of endpoints. Each level also admits the endpoints of the previous ones.
+/// The leniency of the filter of endpoints, from the strictest to the most lenient. Each level also
+/// admits the endpoints of the previous ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 enum Strictness {
     /// Endpoints that were neither tried before nor are ejected.
--- a/crates/route/src/router/placement.rs
+++ b/crates/route/src/router/placement.rs
@@ -21,7 +21,7 @@
     pub model: Option<ModelName>,
     /// The release that the request is assigned to during a roll-out.
     pub side: Option<Side>,
-    /// The maximum number of connections from this host to the endpoint.
+    /// This host's share of the endpoint's connection limit. It isn't enforced.
     pub connections: u32,
     /// The number of eligible endpoints.
     pub candidates: usize,
--- a/crates/route/src/router/reports.rs
+++ b/crates/route/src/router/reports.rs
@@ -20,8 +20,7 @@
         self.directory.mark_leaving(in_flight.endpoint)
     }
 
-    /// Records that an endpoint refused an attempt and asked this host to send it nothing for
-    /// `pause`.
+    /// Records that an endpoint asked in a response that this host send it nothing for `pause`.
     pub fn record_refusal(&mut self, now: Duration, in_flight: &InFlight, pause: Duration) {
         self.directory
             .pause_endpoint(now, in_flight.endpoint, pause);
--- a/crates/route/src/warm_up.rs
+++ b/crates/route/src/warm_up.rs
@@ -1,4 +1,4 @@
-//! Rate limiting of endpoints that have just started.
+//! Limits on the rate of requests to endpoints that have just started.
 //!
 //! A cold endpoint looks idle to every host, and exits under the load that all of them send
 //! together. Hosts can't coordinate each request, so rendezvous hashing selects a few hosts for
