--- a/crates/forward/src/attempt.rs
+++ b/crates/forward/src/attempt.rs
@@ -161,7 +161,7 @@
             self.report_leaving(guard);
         }
         if let (Some(pause), Some(in_flight)) = (response_fields.retry_after, &guard.in_flight) {
-            self.node.router().record_refusal(now, in_flight, pause);
+            self.node.router().record_pause(now, in_flight, pause);
         }
         if response_fields.not_run || head.status == 421 {
             return self
@@ -311,7 +311,7 @@
                 // read as the next response.
                 return Err(UpstreamError::Broken);
             }
-            upstream.skip_response(&head)?;
+            upstream.start_skipping(&head)?;
         }
     }
 
--- a/crates/forward/src/upstream.rs
+++ b/crates/forward/src/upstream.rs
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     /// Returns an error if the body extends to the end of the connection.
-    pub(crate) fn skip_response(&mut self, head: &response::Head) -> Result<(), UpstreamError> {
+    pub(crate) fn start_skipping(&mut self, head: &response::Head) -> Result<(), UpstreamError> {
         if head.length == Length::UntilClose {
             return Err(UpstreamError::Broken);
         }
--- a/crates/route/src/directory.rs
+++ b/crates/route/src/directory.rs
@@ -69,12 +69,12 @@
     pub fn store_restored(&mut self, now: Duration) {
         /// The time for which endpoints that are gone are ignored. Longer than the lifetime of an
         /// entry, so that the store no longer lists them after it.
-        const ENTRY_LIFETIME: Duration = Duration::from_secs(5);
+        const IGNORE_GONE_TIME: Duration = Duration::from_secs(5);
         let gone = self
             .endpoints
             .values()
             .filter(|it| it.listed != Listed::Yes);
-        let gone = gone.map(|it| (it.entry.process(), now + ENTRY_LIFETIME));
+        let gone = gone.map(|it| (it.entry.process(), now + IGNORE_GONE_TIME));
         self.gone_until = gone.collect();
         for it in self.endpoints.values_mut() {
             it.is_leaving |= it.entry.state == State::Draining;
@@ -309,11 +309,11 @@
             return false;
         };
         let service = it.entry.service.clone();
-        let (typical_failure_rate, ejected_fraction) = self.failure_statistics(now, &service, key);
+        let (service_error_rate, ejected_fraction) = self.error_statistics(now, &service, key);
         let Some(it) = self.endpoints.get_mut(key) else {
             return false;
         };
-        let is_ejected = it.health.record_failure(now, typical_failure_rate)
+        let is_ejected = it.health.record_failure(now, service_error_rate)
             && ejected_fraction < MAX_EJECTED_FRACTION;
         if is_ejected {
             it.health.eject(now);
@@ -324,13 +324,8 @@
     /// Returns the mean error rate of a service's other endpoints, where ejected ones count as
     /// zero, and the fraction of its endpoints that would be ejected with this one. Considers only
     /// endpoints that take requests.
-    fn failure_statistics(
-        &self,
-        now: Duration,
-        service: &ServiceName,
-        excluded: Key,
-    ) -> (f64, f64) {
-        let (mut failure_rate, mut ejected, mut count) = (0.0, 0.0, 0.0);
+    fn error_statistics(&self, now: Duration, service: &ServiceName, excluded: Key) -> (f64, f64) {
+        let (mut error_rate_sum, mut ejected, mut count) = (0.0, 0.0, 0.0);
         for (key, it) in self.endpoints_of(service) {
             if key == excluded || !it.takes_work() {
                 continue;
@@ -339,7 +334,7 @@
             if it.health.is_ejected(now) {
                 ejected += 1.0;
             } else {
-                failure_rate += it.health.error_rate();
+                error_rate_sum += it.health.error_rate();
             }
         }
         if count == 0.0 {
@@ -347,6 +342,6 @@
             // responses.
             return (0.0, 1.0);
         }
-        (failure_rate / count, (ejected + 1.0) / (count + 1.0))
+        (error_rate_sum / count, (ejected + 1.0) / (count + 1.0))
     }
 }
--- a/crates/route/src/rollout.rs
+++ b/crates/route/src/rollout.rs
@@ -58,7 +58,7 @@
 const MAX_EVENT_INTERVAL_RATIO: f64 = 1.6;
 /// The same limit for the time until a response starts, on routes that choose the model. It varies
 /// most because the new release's caches are empty.
-const MAX_STREAM_START_RATIO: f64 = 2.2;
+const MAX_RELATIVE_START_RATIO: f64 = 2.2;
 /// The same limit for the time until a response starts, on other routes.
 const MAX_RESPONSE_START_RATIO: f64 = 1.4;
 
@@ -282,8 +282,8 @@
         if !observation.failed {
             self.record_latency(
                 side,
-                (observation.class, LatencyKind::StreamStart),
-                observation.stream_start,
+                (observation.class, LatencyKind::RelativeStart),
+                observation.relative_start,
             );
             self.record_latency(
                 side,
@@ -309,7 +309,7 @@
             Side::Old => baseline.add(value),
             Side::New if baseline.is_known() => {
                 let ratios = match key.1 {
-                    LatencyKind::StreamStart => &mut self.pool.own.stream_start,
+                    LatencyKind::RelativeStart => &mut self.pool.own.relative_start,
                     LatencyKind::ResponseStart => &mut self.pool.own.response_start,
                     LatencyKind::EventInterval => &mut self.pool.own.event_interval,
                 };
@@ -405,7 +405,7 @@
             .iter()
             .any(|it| it.failures >= MIN_FAILURES && it.min_failure_rate() > max_failure_rate);
         let is_slow = all.event_interval.exceeds(MAX_EVENT_INTERVAL_RATIO)
-            || all.stream_start.exceeds(MAX_STREAM_START_RATIO)
+            || all.relative_start.exceeds(MAX_RELATIVE_START_RATIO)
             || all.response_start.exceeds(MAX_RESPONSE_START_RATIO);
         all.old.responses >= MIN_RESPONSES && (fails || is_slow)
     }
--- a/crates/route/src/rollout/evidence.rs
+++ b/crates/route/src/rollout/evidence.rs
@@ -15,7 +15,7 @@
     pub crowded: ResponseCounts,
     /// Ratios of the time until a response starts, on routes that choose the model.
     #[serde(rename = "first")]
-    pub stream_start: LatencyRatios,
+    pub relative_start: LatencyRatios,
     /// Ratios of the time until a response starts, on other routes.
     #[serde(rename = "whole")]
     pub response_start: LatencyRatios,
@@ -30,7 +30,7 @@
         self.new.add(other.new);
         self.old.add(other.old);
         self.crowded.add(other.crowded);
-        self.stream_start.merge(other.stream_start);
+        self.relative_start.merge(other.relative_start);
         self.response_start.merge(other.response_start);
         self.event_interval.merge(other.event_interval);
     }
--- a/crates/route/src/rollout/latency.rs
+++ b/crates/route/src/rollout/latency.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum LatencyKind {
     /// Until the response starts, relative to the expected time, on routes that choose the model.
-    StreamStart,
+    RelativeStart,
     /// Until the response starts, on other routes.
     ResponseStart,
     /// Between two events of a stream.
--- a/crates/route/src/rollout/observation.rs
+++ b/crates/route/src/rollout/observation.rs
@@ -14,7 +14,7 @@
     pub is_crowded: bool,
     /// Time until the response started, relative to the time expected for its prompt, if the route
     /// chooses the model.
-    pub stream_start: Option<f64>,
+    pub relative_start: Option<f64>,
     /// Seconds until the response started, if the route doesn't choose the model.
     pub response_start: Option<f64>,
     /// Mean seconds between two events.
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -66,7 +66,7 @@
     /// Endpoints that were ejected since the last [`Self::take_ejected`], except unreachable ones.
     ejected: Vec<(EndpointId, Ending)>,
     /// The number of live hosts, including this one.
-    hosts: u32,
+    host_count: u32,
     rng: Pcg32,
 }
 
@@ -88,7 +88,7 @@
             first_byte_times: HashMap::new(),
             listing_time: None,
             ejected: Vec::new(),
-            hosts: 1,
+            host_count: 1,
             rng: Pcg32::seed_from_u64(seed),
         }
     }
@@ -176,7 +176,7 @@
     #[must_use]
     pub fn budgets(&self, now: Duration) -> Vec<(ServiceName, f64)> {
         let retries_left = |(name, it): (&ServiceName, &RetryBudget)| {
-            (name.clone(), it.remaining(now, self.hosts))
+            (name.clone(), it.remaining(now, self.host_count))
         };
         self.budgets.iter().map(retries_left).collect()
     }
@@ -189,8 +189,8 @@
 
     /// Sets the number of live hosts, including this one. They share retry budgets, connection
     /// limits and the filling of endpoints. Roll-outs that start later also depend on it.
-    pub fn set_host_count(&mut self, hosts: u32) {
-        self.hosts = hosts.max(1);
+    pub fn set_host_count(&mut self, host_count: u32) {
+        self.host_count = host_count.max(1);
     }
 
     /// Admits a request: selects its route, customer, service and release.
--- a/crates/route/src/router/attempts.rs
+++ b/crates/route/src/router/attempts.rs
@@ -126,7 +126,7 @@
     /// Call this before abandoning an attempt that may still succeed, such as one that is
     /// slow or whose model has low confidence: without a retry, the request would fail.
     pub fn reserve_retry(&mut self, now: Duration, call: &mut Call, ending: Ending) -> bool {
-        let hosts = self.hosts;
+        let hosts = self.host_count;
         if call.retry != Retry::Reserved
             && call.may_retry(now, ending)
             && self.budget(&call.service).try_retry(now, hosts)
--- a/crates/route/src/router/in_flight.rs
+++ b/crates/route/src/router/in_flight.rs
@@ -41,7 +41,7 @@
         let took = self
             .response_started
             .map(|it| it.saturating_sub(self.started));
-        let (stream_start, response_start) = match (took, self.expected_latency) {
+        let (relative_start, response_start) = match (took, self.expected_latency) {
             (Some(took), Some(expected_latency)) => {
                 (Some(took.div_duration_f64(expected_latency)), None)
             }
@@ -58,7 +58,7 @@
             class,
             failed,
             is_crowded: self.is_crowded,
-            stream_start,
+            relative_start,
             response_start,
             event_interval,
         }
--- a/crates/route/src/router/place.rs
+++ b/crates/route/src/router/place.rs
@@ -42,7 +42,7 @@
 /// The leniency of the filter of endpoints, from the strictest to the most lenient. Each level also
 /// admits the endpoints of the previous ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
-enum Strictness {
+enum Leniency {
     /// Endpoints that were neither tried before nor are ejected.
     Healthy,
     /// Endpoints that were not tried before.
@@ -77,7 +77,7 @@
     }
 
     fn place_on_side(&mut self, now: Duration, call: &Call) -> Option<Placement> {
-        [Strictness::Healthy, Strictness::Untried, Strictness::Any]
+        [Leniency::Healthy, Leniency::Untried, Leniency::Any]
             .into_iter()
             .find_map(|it| self.place_with(now, call, it))
     }
@@ -105,13 +105,8 @@
         rollout.is_some_and(|it| it.verdict == Verdict::Running)
     }
 
-    fn place_with(
-        &mut self,
-        now: Duration,
-        call: &Call,
-        strictness: Strictness,
-    ) -> Option<Placement> {
-        let scored = self.score_endpoints(now, call, strictness);
+    fn place_with(&mut self, now: Duration, call: &Call, leniency: Leniency) -> Option<Placement> {
+        let scored = self.score_endpoints(now, call, leniency);
         let candidates = scored.len();
         let (_, endpoint) = scored.into_iter().min_by(|a, b| a.0.total_cmp(&b.0))?;
         let it = self.directory.get(endpoint)?;
@@ -134,20 +129,19 @@
         &mut self,
         now: Duration,
         call: &Call,
-        strictness: Strictness,
+        leniency: Leniency,
     ) -> Vec<(f64, Key)> {
         // Cache affinity is ignored after a broken connection. Otherwise requests that failed
         // together would be retried together, and a request that crashes endpoints couldn't be
         // told apart from the others that were in flight there.
         let affinity_endpoint = self
-            .affinity_endpoint(now, call, strictness)
+            .affinity_endpoint(now, call, leniency)
             .filter(|_| !call.connection_broke);
         let fill = self.endpoint_to_fill(now, call);
         let rollout = self.rollouts.get(&call.service);
         let mut scored = Vec::new();
         for (key, it) in self.directory.endpoints_of(&call.service) {
-            if !is_candidate(now, call, strictness, rollout, it) || is_tried(call, strictness, key)
-            {
+            if !is_candidate(now, call, leniency, rollout, it) || is_tried(call, leniency, key) {
                 continue;
             }
             let mut score = self.directory.endpoint_utilization(now, it);
@@ -174,16 +168,16 @@
     /// Returns the endpoint that the shared prompt prefix has affinity to, by rendezvous
     /// hashing: all hosts prefer the same endpoint for the prefix. The hash includes the model,
     /// since models don't share caches.
-    fn affinity_endpoint(&self, now: Duration, call: &Call, strictness: Strictness) -> Option<Key> {
-        let (part, _) = call.profile.shared_prefix?;
+    fn affinity_endpoint(&self, now: Duration, call: &Call, leniency: Leniency) -> Option<Key> {
+        let (part_id, _) = call.profile.shared_prefix?;
         let model = call.cascade.model();
         let rollout = self.rollouts.get(&call.service);
         self.directory
             .endpoints_of(&call.service)
             .filter(|(_, it)| {
-                is_candidate(now, call, strictness, rollout, it) && !it.cold_start.is_cold(now)
+                is_candidate(now, call, leniency, rollout, it) && !it.cold_start.is_cold(now)
             })
-            .map(|(key, it)| (hash::of(&(part, model, it.entry.id.as_str())), key))
+            .map(|(key, it)| (hash::of(&(part_id, model, it.entry.id.as_str())), key))
             .max()
             .map(|it| it.1)
     }
@@ -192,7 +186,7 @@
     fn connections(&self, service: &ServiceName) -> Option<u32> {
         let total = self.config.as_ref()?.service(service)?.max_connections;
         let used = total.saturating_mul(CONNECTIONS_PERCENT) / 100;
-        Some((used / self.hosts.max(1)).max(1))
+        Some((used / self.host_count.max(1)).max(1))
     }
 
     /// Returns the endpoint of a new release to fill with this request, if the request is
@@ -205,7 +199,7 @@
         }
         let key = self.endpoint_being_filled(now, call)?;
         let it = self.directory.get(key)?;
-        let share = it.entry.slots * FILL_SHARE_FACTOR / self.hosts;
+        let share = it.entry.slots * FILL_SHARE_FACTOR / self.host_count;
         let has_room = self.directory.endpoint_utilization(now, it) < FILL_UTILIZATION
             && it.in_flight < share.max(1);
         (has_room && call.profile.prompt_tokens <= MAX_FILL_PROMPT_TOKENS).then_some(key)
@@ -219,7 +213,7 @@
         }
         self.directory
             .endpoints_of(&call.service)
-            .filter(|(_, it)| is_candidate(now, call, Strictness::Healthy, Some(rollout), it))
+            .filter(|(_, it)| is_candidate(now, call, Leniency::Healthy, Some(rollout), it))
             // Cold endpoints are excluded even if this host may use them, so that all hosts
             // choose the same.
             .filter(|(_, it)| !it.cold_start.is_cold(now))
@@ -231,7 +225,7 @@
 fn is_candidate(
     now: Duration,
     call: &Call,
-    strictness: Strictness,
+    leniency: Leniency,
     rollout: Option<&Rollout>,
     it: &Endpoint,
 ) -> bool {
@@ -240,7 +234,7 @@
         _ => true,
     };
     let is_open = it.takes_work() && it.wait(now).is_zero();
-    fits && is_open && (strictness > Strictness::Healthy || !it.health.is_ejected(now))
+    fits && is_open && (leniency > Leniency::Healthy || !it.health.is_ejected(now))
 }
 
 /// Returns whether an endpoint is excluded because of an earlier attempt.
@@ -249,8 +243,8 @@
 /// late duplicate of its refusal could be taken for the response to a second attempt, since
 /// all attempts have the same request ID. The request would then be reported as not run although
 /// the second attempt may be running.
-fn is_tried(call: &Call, strictness: Strictness, key: Key) -> bool {
-    call.refused.contains(&key) || (strictness < Strictness::Any && call.tried.contains(&key))
+fn is_tried(call: &Call, leniency: Leniency, key: Key) -> bool {
+    call.refused.contains(&key) || (leniency < Leniency::Any && call.tried.contains(&key))
 }
 
 /// Returns the fraction of the prompt that an endpoint may have cached.
--- a/crates/route/src/router/reports.rs
+++ b/crates/route/src/router/reports.rs
@@ -21,7 +21,7 @@
     }
 
     /// Records that an endpoint asked in a response that this host send it nothing for `pause`.
-    pub fn record_refusal(&mut self, now: Duration, in_flight: &InFlight, pause: Duration) {
+    pub fn record_pause(&mut self, now: Duration, in_flight: &InFlight, pause: Duration) {
         self.directory
             .pause_endpoint(now, in_flight.endpoint, pause);
     }
--- a/crates/route/src/router/rollouts.rs
+++ b/crates/route/src/router/rollouts.rs
@@ -58,8 +58,10 @@
         }
         let exposure = self.settings.exposure_share;
         let service = order.service.clone();
-        self.rollouts
-            .insert(service, Rollout::new(order, started, exposure, self.hosts));
+        self.rollouts.insert(
+            service,
+            Rollout::new(order, started, exposure, self.host_count),
+        );
         true
     }
 
@@ -68,13 +70,13 @@
         let gap = self.settings.session_gap + SESSION_GAP_MARGIN;
         let mut updates = Vec::with_capacity(self.rollouts.len());
         for rollout in self.rollouts.values_mut() {
-            let retained: Vec<u64> = self
+            let pinned_sessions: Vec<u64> = self
                 .sessions
                 .on_other_releases(now, &rollout.order.release, gap)
                 .map(|it| hash::of(it.as_str()))
                 .filter(|&it| rollout.is_drawn_for_trial(it))
                 .collect();
-            updates.push(rollout.build_update(now, retained.into_iter(), scope));
+            updates.push(rollout.build_update(now, pinned_sessions.into_iter(), scope));
         }
         updates
     }
