--- a/crates/route/src/config.rs
+++ b/crates/route/src/config.rs
@@ -12,7 +12,7 @@
 
 pub use customer::Customer;
 pub use limits::Limits;
-pub use route::{Access, ResponseKind, RetryPolicy, Route, Target};
+pub use route::{ResponseKind, RetryPolicy, Route, RouteAccess, Target};
 pub use service::{Engine, Model, Service};
 
 /// A complete version of the configuration.
--- a/crates/route/src/config/route.rs
+++ b/crates/route/src/config/route.rs
@@ -31,7 +31,7 @@
     /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
     /// Who may use the route.
-    pub access: Access,
+    pub access: RouteAccess,
     /// The models to choose from, smallest first. Empty if the route doesn't choose
     /// the model.
     pub models: Vec<ModelName>,
@@ -70,7 +70,7 @@
 
 /// Who may use a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Access {
+pub enum RouteAccess {
     /// Everyone.
     Public,
     /// Customers with a valid key, or everyone while no customers are configured.
--- a/crates/route/src/directory/endpoint.rs
+++ b/crates/route/src/directory/endpoint.rs
@@ -4,7 +4,7 @@
 
 use super::cold_start::ColdStart;
 use crate::endpoint::{Entry, Load, State};
-use crate::evacuation::Access;
+use crate::evacuation::DataCentreAccess;
 use crate::health::Health;
 
 /// An endpoint and what this host knows about it.
@@ -17,7 +17,7 @@
     /// the endpoint as ready. After a restart it is a new `Endpoint`.
     pub(crate) is_leaving: bool,
     /// Whether its data centre may be used.
-    pub(crate) access: Access,
+    pub(crate) access: DataCentreAccess,
     /// Its cold-start state.
     pub(crate) cold_start: ColdStart,
     /// Until when it asked this host to send nothing. It is skipped even if no other endpoint is
@@ -44,7 +44,7 @@
 }
 
 impl Endpoint {
-    pub(super) fn new(entry: Entry, access: Access) -> Self {
+    pub(super) fn new(entry: Entry, access: DataCentreAccess) -> Self {
         Self {
             entry,
             is_leaving: false,
@@ -63,7 +63,7 @@
     /// Returns whether new requests may be sent to it.
     #[must_use]
     pub fn takes_work(&self) -> bool {
-        self.is_ready() && self.access == Access::Open
+        self.is_ready() && self.access == DataCentreAccess::Open
     }
 
     /// Returns whether it would take new requests if its data centre were in use.
--- a/crates/route/src/directory/evacuate.rs
+++ b/crates/route/src/directory/evacuate.rs
@@ -6,7 +6,7 @@
 
 use super::{Directory, Endpoint};
 use crate::Revision;
-use crate::evacuation::{Access, Evacuation, Evacuations};
+use crate::evacuation::{DataCentreAccess, Evacuation, Evacuations};
 
 impl Directory {
     /// Returns the state of the data centres.
@@ -40,14 +40,14 @@
         for it in self.endpoints.values_mut() {
             let access = access(&self.evacuations, &it.entry.data_centre);
             let before = std::mem::replace(&mut it.access, access);
-            if (before, access) == (Access::Evacuated, Access::Open) {
+            if (before, access) == (DataCentreAccess::Evacuated, DataCentreAccess::Open) {
                 Self::mark_returned(now, &self.warm_ups, it);
             }
         }
         self.refresh_shares();
     }
 
-    pub(super) fn access(&self, data_centre: &DataCentre) -> Access {
+    pub(super) fn access(&self, data_centre: &DataCentre) -> DataCentreAccess {
         access(&self.evacuations, data_centre)
     }
 
@@ -58,18 +58,18 @@
         /// useless.
         const EVACUATED_RETRY_AFTER: Duration = Duration::from_secs(1);
         let wait = |it: &Endpoint| match it.access {
-            Access::Open => it.wait(now),
-            Access::Evacuated => EVACUATED_RETRY_AFTER.max(it.wait(now)),
+            DataCentreAccess::Open => it.wait(now),
+            DataCentreAccess::Evacuated => EVACUATED_RETRY_AFTER.max(it.wait(now)),
         };
         let ready = self.endpoints_of(service).filter(|(_, it)| it.is_ready());
         ready.map(|(_, it)| wait(it)).min().unwrap_or_default()
     }
 }
 
-fn access(evacuations: &Evacuations, data_centre: &DataCentre) -> Access {
+fn access(evacuations: &Evacuations, data_centre: &DataCentre) -> DataCentreAccess {
     if evacuations.is_evacuated(data_centre) {
-        Access::Evacuated
+        DataCentreAccess::Evacuated
     } else {
-        Access::Open
+        DataCentreAccess::Open
     }
 }
--- a/crates/route/src/evacuation.rs
+++ b/crates/route/src/evacuation.rs
@@ -21,12 +21,12 @@
     /// centre is back in use.
     pub revision: Revision,
     /// Whether its endpoints may be used.
-    pub access: Access,
+    pub access: DataCentreAccess,
 }
 
 /// Whether a data centre's endpoints may be used.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Access {
+pub enum DataCentreAccess {
     /// They may be used.
     #[display("open")]
     Open,
@@ -80,13 +80,13 @@
             let is_listed = evacuated
                 .iter()
                 .any(|it| it.data_centre == known.data_centre);
-            known.access == Access::Evacuated && !is_listed && is_covered_by(known, at)
+            known.access == DataCentreAccess::Evacuated && !is_listed && is_covered_by(known, at)
         });
         let taken_back: Vec<_> = absent
             .map(|it| Evacuation {
                 data_centre: it.data_centre.clone(),
                 revision: at,
-                access: Access::Open,
+                access: DataCentreAccess::Open,
             })
             .collect();
         let mut is_change = false;
@@ -101,7 +101,7 @@
     #[must_use]
     pub fn is_evacuated(&self, data_centre: &DataCentre) -> bool {
         let known = self.latest.get(data_centre);
-        known.is_some_and(|it| it.access == Access::Evacuated)
+        known.is_some_and(|it| it.access == DataCentreAccess::Evacuated)
     }
 
     /// Returns all known changes, for other hosts.
@@ -112,7 +112,7 @@
 
     /// Returns the evacuated data centres.
     pub fn evacuated(&self) -> impl Iterator<Item = &DataCentre> {
-        let evacuated = |it: &&Evacuation| it.access == Access::Evacuated;
+        let evacuated = |it: &&Evacuation| it.access == DataCentreAccess::Evacuated;
         self.latest
             .values()
             .filter(evacuated)
@@ -120,7 +120,7 @@
     }
 
     fn insert_change(&mut self, change: Evacuation) -> bool {
-        let is_evacuated = change.access == Access::Evacuated;
+        let is_evacuated = change.access == DataCentreAccess::Evacuated;
         if !is_evacuated && self.latest.len() >= MAX_OPEN {
             self.latest.remove(&change.data_centre);
             return true;
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -21,7 +21,7 @@
 use rand_pcg::Pcg32;
 
 use crate::call::{Call, Ending};
-use crate::config::{Access, Config};
+use crate::config::{Config, RouteAccess};
 use crate::directory::{Absence, Change};
 use crate::endpoint::{Entry, Key};
 use crate::prefill::PrefillEstimator;
@@ -210,7 +210,7 @@
         let config = self.config.as_ref().ok_or(Denial::NotReady)?;
         let route = config.route(host, path).ok_or(Denial::NoRoute)?;
         let customer = match route.access {
-            Access::Keyed if config.has_customers() => {
+            RouteAccess::Keyed if config.has_customers() => {
                 let customer = key.and_then(|it| config.customer(it));
                 Some(customer.ok_or(Denial::UnknownKey)?.clone())
             }
--- a/crates/route/src/router/exits.rs
+++ b/crates/route/src/router/exits.rs
@@ -7,7 +7,7 @@
 
 use super::{InFlight, Router};
 use crate::endpoint::Key;
-use crate::evacuation::Access;
+use crate::evacuation::DataCentreAccess;
 use crate::quarantine::{FinishedAttempt, Outcome};
 use crate::{Ending, Quarantine};
 
@@ -44,7 +44,7 @@
         probe_candidates.dedup();
         let known = |key| {
             let it = self.directory.get(key)?;
-            let entry = (it.access == Access::Open).then_some(&it.entry)?;
+            let entry = (it.access == DataCentreAccess::Open).then_some(&it.entry)?;
             Some((key, entry.id.clone(), entry.address))
         };
         probe_candidates.into_iter().filter_map(known).collect()
--- a/crates/route/src/router/permits.rs
+++ b/crates/route/src/router/permits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{InFlight, Router};
-use crate::evacuation::{Access, Evacuation};
+use crate::evacuation::{DataCentreAccess, Evacuation};
 use crate::permit::Withheld;
 use crate::{Peers, Permit, Revision};
 
@@ -38,7 +38,7 @@
     pub fn permit(&mut self, now: Duration, in_flight: &InFlight) -> Result<Permit, Withheld> {
         let it = self.directory.get_mut(in_flight.endpoint);
         let it = it.ok_or(Withheld::Leaving)?;
-        if it.access == Access::Evacuated {
+        if it.access == DataCentreAccess::Evacuated {
             return Err(Withheld::Evacuated);
         }
         if !it.takes_work() {
--- a/crates/route/tests/harness/evacuations.rs
+++ b/crates/route/tests/harness/evacuations.rs
@@ -1,6 +1,6 @@
 //! Script commands on evacuations of data centres.
 
-use route::evacuation::Access;
+use route::evacuation::DataCentreAccess;
 use route::{Evacuation, Revision};
 
 use super::Script;
@@ -21,19 +21,23 @@
         };
         match line.command {
             "empty" => {
-                let evacuation = evacuation(line.args[0], at.version, Access::Evacuated);
+                let evacuation = evacuation(line.args[0], at.version, DataCentreAccess::Evacuated);
                 let is_change = self.router().evacuate(now, evacuation);
                 if is_change { "emptied" } else { "known" }.to_owned()
             }
             "take-back" => {
-                let evacuation = evacuation(line.args[0], at.version, Access::Open);
+                let evacuation = evacuation(line.args[0], at.version, DataCentreAccess::Open);
                 let is_change = self.router().evacuate(now, evacuation);
                 if is_change { "taken back" } else { "known" }.to_owned()
             }
             "read" => {
                 let emptied = line.args.iter().map(|it| {
                     let (data_centre, version) = it.split_once('@').unwrap();
-                    evacuation(data_centre, version.parse().unwrap(), Access::Evacuated)
+                    evacuation(
+                        data_centre,
+                        version.parse().unwrap(),
+                        DataCentreAccess::Evacuated,
+                    )
                 });
                 let emptied = emptied.collect();
                 let is_change = self.router().read_evacuations(now, at, emptied);
--- a/crates/route/tests/harness/line.rs
+++ b/crates/route/tests/harness/line.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kernel::{DataCentre, Incarnation};
-use route::config::{Access, ResponseKind, RetryPolicy, Route, Target};
+use route::config::{ResponseKind, RetryPolicy, Route, RouteAccess, Target};
 use route::endpoint::{Entry, State};
 use route::{Ending, Settings};
 
@@ -78,8 +78,8 @@
         target_latency: Duration::from_millis(line.number::<u64>("aim", 3_000)),
         priority: line.number::<u8>("rank", 0),
         access: match line.text("access") {
-            Some("keyed") => Access::Keyed,
-            _ => Access::Public,
+            Some("keyed") => RouteAccess::Keyed,
+            _ => RouteAccess::Public,
         },
         models: line
             .text("models")
--- a/crates/route/tests/warm_up.rs
+++ b/crates/route/tests/warm_up.rs
@@ -6,7 +6,9 @@
 use kernel::HostName;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use route::config::{Access, Config, Limits, ResponseKind, RetryPolicy, Route, Service, Target};
+use route::config::{
+    Config, Limits, ResponseKind, RetryPolicy, Route, RouteAccess, Service, Target,
+};
 use route::directory::Absence;
 use route::endpoint::{Entry, State};
 use route::{Ending, IncomingRequest, Peers, RequestProfile, Router, Settings, WarmUp};
@@ -114,7 +116,7 @@
         timeout: Duration::from_secs(5),
         target_latency: SECOND,
         priority: 0,
-        access: Access::Public,
+        access: RouteAccess::Public,
         models: Vec::new(),
     };
     let limits = Limits::default();
