--- a/crates/route/src/config/route.rs
+++ b/crates/route/src/config/route.rs
@@ -20,7 +20,8 @@
     pub retry_policy: RetryPolicy,
     /// The kind of response.
     pub response: ResponseKind,
-    /// The maximum number of attempts per request.
+    /// The maximum number of attempts per request, without those that ended before anything was
+    /// sent.
     pub attempts: u32,
     /// The maximum time until a response is complete.
     pub timeout: Duration,
@@ -30,8 +31,9 @@
     /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
     /// Who may use the route.
-    pub access: Access,
-    /// The models to choose from, smallest first. Empty if the caller chooses the model.
+    pub access: RouteAccess,
+    /// The models to choose from, smallest first. Empty if the route doesn't choose
+    /// the model.
     pub models: Vec<ModelName>,
 }
 
@@ -68,7 +70,7 @@
 
 /// Who may use a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Access {
+pub enum RouteAccess {
     /// Everyone.
     Public,
     /// Customers with a valid key, or everyone while no customers are configured.
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -21,7 +21,7 @@
 use rand_pcg::Pcg32;
 
 use crate::call::{Call, Ending};
-use crate::config::{Access, Config};
+use crate::config::{Config, RouteAccess};
 use crate::directory::{Absence, Change};
 use crate::endpoint::{Entry, Key};
 use crate::prefill::PrefillEstimator;
@@ -65,7 +65,8 @@
     listing_time: Option<Duration>,
     /// Endpoints that were ejected since the last [`Self::take_ejected`], except unreachable ones.
     ejected: Vec<(EndpointId, Ending)>,
-    hosts: u32,
+    /// The number of live hosts, including this one.
+    host_count: u32,
     rng: Pcg32,
 }
 
@@ -87,7 +88,7 @@
             first_byte_times: HashMap::new(),
             listing_time: None,
             ejected: Vec::new(),
-            hosts: 1,
+            host_count: 1,
             rng: Pcg32::seed_from_u64(seed),
         }
     }
@@ -134,15 +135,16 @@
         self.settings = settings;
     }
 
-    /// Replaces the listing of endpoints and returns what changed.
+    /// Applies a complete listing of endpoints that was read at `read_at`, and returns what
+    /// changed.
     pub fn update_listing(
         &mut self,
-        now: Duration,
+        read_at: Duration,
         entries: Vec<Entry>,
         absence: Absence,
     ) -> Change {
-        self.listing_time = Some(now);
-        self.directory.apply_listing(now, entries, absence)
+        self.listing_time = Some(read_at);
+        self.directory.apply_listing(read_at, entries, absence)
     }
 
     /// Records that the store was restored from an older copy.
@@ -174,7 +176,7 @@
     #[must_use]
     pub fn budgets(&self, now: Duration) -> Vec<(ServiceName, f64)> {
         let retries_left = |(name, it): (&ServiceName, &RetryBudget)| {
-            (name.clone(), it.remaining(now, self.hosts))
+            (name.clone(), it.remaining(now, self.host_count))
         };
         self.budgets.iter().map(retries_left).collect()
     }
@@ -185,9 +187,10 @@
         &self.directory
     }
 
-    /// Sets the number of hosts that share retry budgets, including this one.
-    pub fn set_host_count(&mut self, hosts: u32) {
-        self.hosts = hosts.max(1);
+    /// Sets the number of live hosts, including this one. They share retry budgets, connection
+    /// limits and the filling of endpoints. Roll-outs that start later also depend on it.
+    pub fn set_host_count(&mut self, host_count: u32) {
+        self.host_count = host_count.max(1);
     }
 
     /// Admits a request: selects its route, customer, service and release.
@@ -207,7 +210,7 @@
         let config = self.config.as_ref().ok_or(Denial::NotReady)?;
         let route = config.route(host, path).ok_or(Denial::NoRoute)?;
         let customer = match route.access {
-            Access::Keyed if config.has_customers() => {
+            RouteAccess::Keyed if config.has_customers() => {
                 let customer = key.and_then(|it| config.customer(it));
                 Some(customer.ok_or(Denial::UnknownKey)?.clone())
             }
