--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -5,8 +5,8 @@
 
 /// A source of time.
 ///
-/// Decisions only use [`Clock::now`]. Wall time is for output that people read and for
-/// times that must remain valid after the process has ended.
+/// Decisions only use [`Clock::now`]. Wall time is for output that people read, for times
+/// that must remain valid after the process has ended, and for incarnations and random seeds.
 pub trait Clock: Send + Sync + 'static {
     /// Returns the monotonic time since an arbitrary point in this process.
     fn now(&self) -> Duration;
--- a/crates/kernel/src/id.rs
+++ b/crates/kernel/src/id.rs
@@ -76,8 +76,8 @@
     ServiceName;
     /// A model and its version, written `model@version`.
     VersionId;
-    /// A process of an endpoint, as the directory names it. A restarted process, or another
-    /// one at the same address, has a different id.
+    /// An endpoint, as its directory entry names it. An endpoint that restarts under the same
+    /// id has another incarnation.
     EndpointId;
     /// The release of an endpoint's software and weights, as roll-outs refer to it.
     Release;
@@ -109,10 +109,12 @@
 pub struct RequestKey {
     /// The customer: different customers may use the same key.
     pub customer: Customer,
-    /// The incarnation of the host that issued the caller's ticket (see the crate `gate`), or
-    /// zero without a ticket.
+    /// The incarnation of the host that issued the caller's ticket (see the crate `gate`). Zero
+    /// for an idempotency key without a ticket; the accepting host's incarnation for a request
+    /// without an idempotency key.
     pub home: Incarnation,
-    /// The caller's idempotency key, or the request id without one.
+    /// The caller's idempotency key, escaped and, for an idempotent request, with the request's
+    /// fingerprint appended. The request id if the caller sent no key.
     pub key: Arc<str>,
 }
 
--- a/crates/kernel/src/registry.rs
+++ b/crates/kernel/src/registry.rs
@@ -40,7 +40,8 @@
         receiver
     }
 
-    /// Returns the mailbox of `S`, or `None` if it isn't registered.
+    /// Returns the mailbox of `S`, or `None` if it isn't registered or if the mailbox of that
+    /// name has another message type.
     #[must_use]
     pub fn find<S: Service>(&self) -> Option<Mailbox<S::Message>> {
         let mailboxes = self
--- a/crates/telemetry/src/line_limiter.rs
+++ b/crates/telemetry/src/line_limiter.rs
@@ -40,7 +40,7 @@
 }
 
 impl LineLimiter {
-    /// Takes a token if a line of this priority may be written now.
+    /// Takes a token if a line of this priority may be written now, and returns whether it may.
     pub(crate) fn take(&mut self, now: Duration, priority: LinePriority) -> bool {
         let refill = now.saturating_sub(self.refilled_at).as_secs_f64() * LINES_PER_SECOND;
         self.tokens = (self.tokens + refill).min(BURST_LINES);
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -20,9 +20,9 @@
     pub config_confirmed: f64,
     /// The age of the listing of endpoints in seconds, or NaN if there is none.
     pub listing_age: f64,
-    /// Endpoints that accept requests.
+    /// Endpoints that accept requests, including ejected ones.
     pub endpoints: u64,
-    /// Endpoints that are ejected.
+    /// The ejected ones among these endpoints.
     pub ejected: u64,
     /// Data centres that operators have evacuated.
     pub data_centres_evacuated: u64,
@@ -38,11 +38,11 @@
     pub requests: u64,
     /// Requests that are quarantined because endpoints exited while running them.
     pub quarantined: u64,
-    /// The retries left, by service.
+    /// The retries that this host may still send, by service. May be negative.
     pub retry_budgets: Vec<(String, f64)>,
     /// For each roll-out: the service, the new release's share of the requests, and the
-    /// responses and failures of both releases, pooled over the hosts. The separate counts of
-    /// crowded endpoints aren't exported.
+    /// evidence, pooled over the hosts. Of the evidence, only the responses and failures of
+    /// both releases are exported.
     pub rollouts: Vec<(String, f64, route::rollout::Evidence)>,
 }
 
@@ -97,8 +97,8 @@
 }
 
 impl Metrics {
-    /// Creates the instruments. Every reason is exported as zero from the start, so that an
-    /// alert on its rate sees the first case.
+    /// Creates the instruments. Counters by outcome, ending or reason are exported as zero from
+    /// the start, so that an alert on their rate sees the first case.
     #[must_use]
     pub fn new() -> Self {
         let instruments = Instruments::new("relay", CATALOGUE, &BUCKET_BOUNDS_SECONDS);
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -175,7 +175,8 @@
     }
 }
 
-/// Returns whether a request is sampled: the same for all its lines, on every host.
+/// Returns whether a request is sampled. The result depends only on the request id, so that all
+/// hosts select the same requests.
 fn is_sampled(id: &RequestId) -> bool {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
--- a/crates/telemetry/src/report.rs
+++ b/crates/telemetry/src/report.rs
@@ -14,7 +14,7 @@
     pub fingerprint: Option<RequestFingerprint>,
     /// Its route, if it was accepted for forwarding.
     pub route: Option<&'a str>,
-    /// The customer, if the route requires a key.
+    /// The customer, if the route requires a key and the configuration has customers.
     pub customer: Option<&'a str>,
     /// The outcome of the request.
     pub outcome: Outcome,
@@ -32,7 +32,8 @@
     pub attempts: u32,
     /// The number of events of a stream that were passed to the response writer.
     pub events: u64,
-    /// Its attempts in order, each with the endpoint, the ending and the milliseconds.
+    /// Its attempts in order, each with the endpoint, the ending and the duration in
+    /// milliseconds.
     pub trail: &'a str,
     /// A summary of how its attempts ended.
     pub attempt_summary: AttemptSummary,
@@ -99,14 +100,15 @@
     pub confidence: Option<u8>,
     /// Whether the response stated that the endpoint is leaving.
     pub is_leaving: Option<bool>,
-    /// Why the request wasn't sent, if the router withheld it.
+    /// The reason why the request wasn't sent, if the router withheld it.
     pub withheld: Option<Withheld>,
     /// The id after which a stream would be resumed: of the last event that was forwarded, or
     /// the one in the caller's request. `None` if the attempt was dropped.
     pub last_event: Option<u64>,
     /// The status of the endpoint's response.
     pub status: Option<u16>,
-    /// Whether the connection was new or reused, if sending the request on it was permitted.
+    /// Whether the connection was new or reused. `None` if none could be opened, or if the
+    /// router withheld the request.
     pub connection: Option<ConnectionOrigin>,
     /// The number of responses to other requests that came first and were skipped.
     pub strays: u32,
