--- a/crates/host/src/addresses.rs
+++ b/crates/host/src/addresses.rs
@@ -6,8 +6,8 @@
 
 /// Largest number of addresses that callers accept.
 const MAX_ADDRESSES: usize = 64;
-/// Number of hosts in the caller's data centre from which only a few remote hosts are
-/// added. With fewer, a failed host would leave its callers too few alternatives.
+/// Number of hosts in the caller's data centre from which on only a few remote hosts are
+/// added. If there are fewer, a failed host would leave its callers too few alternatives.
 const ENOUGH_LOCAL: usize = 8;
 /// Number of local hosts per added remote host. With the remote hosts, callers still find a
 /// live host when their data centre fails.
@@ -30,8 +30,8 @@
 /// Callers use any of the addresses that they get. A request to a host in another data
 /// centre crosses between data centres, and the same list for all callers would send all
 /// traffic to a few hosts. The choice depends only on the caller's location and the hosts,
-/// so every host gives the same answer: callers close connections to hosts that are missing
-/// from a new answer.
+/// so that every host gives the same answer. Otherwise callers would often reconnect, since
+/// they close connections to hosts that are missing from a new answer.
 #[must_use]
 pub fn choose(
     hosts: &[Address],
--- a/crates/host/src/follow.rs
+++ b/crates/host/src/follow.rs
@@ -1,8 +1,8 @@
 //! Tasks that follow the contents of the store.
 //!
 //! Each store call is billed, so a few hosts read the store and inform the others. A host
-//! whose state gets too old reads the store itself, whatever the reason, so no host
-//! depends on others to keep its bounds.
+//! whose state gets too old reads the store itself, whatever the reason, so that the age of
+//! its state stays bounded when the others fail.
 
 pub(crate) mod documents;
 pub(crate) mod endpoints;
--- a/crates/host/src/follow/documents.rs
+++ b/crates/host/src/follow/documents.rs
@@ -73,7 +73,7 @@
 
 /// Applies changed documents.
 fn apply_changes<S: Store, D: Dialect>(host: &Host<S, D>, documents: Documents) {
-    // Before the configuration: with it, the host starts to serve requests.
+    // Applied before the configuration, with which the host starts to serve requests.
     evacuations::apply(host, documents.evacuations);
     report::log_unusable(host, "documents", documents.unreadable);
     if let Some((config, text)) = documents.config {
--- a/crates/host/src/follow/members.rs
+++ b/crates/host/src/follow/members.rs
@@ -20,8 +20,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// The same before it has joined the fleet.
 const JOINING_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Number of entries from which a host doesn't register itself but leaves it to the
-/// readers, which write many entries per call. With fewer entries, each listed host would
+/// Number of entries from which on a host doesn't register itself but leaves it to the first
+/// reader, which writes many entries per call. With a lower limit, each listed host would
 /// get requests from dozens of others when the whole fleet starts.
 const SELF_REGISTRATION_LIMIT: usize = 24;
 /// Largest number of entries in one write.
--- a/crates/host/src/gossip.rs
+++ b/crates/host/src/gossip.rs
@@ -42,10 +42,11 @@
 /// fingerprints.
 const MIN_COMPARISON_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The membership changes that a host sends to its neighbours.
+/// The membership records that a host sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipUpdate {
-    /// The records that changed since the previous update.
+    /// The records that changed since the previous update; in a full update, those of all live
+    /// hosts.
     pub records: Vec<Record>,
     /// [`Roster::fingerprint`] of the sender, by which the receiver detects differing views.
     pub fingerprint: u64,
@@ -66,11 +67,12 @@
     roster: Roster,
     graph: Graph,
     failure_detector: FailureDetector,
-    /// Previous successors, and until when they still receive updates.
+    /// Previous successors, each with the time until which it still receives updates.
     former_successors: Vec<(HostName, Duration)>,
     /// Hosts whose records changed since the previous update.
     unsent: Vec<HostName>,
-    /// Since when the fingerprints of other hosts differ from this one's.
+    /// The hosts whose fingerprints differ from this one's, each with the time at which that
+    /// was first seen.
     mismatched_since: HashMap<HostName, Duration>,
     last_comparison: Option<Duration>,
 }
@@ -226,9 +228,9 @@
 
     /// Records that a host did not answer a probe. Returns whether it is now marked silent.
     ///
-    /// A host that is cut off receives nothing, and without this guard would claim that all
-    /// others are silent once it reconnects. A host that receives nothing from any predecessor
-    /// marks none of them silent unless it reaches the store: then it may be the only one left.
+    /// A host that receives nothing from any predecessor may be cut off, and marks none of them
+    /// silent. Otherwise it would claim that all others are silent once it reconnects. If it
+    /// reaches the store, it does mark them: it may be the only host left.
     pub fn probe_failed(&mut self, now: Duration, host: &HostName, contact: Contact) -> bool {
         match (self.failure_detector.probe_failed(now, host), contact) {
             (ProbeResult::Silent, _) | (ProbeResult::AllSilent, Contact::Store) => {}
@@ -273,8 +275,9 @@
 
     /// Keeps sending updates to former successors for a while.
     ///
-    /// A host that was wrongly marked silent is removed from the graph of all hosts. Without these
-    /// updates it would learn of the claim, and refute it, only later through a comparison.
+    /// A host that was wrongly marked silent is removed from the graph that each host computes.
+    /// Without these updates it would learn of the claim, and refute it, only later through a
+    /// comparison.
     fn keep_former_successors(&mut self, now: Duration, before: Vec<HostName>) {
         const GRACE_PERIOD: Duration = Duration::from_secs(1);
         let known = std::mem::take(&mut self.former_successors);
@@ -306,7 +309,7 @@
     }
 }
 
-/// Whether this host has recently reached the store.
+/// The contact of this host with the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
     /// A call to the store succeeded recently.
--- a/crates/host/src/gossip/failure_detector.rs
+++ b/crates/host/src/gossip/failure_detector.rs
@@ -13,7 +13,7 @@
 /// then, and other hosts monitor it.
 const SUSPENSION: Duration = Duration::from_secs(10);
 
-/// Tracks when each predecessor in the graph was last heard from.
+/// Tracks the time at which each predecessor in the graph was last heard from.
 #[derive(Debug, Default)]
 pub(super) struct FailureDetector {
     monitored: HashMap<HostName, Monitored>,
@@ -36,8 +36,8 @@
         let mut monitored = HashMap::new();
         for it in hosts {
             let known = self.monitored.get(it).copied();
-            // Suspected after only half the time: it also learns of the change and sends an
-            // update within one interval.
+            // A new predecessor is suspected after only half the time: it also learns of the
+            // changed graph, and sends this host an update within one interval.
             let fresh = Monitored {
                 last_heard: now.saturating_sub(SUSPECT_AFTER / 2),
                 probed_at: None,
--- a/crates/host/src/gossip/graph.rs
+++ b/crates/host/src/gossip/graph.rs
@@ -11,8 +11,8 @@
 /// all others are successors. Keeps a host's work independent of the number of hosts, while
 /// updates still reach all when messages are lost or many hosts are down.
 pub const DEGREE: usize = 6;
-/// The number of successors in the same data centre, on two rings of its hosts. Traffic between
-/// data centres is charged for; the remaining successors connect the data centres.
+/// The number of successors from the rings of the host's own data centre, if it has enough hosts.
+/// Traffic between data centres is charged for; the remaining successors connect the data centres.
 const LOCAL_DEGREE: usize = 4;
 const LOCAL_RINGS: usize = 2;
 /// The number of roots that aggregate the evidence of all hosts. The second one makes the
@@ -100,7 +100,7 @@
         (distances[*nearest] < own).then(|| &self.names[*nearest])
     }
 
-    /// Estimates from the number of hosts how many hops an update takes to reach all of them.
+    /// Returns an estimate of the number of hops that an update takes to reach all hosts.
     #[must_use]
     pub fn estimated_hops(hosts: usize) -> u32 {
         if hosts <= DEGREE + 2 {
--- a/crates/host/src/gossip/roster.rs
+++ b/crates/host/src/gossip/roster.rs
@@ -173,7 +173,8 @@
         self.epoch
     }
 
-    /// Iterates over name hash, record hash and record of each host, except listed ones.
+    /// Iterates over name hash, record hash and record of each host, except those only listed in
+    /// the store.
     pub(super) fn hashes(&self) -> impl Iterator<Item = (u32, u64, &Record)> {
         self.hosts
             .values()
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -30,14 +30,14 @@
 
 pub(crate) use listing_meta::{ListingMeta, is_much_later};
 
-/// Interval at which idle connections to endpoints that are too old for reuse are closed.
+/// Interval at which connections to endpoints are closed if idle for too long to be reused.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which a host that shuts down checks for remaining requests.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time over which hosts spread their first join when the whole fleet starts for the
-/// first time. Without the spread, each host would find an empty listing and try to
-/// write the authority: three store calls per host instead of one.
+/// first time. Without the spread, each host would find no certificate authority in the store
+/// and try to write its own: three store calls per host instead of one.
 const FIRST_START_SPREAD: Duration = Duration::from_millis(500);
 /// Time after the last successful call to the store at which it counts as unreachable.
 const STORE_CONTACT_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -66,8 +66,8 @@
     pub(crate) update_trigger: Sender<()>,
     pub(crate) update_requests: Receiver<()>,
     pub(crate) incarnation: Incarnation,
-    /// Restarts the long polls of the store, for documents and for verdicts, after the
-    /// store was unavailable.
+    /// Restart the long polls of the store, for documents and for verdicts, after the store
+    /// was unavailable or was restored from a copy.
     pub(crate) long_poll_restarts: [(Sender<()>, Receiver<()>); 2],
     /// The kinds of store call whose last attempt failed.
     pub(crate) failing_calls: RefCell<HashSet<&'static str>>,
@@ -80,8 +80,8 @@
     pub(crate) is_watching_documents: Cell<bool>,
     /// Whether an attempt to join the fleet has ended, successful or not.
     pub(crate) join_attempted: Cell<bool>,
-    /// Whether this host no longer waits for the neighbours' state before it may read the
-    /// store: a neighbour has sent it, all attempts have ended, or joining has failed.
+    /// Whether the bootstrap from neighbours is over: one has sent its state, all attempts
+    /// have ended, or joining has failed.
     pub(crate) bootstrap_attempted: Cell<bool>,
     /// Number of hosts that the store listed when this host joined.
     pub(crate) hosts_found: Cell<Option<usize>>,
@@ -106,7 +106,7 @@
     is_accepting: Cell<bool>,
 }
 
-/// Whether other hosts may be running when a host starts.
+/// Distinguishes the first start of the whole fleet from all other starts of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
     /// The whole fleet starts for the first time.
@@ -211,8 +211,9 @@
         self.is_accepting.get() && has_state && self.node.phase() == Phase::Serving
     }
 
-    /// Shuts down: tells the other hosts, serves remaining callers, and returns when
-    /// callers no longer use the address and no request is left, or the time is over.
+    /// Shuts down: tells the other hosts, serves remaining callers, and returns after
+    /// `schedule.listen_until` as soon as no request is in progress, or once
+    /// `schedule.exit_by` has passed.
     pub async fn leave(&self, schedule: ShutdownSchedule) {
         let began = self.node.now();
         let end = began + schedule.exit_by;
@@ -322,7 +323,8 @@
         }
     }
 
-    /// Reads the fleet's data from the store and opens the links to the other hosts.
+    /// Reads the data for joining the fleet from the store, and starts to listen for links of
+    /// other hosts. Returns `None` if any step fails.
     pub(crate) async fn join_fleet(&self) -> Option<(Link, Receiver<Incoming>)> {
         let candidate = Authority::generate(AUTHORITY_NAME).ok()?;
         let began = self.node.now();
@@ -354,7 +356,7 @@
     /// Restarts the long polls of the store.
     ///
     /// A store that stops responding without closing its connections never answers the
-    /// polls that were open. Without a restart, a configuration would be missed until
+    /// polls that were open. Without a restart, a new configuration would be missed until
     /// the poll times out.
     pub(crate) fn restart_long_polls(&self) {
         for (sender, _) in &self.long_poll_restarts {
--- a/crates/host/src/host/listing_meta.rs
+++ b/crates/host/src/host/listing_meta.rs
@@ -17,9 +17,9 @@
 impl ListingMeta {
     /// Returns whether a later listing with this fingerprint adds nothing to this one.
     ///
-    /// Equal entries still matter if an absent entry meant `Lapsed` before and means `Gone`
-    /// now. After an outage of the store, endpoints stay in use whose entries
-    /// may only have lapsed. If the later listing counted as equal, it wouldn't reach the
+    /// A listing with the same entries still matters if an absent entry meant `Lapsed` before
+    /// and means `Gone` now. After an outage of the store, endpoints whose entries may only
+    /// have lapsed stay in use. If the later listing counted as equal, it wouldn't reach the
     /// directory, and an endpoint that was lost in the outage would get requests until
     /// some other entry changes.
     pub(crate) fn covers(&self, fingerprint: u64, absence: Absence) -> bool {
--- a/crates/host/src/host/readers.rs
+++ b/crates/host/src/host/readers.rs
@@ -22,13 +22,13 @@
 const MIN_READ_AGE: Duration = Duration::from_millis(1_250);
 /// Delay added to that age, or to [`STARTUP_WAIT`], for each rank in the order of hosts.
 const RANK_DELAY: Duration = Duration::from_millis(10);
-/// Rank from which on the delay no longer grows.
+/// Rank from which on the delay added to the age no longer grows.
 const MAX_DELAYED_RANKS: usize = 25;
 /// Time that a host waits for state from other hosts, counted from its start and without
 /// the delay of its rank. Long enough for a few hosts to read a large listing and for it to
 /// spread; otherwise hundreds of hosts that start at once would read it themselves.
 const STARTUP_WAIT: Duration = Duration::from_millis(1_500);
-/// Rank from which on that delay no longer grows.
+/// Rank from which on the delay added to [`STARTUP_WAIT`] no longer grows.
 const MAX_DELAYED_STARTUP_RANKS: usize = 100;
 /// Time after its start at which a host begins to read on behalf of others. By then its own
 /// record, and those of hosts that started with it, have spread. Must be shorter than the
@@ -80,7 +80,7 @@
     }
 
     /// Returns whether this host has been running long enough to be known to all others.
-    /// Of several hosts that start at once, each takes itself for the first until then.
+    /// Until then, each of several hosts that start at once may have rank 0 in its own roster.
     fn is_known_to_all(&self) -> bool {
         self.node.now() >= self.started + ANNOUNCE_TIME
     }
--- a/crates/host/src/listing/patch.rs
+++ b/crates/host/src/listing/patch.rs
@@ -8,7 +8,8 @@
 
 use super::{Listing, compared_fields, fingerprint};
 
-/// A short hash of each bucket of a listing's entries.
+/// The hash of each bucket of a listing. The hash of an endpoint's id determines the bucket of
+/// its entry.
 ///
 /// Hosts that follow different readers, or miss some listings, may have a listing for which no
 /// change is kept. Sending each of them a whole listing would make up most of the traffic
@@ -23,7 +24,7 @@
 pub struct Patch {
     /// Fingerprint of the resulting listing.
     pub to: u64,
-    /// Number of buckets.
+    /// Number of all buckets.
     count: usize,
     /// The buckets that differ.
     buckets: BTreeSet<usize>,
@@ -54,7 +55,7 @@
         Sketch { buckets }
     }
 
-    /// Returns the buckets in which a host with the sketch `theirs` differs; `None` if the
+    /// Returns the patch to this listing from the one with the sketch `theirs`; `None` if the
     /// sketch is empty or this host has no listing.
     #[must_use]
     pub fn patch(&self, theirs: &Sketch) -> Option<Patch> {
@@ -76,8 +77,8 @@
         })
     }
 
-    /// Returns the entries that result from `patch`; `None` if they aren't the listing that
-    /// it names, as this one has changed since its sketch was sent.
+    /// Returns the entries that result from `patch`; `None` if their fingerprint isn't
+    /// `patch.to`, for example because this listing has changed since its sketch was sent.
     #[must_use]
     pub fn with_patch(&self, patch: &Patch) -> Option<Vec<Entry>> {
         let is_kept = |it: &&Entry| !patch.buckets.contains(&bucket(&it.id, patch.count.max(1)));
--- a/crates/host/src/member.rs
+++ b/crates/host/src/member.rs
@@ -7,7 +7,7 @@
 
 use crate::addresses::Address;
 
-/// A host as other hosts know it.
+/// The name, addresses and location of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// Unique name.
--- a/crates/host/src/message.rs
+++ b/crates/host/src/message.rs
@@ -70,7 +70,7 @@
     pub(crate) membership: MembershipUpdate,
     /// The version of the sender's configuration.
     pub(crate) version: Option<u64>,
-    /// Time since the store was last known to confirm that version.
+    /// Time since the store last had that version, as far as the sender knows.
     pub(crate) confirmed: Option<Duration>,
     /// The sender's listing of endpoints.
     pub(crate) listing: Option<ListingStatus>,
@@ -127,7 +127,7 @@
 /// The full state of a host, except quarantined requests, which are requested separately. It
 /// is sent as a whole because a host that had only the configuration would serve requests
 /// without knowing which release is on trial, which sessions are kept off it, and which data
-/// centres are emptied.
+/// centres are evacuated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FullState {
     pub(crate) update: StateUpdate,
--- a/crates/host/src/messaging.rs
+++ b/crates/host/src/messaging.rs
@@ -26,8 +26,8 @@
 use crate::message::{ListingStatus, ListingVersion, Message, StateUpdate};
 use crate::{Backoff, Member, Store, follow};
 
-/// Connects to the other hosts, with a certificate that it issues with the authority from the
-/// store, and receives their messages.
+/// Joins the fleet, with retries until that succeeds, starts the tasks that communicate with
+/// other hosts, and receives their messages.
 pub(crate) async fn join<S: Store, D: Dialect>(host: Rc<Host<S, D>>) {
     host.delay_first_join().await;
     let mut backoff = Backoff::default();
@@ -105,7 +105,8 @@
     host.node.router().directory().evacuations().changes()
 }
 
-/// Returns what this host knows of process exits and quarantined requests.
+/// Returns process exits and quarantined requests: the recent changes, or with
+/// [`Scope::Full`] all quarantined requests and the latest exits.
 fn quarantine_update<S: Store, D: Dialect>(host: &Host<S, D>, scope: Scope) -> quarantine::Update {
     let now = host.node.now();
     host.node.router().quarantine().build_update(now, scope)
--- a/crates/host/src/messaging/apply.rs
+++ b/crates/host/src/messaging/apply.rs
@@ -17,8 +17,8 @@
     FullState, Listing, ListingChange, ListingPatch, ListingStatus, Message, Request, StateUpdate,
 };
 
-/// Applies a host's update, and schedules an update of this host at once if something
-/// changed or is much more recent than what was known.
+/// Applies a host's update, and schedules an early update from this host if something changed,
+/// or if the configuration or listing was confirmed much later than known before.
 pub(super) fn state_update<S: Store, D: Dialect>(
     host: &Rc<Host<S, D>>,
     link: &Link,
@@ -61,8 +61,8 @@
     }
 }
 
-/// Applies what a host reports of roll-outs. Returns whether it must be passed on to the
-/// neighbours.
+/// Applies the roll-outs and verdicts in a host's update. Returns whether the changes must be
+/// passed on to the neighbours.
 fn rollouts<S: Store, D: Dialect>(
     host: &Host<S, D>,
     from: &HostName,
@@ -71,7 +71,8 @@
     let mut rollouts = update.rollouts.clone();
     let gossip = host.gossip.borrow();
     for it in &mut rollouts {
-        // Drops sums of hosts that are no farther from the root: they may include this host's own.
+        // Drops sums of hosts that are no farther from the root than this host: they may include
+        // its own evidence.
         it.partial_sums.retain(|sum| {
             let own = gossip.graph().distance(sum.root);
             own.is_some_and(|own| own < sum.distance)
@@ -101,7 +102,7 @@
 ) {
     let now = host.node.now();
     host.gossip.borrow_mut().mark_alive(now, &from.host);
-    // Before the configuration: requests are served as soon as it is in force.
+    // Applied before the configuration: requests are served as soon as that is in force.
     rollouts(host, &from.host, &state.update);
     evacuations::apply(host, state.evacuations);
     if let Some(it) = state.listing {
@@ -141,7 +142,7 @@
         }
         Message::Quarantine(it) => quarantine_update(host, &it),
         Message::Evacuations(it) => evacuations::apply(host, it),
-        // Not responses.
+        // Not responses, or without content.
         Message::StateUpdate(_) | Message::Request(_) | Message::Records(_) | Message::Empty => {}
     }
 }
@@ -174,8 +175,8 @@
     endpoints::apply_listing(host, at, it.entries, it.absence);
 }
 
-/// Applies changes of the listing. Requests a patch if this host's listing has changed since
-/// the request.
+/// Applies changes of the listing. If they don't apply because this host's listing has changed
+/// since the request, requests a patch, unless it already has the resulting entries.
 fn listing_change<S: Store, D: Dialect>(
     host: &Rc<Host<S, D>>,
     link: &Link,
@@ -210,14 +211,15 @@
 
 /// Returns the local time at which something was read, given its age as sent by another host.
 fn read_at(now: Duration, age: Duration) -> Duration {
-    /// Allowance for the transfer time, added to each age. Without it, the age would grow too
-    /// slowly while it travels between hosts.
+    /// Allowance for the transfer time, added to each age. Without it, hosts would take state
+    /// that was passed on by several others for newer than it is.
     const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(20);
     now.saturating_sub(age.saturating_add(TRANSFER_ALLOWANCE))
 }
 
-/// Takes over the read time of another host's listing if it equals this host's, and requests
-/// a newer listing that differs. Returns whether the read time is much later than before.
+/// Compares this host's listing with another host's. If the other one was read later, takes
+/// over its read time if it adds nothing, see [`ListingMeta::covers`], and otherwise requests
+/// its changes. Returns whether a read time was taken over that is much later than before.
 fn listing_status<S: Store, D: Dialect>(
     host: &Rc<Host<S, D>>,
     link: &Link,
--- a/crates/host/src/messaging/probe.rs
+++ b/crates/host/src/messaging/probe.rs
@@ -15,8 +15,8 @@
 use crate::host::Host;
 use crate::message::{Message, Request};
 
-/// The timeout of a probe, connection setup included. A host that is merely slow refutes the
-/// claim before callers are affected.
+/// The timeout of a probe, connection setup included. A live host that responds later is marked
+/// silent, and refutes that before callers are affected.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The interval between checks for suspected hosts.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/host/src/messaging/request.rs
+++ b/crates/host/src/messaging/request.rs
@@ -12,7 +12,8 @@
 use crate::host::Host;
 use crate::message::{Message, Request};
 
-/// The timeout of other responses.
+/// The timeout of a response, except those with [`LISTING_RESPONSE_TIMEOUT`]. Connection setup
+/// is not included.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 /// The timeout of a response to [`Request::Listing`] or [`Request::ListingPatch`], which can
 /// be hundreds of kilobytes on a slow link that callers use too. With a shorter timeout the
--- a/crates/host/src/outage.rs
+++ b/crates/host/src/outage.rs
@@ -35,8 +35,9 @@
         self.restored = Some(now);
     }
 
-    /// Returns what a missing entry means in a listing that is read now. `known` is when the
-    /// listing in use was read, by any host, and what a missing entry meant in it.
+    /// Returns the meaning of a missing entry in a listing that is read now. `known` is the
+    /// time at which the listing in use was read, by any host, and the meaning of a missing
+    /// entry in it.
     ///
     /// Failed readings of this host alone don't prove an outage: it may have been cut off
     /// while the others read the store. If it took missing entries for lapsed, the others
--- a/crates/host/src/report.rs
+++ b/crates/host/src/report.rs
@@ -16,8 +16,8 @@
 /// The interval at which gauges are set and dropped log lines are reported.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts a call to the store, and logs when calls of its kind begin to fail or succeed
-/// again.
+/// Counts a call to the store, logs when calls of its kind begin to fail or succeed again, and
+/// restarts the long polls when the store is available again or was restored.
 pub(crate) fn record_store_call<S: Store, D: Dialect, T>(
     host: &Host<S, D>,
     call: &'static str,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Logs what a listing of endpoints changed.
+/// Logs the endpoints that a listing added, and those that take no new requests from now on.
 pub(crate) fn log_endpoint_changes<S: Store, D: Dialect>(
     host: &Host<S, D>,
     change: &Change,
--- a/crates/host/src/store.rs
+++ b/crates/host/src/store.rs
@@ -1,4 +1,4 @@
-//! The port to the persistent store.
+//! The interface to the persistent store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -69,8 +69,8 @@
         prints: &[RequestFingerprint],
     ) -> impl Future<Output = Result<(), StoreError>>;
 
-    /// Writes a verdict on a roll-out, unless another one was written after
-    /// `rollout_verdict.revision`.
+    /// Writes a verdict on a roll-out if the stored one still has `rollout_verdict.revision`,
+    /// or if none is stored and that is `None`.
     fn write_verdict(
         &self,
         rollout_verdict: &RolloutVerdict,
@@ -99,7 +99,7 @@
     pub unusable: usize,
 }
 
-/// Why a call to the store failed.
+/// The reason for the failure of a call to the store.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq, Hash)]
 pub enum StoreError {
     /// The call wasn't executed: the store rejected it, or it was never sent.
