--- a/crates/fleet/src/action.rs
+++ b/crates/fleet/src/action.rs
@@ -34,7 +34,7 @@
     Verdict(Verdict),
     /// A new update on an endpoint.
     Endpoint(Endpoint),
-    /// Counts of other hosts.
+    /// Evidence counted by other hosts.
     Evidence(Vec<Delta>),
     /// An operator requested that this host drain.
     Drain,
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -29,7 +29,8 @@
     Evidence(Vec<Delta>),
     /// The decision core of this host reached a verdict.
     Ruled(Ruled),
-    /// The state of an endpoint, from the endpoint itself or the host list.
+    /// The state of an endpoint, as this host learned it from the endpoint's load
+    /// report or from an attempt.
     Endpoint(Endpoint),
     /// This host's load, from 0 (idle) to 255 (full).
     Load(u8),
@@ -43,11 +44,12 @@
     Drain(Identity),
 }
 
-/// The result of reading the configuration from the table.
+/// The configuration as read from the table or committed to it.
 #[derive(Clone, Debug)]
 pub struct Polled {
-    /// The time at which the read was sent. The age of the proof counts from here,
-    /// because the response may have been written well before it arrived.
+    /// A time no later than the sending of the read, or of the write of a change. The
+    /// age of the proof counts from here, because the response may have been written
+    /// well before it arrived.
     pub asked: Duration,
     /// The newest revision.
     pub revision: Revision,
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -143,7 +143,8 @@
         self.members.iter().map(|it| &it.member)
     }
 
-    /// Returns the last known load of a member, from 0 (idle) to 255 (full).
+    /// Returns the last known load of this host or a member, from 0 (idle) to 255
+    /// (full), or `None` if it is unknown.
     #[must_use]
     pub fn load(&self, host: &HostName) -> Option<u8> {
         if self.me.identity.host == *host {
@@ -159,7 +160,7 @@
     }
 
     /// Returns the age of the latest proof that no newer revision was committed,
-    /// or `None` if there has been no proof.
+    /// or `None` if there has been no proof for the revision in force.
     #[must_use]
     pub fn proof_age(&self, now: Duration) -> Option<Duration> {
         self.configuration.proof_age(now)
@@ -202,8 +203,9 @@
     /// example by SIGSTOP. Otherwise all of them would have expired, and this
     /// host would declare live hosts unreachable.
     ///
-    /// After a gap longer than dead members are remembered, no other host could
-    /// report this incarnation's death to it, so it is deposed.
+    /// If the process was frozen for longer than [`Tuning::forget_after`], the other
+    /// hosts may have declared this incarnation dead and removed its record, so none
+    /// could report its death to it. It is deposed.
     fn recover_from_freeze(&mut self, cx: &mut Cx) {
         let gap = cx.now.saturating_sub(self.timers.last_event);
         let is_first = self.timers.last_event.is_zero();
--- a/crates/fleet/src/fleet/anti_entropy.rs
+++ b/crates/fleet/src/fleet/anti_entropy.rs
@@ -32,8 +32,9 @@
         }
     }
 
-    /// Contacts a host that is unreachable, or listed but unknown. Only one at a
-    /// time unless this host is joining, because all members do the same.
+    /// Contacts a random host that is unreachable, or whose listed incarnation is
+    /// unknown. Only one at a time unless this host is joining, because all members
+    /// do the same.
     pub(super) fn reconnect_when_due(&mut self, cx: &mut Cx) {
         if cx.now < self.timers.reconnect {
             return;
--- a/crates/fleet/src/fleet/dissemination.rs
+++ b/crates/fleet/src/fleet/dissemination.rs
@@ -17,8 +17,9 @@
     /// A data centre that was partitioned reports all other hosts as unreachable
     /// once the partition heals, and each of them would have to refute that. So
     /// a host ignores accusations by a host that reaches far fewer members, and
-    /// retracts all accusations in its records when a host reaches far more. Neither applies between
-    /// hosts on the same side of a partition, whose views are nearly the same.
+    /// retracts all accusations in its records when a host reaches far more. Neither
+    /// applies between hosts on the same side of a partition, whose views are nearly
+    /// the same.
     pub(super) fn apply_gossip_message(
         &mut self,
         cx: &mut Cx,
@@ -128,8 +129,8 @@
         self.apply_verdict(cx, &verdict, None);
     }
 
-    /// Advances this host's own state and gossips it; an earlier state is ignored. The
-    /// higher refutation number overrides what other hosts report.
+    /// Advances this host's own state and gossips it; the present or an earlier state
+    /// is ignored. The higher refutation number overrides what other hosts report.
     pub(super) fn set_own_state(&mut self, state: State) {
         if self.me.state < state {
             self.update_own_record(self.me.refutation, state);
@@ -202,8 +203,8 @@
         }
     }
 
-    /// Returns when updates are next pushed, or `None` if none are queued or there
-    /// are no neighbours.
+    /// Returns the time of the next push, or `None` if all updates were pushed or
+    /// there are no neighbours.
     pub(super) fn push_deadline(&self) -> Option<Duration> {
         let deadline = self.gossip.deadline(&self.tuning);
         deadline.filter(|_| !self.neighbours.all().is_empty())
--- a/crates/fleet/src/fleet/evidence.rs
+++ b/crates/fleet/src/fleet/evidence.rs
@@ -1,7 +1,8 @@
 //! Distribution of evidence. In a small fleet each host sends its counts to all
 //! others. In a larger one a relay in the data centre collects them and sends
 //! them to the homes of each group of topics, the hosts that aggregate the
-//! group's counts; the first home returns the totals to all hosts via the relays.
+//! group's counts. The first home sends the sums since its last sending to all hosts
+//! via the relays.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,8 +15,8 @@
 use crate::rendezvous::weight;
 use crate::{Action, Fleet};
 
-/// Delay at a relay before it forwards counts returned by homes. It only combines
-/// counts that arrive from several homes at the same time.
+/// Delay at a relay before it forwards counts returned by homes. It is short because
+/// it only serves to combine counts that several homes send at the same time.
 const RETURN_DELAYS: BatchDelays = BatchDelays {
     urgent: Duration::from_millis(100),
     usual: Duration::from_millis(100),
@@ -226,10 +227,10 @@
         }
     }
 
-    /// Returns the delays with which a home returns counts. None are urgent: the home
-    /// has judged failures itself, and verdicts spread as gossip updates. A large
-    /// fleet nearly always has some error, so urgent sending would defeat
-    /// batching.
+    /// Returns the delays with which a home returns counts. Urgent counts wait as
+    /// long as others: the home's decision core has already evaluated them, and
+    /// verdicts spread as gossip updates. A large fleet nearly always has some error,
+    /// so urgent sending would defeat batching.
     fn home_delays(&self) -> BatchDelays {
         let usual = self.tuning.evidence_to_all;
         BatchDelays {
--- a/crates/fleet/src/fleet/failure_detection.rs
+++ b/crates/fleet/src/fleet/failure_detection.rs
@@ -11,7 +11,7 @@
 use crate::members::{LoadReport, MemberKey};
 use crate::prober::{PendingProbe, RelayedProbe};
 
-/// Number of reachable hosts besides the target below which an isolated host may
+/// Number of reachable members besides the target below which an isolated host may
 /// suspect the target. In a small fleet a wrong suspicion causes few refutations.
 const MIN_WITNESSES_REQUIRING_RESPONSE: usize = 16;
 
@@ -188,8 +188,8 @@
         self.send_probe(cx, &target, sequence);
     }
 
-    /// Returns a random fraction of `of`, so that hosts that start together don't
-    /// act in step.
+    /// Returns 5 % to 100 % of `of`, chosen at random, so that hosts that start
+    /// together don't act at the same times.
     pub(super) fn jitter(&mut self, of: Duration) -> Duration {
         of.mul_f64(self.rng.random_range(0.05..1.0))
     }
@@ -343,8 +343,8 @@
         });
     }
 
-    /// Compares views with a host that responded as another incarnation than the
-    /// probed one. The host sends its new record itself.
+    /// Compares views with a host whose ack came from another incarnation than the
+    /// known one. The host's response contains its present record.
     fn compare_with_new_incarnation(&mut self, cx: &mut Cx, target: &Identity) {
         let Some(entry) = self.members.find(&target.host) else {
             return;
@@ -355,7 +355,7 @@
 }
 
 impl PendingProbe {
-    /// Returns when the probe next times out.
+    /// Returns the time of the probe's next timeout.
     fn due(&self, timeout: Duration) -> Duration {
         self.sent
             + if self.is_indirect_requested {
--- a/crates/fleet/src/fleet/selection.rs
+++ b/crates/fleet/src/fleet/selection.rs
@@ -43,9 +43,9 @@
     /// [`crate::Tuning::handout`].
     ///
     /// An isolated host lists itself first. Otherwise this host comes first among
-    /// equals: the caller gets a ticket issued by
-    /// this host, and any other host that receives the ticket has to ask this
-    /// one. Only alive hosts are included.
+    /// hosts of equal distance and band: the caller gets a ticket issued by this
+    /// host, and any other host that receives the ticket has to ask this one. Only
+    /// hosts in state [`State::Alive`] are included.
     #[must_use]
     pub fn handout(&mut self, now: Duration, data_centre: &DataCentre) -> Vec<Member> {
         let region = self.region_of(data_centre);
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -7,8 +7,9 @@
 
 /// Updates that this host still has to send.
 ///
-/// Each update is pushed once to all neighbours and piggybacked on a limited
-/// number of later probes and acks, so that a lost frame doesn't stop it.
+/// Each update is pushed once to all neighbours except the one that sent it, and
+/// piggybacked on a limited number of probes and acks, so that a lost frame doesn't
+/// stop it.
 #[derive(Default)]
 pub(crate) struct Gossip {
     items: Vec<Item>,
@@ -45,7 +46,7 @@
         });
     }
 
-    /// Returns the time of the next push.
+    /// Returns the time of the next push, or `None` if all updates were pushed.
     pub(crate) fn deadline(&self, tuning: &crate::Tuning) -> Option<Duration> {
         let unpushed = self.items.iter().filter(|it| !it.is_pushed);
         let bytes: usize = unpushed.map(|it| estimated_bytes(&it.update)).sum();
--- a/crates/fleet/src/measure/figures.rs
+++ b/crates/fleet/src/measure/figures.rs
@@ -35,7 +35,8 @@
     pub document_mean: f64,
     /// Mean frames sent per second and host.
     pub frames: f64,
-    /// The largest number of peers of a host, which is its number of connections.
+    /// The largest number of peers to or from which a host's frames went, which is its
+    /// number of connections.
     pub peers_max: usize,
     /// Mean share of a processor core used per host by the membership core and the
     /// codec.
@@ -49,7 +50,8 @@
     /// Longest time from a commit until the revision is in force on all hosts, or
     /// [`Duration::MAX`] if a revision wasn't by the end.
     pub revision_max: Duration,
-    /// The highest age of a host's proof that its revision is the newest.
+    /// The highest age of a host's proof that its revision is the newest, or
+    /// [`Duration::MAX`] if a host had no proof at some time.
     pub proof_age_max: Duration,
     /// Longest time from a kill until a host suspects the killed one, and so
     /// omits it from hand-outs. Zero if no host suspected it.
--- a/crates/fleet/src/measure/workload.rs
+++ b/crates/fleet/src/measure/workload.rs
@@ -35,8 +35,8 @@
 const RATING_RATE: f64 = 0.05;
 
 /// The size of the configuration, and the approximate number of its changes per
-/// measurement.
-/// Changes are more frequent than in production, so documents are counted separately.
+/// measurement. Changes are more frequent than in production, so documents are
+/// counted separately.
 const DOCUMENT_BYTES: usize = 48 * 1024;
 const CONFIGURATION_CHANGES: u64 = 3;
 
@@ -73,7 +73,7 @@
 }
 
 impl Observations {
-    /// Returns the time since the host was killed, or `None` if it wasn't.
+    /// Returns the time from the host's kill to `at`, or `None` if it wasn't killed.
     fn since_killed(&self, host: &HostName, at: Duration) -> Option<Duration> {
         let (killed_at, killed) = self.killed.as_ref()?;
         killed.contains(host).then(|| at.saturating_sub(*killed_at))
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -44,7 +44,8 @@
     Changed(State),
     /// A newer incarnation replaced the given record.
     Replaced(Member),
-    /// Nothing changed.
+    /// Nothing changed: the same record is known, or the record declares an unknown
+    /// host dead.
     Known,
     /// A newer record is already known.
     Stale,
--- a/crates/fleet/src/pool.rs
+++ b/crates/fleet/src/pool.rs
@@ -8,8 +8,8 @@
 use crate::rendezvous::weight;
 
 /// The number of groups into which topics are hashed. Each group has one relay
-/// per data centre and its own home hosts, which spreads the work over the hosts;
-/// one frame carries all topics of a group.
+/// per data centre and its own home hosts, which spreads the work over the hosts.
+/// A group's topics are batched and sent together.
 pub(crate) const GROUPS: usize = 24;
 
 /// Returns the group of a topic; all request classes of a version share one.
@@ -113,7 +113,7 @@
 pub(crate) struct OwnContributions {
     /// Evidence sent since the last call of [`Self::forget`].
     current: BTreeMap<Topic, Delta>,
-    /// Evidence sent before the last call of [`Self::forget`].
+    /// Evidence sent between the last two calls of [`Self::forget`].
     previous: BTreeMap<Topic, Delta>,
 }
 
--- a/crates/fleet/src/rendezvous.rs
+++ b/crates/fleet/src/rendezvous.rs
@@ -1,5 +1,5 @@
 //! Rendezvous hashing: hosts with the same view of the members make the same
-//! choice, and the change of one member reassigns only what it was chosen for.
+//! choice, and adding or removing a member reassigns only the keys assigned to it.
 
 use std::hash::{Hash, Hasher};
 
--- a/crates/fleet/src/tuning.rs
+++ b/crates/fleet/src/tuning.rs
@@ -7,17 +7,17 @@
 pub struct Tuning {
     /// The interval between probes.
     pub probe_every: Duration,
-    /// The timeout after which indirect probes are requested; the target becomes
+    /// The timeout after which indirect probes are requested. The target may become
     /// suspect at three times this after the probe.
     pub probe_timeout: Duration,
     /// The number of members asked to probe an unresponsive one.
     pub helpers: usize,
-    /// A suspicion lasts this long times log2 of the fleet's size, rounded up and at
-    /// least 1.
+    /// The time in which a suspect can refute the suspicion, for a fleet of two. It is
+    /// multiplied by log2 of the fleet's size, rounded up and at least 1.
     pub suspicion: Duration,
     /// The number of hash rings from which neighbours are chosen.
     pub rings: usize,
-    /// A host that receives no ack for this long counts as isolated; see
+    /// The time without an ack after which a host counts as isolated; see
     /// [`crate::Fleet::is_isolated`].
     pub isolated_after: Duration,
     /// The interval between comparisons of views with a random member.
@@ -37,12 +37,12 @@
     /// The interval between pushes while more updates wait than one push carries, as
     /// after a network partition heals.
     pub push_every_when_full: Duration,
-    /// The approximate limit on the bytes of updates in a push or probe.
+    /// The approximate limit on the bytes of updates in a push, probe or ack.
     pub news_bytes: usize,
     /// The interval between table reads of a poller or an isolated host.
     pub poll_every: Duration,
-    /// A host that isn't a poller reads the table itself once its proof is older
-    /// than this.
+    /// The age of its proof above which a host that isn't a poller reads the table
+    /// itself.
     pub poll_when_older: Duration,
     /// The number of hosts per data centre that poll the table.
     pub pollers: usize,
@@ -64,7 +64,7 @@
     pub evidence_direct: usize,
     /// The maximum number of home hosts of a topic group in larger fleets.
     pub evidence_homes: usize,
-    /// The number of other hosts' loads that a probe carries.
+    /// The maximum number of other hosts' loads that a probe or ack carries.
     pub loads: usize,
     /// The age above which a load counts as unknown.
     pub load_age: Duration,
@@ -77,7 +77,7 @@
     /// the host list covers it.
     pub endpoint_compared_for: Duration,
     /// The time after which an unreachable incarnation is declared dead, and a dead
-    /// one removed. A host that was frozen for longer deposes itself.
+    /// one removed. A host that was frozen for longer is deposed.
     pub forget_after: Duration,
 }
 
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -6,7 +6,8 @@
 
 use crate::rendezvous::{Fnv, mix};
 
-/// The number of buckets. A difference costs the exchange of one bucket's records.
+/// The number of buckets that records are hashed into. Hosts whose views differ
+/// exchange only the records of the differing buckets.
 pub(crate) const BUCKETS: u8 = 32;
 
 /// The fingerprints of all buckets.
--- a/crates/gate/src/chat.rs
+++ b/crates/gate/src/chat.rs
@@ -14,8 +14,8 @@
 
 const MAX_PROFILE_OR_CLASS_BYTES: usize = 64;
 
-/// Fields that change the meaning of the response and that the engines don't
-/// support. If they were ignored, the response wouldn't match the request.
+/// Fields that change the meaning of the response and that aren't supported. If
+/// they were ignored, the response wouldn't match the request.
 const UNSUPPORTED_FIELDS: [&str; 6] = [
     "tools",
     "functions",
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Instructions from the service.
+    /// Instructions to the model; the role `developer` of a request becomes this one.
     #[display("system")]
     System,
     /// The person or service that makes the request.
@@ -90,8 +90,8 @@
     pub mode: Mode,
     /// Maximum number of tokens in the response.
     pub max_tokens: Option<u32>,
-    /// The caller's label for the kind of request; answer quality is tracked per
-    /// class. [`DEFAULT_CLASS`] if absent.
+    /// The caller's label for the kind of request; the quality of responses is
+    /// tracked per class. [`DEFAULT_CLASS`] if absent.
     pub class: Arc<str>,
 }
 
--- a/crates/gate/src/operator.rs
+++ b/crates/gate/src/operator.rs
@@ -225,7 +225,7 @@
     pub own: u64,
     /// Records stored on behalf of other hosts.
     pub held: u64,
-    /// Age of the oldest record in milliseconds.
+    /// Age of the oldest of the responding host's own records in milliseconds.
     pub oldest_ms: u64,
 }
 
--- a/crates/gate/src/problem.rs
+++ b/crates/gate/src/problem.rs
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns the title, which is the same for every refusal with this reason.
+    /// Returns the title of problem documents with this reason.
     #[must_use]
     pub fn title(self) -> &'static str {
         match self {
@@ -193,9 +193,10 @@
     /// Returns the default delay after which a caller may retry.
     ///
     /// Without a delay, refused callers retry at once and flood a host that is
-    /// already in trouble. [`Problem::new`] applies the delay, so that no code
-    /// path has to. Reasons that may be temporary but have no default delay, such
-    /// as [`Self::Deadline`] and [`Self::UpstreamFailed`], return `None`.
+    /// already in trouble. [`Problem::new`] applies the delay, so that its callers
+    /// needn't. Returns `None` for reasons that a later retry doesn't resolve, and
+    /// for some that may be temporary, such as [`Self::Deadline`] and
+    /// [`Self::UpstreamFailed`].
     #[must_use]
     pub fn retry_after(self) -> Option<Duration> {
         match self {
--- a/crates/gate/src/seal.rs
+++ b/crates/gate/src/seal.rs
@@ -4,8 +4,8 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 const MAC_BYTES: usize = 32;
-/// Longer input is not decoded. Session tokens, tickets and forwarding proofs are
-/// expected to be shorter; [`seal`] doesn't check this.
+/// Maximum length of the text that [`open`] decodes. Session tokens, tickets and
+/// forwarding proofs are expected to be shorter; [`seal`] doesn't check this.
 const MAX_TEXT_BYTES: usize = 2048;
 
 /// Encodes `value` and its keyed hash as text for a header. The value is signed, not
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -14,7 +14,7 @@
 
 const PREFIX: &str = "s1.";
 
-/// The version to which a session is pinned.
+/// A session token: the version to which a customer's session is pinned.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Token {
     /// The customer that owns the session.
