--- a/crates/fakes/src/call.rs
+++ b/crates/fakes/src/call.rs
@@ -15,9 +15,9 @@
     pub method: Method,
     /// The segments of the path, percent-decoded.
     pub path: Vec<String>,
-    /// The query parameters, decoded.
+    /// The query parameters, decoded; of a repeated one, the last value.
     pub query: BTreeMap<String, String>,
-    /// The headers, with lower-case names.
+    /// The headers, with lower-case names; of a repeated header, the last value.
     pub headers: BTreeMap<String, String>,
     /// The complete body.
     pub body: Vec<u8>,
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Marks a running attempt as cancelled; its generation then stops before the next chunk.
+    /// Marks a running attempt as cancelled. A stream then stops before its next chunk; any other
+    /// response is generated completely and dropped.
     fn cancel(&mut self, attempt: &str) -> Response {
         self.cancels.push(attempt.to_owned());
         for it in &mut self.executions {
--- a/crates/fakes/src/engine/execution.rs
+++ b/crates/fakes/src/engine/execution.rs
@@ -23,9 +23,9 @@
     pub prompt_tokens: u64,
     /// Prompt tokens found in the cache.
     pub cached_tokens: u64,
-    /// Tokens generated.
+    /// Tokens generated; 0 until the execution ends.
     pub completion_tokens: u64,
-    /// Cost at the version's actual price.
+    /// Cost at the version's actual price; 0 until the execution ends.
     pub cost_microcents: u64,
     /// The state of the execution.
     pub end: ExecutionState,
@@ -41,7 +41,7 @@
     Complete,
     /// The entry host cancelled it.
     Cancelled,
-    /// The reader closed the connection.
+    /// The entry host closed the connection.
     Disconnected,
     /// A fault closed the connection before the end of the response.
     Cut,
--- a/crates/fakes/src/engine/faults.rs
+++ b/crates/fakes/src/engine/faults.rs
@@ -4,7 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The faults of an engine. All shares are between 0 and 1 and drawn for each attempt.
+/// The faults of an engine. Shares are drawn for each attempt; they are meant to be between 0 and
+/// 1, which isn't checked.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Faults {
@@ -13,10 +14,10 @@
     /// The share of attempts that fail: with status 500 after the work, or, when streaming, by
     /// closing the connection before the first chunk.
     pub(crate) errors: f64,
-    /// The share of responses whose connection is closed: after `cut_after` chunks when streaming,
-    /// without a response otherwise.
+    /// The share of responses whose connection is closed: before the chunk with index `cut_after`
+    /// when streaming, without a response otherwise.
     pub(crate) cut: f64,
-    /// Number of chunks that are sent before a cut.
+    /// The index of the chunk before which a stream is cut; a stream without that chunk isn't cut.
     pub(crate) cut_after: u64,
     /// The share of streams that send their second chunk twice.
     pub(crate) duplicate: f64,
@@ -24,8 +25,8 @@
     pub(crate) reorder: f64,
     /// Refuses requests with this code.
     pub(crate) refuse: Option<String>,
-    /// The share of responses that are bad in addition to the version's configured quality, by
-    /// version.
+    /// The share of responses, by version, that are made bad whatever the version's configured
+    /// quality.
     pub(crate) bad: BTreeMap<String, f64>,
     /// Refuses requests and reports the state `leaving` in the load report.
     pub(crate) leaving: bool,
--- a/crates/fakes/src/engine/generation.rs
+++ b/crates/fakes/src/engine/generation.rs
@@ -21,9 +21,9 @@
 
 type Events = mpsc::Sender<io::Result<Vec<u8>>>;
 
-/// Confidence in a good response, before noise, where confidence depends fully on quality.
+/// Reported confidence of a good response, before noise, if `GroundTruth::confidence` is 1.
 const CONFIDENCE_IF_GOOD: f64 = 0.9;
-/// Confidence in a bad response, before noise, where confidence depends fully on quality.
+/// Reported confidence of a bad response, before noise, if `GroundTruth::confidence` is 1.
 const CONFIDENCE_IF_BAD: f64 = 0.2;
 /// Width of the range of noise added to a confidence.
 const CONFIDENCE_NOISE: f64 = 0.2;
@@ -145,13 +145,14 @@
         let tokens = self.chunks.len();
         let last = event(&self.last_chunk());
         let done = b"data: [DONE]\n\n".to_vec();
-        // The record is complete before the reader can see the end of the response.
+        // The record is complete before the entry host can see the end of the response.
         self.finish(tokens, ExecutionState::Complete);
         let _ = events.send(Ok(last)).await;
         let _ = events.send(Ok(done)).await;
     }
 
-    /// Returns the response as one JSON object.
+    /// Returns the response as one JSON object, or the failure that was drawn for this attempt; a
+    /// cancelled attempt gets no response.
     pub(crate) async fn respond(mut self) -> Response {
         task::sleep(self.first_chunk_delay).await;
         let tokens = self.chunks.len();
--- a/crates/fakes/src/engine/prompt.rs
+++ b/crates/fakes/src/engine/prompt.rs
@@ -8,6 +8,7 @@
 /// Bytes of text that are counted as one token.
 const CHARS_PER_TOKEN: usize = 4;
 
+/// A chat request.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Prompt {
     pub(crate) model: String,
@@ -47,7 +48,8 @@
         self.messages.iter().map(Message::tokens).sum()
     }
 
-    /// Returns the token count and text of every prefix of the conversation, the longest last.
+    /// Returns the prefixes of the conversation that end with a message, the longest last: the
+    /// token count, and the model's name followed by the text.
     pub(crate) fn prefixes(&self) -> Vec<(u64, String)> {
         let mut tokens = 0;
         let mut text = self.model.clone();
--- a/crates/fakes/src/engine/versions.rs
+++ b/crates/fakes/src/engine/versions.rs
@@ -36,6 +36,7 @@
 /// An order that was applied, with its fencing number.
 #[derive(Debug, Serialize)]
 pub(crate) struct AppliedOrder {
+    /// Monotonic time in milliseconds.
     at_ms: u64,
     fencing: u64,
     stale: bool,
--- a/crates/fakes/src/mark.rs
+++ b/crates/fakes/src/mark.rs
@@ -1,5 +1,6 @@
-//! The mark that the engine stand-in writes into its responses. The rating service and the
-//! callers read from it which attempt, version and call a response belongs to.
+//! The mark that the engine stand-in writes into its responses. The rating service reads from it
+//! whether the response is good; callers read which version and call it belongs to and whether it
+//! is complete.
 
 /// Prefix of the text that closes a response; the attempt follows.
 const END: &str = " [[end=";
--- a/crates/fakes/src/plain_service.rs
+++ b/crates/fakes/src/plain_service.rs
@@ -35,8 +35,8 @@
     pub request: String,
     /// The attempt's id, as assigned by the entry host.
     pub attempt: String,
-    /// The caller's name for its call: the field `call` of the body, else the query parameter
-    /// `call`, else the idempotency key.
+    /// The caller's name for its call: the string field `call` of the body, else the query
+    /// parameter `call`, else the idempotency key.
     pub call: String,
     /// The HTTP method.
     pub method: String,
--- a/crates/fakes/src/rating.rs
+++ b/crates/fakes/src/rating.rs
@@ -155,8 +155,8 @@
     }
 
     /// Publishes the ratings that are due. Sequence numbers are assigned here and not on request:
-    /// otherwise a rating that becomes due late could get a number below a reader's cursor and
-    /// would never be read.
+    /// otherwise a rating published later could get a number that a host's `after` has already
+    /// passed, and the host would never see it.
     fn publish_due(&mut self, now: Duration) {
         for PendingRating { body, good, .. } in self.pending.extract_if(.., |it| it.due <= now) {
             let published = self.published.entry(body.reply_to).or_default();
--- a/crates/fakes/src/response.rs
+++ b/crates/fakes/src/response.rs
@@ -11,7 +11,7 @@
 /// The response of a stand-in to one call.
 #[derive(Debug)]
 pub enum Response {
-    /// A complete JSON body.
+    /// A complete body, sent with the content type of JSON.
     Json {
         /// The HTTP status.
         status: u16,
@@ -20,7 +20,8 @@
     },
     /// Server-sent events; an error in the stream cuts the connection.
     Events(mpsc::Receiver<io::Result<Vec<u8>>>),
-    /// The connection is closed without a response, as when a host crashes after it did the work.
+    /// The connection is closed without a response, as when a host crashes after it did the work or
+    /// an attempt is cancelled.
     Lost,
 }
 
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -49,8 +49,8 @@
 async fn serve(io: TcpStream, stand_in: Arc<StandIn>) {
     // With Nagle's algorithm, each small event would wait for the acknowledgement of the last.
     let _ = io.set_nodelay(true);
-    // An error here is a caller that disconnected or a response that a fault drops; either way
-    // the connection is closed, as intended.
+    // An error is a malformed request, a caller that disconnected, or a response dropped by a fault
+    // or a cancellation; in each case the connection is closed.
     let _ = async_h1::accept(io, |req| respond(Arc::clone(&stand_in), req)).await;
 }
 
--- a/crates/fakes/src/settings.rs
+++ b/crates/fakes/src/settings.rs
@@ -39,20 +39,20 @@
 #[serde(default, deny_unknown_fields)]
 pub struct GroundTruth {
     /// The probability that a response is good, by request class; the class `default` stands for
-    /// all others.
+    /// all others. The probability is 1 if neither is given.
     pub good: BTreeMap<String, f64>,
-    /// How strongly the reported confidence depends on whether the response is good: from 0 (not
-    /// at all) to 1 (fully).
+    /// Weight of the response's quality in the reported confidence: from 0 (the confidence doesn't
+    /// depend on whether the response is good) to 1 (it depends on that only, apart from noise).
     pub confidence: f64,
     /// Price of a million prompt tokens in microcents.
     pub price_prompt: u64,
     /// Price of a million completion tokens in microcents.
     pub price_completion: u64,
-    /// Words in a response.
+    /// Words in a response besides the marks, at most the request's `max_tokens`.
     pub words: u64,
     /// Processing time of a prompt token that is not cached, in microseconds.
     pub prompt_us: u64,
-    /// Generation time of a token, in microseconds.
+    /// Delay per chunk, in microseconds; a stream's first chunk has none.
     pub token_us: u64,
 }
 
@@ -111,7 +111,7 @@
     /// Time to load a version.
     #[serde(default)]
     pub load_ms: u64,
-    /// The age of the load report.
+    /// The lag of `running` and `waiting` in the load report, reported as its age.
     #[serde(default)]
     pub load_lag_ms: u64,
     /// Capacity of the prefix cache; 0 disables it.
@@ -146,7 +146,7 @@
     /// Duration of a call.
     #[serde(default)]
     pub work_ms: u64,
-    /// The age of the load report.
+    /// The lag of `running` and `waiting` in the load report, reported as its age.
     #[serde(default)]
     pub load_lag_ms: u64,
 }
--- a/crates/fakes/src/table.rs
+++ b/crates/fakes/src/table.rs
@@ -35,9 +35,9 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Faults {
-    /// Every call gets status 503 and has no effect.
+    /// Every call under `/v1` gets status 503 and has no effect.
     outage: bool,
-    /// Additional duration of each call.
+    /// Additional duration of each call under `/v1`.
     delay_ms: u64,
     /// The number of next transactions that are executed but get no response: the connection is
     /// closed.
--- a/crates/fakes/src/table/rows.rs
+++ b/crates/fakes/src/table/rows.rs
@@ -46,8 +46,8 @@
     value: Value,
 }
 
-/// A condition on a row: its exact version, or its absence. Any other condition is rejected, so
-/// that a condition without a version isn't taken for one that the row is absent.
+/// A condition on a row: its exact version, or its absence. A condition with neither is rejected,
+/// so that a condition without a version isn't taken for one that the row is absent.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Condition {
--- a/crates/fakes/tests/sockets.rs
+++ b/crates/fakes/tests/sockets.rs
@@ -29,11 +29,14 @@
     with_stand_ins(async |site| {
         site.post("table", "/control/faults", &json!({"lose_answers": 1}))
             .await
-            .expect("a fault");
+            .expect("the fault is set");
         let write = json!({"puts": [{"key": "a", "value": 1}]});
         let lost = site.post("table", "/v1/transact", &write).await;
         assert_that!(lost, err(eq(&Error::MaybeSent(Cause::Closed))));
-        let row = site.get("table", "/v1/rows/a").await.expect("the row");
+        let row = site
+            .get("table", "/v1/rows/a")
+            .await
+            .expect("the row exists");
         assert_that!(row["value"], eq(&json!(1)));
     });
 }
@@ -46,7 +49,7 @@
         let faults = json!({"cut": 1.0, "cut_after": 2});
         site.post("engine", "/control/faults", &faults)
             .await
-            .expect("a fault");
+            .expect("the fault is set");
         let chat = json!({"model": "small@1", "messages": [], "stream": true});
         let res = site.post("engine", "/v1/chat/completions", &chat).await;
         assert_that!(res, err(matches_pattern!(Error::Cut(anything()))));
@@ -56,12 +59,16 @@
 #[test]
 fn host_list_contains_engine_addresses() {
     with_stand_ins(async |site| {
-        let hosts = site.get("hosts", "/v1/hosts").await.expect("the list");
+        let hosts = site
+            .get("hosts", "/v1/hosts")
+            .await
+            .expect("the host list responds");
         let address = site.address("engine").to_string();
         assert_that!(hosts["hosts"][0]["address"], eq(&json!(address)));
     });
 }
 
+/// A client and the stand-ins that it calls.
 struct Site {
     client: Client,
     started: RunningStandIns,
@@ -99,10 +106,10 @@
 fn with_stand_ins(test: impl AsyncFnOnce(Site)) {
     task::block_on(async {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
-        let settings = Settings::parse(SETTINGS).expect("the settings");
+        let settings = Settings::parse(SETTINGS).expect("the settings are valid");
         let started = RunningStandIns::start(Arc::clone(&clock), settings)
             .await
-            .expect("free ports");
+            .expect("ports are free");
         let client = Client::new(clock, PoolLimits::default());
         test(Site { client, started }).await;
     });
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -32,7 +32,8 @@
 
     /// Sends a request and reads the complete response.
     ///
-    /// Returns the error as text when there is no response within `limit`.
+    /// Returns the error as text when no complete response arrives within `timeout`, or when it is
+    /// larger than `BODY_LIMIT`.
     pub(crate) async fn send(
         &self,
         to: SocketAddr,
--- a/crates/scenario/src/command.rs
+++ b/crates/scenario/src/command.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Parses a line of arguments without a command.
+/// Parses a line of `name=value` and `name` arguments; lists in parentheses aren't supported.
 pub(crate) fn parse_line(line: &str) -> ArgumentMap {
     let words = line.split_whitespace();
     words
--- a/crates/scenario/src/environment.rs
+++ b/crates/scenario/src/environment.rs
@@ -78,7 +78,7 @@
 
     /// Starts a host and adds it to the platform's host list, without waiting until it is ready.
     ///
-    /// Each start uses a new address, as a replaced host does.
+    /// Each start uses a new address, because a host that replaces another one has a new address.
     pub(crate) async fn start_host(&mut self, name: &str) {
         let [high, low] = self.network;
         let ip = Ipv4Addr::new(127, high, low, self.next_ip);
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Waits until a host hands out all hosts. A host that doesn't know another one yet takes its
-    /// tickets for those of a host that is gone.
+    /// Waits until a host lists all hosts at `GET /v1/hosts`. A host that doesn't know another host
+    /// yet treats that host's tickets as tickets of a host that is gone.
     async fn await_hosts_known(&self, name: &str, count: usize) {
         let to = self.host(name).callers_address();
         let key = &format!("{KEY_PREFIX}{CUSTOMER}");
@@ -150,7 +150,7 @@
         let all_known = all_known.await.is_some();
         assert!(
             all_known,
-            "host {name} doesn't hand out all hosts:\n{}",
+            "host {name} doesn't list all hosts:\n{}",
             self.host_log(name)
         );
     }
--- a/crates/scenario/src/host.rs
+++ b/crates/scenario/src/host.rs
@@ -94,7 +94,7 @@
     pub(crate) fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if let Some(id) = id {
-            // Fails only when the process has exited; the script's next command shows that.
+            // Fails only when the process has exited, which isn't an error here.
             let _ = kill_process(id, signal);
         }
     }
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -20,8 +20,9 @@
 /// Pause between two calls of a caller.
 const CALL_PAUSE: Duration = Duration::from_millis(20);
 
-/// Running callers. Each one reads the host list, caches it for the time that the response
-/// states, calls the listed addresses and never retries a call.
+/// Running callers. Each one reads the host list, caches it for the time that the response states,
+/// and calls one of the listed addresses; with `stay` it only calls the first host. No call is
+/// retried.
 pub(crate) struct Load {
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<Counts>>,
@@ -35,7 +36,7 @@
 }
 
 impl Load {
-    /// Starts the callers; `start` is the first address that they call.
+    /// Starts the callers; `start` is the address from which they first read the host list.
     pub(crate) fn start(client: &Client, given: &ArgumentMap, start: SocketAddr) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let callers = (0..CALLERS)
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Returns a cached address. When the cache has expired, first refreshes it from the hosts that
-    /// it lists.
+    /// Returns a cached address. When the cache has expired, first refreshes it from the first of
+    /// its hosts that responds with a non-empty list; if none does, the old addresses stay.
     async fn address(&mut self, client: &Client, idx: usize) -> SocketAddr {
         if self.expires_at.is_none_or(|it| it <= Instant::now()) {
             self.refresh(client, idx).await;
--- a/crates/scenario/src/proxy.rs
+++ b/crates/scenario/src/proxy.rs
@@ -76,7 +76,7 @@
 }
 
 async fn copy(from: TcpStream, mut to: TcpStream) {
-    // Both peers see the error themselves, as a closed connection.
+    // An error is ignored: it ends the copying, and the peers see a closed connection.
     let _ = io::copy(&from, &mut to).await;
     let _ = to.close().await;
 }
--- a/crates/scenario/src/records.rs
+++ b/crates/scenario/src/records.rs
@@ -1,4 +1,4 @@
-//! Queries on the records of the stand-ins, for the counts in a script.
+//! Queries on the records of the stand-ins.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -53,13 +53,14 @@
     runs.flatten().filter(|it| it["version"] == version).count()
 }
 
-/// Returns the number of billing records for the caller's key.
+/// Returns the number of billing records for an idempotency key.
 pub(crate) async fn billing_records(env: &Environment, key: &str) -> usize {
     billing_records_by_key(env).await.remove(key).unwrap_or(0)
 }
 
-/// Returns the number of billing records in the table by the caller's key. The key of an idempotent
-/// request in the ledger has the body's fingerprint appended, which is ignored here.
+/// Returns the number of billing records in the table by idempotency key; a request without one
+/// counts under its id. The key of an idempotent request in the ledger has the body's fingerprint
+/// appended, which is ignored here.
 pub(crate) async fn billing_records_by_key(env: &Environment) -> BTreeMap<String, usize> {
     let table = env.stand_in("table");
     let mut found = BTreeMap::new();
@@ -89,12 +90,14 @@
     future::join_all(reads).await
 }
 
+/// Returns a stand-in's records; panics when it doesn't respond.
 pub(crate) async fn read(env: &Environment, address: SocketAddr) -> Value {
     let records = env.client.get(address, "/control/records", "").await;
     records.expect("the stand-ins respond as long as the test runs")
 }
 
-/// Counts the billing records in a row's value.
+/// Adds the billing records (objects with a field `charge`) in a row's value, at any depth, to
+/// `found`.
 fn count_billing_records(value: &Value, found: &mut BTreeMap<String, usize>) {
     match value {
         Value::Object(fields) => {
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Waits until a host hands out exactly the given hosts, in any order.
+    /// Waits until a host's list for callers contains exactly the given hosts, in any order.
     async fn hand_out(&mut self, args: &Arguments<'_>) -> String {
         let host = args.required("host");
         let mut wanted = args.values("hosts");
@@ -247,7 +247,8 @@
         format!("{line}, ran {ran} times")
     }
 
-    /// Makes concurrent calls; each line of the input has the arguments of a `call`.
+    /// Makes concurrent calls; each line of the input has the arguments of a `call`, of which
+    /// `until…` and `keep_session=` have no effect and `called=` adds no count.
     async fn together(&self, input: &str) -> String {
         let lines = input.lines().filter(|it| !it.trim().is_empty());
         let given: Vec<_> = lines.map(parse_line).collect();
--- a/crates/scenario/src/runner/counts.rs
+++ b/crates/scenario/src/runner/counts.rs
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Counts billing records of a call; with `count=`, first waits for at least that many.
+    /// Counts the billing records for the idempotency key `call=`; with `count=`, first waits for
+    /// at least that many.
     pub(super) async fn bills(&self, args: &Arguments<'_>) -> String {
         let (env, key) = (self.env(), args.required("call"));
         let wanted = args.parsed("count", 0);
--- a/crates/scenario/src/runner/misuse.rs
+++ b/crates/scenario/src/runner/misuse.rs
@@ -1,4 +1,5 @@
-//! Commands for unauthenticated peers, malformed requests and concurrent changes.
+//! Commands for unauthenticated peers, malformed requests, concurrent changes, metrics and the
+//! platform's host list.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,7 +21,8 @@
 const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
 impl ScriptRunner {
-    /// Sends a frame to a host with a certificate of an unknown authority.
+    /// Sends a frame to a host over a link whose certificate was issued by an authority that the
+    /// host doesn't trust.
     pub(super) async fn stranger(&self, args: &Arguments<'_>) -> String {
         let host = args.required("host");
         let authority = Authority::generate("elsewhere").expect("a CA can be made");
@@ -71,8 +73,8 @@
     }
 
     /// Sends the input as raw bytes to the callers' address and reads until the host closes the
-    /// connection. `body=N` appends N bytes; `unfinished` leaves out the empty line after the
-    /// headers.
+    /// connection or `MAX_RESPONSE_BYTES` have arrived. `body=N` appends N bytes `x`; `unfinished`
+    /// leaves out the last line end and the empty line after the headers.
     pub(super) async fn raw(&self, args: &Arguments<'_>, input: &str) -> String {
         let to = self.env().host(args.required("host")).callers_address();
         let mut bytes = input.trim_end().replace('\n', "\r\n").into_bytes();
@@ -140,8 +142,8 @@
         outcomes.join("\n")
     }
 
-    /// Adds hosts to the platform's host list. `callers-of:a` is replaced by host a's address for
-    /// callers.
+    /// Changes the platform's host list by the JSON in the input. `callers-of:a` is replaced by
+    /// host a's address for callers.
     pub(super) async fn list(&self, input: &str) -> String {
         let mut input = input.to_owned();
         for host in self.env().hosts.values() {
@@ -163,9 +165,10 @@
     stream.write_all(bytes).await?;
     let mut response = Vec::new();
     let mut buffer = [0; 1024];
-    // A host may respond and close the connection before it has read the whole body.
     while response.len() < MAX_RESPONSE_BYTES {
         match stream.read(&mut buffer).await {
+            // An error ends the response: a host may respond and close the connection before it has
+            // read the whole body.
             Ok(0) | Err(_) => break,
             Ok(read) => response.extend_from_slice(&buffer[..read]),
         }
--- a/crates/scenario/src/runner/rollout.rs
+++ b/crates/scenario/src/runner/rollout.rs
@@ -22,7 +22,7 @@
 }
 
 impl ScriptRunner {
-    /// Waits until the lease is held by `held_by=`, or by any host without it.
+    /// Waits until the lease is held by the host `held_by=`; if that isn't given, by any host.
     pub(super) async fn lease(&self, args: &Arguments<'_>) -> String {
         let (env, wanted) = (self.env(), args.optional("held_by"));
         let held = wait_until(args.timeout(), || async move {
--- a/crates/scenario/src/soak.rs
+++ b/crates/scenario/src/soak.rs
@@ -27,8 +27,8 @@
 const BILLING_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout for a drained host to exit.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(14);
-/// Additional settings of the hosts: a short fence, so that requests of killed hosts are settled
-/// during the run.
+/// Additional settings of the hosts: a short time until a missing host is fenced, so that requests
+/// of killed hosts are settled during the run.
 const EXTRA_SETTINGS: &str = "[ledger]\nfence_after_ms = 1500\n";
 
 /// The result of a soak.
@@ -40,7 +40,7 @@
     pub calls: usize,
     /// Number of calls that succeeded, perhaps after retries.
     pub answered: usize,
-    /// Number of steps that are not calls: kills, freezes, faults, changes and their ends.
+    /// Number of steps that are not calls: faults, their ends, and operators' changes.
     pub injected_faults: usize,
     /// The violations, one line each.
     pub violations: Vec<String>,
@@ -59,7 +59,8 @@
         } = self;
         writeln!(
             f,
-            "seed {seed}: {calls} calls, {answered} answered, {injected_faults} troubles, {} broken promises",
+            "seed {seed}: {calls} calls, {answered} answered, {injected_faults} other steps, \
+             {} violations",
             violations.len()
         )?;
         if violations.is_empty() {
@@ -68,12 +69,12 @@
         for violation in violations {
             writeln!(f, "{violation}")?;
         }
-        write!(f, "\nThe script, with the time of each step:\n{script}")
+        write!(f, "\nThe steps, with the time of each:\n{script}")
     }
 }
 
-/// Draws a script from `seed`, runs it for `length` on hosts that run `binary`, ends all faults
-/// and reports the violations.
+/// Draws steps from `seed`, runs them for `length` on hosts that run `binary`, ends all faults and
+/// reports the violations.
 ///
 /// # Panics
 /// Panics when a host doesn't start or a stand-in doesn't respond.
@@ -112,7 +113,8 @@
     calls: Vec<JoinHandle<CallHistory>>,
     /// The time, in milliseconds since the Unix epoch, and the new state of each change.
     changes: Vec<(u64, State)>,
-    /// The revision that the next change is based on.
+    /// The revision of the last accepted change of version `big@2`, on which the next one is based.
+    /// The default configuration sets `big@2` at revision 5.
     read_at: u64,
     thaws: Vec<u64>,
     drained: Option<&'static str>,
@@ -219,7 +221,8 @@
                 return;
             }
         }
-        // It isn't known whether the change was accepted, so the check expects no withdrawal.
+        // No host accepted the change, but it may have taken effect, so the check expects no
+        // withdrawal.
         self.changes.push((now_ms(), State::Active));
     }
 
--- a/crates/scenario/src/soak/caller.rs
+++ b/crates/scenario/src/soak/caller.rs
@@ -1,4 +1,5 @@
-//! A caller that retries at other hosts, with the same idempotency key and ticket.
+//! A caller that retries at other hosts, with the same idempotency key and ticket. An attempt is
+//! here a try of the caller at a host.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -46,7 +47,7 @@
 /// The outcome of an attempt.
 #[derive(Debug)]
 pub(super) struct AttemptOutcome {
-    /// Milliseconds since the Unix epoch.
+    /// Time at which the attempt ended, in milliseconds since the Unix epoch.
     pub(super) at_ms: u64,
     pub(super) line: String,
     /// The caller's name for its call, as it stands in the response.
--- a/crates/scenario/src/soak/check.rs
+++ b/crates/scenario/src/soak/check.rs
@@ -20,7 +20,7 @@
     pub(super) withdrawn_version: Vec<u64>,
 }
 
-/// A time span in which a version must not start an execution, in milliseconds since the Unix
+/// A time span in which no execution of the version may start, in milliseconds since the Unix
 /// epoch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Span {
@@ -98,6 +98,7 @@
     }
 }
 
+/// Adds a violation for each response with `not_run` after an execution had started.
 fn check_not_run(history: &CallHistory, records: &Records, violations: &mut Vec<String>) {
     let started = records.executions.get(&history.spec.key);
     for outcome in history
--- a/crates/scenario/src/soak/steps.rs
+++ b/crates/scenario/src/soak/steps.rs
@@ -11,7 +11,8 @@
 pub(super) const HOSTS: [&str; 3] = ["a", "b", "c"];
 /// Interval between two calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(40);
-/// Pause between two faults of the same kind, as a range in milliseconds.
+/// Pause between two faults at the same group of stand-ins, as a range in milliseconds; also the
+/// delay of the first fault and of the first change.
 const FAULT_PAUSE_MS: (u64, u64) = (1_500, 4_000);
 
 /// A step and its time since the start.
@@ -24,7 +25,7 @@
 /// The action of a step.
 #[derive(Clone, Debug)]
 pub(super) enum Action {
-    /// A caller makes a call and retries it until it succeeds.
+    /// A caller makes a call and retries it until it succeeds or its attempts are used up.
     Call(CallSpec),
     /// Sends SIGKILL to a host.
     Kill(&'static str),
@@ -101,8 +102,8 @@
     }
 }
 
-/// Draws the steps of a soak. At most one host is down at a time: a record is lost when both of its
-/// holders are, see `docs/design/ledger.md`.
+/// Draws the steps of a soak. At most one host is drawn to be down at a time: a record is lost when
+/// both hosts that hold it are down, see `docs/design/ledger.md`.
 pub(super) fn draw(seed: u64, length: Duration) -> Vec<Step> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut steps = calls(&mut rng, length);
