--- a/crates/fakes/src/engine/generation.rs
+++ b/crates/fakes/src/engine/generation.rs
@@ -70,14 +70,17 @@
             duplicate: rng.random::<f64>() < faults.duplicate,
             reorder: rng.random::<f64>() < faults.reorder,
         };
-        let informed = if good {
+        let confidence_if_known = if good {
             CONFIDENCE_IF_GOOD
         } else {
             CONFIDENCE_IF_BAD
         };
-        let prior = truth.good_probability(&prompt.class);
+        let confidence_if_unknown = truth.good_probability(&prompt.class);
         let noise = (rng.random::<f64>() - 0.5) * CONFIDENCE_NOISE;
-        let confidence = (prior + truth.confidence * (informed - prior) + noise).clamp(0.0, 1.0);
+        let confidence = (confidence_if_unknown
+            + truth.confidence * (confidence_if_known - confidence_if_unknown)
+            + noise)
+            .clamp(0.0, 1.0);
         let mark = Mark {
             request: request.clone(),
             attempt: attempt.clone(),
--- a/crates/fakes/src/engine/prompt.rs
+++ b/crates/fakes/src/engine/prompt.rs
@@ -6,7 +6,7 @@
 use crate::mark::Mark;
 
 /// Bytes of text that are counted as one token.
-const CHARS_PER_TOKEN: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 
 /// A chat request.
 #[derive(Debug, Deserialize)]
@@ -66,8 +66,8 @@
 
 impl Message {
     fn tokens(&self) -> u64 {
-        let chars = self.content.as_str().map_or(0, str::len);
-        chars.div_ceil(CHARS_PER_TOKEN) as u64
+        let bytes = self.content.as_str().map_or(0, str::len);
+        bytes.div_ceil(BYTES_PER_TOKEN) as u64
     }
 }
 
--- a/crates/fakes/src/plain_service.rs
+++ b/crates/fakes/src/plain_service.rs
@@ -49,7 +49,7 @@
 }
 
 struct Inner {
-    runs: Vec<ServiceExecution>,
+    executions: Vec<ServiceExecution>,
     by_call: BTreeMap<String, u64>,
     by_request: BTreeMap<String, u64>,
     refused: u64,
@@ -83,7 +83,7 @@
             ..Faults::default()
         };
         let inner = Inner {
-            runs: Vec::new(),
+            executions: Vec::new(),
             by_call: BTreeMap::new(),
             by_request: BTreeMap::new(),
             refused: 0,
@@ -120,7 +120,7 @@
             return Response::error(503, "overloaded");
         };
         self.record_load();
-        let run = ServiceExecution {
+        let execution = ServiceExecution {
             request: call.header("x-request-id").to_owned(),
             attempt: call.header("x-attempt-id").to_owned(),
             call: call_name(call),
@@ -129,12 +129,12 @@
             started_ms: millis(self.clock.wall()),
             answered: false,
         };
-        let idx = self.with(|it| it.start(run.clone()));
+        let idx = self.with(|it| it.start(execution.clone()));
         let delay = self.with(|it| it.faults.delay_ms) + self.settings.work_ms;
         if delay > 0 {
             task::sleep(Duration::from_millis(delay)).await;
         }
-        let draw = rng::keyed(self.seed, &(&run.request, &run.attempt)).random::<f64>();
+        let draw = rng::keyed(self.seed, &(&execution.request, &execution.attempt)).random::<f64>();
         let response = self.with(|it| it.finish(idx, draw));
         drop(slot);
         self.record_load();
@@ -188,11 +188,14 @@
         Some(code)
     }
 
-    fn start(&mut self, run: ServiceExecution) -> usize {
-        *self.by_call.entry(run.call.clone()).or_default() += 1;
-        *self.by_request.entry(run.request.clone()).or_default() += 1;
-        self.runs.push(run);
-        self.runs.len() - 1
+    fn start(&mut self, execution: ServiceExecution) -> usize {
+        *self.by_call.entry(execution.call.clone()).or_default() += 1;
+        *self
+            .by_request
+            .entry(execution.request.clone())
+            .or_default() += 1;
+        self.executions.push(execution);
+        self.executions.len() - 1
     }
 
     fn finish(&mut self, idx: usize, draw: f64) -> Response {
@@ -203,20 +206,20 @@
         if draw < self.faults.errors {
             return Response::error(500, "failed");
         }
-        let run = &mut self.runs[idx];
-        run.answered = true;
+        let execution = &mut self.executions[idx];
+        execution.answered = true;
         Response::ok(&json!({
-            "call": run.call,
-            "path": run.path,
-            "request": run.request,
-            "attempt": run.attempt,
-            "execution": self.by_call[&run.call],
+            "call": execution.call,
+            "path": execution.path,
+            "request": execution.request,
+            "attempt": execution.attempt,
+            "execution": self.by_call[&execution.call],
         }))
     }
 
     fn records(&self) -> Response {
         Response::ok(&json!({
-            "runs": self.runs,
+            "runs": self.executions,
             "by_call": self.by_call,
             "by_request": self.by_request,
             "refused": self.refused,
--- a/crates/fakes/tests/scripts.rs
+++ b/crates/fakes/tests/scripts.rs
@@ -12,7 +12,7 @@
 use kernel::ManualClock;
 
 #[test]
-fn scripts() {
+fn stand_ins_return_the_scripted_responses() {
     datadriven::walk("tests/scripts", |file| {
         let clock = Arc::new(ManualClock::default());
         let mut stand_in = None;
--- a/crates/fakes/tests/sockets.rs
+++ b/crates/fakes/tests/sockets.rs
@@ -23,17 +23,18 @@
 "#;
 
 #[test]
-fn lost_response_returns_maybe_sent() {
+fn response_lost_after_write_returns_error_maybe_sent() {
     // Guards against a client that takes a lost response for a failed write: the table applied
     // the write and the connection closed before the response.
-    with_stand_ins(async |site| {
-        site.post("table", "/control/faults", &json!({"lose_answers": 1}))
+    with_stand_ins(async |fixture| {
+        fixture
+            .post("table", "/control/faults", &json!({"lose_answers": 1}))
             .await
             .expect("the fault is set");
         let write = json!({"puts": [{"key": "a", "value": 1}]});
-        let lost = site.post("table", "/v1/transact", &write).await;
+        let lost = fixture.post("table", "/v1/transact", &write).await;
         assert_that!(lost, err(eq(&Error::MaybeSent(Cause::Closed))));
-        let row = site
+        let row = fixture
             .get("table", "/v1/rows/a")
             .await
             .expect("the row exists");
@@ -42,39 +43,40 @@
 }
 
 #[test]
-fn cut_stream_returns_cut() {
+fn stream_closed_before_its_end_returns_error_cut() {
     // Guards against a client that takes a stream for complete although its connection closed
     // before the end.
-    with_stand_ins(async |site| {
+    with_stand_ins(async |fixture| {
         let faults = json!({"cut": 1.0, "cut_after": 2});
-        site.post("engine", "/control/faults", &faults)
+        fixture
+            .post("engine", "/control/faults", &faults)
             .await
             .expect("the fault is set");
         let chat = json!({"model": "small@1", "messages": [], "stream": true});
-        let res = site.post("engine", "/v1/chat/completions", &chat).await;
+        let res = fixture.post("engine", "/v1/chat/completions", &chat).await;
         assert_that!(res, err(matches_pattern!(Error::Cut(anything()))));
     });
 }
 
 #[test]
 fn host_list_contains_engine_addresses() {
-    with_stand_ins(async |site| {
-        let hosts = site
+    with_stand_ins(async |fixture| {
+        let hosts = fixture
             .get("hosts", "/v1/hosts")
             .await
             .expect("the host list responds");
-        let address = site.address("engine").to_string();
+        let address = fixture.address("engine").to_string();
         assert_that!(hosts["hosts"][0]["address"], eq(&json!(address)));
     });
 }
 
 /// A client and the stand-ins that it calls.
-struct Site {
+struct Fixture {
     client: Client,
     started: RunningStandIns,
 }
 
-impl Site {
+impl Fixture {
     fn address(&self, name: &str) -> SocketAddr {
         self.started.addresses()[name]
     }
@@ -103,7 +105,7 @@
     }
 }
 
-fn with_stand_ins(test: impl AsyncFnOnce(Site)) {
+fn with_stand_ins(test: impl AsyncFnOnce(Fixture)) {
     task::block_on(async {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
         let settings = Settings::parse(SETTINGS).expect("the settings are valid");
@@ -111,6 +113,6 @@
             .await
             .expect("ports are free");
         let client = Client::new(clock, PoolLimits::default());
-        test(Site { client, started }).await;
+        test(Fixture { client, started }).await;
     });
 }
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -36,15 +36,15 @@
 }
 
 impl Load {
-    /// Starts the callers; `start` is the address from which they first read the host list.
-    pub(crate) fn start(client: &Client, given: &ArgumentMap, start: SocketAddr) -> Self {
+    /// Starts the callers; `first_address` is the address from which they first read the host list.
+    pub(crate) fn start(client: &Client, given: &ArgumentMap, first_address: SocketAddr) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let callers = (0..CALLERS)
             .map(|idx| {
                 task::spawn(run_caller(
                     client.clone(),
                     given.clone(),
-                    start,
+                    first_address,
                     idx,
                     stop.clone(),
                 ))
@@ -72,16 +72,16 @@
 async fn run_caller(
     client: Client,
     given: ArgumentMap,
-    start: SocketAddr,
+    first_address: SocketAddr,
     idx: usize,
     stop: Arc<AtomicBool>,
 ) -> Counts {
     let mut counts = Counts::default();
-    let mut cache = AddressCache::new(start);
+    let mut cache = AddressCache::new(first_address);
     let args = Arguments::new(&given);
     while !stop.load(Ordering::SeqCst) {
         let to = if args.has("stay") {
-            start
+            first_address
         } else {
             cache.address(&client, idx).await
         };
@@ -105,9 +105,9 @@
 }
 
 impl AddressCache {
-    fn new(start: SocketAddr) -> Self {
+    fn new(first_address: SocketAddr) -> Self {
         Self {
-            addresses: vec![start],
+            addresses: vec![first_address],
             expires_at: None,
         }
     }
--- a/crates/scenario/src/records.rs
+++ b/crates/scenario/src/records.rs
@@ -14,8 +14,8 @@
     let mut found = Vec::new();
     for mut it in records_where(env, is_endpoint).await {
         for name in ["runs", "executions"] {
-            if let Value::Array(runs) = it[name].take() {
-                found.extend(runs);
+            if let Value::Array(list) = it[name].take() {
+                found.extend(list);
             }
         }
     }
@@ -24,23 +24,23 @@
 
 /// Returns the number of executions of a call at all endpoints.
 pub(crate) async fn executions(env: &Environment, call: &str) -> usize {
-    let runs = all_executions(env).await;
-    runs.iter().filter(|it| it["call"] == call).count()
+    let all = all_executions(env).await;
+    all.iter().filter(|it| it["call"] == call).count()
 }
 
 /// Returns the number of executions at an endpoint, of one call or of all.
 pub(crate) async fn executions_at(env: &Environment, endpoint: &str, call: Option<&str>) -> usize {
-    let records = read(env, env.stand_in(endpoint)).await;
+    let records = read_records(env, env.stand_in(endpoint)).await;
     let plain = records["runs"].as_array();
     let engine = records["executions"].as_array();
-    let runs = plain.into_iter().chain(engine).flatten();
-    runs.filter(|it| call.is_none_or(|call| it["call"] == call))
+    let all = plain.into_iter().chain(engine).flatten();
+    all.filter(|it| call.is_none_or(|call| it["call"] == call))
         .count()
 }
 
 /// Returns the number of calls that an endpoint refused.
 pub(crate) async fn refusals_at(env: &Environment, endpoint: &str) -> u64 {
-    let records = read(env, env.stand_in(endpoint)).await;
+    let records = read_records(env, env.stand_in(endpoint)).await;
     let by_code = records["refusals"].as_object().into_iter().flatten();
     let engine: u64 = by_code.filter_map(|(_, it)| it.as_u64()).sum();
     engine + records["refused"].as_u64().unwrap_or_default()
@@ -49,8 +49,11 @@
 /// Returns the number of executions of a version at all engines.
 pub(crate) async fn executions_of_version(env: &Environment, version: &str) -> usize {
     let all = records_where(env, |it| it.starts_with("engine")).await;
-    let runs = all.iter().filter_map(|it| it["executions"].as_array());
-    runs.flatten().filter(|it| it["version"] == version).count()
+    let lists = all.iter().filter_map(|it| it["executions"].as_array());
+    lists
+        .flatten()
+        .filter(|it| it["version"] == version)
+        .count()
 }
 
 /// Returns the number of billing records for an idempotency key.
@@ -86,12 +89,12 @@
 
 async fn records_where(env: &Environment, wanted: impl Fn(&str) -> bool) -> Vec<Value> {
     let wanted = env.stand_ins.iter().filter(|(name, _)| wanted(name));
-    let reads = wanted.map(|(_, address)| read(env, *address));
+    let reads = wanted.map(|(_, address)| read_records(env, *address));
     future::join_all(reads).await
 }
 
 /// Returns a stand-in's records; panics when it doesn't respond.
-pub(crate) async fn read(env: &Environment, address: SocketAddr) -> Value {
+pub(crate) async fn read_records(env: &Environment, address: SocketAddr) -> Value {
     let records = env.client.get(address, "/control/records", "").await;
     records.expect("the stand-ins respond as long as the test runs")
 }
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -188,7 +188,7 @@
     /// Takes a ticket from a host and stores it under `as=`, by default the host's name.
     async fn ticket(&mut self, args: &Arguments<'_>) -> String {
         let host = args.required("host");
-        let response = self.request_hand_out(host).await;
+        let response = self.request_host_list(host).await;
         let ticket = response["ticket"].as_str().map(str::to_owned);
         let name = args.optional("as").unwrap_or(host).to_owned();
         match ticket {
@@ -208,31 +208,32 @@
         let this = &*self;
         let wanted = &wanted;
         let reached = wait_until(args.timeout(), || async move {
-            let response = this.request_hand_out(host).await;
-            (names(&response) == *wanted).then_some(())
+            let response = this.request_host_list(host).await;
+            (listed_host_names(&response) == *wanted).then_some(())
         });
         if reached.await.is_some() {
             return format!("hands out {}", wanted.join(" "));
         }
         format!(
             "hands out {}",
-            names(&self.request_hand_out(host).await).join(" ")
+            listed_host_names(&self.request_host_list(host).await).join(" ")
         )
     }
 
     async fn call(&mut self, args: &Arguments<'_>) -> String {
         let perform = || self.prepare(args).perform(self.env().client.clone());
         let outcome = if args.has("until_answered") {
-            let succeed =
+            let call_if_answered =
                 || async { Some(perform().await).filter(|it| it.line.starts_with("200")) };
-            wait_until(args.timeout(), succeed).await
+            wait_until(args.timeout(), call_if_answered).await
         } else if args.has("until_refused") {
-            let refuse =
+            let call_if_refused =
                 || async { Some(perform().await).filter(|it| !it.line.starts_with("200")) };
-            wait_until(args.timeout(), refuse).await
+            wait_until(args.timeout(), call_if_refused).await
         } else if let Some(word) = args.optional("until") {
-            let say = || async { Some(perform().await).filter(|it| it.line.contains(word)) };
-            wait_until(args.timeout(), say).await
+            let call_if_contains =
+                || async { Some(perform().await).filter(|it| it.line.contains(word)) };
+            wait_until(args.timeout(), call_if_contains).await
         } else {
             Some(perform().await)
         };
@@ -281,8 +282,8 @@
 
     fn begin_load(&mut self, given: &ArgumentMap) -> String {
         let host = Arguments::new(given).required("host");
-        let start = self.env().host(host).callers_address();
-        self.load = Some(Load::start(&self.env().client, given, start));
+        let first_address = self.env().host(host).callers_address();
+        self.load = Some(Load::start(&self.env().client, given, first_address));
         "begun".to_owned()
     }
 
@@ -339,7 +340,7 @@
         outcome.line
     }
 
-    async fn request_hand_out(&self, host: &str) -> Value {
+    async fn request_host_list(&self, host: &str) -> Value {
         let key = format!("{KEY_PREFIX}{CUSTOMER}");
         let to = self.env().host(host).callers_address();
         let response = self.env().client.get(to, "/v1/hosts", &key).await;
@@ -355,8 +356,8 @@
     }
 }
 
-fn names(hand_out: &Value) -> Vec<&str> {
-    let hosts = hand_out["hosts"].as_array().into_iter().flatten();
+fn listed_host_names(host_list: &Value) -> Vec<&str> {
+    let hosts = host_list["hosts"].as_array().into_iter().flatten();
     let mut names: Vec<_> = hosts.filter_map(|it| it["name"].as_str()).collect();
     names.sort_unstable();
     names
--- a/crates/scenario/src/runner/rollout.rs
+++ b/crates/scenario/src/runner/rollout.rs
@@ -69,7 +69,7 @@
 async fn holder(env: &Environment) -> Option<Holder> {
     let row = env.client.get(env.stand_in("table"), LEASE, "").await?;
     let text = row["value"].as_str();
-    let value = text.map_or_else(|| row["value"].clone(), parse);
+    let value = text.map_or_else(|| row["value"].clone(), parse_json_or_null);
     let incarnation = value["holder"].as_u64()?;
     Some(Holder {
         host: host_names(env).await.remove(&incarnation)?,
@@ -100,7 +100,7 @@
 async fn orders(env: &Environment) -> BTreeSet<String> {
     let mut orders = BTreeSet::new();
     for engine in env.stand_ins.keys().filter(|it| it.starts_with("engine")) {
-        let record = records::read(env, env.stand_in(engine)).await;
+        let record = records::read_records(env, env.stand_in(engine)).await;
         for it in record["loads"].as_array().into_iter().flatten() {
             let stale = if it["stale"] == true { " STALE" } else { "" };
             let (version, wanted) = (
@@ -133,6 +133,6 @@
     value.as_str().unwrap_or("?")
 }
 
-fn parse(text: &str) -> Value {
+fn parse_json_or_null(text: &str) -> Value {
     serde_json::from_str(text).unwrap_or_default()
 }
--- a/crates/scenario/src/soak.rs
+++ b/crates/scenario/src/soak.rs
@@ -41,10 +41,10 @@
     /// Number of calls that succeeded, perhaps after retries.
     pub answered: usize,
     /// Number of steps that are not calls: faults, their ends, and operators' changes.
-    pub injected_faults: usize,
+    pub other_steps: usize,
     /// The violations, one line each.
     pub violations: Vec<String>,
-    script: String,
+    steps_text: String,
 }
 
 impl Display for Report {
@@ -53,13 +53,13 @@
             seed,
             calls,
             answered,
-            injected_faults,
+            other_steps,
             violations,
-            script,
+            steps_text,
         } = self;
         writeln!(
             f,
-            "seed {seed}: {calls} calls, {answered} answered, {injected_faults} other steps, \
+            "seed {seed}: {calls} calls, {answered} answered, {other_steps} other steps, \
              {} violations",
             violations.len()
         )?;
@@ -69,7 +69,7 @@
         for violation in violations {
             writeln!(f, "{violation}")?;
         }
-        write!(f, "\nThe steps, with the time of each:\n{script}")
+        write!(f, "\nThe steps, with the time of each:\n{steps_text}")
     }
 }
 
@@ -85,7 +85,7 @@
 
 async fn run(seed: u64, length: Duration, binary: &Path) -> Report {
     let steps = steps::draw(seed, length);
-    let script: Vec<_> = steps.iter().map(Step::to_string).collect();
+    let step_lines: Vec<_> = steps.iter().map(Step::to_string).collect();
     let mut soak = Soak::start(binary).await;
     for step in &steps {
         soak.wait(step.at).await;
@@ -100,9 +100,9 @@
         seed,
         calls: histories.len(),
         answered: histories.iter().filter(|it| it.has_succeeded()).count(),
-        injected_faults: steps.len() - histories.len(),
+        other_steps: steps.len() - histories.len(),
         violations: check::violations(&histories, &records, &spans),
-        script: script.join("\n"),
+        steps_text: step_lines.join("\n"),
     }
 }
 
@@ -263,20 +263,24 @@
                 .then_some(())
         })
         .await;
-        let runs = records::all_executions(env).await;
-        let started = |it: &Value| it["started_ms"].as_u64().unwrap_or_default();
-        let mut found = Records {
+        let execution_list = records::all_executions(env).await;
+        let start_ms = |it: &Value| it["started_ms"].as_u64().unwrap_or_default();
+        let mut stand_in_records = Records {
             executions: BTreeMap::new(),
             bills: records::billing_records_by_key(env).await,
-            withdrawn_version: Vec::new(),
+            withdrawn_version_starts: Vec::new(),
         };
-        for it in &runs {
+        for it in &execution_list {
             let call = it["call"].as_str().unwrap_or_default().to_owned();
-            found.executions.entry(call).or_default().push(started(it));
+            stand_in_records
+                .executions
+                .entry(call)
+                .or_default()
+                .push(start_ms(it));
             if it["version"] == "big@2" {
-                found.withdrawn_version.push(started(it));
+                stand_in_records.withdrawn_version_starts.push(start_ms(it));
             }
         }
-        found
+        stand_in_records
     }
 }
--- a/crates/scenario/src/soak/check.rs
+++ b/crates/scenario/src/soak/check.rs
@@ -17,7 +17,7 @@
     /// Number of billing records by key.
     pub(super) bills: BTreeMap<String, usize>,
     /// Start times of the executions of the version that is withdrawn and restored.
-    pub(super) withdrawn_version: Vec<u64>,
+    pub(super) withdrawn_version_starts: Vec<u64>,
 }
 
 /// A time span in which no execution of the version may start, in milliseconds since the Unix
@@ -59,10 +59,10 @@
     for history in histories {
         check_at_most_once(history, records, &mut violations);
         check_billed_once(history, records, &mut violations);
-        check_not_run(history, records, &mut violations);
+        check_not_run_responses(history, records, &mut violations);
         check_responses(history, &mut violations);
     }
-    for at in &records.withdrawn_version {
+    for at in &records.withdrawn_version_starts {
         if spans.iter().any(|it| (it.from..it.to).contains(at)) {
             violations.push(format!("big@2 was executed at {at} while withdrawn"));
         }
@@ -99,7 +99,7 @@
 }
 
 /// Adds a violation for each response with `not_run` after an execution had started.
-fn check_not_run(history: &CallHistory, records: &Records, violations: &mut Vec<String>) {
+fn check_not_run_responses(history: &CallHistory, records: &Records, violations: &mut Vec<String>) {
     let started = records.executions.get(&history.spec.key);
     for outcome in history
         .outcomes
@@ -117,11 +117,11 @@
 
 fn check_responses(history: &CallHistory, violations: &mut Vec<String>) {
     for outcome in history.outcomes.iter().filter(|it| it.is_success()) {
-        let is_foreign = outcome
+        let is_of_other_call = outcome
             .call
             .as_ref()
             .is_some_and(|it| *it != history.spec.key);
-        if outcome.line.contains("NO") || outcome.line.contains("WRONG") || is_foreign {
+        if outcome.line.contains("NO") || outcome.line.contains("WRONG") || is_of_other_call {
             violations.push(format!(
                 "{} got a wrong or incomplete response: {outcome:?}",
                 history.spec.key
--- a/crates/scenario/src/soak/steps.rs
+++ b/crates/scenario/src/soak/steps.rs
@@ -106,16 +106,16 @@
 /// both hosts that hold it are down, see `docs/design/ledger.md`.
 pub(super) fn draw(seed: u64, length: Duration) -> Vec<Step> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut steps = calls(&mut rng, length);
-    steps.extend(hosts(&mut rng, length));
-    steps.extend(store(&mut rng, length));
-    steps.extend(endpoints(&mut rng, length));
-    steps.extend(operators(&mut rng, length));
+    let mut steps = call_steps(&mut rng, length);
+    steps.extend(host_fault_steps(&mut rng, length));
+    steps.extend(table_fault_steps(&mut rng, length));
+    steps.extend(endpoint_fault_steps(&mut rng, length));
+    steps.extend(change_steps(&mut rng, length));
     steps.sort_by_key(|it| it.at);
     steps
 }
 
-fn calls(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
+fn call_steps(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
     let mut steps = Vec::new();
     let mut at = Duration::ZERO;
     while at < length {
@@ -138,7 +138,7 @@
     steps
 }
 
-fn hosts(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
+fn host_fault_steps(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
     let mut steps = Vec::new();
     let mut at = random_millis(rng, (300, 1_500));
     while at < length {
@@ -157,16 +157,16 @@
     steps
 }
 
-fn store(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
+fn table_fault_steps(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
     const TABLE_FAULTS: [(&str, &str); 3] = [
         (r#"{"outage": true}"#, r#"{"outage": false}"#),
         (r#"{"delay_ms": 400}"#, r#"{"delay_ms": 0}"#),
         (r#"{"lose_answers": 2}"#, r#"{"lose_answers": 0}"#),
     ];
-    stand_in_faults(rng, length, &["table"], &TABLE_FAULTS)
+    stand_in_fault_steps(rng, length, &["table"], &TABLE_FAULTS)
 }
 
-fn endpoints(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
+fn endpoint_fault_steps(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
     const ENGINE: [(&str, &str); 5] = [
         (r#"{"cut": 0.5, "cut_after": 2}"#, r#"{"cut": 0.0}"#),
         (r#"{"duplicate": 0.5}"#, r#"{"duplicate": 0.0}"#),
@@ -179,8 +179,8 @@
         (r#"{"refuse": "overloaded"}"#, r#"{"refuse": null}"#),
         (r#"{"delay_ms": 300}"#, r#"{"delay_ms": 0}"#),
     ];
-    let mut steps = stand_in_faults(rng, length, &["engine-1", "engine-2"], &ENGINE);
-    steps.extend(stand_in_faults(
+    let mut steps = stand_in_fault_steps(rng, length, &["engine-1", "engine-2"], &ENGINE);
+    steps.extend(stand_in_fault_steps(
         rng,
         length,
         &["seats-1", "seats-2"],
@@ -189,7 +189,7 @@
     steps
 }
 
-fn stand_in_faults(
+fn stand_in_fault_steps(
     rng: &mut Pcg64Mcg,
     length: Duration,
     stand_ins: &[&'static str],
@@ -209,7 +209,7 @@
     steps
 }
 
-fn operators(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
+fn change_steps(rng: &mut Pcg64Mcg, length: Duration) -> Vec<Step> {
     let mut steps = Vec::new();
     let mut at = random_millis(rng, FAULT_PAUSE_MS);
     let mut next = State::Withdrawn;
