--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -20,8 +20,9 @@
 /// Pause between two calls of a caller.
 const CALL_PAUSE: Duration = Duration::from_millis(20);
 
-/// Running callers. Each one reads the host list, caches it for the time that the response
-/// states, calls the listed addresses and never retries a call.
+/// Running callers. Each one reads the host list, caches it for the time that the response states,
+/// and calls one of the listed addresses; with `stay` it only calls the first host. No call is
+/// retried.
 pub(crate) struct Load {
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<Counts>>,
@@ -35,15 +36,15 @@
 }
 
 impl Load {
-    /// Starts the callers; `start` is the first address that they call.
-    pub(crate) fn start(client: &Client, given: &ArgumentMap, start: SocketAddr) -> Self {
+    /// Starts the callers; `first_address` is the address from which they first read the host list.
+    pub(crate) fn start(client: &Client, given: &ArgumentMap, first_address: SocketAddr) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let callers = (0..CALLERS)
             .map(|idx| {
                 task::spawn(run_caller(
                     client.clone(),
                     given.clone(),
-                    start,
+                    first_address,
                     idx,
                     stop.clone(),
                 ))
@@ -71,16 +72,16 @@
 async fn run_caller(
     client: Client,
     given: ArgumentMap,
-    start: SocketAddr,
+    first_address: SocketAddr,
     idx: usize,
     stop: Arc<AtomicBool>,
 ) -> Counts {
     let mut counts = Counts::default();
-    let mut cache = AddressCache::new(start);
+    let mut cache = AddressCache::new(first_address);
     let args = Arguments::new(&given);
     while !stop.load(Ordering::SeqCst) {
         let to = if args.has("stay") {
-            start
+            first_address
         } else {
             cache.address(&client, idx).await
         };
@@ -104,15 +105,15 @@
 }
 
 impl AddressCache {
-    fn new(start: SocketAddr) -> Self {
+    fn new(first_address: SocketAddr) -> Self {
         Self {
-            addresses: vec![start],
+            addresses: vec![first_address],
             expires_at: None,
         }
     }
 
-    /// Returns a cached address. When the cache has expired, first refreshes it from the hosts that
-    /// it lists.
+    /// Returns a cached address. When the cache has expired, first refreshes it from the first of
+    /// its hosts that responds with a non-empty list; if none does, the old addresses stay.
     async fn address(&mut self, client: &Client, idx: usize) -> SocketAddr {
         if self.expires_at.is_none_or(|it| it <= Instant::now()) {
             self.refresh(client, idx).await;
--- a/crates/scenario/src/records.rs
+++ b/crates/scenario/src/records.rs
@@ -1,4 +1,4 @@
-//! Queries on the records of the stand-ins, for the counts in a script.
+//! Queries on the records of the stand-ins.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
     let mut found = Vec::new();
     for mut it in records_where(env, is_endpoint).await {
         for name in ["runs", "executions"] {
-            if let Value::Array(runs) = it[name].take() {
-                found.extend(runs);
+            if let Value::Array(list) = it[name].take() {
+                found.extend(list);
             }
         }
     }
@@ -24,23 +24,23 @@
 
 /// Returns the number of executions of a call at all endpoints.
 pub(crate) async fn executions(env: &Environment, call: &str) -> usize {
-    let runs = all_executions(env).await;
-    runs.iter().filter(|it| it["call"] == call).count()
+    let all = all_executions(env).await;
+    all.iter().filter(|it| it["call"] == call).count()
 }
 
 /// Returns the number of executions at an endpoint, of one call or of all.
 pub(crate) async fn executions_at(env: &Environment, endpoint: &str, call: Option<&str>) -> usize {
-    let records = read(env, env.stand_in(endpoint)).await;
+    let records = read_records(env, env.stand_in(endpoint)).await;
     let plain = records["runs"].as_array();
     let engine = records["executions"].as_array();
-    let runs = plain.into_iter().chain(engine).flatten();
-    runs.filter(|it| call.is_none_or(|call| it["call"] == call))
+    let all = plain.into_iter().chain(engine).flatten();
+    all.filter(|it| call.is_none_or(|call| it["call"] == call))
         .count()
 }
 
 /// Returns the number of calls that an endpoint refused.
 pub(crate) async fn refusals_at(env: &Environment, endpoint: &str) -> u64 {
-    let records = read(env, env.stand_in(endpoint)).await;
+    let records = read_records(env, env.stand_in(endpoint)).await;
     let by_code = records["refusals"].as_object().into_iter().flatten();
     let engine: u64 = by_code.filter_map(|(_, it)| it.as_u64()).sum();
     engine + records["refused"].as_u64().unwrap_or_default()
@@ -49,17 +49,21 @@
 /// Returns the number of executions of a version at all engines.
 pub(crate) async fn executions_of_version(env: &Environment, version: &str) -> usize {
     let all = records_where(env, |it| it.starts_with("engine")).await;
-    let runs = all.iter().filter_map(|it| it["executions"].as_array());
-    runs.flatten().filter(|it| it["version"] == version).count()
+    let lists = all.iter().filter_map(|it| it["executions"].as_array());
+    lists
+        .flatten()
+        .filter(|it| it["version"] == version)
+        .count()
 }
 
-/// Returns the number of billing records for the caller's key.
+/// Returns the number of billing records for an idempotency key.
 pub(crate) async fn billing_records(env: &Environment, key: &str) -> usize {
     billing_records_by_key(env).await.remove(key).unwrap_or(0)
 }
 
-/// Returns the number of billing records in the table by the caller's key. The key of an idempotent
-/// request in the ledger has the body's fingerprint appended, which is ignored here.
+/// Returns the number of billing records in the table by idempotency key; a request without one
+/// counts under its id. The key of an idempotent request in the ledger has the body's fingerprint
+/// appended, which is ignored here.
 pub(crate) async fn billing_records_by_key(env: &Environment) -> BTreeMap<String, usize> {
     let table = env.stand_in("table");
     let mut found = BTreeMap::new();
@@ -85,16 +89,18 @@
 
 async fn records_where(env: &Environment, wanted: impl Fn(&str) -> bool) -> Vec<Value> {
     let wanted = env.stand_ins.iter().filter(|(name, _)| wanted(name));
-    let reads = wanted.map(|(_, address)| read(env, *address));
+    let reads = wanted.map(|(_, address)| read_records(env, *address));
     future::join_all(reads).await
 }
 
-pub(crate) async fn read(env: &Environment, address: SocketAddr) -> Value {
+/// Returns a stand-in's records; panics when it doesn't respond.
+pub(crate) async fn read_records(env: &Environment, address: SocketAddr) -> Value {
     let records = env.client.get(address, "/control/records", "").await;
     records.expect("the stand-ins respond as long as the test runs")
 }
 
-/// Counts the billing records in a row's value.
+/// Adds the billing records (objects with a field `charge`) in a row's value, at any depth, to
+/// `found`.
 fn count_billing_records(value: &Value, found: &mut BTreeMap<String, usize>) {
     match value {
         Value::Object(fields) => {
--- a/crates/scenario/src/soak.rs
+++ b/crates/scenario/src/soak.rs
@@ -27,8 +27,8 @@
 const BILLING_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout for a drained host to exit.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(14);
-/// Additional settings of the hosts: a short fence, so that requests of killed hosts are settled
-/// during the run.
+/// Additional settings of the hosts: a short time until a missing host is fenced, so that requests
+/// of killed hosts are settled during the run.
 const EXTRA_SETTINGS: &str = "[ledger]\nfence_after_ms = 1500\n";
 
 /// The result of a soak.
@@ -40,11 +40,11 @@
     pub calls: usize,
     /// Number of calls that succeeded, perhaps after retries.
     pub answered: usize,
-    /// Number of steps that are not calls: kills, freezes, faults, changes and their ends.
-    pub injected_faults: usize,
+    /// Number of steps that are not calls: faults, their ends, and operators' changes.
+    pub other_steps: usize,
     /// The violations, one line each.
     pub violations: Vec<String>,
-    script: String,
+    steps_text: String,
 }
 
 impl Display for Report {
@@ -53,13 +53,14 @@
             seed,
             calls,
             answered,
-            injected_faults,
+            other_steps,
             violations,
-            script,
+            steps_text,
         } = self;
         writeln!(
             f,
-            "seed {seed}: {calls} calls, {answered} answered, {injected_faults} troubles, {} broken promises",
+            "seed {seed}: {calls} calls, {answered} answered, {other_steps} other steps, \
+             {} violations",
             violations.len()
         )?;
         if violations.is_empty() {
@@ -68,12 +69,12 @@
         for violation in violations {
             writeln!(f, "{violation}")?;
         }
-        write!(f, "\nThe script, with the time of each step:\n{script}")
+        write!(f, "\nThe steps, with the time of each:\n{steps_text}")
     }
 }
 
-/// Draws a script from `seed`, runs it for `length` on hosts that run `binary`, ends all faults
-/// and reports the violations.
+/// Draws steps from `seed`, runs them for `length` on hosts that run `binary`, ends all faults and
+/// reports the violations.
 ///
 /// # Panics
 /// Panics when a host doesn't start or a stand-in doesn't respond.
@@ -84,7 +85,7 @@
 
 async fn run(seed: u64, length: Duration, binary: &Path) -> Report {
     let steps = steps::draw(seed, length);
-    let script: Vec<_> = steps.iter().map(Step::to_string).collect();
+    let step_lines: Vec<_> = steps.iter().map(Step::to_string).collect();
     let mut soak = Soak::start(binary).await;
     for step in &steps {
         soak.wait(step.at).await;
@@ -99,9 +100,9 @@
         seed,
         calls: histories.len(),
         answered: histories.iter().filter(|it| it.has_succeeded()).count(),
-        injected_faults: steps.len() - histories.len(),
+        other_steps: steps.len() - histories.len(),
         violations: check::violations(&histories, &records, &spans),
-        script: script.join("\n"),
+        steps_text: step_lines.join("\n"),
     }
 }
 
@@ -112,7 +113,8 @@
     calls: Vec<JoinHandle<CallHistory>>,
     /// The time, in milliseconds since the Unix epoch, and the new state of each change.
     changes: Vec<(u64, State)>,
-    /// The revision that the next change is based on.
+    /// The revision of the last accepted change of version `big@2`, on which the next one is based.
+    /// The default configuration sets `big@2` at revision 5.
     read_at: u64,
     thaws: Vec<u64>,
     drained: Option<&'static str>,
@@ -219,7 +221,8 @@
                 return;
             }
         }
-        // It isn't known whether the change was accepted, so the check expects no withdrawal.
+        // No host accepted the change, but it may have taken effect, so the check expects no
+        // withdrawal.
         self.changes.push((now_ms(), State::Active));
     }
 
@@ -260,20 +263,24 @@
                 .then_some(())
         })
         .await;
-        let runs = records::all_executions(env).await;
-        let started = |it: &Value| it["started_ms"].as_u64().unwrap_or_default();
-        let mut found = Records {
+        let execution_list = records::all_executions(env).await;
+        let start_ms = |it: &Value| it["started_ms"].as_u64().unwrap_or_default();
+        let mut stand_in_records = Records {
             executions: BTreeMap::new(),
             bills: records::billing_records_by_key(env).await,
-            withdrawn_version: Vec::new(),
+            withdrawn_version_starts: Vec::new(),
         };
-        for it in &runs {
+        for it in &execution_list {
             let call = it["call"].as_str().unwrap_or_default().to_owned();
-            found.executions.entry(call).or_default().push(started(it));
+            stand_in_records
+                .executions
+                .entry(call)
+                .or_default()
+                .push(start_ms(it));
             if it["version"] == "big@2" {
-                found.withdrawn_version.push(started(it));
+                stand_in_records.withdrawn_version_starts.push(start_ms(it));
             }
         }
-        found
+        stand_in_records
     }
 }
